--- a/proof/cmd/simulate/main.go
+++ b/proof/cmd/simulate/main.go
@@ -25,8 +25,12 @@
 	jobs := flag.Int("jobs", runtime.NumCPU(), "seeds played at once")
 	isMet := flag.Bool("met", false, "print how often each trouble met each phase")
 	isAdmission := flag.Bool("admission", false, "play the admission experiments and print their table")
+	isDigests := flag.Bool("digests", false, "print the digest of each seed's history, by which two builds are compared")
 	isTakeover := flag.Bool("takeover", false, "lose control's primary in each way, over the seeds, and print how long it takes")
 	flag.Parse()
+	if *isDigests {
+		return digests(*from, *count, *manner, *shapeName, *jobs)
+	}
 	if *isAdmission {
 		admission(*from)
 		return 0
--- /dev/null
+++ b/proof/compatibility/fill_test.go
@@ -0,0 +1,61 @@
+package compatibility
+
+import (
+	"fmt"
+	"reflect"
+)
+
+// filler gives every leaf of a value another content, by the order of the
+// fields alone: a value of a type whose fields were renamed is filled as before.
+type filler struct{ count int }
+
+// filled gives a value of the type of sample in which no field is zero.
+func filled(sample any) any {
+	value := reflect.New(reflect.TypeOf(sample)).Elem()
+	(&filler{}).fill(value)
+	return value.Interface()
+}
+
+func (f *filler) fill(value reflect.Value) {
+	f.count++
+	fills := map[reflect.Kind]func(){
+		reflect.Bool:    func() { value.SetBool(true) },
+		reflect.String:  func() { value.SetString(fmt.Sprintf("text-%d", f.count)) },
+		reflect.Int:     func() { value.SetInt(int64(f.count)) },
+		reflect.Int64:   func() { value.SetInt(int64(f.count) * 1_000_003) },
+		reflect.Uint8:   func() { value.SetUint(uint64(f.count % 251)) },
+		reflect.Uint64:  func() { value.SetUint(uint64(f.count) * 1_000_033) },
+		reflect.Float64: func() { value.SetFloat(float64(f.count) + 0.25) },
+		reflect.Pointer: func() {
+			value.Set(reflect.New(value.Type().Elem()))
+			f.fill(value.Elem())
+		},
+		reflect.Struct: func() {
+			for at := range value.NumField() {
+				f.fill(value.Field(at))
+			}
+		},
+		reflect.Array: func() {
+			for at := range value.Len() {
+				f.fill(value.Index(at))
+			}
+		},
+		reflect.Slice: func() {
+			value.Set(reflect.MakeSlice(value.Type(), 2, 2))
+			f.fill(value.Index(0))
+			f.fill(value.Index(1))
+		},
+		reflect.Map: func() {
+			key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
+			f.fill(key)
+			f.fill(element)
+			value.Set(reflect.MakeMap(value.Type()))
+			value.SetMapIndex(key, element)
+		},
+	}
+	fill, isKnown := fills[value.Kind()]
+	if !isKnown {
+		panic(fmt.Sprintf("a field of kind %s in a message or a stored record", value.Kind()))
+	}
+	fill()
+}
--- /dev/null
+++ b/proof/compatibility/messages_test.go
@@ -0,0 +1,66 @@
+// Package compatibility holds the messages and stored records of this build
+// against those of earlier builds, which share a fleet with it and left their files.
+package compatibility
+
+import (
+	"bytes"
+	"encoding/gob"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam.example/pooler/protocol/msg"
+	"tansyseam.example/pooler/transport/link"
+)
+
+// isWriting makes golden files anew. It is for new kinds of message or record
+// only: the files of released ones never change.
+var isWriting = flag.Bool("write-golden", false, "write the golden files that are missing")
+
+const messageFolder = "testdata/messages"
+
+// fileOf gives the golden file of a kind of message, by the name under which it is sent.
+func fileOf(name string) string {
+	return filepath.Join(messageFolder, strings.ReplaceAll(name, "/", "_")+".gob")
+}
+
+// sentName gives the name under which a message is sent.
+func sentName(body any) string {
+	of := reflect.TypeOf(body)
+	return of.PkgPath() + "." + of.Name()
+}
+
+func frameOf(body any) link.Envelope {
+	return link.Envelope{From: "node-a", Version: 2, ID: 77, IsReply: true, Body: body}
+}
+
+func TestMessagesOfEarlierBuildsAreRead(t *testing.T) {
+	msg.Register()
+	Convey("Each message, encoded by 6cad5d2 with no field zero, is read with every field", t, func() {
+		for _, body := range msg.Bodies() {
+			path := fileOf(sentName(body))
+			if _, err := os.Stat(path); err != nil && *isWriting {
+				var buffer bytes.Buffer
+				frame := frameOf(filled(body))
+				So(gob.NewEncoder(&buffer).Encode(&frame), ShouldBeNil)
+				So(os.MkdirAll(messageFolder, 0o755), ShouldBeNil)
+				So(os.WriteFile(path, buffer.Bytes(), 0o644), ShouldBeNil)
+			}
+			data, err := os.ReadFile(path)
+			So(err, ShouldBeNil)
+			var frame link.Envelope
+			So(gob.NewDecoder(bytes.NewReader(data)).Decode(&frame), ShouldBeNil)
+			SoMsg(path, frame, ShouldResemble, frameOf(filled(body)))
+		}
+	})
+	Convey("No message of an earlier build has gone", t, func() {
+		files, err := filepath.Glob(messageFolder + "/*.gob")
+		So(err, ShouldBeNil)
+		So(len(files), ShouldEqual, len(msg.Bodies()))
+	})
+}
