--- a/build.sh
+++ b/build.sh
@@ -4,6 +4,6 @@
 cd "$(dirname "$0")"
 version=$(git describe --always --dirty 2>/dev/null || echo dev)
 mkdir -p bin
-(cd pooler && go build -ldflags "-X tansyseam.example/pooler/cmd/settings.Version=$version" -o ../bin/ ./cmd/seamd ./cmd/seamc ./cmd/seamsh)
-(cd proof && go build -o ../bin/ ./cmd/stand ./cmd/prove ./cmd/simulate)
+go build -ldflags "-X tansyseam/internal/app/config.Version=$version" -o bin/ ./cmd/...
+go build -o bin/ ./test/cmd/standin ./test/cmd/e2e ./test/cmd/simulate
 echo "built $version into bin/"
--- a/pooler/cmd/seamc/main.go
+++ b/cmd/tansyseam-control/main.go
@@ -1,15 +1,15 @@
-// Program seamc is the control plane.
+// Program tansyseam-control is the control plane.
 package main
 
 import (
 	"os"
 	"time"
 
-	"tansyseam.example/platform"
-	"tansyseam.example/pooler/cmd/control"
-	"tansyseam.example/pooler/cmd/fleet"
-	"tansyseam.example/pooler/cmd/settings"
-	"tansyseam.example/pooler/cmd/start"
+	"tansyseam/internal/app/bootstrap"
+	"tansyseam/internal/app/config"
+	"tansyseam/internal/app/control"
+	"tansyseam/internal/app/node"
+	"tansyseam/platform"
 )
 
 type manner struct {
@@ -17,9 +17,9 @@
 	start func() error
 }
 
-var manners = map[string]func(*fleet.Node) manner{
-	"": func(*fleet.Node) manner { return manner{start: func() error { return nil }} },
-	settings.MannerPlatform: func(node *fleet.Node) manner {
+var manners = map[string]func(*node.Node) manner{
+	"": func(*node.Node) manner { return manner{start: func() error { return nil }} },
+	config.MannerPlatform: func(node *node.Node) manner {
 		node.Translate = platform.Translate
 		orders := control.NewOrders(node.Crew, platform.Codec(), node.Place().Name)
 		return manner{seams: &control.Seams{Order: orders.Give, Promote: control.Promoter(node, platform.Promote)}, start: orders.Start}
@@ -30,11 +30,11 @@
 const leaveBound = 5 * time.Second
 
 func main() {
-	os.Exit(start.Main("seamc", os.Args[1:], func(node *fleet.Node, place settings.Settings) (start.Program, error) {
+	os.Exit(bootstrap.Main("seamc", os.Args[1:], func(node *node.Node, place config.Settings) (bootstrap.Program, error) {
 		way := manners[place.Manner](node)
 		made, err := control.Open(node, place, way.seams)
 		if err != nil {
-			return start.Program{}, err
+			return bootstrap.Program{}, err
 		}
 		begin := func() error {
 			if err := way.start(); err != nil {
@@ -43,7 +43,7 @@
 			made.Start()
 			return nil
 		}
-		return start.Program{Start: begin, Drain: func() {
+		return bootstrap.Program{Start: begin, Drain: func() {
 			made.Leave(leaveBound)
 			node.Leave()
 		}}, nil
--- a/pooler/cmd/seamsh/main.go
+++ b/cmd/tansyseamctl/main.go
@@ -1,4 +1,4 @@
-// Program seamsh is the shell for queries on the fleet's state.
+// Program tansyseamctl is the shell for queries on the fleet's state.
 package main
 
 import (
@@ -11,19 +11,19 @@
 	"github.com/juju/errors"
 	"github.com/lesismal/nbio/logging"
 
-	"tansyseam.example/pooler/cmd/settings"
-	"tansyseam.example/pooler/cmd/shell"
-	"tansyseam.example/pooler/cmd/start"
-	"tansyseam.example/pooler/transport/run"
+	"tansyseam/internal/app/bootstrap"
+	"tansyseam/internal/app/config"
+	"tansyseam/internal/app/shell"
+	"tansyseam/internal/transport/worker"
 )
 
 func main() { os.Exit(talk(os.Args[1:])) }
 
 func talk(args []string) int {
-	logging.SetLogger(start.Silent{})
-	parser := flaggy.NewParser("seamsh")
+	logging.SetLogger(bootstrap.Silent{})
+	parser := flaggy.NewParser("tansyseamctl")
 	parser.Description = "queries on the fleet's state; without a query, a prompt. " + "Queries: " + strings.Join(shell.Names(), ", ")
-	parser.Version = settings.Version
+	parser.Version = config.Version
 	door, isJSON := "", false
 	parser.String(&door, "a", "at", "IP:port of any node's door")
 	parser.Bool(&isJSON, "j", "json", "answer in JSON")
@@ -32,31 +32,31 @@
 		parser.AddPositionalValue(&words[at], fmt.Sprintf("word%d", at+1), at+1, false, "query and its words")
 	}
 	if err := parser.ParseArgs(args); err != nil {
-		fmt.Fprintln(os.Stderr, "seamsh:", err)
-		return start.ExitSettings
+		fmt.Fprintln(os.Stderr, "tansyseamctl:", err)
+		return bootstrap.ExitSettings
 	}
-	if !settings.IsAddress(door) {
-		fmt.Fprintln(os.Stderr, "seamsh: --at must be the IP:port of a node's door")
-		return start.ExitSettings
+	if !config.IsAddress(door) {
+		fmt.Fprintln(os.Stderr, "tansyseamctl: --at must be the IP:port of a node's door")
+		return bootstrap.ExitSettings
 	}
-	crew := run.NewCrew()
+	crew := worker.NewCrew()
 	defer crew.Stop(time.Second)
 	asking, err := shell.New(door, isJSON, os.Stdout, crew)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "seamsh:", err)
-		return start.ExitFault
+		fmt.Fprintln(os.Stderr, "tansyseamctl:", err)
+		return bootstrap.ExitFault
 	}
 	line := strings.TrimSpace(strings.Join(words[:], " "))
 	if line == "" {
 		err = asking.Talk(os.Stdin)
 	} else if err = asking.Run(line); err != nil {
-		fmt.Fprintln(os.Stderr, "seamsh:", err)
+		fmt.Fprintln(os.Stderr, "tansyseamctl:", err)
 	}
 	if errors.Is(err, shell.ErrQuery) {
-		return start.ExitSettings
+		return bootstrap.ExitSettings
 	}
 	if err != nil {
-		return start.ExitFault
+		return bootstrap.ExitFault
 	}
-	return start.ExitGood
+	return bootstrap.ExitGood
 }
--- a/pooler/cmd/shown/shown.go
+++ b/internal/app/admin/shown.go
@@ -1,6 +1,6 @@
-// Package shown answers the calls by which the two kinds of data plane show
+// Package admin answers the calls by which the two kinds of data plane show
 // what they know: readiness, sets, vitals and the node's part of the fleet.
-package shown
+package admin
 
 import (
 	"encoding/json"
@@ -10,23 +10,23 @@
 
 	"github.com/valyala/fastjson"
 
-	"tansyseam.example/pooler/cmd/control"
-	"tansyseam.example/pooler/cmd/fleet"
-	"tansyseam.example/pooler/coordination/serve"
-	"tansyseam.example/pooler/protocol/msg"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/app/control"
+	"tansyseam/internal/app/node"
+	"tansyseam/internal/coordination/routing"
+	"tansyseam/internal/protocol/message"
+	"tansyseam/internal/state/model"
 )
 
 // Machine is what both kinds of data plane have.
 type Machine interface {
-	Serve() *serve.Machine
-	Effective(now time.Duration) view.Set
+	Serve() *routing.Machine
+	Effective(now time.Duration) model.Set
 	Ready(now time.Duration) (isReady bool, why string)
 }
 
 // Plane is a data plane that is shown. The functions are called under Lock.
 type Plane struct {
-	Node    *fleet.Node
+	Node    *node.Node
 	Lock    sync.Locker
 	Machine Machine
 	// Sessions counts the sessions, Queues gives the depths of the lines.
@@ -48,7 +48,9 @@
 	for path, act := range calls {
 		p.Node.Serve(path, func(*fastjson.Value, []byte, *http.Request) (int, any) { return act() })
 	}
-	fleet.On(p.Node, func(_ string, query msg.Query, answer func(any)) { answer(msg.QueryAnswer{Body: p.query(query.What)}) })
+	node.On(p.Node, func(_ string, query message.Query, answer func(any)) {
+		answer(message.QueryAnswer{Body: p.query(query.What)})
+	})
 }
 
 func (p *Plane) list() (int, any) {
@@ -85,7 +87,7 @@
 	instances, lines := p.Show(now)
 	isReady, why := p.Machine.Ready(now)
 	body := map[string]any{
-		"node": place.Name, "kind": view.KindData, "what": what, "instances": instances, "lines": lines,
+		"node": place.Name, "kind": model.KindData, "what": what, "instances": instances, "lines": lines,
 		"writers": control.WritersOf(known.Doc()), "is_ready": isReady, "why": why, "lease_ms": known.Left(now).Milliseconds(),
 		"stamp": map[string]any{"epoch": known.Stamp().Epoch, "sequence": known.Stamp().Sequence},
 		"sets":  control.ListOf(place.Name, known.Doc(), p.Machine.Effective(now)), "sessions": p.Sessions(), "weight": place.Weight,
--- a/pooler/cmd/shown/shown_test.go
+++ b/internal/app/admin/shown_test.go
@@ -1,4 +1,4 @@
-package shown
+package admin
 
 import (
 	"maps"
@@ -13,22 +13,22 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/cmd/fleet"
-	"tansyseam.example/pooler/cmd/settings"
-	"tansyseam.example/pooler/coordination/hall"
-	"tansyseam.example/pooler/coordination/lease"
-	"tansyseam.example/pooler/coordination/pool"
+	"tansyseam/internal/app/config"
+	"tansyseam/internal/app/node"
+	"tansyseam/internal/coordination/lease"
+	"tansyseam/internal/coordination/pool/httppool"
+	"tansyseam/internal/coordination/pool/linepool"
 )
 
 func TestShown(t *testing.T) {
-	place := settings.Settings{Name: "d1", Zone: "z", Link: "127.0.0.1:1", Door: "127.0.0.1:2", AdvertiseDoor: "127.0.0.1:2", Weight: 2}
-	node, err := fleet.New("seamd", place, hclog.NewNullLogger())
+	place := config.Settings{Name: "d1", Zone: "z", Link: "127.0.0.1:1", Door: "127.0.0.1:2", AdvertiseDoor: "127.0.0.1:2", Weight: 2}
+	node, err := node.New("seamd", place, hclog.NewNullLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	count := func(string, int64) {}
-	one := hall.New(hall.Place{Name: "d1", Beta: 1}, hall.DefaultTiming(), count)
-	other := pool.New(pool.Place{Name: "d1", Beta: 1}, pool.DefaultTiming(), lease.DefaultTiming(), count)
+	one := httppool.New(httppool.Place{Name: "d1", Beta: 1}, httppool.DefaultTiming(), count)
+	other := linepool.New(linepool.Place{Name: "d1", Beta: 1}, linepool.DefaultTiming(), lease.DefaultTiming(), count)
 	planes := map[string]*Plane{
 		"hall": {Machine: one, Sessions: one.Consumers, Show: func(now time.Duration) (any, any) { return one.Show(now) }},
 		"pool": {Machine: other, Sessions: other.Clients, Show: func(now time.Duration) (any, any) { return other.Show(now) }},
--- a/pooler/cmd/start/start.go
+++ b/internal/app/bootstrap/start.go
@@ -1,6 +1,6 @@
-// Package start is what both programs do from their arguments to their end:
+// Package bootstrap is what both programs do from their arguments to their end:
 // settings, logs, signals, reloads and exit codes.
-package start
+package bootstrap
 
 import (
 	"fmt"
@@ -12,9 +12,9 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/lesismal/nbio/logging"
 
-	"tansyseam.example/pooler/cmd/fleet"
-	"tansyseam.example/pooler/cmd/settings"
-	"tansyseam.example/pooler/transport/run"
+	"tansyseam/internal/app/config"
+	"tansyseam/internal/app/node"
+	"tansyseam/internal/transport/worker"
 )
 
 // Exit codes.
@@ -52,11 +52,11 @@
 func (Silent) Error(string, ...any) {}
 
 // Main runs a daemon and gives its exit code.
-func Main(program string, args []string, open func(*fleet.Node, settings.Settings) (Program, error)) int {
+func Main(program string, args []string, open func(*node.Node, config.Settings) (Program, error)) int {
 	logging.SetLogger(Silent{})
-	place, err := settings.Parse(program, args)
+	place, err := config.Parse(program, args)
 	if err != nil {
-		for _, line := range settings.Faults(err) {
+		for _, line := range config.Faults(err) {
 			fmt.Fprintln(os.Stderr, program+": "+line)
 		}
 		return ExitSettings
@@ -70,7 +70,7 @@
 	})
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	node, err := fleet.New(program, place, log)
+	node, err := node.New(program, place, log)
 	if err != nil {
 		log.Error("cannot start", "error", err)
 		return ExitFault
@@ -94,7 +94,7 @@
 	node.Crew.Loop(nil, 5*time.Second, func() { log.Debug("counters", "counts", node.Counts.Read()) })
 	node.Crew.Go(func() {
 		for {
-			got, isIn := run.Take(signals, node.Crew.Stopping())
+			got, isIn := worker.Take(signals, node.Crew.Stopping())
 			if !isIn {
 				return
 			}
@@ -116,14 +116,14 @@
 type reloader struct {
 	program string
 	flags   map[string]string
-	node    *fleet.Node
+	node    *node.Node
 	log     hclog.Logger
 	print   string
 }
 
-func newReloader(program string, args []string, node *fleet.Node, log hclog.Logger) *reloader {
+func newReloader(program string, args []string, node *node.Node, log hclog.Logger) *reloader {
 	return &reloader{
-		program: program, flags: settings.Flags(program, args), node: node, log: log, print: settings.Fingerprint(node.Place().File),
+		program: program, flags: config.Flags(program, args), node: node, log: log, print: config.Fingerprint(node.Place().File),
 	}
 }
 
@@ -132,7 +132,7 @@
 	if file == "" {
 		return
 	}
-	if print := settings.Fingerprint(file); print != r.print {
+	if print := config.Fingerprint(file); print != r.print {
 		r.print = print
 		r.reload("file changed")
 	}
@@ -140,14 +140,14 @@
 
 func (r *reloader) reload(why string) {
 	old := r.node.Place()
-	r.print = settings.Fingerprint(old.File)
-	read, err := settings.Load(r.program, old.File, r.flags)
+	r.print = config.Fingerprint(old.File)
+	read, err := config.Load(r.program, old.File, r.flags)
 	if err != nil {
 		r.node.Counts.Add("settings_refused", 1)
-		r.log.Warn("settings refused, the old ones stay in force", "why", why, "faults", settings.Faults(err))
+		r.log.Warn("settings refused, the old ones stay in force", "why", why, "faults", config.Faults(err))
 		return
 	}
-	live, fixed := settings.Change(r.program, old, read)
+	live, fixed := config.Change(r.program, old, read)
 	if len(fixed) > 0 {
 		r.node.Counts.Add("settings_need_restart", 1)
 		r.log.Warn("settings that need a restart stay as they were", "names", fixed)
@@ -155,7 +155,7 @@
 	if len(live) == 0 {
 		return
 	}
-	r.node.Resettle(settings.Adopt(r.program, old, read))
+	r.node.Resettle(config.Adopt(r.program, old, read))
 	r.log.SetLevel(hclog.LevelFromString(r.node.Place().LogLevel))
 	r.node.Counts.Add("settings_taken", 1)
 	r.log.Info("settings taken", "why", why, "names", live)
--- a/pooler/cmd/settings/settings.go
+++ b/internal/app/config/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads a program's place and manner from flags and file,
+// Package config reads a program's place and manner from flags and file,
 // and checks both, giving every fault at once.
-package settings
+package config
 
 import (
 	"crypto/sha256"
@@ -18,7 +18,7 @@
 	"github.com/valyala/fastjson"
 	"go.uber.org/multierr"
 
-	"tansyseam.example/pooler/protocol/schema"
+	"tansyseam/internal/protocol/schema"
 )
 
 // ErrSettings marks settings that cannot be used.
--- a/pooler/cmd/settings/settings_test.go
+++ b/internal/app/config/settings_test.go
@@ -1,4 +1,4 @@
-package settings
+package config
 
 import (
 	"maps"
--- a/pooler/cmd/control/calls.go
+++ b/internal/app/control/calls.go
@@ -11,14 +11,14 @@
 
 	"github.com/valyala/fastjson"
 
-	"tansyseam.example/pooler/cmd/fleet"
-	"tansyseam.example/pooler/coordination/epoch"
-	"tansyseam.example/pooler/coordination/member"
-	"tansyseam.example/pooler/coordination/steer"
-	"tansyseam.example/pooler/protocol/manifest"
-	"tansyseam.example/pooler/protocol/msg"
-	"tansyseam.example/pooler/state/table"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/app/node"
+	"tansyseam/internal/coordination/consensus"
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/coordination/membership"
+	"tansyseam/internal/protocol/bindings"
+	"tansyseam/internal/protocol/message"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
 )
 
 func hostOf(address string) string {
@@ -72,41 +72,41 @@
 	"/v1/manifest/fetch":   (*Control).fetchManifest,
 }
 
-func (c *Control) onOperate(call msg.Operate, answer func(any)) {
+func (c *Control) onOperate(call message.Operate, answer func(any)) {
 	c.mutex.Lock()
 	isElsewhere, primary := c.node.Now() >= c.primacy, c.steer.Record().Primary
 	c.mutex.Unlock()
 	if isElsewhere {
-		answer(msg.Operated{IsElsewhere: true, Primary: primary})
+		answer(message.Operated{IsElsewhere: true, Primary: primary})
 		return
 	}
 	value, faults := c.node.Book.Request(call.Path, call.Body)
 	act, isKnown := operations[call.Path]
 	if len(faults) > 0 || !isKnown {
-		answer(operated(http.StatusBadRequest, fleet.Refuse("call refused", faults...)))
+		answer(operated(http.StatusBadRequest, node.Refuse("call refused", faults...)))
 		return
 	}
 	act(c, value, call.Path, call.Body, answer)
 }
 
-func operated(status int, body any) msg.Operated {
+func operated(status int, body any) message.Operated {
 	data, _ := json.Marshal(body)
-	return msg.Operated{Status: status, Body: data}
+	return message.Operated{Status: status, Body: data}
 }
 
-type decide func(held *table.Table, wall int64) (status int, body any, puts []table.Put)
+type decide func(held *store.Table, wall int64) (status int, body any, puts []store.Put)
 
 func (c *Control) once(value *fastjson.Value, path string, act decide, answer func(any)) {
 	id := string(value.GetStringBytes("id"))
 	c.mutex.Lock()
 	wall := c.wallNow()
 	c.mutex.Unlock()
-	var reply msg.Operated
-	c.submit(func(held *table.Table) []table.Put {
-		if past, isHeld := steer.Past(held, id); isHeld {
-			reply = msg.Operated{Status: past.Status, Body: past.Body}
+	var reply message.Operated
+	c.submit(func(held *store.Table) []store.Put {
+		if past, isHeld := distribution.Past(held, id); isHeld {
+			reply = message.Operated{Status: past.Status, Body: past.Body}
 			if past.Path != path {
-				reply = operated(http.StatusConflict, fleet.Refuse("the id was used for another call"))
+				reply = operated(http.StatusConflict, node.Refuse("the id was used for another call"))
 			}
 			return nil
 		}
@@ -115,14 +115,14 @@
 		if len(puts) == 0 {
 			return nil
 		}
-		return steer.Keep(held, id, steer.Outcome{Status: reply.Status, Body: reply.Body, Path: path}, puts)
-	}, func(done epoch.Answer) {
+		return distribution.Keep(held, id, distribution.Outcome{Status: reply.Status, Body: reply.Body, Path: path}, puts)
+	}, func(done consensus.Answer) {
 		if !done.IsKept {
 			word := "not_kept"
 			if done.IsUnknown {
 				word = "unknown"
 			}
-			refusal := fleet.Refuse("the control primary changed under the call")
+			refusal := node.Refuse("the control primary changed under the call")
 			refusal.Outcome, refusal.Retry = word, 1000
 			reply = operated(http.StatusServiceUnavailable, refusal)
 		}
@@ -138,21 +138,21 @@
 	return slices.Contains(c.steer.Databases(heard), database)
 }
 
-func conflict(text string, sequence uint64) fleet.Refusal {
-	refusal := fleet.Refuse(text)
+func conflict(text string, sequence uint64) node.Refusal {
+	refusal := node.Refuse(text)
 	refusal.Sequence = &sequence
 	return refusal
 }
 
 func (c *Control) put(value *fastjson.Value, path string, _ []byte, answer func(any)) {
-	bindings, faults := manifest.Bindings(value, c.knows)
+	set, faults := bindings.Bindings(value, c.knows)
 	if len(faults) > 0 {
-		answer(operated(http.StatusUnprocessableEntity, fleet.Refuse("the set is broken; nothing of it was taken", faults...)))
+		answer(operated(http.StatusUnprocessableEntity, node.Refuse("the set is broken; nothing of it was taken", faults...)))
 		return
 	}
 	expected := value.GetUint64("expected")
-	c.once(value, path, func(held *table.Table, wall int64) (int, any, []table.Put) {
-		puts, newest := steer.PutSet(held, expected, bindings, "call "+string(value.GetStringBytes("id")), wall)
+	c.once(value, path, func(held *store.Table, wall int64) (int, any, []store.Put) {
+		puts, newest := distribution.PutSet(held, expected, set, "call "+string(value.GetStringBytes("id")), wall)
 		if len(puts) == 0 {
 			return http.StatusConflict, conflict(fmt.Sprintf("sequence %d was expected, %d is current", expected, newest), newest), nil
 		}
@@ -164,15 +164,15 @@
 	c.mutex.Lock()
 	wall := c.wallNow()
 	c.mutex.Unlock()
-	bindings, faults := manifest.Bindings(value, c.knows)
-	at, more := manifest.Moment(value, wall)
+	set, faults := bindings.Bindings(value, c.knows)
+	at, more := bindings.Moment(value, wall)
 	faults = append(faults, more...)
 	id := string(value.GetStringBytes("id"))
-	c.once(value, path, func(held *table.Table, wall int64) (int, any, []table.Put) {
+	c.once(value, path, func(held *store.Table, wall int64) (int, any, []store.Put) {
 		if len(faults) > 0 {
-			return http.StatusUnprocessableEntity, fleet.Refuse("the change is broken; nothing of it was taken", faults...), nil
+			return http.StatusUnprocessableEntity, node.Refuse("the change is broken; nothing of it was taken", faults...), nil
 		}
-		puts, way := steer.BookSet(held, id, at, bindings, wall)
+		puts, way := distribution.BookSet(held, id, at, set, wall)
 		if len(puts) == 0 {
 			text := fmt.Sprintf("sequence %d, due at %d, is on its way already: book for that moment or later", way.Sequence, way.Due/int64(time.Millisecond))
 			return http.StatusConflict, conflict(text, way.Sequence), nil
@@ -181,7 +181,7 @@
 	}, answer)
 }
 
-func plainBindings(bindings []view.Binding) []map[string]any {
+func plainBindings(bindings []model.Binding) []map[string]any {
 	list := []map[string]any{}
 	for _, binding := range bindings {
 		list = append(list, map[string]any{
@@ -196,8 +196,8 @@
 	held := c.steer.Table()
 	c.mutex.Unlock()
 	list := []map[string]any{}
-	for _, key := range held.Keys(view.KeyBook) {
-		if booking, isHeld := table.Get[view.Booking](held, key); isHeld {
+	for _, key := range held.Keys(model.KeyBook) {
+		if booking, isHeld := store.Get[model.Booking](held, key); isHeld {
 			list = append(list, map[string]any{
 				"id": booking.ID, "at_ms": booking.At / int64(time.Millisecond), "bindings": plainBindings(booking.Bindings),
 			})
@@ -214,7 +214,7 @@
 }
 
 // ListOf writes the binding sets that a node knows.
-func ListOf(node string, doc view.Doc, current view.Set) map[string]any {
+func ListOf(node string, doc model.Doc, current model.Set) map[string]any {
 	taken := []map[string]any{}
 	for _, set := range doc.Sets {
 		taken = append(taken, map[string]any{
@@ -225,9 +225,9 @@
 }
 
 // NodesOf writes what a node knows of the others.
-func NodesOf(node *fleet.Node) []map[string]any {
+func NodesOf(node *node.Node) []map[string]any {
 	list := []map[string]any{}
-	for _, other := range node.Nodes("", member.IsLive, member.IsDead, member.IsLeft) {
+	for _, other := range node.Nodes("", membership.IsLive, membership.IsDead, membership.IsLeft) {
 		standing, silence := node.Standing(other.Name)
 		list = append(list, map[string]any{
 			"node": other.Name, "kind": other.Kind, "zone": other.Zone, "link": other.Link, "door": other.Door,
@@ -238,12 +238,12 @@
 }
 
 // WritersOf writes the writer roles.
-func WritersOf(doc view.Doc) []view.Writer {
-	list := []view.Writer{}
+func WritersOf(doc model.Doc) []model.Writer {
+	list := []model.Writer{}
 	for _, writer := range doc.Writers {
 		list = append(list, writer)
 	}
-	slices.SortFunc(list, func(a, b view.Writer) int { return strings.Compare(a.Database, b.Database) })
+	slices.SortFunc(list, func(a, b model.Writer) int { return strings.Compare(a.Database, b.Database) })
 	return list
 }
 
@@ -256,10 +256,10 @@
 		})
 	}
 	c.mutex.Lock()
-	entries := []view.Entry{}
+	entries := []model.Entry{}
 	state, doc, record := c.steer.Table(), c.steer.Doc(), c.steer.Record()
-	for _, key := range state.Keys(view.KeyEntry) {
-		if entry, isHeld := table.Get[view.Entry](state, key); isHeld {
+	for _, key := range state.Keys(model.KeyEntry) {
+		if entry, isHeld := store.Get[model.Entry](state, key); isHeld {
 			entries = append(entries, entry)
 		}
 	}
@@ -268,7 +268,7 @@
 		held = append(held, map[string]any{"node": name, "epoch": stamp.Epoch, "sequence": stamp.Sequence, "shows": c.steer.Shows(name)})
 	}
 	body := map[string]any{
-		"node": c.node.Place().Name, "kind": view.KindControl, "what": what,
+		"node": c.node.Place().Name, "kind": model.KindControl, "what": what,
 		"instances": instances, "writers": WritersOf(doc),
 		"epoch":   map[string]any{"epoch": record.Epoch, "primary": record.Primary, "backup": record.Backup},
 		"primacy": now < c.primacy, "stamp": map[string]any{"epoch": c.held.Epoch, "sequence": c.held.Sequence},
--- a/pooler/cmd/control/control.go
+++ b/internal/app/control/control.go
@@ -12,20 +12,20 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/juju/errors"
 
-	"tansyseam.example/pooler/cmd/fleet"
-	"tansyseam.example/pooler/cmd/settings"
-	"tansyseam.example/pooler/coordination/ballot"
-	"tansyseam.example/pooler/coordination/duty"
-	"tansyseam.example/pooler/coordination/epoch"
-	"tansyseam.example/pooler/coordination/lease"
-	"tansyseam.example/pooler/coordination/member"
-	"tansyseam.example/pooler/coordination/steer"
-	"tansyseam.example/pooler/coordination/takeover"
-	"tansyseam.example/pooler/protocol/msg"
-	"tansyseam.example/pooler/state/synced"
-	"tansyseam.example/pooler/state/table"
-	"tansyseam.example/pooler/state/view"
-	"tansyseam.example/pooler/transport/run"
+	"tansyseam/internal/app/config"
+	"tansyseam/internal/app/node"
+	"tansyseam/internal/coordination/consensus"
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/coordination/failover/syncrepl"
+	"tansyseam/internal/coordination/lease"
+	"tansyseam/internal/coordination/membership"
+	"tansyseam/internal/coordination/proposal"
+	"tansyseam/internal/coordination/singleton"
+	"tansyseam/internal/protocol/message"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
+	"tansyseam/internal/state/versionfile"
+	"tansyseam/internal/transport/worker"
 )
 
 // ErrFolder says that a data folder cannot be used.
@@ -33,30 +33,30 @@
 
 // Control is the program's state.
 type Control struct {
-	node  *fleet.Node
+	node  *node.Node
 	log   hclog.Logger
-	store *synced.Store
+	store *versionfile.Store
 
 	queue     chan func()
-	machine   *epoch.Machine
-	gate      epoch.Gate
+	machine   *consensus.Machine
+	gate      consensus.Gate
 	disk      func(work func())
 	isRefused bool
 	// onFree is called once no role is held, where the program is to end.
 	onFree func()
 
 	mutex   sync.Mutex
-	answers map[uint64]func(epoch.Answer)
+	answers map[uint64]func(consensus.Answer)
 	token   uint64
-	steer   *steer.Machine
+	steer   *distribution.Machine
 	voters  []string
-	held    table.Stamp
+	held    store.Stamp
 	primacy time.Duration
 	wallAt  time.Duration
 	wall    int64
 	asks    map[uint64]func(any)
-	duty    *duty.Machine
-	holder  *takeover.Holder
+	duty    *singleton.Machine
+	holder  *syncrepl.Holder
 	rollAt  time.Duration
 	peersAt time.Duration
 	isTold  bool
@@ -65,8 +65,8 @@
 
 // Open reads the data folder and makes the program; seams tells, where given,
 // how the platform and synced instances are spoken to.
-func Open(node *fleet.Node, place settings.Settings, seams *Seams) (*Control, error) {
-	folder, err := synced.OpenFolder(place.Data)
+func Open(node *node.Node, place config.Settings, seams *Seams) (*Control, error) {
+	folder, err := versionfile.OpenFolder(place.Data)
 	if err != nil {
 		return nil, errors.WithType(err, ErrFolder)
 	}
@@ -74,17 +74,17 @@
 }
 
 // OpenOn does the same on any Disk.
-func OpenOn(node *fleet.Node, place settings.Settings, disk synced.Disk, seams *Seams) (*Control, error) {
+func OpenOn(node *node.Node, place config.Settings, disk versionfile.Disk, seams *Seams) (*Control, error) {
 	c := &Control{
-		node: node, log: node.Log, store: synced.NewStore(disk, 4), disk: func(work func()) { work() },
-		queue: make(chan func(), 4096), answers: map[uint64]func(epoch.Answer){},
+		node: node, log: node.Log, store: versionfile.NewStore(disk, 4), disk: func(work func()) { work() },
+		queue: make(chan func(), 4096), answers: map[uint64]func(consensus.Answer){},
 		asks:   map[uint64]func(any){},
-		holder: takeover.NewHolder(place.Name),
+		holder: syncrepl.NewHolder(place.Name),
 	}
 	if seams != nil {
 		c.seams = *seams
 	}
-	saved, err := epoch.Load(c.store, func(kind string, passed int) {
+	saved, err := consensus.Load(c.store, func(kind string, passed int) {
 		node.Counts.Add("files_unsound", int64(passed))
 		node.Log.Warn("unsound files passed over", "kind", kind, "count", passed)
 	})
@@ -92,28 +92,28 @@
 		return nil, errors.WithType(err, ErrFolder)
 	}
 	now := node.Now()
-	c.machine = epoch.NewFounding(place.Name, founding(place), epoch.DefaultTiming(), saved, now)
-	c.duty = duty.New(place.Name, now)
-	c.steer = steer.New(place.Name, leases(place), c.machine.Record(), c.machine.Table(), now)
+	c.machine = consensus.NewFounding(place.Name, founding(place), consensus.DefaultTiming(), saved, now)
+	c.duty = singleton.New(place.Name, now)
+	c.steer = distribution.New(place.Name, leases(place), c.machine.Record(), c.machine.Table(), now)
 	node.Saw(c.machine.Record())
 	c.listen()
 	c.serveCalls()
 	return c, nil
 }
 
-func founding(place settings.Settings) epoch.Founding {
+func founding(place config.Settings) consensus.Founding {
 	if place.Losses == 0 {
-		return epoch.Founding{Disks: place.Disks, IsPaired: true}
+		return consensus.Founding{Disks: place.Disks, IsPaired: true}
 	}
-	return epoch.Founding{Voters: 2*place.Losses + 1, IsFounder: place.IsFounder, Seeds: place.SeedLinks(), IsPaired: true}
+	return consensus.Founding{Voters: 2*place.Losses + 1, IsFounder: place.IsFounder, Seeds: place.SeedLinks(), IsPaired: true}
 }
 
 const quietWait = 500 * time.Millisecond
 
-func leases(place settings.Settings) lease.Timing {
+func leases(place config.Settings) lease.Timing {
 	timing := lease.DefaultTiming()
 	timing.InForce = place.InForce
-	if place.Manner == settings.MannerPlatform {
+	if place.Manner == config.MannerPlatform {
 		timing.Wait = quietWait
 	}
 	return timing
@@ -126,35 +126,37 @@
 
 // Start begins to act; the node must have been started.
 func (c *Control) Start() {
-	stage := run.NewStage(c.node.Crew, "disk", 1, 1, func(work func()) { work() })
+	stage := worker.NewStage(c.node.Crew, "disk", 1, 1, func(work func()) { work() })
 	c.disk = func(work func()) { stage.Offer(work) }
 	c.node.Crew.Loop(c.queue, beatPace, c.beat)
-	c.node.Crew.Loop(nil, duty.Pace, c.duties)
+	c.node.Crew.Loop(nil, singleton.Pace, c.duties)
 }
 
 func (c *Control) listen() {
-	c.node.OnAll(epoch.Messages(), func(from string, body any, _ func(any)) {
-		c.do(func() { c.step(epoch.Heard{From: from, Body: body}) })
+	c.node.OnAll(consensus.Messages(), func(from string, body any, _ func(any)) {
+		c.do(func() { c.step(consensus.Heard{From: from, Body: body}) })
 	})
-	fleet.On(c.node, func(from string, ask ballot.Ask, answer func(any)) {
+	node.On(c.node, func(from string, ask proposal.Ask, answer func(any)) {
 		c.mutex.Lock()
 		vote := c.duty.OnAsk(from, ask, c.node.Now())
 		c.mutex.Unlock()
 		answer(vote)
 	})
-	fleet.On(c.node, func(_ string, ask steer.AskNews, answer func(any)) { c.onAskNews(ask, answer) })
-	fleet.On(c.node, func(_ string, told steer.Told, _ func(any)) {
+	node.On(c.node, func(_ string, ask distribution.AskNews, answer func(any)) { c.onAskNews(ask, answer) })
+	node.On(c.node, func(_ string, told distribution.Told, _ func(any)) {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
 		c.steer.Gather(told, c.node.Now())
 	})
-	fleet.On(c.node, func(_ string, call msg.Announce, answer func(any)) { answer(c.takeAnnouncement(call.Instance)) })
-	fleet.On(c.node, func(_ string, mark takeover.Mark, _ func(any)) { c.cover(mark) })
+	node.On(c.node, func(_ string, call message.Announce, answer func(any)) { answer(c.takeAnnouncement(call.Instance)) })
+	node.On(c.node, func(_ string, mark syncrepl.Mark, _ func(any)) { c.cover(mark) })
 	c.node.OnSynced(c.onSynced)
-	fleet.On(c.node, func(_ string, ask msg.AskCase, answer func(any)) { answer(c.onAskCase(ask)) })
-	fleet.On(c.node, func(_ string, record steer.RecordCase, answer func(any)) { c.onRecordCase(record, answer) })
-	fleet.On(c.node, func(_ string, call msg.Operate, answer func(any)) { c.onOperate(call, answer) })
-	fleet.On(c.node, func(_ string, query msg.Query, answer func(any)) { answer(msg.QueryAnswer{Body: c.query(query.What)}) })
+	node.On(c.node, func(_ string, ask message.AskCase, answer func(any)) { answer(c.onAskCase(ask)) })
+	node.On(c.node, func(_ string, record distribution.RecordCase, answer func(any)) { c.onRecordCase(record, answer) })
+	node.On(c.node, func(_ string, call message.Operate, answer func(any)) { c.onOperate(call, answer) })
+	node.On(c.node, func(_ string, query message.Query, answer func(any)) {
+		answer(message.QueryAnswer{Body: c.query(query.What)})
+	})
 }
 
 func (c *Control) do(work func()) {
@@ -167,8 +169,8 @@
 func (c *Control) beat() {
 	if now := c.node.Now(); now >= c.peersAt+peersPace {
 		c.peersAt = now
-		peers := epoch.Peers{Links: map[string]string{}, Zones: map[string]string{}}
-		for _, node := range c.node.Nodes(view.KindControl, member.IsLive, member.IsDead) {
+		peers := consensus.Peers{Links: map[string]string{}, Zones: map[string]string{}}
+		for _, node := range c.node.Nodes(model.KindControl, membership.IsLive, membership.IsDead) {
 			peers.Names = append(peers.Names, node.Name)
 			peers.Links[node.Link] = node.Name
 			peers.Zones[node.Name] = node.Zone
@@ -176,7 +178,7 @@
 		slices.Sort(peers.Names)
 		c.step(peers)
 	}
-	c.step(epoch.Tick{Wall: time.Now().UnixNano(), Owed: c.gate.Owed(c.node.Now())})
+	c.step(consensus.Tick{Wall: time.Now().UnixNano(), Owed: c.gate.Owed(c.node.Now())})
 }
 
 func (c *Control) step(event any) {
@@ -186,7 +188,7 @@
 
 // pass lowers primacy before the effects are carried out, and raises it after
 // them, once what a change of role rests on is synced.
-func (c *Control) pass(effects []epoch.Effect, now time.Duration) {
+func (c *Control) pass(effects []consensus.Effect, now time.Duration) {
 	primacy := time.Duration(0)
 	if c.machine.IsPrimary(now) {
 		primacy = c.machine.Primacy()
@@ -224,11 +226,11 @@
 	})
 }
 
-func (c *Control) write(work epoch.Effect) error {
-	if save, isSave := work.(epoch.Save); isSave {
+func (c *Control) write(work consensus.Effect) error {
+	if save, isSave := work.(consensus.Save); isSave {
 		return c.store.Put(save.Kind, save.Sequence, save.Data)
 	}
-	for _, kind := range epoch.Kinds() {
+	for _, kind := range consensus.Kinds() {
 		if err := c.store.Clean(kind); err != nil {
 			return err
 		}
@@ -251,13 +253,13 @@
 }
 
 func (c *Control) carry(effect any) {
-	if send, isOne := effect.(epoch.Send); isOne {
+	if send, isOne := effect.(consensus.Send); isOne {
 		if node, isKnown := c.node.Find(send.To); isKnown {
 			c.node.Hub.Send(node.Link, send.Body)
 		}
 		return
 	}
-	if answer, isOne := effect.(epoch.Answer); isOne {
+	if answer, isOne := effect.(consensus.Answer); isOne {
 		c.mutex.Lock()
 		act := c.answers[answer.Token]
 		delete(c.answers, answer.Token)
@@ -267,24 +269,24 @@
 		}
 		return
 	}
-	if wrote, isOne := effect.(epoch.Wrote); isOne {
+	if wrote, isOne := effect.(consensus.Wrote); isOne {
 		c.node.Counts.Add("state_writes", 1)
 		c.publish(wrote.Table)
 		return
 	}
-	if turned, isOne := effect.(epoch.Turned); isOne {
+	if turned, isOne := effect.(consensus.Turned); isOne {
 		c.onTurned(turned)
 	}
 }
 
-func (c *Control) publish(held *table.Table) {
+func (c *Control) publish(held *store.Table) {
 	c.mutex.Lock()
 	c.steer.Wrote(held)
 	c.mutex.Unlock()
 	c.flush()
 }
 
-func (c *Control) onTurned(turned epoch.Turned) {
+func (c *Control) onTurned(turned consensus.Turned) {
 	record := turned.Record
 	self := c.node.Place().Name
 	c.node.Saw(record)
@@ -305,7 +307,7 @@
 	}
 }
 
-func (c *Control) submit(build func(*table.Table) []table.Put, done func(epoch.Answer)) {
+func (c *Control) submit(build func(*store.Table) []store.Put, done func(consensus.Answer)) {
 	c.mutex.Lock()
 	c.token++
 	token := c.token
@@ -313,7 +315,7 @@
 		c.answers[token] = done
 	}
 	c.mutex.Unlock()
-	c.do(func() { c.step(epoch.Submit{Token: token, Build: build}) })
+	c.do(func() { c.step(consensus.Submit{Token: token, Build: build}) })
 }
 
 func (c *Control) isPrimary() bool {
@@ -328,16 +330,18 @@
 	c.mutex.Lock()
 	wall := c.wallNow()
 	c.mutex.Unlock()
-	c.submit(func(held *table.Table) []table.Put { return steer.EntryPuts(held, wall, subject, what, evidence) }, nil)
+	c.submit(func(held *store.Table) []store.Put {
+		return distribution.EntryPuts(held, wall, subject, what, evidence)
+	}, nil)
 }
 
-func (c *Control) onAskNews(ask steer.AskNews, answer func(any)) {
+func (c *Control) onAskNews(ask distribution.AskNews, answer func(any)) {
 	now := c.node.Now()
 	c.mutex.Lock()
 	if now >= c.primacy {
 		record := c.steer.Record()
 		c.mutex.Unlock()
-		answer(steer.News{Record: record})
+		answer(distribution.News{Record: record})
 		return
 	}
 	c.token++
@@ -364,17 +368,17 @@
 
 const knownFor = 5 * time.Minute
 
-func heardOf(list []fleet.Heard) []steer.Heard {
-	var all []steer.Heard
+func heardOf(list []node.Heard) []distribution.Heard {
+	var all []distribution.Heard
 	for _, one := range list {
-		all = append(all, steer.Heard{Instance: one.Instance, At: one.At})
+		all = append(all, distribution.Heard{Instance: one.Instance, At: one.At})
 	}
 	return all
 }
 
-func (c *Control) heard() []steer.Heard { return heardOf(c.node.Instances(knownFor)) }
+func (c *Control) heard() []distribution.Heard { return heardOf(c.node.Instances(knownFor)) }
 
-func (c *Control) onAskCase(ask msg.AskCase) msg.CaseAnswer {
+func (c *Control) onAskCase(ask message.AskCase) message.CaseAnswer {
 	if ask.Database != "" {
 		return c.caseOf(ask.Database)
 	}
@@ -383,9 +387,9 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if now >= c.primacy {
-		return msg.CaseAnswer{}
+		return message.CaseAnswer{}
 	}
-	answer := msg.CaseAnswer{IsPrimary: true, Databases: c.steer.Databases(heard)}
+	answer := message.CaseAnswer{IsPrimary: true, Databases: c.steer.Databases(heard)}
 	for _, database := range answer.Databases {
 		if c.steer.IsSynced(database, heard) {
 			answer.Synced = append(answer.Synced, database)
@@ -394,15 +398,15 @@
 	return answer
 }
 
-func (c *Control) caseOf(database string) msg.CaseAnswer {
+func (c *Control) caseOf(database string) message.CaseAnswer {
 	heard := heardOf(c.node.InstancesOf(database, knownFor))
 	now := c.node.Now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if now >= c.primacy {
-		return msg.CaseAnswer{}
+		return message.CaseAnswer{}
 	}
-	answer := msg.CaseAnswer{IsPrimary: true}
+	answer := message.CaseAnswer{IsPrimary: true}
 	if c.steer.IsSynced(database, heard) {
 		answer.Takeover = c.steer.Takeover(database, heard, c.wallNow(), now)
 		return answer
@@ -411,24 +415,24 @@
 	return answer
 }
 
-func (c *Control) onRecordCase(ask steer.RecordCase, answer func(any)) {
+func (c *Control) onRecordCase(ask distribution.RecordCase, answer func(any)) {
 	c.mutex.Lock()
 	wall := c.wallNow()
 	c.mutex.Unlock()
 	isTaken := false
-	c.submit(func(held *table.Table) []table.Put {
-		puts := steer.Record(held, ask, wall)
+	c.submit(func(held *store.Table) []store.Put {
+		puts := distribution.Record(held, ask, wall)
 		isTaken = len(puts) > 0
 		return puts
-	}, func(done epoch.Answer) { answer(msg.Recorded{IsKept: done.IsKept && isTaken}) })
+	}, func(done consensus.Answer) { answer(message.Recorded{IsKept: done.IsKept && isTaken}) })
 }
 
 func (c *Control) move() {
 	now := c.node.Now()
 	c.mutex.Lock()
-	var writes []steer.Write
+	var writes []distribution.Write
 	if now < c.primacy {
-		for _, next := range []func(int64, time.Duration) (steer.Write, bool){c.steer.Enroll, c.steer.Land, c.steer.Tidy} {
+		for _, next := range []func(int64, time.Duration) (distribution.Write, bool){c.steer.Enroll, c.steer.Land, c.steer.Tidy} {
 			if write, isDue := next(c.wallNow(), now); isDue {
 				writes = append(writes, write)
 			}
@@ -436,7 +440,7 @@
 	}
 	c.mutex.Unlock()
 	for _, write := range writes {
-		c.submit(write.Build, func(epoch.Answer) {
+		c.submit(write.Build, func(consensus.Answer) {
 			c.mutex.Lock()
 			defer c.mutex.Unlock()
 			write.Done()
--- a/pooler/cmd/control/control_test.go
+++ b/internal/app/control/control_test.go
@@ -14,14 +14,14 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/cmd/fleet"
-	"tansyseam.example/pooler/cmd/settings"
-	"tansyseam.example/pooler/coordination/takeover"
-	"tansyseam.example/pooler/protocol/door"
-	"tansyseam.example/pooler/protocol/msg"
-	"tansyseam.example/pooler/state/stream"
-	"tansyseam.example/pooler/state/view"
-	"tansyseam.example/pooler/transport/run"
+	"tansyseam/internal/app/config"
+	"tansyseam/internal/app/node"
+	"tansyseam/internal/coordination/failover/syncrepl"
+	"tansyseam/internal/protocol/adapter"
+	"tansyseam/internal/protocol/message"
+	"tansyseam/internal/state/lineproto"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/transport/worker"
 )
 
 type ordered struct {
@@ -46,8 +46,8 @@
 // One control machine alone is its own majority: it is stepped here by hand,
 // with no loop and no link.
 func newBench(t *testing.T, folder string) *bench {
-	place := settings.Settings{Name: "c1", Zone: "z", Link: "127.0.0.1:1", Door: "127.0.0.1:2", AdvertiseDoor: "127.0.0.1:2", Disks: 1, Data: folder, Manner: "platform", InForce: 3 * time.Second}
-	node, err := fleet.New("seamc", place, hclog.NewNullLogger())
+	place := config.Settings{Name: "c1", Zone: "z", Link: "127.0.0.1:1", Door: "127.0.0.1:2", AdvertiseDoor: "127.0.0.1:2", Disks: 1, Data: folder, Manner: "platform", InForce: 3 * time.Second}
+	node, err := node.New("seamc", place, hclog.NewNullLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 			defer b.mutex.Unlock()
 			return b.replies[instance]
 		},
-		Promote: func(_ settings.Settings, _, instance, holder string, fence uint64) (int, error) {
+		Promote: func(_ config.Settings, _, instance, holder string, fence uint64) (int, error) {
 			b.promotes <- called{instance, holder, fence}
 			return b.status, b.err
 		},
@@ -85,15 +85,15 @@
 }
 
 func (b *bench) operate(path, body string) (int, *fastjson.Value) {
-	var operated msg.Operated
+	var operated message.Operated
 	b.work()
-	b.onOperate(msg.Operate{Path: path, Body: []byte(body)}, func(answer any) { operated = answer.(msg.Operated) })
+	b.onOperate(message.Operate{Path: path, Body: []byte(body)}, func(answer any) { operated = answer.(message.Operated) })
 	b.work()
 	return operated.Status, fastjson.MustParseBytes(operated.Body)
 }
 
-func announced(name, role string, calls uint64) view.Instance {
-	return view.Instance{Name: name, Database: "db", Address: "10.0.0.1:80", Zone: "z", Role: role, IsSynced: true, Calls: calls, Slots: 5}
+func announced(name, role string, calls uint64) model.Instance {
+	return model.Instance{Name: name, Database: "db", Address: "10.0.0.1:80", Zone: "z", Role: role, IsSynced: true, Calls: calls, Slots: 5}
 }
 
 func asSent(version int) string {
@@ -142,21 +142,21 @@
 func TestAnnouncementsAtControl(t *testing.T) {
 	Convey("The control primary takes a synced instance's announcement; a late one changes nothing; a machine that reaches no primary refuses", t, func() {
 		b := newBench(t, t.TempDir())
-		status, _ := b.node.Announce(announced("i-1", view.RoleReplica, 4))
+		status, _ := b.node.Announce(announced("i-1", model.RoleReplica, 4))
 		So(status, ShouldEqual, http.StatusServiceUnavailable)
 		So(b.node.Instances(time.Minute), ShouldBeEmpty)
 		b.work()
-		status, answer := b.node.Announce(announced("i-1", view.RoleReplica, 4))
+		status, answer := b.node.Announce(announced("i-1", model.RoleReplica, 4))
 		So(status, ShouldEqual, http.StatusOK)
 		So(answer.(map[string]any)["door"], ShouldEqual, "127.0.0.1:2")
 		SoMsg("the doors of all nodes, which a synced instance does not ask for", answer.(map[string]any)["nodes"], ShouldBeEmpty)
-		late := announced("i-1", view.RolePrimary, 4)
+		late := announced("i-1", model.RolePrimary, 4)
 		status, _ = b.node.Announce(late)
 		So(status, ShouldEqual, http.StatusOK)
-		So(b.node.Instances(time.Minute)[0].Instance.Role, ShouldEqual, view.RoleReplica)
+		So(b.node.Instances(time.Minute)[0].Instance.Role, ShouldEqual, model.RoleReplica)
 		late.Calls = 5
 		b.node.Announce(late)
-		So(b.node.Instances(time.Minute)[0].Instance.Role, ShouldEqual, view.RolePrimary)
+		So(b.node.Instances(time.Minute)[0].Instance.Role, ShouldEqual, model.RolePrimary)
 	})
 }
 
@@ -167,48 +167,48 @@
 			b.work()
 			for number := range databases {
 				for _, name := range []string{"a", "b", "c"} {
-					one := announced(fmt.Sprintf("i-%s-%d", name, number), view.RoleReplica, 1)
+					one := announced(fmt.Sprintf("i-%s-%d", name, number), model.RoleReplica, 1)
 					one.Database = fmt.Sprintf("db%d", number)
 					b.node.Announce(one)
 				}
 			}
-			answer := b.onAskCase(msg.AskCase{Database: "db1"})
+			answer := b.onAskCase(message.AskCase{Database: "db1"})
 			So(len(answer.Takeover.Sights), ShouldEqual, 3)
 			So(answer.Databases, ShouldBeEmpty)
 			So(answer.Synced, ShouldBeEmpty)
-			So(len(b.onAskCase(msg.AskCase{}).Synced), ShouldEqual, databases)
-			return testing.AllocsPerRun(20, func() { b.onAskCase(msg.AskCase{Database: "db1"}) })
+			So(len(b.onAskCase(message.AskCase{}).Synced), ShouldEqual, databases)
+			return testing.AllocsPerRun(20, func() { b.onAskCase(message.AskCase{Database: "db1"}) })
 		}
 		So(taken(40), ShouldAlmostEqual, taken(4), 2)
 	})
 }
 
 func TestEvidence(t *testing.T) {
-	at := func(phase string, since int64) takeover.Case {
-		return takeover.Case{Database: "db", IsKnown: true, IsSettled: true, Event: 3, Tenure: "c1@1", Writer: view.Writer{Database: "db", Term: 3, Primary: "a", Phase: phase, Since: since, IsSynced: true}}
+	at := func(phase string, since int64) syncrepl.Case {
+		return syncrepl.Case{Database: "db", IsKnown: true, IsSettled: true, Event: 3, Tenure: "c1@1", Writer: model.Writer{Database: "db", Term: 3, Primary: "a", Phase: phase, Since: since, IsSynced: true}}
 	}
-	shown := func(b *bench, one takeover.Case) takeover.Case {
+	shown := func(b *bench, one syncrepl.Case) syncrepl.Case {
 		b.mutex.Lock()
 		defer b.mutex.Unlock()
 		return b.holder.Show(one, b.node.Now())
 	}
 	Convey("What an instance answered counts as seen after the settling only in the episode in which it was asked, and settled", t, func() {
 		b := newBench(t, t.TempDir())
-		b.replies["b"] = Reply{Role: view.RoleReplica, Term: 3, Position: view.Position{Term: 3, Index: 9}}
-		one := shown(b, at(view.PhaseClosing, 5))
-		b.order(one, "b", "x:1", stream.OrderStatus, 0)
+		b.replies["b"] = Reply{Role: model.RoleReplica, Term: 3, Position: model.Position{Term: 3, Index: 9}}
+		one := shown(b, at(model.PhaseClosing, 5))
+		b.order(one, "b", "x:1", lineproto.OrderStatus, 0)
 		unsettled := one
 		unsettled.IsSettled = false
-		b.order(unsettled, "c", "x:1", stream.OrderStatus, 0)
+		b.order(unsettled, "c", "x:1", lineproto.OrderStatus, 0)
 		b.settle()
-		one = shown(b, at(view.PhaseClosing, 5))
+		one = shown(b, at(model.PhaseClosing, 5))
 		So(one.Seen["b"].IsAfter, ShouldBeTrue)
 		So(one.Seen["b"].IsAnswered, ShouldBeTrue)
-		So(one.Seen["b"].Position, ShouldResemble, view.Position{Term: 3, Index: 9})
+		So(one.Seen["b"].Position, ShouldResemble, model.Position{Term: 3, Index: 9})
 		So(one.Seen["b"].Event, ShouldEqual, 3)
 		So(one.Seen["c"].IsAfter, ShouldBeFalse)
-		So(shown(b, at(view.PhaseClosing, 6)).Seen["b"].IsAfter, ShouldBeFalse)
-		So(shown(b, at(view.PhaseClosing, 5)).Seen["b"].IsAfter, ShouldBeFalse)
+		So(shown(b, at(model.PhaseClosing, 6)).Seen["b"].IsAfter, ShouldBeFalse)
+		So(shown(b, at(model.PhaseClosing, 5)).Seen["b"].IsAfter, ShouldBeFalse)
 	})
 	Convey("An answer that comes once the episode is over is not of the next; none comes twice at once", t, func() {
 		b := newBench(t, t.TempDir())
@@ -218,40 +218,40 @@
 			<-hold
 			return order(address, database, instance, what, term, bound)
 		}
-		b.replies["b"] = Reply{Role: view.RoleReplica, Term: 3}
-		one := shown(b, at(view.PhaseClosing, 5))
-		b.order(one, "b", "x:1", stream.OrderStatus, 0)
-		b.order(one, "b", "x:1", stream.OrderStatus, 0)
-		So(shown(b, at(view.PhaseClosing, 6)).Seen, ShouldBeEmpty)
+		b.replies["b"] = Reply{Role: model.RoleReplica, Term: 3}
+		one := shown(b, at(model.PhaseClosing, 5))
+		b.order(one, "b", "x:1", lineproto.OrderStatus, 0)
+		b.order(one, "b", "x:1", lineproto.OrderStatus, 0)
+		So(shown(b, at(model.PhaseClosing, 6)).Seen, ShouldBeEmpty)
 		close(hold)
 		b.settle()
 		So(len(b.orders), ShouldEqual, 1)
-		So(shown(b, at(view.PhaseClosing, 6)).Seen["b"].IsAfter, ShouldBeFalse)
+		So(shown(b, at(model.PhaseClosing, 6)).Seen["b"].IsAfter, ShouldBeFalse)
 	})
 	Convey("Silence, a busy answer and a name that is not there are told apart", t, func() {
 		b := newBench(t, t.TempDir())
 		b.replies = map[string]Reply{"s": {Err: errors.New("refused")}, "b": {IsBusy: true}, "g": {IsGone: true}}
-		one := shown(b, at(view.PhaseOpen, 5))
+		one := shown(b, at(model.PhaseOpen, 5))
 		for name := range b.replies {
-			b.order(one, name, "x:1", stream.OrderStatus, 0)
+			b.order(one, name, "x:1", lineproto.OrderStatus, 0)
 		}
 		b.settle()
-		seen := shown(b, at(view.PhaseOpen, 5)).Seen
+		seen := shown(b, at(model.PhaseOpen, 5)).Seen
 		So(seen["s"].IsAnswered || seen["s"].IsBusy || seen["s"].IsGone, ShouldBeFalse)
 		So(seen["b"].IsBusy, ShouldBeTrue)
 		So(seen["g"].IsGone, ShouldBeTrue)
 	})
 	Convey("The outcome of a promote call is kept for its intent only, and one that was not read stays unknown", t, func() {
 		b := newBench(t, t.TempDir())
-		intent := at(view.PhaseIntent, 5)
+		intent := at(model.PhaseIntent, 5)
 		intent.Writer.Intent = "b"
 		shown(b, intent)
 		b.status, b.err = http.StatusConflict, errors.New("cut")
-		b.promoteSynced(takeover.Promote{Database: "db", Instance: "b", Holder: "c1", Fence: 2})
-		So(run.Await(b.promotes, time.Second), ShouldBeTrue)
+		b.promoteSynced(syncrepl.Promote{Database: "db", Instance: "b", Holder: "c1", Fence: 2})
+		So(worker.Await(b.promotes, time.Second), ShouldBeTrue)
 		b.settle()
 		So(shown(b, intent).Calls[0].Status, ShouldEqual, 0)
-		So(shown(b, at(view.PhaseClosing, 9)).Calls, ShouldBeEmpty)
+		So(shown(b, at(model.PhaseClosing, 9)).Calls, ShouldBeEmpty)
 	})
 }
 
@@ -259,14 +259,14 @@
 	Convey("From the first announcement to a new term: met, left, closed, asked, intended, promoted, open", t, func() {
 		b := newBench(t, t.TempDir())
 		b.work()
-		b.replies["a"] = Reply{Role: view.RolePrimary, Term: 3, Position: view.Position{Term: 3, Index: 50}}
-		b.replies["b"] = Reply{Role: view.RoleReplica, Term: 3, Position: view.Position{Term: 3, Index: 50}}
-		b.replies["c"] = Reply{Role: view.RoleReplica, Term: 3, Position: view.Position{Term: 3, Index: 48}}
-		for name, role := range map[string]string{"a": view.RolePrimary, "b": view.RoleReplica, "c": view.RoleReplica} {
+		b.replies["a"] = Reply{Role: model.RolePrimary, Term: 3, Position: model.Position{Term: 3, Index: 50}}
+		b.replies["b"] = Reply{Role: model.RoleReplica, Term: 3, Position: model.Position{Term: 3, Index: 50}}
+		b.replies["c"] = Reply{Role: model.RoleReplica, Term: 3, Position: model.Position{Term: 3, Index: 48}}
+		for name, role := range map[string]string{"a": model.RolePrimary, "b": model.RoleReplica, "c": model.RoleReplica} {
 			status, _ := b.node.Announce(announced(name, role, 1))
 			So(status, ShouldEqual, http.StatusOK)
 		}
-		writer := func() view.Writer {
+		writer := func() model.Writer {
 			b.mutex.Lock()
 			defer b.mutex.Unlock()
 			return b.steer.Doc().Writers["db"]
@@ -275,7 +275,7 @@
 			for until := b.node.Now() + 5*time.Second; b.node.Now() < until; {
 				done := make(chan struct{})
 				b.node.Crew.Go(func() { b.alone("db", b.decideTakeover); close(done) })
-				for !run.Await(done, 5*time.Millisecond) {
+				for !worker.Await(done, 5*time.Millisecond) {
 					b.work()
 				}
 				b.work()
@@ -285,22 +285,22 @@
 			}
 			return false
 		}
-		So(steps(func() bool { return writer().Phase == view.PhaseOpen && writer().Primary == "a" }), ShouldBeTrue)
+		So(steps(func() bool { return writer().Phase == model.PhaseOpen && writer().Primary == "a" }), ShouldBeTrue)
 		So(writer().Term, ShouldEqual, 3)
-		leaving := announced("a", view.RolePrimary, 2)
+		leaving := announced("a", model.RolePrimary, 2)
 		leaving.IsLeaving = true
 		b.node.Announce(leaving)
-		So(steps(func() bool { return writer().Phase == view.PhaseIntent }), ShouldBeTrue)
+		So(steps(func() bool { return writer().Phase == model.PhaseIntent }), ShouldBeTrue)
 		So(writer().Intent, ShouldEqual, "b")
 		So(writer().Holder, ShouldEqual, "c1")
 		So(writer().Fence, ShouldEqual, 1)
-		So(writer().Floor, ShouldResemble, view.Position{Term: 3, Index: 50})
+		So(writer().Floor, ShouldResemble, model.Position{Term: 3, Index: 50})
 		So(steps(func() bool { return len(b.promotes) == 1 }), ShouldBeTrue)
 		So(<-b.promotes, ShouldResemble, called{"b", "c1", 1})
 		b.mutex.Lock()
-		b.replies["b"] = Reply{Role: view.RolePrimary, Term: 4, Position: view.Position{Term: 4, Index: 51}}
+		b.replies["b"] = Reply{Role: model.RolePrimary, Term: 4, Position: model.Position{Term: 4, Index: 51}}
 		b.mutex.Unlock()
-		So(steps(func() bool { return writer().Phase == view.PhaseOpen }), ShouldBeTrue)
+		So(steps(func() bool { return writer().Phase == model.PhaseOpen }), ShouldBeTrue)
 		So(writer().Primary, ShouldEqual, "b")
 		So(writer().Term, ShouldEqual, 4)
 		So(writer().Before, ShouldEqual, 3)
@@ -312,15 +312,15 @@
 		b := newBench(t, t.TempDir())
 		place := b.node.Place()
 		place.Platform = "127.0.0.1:1"
-		_, err := Promoter(b.node, func(door.Promotion) door.Request { return door.Request{Method: "POST", Path: "/"} })(place, "db", "i-1", "c1", 4)
+		_, err := Promoter(b.node, func(adapter.Promotion) adapter.Request { return adapter.Request{Method: "POST", Path: "/"} })(place, "db", "i-1", "c1", 4)
 		So(errors.Is(err, ErrUnsent), ShouldBeTrue)
 		b.err = errors.WithType(errors.New("refused"), ErrUnsent)
-		b.promoteSynced(takeover.Promote{Database: "db", Instance: "i-1", Holder: "c1", Fence: 4})
+		b.promoteSynced(syncrepl.Promote{Database: "db", Instance: "i-1", Holder: "c1", Fence: 4})
 		<-b.promotes
 		b.node.Crew.Stop(5 * time.Second)
 		b.mutex.Lock()
 		defer b.mutex.Unlock()
-		calls := b.holder.Show(takeover.Case{Database: "db"}, b.node.Now()).Calls
+		calls := b.holder.Show(syncrepl.Case{Database: "db"}, b.node.Now()).Calls
 		So(len(calls), ShouldEqual, 1)
 		So(calls[0].IsUnsent, ShouldBeTrue)
 		So(calls[0].Fence, ShouldEqual, 4)
--- a/pooler/cmd/control/disk_test.go
+++ b/internal/app/control/disk_test.go
@@ -10,15 +10,15 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/juju/errors"
 
-	"tansyseam.example/pooler/cmd/fleet"
-	"tansyseam.example/pooler/cmd/settings"
-	"tansyseam.example/pooler/coordination/epoch"
-	"tansyseam.example/pooler/protocol/msg"
-	"tansyseam.example/pooler/state/synced"
+	"tansyseam/internal/app/config"
+	"tansyseam/internal/app/node"
+	"tansyseam/internal/coordination/consensus"
+	"tansyseam/internal/protocol/message"
+	"tansyseam/internal/state/versionfile"
 )
 
 type troubled struct {
-	synced.Folder
+	versionfile.Folder
 	isRefusing bool
 	refused    int
 }
@@ -32,10 +32,10 @@
 }
 
 func newTroubled(t *testing.T) (*Control, *troubled) {
-	place := settings.Settings{Name: "c1", Zone: "z", Link: "127.0.0.1:1", Door: "127.0.0.1:2", AdvertiseDoor: "127.0.0.1:2", Disks: 1, Data: t.TempDir(), Manner: "platform", InForce: 3 * time.Second}
-	node, err := fleet.New("seamc", place, hclog.NewNullLogger())
+	place := config.Settings{Name: "c1", Zone: "z", Link: "127.0.0.1:1", Door: "127.0.0.1:2", AdvertiseDoor: "127.0.0.1:2", Disks: 1, Data: t.TempDir(), Manner: "platform", InForce: 3 * time.Second}
+	node, err := node.New("seamc", place, hclog.NewNullLogger())
 	So(err, ShouldBeNil)
-	disk := &troubled{Folder: synced.Folder(place.Data)}
+	disk := &troubled{Folder: versionfile.Folder(place.Data)}
 	made, err := OpenOn(node, place, disk, nil)
 	So(err, ShouldBeNil)
 	return made, disk
@@ -50,9 +50,9 @@
 	}
 }
 
-func (c *Control) replace(version int) *msg.Operated {
-	answered := &msg.Operated{}
-	c.onOperate(msg.Operate{Path: "/v1/manifest/replace", Body: []byte(manifestOf(version, 1000))}, func(answer any) { *answered = answer.(msg.Operated) })
+func (c *Control) replace(version int) *message.Operated {
+	answered := &message.Operated{}
+	c.onOperate(message.Operate{Path: "/v1/manifest/replace", Body: []byte(manifestOf(version, 1000))}, func(answer any) { *answered = answer.(message.Operated) })
 	return answered
 }
 
@@ -68,7 +68,7 @@
 		So(answered.Status, ShouldEqual, 0)
 		So(c.node.Counts.Read()["files_refused"], ShouldEqual, 1)
 		disk.isRefusing = false
-		c.keep(c.node.Now() + epoch.Pause)
+		c.keep(c.node.Now() + consensus.Pause)
 		c.drain()
 		So(answered.Status, ShouldEqual, http.StatusOK)
 		again, err := OpenOn(c.node, c.node.Place(), disk, nil)
@@ -91,10 +91,10 @@
 		So(c.gate.Owed(c.node.Now()), ShouldBeGreaterThan, 0)
 		owed := c.gate.Owed(c.node.Now() + time.Second)
 		now := c.node.Now() + time.Second
-		c.machine.Step(epoch.Tick{Wall: 1, Owed: owed}, now)
+		c.machine.Step(consensus.Tick{Wall: 1, Owed: owed}, now)
 		So(c.machine.IsPrimary(now), ShouldBeFalse)
-		refused := c.machine.Step(epoch.Submit{Token: 99}, now)
-		So(refused, ShouldResemble, []epoch.Effect{epoch.Answer{Token: 99}})
+		refused := c.machine.Step(consensus.Submit{Token: 99}, now)
+		So(refused, ShouldResemble, []consensus.Effect{consensus.Answer{Token: 99}})
 		work[0]()
 		c.drain()
 		So(first.Status, ShouldEqual, http.StatusOK)
--- a/pooler/cmd/control/duties.go
+++ b/internal/app/control/duties.go
@@ -4,17 +4,17 @@
 	"sync"
 	"time"
 
-	"tansyseam.example/pooler/coordination/ballot"
-	"tansyseam.example/pooler/coordination/duty"
-	"tansyseam.example/pooler/coordination/epoch"
-	"tansyseam.example/pooler/coordination/failover"
-	"tansyseam.example/pooler/coordination/member"
-	"tansyseam.example/pooler/coordination/steer"
-	"tansyseam.example/pooler/protocol/msg"
-	"tansyseam.example/pooler/protocol/platform"
-	"tansyseam.example/pooler/state/view"
-	"tansyseam.example/pooler/transport/run"
-	"tansyseam.example/pooler/transport/web"
+	"tansyseam/internal/coordination/consensus"
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/coordination/failover/asyncrepl"
+	"tansyseam/internal/coordination/membership"
+	"tansyseam/internal/coordination/proposal"
+	"tansyseam/internal/coordination/singleton"
+	"tansyseam/internal/protocol/message"
+	"tansyseam/internal/protocol/promotion"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/transport/httpserver"
+	"tansyseam/internal/transport/worker"
 )
 
 // rollPace is the pace at which instances long unheard leave the roll.
@@ -40,9 +40,9 @@
 }
 
 // tellNodes spares the nodes the wait for an answer of the primary before.
-func (c *Control) tellNodes(record epoch.Record) {
-	for _, node := range c.node.Nodes(view.KindData, member.IsLive) {
-		c.node.Hub.Send(node.Link, msg.Turned{Record: record})
+func (c *Control) tellNodes(record consensus.Record) {
+	for _, node := range c.node.Nodes(model.KindData, membership.IsLive) {
+		c.node.Hub.Send(node.Link, message.Turned{Record: record})
 	}
 }
 
@@ -54,7 +54,7 @@
 	if !isSeeking {
 		return
 	}
-	answer, isOne := msg.CaseAnswer{}, false
+	answer, isOne := message.CaseAnswer{}, false
 	if isLearning {
 		answer, isOne = c.askCase("")
 	}
@@ -65,38 +65,38 @@
 	effects := c.duty.Seek(at, c.node.Now())
 	c.mutex.Unlock()
 	for _, effect := range effects {
-		if canvass, isCanvass := effect.(duty.Canvass); isCanvass {
+		if canvass, isCanvass := effect.(singleton.Canvass); isCanvass {
 			c.canvass(canvass)
 		}
-		if attend, isAttend := effect.(duty.Attend); isAttend {
+		if attend, isAttend := effect.(singleton.Attend); isAttend {
 			c.attend(attend)
 		}
 	}
 }
 
-func (c *Control) situation() duty.Situation {
-	at := duty.Situation{IsPrimary: c.node.Now() < c.primacy}
+func (c *Control) situation() singleton.Situation {
+	at := singleton.Situation{IsPrimary: c.node.Now() < c.primacy}
 	for _, writer := range c.steer.Doc().Writers {
-		at.IsMoving = at.IsMoving || (writer.IsSynced && writer.Phase != view.PhaseOpen)
+		at.IsMoving = at.IsMoving || (writer.IsSynced && writer.Phase != model.PhaseOpen)
 	}
 	return at
 }
 
-func (c *Control) askCase(database string) (msg.CaseAnswer, bool) {
+func (c *Control) askCase(database string) (message.CaseAnswer, bool) {
 	if c.isPrimary() {
-		answer := c.onAskCase(msg.AskCase{Database: database})
+		answer := c.onAskCase(message.AskCase{Database: database})
 		return answer, answer.IsPrimary
 	}
 	address, _ := c.node.Primary()
 	if address == "" {
-		return msg.CaseAnswer{}, false
+		return message.CaseAnswer{}, false
 	}
-	reply, err := c.node.Hub.Call(address, msg.AskCase{Database: database}, 300*time.Millisecond)
-	answer, isOne := reply.(msg.CaseAnswer)
+	reply, err := c.node.Hub.Call(address, message.AskCase{Database: database}, 300*time.Millisecond)
+	answer, isOne := reply.(message.CaseAnswer)
 	return answer, err == nil && isOne && answer.IsPrimary
 }
 
-func (c *Control) canvass(canvass duty.Canvass) {
+func (c *Control) canvass(canvass singleton.Canvass) {
 	self := c.node.Place().Name
 	for _, name := range canvass.Voters {
 		if name == self {
@@ -112,14 +112,14 @@
 		}
 		c.node.Crew.Go(func() {
 			reply, err := c.node.Hub.Call(node.Link, canvass.Ask, 300*time.Millisecond)
-			if vote, isOne := reply.(ballot.Vote); err == nil && isOne {
+			if vote, isOne := reply.(proposal.Vote); err == nil && isOne {
 				c.onVote(name, vote)
 			}
 		})
 	}
 }
 
-func (c *Control) onVote(from string, vote ballot.Vote) {
+func (c *Control) onVote(from string, vote proposal.Vote) {
 	c.mutex.Lock()
 	isWon := c.duty.OnVote(from, vote, c.node.Now())
 	c.mutex.Unlock()
@@ -129,7 +129,7 @@
 	}
 }
 
-func (c *Control) attend(attend duty.Attend) {
+func (c *Control) attend(attend singleton.Attend) {
 	decide := c.decide
 	if attend.IsSynced {
 		decide = c.decideTakeover
@@ -157,21 +157,21 @@
 	if !isOne || answer.Case.Database != database {
 		return
 	}
-	for _, effect := range failover.Step(answer.Case, failover.DefaultTiming()) {
-		if record, isRecord := effect.(failover.Record); isRecord {
+	for _, effect := range asyncrepl.Step(answer.Case, asyncrepl.DefaultTiming()) {
+		if record, isRecord := effect.(asyncrepl.Record); isRecord {
 			if !c.recordCase(answer.Case.Writer, answer.Case.IsKnown, record) {
 				return
 			}
 			continue
 		}
-		if promote, isPromote := effect.(failover.Promote); isPromote {
+		if promote, isPromote := effect.(asyncrepl.Promote); isPromote {
 			c.node.Crew.Go(func() { c.promote(promote) })
 		}
 	}
 }
 
-func (c *Control) recordCase(before view.Writer, isKnown bool, record failover.Record) bool {
-	ask := steer.RecordCase{
+func (c *Control) recordCase(before model.Writer, isKnown bool, record asyncrepl.Record) bool {
+	ask := distribution.RecordCase{
 		Before: before, IsKnown: isKnown, After: record.Writer, What: record.What,
 		Evidence: record.Evidence, By: c.node.Place().Name,
 	}
@@ -185,11 +185,11 @@
 
 const recordBound = 2 * time.Second
 
-func (c *Control) askRecord(ask steer.RecordCase) bool {
+func (c *Control) askRecord(ask distribution.RecordCase) bool {
 	if c.isPrimary() {
-		answered := make(chan msg.Recorded, 1)
-		c.onRecordCase(ask, func(answer any) { answered <- answer.(msg.Recorded) })
-		recorded, isAnswered := run.Take(answered, time.After(recordBound))
+		answered := make(chan message.Recorded, 1)
+		c.onRecordCase(ask, func(answer any) { answered <- answer.(message.Recorded) })
+		recorded, isAnswered := worker.Take(answered, time.After(recordBound))
 		return isAnswered && recorded.IsKept
 	}
 	address, _ := c.node.Primary()
@@ -197,15 +197,15 @@
 		return false
 	}
 	reply, err := c.node.Hub.Call(address, ask, recordBound)
-	recorded, isOne := reply.(msg.Recorded)
+	recorded, isOne := reply.(message.Recorded)
 	return err == nil && isOne && recorded.IsKept
 }
 
-func (c *Control) promote(call failover.Promote) {
+func (c *Control) promote(call asyncrepl.Promote) {
 	c.node.Counts.Add("promote_calls", 1)
-	path, body := platform.Promote(call.Database, call.Instance, call.Term)
+	path, body := promotion.Promote(call.Database, call.Instance, call.Term)
 	place := c.node.Place()
-	client, err := web.NewClient(hostOf(place.Link), c.node.Crew)
+	client, err := httpserver.NewClient(hostOf(place.Link), c.node.Crew)
 	if err != nil {
 		return
 	}
@@ -227,9 +227,9 @@
 	done := make(chan struct{})
 	c.do(func() {
 		c.onFree = sync.OnceFunc(func() { close(done) })
-		c.step(epoch.Leave{})
+		c.step(consensus.Leave{})
 	})
-	run.Await(done, bound)
+	worker.Await(done, bound)
 }
 
 // free ends a wait to leave, once no role is held and nothing is owed to the disk.
--- a/pooler/cmd/control/manifests.go
+++ b/internal/app/control/manifests.go
@@ -11,11 +11,11 @@
 	"github.com/juju/errors"
 	"github.com/valyala/fastjson"
 
-	"tansyseam.example/pooler/cmd/fleet"
-	"tansyseam.example/pooler/coordination/epoch"
-	"tansyseam.example/pooler/coordination/steer"
-	"tansyseam.example/pooler/protocol/manifest"
-	"tansyseam.example/pooler/state/table"
+	"tansyseam/internal/app/node"
+	"tansyseam/internal/coordination/consensus"
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/protocol/bindings"
+	"tansyseam/internal/state/store"
 )
 
 func pack(raw []byte) []byte {
@@ -39,32 +39,32 @@
 }
 
 func (c *Control) replaceManifest(value *fastjson.Value, _ string, _ []byte, answer func(any)) {
-	set, raw, faults := manifest.Versioned(value)
+	set, raw, faults := bindings.Versioned(value)
 	if len(faults) > 0 {
 		c.node.Counts.Add("manifests_refused", 1)
-		answer(operated(http.StatusBadRequest, fleet.Refuse("the manifest is broken; nothing of it was taken", faults...)))
+		answer(operated(http.StatusBadRequest, node.Refuse("the manifest is broken; nothing of it was taken", faults...)))
 		return
 	}
-	sent := steer.Manifest{Version: set.Version, Set: set, Packed: pack(raw), Digest: steer.DigestOf(set, raw), Source: "manifest"}
+	sent := distribution.Manifest{Version: set.Version, Set: set, Packed: pack(raw), Digest: distribution.DigestOf(set, raw), Source: "manifest"}
 	isNew, isConflict := false, false
-	c.submit(func(held *table.Table) []table.Put {
+	c.submit(func(held *store.Table) []store.Put {
 		c.mutex.Lock()
 		wall := c.wallNow()
 		c.mutex.Unlock()
-		var puts []table.Put
-		puts, isConflict = steer.PutManifest(held, sent, wall)
+		var puts []store.Put
+		puts, isConflict = distribution.PutManifest(held, sent, wall)
 		isNew = len(puts) > 0
 		return puts
-	}, func(done epoch.Answer) {
+	}, func(done consensus.Answer) {
 		if !done.IsKept {
-			refusal := fleet.Refuse("the control primary changed under the call")
+			refusal := node.Refuse("the control primary changed under the call")
 			refusal.Outcome, refusal.Retry = "unknown", 500
 			answer(operated(http.StatusServiceUnavailable, refusal))
 			return
 		}
 		if isConflict {
 			c.node.Counts.Add("manifests_conflicting", 1)
-			answer(operated(http.StatusConflict, fleet.Refuse(fmt.Sprintf("another manifest was taken as version %d; send this one under a version of its own", set.Version))))
+			answer(operated(http.StatusConflict, node.Refuse(fmt.Sprintf("another manifest was taken as version %d; send this one under a version of its own", set.Version))))
 			return
 		}
 		if isNew {
@@ -79,18 +79,18 @@
 	c.mutex.Lock()
 	held := c.steer.Table()
 	c.mutex.Unlock()
-	set, packed, isHeld := steer.Raw(held)
+	set, packed, isHeld := distribution.Raw(held)
 	if !isHeld {
-		answer(operated(http.StatusNotFound, fleet.Refuse("no manifest was taken")))
+		answer(operated(http.StatusNotFound, node.Refuse("no manifest was taken")))
 		return
 	}
 	if len(packed) == 0 {
-		answer(operated(http.StatusOK, manifest.Write(set)))
+		answer(operated(http.StatusOK, bindings.Write(set)))
 		return
 	}
 	raw, err := unpack(packed)
 	if err != nil {
-		answer(operated(http.StatusInternalServerError, fleet.Refuse("the manifest's bytes cannot be read")))
+		answer(operated(http.StatusInternalServerError, node.Refuse("the manifest's bytes cannot be read")))
 		return
 	}
 	answer(operated(http.StatusOK, map[string]any{"version": set.Version, "raw": base64.StdEncoding.EncodeToString(raw)}))
--- a/pooler/cmd/control/takeovers.go
+++ b/internal/app/control/takeovers.go
@@ -5,19 +5,19 @@
 
 	"github.com/juju/errors"
 
-	"tansyseam.example/pooler/cmd/settings"
-	"tansyseam.example/pooler/coordination/failover"
-	"tansyseam.example/pooler/coordination/takeover"
-	"tansyseam.example/pooler/protocol/msg"
-	"tansyseam.example/pooler/state/stream"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/app/config"
+	"tansyseam/internal/coordination/failover/asyncrepl"
+	"tansyseam/internal/coordination/failover/syncrepl"
+	"tansyseam/internal/protocol/message"
+	"tansyseam/internal/state/lineproto"
+	"tansyseam/internal/state/model"
 )
 
 // Reply is what an instance answered to an order.
 type Reply struct {
 	Role     string
 	Term     uint64
-	Position view.Position
+	Position model.Position
 	// IsBusy says that it lives and gave no row, IsGone that no instance of
 	// that name is at the address; Err that nothing was answered.
 	IsBusy bool
@@ -31,7 +31,7 @@
 	Order func(address, database, instance, order string, term uint64, bound time.Duration) Reply
 	// Promote makes the platform's one call and gives the status answered;
 	// ErrUnsent says that it did not leave this machine.
-	Promote func(place settings.Settings, database, instance, holder string, fence uint64) (status int, err error)
+	Promote func(place config.Settings, database, instance, holder string, fence uint64) (status int, err error)
 }
 
 const (
@@ -39,7 +39,7 @@
 	orderBound    = 400 * time.Millisecond
 )
 
-func (c *Control) onSynced(instance view.Instance) (string, bool) {
+func (c *Control) onSynced(instance model.Instance) (string, bool) {
 	if taken := c.takeAnnouncement(instance); taken.IsTaken {
 		return taken.Door, true
 	}
@@ -47,8 +47,8 @@
 	if address == "" || address == c.node.Self().Link {
 		return "", false
 	}
-	reply, err := c.node.Hub.Call(address, msg.Announce{Instance: instance}, announceBound)
-	taken, isOne := reply.(msg.Announced)
+	reply, err := c.node.Hub.Call(address, message.Announce{Instance: instance}, announceBound)
+	taken, isOne := reply.(message.Announced)
 	if err != nil || !isOne || !taken.IsTaken {
 		c.node.Counts.Add("announcements_not_passed", 1)
 		return "", false
@@ -57,12 +57,12 @@
 	return taken.Door, true
 }
 
-func (c *Control) takeAnnouncement(instance view.Instance) msg.Announced {
+func (c *Control) takeAnnouncement(instance model.Instance) message.Announced {
 	if !c.isPrimary() || !c.node.Take(instance) {
-		return msg.Announced{}
+		return message.Announced{}
 	}
 	c.enlist(instance.Name)
-	return msg.Announced{IsTaken: true, Door: c.node.Self().Door}
+	return message.Announced{IsTaken: true, Door: c.node.Self().Door}
 }
 
 func (c *Control) enlist(name string) {
@@ -85,7 +85,7 @@
 	}
 }
 
-func (c *Control) cover(mark takeover.Mark) {
+func (c *Control) cover(mark syncrepl.Mark) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.steer.Covers(mark)
@@ -100,8 +100,8 @@
 	c.mutex.Lock()
 	at := c.holder.Show(answer.Takeover, c.node.Now())
 	c.mutex.Unlock()
-	for _, effect := range takeover.Step(at, takeover.DefaultTiming()) {
-		if record, isRecord := effect.(failover.Record); isRecord {
+	for _, effect := range syncrepl.Step(at, syncrepl.DefaultTiming()) {
+		if record, isRecord := effect.(asyncrepl.Record); isRecord {
 			if !c.recordCase(at.Writer, at.IsKnown, record) {
 				return
 			}
@@ -114,27 +114,27 @@
 	}
 }
 
-func (c *Control) carryTakeover(at takeover.Case, effect any) {
-	if ask, isAsk := effect.(takeover.Ask); isAsk {
-		c.order(at, ask.Instance, ask.Address, stream.OrderStatus, 0)
+func (c *Control) carryTakeover(at syncrepl.Case, effect any) {
+	if ask, isAsk := effect.(syncrepl.Ask); isAsk {
+		c.order(at, ask.Instance, ask.Address, lineproto.OrderStatus, 0)
 		return
 	}
-	if down, isDown := effect.(takeover.StepDown); isDown {
+	if down, isDown := effect.(syncrepl.StepDown); isDown {
 		c.log.Info("order to step down", "database", at.Database, "instance", down.Instance, "term", down.Term)
 		c.node.Counts.Add("step_down_orders", 1)
-		c.order(at, down.Instance, down.Address, stream.OrderStepDown, down.Term)
+		c.order(at, down.Instance, down.Address, lineproto.OrderStepDown, down.Term)
 		return
 	}
-	if mark, isMark := effect.(takeover.Mark); isMark {
+	if mark, isMark := effect.(syncrepl.Mark); isMark {
 		c.sendMark(mark)
 		return
 	}
-	if call, isCall := effect.(takeover.Promote); isCall {
+	if call, isCall := effect.(syncrepl.Promote); isCall {
 		c.promoteSynced(call)
 	}
 }
 
-func (c *Control) sendMark(mark takeover.Mark) {
+func (c *Control) sendMark(mark syncrepl.Mark) {
 	if c.isPrimary() {
 		c.cover(mark)
 		return
@@ -144,7 +144,7 @@
 	}
 }
 
-func (c *Control) order(at takeover.Case, instance, address, order string, term uint64) {
+func (c *Control) order(at syncrepl.Case, instance, address, order string, term uint64) {
 	if c.seams.Order == nil {
 		return
 	}
@@ -159,14 +159,14 @@
 		reply := c.seams.Order(address, at.Database, instance, order, term, orderBound)
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		told(takeover.Seen{
+		told(syncrepl.Seen{
 			IsAnswered: reply.Err == nil && !reply.IsBusy && !reply.IsGone, IsBusy: reply.IsBusy, IsGone: reply.IsGone,
 			Role: reply.Role, Term: reply.Term, Position: reply.Position,
 		}, c.node.Now())
 	})
 }
 
-func (c *Control) promoteSynced(call takeover.Promote) {
+func (c *Control) promoteSynced(call syncrepl.Promote) {
 	if c.seams.Promote == nil {
 		return
 	}
--- a/pooler/cmd/plane/carry.go
+++ b/internal/app/httpproxy/carry.go
@@ -1,62 +1,62 @@
-package plane
+package httpproxy
 
 import (
 	"reflect"
 	"time"
 
-	"tansyseam.example/pooler/coordination/goes"
-	"tansyseam.example/pooler/coordination/hall"
-	"tansyseam.example/pooler/transport/run"
-	"tansyseam.example/pooler/transport/web"
+	"tansyseam/internal/coordination/idempotency"
+	"tansyseam/internal/coordination/pool/httppool"
+	"tansyseam/internal/transport/httpserver"
+	"tansyseam/internal/transport/worker"
 )
 
 type arrival struct {
-	job    *hall.Job
-	answer web.Answer
+	job    *httppool.Job
+	answer httpserver.Answer
 }
 
-var carriers map[reflect.Type]func(*Plane, hall.Effect)
+var carriers map[reflect.Type]func(*Plane, httppool.Effect)
 
-func on[T hall.Effect](act func(*Plane, T)) {
-	carriers[reflect.TypeFor[T]()] = func(p *Plane, effect hall.Effect) { act(p, effect.(T)) }
+func on[T httppool.Effect](act func(*Plane, T)) {
+	carriers[reflect.TypeFor[T]()] = func(p *Plane, effect httppool.Effect) { act(p, effect.(T)) }
 }
 
 func init() {
-	carriers = map[reflect.Type]func(*Plane, hall.Effect){}
-	on(func(_ *Plane, tell hall.Tell) { tell.Job.Token.(chan hall.Result) <- tell.Result })
-	on(func(p *Plane, admit hall.Admit) {
+	carriers = map[reflect.Type]func(*Plane, httppool.Effect){}
+	on(func(_ *Plane, tell httppool.Tell) { tell.Job.Token.(chan httppool.Result) <- tell.Result })
+	on(func(p *Plane, admit httppool.Admit) {
 		if !p.admits.Push(admit.Job, admit.Job.Deadline()-p.now()) {
 			p.giveUp(admit.Job)
 		}
 	})
-	on(func(p *Plane, forward hall.Forward) {
+	on(func(p *Plane, forward httppool.Forward) {
 		if !p.forward.Offer(forward.Job) {
 			p.node.Counts.Add("forward_full", 1)
-			p.step((*hall.Machine).NotForwarded)(forward.Job)
+			p.step((*httppool.Machine).NotForwarded)(forward.Job)
 		}
 	})
-	on(func(p *Plane, send hall.Send) { p.send(send) })
-	on(func(p *Plane, open hall.Open) { p.node.Crew.Go(func() { p.open(open) }) })
-	on(func(_ *Plane, shut hall.Shut) {
-		if session, isOpen := shut.Wire.Link.(*web.Session); isOpen {
+	on(func(p *Plane, send httppool.Send) { p.send(send) })
+	on(func(p *Plane, open httppool.Open) { p.node.Crew.Go(func() { p.open(open) }) })
+	on(func(_ *Plane, shut httppool.Shut) {
+		if session, isOpen := shut.Wire.Link.(*httpserver.Session); isOpen {
 			session.Close()
 		}
 	})
-	on(func(p *Plane, seek hall.Seek) { p.node.Crew.Go(func() { p.seek(seek) }) })
-	on(func(p *Plane, watch hall.Watch) { p.node.Crew.Go(func() { p.watch(watch.Instance) }) })
-	on(func(p *Plane, _ hall.Report) { p.report() })
-	on(func(p *Plane, turned hall.Turned) {
+	on(func(p *Plane, seek httppool.Seek) { p.node.Crew.Go(func() { p.seek(seek) }) })
+	on(func(p *Plane, watch httppool.Watch) { p.node.Crew.Go(func() { p.watch(watch.Instance) }) })
+	on(func(p *Plane, _ httppool.Report) { p.report() })
+	on(func(p *Plane, turned httppool.Turned) {
 		after := turned.Moved.After
 		p.log.Info("writer role", "database", turned.Moved.Database, "term", after.Term, "phase", after.Phase, "primary", after.Primary)
 	})
-	on(func(p *Plane, shown hall.Shown) { p.log.Info("bindings in force", "sequence", shown.Sequence) })
+	on(func(p *Plane, shown httppool.Shown) { p.log.Info("bindings in force", "sequence", shown.Sequence) })
 }
 
-func (p *Plane) carry(effect hall.Effect) { carriers[reflect.TypeOf(effect)](p, effect) }
+func (p *Plane) carry(effect httppool.Effect) { carriers[reflect.TypeOf(effect)](p, effect) }
 
-func (p *Plane) send(send hall.Send) {
+func (p *Plane) send(send httppool.Send) {
 	path, body := p.wires.Encode(send.Op)
-	send.Wire.Link.(*web.Session).Do(path, body, func(answer web.Answer) {
+	send.Wire.Link.(*httpserver.Session).Do(path, body, func(answer httpserver.Answer) {
 		came := &arrival{job: send.Job, answer: answer}
 		if !p.answer.Offer(came) {
 			p.onAnswer(came)
@@ -65,20 +65,20 @@
 }
 
 func (p *Plane) onAnswer(came *arrival) {
-	reply, err := hall.Reply{}, came.answer.Err
+	reply, err := httppool.Reply{}, came.answer.Err
 	if err == nil {
 		reply, err = p.wires.Decode(came.answer.Status, came.answer.Body)
 	}
 	p.do(func(now time.Duration) { p.hall.Answered(came.job, reply, err != nil, now) })
 }
 
-func (p *Plane) open(open hall.Open) {
+func (p *Plane) open(open httppool.Open) {
 	session, err := p.client.Dial(open.Address, 600*time.Millisecond, func() {
 		p.do(func(now time.Duration) { p.hall.Lost(open.Wire, now) })
 	})
-	var reply hall.Reply
+	var reply httppool.Reply
 	if err == nil {
-		path, body := p.wires.Encode(hall.Op{Act: hall.ActOpen})
+		path, body := p.wires.Encode(httppool.Op{Act: httppool.ActOpen})
 		answer := session.Ask(path, body, time.Second)
 		err = answer.Err
 		if err == nil {
@@ -93,23 +93,23 @@
 	})
 }
 
-func (p *Plane) seek(seek hall.Seek) {
-	ask := goes.Ask{Go: seek.Job.Go(), By: p.node.Place().Name}
+func (p *Plane) seek(seek httppool.Seek) {
+	ask := idempotency.Ask{Go: seek.Job.Go(), By: p.node.Place().Name}
 	p.node.Counts.Add("goes_asked", 1)
-	var answer goes.Answer
+	var answer idempotency.Answer
 	isAnswered := false
 	if node, isKnown := p.node.Find(seek.Target); isKnown {
 		reply, err := p.node.Hub.Call(node.Link, ask, 800*time.Millisecond)
-		answer, isAnswered = reply.(goes.Answer)
+		answer, isAnswered = reply.(idempotency.Answer)
 		isAnswered = isAnswered && err == nil
 	}
 	p.do(func(now time.Duration) { p.hall.Heard(seek.Job, seek.Target, answer, isAnswered, now) })
 }
 
-func run20() { run.Await(make(chan struct{}), 20*time.Millisecond) }
+func run20() { worker.Await(make(chan struct{}), 20*time.Millisecond) }
 
 func (p *Plane) watch(name string) {
-	var session *web.Session
+	var session *httpserver.Session
 	for !p.node.Crew.IsStopping() {
 		p.mutex.Lock()
 		address, after, isOn := p.hall.Following(name, p.now())
--- a/pooler/cmd/plane/door.go
+++ b/internal/app/httpproxy/door.go
@@ -1,4 +1,4 @@
-package plane
+package httpproxy
 
 import (
 	"encoding/base64"
@@ -8,16 +8,16 @@
 
 	"github.com/valyala/fastjson"
 
-	"tansyseam.example/pooler/cmd/fleet"
-	"tansyseam.example/pooler/cmd/shown"
-	"tansyseam.example/pooler/coordination/hall"
-	"tansyseam.example/pooler/state/view"
-	"tansyseam.example/pooler/transport/run"
+	"tansyseam/internal/app/admin"
+	"tansyseam/internal/app/node"
+	"tansyseam/internal/coordination/pool/httppool"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/transport/worker"
 )
 
-type mark map[string]view.Position
+type mark map[string]model.Position
 
-func sealMark(marks map[string]view.Position) string {
+func sealMark(marks map[string]model.Position) string {
 	data, _ := json.Marshal(marks)
 	return base64.RawURLEncoding.EncodeToString(data)
 }
@@ -39,7 +39,7 @@
 	Outcome  string          `json:"outcome"`
 	Rows     json.RawMessage `json:"rows,omitempty"`
 	Mark     string          `json:"mark,omitempty"`
-	Position *view.Position  `json:"position,omitempty"`
+	Position *model.Position `json:"position,omitempty"`
 	Error    string          `json:"error,omitempty"`
 	IsClosed bool            `json:"is_closed,omitempty"`
 	Retry    int64           `json:"retry_after_ms,omitempty"`
@@ -50,10 +50,10 @@
 func (p *Plane) serveCalls() {
 	p.node.Serve("/v1/session/open", p.openSession)
 	p.node.Serve("/v1/session/close", p.closeSession)
-	requests := map[string]func(*fastjson.Value) hall.Op{
-		"/v1/statement": func(body *fastjson.Value) hall.Op {
-			op := hall.Op{
-				Act: hall.ActRun, Text: string(body.GetStringBytes("text")), Prepared: string(body.GetStringBytes("prepared")),
+	requests := map[string]func(*fastjson.Value) httppool.Op{
+		"/v1/statement": func(body *fastjson.Value) httppool.Op {
+			op := httppool.Op{
+				Act: httppool.ActRun, Text: string(body.GetStringBytes("text")), Prepared: string(body.GetStringBytes("prepared")),
 				IsWrite: string(body.GetStringBytes("kind")) == "write", Go: string(body.GetStringBytes("go")),
 			}
 			for _, argument := range body.GetArray("arguments") {
@@ -61,16 +61,16 @@
 			}
 			return op
 		},
-		"/v1/begin": func(*fastjson.Value) hall.Op { return hall.Op{Act: hall.ActBegin} },
-		"/v1/commit": func(body *fastjson.Value) hall.Op {
-			return hall.Op{Act: hall.ActCommit, Go: string(body.GetStringBytes("go"))}
+		"/v1/begin": func(*fastjson.Value) httppool.Op { return httppool.Op{Act: httppool.ActBegin} },
+		"/v1/commit": func(body *fastjson.Value) httppool.Op {
+			return httppool.Op{Act: httppool.ActCommit, Go: string(body.GetStringBytes("go"))}
 		},
-		"/v1/rollback": func(*fastjson.Value) hall.Op { return hall.Op{Act: hall.ActRollback} },
-		"/v1/setting": func(body *fastjson.Value) hall.Op {
-			return hall.Op{Act: hall.ActSet, Name: string(body.GetStringBytes("name")), Value: string(body.GetStringBytes("value"))}
+		"/v1/rollback": func(*fastjson.Value) httppool.Op { return httppool.Op{Act: httppool.ActRollback} },
+		"/v1/setting": func(body *fastjson.Value) httppool.Op {
+			return httppool.Op{Act: httppool.ActSet, Name: string(body.GetStringBytes("name")), Value: string(body.GetStringBytes("value"))}
 		},
-		"/v1/prepare": func(body *fastjson.Value) hall.Op {
-			return hall.Op{Act: hall.ActPrepare, Name: string(body.GetStringBytes("name")), Text: string(body.GetStringBytes("text"))}
+		"/v1/prepare": func(body *fastjson.Value) httppool.Op {
+			return httppool.Op{Act: httppool.ActPrepare, Name: string(body.GetStringBytes("name")), Text: string(body.GetStringBytes("text"))}
 		},
 	}
 	for path, opOf := range requests {
@@ -78,8 +78,8 @@
 	}
 }
 
-func (p *Plane) shown() *shown.Plane {
-	return &shown.Plane{
+func (p *Plane) shown() *admin.Plane {
+	return &admin.Plane{
 		Node: p.node, Lock: &p.mutex, Machine: p.hall, Sessions: p.hall.Consumers,
 		Queues: func(time.Duration) map[string]int {
 			return map[string]int{
@@ -90,8 +90,8 @@
 	}
 }
 
-func refusalOf(told hall.Result) fleet.Refusal {
-	refusal := fleet.Refuse(told.Fault)
+func refusalOf(told httppool.Result) node.Refusal {
+	refusal := node.Refuse(told.Fault)
 	refusal.Retry = told.Retry.Milliseconds()
 	return refusal
 }
@@ -99,10 +99,10 @@
 func (p *Plane) openSession(body *fastjson.Value, _ []byte, request *http.Request) (int, any) {
 	marks, isMark := openMark(string(body.GetStringBytes("mark")))
 	if !isMark {
-		return http.StatusBadRequest, fleet.Refuse("the mark is not one of ours")
+		return http.StatusBadRequest, node.Refuse("the mark is not one of ours")
 	}
-	var opened hall.Opened
-	var told hall.Result
+	var opened httppool.Opened
+	var told httppool.Result
 	isIn := false
 	p.do(func(now time.Duration) {
 		opened, told, isIn = p.hall.Open(string(body.GetStringBytes("binding")), request.RemoteAddr, marks, now)
@@ -114,22 +114,22 @@
 }
 
 func (p *Plane) closeSession(body *fastjson.Value, _ []byte, _ *http.Request) (int, any) {
-	var marks map[string]view.Position
+	var marks map[string]model.Position
 	isHeld := false
 	p.do(func(now time.Duration) {
 		marks, isHeld = p.hall.Close(string(body.GetStringBytes("session")), now)
 	})
 	if !isHeld {
-		return http.StatusNotFound, fleet.Refuse("no such session here")
+		return http.StatusNotFound, node.Refuse("no such session here")
 	}
 	return http.StatusOK, map[string]any{"mark": sealMark(marks)}
 }
 
-func (p *Plane) request(body *fastjson.Value, op hall.Op) (int, any) {
+func (p *Plane) request(body *fastjson.Value, op httppool.Op) (int, any) {
 	bound := time.Duration(body.GetInt64("deadline_ms")) * time.Millisecond
-	done := make(chan hall.Result, 1)
-	var j *hall.Job
-	var told hall.Result
+	done := make(chan httppool.Result, 1)
+	var j *httppool.Job
+	var told httppool.Result
 	isIn := false
 	p.do(func(now time.Duration) {
 		j, told, isIn = p.hall.Enter(string(body.GetStringBytes("session")), op, bound, done, now)
@@ -143,14 +143,14 @@
 	return statusOf(told), answerOf(told)
 }
 
-func (p *Plane) through(j *hall.Job, done <-chan hall.Result) hall.Result {
+func (p *Plane) through(j *httppool.Job, done <-chan httppool.Result) httppool.Result {
 	left := j.Deadline() - p.now()
 	if !p.bind.Push(j, left) {
 		p.giveUp(j)
 	}
 	timer := time.NewTimer(j.Deadline() - p.now())
 	defer timer.Stop()
-	if told, isIn := run.Take(done, timer.C); isIn {
+	if told, isIn := worker.Take(done, timer.C); isIn {
 		return told
 	}
 	p.giveUp(j)
@@ -158,11 +158,11 @@
 }
 
 var statuses = map[string]int{
-	hall.CauseNoSession: http.StatusNotFound, hall.CauseBusy: http.StatusConflict, hall.CauseNoBinding: http.StatusNotFound,
-	hall.CauseNoTurn: http.StatusConflict, hall.CauseBadGo: http.StatusBadRequest, hall.CauseFailed: http.StatusUnprocessableEntity,
+	httppool.CauseNoSession: http.StatusNotFound, httppool.CauseBusy: http.StatusConflict, httppool.CauseNoBinding: http.StatusNotFound,
+	httppool.CauseNoTurn: http.StatusConflict, httppool.CauseBadGo: http.StatusBadRequest, httppool.CauseFailed: http.StatusUnprocessableEntity,
 }
 
-func statusOf(told hall.Result) int {
+func statusOf(told httppool.Result) int {
 	if told.Fault == "" {
 		return http.StatusOK
 	}
@@ -172,12 +172,12 @@
 	return http.StatusServiceUnavailable
 }
 
-func answerOf(told hall.Result) OutcomeAnswer {
+func answerOf(told httppool.Result) OutcomeAnswer {
 	answer := OutcomeAnswer{
 		Outcome: told.Outcome, Rows: told.Rows, Error: told.Fault, IsClosed: told.IsClosed, Retry: told.Retry.Milliseconds(),
 		Instance: told.Instance, Sequence: told.Sequence, Mark: sealMark(told.Marks),
 	}
-	if told.Position != (view.Position{}) {
+	if told.Position != (model.Position{}) {
 		answer.Position = &told.Position
 	}
 	return answer
--- a/pooler/cmd/plane/drain.go
+++ b/internal/app/httpproxy/drain.go
@@ -1,13 +1,13 @@
-package plane
+package httpproxy
 
 import (
 	"time"
 
-	"tansyseam.example/pooler/coordination/goes"
-	"tansyseam.example/pooler/coordination/member"
-	"tansyseam.example/pooler/coordination/rendezvous"
-	"tansyseam.example/pooler/state/view"
-	"tansyseam.example/pooler/transport/run"
+	"tansyseam/internal/coordination/idempotency"
+	"tansyseam/internal/coordination/membership"
+	"tansyseam/internal/coordination/rendezvous"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/transport/worker"
 )
 
 const lingerBound = 700 * time.Millisecond
@@ -25,7 +25,7 @@
 	p.do(func(time.Duration) { left = p.hall.Part() })
 	p.bequeath()
 	p.log.Info("stopped", "sessions", left, "unfinished", p.busyCount())
-	run.Await(make(chan struct{}), lingerBound)
+	worker.Await(make(chan struct{}), lingerBound)
 }
 
 func (p *Plane) busyCount() int {
@@ -36,9 +36,9 @@
 
 func (p *Plane) bequeath() {
 	self := p.node.Self()
-	var others []view.Node
+	var others []model.Node
 	var names []string
-	for _, node := range p.node.Nodes(view.KindData, member.IsLive) {
+	for _, node := range p.node.Nodes(model.KindData, membership.IsLive) {
 		if node.Name != self.Name {
 			others = append(others, node)
 			names = append(names, node.Name)
@@ -53,7 +53,7 @@
 	p.mutex.Unlock()
 	for _, node := range others {
 		if node.Name != left.Heir {
-			p.node.Hub.Send(node.Link, goes.Legacy{Node: left.Node, Birth: left.Birth, Heir: left.Heir})
+			p.node.Hub.Send(node.Link, idempotency.Legacy{Node: left.Node, Birth: left.Birth, Heir: left.Heir})
 			continue
 		}
 		if _, err := p.node.Hub.Call(node.Link, left, 800*time.Millisecond); err != nil {
--- a/pooler/cmd/plane/plane.go
+++ b/internal/app/httpproxy/plane.go
@@ -1,8 +1,8 @@
-// Package plane is the data plane's program: it joins the machine of package
+// Package httpproxy is the data plane's program: it joins the machine of package
 // hall to doors, links and instances. A request goes from the door through
 // the stages bind, admit, select, forward and answer, joined by bounded
 // queues. Lock order: Plane.mutex, then the node's, then a session's.
-package plane
+package httpproxy
 
 import (
 	"fmt"
@@ -13,14 +13,14 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/juju/errors"
 
-	"tansyseam.example/pooler/cmd/fleet"
-	"tansyseam.example/pooler/coordination/goes"
-	"tansyseam.example/pooler/coordination/hall"
-	"tansyseam.example/pooler/coordination/steer"
-	"tansyseam.example/pooler/protocol/dialect"
-	"tansyseam.example/pooler/state/view"
-	"tansyseam.example/pooler/transport/run"
-	"tansyseam.example/pooler/transport/web"
+	"tansyseam/internal/app/node"
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/coordination/idempotency"
+	"tansyseam/internal/coordination/pool/httppool"
+	"tansyseam/internal/protocol/backend"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/transport/httpserver"
+	"tansyseam/internal/transport/worker"
 )
 
 const (
@@ -30,51 +30,51 @@
 
 // Plane is the program's state.
 type Plane struct {
-	node   *fleet.Node
+	node   *node.Node
 	log    hclog.Logger
-	client *web.Client
-	wires  dialect.Wire
+	client *httpserver.Client
+	wires  backend.Wire
 
 	mutex     sync.Mutex
-	hall      *hall.Machine
+	hall      *httppool.Machine
 	isTelling bool
 	wasReady  bool
 
-	bind    *run.Stage[*hall.Job]
-	admits  *run.Stage[*hall.Job]
-	forward *run.Stage[*hall.Job]
-	answer  *run.Stage[*arrival]
+	bind    *worker.Stage[*httppool.Job]
+	admits  *worker.Stage[*httppool.Job]
+	forward *worker.Stage[*httppool.Job]
+	answer  *worker.Stage[*arrival]
 }
 
 // Open makes the program; Start begins to serve.
-func Open(node *fleet.Node) (*Plane, error) {
-	place := node.Place()
-	host, _, _ := net.SplitHostPort(place.Link)
-	client, err := web.NewClient(host, node.Crew)
+func Open(host *node.Node) (*Plane, error) {
+	place := host.Place()
+	ip, _, _ := net.SplitHostPort(place.Link)
+	client, err := httpserver.NewClient(ip, host.Crew)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	self := hall.Place{Name: place.Name, Zone: place.Zone, Birth: fmt.Sprintf("%x", node.Self().Birth), Beta: place.Weight}
+	self := httppool.Place{Name: place.Name, Zone: place.Zone, Birth: fmt.Sprintf("%x", host.Self().Birth), Beta: place.Weight}
 	p := &Plane{
-		node: node, log: node.Log, client: client, wires: dialect.JSON(), hall: hall.New(self, hall.DefaultTiming(), node.Counts.Add),
+		node: host, log: host.Log, client: client, wires: backend.JSON(), hall: httppool.New(self, httppool.DefaultTiming(), host.Counts.Add),
 	}
-	p.bind = run.NewStage(node.Crew, "bind", 512, 8, p.step((*hall.Machine).Bind))
-	p.admits = run.NewStage(node.Crew, "admit", 512, 2, p.step((*hall.Machine).Join))
-	p.forward = run.NewStage(node.Crew, "forward", 4096, 8, p.step((*hall.Machine).Pass))
-	p.answer = run.NewStage(node.Crew, "answer", 8192, 4, p.onAnswer)
-	node.OnInstance(func(info view.Instance) {
+	p.bind = worker.NewStage(host.Crew, "bind", 512, 8, p.step((*httppool.Machine).Bind))
+	p.admits = worker.NewStage(host.Crew, "admit", 512, 2, p.step((*httppool.Machine).Join))
+	p.forward = worker.NewStage(host.Crew, "forward", 4096, 8, p.step((*httppool.Machine).Pass))
+	p.answer = worker.NewStage(host.Crew, "answer", 8192, 4, p.onAnswer)
+	host.OnInstance(func(info model.Instance) {
 		p.do(func(now time.Duration) { p.hall.Announced(info, now) })
 	})
-	node.OnGone(func(remote string) {
+	host.OnGone(func(remote string) {
 		p.do(func(now time.Duration) { p.hall.Gone(remote, now) })
 	})
-	node.OnPassNews(500 * time.Millisecond)
-	fleet.On(node, func(_ string, ask goes.Ask, answer func(any)) {
+	host.OnPassNews(500 * time.Millisecond)
+	node.On(host, func(_ string, ask idempotency.Ask, answer func(any)) {
 		p.do(func(now time.Duration) { answer(p.hall.OnAsk(ask, now)) })
 	})
-	fleet.On(node, func(_ string, left goes.Legacy, answer func(any)) {
+	node.On(host, func(_ string, left idempotency.Legacy, answer func(any)) {
 		p.do(func(now time.Duration) { p.hall.Inherit(left, now) })
-		answer(goes.LegacyTaken{})
+		answer(idempotency.LegacyTaken{})
 	})
 	p.shown().Register()
 	p.serveCalls()
@@ -99,16 +99,16 @@
 	}
 }
 
-func (p *Plane) step(event func(*hall.Machine, *hall.Job, time.Duration)) func(*hall.Job) {
-	return func(j *hall.Job) {
+func (p *Plane) step(event func(*httppool.Machine, *httppool.Job, time.Duration)) func(*httppool.Job) {
+	return func(j *httppool.Job) {
 		p.do(func(now time.Duration) { event(p.hall, j, now) })
 	}
 }
 
-func (p *Plane) giveUp(j *hall.Job) { p.step((*hall.Machine).GiveUp)(j) }
+func (p *Plane) giveUp(j *httppool.Job) { p.step((*httppool.Machine).GiveUp)(j) }
 
 func (p *Plane) beat() {
-	count, beta := p.node.Count(view.KindData), p.node.Place().Weight
+	count, beta := p.node.Count(model.KindData), p.node.Place().Weight
 	p.do(func(now time.Duration) {
 		p.hall.Beat(count, beta, now)
 		isReady, why := p.hall.Ready(now)
@@ -141,15 +141,15 @@
 }
 
 func (p *Plane) askNews() {
-	seeker := &fleet.Seeker{}
+	seeker := &node.Seeker{}
 	for !p.node.Crew.IsStopping() {
-		var ask steer.AskNews
+		var ask distribution.AskNews
 		p.do(func(now time.Duration) { ask = p.hall.Ask(now) })
 		sent := p.now()
 		if news, isGood := p.node.AskNews(ask, seeker, 600*time.Millisecond); isGood {
 			p.do(func(now time.Duration) { p.hall.Took(news, sent, now) })
 			continue
 		}
-		run.Await(make(chan struct{}), 30*time.Millisecond)
+		worker.Await(make(chan struct{}), 30*time.Millisecond)
 	}
 }
--- a/pooler/cmd/sessions/news.go
+++ b/internal/app/lineproxy/news.go
@@ -1,18 +1,18 @@
-package sessions
+package lineproxy
 
 import (
 	"time"
 
-	"tansyseam.example/pooler/cmd/fleet"
-	"tansyseam.example/pooler/cmd/shown"
-	"tansyseam.example/pooler/coordination/steer"
-	"tansyseam.example/pooler/transport/run"
+	"tansyseam/internal/app/admin"
+	"tansyseam/internal/app/node"
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/transport/worker"
 )
 
 func (s *Sessions) askNews() {
-	seeker := &fleet.Seeker{}
+	seeker := &node.Seeker{}
 	for !s.node.Crew.IsStopping() {
-		var ask steer.AskNews
+		var ask distribution.AskNews
 		isSettling := false
 		s.do(func(now time.Duration) {
 			if isSettling = s.pool.IsSettling(now); !isSettling {
@@ -20,7 +20,7 @@
 			}
 		})
 		if isSettling {
-			run.Await(make(chan struct{}), 10*time.Millisecond)
+			worker.Await(make(chan struct{}), 10*time.Millisecond)
 			continue
 		}
 		sent := s.now()
@@ -28,12 +28,12 @@
 			s.do(func(now time.Duration) { s.pool.Took(news, sent, now) })
 			continue
 		}
-		run.Await(make(chan struct{}), 30*time.Millisecond)
+		worker.Await(make(chan struct{}), 30*time.Millisecond)
 	}
 }
 
-func (s *Sessions) shown() *shown.Plane {
-	return &shown.Plane{
+func (s *Sessions) shown() *admin.Plane {
+	return &admin.Plane{
 		Node: s.node, Lock: &s.mutex, Machine: s.pool, Sessions: s.pool.Clients,
 		Queues: func(now time.Duration) map[string]int {
 			_, lines := s.pool.Show(now)
--- a/pooler/cmd/sessions/sessions.go
+++ b/internal/app/lineproxy/sessions.go
@@ -1,8 +1,8 @@
-// Package sessions is the data plane's program where clients and instances
+// Package lineproxy is the data plane's program where clients and instances
 // speak a line protocol: it joins the machine of package pool to connections
 // and to the control plane. Lock order: Sessions.mutex, then the node's.
 // Effects are carried out under the lock, in order; none of them blocks.
-package sessions
+package lineproxy
 
 import (
 	"reflect"
@@ -12,29 +12,29 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/juju/errors"
 
-	"tansyseam.example/pooler/cmd/fleet"
-	"tansyseam.example/pooler/coordination/lease"
-	"tansyseam.example/pooler/coordination/member"
-	"tansyseam.example/pooler/coordination/pool"
-	"tansyseam.example/pooler/coordination/steer"
-	"tansyseam.example/pooler/state/stream"
-	"tansyseam.example/pooler/state/view"
-	"tansyseam.example/pooler/transport/run"
-	"tansyseam.example/pooler/transport/wire"
+	"tansyseam/internal/app/node"
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/coordination/lease"
+	"tansyseam/internal/coordination/membership"
+	"tansyseam/internal/coordination/pool/linepool"
+	"tansyseam/internal/state/lineproto"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/transport/lineserver"
+	"tansyseam/internal/transport/worker"
 )
 
 // Sessions is the program's state.
 type Sessions struct {
-	node   *fleet.Node
+	node   *node.Node
 	log    hclog.Logger
-	codec  stream.Codec
-	engine *wire.Engine
+	codec  lineproto.Codec
+	engine *lineserver.Engine
 	who    string
 	// lingerLeast and drainMost bound a stop.
 	lingerLeast, drainMost time.Duration
 
 	mutex     sync.Mutex
-	pool      *pool.Machine
+	pool      *linepool.Machine
 	buffer    []byte
 	wasReady  bool
 	isTelling bool
@@ -45,16 +45,16 @@
 }
 
 // Open makes the program; Start begins to serve.
-func Open(node *fleet.Node, codec stream.Codec) (*Sessions, error) {
+func Open(node *node.Node, codec lineproto.Codec) (*Sessions, error) {
 	place := node.Place()
-	self := pool.Place{Name: place.Name, Zone: place.Zone, Birth: node.Self().Birth, Beta: place.Weight}
-	timing := pool.DefaultTiming().Within(place.Grace, place.Drain)
+	self := linepool.Place{Name: place.Name, Zone: place.Zone, Birth: node.Self().Birth, Beta: place.Weight}
+	timing := linepool.DefaultTiming().Within(place.Grace, place.Drain)
 	s := &Sessions{
 		lingerLeast: timing.Linger + 200*time.Millisecond, drainMost: timing.Finish + 200*time.Millisecond,
 		node: node, log: node.Log, codec: codec, who: place.Name,
-		pool: pool.New(self, timing, lease.DefaultTiming(), node.Counts.Add),
+		pool: linepool.New(self, timing, lease.DefaultTiming(), node.Counts.Add),
 	}
-	s.engine = wire.New(node.Crew, place.Sessions, stream.Longest, s.greet)
+	s.engine = lineserver.New(node.Crew, place.Sessions, lineproto.Longest, s.greet)
 	node.OnPassNews(800 * time.Millisecond)
 	s.shown().Register()
 	return s, nil
@@ -107,7 +107,7 @@
 func (s *Sessions) live() []string {
 	if now := s.now(); s.names == nil || now-s.named >= liveEvery {
 		s.names, s.named = s.names[:0], now
-		for _, node := range s.node.Nodes(view.KindData, member.IsLive) {
+		for _, node := range s.node.Nodes(model.KindData, membership.IsLive) {
 			s.names = append(s.names, node.Name)
 		}
 	}
@@ -116,30 +116,30 @@
 
 type client struct {
 	sessions *Sessions
-	conn     *wire.Conn
-	client   *pool.Client
+	conn     *lineserver.Conn
+	client   *linepool.Client
 }
 
-func (s *Sessions) greet(conn *wire.Conn) wire.Handler {
+func (s *Sessions) greet(conn *lineserver.Conn) lineserver.Handler {
 	c := &client{sessions: s, conn: conn}
 	s.do(func(now time.Duration) { c.client = s.pool.Met(c, now) })
 	if c.client == nil {
-		conn.Write(s.codec.Error(nil, stream.CodeBusy, "this node has as many sessions as it takes; come back in 1000 ms"))
+		conn.Write(s.codec.Error(nil, lineproto.CodeBusy, "this node has as many sessions as it takes; come back in 1000 ms"))
 		conn.Close()
 	}
 	return c
 }
 
-type asker func(s *Sessions, c *pool.Client, message stream.Message, now time.Duration)
+type asker func(s *Sessions, c *linepool.Client, message lineproto.Message, now time.Duration)
 
-var askers = map[stream.Kind]asker{
-	stream.KindConnect: func(s *Sessions, c *pool.Client, message stream.Message, now time.Duration) {
+var askers = map[lineproto.Kind]asker{
+	lineproto.KindConnect: func(s *Sessions, c *linepool.Client, message lineproto.Message, now time.Duration) {
 		s.pool.Connect(c, message.Database, now)
 	},
-	stream.KindQuery: func(s *Sessions, c *pool.Client, message stream.Message, now time.Duration) {
-		s.pool.Query(c, pool.Asked{ID: message.ID, Text: message.Text, Statement: s.codec.Read(message.Text)}, now)
+	lineproto.KindQuery: func(s *Sessions, c *linepool.Client, message lineproto.Message, now time.Duration) {
+		s.pool.Query(c, linepool.Asked{ID: message.ID, Text: message.Text, Statement: s.codec.Read(message.Text)}, now)
 	},
-	stream.KindBye: func(s *Sessions, c *pool.Client, _ stream.Message, now time.Duration) { s.pool.Bye(c, now) },
+	lineproto.KindBye: func(s *Sessions, c *linepool.Client, _ lineproto.Message, now time.Duration) { s.pool.Bye(c, now) },
 }
 
 // Lines takes what a client sent.
@@ -148,7 +148,7 @@
 	if c.client == nil {
 		return
 	}
-	messages := make([]stream.Message, len(lines))
+	messages := make([]lineproto.Message, len(lines))
 	for at, line := range lines {
 		messages[at] = s.codec.Parse(string(line))
 	}
@@ -156,7 +156,7 @@
 		for _, message := range messages {
 			act, isKnown := askers[message.Kind]
 			if !isKnown {
-				s.pool.Bad(c.client, stream.CodeMalformed, "not a message", now)
+				s.pool.Bad(c.client, lineproto.CodeMalformed, "not a message", now)
 				continue
 			}
 			act(s, c.client, message, now)
@@ -169,7 +169,7 @@
 	if c.client == nil {
 		return
 	}
-	if errors.Is(err, wire.ErrTooLong) {
+	if errors.Is(err, lineserver.ErrTooLong) {
 		c.sessions.node.Counts.Add("clients_too_long", 1)
 	}
 	c.sessions.do(func(now time.Duration) { c.sessions.pool.Gone(c.client, now) })
@@ -177,13 +177,13 @@
 
 type server struct {
 	sessions *Sessions
-	conn     *pool.Conn
+	conn     *linepool.Conn
 }
 
 // Lines takes what an instance sent.
 func (b *server) Lines(lines [][]byte) {
 	s := b.sessions
-	messages := make([]stream.Message, len(lines))
+	messages := make([]lineproto.Message, len(lines))
 	for at, line := range lines {
 		messages[at] = s.codec.Parse(string(line))
 	}
@@ -199,40 +199,40 @@
 	b.sessions.do(func(now time.Duration) { b.sessions.pool.Lost(b.conn, now) })
 }
 
-var carriers map[reflect.Type]func(*Sessions, pool.Effect)
+var carriers map[reflect.Type]func(*Sessions, linepool.Effect)
 
-func on[T pool.Effect](act func(*Sessions, T)) {
-	carriers[reflect.TypeFor[T]()] = func(s *Sessions, effect pool.Effect) { act(s, effect.(T)) }
+func on[T linepool.Effect](act func(*Sessions, T)) {
+	carriers[reflect.TypeFor[T]()] = func(s *Sessions, effect linepool.Effect) { act(s, effect.(T)) }
 }
 
 func init() {
-	carriers = map[reflect.Type]func(*Sessions, pool.Effect){}
+	carriers = map[reflect.Type]func(*Sessions, linepool.Effect){}
 	on((*Sessions).say)
-	on(func(_ *Sessions, over pool.Close) { over.Client.Token.(*client).conn.Close() })
+	on(func(_ *Sessions, over linepool.Close) { over.Client.Token.(*client).conn.Close() })
 	on((*Sessions).open)
 	on((*Sessions).send)
-	on(func(_ *Sessions, shut pool.Shut) {
-		if conn, isOpen := shut.Conn.Link.(*wire.Conn); isOpen {
+	on(func(_ *Sessions, shut linepool.Shut) {
+		if conn, isOpen := shut.Conn.Link.(*lineserver.Conn); isOpen {
 			conn.Close()
 		}
 	})
-	on(func(s *Sessions, _ pool.Report) { s.report() })
-	on(func(s *Sessions, turned pool.Turned) {
+	on(func(s *Sessions, _ linepool.Report) { s.report() })
+	on(func(s *Sessions, turned linepool.Turned) {
 		after := turned.Moved.After
 		s.log.Info("writer role", "database", turned.Moved.Database, "term", after.Term, "phase", after.Phase, "primary", after.Primary)
 	})
-	on(func(s *Sessions, shown pool.Shown) {
+	on(func(s *Sessions, shown linepool.Shown) {
 		s.log.Info("bindings in force", "sequence", shown.Set.Sequence, "version", shown.Set.Version)
 	})
 }
 
-var sayers = map[stream.Kind]func(stream.Codec, []byte, stream.Message) []byte{
-	stream.KindReady: func(codec stream.Codec, to []byte, one stream.Message) []byte {
+var sayers = map[lineproto.Kind]func(lineproto.Codec, []byte, lineproto.Message) []byte{
+	lineproto.KindReady: func(codec lineproto.Codec, to []byte, one lineproto.Message) []byte {
 		return codec.Ready(to, one.State, one.Position)
 	},
-	stream.KindRow:  func(codec stream.Codec, to []byte, one stream.Message) []byte { return codec.Row(to, one.Tail) },
-	stream.KindDone: func(codec stream.Codec, to []byte, one stream.Message) []byte { return codec.Done(to, one.Tail) },
-	stream.KindError: func(codec stream.Codec, to []byte, one stream.Message) []byte {
+	lineproto.KindRow:  func(codec lineproto.Codec, to []byte, one lineproto.Message) []byte { return codec.Row(to, one.Tail) },
+	lineproto.KindDone: func(codec lineproto.Codec, to []byte, one lineproto.Message) []byte { return codec.Done(to, one.Tail) },
+	lineproto.KindError: func(codec lineproto.Codec, to []byte, one lineproto.Message) []byte {
 		if one.Tail != "" {
 			return codec.Fault(to, one.Tail)
 		}
@@ -240,7 +240,7 @@
 	},
 }
 
-func (s *Sessions) say(say pool.Say) {
+func (s *Sessions) say(say linepool.Say) {
 	s.buffer = s.buffer[:0]
 	for _, one := range say.Messages {
 		s.buffer = sayers[one.Kind](s.codec, s.buffer, one)
@@ -248,10 +248,10 @@
 	say.Client.Token.(*client).conn.Write(s.buffer)
 }
 
-func (s *Sessions) open(open pool.Open) {
+func (s *Sessions) open(open linepool.Open) {
 	handler := &server{sessions: s, conn: open.Conn}
 	first := s.codec.Connect(nil, open.Database, s.who, open.Instance)
-	s.engine.Open(open.Address, first, 800*time.Millisecond, handler, func(conn *wire.Conn) {
+	s.engine.Open(open.Address, first, 800*time.Millisecond, handler, func(conn *lineserver.Conn) {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
 		open.Conn.Link = conn
@@ -261,23 +261,23 @@
 	})
 }
 
-var writers = map[pool.OutKind]func(stream.Codec, pool.Out) string{
-	pool.OutText:      func(_ stream.Codec, out pool.Out) string { return out.Text },
-	pool.OutBegin:     func(codec stream.Codec, _ pool.Out) string { return codec.Begin(false) },
-	pool.OutBeginRead: func(codec stream.Codec, _ pool.Out) string { return codec.Begin(true) },
-	pool.OutRollback:  func(codec stream.Codec, _ pool.Out) string { return codec.Rollback() },
-	pool.OutReset:     func(codec stream.Codec, _ pool.Out) string { return codec.Reset() },
-	pool.OutSet:       func(codec stream.Codec, out pool.Out) string { return codec.Set(out.Name, out.Value) },
-	pool.OutPrepare:   func(codec stream.Codec, out pool.Out) string { return codec.Prepare(out.Name, out.Value) },
-	pool.OutRun:       func(codec stream.Codec, out pool.Out) string { return codec.Run(out.Name, out.Value) },
+var writers = map[linepool.OutKind]func(lineproto.Codec, linepool.Out) string{
+	linepool.OutText:      func(_ lineproto.Codec, out linepool.Out) string { return out.Text },
+	linepool.OutBegin:     func(codec lineproto.Codec, _ linepool.Out) string { return codec.Begin(false) },
+	linepool.OutBeginRead: func(codec lineproto.Codec, _ linepool.Out) string { return codec.Begin(true) },
+	linepool.OutRollback:  func(codec lineproto.Codec, _ linepool.Out) string { return codec.Rollback() },
+	linepool.OutReset:     func(codec lineproto.Codec, _ linepool.Out) string { return codec.Reset() },
+	linepool.OutSet:       func(codec lineproto.Codec, out linepool.Out) string { return codec.Set(out.Name, out.Value) },
+	linepool.OutPrepare:   func(codec lineproto.Codec, out linepool.Out) string { return codec.Prepare(out.Name, out.Value) },
+	linepool.OutRun:       func(codec lineproto.Codec, out linepool.Out) string { return codec.Run(out.Name, out.Value) },
 }
 
-func (s *Sessions) send(send pool.Send) {
+func (s *Sessions) send(send linepool.Send) {
 	s.buffer = s.buffer[:0]
 	for _, out := range send.Outs {
 		s.buffer = s.codec.Query(s.buffer, out.ID, writers[out.Kind](s.codec, out), out.Floor)
 	}
-	if conn, isOpen := send.Conn.Link.(*wire.Conn); isOpen {
+	if conn, isOpen := send.Conn.Link.(*lineserver.Conn); isOpen {
 		conn.Write(s.buffer)
 	}
 }
@@ -296,7 +296,7 @@
 		return s.pool.IsDrained() && s.now()-began > s.lingerLeast
 	}
 	for s.now()-began < s.drainMost && !isOver() {
-		run.Await(make(chan struct{}), 20*time.Millisecond)
+		worker.Await(make(chan struct{}), 20*time.Millisecond)
 	}
 	s.mutex.Lock()
 	left := s.pool.Clients()
@@ -311,8 +311,8 @@
 	}
 	s.isTelling = true
 	s.node.Crew.Go(func() {
-		run.Await(make(chan struct{}), 5*time.Millisecond)
-		var told steer.Told
+		worker.Await(make(chan struct{}), 5*time.Millisecond)
+		var told distribution.Told
 		s.do(func(now time.Duration) {
 			s.isTelling = false
 			told = s.pool.Told(now)
--- a/pooler/cmd/fleet/fleet.go
+++ b/internal/app/node/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet is what both programs have in common: the node's place among
+// Package node is what both programs have in common: the node's place among
 // the others, its links, its door, and the instances that announced
 // themselves to it. Lock order: a caller's own lock, then Node's.
-package fleet
+package node
 
 import (
 	"encoding/json"
@@ -20,16 +20,16 @@
 	"github.com/juju/errors"
 	"github.com/valyala/fastjson"
 
-	"tansyseam.example/pooler/cmd/settings"
-	"tansyseam.example/pooler/coordination/epoch"
-	"tansyseam.example/pooler/coordination/member"
-	"tansyseam.example/pooler/protocol/door"
-	"tansyseam.example/pooler/protocol/msg"
-	"tansyseam.example/pooler/protocol/schema"
-	"tansyseam.example/pooler/state/view"
-	"tansyseam.example/pooler/transport/link"
-	"tansyseam.example/pooler/transport/run"
-	"tansyseam.example/pooler/transport/web"
+	"tansyseam/internal/app/config"
+	"tansyseam/internal/coordination/consensus"
+	"tansyseam/internal/coordination/membership"
+	"tansyseam/internal/protocol/adapter"
+	"tansyseam/internal/protocol/message"
+	"tansyseam/internal/protocol/schema"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/transport/httpserver"
+	"tansyseam/internal/transport/rpc"
+	"tansyseam/internal/transport/worker"
 )
 
 // Call serves one remote call whose request was checked.
@@ -40,66 +40,66 @@
 
 // Heard is an instance with the time of its last announcement.
 type Heard struct {
-	Instance view.Instance
+	Instance model.Instance
 	At       time.Duration
 }
 
 // Node is one process of the fleet.
 type Node struct {
-	Crew    *run.Crew
-	Counts  *run.Counters
+	Crew    *worker.Crew
+	Counts  *worker.Counters
 	Log     hclog.Logger
-	Hub     *link.Hub
+	Hub     *rpc.Hub
 	Book    *schema.Book
 	Program string
 	// Translate, where given, turns calls of another manner into the
 	// product's.
-	Translate door.Translate
+	Translate adapter.Translate
 
 	mutex     sync.Mutex
-	members   *member.Machine
+	members   *membership.Machine
 	instances map[string]*Heard
 	onBase    map[string]map[string]*Heard
-	record    epoch.Record
+	record    consensus.Record
 	turn      chan struct{}
-	place     settings.Settings
-	heard     func(view.Instance)
-	synced    func(view.Instance) (door string, isTaken bool)
+	place     config.Settings
+	heard     func(model.Instance)
+	synced    func(model.Instance) (door string, isTaken bool)
 	sweptAt   time.Duration
-	found     map[string]view.Node
+	found     map[string]model.Node
 	foundAt   time.Duration
 
 	calls   map[string]Call
 	listens map[reflect.Type]Listen
-	door    *web.Door
+	door    *httpserver.Door
 	onGone  func(remote string)
 	isOver  atomic.Bool
 }
 
 // New makes the node; Start lets it be met.
-func New(program string, place settings.Settings, log hclog.Logger) (*Node, error) {
-	msg.Register()
+func New(program string, place config.Settings, log hclog.Logger) (*Node, error) {
+	message.Register()
 	book, err := schema.Open()
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
 	kind := program
 	n := &Node{
-		Crew: run.NewCrew(), Counts: &run.Counters{}, Log: log, Book: book, Program: program,
+		Crew: worker.NewCrew(), Counts: &worker.Counters{}, Log: log, Book: book, Program: program,
 		instances: map[string]*Heard{}, onBase: map[string]map[string]*Heard{}, place: place, turn: make(chan struct{}),
 		calls: map[string]Call{}, listens: map[reflect.Type]Listen{},
 	}
-	self := view.Node{
+	self := model.Node{
 		Name: place.Name, Kind: kind, Zone: place.Zone, Link: place.AdvertiseLink, Door: place.AdvertiseDoor,
-		Birth: time.Now().UnixNano(), Version: link.Version, Weight: place.Weight,
+		Birth: time.Now().UnixNano(), Version: rpc.Version, Weight: place.Weight,
 	}
-	n.members = member.New(self, place.SeedLinks(), member.DefaultTiming())
+	n.members = membership.New(self, place.SeedLinks(), membership.DefaultTiming())
 	n.Serve("/v1/announce", n.onAnnounce)
 	n.Serve("/v1/counters", func(*fastjson.Value, []byte, *http.Request) (int, any) {
 		return http.StatusOK, map[string]any{"node": place.Name, "counters": n.Counts.Read()}
 	})
-	On(n, func(_ string, gossip member.Gossip, _ func(any)) { n.step(member.Told{Gossip: gossip}) })
-	On(n, func(_ string, turned msg.Turned, _ func(any)) { n.Saw(turned.Record) })
+	On(n, func(_ string, gossip membership.Gossip, _ func(any)) { n.step(membership.Told{Gossip: gossip}) })
+	On(n, func(_ string, turned message.Turned, _ func(any)) { n.Saw(turned.Record) })
 	return n, nil
 }
 
@@ -122,27 +122,27 @@
 func (n *Node) OnGone(act func(remote string)) { n.onGone = act }
 
 // OnInstance sets who hears of announcements.
-func (n *Node) OnInstance(act func(view.Instance)) { n.heard = act }
+func (n *Node) OnInstance(act func(model.Instance)) { n.heard = act }
 
 // OnSynced sets who takes the announcements of synced instances to the control
 // primary; where nobody does they are refused.
-func (n *Node) OnSynced(act func(view.Instance) (door string, isTaken bool)) { n.synced = act }
+func (n *Node) OnSynced(act func(model.Instance) (door string, isTaken bool)) { n.synced = act }
 
 // Start opens link and door and begins to beat.
 func (n *Node) Start() error {
 	place := n.Place()
-	n.Hub = link.New(place.Name, place.Link, n.Crew, n.Counts, n.dispatch)
+	n.Hub = rpc.New(place.Name, place.Link, n.Crew, n.Counts, n.dispatch)
 	if err := n.Hub.Listen(); err != nil {
 		return errors.Trace(err)
 	}
-	n.step(member.Tick{})
-	n.Crew.Loop(nil, member.DefaultTiming().Beat, func() { n.step(member.Tick{}) })
-	door, err := web.OpenDoor(place.Door, http.HandlerFunc(n.serve), n.onGone)
+	n.step(membership.Tick{})
+	n.Crew.Loop(nil, membership.DefaultTiming().Beat, func() { n.step(membership.Tick{}) })
+	door, err := httpserver.OpenDoor(place.Door, http.HandlerFunc(n.serve), n.onGone)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	n.door = door
-	n.Log.Info("open", "link", place.Link, "door", place.Door, "zone", place.Zone, "version", settings.Version, "pid", os.Getpid())
+	n.Log.Info("open", "link", place.Link, "door", place.Door, "zone", place.Zone, "version", config.Version, "pid", os.Getpid())
 	return nil
 }
 
@@ -165,14 +165,14 @@
 func (n *Node) Now() time.Duration { return n.Crew.Now() }
 
 // Place gives the settings in force.
-func (n *Node) Place() settings.Settings {
+func (n *Node) Place() config.Settings {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.place
 }
 
 // Resettle takes live settings.
-func (n *Node) Resettle(place settings.Settings) {
+func (n *Node) Resettle(place config.Settings) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.place = place
@@ -184,11 +184,11 @@
 	effects := n.members.Step(event, n.Now())
 	n.mutex.Unlock()
 	for _, effect := range effects {
-		if send, isSend := effect.(member.Send); isSend {
+		if send, isSend := effect.(membership.Send); isSend {
 			n.Hub.Send(send.Address, send.Gossip)
 			continue
 		}
-		if changed, isChanged := effect.(member.Changed); isChanged {
+		if changed, isChanged := effect.(membership.Changed); isChanged {
 			n.Counts.Add("member_"+changed.Is, 1)
 			n.Log.Info("node "+changed.Is, "node", changed.Node.Name, "kind", changed.Node.Kind, "why", changed.Why)
 		}
@@ -208,10 +208,10 @@
 }
 
 // Nodes lists nodes of a kind by standing.
-func (n *Node) Nodes(kind string, standings ...string) []view.Node {
+func (n *Node) Nodes(kind string, standings ...string) []model.Node {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return slices.DeleteFunc(n.members.Nodes(standings...), func(node view.Node) bool {
+	return slices.DeleteFunc(n.members.Nodes(standings...), func(node model.Node) bool {
 		return kind != "" && node.Kind != kind
 	})
 }
@@ -231,7 +231,7 @@
 }
 
 // Fellows gives nodes of this one's kind, best those that it watches.
-func (n *Node) Fellows() []view.Node {
+func (n *Node) Fellows() []model.Node {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.members.Fellows()
@@ -240,14 +240,14 @@
 const foundFor = 100 * time.Millisecond
 
 // Find gives a known node by name, as known a tenth of a second ago.
-func (n *Node) Find(name string) (view.Node, bool) {
+func (n *Node) Find(name string) (model.Node, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	now := n.Now()
 	node, isKnown := n.found[name]
 	if now-n.foundAt > foundFor || !isKnown {
-		n.found, n.foundAt = map[string]view.Node{}, now
-		for _, one := range n.members.Nodes(member.IsLive, member.IsDead) {
+		n.found, n.foundAt = map[string]model.Node{}, now
+		for _, one := range n.members.Nodes(membership.IsLive, membership.IsDead) {
 			n.found[one.Name] = one
 		}
 		node, isKnown = n.found[name]
@@ -256,14 +256,14 @@
 }
 
 // Self gives this node's own entry.
-func (n *Node) Self() view.Node {
+func (n *Node) Self() model.Node {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.members.Self()
 }
 
 // Saw notes an epoch record.
-func (n *Node) Saw(record epoch.Record) {
+func (n *Node) Saw(record consensus.Record) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if record.Epoch <= n.record.Epoch {
@@ -283,7 +283,7 @@
 }
 
 // Record gives the newest epoch record seen.
-func (n *Node) Record() epoch.Record {
+func (n *Node) Record() consensus.Record {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.record
@@ -327,7 +327,7 @@
 
 // Take notes what an instance says of itself; false where it belongs to
 // another database than it said before. A late call changes nothing.
-func (n *Node) Take(instance view.Instance) bool {
+func (n *Node) Take(instance model.Instance) bool {
 	n.mutex.Lock()
 	before, isKnown := n.instances[instance.Name]
 	if instance.IsGone && instance.Database == "" {
@@ -385,18 +385,18 @@
 
 const countsAnew = 5 * time.Second
 
-func isLate(instance view.Instance, before Heard, now time.Duration) bool {
+func isLate(instance model.Instance, before Heard, now time.Duration) bool {
 	isBehind := instance.IsSynced && instance.Calls <= before.Instance.Calls
 	return isBehind && (before.Instance.IsGone || now-before.At < countsAnew)
 }
 
 func (n *Node) onAnnounce(body *fastjson.Value, _ []byte, _ *http.Request) (int, any) {
-	instance := view.Instance{
+	instance := model.Instance{
 		Name: string(body.GetStringBytes("instance")), Database: string(body.GetStringBytes("database")),
 		Address: string(body.GetStringBytes("address")), Zone: string(body.GetStringBytes("zone")),
 		Role: string(body.GetStringBytes("role")), Birth: string(body.GetStringBytes("birth")),
 		Term:        body.GetUint64("term"),
-		Position:    view.Position{Term: body.GetUint64("position", "term"), Index: body.GetUint64("position", "index")},
+		Position:    model.Position{Term: body.GetUint64("position", "term"), Index: body.GetUint64("position", "index")},
 		IsLeaving:   body.GetBool("leaving"),
 		Connections: body.GetInt("connections"), Slots: body.GetInt("slots"),
 		IsSynced: body.GetBool("synced"), IsGone: body.GetBool("gone"), Calls: body.GetUint64("calls"),
@@ -405,7 +405,7 @@
 }
 
 // Announce takes an instance's announcement and gives the answer to it.
-func (n *Node) Announce(instance view.Instance) (int, any) {
+func (n *Node) Announce(instance model.Instance) (int, any) {
 	answer := map[string]any{}
 	isTaken := true
 	if instance.IsSynced {
@@ -425,7 +425,7 @@
 	}
 	doors := []string{}
 	if !instance.IsSynced {
-		for _, node := range n.Nodes("", member.IsLive) {
+		for _, node := range n.Nodes("", membership.IsLive) {
 			doors = append(doors, node.Door)
 		}
 	}
@@ -433,7 +433,7 @@
 	return http.StatusOK, answer
 }
 
-func (n *Node) passOn(instance view.Instance) (string, bool) {
+func (n *Node) passOn(instance model.Instance) (string, bool) {
 	if n.synced == nil {
 		return "", false
 	}
@@ -463,7 +463,7 @@
 		_, _ = w.Write(schema.File())
 		return
 	}
-	raw, isWhole := web.ReadBody(r)
+	raw, isWhole := httpserver.ReadBody(r)
 	if !isWhole {
 		n.Counts.Add("calls_oversized", 1)
 		n.Write(w, http.StatusRequestEntityTooLarge, Refuse("body too large"))
@@ -524,11 +524,11 @@
 
 // Primary gives the link address of the control primary as far as known, and
 // the other control nodes to try in turn.
-func (n *Node) Primary() (string, []view.Node) {
+func (n *Node) Primary() (string, []model.Node) {
 	record := n.Record()
-	nodes := n.Nodes(view.KindControl, member.IsLive)
+	nodes := n.Nodes(model.KindControl, membership.IsLive)
 	if len(nodes) == 0 {
-		nodes = n.Nodes(view.KindControl, member.IsDead)
+		nodes = n.Nodes(model.KindControl, membership.IsDead)
 	}
 	for _, node := range nodes {
 		if node.Name == record.Primary {
@@ -555,7 +555,7 @@
 				word = "unknown"
 			}
 		}
-		run.Await(make(chan struct{}), 40*time.Millisecond)
+		worker.Await(make(chan struct{}), 40*time.Millisecond)
 	}
 	refusal := Refuse("no control primary answered in time")
 	refusal.Outcome, refusal.Retry = word, 1000
@@ -564,14 +564,14 @@
 
 const passBound = 4 * time.Second
 
-func (n *Node) operate(address, path string, raw []byte) (msg.Operated, error) {
-	operated := msg.Operated{}
+func (n *Node) operate(address, path string, raw []byte) (message.Operated, error) {
+	operated := message.Operated{}
 	for range 2 {
-		reply, err := n.Hub.Call(address, msg.Operate{Path: path, Body: raw}, 1500*time.Millisecond)
+		reply, err := n.Hub.Call(address, message.Operate{Path: path, Body: raw}, 1500*time.Millisecond)
 		if err != nil {
 			return operated, errors.Trace(err)
 		}
-		operated, _ = reply.(msg.Operated)
+		operated, _ = reply.(message.Operated)
 		node, isKnown := n.Find(operated.Primary)
 		if !operated.IsElsewhere || !isKnown || node.Link == address {
 			break
--- a/pooler/cmd/fleet/news.go
+++ b/internal/app/node/news.go
@@ -1,4 +1,4 @@
-package fleet
+package node
 
 import (
 	"iter"
@@ -6,10 +6,10 @@
 
 	"github.com/juju/errors"
 
-	"tansyseam.example/pooler/coordination/steer"
-	"tansyseam.example/pooler/protocol/msg"
-	"tansyseam.example/pooler/state/view"
-	"tansyseam.example/pooler/transport/run"
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/protocol/message"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/transport/worker"
 )
 
 // ErrNoPeer says that no peer that passes asks on is known.
@@ -22,7 +22,7 @@
 	Misses, Silent int
 }
 
-func (s Seeker) target(primary string, nodes []view.Node) string {
+func (s Seeker) target(primary string, nodes []model.Node) string {
 	if len(nodes) == 0 || (primary != "" && s.Misses%3 != 2) {
 		return primary
 	}
@@ -37,11 +37,11 @@
 // ask that nobody answered the next goes through a peer of its kind as well, in
 // case only the way to the primary is cut. It ends as soon as another control
 // primary is heard of.
-func (n *Node) AskNews(ask steer.AskNews, seeker *Seeker, bound time.Duration) (steer.News, bool) {
+func (n *Node) AskNews(ask distribution.AskNews, seeker *Seeker, bound time.Duration) (distribution.News, bool) {
 	turning := n.turning()
 	primary, nodes := n.Primary()
 	if primary == "" && len(nodes) == 0 {
-		return steer.News{}, false
+		return distribution.News{}, false
 	}
 	address, silent := seeker.target(primary, nodes), seeker.Silent
 	ways := []func() (any, error){func() (any, error) { return n.Hub.Call(address, ask, bound) }}
@@ -62,12 +62,12 @@
 	if seeker.Silent > 0 {
 		n.Counts.Add("news_misses", 1)
 	}
-	return steer.News{}, false
+	return distribution.News{}, false
 }
 
 // race gives the answers as they come, until all ways have ended or another
 // control primary is heard of.
-func (n *Node) race(ways []func() (any, error), turning <-chan struct{}) iter.Seq[steer.News] {
+func (n *Node) race(ways []func() (any, error), turning <-chan struct{}) iter.Seq[distribution.News] {
 	type outcome struct {
 		reply any
 		err   error
@@ -79,14 +79,14 @@
 			ended <- outcome{reply, err}
 		})
 	}
-	return func(yield func(steer.News) bool) {
+	return func(yield func(distribution.News) bool) {
 		for range ways {
-			one, isEnded := run.Take(ended, turning)
+			one, isEnded := worker.Take(ended, turning)
 			if !isEnded {
 				n.Counts.Add("news_turned", 1)
 				return
 			}
-			news, isNews := one.reply.(steer.News)
+			news, isNews := one.reply.(distribution.News)
 			if one.err == nil && isNews && !yield(news) {
 				return
 			}
@@ -94,7 +94,7 @@
 	}
 }
 
-func (n *Node) askThrough(ask steer.AskNews, silent int, bound time.Duration) (any, error) {
+func (n *Node) askThrough(ask distribution.AskNews, silent int, bound time.Duration) (any, error) {
 	fellows := n.Fellows()
 	if len(fellows) == 0 {
 		return nil, ErrNoPeer
@@ -102,13 +102,13 @@
 	peer := fellows[silent%len(fellows)]
 	ask.Via = peer.Name
 	n.Counts.Add("news_through_peer", 1)
-	return n.Hub.Call(peer.Link, msg.PassNews{Ask: ask}, bound)
+	return n.Hub.Call(peer.Link, message.PassNews{Ask: ask}, bound)
 }
 
 // OnPassNews passes a peer's asks on to the control primary. Where that is not
 // known, does not answer or is no longer primary, the peer is told so at once.
 func (n *Node) OnPassNews(bound time.Duration) {
-	On(n, func(_ string, pass msg.PassNews, answer func(any)) {
+	On(n, func(_ string, pass message.PassNews, answer func(any)) {
 		turning := n.turning()
 		if address, _ := n.Primary(); address != "" {
 			ask := func() (any, error) { return n.Hub.Call(address, pass.Ask, bound) }
@@ -117,6 +117,6 @@
 				return
 			}
 		}
-		answer(steer.News{Record: n.Record()})
+		answer(distribution.News{Record: n.Record()})
 	})
 }
--- a/pooler/cmd/fleet/seeker_test.go
+++ b/internal/app/node/seeker_test.go
@@ -1,4 +1,4 @@
-package fleet
+package node
 
 import (
 	"fmt"
@@ -6,16 +6,16 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/state/model"
 )
 
 func TestSeeker(t *testing.T) {
 	Convey("Asks that bring no news go round all control machines, however many there are", t, func() {
 		for _, primary := range []string{"", "gone"} {
 			for count := 1; count <= 9; count++ {
-				var nodes []view.Node
+				var nodes []model.Node
 				for number := range count {
-					nodes = append(nodes, view.Node{Link: fmt.Sprint("link", number)})
+					nodes = append(nodes, model.Node{Link: fmt.Sprint("link", number)})
 				}
 				asked := map[string]int{}
 				for misses := range 3 * count {
@@ -28,7 +28,7 @@
 		}
 	})
 	Convey("The primary is asked first, and two times of three after", t, func() {
-		nodes := []view.Node{{Link: "a"}, {Link: "b"}, {Link: "c"}}
+		nodes := []model.Node{{Link: "a"}, {Link: "b"}, {Link: "c"}}
 		for misses := range 12 {
 			So(Seeker{Misses: misses}.target("primary", nodes) == "primary", ShouldEqual, misses%3 != 2)
 		}
--- a/pooler/cmd/shell/shell.go
+++ b/internal/app/shell/shell.go
@@ -14,8 +14,8 @@
 	"github.com/juju/errors"
 	"github.com/valyala/fastjson"
 
-	"tansyseam.example/pooler/transport/run"
-	"tansyseam.example/pooler/transport/web"
+	"tansyseam/internal/transport/httpserver"
+	"tansyseam/internal/transport/worker"
 )
 
 // Errors of the shell.
@@ -36,8 +36,8 @@
 }
 
 // New makes a shell that asks over HTTP.
-func New(door string, isJSON bool, out io.Writer, crew *run.Crew) (*Shell, error) {
-	client, err := web.NewClient("", crew)
+func New(door string, isJSON bool, out io.Writer, crew *worker.Crew) (*Shell, error) {
+	client, err := httpserver.NewClient("", crew)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -130,7 +130,7 @@
 func (s *Shell) Talk(in io.Reader) error {
 	var last error
 	lines := bufio.NewScanner(in)
-	_, _ = fmt.Fprint(s.Out, "seamsh> ")
+	_, _ = fmt.Fprint(s.Out, "tansyseamctl> ")
 	for lines.Scan() {
 		line := strings.TrimSpace(lines.Text())
 		if line == "quit" || line == "exit" {
@@ -139,7 +139,7 @@
 		if last = s.Run(line); last != nil {
 			_, _ = fmt.Fprintln(s.Out, last)
 		}
-		_, _ = fmt.Fprint(s.Out, "seamsh> ")
+		_, _ = fmt.Fprint(s.Out, "tansyseamctl> ")
 	}
 	_, _ = fmt.Fprintln(s.Out)
 	return last
--- a/pooler/coordination/selects/selects.go
+++ b/internal/coordination/balancer/selects.go
@@ -1,6 +1,6 @@
-// Package selects picks, among the instances fresh enough for a read, one
+// Package balancer picks, among the instances fresh enough for a read, one
 // with room in its window, near by zone and least pressed.
-package selects
+package balancer
 
 import "time"
 
--- a/pooler/coordination/selects/selects_test.go
+++ b/internal/coordination/balancer/selects_test.go
@@ -1,4 +1,4 @@
-package selects
+package balancer
 
 import (
 	"testing"
--- a/pooler/coordination/rights/rights.go
+++ b/internal/coordination/connquota/rights.go
@@ -1,4 +1,4 @@
-// Package rights says how many connections a node may have at an instance
+// Package connquota says how many connections a node may have at an instance
 // whose cap all nodes share. Nodes that know the same names come to the same
 // rights without a word between them.
 //
@@ -7,13 +7,13 @@
 // instance, the nodes that may keep one connection at rest there. The other
 // half is spare: any node opens what a statement waits for, and gives it back
 // once it rests.
-package rights
+package connquota
 
 import (
 	"slices"
 	"time"
 
-	"tansyseam.example/pooler/coordination/rendezvous"
+	"tansyseam/internal/coordination/rendezvous"
 )
 
 // Plenty is the share from which a node has connections of its own only: one
--- a/pooler/coordination/rights/rights_test.go
+++ b/internal/coordination/connquota/rights_test.go
@@ -1,4 +1,4 @@
-package rights
+package connquota
 
 import (
 	"fmt"
--- a/pooler/coordination/epoch/amnesia_test.go
+++ b/internal/coordination/consensus/amnesia_test.go
@@ -1,4 +1,4 @@
-package epoch
+package consensus
 
 import (
 	"testing"
@@ -6,8 +6,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/coordination/ballot"
-	"tansyseam.example/pooler/state/table"
+	"tansyseam/internal/coordination/proposal"
+	"tansyseam/internal/state/store"
 )
 
 var five = []string{"c1", "c2", "c3", "c4", "c5"}
@@ -34,11 +34,11 @@
 		}
 		if save.Kind == FileIdentity {
 			saved.Identity = &Identity{}
-			So(table.Decode(save.Data, saved.Identity), ShouldBeNil)
+			So(store.Decode(save.Data, saved.Identity), ShouldBeNil)
 		}
 		if save.Kind == FileBallots {
 			saved.Ballots = &Ballots{}
-			So(table.Decode(save.Data, saved.Ballots), ShouldBeNil)
+			So(store.Decode(save.Data, saved.Ballots), ShouldBeNil)
 		}
 	}
 	return New(self, len(five), DefaultTiming(), saved, now)
@@ -54,12 +54,12 @@
 // speaks counts how often a machine grants, votes or stands, whatever it is asked.
 func speaks(m *Machine, from string, now time.Duration) int {
 	record := m.Record()
-	number := ballot.Number{Round: 1, Name: from}
+	number := proposal.Number{Round: 1, Name: from}
 	var effects []Effect
 	for _, body := range []any{
-		Renew{Record: record, Sent: now}, Prepare{Decided: record, Number: number, Stamp: table.Stamp{Epoch: 99}},
-		Accept{Epoch: record.Epoch + 1, Number: number, Value: table.Encode(record)},
-		Write{Record: record, Stamp: table.Stamp{Epoch: record.Epoch, Sequence: 1}}, Offer{Record: record}, Fill{Record: record},
+		Renew{Record: record, Sent: now}, Prepare{Decided: record, Number: number, Stamp: store.Stamp{Epoch: 99}},
+		Accept{Epoch: record.Epoch + 1, Number: number, Value: store.Encode(record)},
+		Write{Record: record, Stamp: store.Stamp{Epoch: record.Epoch, Sequence: 1}}, Offer{Record: record}, Fill{Record: record},
 	} {
 		effects = append(effects, m.Step(Heard{From: from, Body: body}, now)...)
 	}
@@ -162,6 +162,6 @@
 	})
 }
 
-func buildOf(key string) func(*table.Table) []table.Put {
-	return func(*table.Table) []table.Put { return []table.Put{{Key: key, Data: []byte("x")}} }
+func buildOf(key string) func(*store.Table) []store.Put {
+	return func(*store.Table) []store.Put { return []store.Put{{Key: key, Data: []byte("x")}} }
 }
--- a/pooler/coordination/epoch/catchup_test.go
+++ b/internal/coordination/consensus/catchup_test.go
@@ -1,4 +1,4 @@
-package epoch
+package consensus
 
 import (
 	"fmt"
@@ -7,13 +7,13 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/state/table"
+	"tansyseam/internal/state/store"
 )
 
 // change writes one of so many keys at the primary.
 func (c *cluster) change(number, keys int) {
-	c.step(c.primary(), Submit{Token: uint64(1000 + number), Build: func(*table.Table) []table.Put {
-		return []table.Put{{Key: fmt.Sprint("key", number%keys), Data: []byte(fmt.Sprintf("%06d", number))}}
+	c.step(c.primary(), Submit{Token: uint64(1000 + number), Build: func(*store.Table) []store.Put {
+		return []store.Put{{Key: fmt.Sprint("key", number%keys), Data: []byte(fmt.Sprintf("%06d", number))}}
 	}})
 }
 
@@ -39,7 +39,7 @@
 		}
 		c.sent = func(_, to string, body any) {
 			if fill, isFill := body.(Fill); isFill && to == lost {
-				size += len(table.Encode(fill))
+				size += len(store.Encode(fill))
 			}
 		}
 		from := c.now
--- a/pooler/coordination/epoch/clone_test.go
+++ b/internal/coordination/consensus/clone_test.go
@@ -1,4 +1,4 @@
-package epoch
+package consensus
 
 import (
 	"reflect"
@@ -7,8 +7,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/coordination/ballot"
-	"tansyseam.example/pooler/state/table"
+	"tansyseam/internal/coordination/proposal"
+	"tansyseam/internal/state/store"
 )
 
 func TestClone(t *testing.T) {
@@ -16,7 +16,7 @@
 	shared := map[string]bool{"copy": true, "safe": true, "peers": true, "links": true, "zones": true, "repairing": true}
 	Convey("A machine and its clone share nothing that either changes in place", t, func() {
 		m := started("c1", time.Hour)
-		m.round = ballot.NewRound(ballot.Number{Round: 1, Name: "c1"}, 3, nil, time.Hour)
+		m.round = proposal.NewRound(proposal.Number{Round: 1, Name: "c1"}, 3, nil, time.Hour)
 		m.pending, m.repairing = &write{}, &repair{}
 		m.queue, m.effects = []Submit{{Token: 1}}, []Effect{Clean{}}
 		m.peers, m.links, m.zones = []string{"c1"}, map[string]string{"a": "b"}, map[string]string{"c1": "z"}
@@ -31,9 +31,9 @@
 			SoMsg(name, b.Field(at).IsNil() || a.Field(at).Pointer() != b.Field(at).Pointer(), ShouldBeTrue)
 		}
 		round := m.round.Clone()
-		So(round.OnPromise("c2", ballot.Number{}, nil), ShouldBeFalse)
-		So(m.round.OnPromise("c3", ballot.Number{}, nil), ShouldBeFalse)
-		So(m.round.OnPromise("c1", ballot.Number{}, nil), ShouldBeTrue)
+		So(round.OnPromise("c2", proposal.Number{}, nil), ShouldBeFalse)
+		So(m.round.OnPromise("c3", proposal.Number{}, nil), ShouldBeFalse)
+		So(m.round.OnPromise("c1", proposal.Number{}, nil), ShouldBeTrue)
 	})
 	Convey("A clone goes its own way", t, func() {
 		m := started("c1", time.Hour)
@@ -43,6 +43,6 @@
 		other.Step(Submit{Token: 1, Build: buildOf("k")}, time.Hour)
 		So(other.IsPrimary(time.Hour), ShouldBeTrue)
 		So(m.IsPrimary(time.Hour), ShouldBeFalse)
-		So(m.Copy().Records, ShouldResemble, table.New().Records)
+		So(m.Copy().Records, ShouldResemble, store.New().Records)
 	})
 }
--- a/pooler/coordination/epoch/election.go
+++ b/internal/coordination/consensus/election.go
@@ -1,12 +1,12 @@
-package epoch
+package consensus
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"tansyseam.example/pooler/coordination/ballot"
-	"tansyseam.example/pooler/state/table"
+	"tansyseam/internal/coordination/proposal"
+	"tansyseam/internal/state/store"
 )
 
 func (m *Machine) propose(record Record, now time.Duration) {
@@ -14,8 +14,8 @@
 		return
 	}
 	m.roundNo = max(m.roundNo, m.ballots.Voter.Promised.Round) + 1
-	number := ballot.Number{Round: m.roundNo, Name: m.self}
-	m.round = ballot.NewRound(number, len(m.Voters()), table.Encode(record), now)
+	number := proposal.Number{Round: m.roundNo, Name: m.self}
+	m.round = proposal.NewRound(number, len(m.Voters()), store.Encode(record), now)
 	m.roundFor = m.ballots.Decided
 	m.isUnsettled, m.retry = true, 0
 	rank := slices.Index(m.Voters(), m.self)
@@ -145,7 +145,7 @@
 	}
 	wasNamed, before := m.isNamed(), m.ballots.Decided.Voters
 	m.ballots.Decided = record
-	m.ballots.Voter, m.ballots.IsPledged = ballot.Voter{}, false
+	m.ballots.Voter, m.ballots.IsPledged = proposal.Voter{}, false
 	m.ballots.IsHollow = m.ballots.IsHollow || (m.sparesWanted() > 0 && !m.IsMember())
 	m.saveBallots()
 	m.isUnsettled = false
@@ -164,7 +164,7 @@
 	}
 	if m.isNamed() && !wasNamed {
 		m.acks, m.votersAt = map[string]time.Duration{}, now
-		m.spares = map[string]table.Stamp{}
+		m.spares = map[string]store.Stamp{}
 		m.shunned = map[string]time.Duration{}
 		m.safe = m.copy
 	}
@@ -185,4 +185,4 @@
 	return slices.DeleteFunc(slices.Compact(names), func(name string) bool { return name == m.self })
 }
 
-func decodeRecord(data []byte, into *Record) bool { return table.Decode(data, into) == nil }
+func decodeRecord(data []byte, into *Record) bool { return store.Decode(data, into) == nil }
--- a/pooler/coordination/epoch/epoch.go
+++ b/internal/coordination/consensus/epoch.go
@@ -1,16 +1,16 @@
-// Package epoch is the machine of one disk machine: it votes on epochs,
+// Package consensus is the machine of one disk machine: it votes on epochs,
 // and as primary or backup keeps the control state. A write is answered once
 // primary and backup have synced it; witnesses keep epochs only and decide
 // who takes over.
-package epoch
+package consensus
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"tansyseam.example/pooler/coordination/ballot"
-	"tansyseam.example/pooler/state/table"
+	"tansyseam/internal/coordination/proposal"
+	"tansyseam/internal/state/store"
 )
 
 // Identity says which fleet a data folder belongs to, and which of the machine's
@@ -28,7 +28,7 @@
 type Ballots struct {
 	Sequence uint64
 	Decided  Record
-	Voter    ballot.Voter
+	Voter    proposal.Voter
 	// IsPledged says that the machine has promised or accepted for another than the
 	// primary, since the epoch was decided: it grants nothing more in it.
 	IsPledged bool
@@ -41,7 +41,7 @@
 type Saved struct {
 	Identity *Identity
 	Ballots  *Ballots
-	Table    *table.Table
+	Table    *store.Table
 	Copies   uint64
 	// IsUnsound says that files were passed over, so that what is held may be
 	// older than what was synced.
@@ -76,8 +76,8 @@
 
 type write struct {
 	token    uint64
-	puts     []table.Put
-	stamp    table.Stamp
+	puts     []store.Put
+	stamp    store.Stamp
 	sent     time.Duration
 	isBacked bool
 }
@@ -85,7 +85,7 @@
 type repair struct {
 	peer  string
 	sent  time.Duration
-	stamp table.Stamp
+	stamp store.Stamp
 }
 
 // Founding says how a new fleet chooses its voters.
@@ -111,8 +111,8 @@
 	timing      Timing
 	identity    *Identity
 	ballots     Ballots
-	copy        *table.Table
-	safe        *table.Table
+	copy        *store.Table
+	safe        *store.Table
 	copies      uint64
 	started     time.Duration
 	isUnsound   bool
@@ -139,7 +139,7 @@
 	walls     map[string]int64
 	renewed   time.Duration
 	primacy   time.Duration
-	round     *ballot.Round
+	round     *proposal.Round
 	roundFor  Record
 	roundNo   uint64
 	waitUntil time.Duration
@@ -147,7 +147,7 @@
 	pending   *write
 	// spares are the stamps up to which machines that the record does not name
 	// have synced the copy of this primary.
-	spares    map[string]table.Stamp
+	spares    map[string]store.Stamp
 	sparedAt  time.Duration
 	queue     []Submit
 	repairing *repair
@@ -178,10 +178,10 @@
 // NewFounding makes the machine from what its disk held.
 func NewFounding(self string, founding Founding, timing Timing, saved Saved, now time.Duration) *Machine {
 	m := &Machine{
-		self: self, founding: founding, timing: timing, identity: saved.Identity, copy: table.New(),
+		self: self, founding: founding, timing: timing, identity: saved.Identity, copy: store.New(),
 		copies: saved.Copies, started: now, formed: map[string]Member{},
 		acks: map[string]time.Duration{}, walls: map[string]int64{}, grantsBy: map[string]time.Duration{},
-		shunned: map[string]time.Duration{}, spares: map[string]table.Stamp{},
+		shunned: map[string]time.Duration{}, spares: map[string]store.Stamp{},
 		standbys: map[string]standby{}, leaving: map[string]time.Duration{}, heardFrom: map[string]time.Duration{},
 	}
 	m.restore(saved)
@@ -241,10 +241,10 @@
 
 // Table gives the state that is safe to publish, to be read only: it holds
 // no write that the backup may lack.
-func (m *Machine) Table() *table.Table { return m.safe }
+func (m *Machine) Table() *store.Table { return m.safe }
 
 // Copy gives this machine's copy with the write under way, to be read only.
-func (m *Machine) Copy() *table.Table { return m.copy }
+func (m *Machine) Copy() *store.Table { return m.copy }
 
 // Voters names the machines that vote on the next epoch, as far as is known.
 func (m *Machine) Voters() []string {
@@ -301,17 +301,17 @@
 }
 
 func (m *Machine) saveIdentity() {
-	m.emit(Save{Kind: FileIdentity, Sequence: 1 + boolBit(m.identity.IsFormed), Data: table.Encode(*m.identity)})
+	m.emit(Save{Kind: FileIdentity, Sequence: 1 + boolBit(m.identity.IsFormed), Data: store.Encode(*m.identity)})
 }
 
 func (m *Machine) saveBallots() {
 	m.ballots.Sequence++
-	m.emit(Save{Kind: FileBallots, Sequence: m.ballots.Sequence, Data: table.Encode(m.ballots)})
+	m.emit(Save{Kind: FileBallots, Sequence: m.ballots.Sequence, Data: store.Encode(m.ballots)})
 }
 
 func (m *Machine) saveTable() {
 	m.copies++
-	m.emit(Save{Kind: FileTable, Sequence: m.copies, Data: table.Encode(*m.copy)})
+	m.emit(Save{Kind: FileTable, Sequence: m.copies, Data: store.Encode(*m.copy)})
 }
 
 func boolBit(is bool) uint64 {
--- a/pooler/coordination/epoch/epoch_test.go
+++ b/internal/coordination/consensus/epoch_test.go
@@ -1,4 +1,4 @@
-package epoch
+package consensus
 
 import (
 	"testing"
@@ -6,15 +6,15 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/coordination/ballot"
-	"tansyseam.example/pooler/state/table"
+	"tansyseam/internal/coordination/proposal"
+	"tansyseam/internal/state/store"
 )
 
 func started(self string, now time.Duration) *Machine {
 	voters := []string{"c1", "c2", "c3"}
 	return New(self, len(voters), DefaultTiming(), Saved{
 		Identity: &Identity{Cluster: "x", Self: self, Voters: voters, IsFormed: true},
-		Ballots:  &Ballots{Sequence: 1, Decided: Record{Epoch: 4, Primary: "c1", Backup: "c2"}}, Table: table.New(),
+		Ballots:  &Ballots{Sequence: 1, Decided: Record{Epoch: 4, Primary: "c1", Backup: "c2"}}, Table: store.New(),
 	}, now)
 }
 
@@ -75,8 +75,8 @@
 	const wall = int64(1_700_000_000_000_000_000)
 	voters := []string{"c1", "c2", "c3"}
 	back := func(record Record, written uint64, now time.Duration) *Machine {
-		copied := table.New()
-		copied.Apply(table.Stamp{Epoch: written, Sequence: 9}, []table.Put{{Key: "set", Data: []byte("x")}})
+		copied := store.New()
+		copied.Apply(store.Stamp{Epoch: written, Sequence: 9}, []store.Put{{Key: "set", Data: []byte("x")}})
 		return New("c1", len(voters), DefaultTiming(), Saved{
 			Identity: &Identity{Cluster: "x", Self: "c1", Voters: voters, IsFormed: true},
 			Ballots:  &Ballots{Sequence: 1, Decided: record}, Table: copied,
@@ -123,7 +123,7 @@
 		m.Step(Tick{Wall: wall}, later+20*time.Millisecond)
 		So(m.round, ShouldNotBeNil)
 		var stood Record
-		So(table.Decode(m.round.Value, &stood), ShouldBeNil)
+		So(store.Decode(m.round.Value, &stood), ShouldBeNil)
 		So(stood, ShouldResemble, Record{Epoch: 5, Primary: "c1", Voters: foundingVoters(voters)})
 	})
 	Convey("With nothing written in its epoch, or no backup in it, it goes on at once", t, func() {
@@ -143,12 +143,12 @@
 		voters := []string{"c1", "c2", "c3"}
 		m := New("c1", len(voters), DefaultTiming(), Saved{
 			Identity: &Identity{Cluster: "x", Self: "c1", Voters: voters, IsFormed: true},
-			Ballots:  &Ballots{Sequence: 1, Decided: Record{Epoch: 4, Primary: "c1"}}, Table: table.New(),
+			Ballots:  &Ballots{Sequence: 1, Decided: Record{Epoch: 4, Primary: "c1"}}, Table: store.New(),
 		}, now)
 		m.Step(Tick{Wall: wall}, now)
 		for at := range 3 {
-			m.Step(Submit{Token: uint64(at + 1), Build: func(*table.Table) []table.Put {
-				return []table.Put{{Key: string(rune('a' + at)), Data: []byte("x")}}
+			m.Step(Submit{Token: uint64(at + 1), Build: func(*store.Table) []store.Put {
+				return []store.Put{{Key: string(rune('a' + at)), Data: []byte("x")}}
 			}}, now)
 		}
 		effects := m.Step(Heard{From: "c3", Body: RenewAck{Decided: m.Record(), Sent: now, Life: m.life, Wall: wall, IsGranted: true}}, now)
@@ -191,7 +191,7 @@
 	})
 	Convey("A voter that has just started says so too", t, func() {
 		voter := started("c3", time.Hour)
-		ask := Prepare{Decided: voter.Record(), Number: ballot.Number{Round: 1, Name: "c2"}}
+		ask := Prepare{Decided: voter.Record(), Number: proposal.Number{Round: 1, Name: "c2"}}
 		refused := sentBy[Promised](voter.Step(Heard{From: "c2", Body: ask}, time.Hour+200*time.Millisecond))
 		So(refused[0].IsGiven, ShouldBeFalse)
 		So(refused[0].Wait, ShouldEqual, DefaultTiming().Primacy-200*time.Millisecond)
@@ -212,7 +212,7 @@
 func TestPrimacyIsVotedAwayByNone(t *testing.T) {
 	now := time.Hour + 2*time.Second
 	timing := DefaultTiming()
-	number := ballot.Number{Round: 1, Name: "c2"}
+	number := proposal.Number{Round: 1, Name: "c2"}
 	held := func() *Machine {
 		m := started("c1", time.Hour)
 		m.Step(Tick{Wall: 77}, now)
@@ -288,7 +288,7 @@
 		asked := backup.round.Number
 		wait := DefaultTiming().Primacy - 50*time.Millisecond
 		refused := now + 2*time.Millisecond
-		backup.Step(Heard{From: "c1", Body: Promised{Epoch: 5, Number: asked, Wait: wait, Decided: backup.Record(), Higher: ballot.Number{Round: 9, Name: "c1"}}}, refused)
+		backup.Step(Heard{From: "c1", Body: Promised{Epoch: 5, Number: asked, Wait: wait, Decided: backup.Record(), Higher: proposal.Number{Round: 9, Name: "c1"}}}, refused)
 		for now < refused+wait-20*time.Millisecond {
 			now += 10 * time.Millisecond
 			So(prepares(backup.Step(Tick{}, now)), ShouldEqual, 0)
--- a/pooler/coordination/epoch/founding.go
+++ b/internal/coordination/consensus/founding.go
@@ -1,4 +1,4 @@
-package epoch
+package consensus
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"tansyseam.example/pooler/coordination/ballot"
+	"tansyseam/internal/coordination/proposal"
 )
 
 func (m *Machine) onPeers(peers Peers, now time.Duration) {
@@ -172,7 +172,7 @@
 
 // enter takes this machine into a fleet that is formed, by a record of it.
 func (m *Machine) enter(record Record, now time.Duration, why string) {
-	m.ballots.Decided, m.ballots.Voter, m.ballots.IsPledged = record, ballot.Voter{}, false
+	m.ballots.Decided, m.ballots.Voter, m.ballots.IsPledged = record, proposal.Voter{}, false
 	m.identity.IsFormed = true
 	m.ballots.IsHollow = m.ballots.IsHollow || (m.sparesWanted() > 0 && !m.IsMember())
 	m.saveBallots()
--- a/pooler/coordination/epoch/founding_test.go
+++ b/internal/coordination/consensus/founding_test.go
@@ -1,4 +1,4 @@
-package epoch
+package consensus
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/state/table"
+	"tansyseam/internal/state/store"
 )
 
 type cluster struct {
@@ -87,8 +87,8 @@
 
 func (c *cluster) submit(token uint64) {
 	if primary := c.primary(); primary != "" {
-		c.step(primary, Submit{Token: token, Build: func(*table.Table) []table.Put {
-			return []table.Put{{Key: fmt.Sprint(token), Data: []byte("x")}}
+		c.step(primary, Submit{Token: token, Build: func(*store.Table) []store.Put {
+			return []store.Put{{Key: fmt.Sprint(token), Data: []byte("x")}}
 		}})
 	}
 }
--- a/pooler/coordination/epoch/gate_test.go
+++ b/internal/coordination/consensus/gate_test.go
@@ -1,4 +1,4 @@
-package epoch
+package consensus
 
 import (
 	"testing"
--- a/pooler/coordination/epoch/load.go
+++ b/internal/coordination/consensus/load.go
@@ -1,14 +1,14 @@
-package epoch
+package consensus
 
 import (
 	"github.com/juju/errors"
 
-	"tansyseam.example/pooler/state/synced"
-	"tansyseam.example/pooler/state/table"
+	"tansyseam/internal/state/store"
+	"tansyseam/internal/state/versionfile"
 )
 
 // Load reads what the epoch machine keeps.
-func Load(store *synced.Store, onPassed func(kind string, passed int)) (Saved, error) {
+func Load(files *versionfile.Store, onPassed func(kind string, passed int)) (Saved, error) {
 	saved := Saved{}
 	loads := []struct {
 		kind string
@@ -16,25 +16,25 @@
 	}{
 		{FileIdentity, func(_ uint64, data []byte) error {
 			saved.Identity = &Identity{}
-			return table.Decode(data, saved.Identity)
+			return store.Decode(data, saved.Identity)
 		}},
 		{FileBallots, func(_ uint64, data []byte) error {
 			saved.Ballots = &Ballots{}
-			return table.Decode(data, saved.Ballots)
+			return store.Decode(data, saved.Ballots)
 		}},
 		{FileTable, func(sequence uint64, data []byte) error {
-			saved.Table = table.New()
+			saved.Table = store.New()
 			saved.Copies = sequence
-			return table.Decode(data, saved.Table)
+			return store.Decode(data, saved.Table)
 		}},
 	}
 	for _, load := range loads {
-		sequence, data, passed, err := store.Latest(load.kind)
+		sequence, data, passed, err := files.Latest(load.kind)
 		if passed > 0 {
 			onPassed(load.kind, passed)
 			saved.IsUnsound = true
 		}
-		if errors.Is(err, synced.ErrNone) {
+		if errors.Is(err, versionfile.ErrNone) {
 			continue
 		}
 		if err != nil {
@@ -45,7 +45,7 @@
 		}
 	}
 	if saved.Table != nil && saved.Table.Records == nil {
-		saved.Table.Records = map[string]table.Record{}
+		saved.Table.Records = map[string]store.Record{}
 	}
 	return saved, nil
 }
--- a/pooler/coordination/epoch/membership_test.go
+++ b/internal/coordination/consensus/membership_test.go
@@ -1,4 +1,4 @@
-package epoch
+package consensus
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/coordination/ballot"
-	"tansyseam.example/pooler/state/table"
+	"tansyseam/internal/coordination/proposal"
+	"tansyseam/internal/state/store"
 )
 
 // catchUp is the time that a machine has to be whole after its start.
@@ -241,7 +241,7 @@
 		record := Record{Epoch: 4, Primary: "c1", Backup: "c2", Voters: foundingVoters(five)}
 		m := NewFounding("c4", Founding{Voters: 5, IsPaired: true}, DefaultTiming(), Saved{
 			Identity: &Identity{Cluster: "x", Self: "c4", Voters: five, IsFormed: true},
-			Ballots:  &Ballots{Sequence: 1, Decided: record}, Table: table.New(),
+			Ballots:  &Ballots{Sequence: 1, Decided: record}, Table: store.New(),
 		}, now)
 		So(m.ballots.IsHollow, ShouldBeFalse)
 		without := record
@@ -400,8 +400,8 @@
 		next := m.Record()
 		next.Epoch = 5
 		accept := func(round uint64) {
-			number := ballot.Number{Round: round, Name: "c1"}
-			So(sentBy[Accepted](m.Step(Heard{From: "c1", Body: Accept{Epoch: 5, Number: number, Value: table.Encode(next)}}, now)), ShouldNotBeEmpty)
+			number := proposal.Number{Round: round, Name: "c1"}
+			So(sentBy[Accepted](m.Step(Heard{From: "c1", Body: Accept{Epoch: 5, Number: number, Value: store.Encode(next)}}, now)), ShouldNotBeEmpty)
 		}
 		accept(1)
 		So(m.Electorate().IsChanging, ShouldBeFalse)
--- a/pooler/coordination/epoch/messages.go
+++ b/internal/coordination/consensus/messages.go
@@ -1,10 +1,10 @@
-package epoch
+package consensus
 
 import (
 	"time"
 
-	"tansyseam.example/pooler/coordination/ballot"
-	"tansyseam.example/pooler/state/table"
+	"tansyseam/internal/coordination/proposal"
+	"tansyseam/internal/state/store"
 )
 
 // Messages between disk machines.
@@ -61,17 +61,17 @@
 	// candidate's copy.
 	Prepare struct {
 		Decided Record
-		Number  ballot.Number
-		Stamp   table.Stamp
+		Number  proposal.Number
+		Stamp   store.Stamp
 	}
 	// Promised gives or refuses it. Wait tells for how long what binds the teller
 	// still does, where that is why.
 	Promised struct {
 		Epoch    uint64
-		Number   ballot.Number
+		Number   proposal.Number
 		IsGiven  bool
-		Higher   ballot.Number
-		Accepted ballot.Number
+		Higher   proposal.Number
+		Accepted proposal.Number
 		Value    []byte
 		Decided  Record
 		Wait     time.Duration
@@ -79,48 +79,48 @@
 	// Accept asks to accept a record.
 	Accept struct {
 		Epoch  uint64
-		Number ballot.Number
+		Number proposal.Number
 		Value  []byte
 	}
 	// Accepted does so.
 	Accepted struct {
 		Epoch  uint64
-		Number ballot.Number
+		Number proposal.Number
 	}
 	// Decided tells a settled record.
 	Decided struct{ Record Record }
 	// Write carries a write from primary to backup.
 	Write struct {
 		Record Record
-		Before table.Stamp
-		Stamp  table.Stamp
-		Puts   []table.Put
+		Before store.Stamp
+		Stamp  store.Stamp
+		Puts   []store.Put
 	}
 	// WriteAck says that the backup synced it.
 	WriteAck struct {
-		Stamp    table.Stamp
+		Stamp    store.Stamp
 		IsSynced bool
 	}
 	// Offer compares copies by digests.
 	Offer struct {
 		Record  Record
-		Stamp   table.Stamp
-		Digests [table.Ranges][32]byte
+		Stamp   store.Stamp
+		Digests [store.Ranges][32]byte
 	}
 	// Want names the ranges that are unlike.
 	Want struct {
-		Stamp  table.Stamp
+		Stamp  store.Stamp
 		Ranges []int
 	}
 	// Fill brings them.
 	Fill struct {
 		Record  Record
-		Stamp   table.Stamp
+		Stamp   store.Stamp
 		Ranges  []int
-		Records map[string]table.Record
+		Records map[string]store.Record
 	}
 	// Filled says that the copy is synced up to a stamp.
-	Filled struct{ Stamp table.Stamp }
+	Filled struct{ Stamp store.Stamp }
 )
 
 // Events.
@@ -149,7 +149,7 @@
 	// give no puts.
 	Submit struct {
 		Token uint64
-		Build func(*table.Table) []table.Put
+		Build func(*store.Table) []store.Put
 	}
 )
 
@@ -174,7 +174,7 @@
 		IsKept bool
 		// IsUnknown says that the write may yet turn out kept.
 		IsUnknown bool
-		Stamp     table.Stamp
+		Stamp     store.Stamp
 	}
 	// Turned tells a change of role or epoch, with its cause and the state that
 	// is safe to publish at that point: later effects may still have to sync
@@ -182,11 +182,11 @@
 	Turned struct {
 		Record Record
 		Why    string
-		Table  *table.Table
+		Table  *store.Table
 	}
 	// Wrote tells that the state changed and is safe.
 	Wrote struct {
-		Stamp table.Stamp
-		Table *table.Table
+		Stamp store.Stamp
+		Table *store.Table
 	}
 )
--- a/pooler/coordination/epoch/replication.go
+++ b/internal/coordination/consensus/replication.go
@@ -1,9 +1,9 @@
-package epoch
+package consensus
 
 import (
 	"time"
 
-	"tansyseam.example/pooler/state/table"
+	"tansyseam/internal/state/store"
 )
 
 func (m *Machine) onSubmit(submit Submit, now time.Duration) {
@@ -29,7 +29,7 @@
 			continue
 		}
 		before := m.copy.Stamp
-		stamp := table.Stamp{Epoch: m.ballots.Decided.Epoch, Sequence: before.Sequence + 1}
+		stamp := store.Stamp{Epoch: m.ballots.Decided.Epoch, Sequence: before.Sequence + 1}
 		m.copy = m.copy.Clone()
 		m.copy.Apply(stamp, puts)
 		m.saveTable()
@@ -160,7 +160,7 @@
 	if m.ballots.Decided != offer.Record || offer.Record.Primary != from || !m.IsMember() || m.isGivenAway(from) {
 		return
 	}
-	ranks := table.Differ(m.copy.Digests(), offer.Digests)
+	ranks := store.Differ(m.copy.Digests(), offer.Digests)
 	if len(ranks) == 0 && m.copy.Stamp == offer.Stamp {
 		m.fill()
 		m.send(from, Filled{Stamp: offer.Stamp})
--- a/pooler/coordination/epoch/spares.go
+++ b/internal/coordination/consensus/spares.go
@@ -1,9 +1,9 @@
-package epoch
+package consensus
 
 import (
 	"time"
 
-	"tansyseam.example/pooler/state/table"
+	"tansyseam/internal/state/store"
 )
 
 // Where more than one machine may be lost at once, a write is synced by the
@@ -45,7 +45,7 @@
 	})
 }
 
-func (m *Machine) spared(name string, stamp table.Stamp, isSynced bool, now time.Duration) {
+func (m *Machine) spared(name string, stamp store.Stamp, isSynced bool, now time.Duration) {
 	if !isSynced {
 		delete(m.spares, name)
 		return
@@ -99,7 +99,7 @@
 // yieldsTo says whether this machine votes for a spare: only where it has a copy
 // itself, which is not ahead of the candidate's. Each acknowledged write was synced
 // by more than half of the voters, so that one of more than half has it.
-func (m *Machine) yieldsTo(candidate string, stamp table.Stamp, now time.Duration) bool {
+func (m *Machine) yieldsTo(candidate string, stamp store.Stamp, now time.Duration) bool {
 	if m.sparesWanted() == 0 || m.ballots.IsHollow || !m.isVoter(candidate) || stamp.IsBefore(m.copy.Stamp) {
 		return false
 	}
--- a/pooler/coordination/epoch/spares_test.go
+++ b/internal/coordination/consensus/spares_test.go
@@ -1,4 +1,4 @@
-package epoch
+package consensus
 
 import (
 	"testing"
@@ -6,8 +6,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/coordination/ballot"
-	"tansyseam.example/pooler/state/table"
+	"tansyseam/internal/coordination/proposal"
+	"tansyseam/internal/state/store"
 )
 
 func fiveFounded() (*cluster, func(name string) Founding) {
@@ -100,10 +100,10 @@
 func TestVotesForASpare(t *testing.T) {
 	now := time.Hour
 	record := Record{Epoch: 4, Primary: "c1", Backup: "c2", Voters: foundingVoters(five)}
-	stamp := func(sequence uint64) table.Stamp { return table.Stamp{Epoch: 4, Sequence: sequence} }
+	stamp := func(sequence uint64) store.Stamp { return store.Stamp{Epoch: 4, Sequence: sequence} }
 	voter := func(ballots Ballots) *Machine {
-		held := table.New()
-		held.Apply(stamp(7), []table.Put{{Key: "k", Data: []byte("x")}})
+		held := store.New()
+		held.Apply(stamp(7), []store.Put{{Key: "k", Data: []byte("x")}})
 		ballots.Sequence, ballots.Decided = 1, record
 		return NewFounding("c4", Founding{Voters: 5, IsPaired: true}, DefaultTiming(), Saved{
 			Identity: &Identity{Cluster: "x", Self: "c4", Voters: []string{"c1", "c2", "c3", "c4", "c5"}, IsFormed: true},
@@ -112,7 +112,7 @@
 	}
 	late := now + 4*DefaultTiming().Primacy
 	ask := func(m *Machine, from string, sequence uint64) bool {
-		asked := Prepare{Decided: record, Number: ballot.Number{Round: 1, Name: from}, Stamp: stamp(sequence)}
+		asked := Prepare{Decided: record, Number: proposal.Number{Round: 1, Name: from}, Stamp: stamp(sequence)}
 		told := sentBy[Promised](m.Step(Heard{From: from, Body: asked}, late))
 		So(len(told), ShouldEqual, 1)
 		return told[0].IsGiven
@@ -137,7 +137,7 @@
 	})
 	Convey("One that gave its vote to a spare syncs nothing more for the primary before", t, func() {
 		m := voter(Ballots{})
-		write := Write{Record: record, Before: stamp(7), Stamp: stamp(8), Puts: []table.Put{{Key: "w", Data: []byte("x")}}}
+		write := Write{Record: record, Before: stamp(7), Stamp: stamp(8), Puts: []store.Put{{Key: "w", Data: []byte("x")}}}
 		So(ask(m, "c5", 7), ShouldBeTrue)
 		acks := sentBy[WriteAck](m.Step(Heard{From: "c1", Body: write}, late))
 		So(len(acks), ShouldEqual, 1)
--- a/pooler/coordination/steer/cost_test.go
+++ b/internal/coordination/distribution/cost_test.go
@@ -1,4 +1,4 @@
-package steer
+package distribution
 
 import (
 	"fmt"
@@ -7,21 +7,21 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/state/table"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
 )
 
 // crowded gives a desk at which so many nodes hold a lease, each of which
 // reports on a database of its own; d0 reports on db0.
 func crowded(nodes int) *desk {
-	d := newDesk(1, table.New())
+	d := newDesk(1, store.New())
 	for number := range nodes {
-		d.puts(table.Put{Key: view.KeyNode + fmt.Sprintf("d%d", number)}, writerPut(fmt.Sprintf("db%d", number), 1))
+		d.puts(store.Put{Key: model.KeyNode + fmt.Sprintf("d%d", number)}, writerPut(fmt.Sprintf("db%d", number), 1))
 	}
 	for number := range nodes {
-		seen := instance(fmt.Sprintf("a%d", number), view.RolePrimary)
+		seen := instance(fmt.Sprintf("a%d", number), model.RolePrimary)
 		seen.Database = fmt.Sprintf("db%d", number)
-		d.Ask(AskNews{Node: fmt.Sprintf("d%d", number), Kind: view.KindData, Have: d.Doc().Stamp, Reports: []Report{{Instance: seen}}}, 1, d.now)
+		d.Ask(AskNews{Node: fmt.Sprintf("d%d", number), Kind: model.KindData, Have: d.Doc().Stamp, Reports: []Report{{Instance: seen}}}, 1, d.now)
 	}
 	d.pass(Wait)
 	d.Flush(true, d.wall, d.now)
@@ -32,7 +32,7 @@
 	few, many := crowded(10), crowded(400)
 	Convey("An ask takes as much from memory however many nodes hold a lease", t, func() {
 		allocations := func(d *desk) float64 {
-			ask := AskNews{Node: "d0", Kind: view.KindData, Have: d.Doc().Stamp}
+			ask := AskNews{Node: "d0", Kind: model.KindData, Have: d.Doc().Stamp}
 			return testing.AllocsPerRun(100, func() {
 				d.Ask(ask, 1, d.now)
 				d.Flush(true, d.wall, d.now+Wait)
@@ -42,7 +42,7 @@
 	})
 	Convey("A case takes as much from memory however many nodes report on other databases", t, func() {
 		allocations := func(d *desk) float64 {
-			heard := instance("a0", view.RolePrimary)
+			heard := instance("a0", model.RolePrimary)
 			heard.Database = "db0"
 			return testing.AllocsPerRun(100, func() {
 				d.Takeover("db0", []Heard{{Instance: heard, At: d.now}}, d.wall, d.now)
@@ -62,10 +62,10 @@
 func TestBesideAsks(t *testing.T) {
 	Convey("What comes beside the asks, and may come late, brings evidence and leaves an instance as the asks have it", t, func() {
 		d := crowded(2)
-		old := instance("a0", view.RolePrimary)
-		old.Database, old.Address, old.Position = "db0", "old:1", view.Position{Term: 1, Index: 8}
+		old := instance("a0", model.RolePrimary)
+		old.Database, old.Address, old.Position = "db0", "old:1", model.Position{Term: 1, Index: 8}
 		d.Gather(Told{Node: "d0", Reports: []Report{{Instance: old, Refused: 2}}}, d.now)
-		d.Gather(Told{Node: "d0", Reports: []Report{{Instance: view.Instance{Name: "never told"}}}}, d.now)
+		d.Gather(Told{Node: "d0", Reports: []Report{{Instance: model.Instance{Name: "never told"}}}}, d.now)
 		at := d.Takeover("db0", nil, d.wall, d.now)
 		So(len(at.Sights), ShouldEqual, 1)
 		So(at.Sights[0].Instance.Address, ShouldEqual, "a0:1")
--- a/pooler/coordination/steer/delta_test.go
+++ b/internal/coordination/distribution/delta_test.go
@@ -1,4 +1,4 @@
-package steer
+package distribution
 
 import (
 	"fmt"
@@ -8,44 +8,44 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/coordination/epoch"
-	"tansyseam.example/pooler/state/table"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/consensus"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
 )
 
-func (d *desk) puts(puts ...table.Put) {
-	d.write(Write{Build: func(*table.Table) []table.Put { return puts }, Done: func() {}})
+func (d *desk) puts(puts ...store.Put) {
+	d.write(Write{Build: func(*store.Table) []store.Put { return puts }, Done: func() {}})
 }
 
-func writerPut(name string, term uint64) table.Put {
-	return table.Put{Key: view.KeyDB + name, Data: table.Encode(view.Writer{Database: name, Term: term, Phase: view.PhaseOpen})}
+func writerPut(name string, term uint64) store.Put {
+	return store.Put{Key: model.KeyDB + name, Data: store.Encode(model.Writer{Database: name, Term: term, Phase: model.PhaseOpen})}
 }
 
-func syncedPut(writer view.Writer) table.Put {
+func syncedPut(writer model.Writer) store.Put {
 	writer.IsSynced = true
-	return table.Put{Key: view.KeyDB + writer.Database, Data: table.Encode(writer)}
+	return store.Put{Key: model.KeyDB + writer.Database, Data: store.Encode(writer)}
 }
 
-func setPut(sequence uint64, moment int64) table.Put {
-	return table.Put{Key: SetKey(sequence), Data: table.Encode(view.Set{Sequence: sequence, Moment: moment})}
+func setPut(sequence uint64, moment int64) store.Put {
+	return store.Put{Key: SetKey(sequence), Data: store.Encode(model.Set{Sequence: sequence, Moment: moment})}
 }
 
-func (d *desk) newsFor(have table.Stamp, isDelta bool) *view.Doc {
-	d.Ask(AskNews{Node: "d1", Kind: view.KindData, Have: have, IsDelta: isDelta}, 1, d.now)
+func (d *desk) newsFor(have store.Stamp, isDelta bool) *model.Doc {
+	d.Ask(AskNews{Node: "d1", Kind: model.KindData, Have: have, IsDelta: isDelta}, 1, d.now)
 	d.pass(Wait)
 	return d.Flush(true, d.wall, d.now)[0].News.Doc
 }
 
 func TestDeltas(t *testing.T) {
 	Convey("Given a tenure with a hundred databases and a node that has taken up all of it", t, func() {
-		d := newDesk(1, table.New())
-		d.Turn(epoch.Record{Epoch: 2, Primary: "c2", Backup: "c1"}, d.held, d.now)
-		d.Turn(epoch.Record{Epoch: 3, Primary: "c1", Backup: "c2"}, d.held, d.now)
+		d := newDesk(1, store.New())
+		d.Turn(consensus.Record{Epoch: 2, Primary: "c2", Backup: "c1"}, d.held, d.now)
+		d.Turn(consensus.Record{Epoch: 3, Primary: "c1", Backup: "c2"}, d.held, d.now)
 		d.puts(setPut(1, 1), setPut(2, 2))
 		for number := range 100 {
 			d.puts(writerPut(fmt.Sprintf("db%d", number), 1))
 		}
-		whole := d.newsFor(table.Stamp{}, true)
+		whole := d.newsFor(store.Stamp{}, true)
 		So(len(whole.Writers), ShouldEqual, 100)
 		have := whole.Stamp
 		Convey("a write brings it what was written, and others all", func() {
@@ -58,16 +58,16 @@
 			So(taken.Writers["db7"].Term, ShouldEqual, 2)
 			So(len(taken.Writers), ShouldEqual, 100)
 			So(len(d.newsFor(have, false).Writers), ShouldEqual, 100)
-			So(len(d.newsFor(table.Stamp{Epoch: 1, Sequence: 900}, true).Writers), ShouldEqual, 100)
-			_, isFit = view.Doc{Stamp: table.Stamp{Epoch: 3, Sequence: 1}}.With(*delta)
+			So(len(d.newsFor(store.Stamp{Epoch: 1, Sequence: 900}, true).Writers), ShouldEqual, 100)
+			_, isFit = model.Doc{Stamp: store.Stamp{Epoch: 3, Sequence: 1}}.With(*delta)
 			So(isFit, ShouldBeFalse)
 		})
 		Convey("a write that is not for the data plane is no news", func() {
-			d.puts(table.Put{Key: view.KeyNode + "d9"}, table.Put{Key: view.KeyEntry + "1"}, table.Put{Key: view.KeyCall + "x"})
+			d.puts(store.Put{Key: model.KeyNode + "d9"}, store.Put{Key: model.KeyEntry + "1"}, store.Put{Key: model.KeyCall + "x"})
 			So(d.newsFor(have, true), ShouldBeNil)
 		})
 		Convey("a set that was dropped is dropped with the next write", func() {
-			d.puts(table.Put{Key: SetKey(1), IsGone: true})
+			d.puts(store.Put{Key: SetKey(1), IsGone: true})
 			d.puts(setPut(3, 0))
 			taken, _ := whole.With(*d.newsFor(have, true))
 			So(taken.Sets, ShouldResemble, d.Doc().Sets)
@@ -75,34 +75,34 @@
 		Convey("the next tenure tells all of its own, also where it knows less", func() {
 			d.puts(writerPut("db7", 2))
 			have = d.newsFor(have, true).Stamp
-			fewer := table.New()
-			fewer.Apply(table.Stamp{Epoch: 3, Sequence: 1}, []table.Put{writerPut("db1", 1)})
-			d.Turn(epoch.Record{Epoch: 4, Primary: "c2"}, fewer, d.now)
-			d.Turn(epoch.Record{Epoch: 5, Primary: "c1"}, fewer, d.now)
+			fewer := store.New()
+			fewer.Apply(store.Stamp{Epoch: 3, Sequence: 1}, []store.Put{writerPut("db1", 1)})
+			d.Turn(consensus.Record{Epoch: 4, Primary: "c2"}, fewer, d.now)
+			d.Turn(consensus.Record{Epoch: 5, Primary: "c1"}, fewer, d.now)
 			d.held = fewer
-			d.puts(table.Put{Key: view.KeyEntry + "2"})
+			d.puts(store.Put{Key: model.KeyEntry + "2"})
 			news := d.newsFor(have, true)
 			So(news, ShouldNotBeNil)
-			So(news.Since, ShouldResemble, table.Stamp{})
+			So(news.Since, ShouldResemble, store.Stamp{})
 			So(len(news.Writers), ShouldEqual, 1)
 		})
 	})
 	Convey("Writer roles that become known one by one go together to an ask that has just come; a role that moves, or a set, goes at once", t, func() {
 		for _, kind := range []struct {
-			puts   []table.Put
+			puts   []store.Put
 			isCalm bool
 		}{
-			{[]table.Put{syncedPut(view.Writer{Database: "db1", Term: 1, Phase: view.PhaseOpen})}, true},
-			{[]table.Put{syncedPut(view.Writer{Database: "db1", Term: 1, Phase: view.PhaseClosing})}, false},
-			{[]table.Put{syncedPut(view.Writer{Database: "db1", Term: 2, Phase: view.PhaseOpen, Holder: "c1"})}, false},
-			{[]table.Put{writerPut("db1", 1)}, false},
-			{[]table.Put{setPut(1, 0)}, false},
+			{[]store.Put{syncedPut(model.Writer{Database: "db1", Term: 1, Phase: model.PhaseOpen})}, true},
+			{[]store.Put{syncedPut(model.Writer{Database: "db1", Term: 1, Phase: model.PhaseClosing})}, false},
+			{[]store.Put{syncedPut(model.Writer{Database: "db1", Term: 2, Phase: model.PhaseOpen, Holder: "c1"})}, false},
+			{[]store.Put{writerPut("db1", 1)}, false},
+			{[]store.Put{setPut(1, 0)}, false},
 		} {
-			d := newDesk(1, table.New())
-			d.Turn(epoch.Record{Epoch: 2, Primary: "c2"}, d.held, d.now)
-			d.Turn(epoch.Record{Epoch: 3, Primary: "c1"}, d.held, d.now)
-			d.puts(syncedPut(view.Writer{Database: "db0", Term: 1, Phase: view.PhaseOpen}))
-			d.Ask(AskNews{Node: "d1", Kind: view.KindData, Have: d.Doc().Stamp, IsDelta: true}, 1, d.now)
+			d := newDesk(1, store.New())
+			d.Turn(consensus.Record{Epoch: 2, Primary: "c2"}, d.held, d.now)
+			d.Turn(consensus.Record{Epoch: 3, Primary: "c1"}, d.held, d.now)
+			d.puts(syncedPut(model.Writer{Database: "db0", Term: 1, Phase: model.PhaseOpen}))
+			d.Ask(AskNews{Node: "d1", Kind: model.KindData, Have: d.Doc().Stamp, IsDelta: true}, 1, d.now)
 			answers := len(d.Flush(true, d.wall, d.now))
 			for range 10 {
 				d.puts(kind.puts...)
@@ -117,10 +117,10 @@
 	Convey("What a node makes of deltas is what it would have been told whole", t, func() {
 		for seed := range int64(20) {
 			dice := rand.New(rand.NewSource(seed))
-			d := newDesk(1, table.New())
-			d.Turn(epoch.Record{Epoch: 2, Primary: "c2"}, d.held, d.now)
-			d.Turn(epoch.Record{Epoch: 3, Primary: "c1"}, d.held, d.now)
-			doc := view.Doc{Writers: map[string]view.Writer{}}
+			d := newDesk(1, store.New())
+			d.Turn(consensus.Record{Epoch: 2, Primary: "c2"}, d.held, d.now)
+			d.Turn(consensus.Record{Epoch: 3, Primary: "c1"}, d.held, d.now)
+			doc := model.Doc{Writers: map[string]model.Writer{}}
 			sequence, lowest := uint64(0), uint64(1)
 			for range 100 {
 				kind := dice.Intn(5)
@@ -132,7 +132,7 @@
 					d.puts(setPut(sequence, int64(dice.Intn(9)+1)))
 				}
 				if kind == 2 && lowest < sequence {
-					d.puts(table.Put{Key: SetKey(lowest), IsGone: true}, setPut(sequence, 3))
+					d.puts(store.Put{Key: SetKey(lowest), IsGone: true}, setPut(sequence, 3))
 					lowest++
 				}
 				if kind >= 3 {
@@ -146,20 +146,20 @@
 					doc, isFit = doc.With(*news)
 					So(isFit, ShouldBeTrue)
 				}
-				So(doc.Sets, ShouldResemble, view.DocOf(d.held).Sets)
-				So(doc.Writers, ShouldResemble, view.DocOf(d.held).Writers)
+				So(doc.Sets, ShouldResemble, model.DocOf(d.held).Sets)
+				So(doc.Writers, ShouldResemble, model.DocOf(d.held).Writers)
 			}
 		}
 	})
 	Convey("A write reads again what it wrote, not the whole state", t, func() {
-		d := newDesk(1, table.New())
+		d := newDesk(1, store.New())
 		for number := range 50 {
 			d.puts(writerPut(fmt.Sprintf("db%d", number), 1))
 		}
 		before, held := d.Doc(), d.held
 		d.puts(writerPut("db3", 2))
-		doc, read := view.DocFrom(d.held, before, held)
+		doc, read := model.DocFrom(d.held, before, held)
 		So(read, ShouldEqual, 1)
-		So(doc, ShouldResemble, view.DocOf(d.held))
+		So(doc, ShouldResemble, model.DocOf(d.held))
 	})
 }
--- a/pooler/coordination/steer/life_test.go
+++ b/internal/coordination/distribution/life_test.go
@@ -1,4 +1,4 @@
-package steer
+package distribution
 
 import (
 	"bytes"
@@ -10,15 +10,15 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/state/table"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
 )
 
 // entries counts what the maps and lists of a value hold, also those behind
 // pointers, but for the table, which is counted by itself.
 func entries(value reflect.Value) int {
 	kind := value.Kind()
-	if value.Type() == reflect.TypeFor[*table.Table]() {
+	if value.Type() == reflect.TypeFor[*store.Table]() {
 		return 0
 	}
 	if kind == reflect.Pointer && !value.IsNil() {
@@ -37,21 +37,21 @@
 }
 
 func TestLongLife(t *testing.T) {
-	routes := func(count, salt int) view.Set {
-		set := view.Set{}
+	routes := func(count, salt int) model.Set {
+		set := model.Set{}
 		for at := range count {
-			set.Bindings = append(set.Bindings, view.Binding{Name: fmt.Sprintf("r-%d-%d", salt, at), Database: "db"})
+			set.Bindings = append(set.Bindings, model.Binding{Name: fmt.Sprintf("r-%d-%d", salt, at), Database: "db"})
 		}
 		return set
 	}
 	Convey("After hundreds of sets, calls and nodes that came and went, what is held is no more than after dozens", t, func() {
-		d := newDesk(1, table.New())
+		d := newDesk(1, store.New())
 		live := func(from, to int) (int, int) {
 			for at := from; at < to; at++ {
 				for one := range 3 {
 					d.ask(fmt.Sprintf("d%d", at/2+one), d.held.Stamp)
 				}
-				d.write(Write{Build: func(held *table.Table) []table.Put {
+				d.write(Write{Build: func(held *store.Table) []store.Put {
 					puts, _ := PutManifest(held, Manifest{Version: uint64(at + 1), Set: routes(3, at), Packed: []byte("raw"), Source: "operator"}, d.wall)
 					return Keep(held, fmt.Sprint("call", at), Outcome{Status: 200, Path: "/v1/manifest/replace"}, puts)
 				}, Done: func() {}})
@@ -61,7 +61,7 @@
 				}
 			}
 			// Entries and kept calls have bounds, and tests, of their own.
-			bounded := len(d.held.Keys(view.KeyEntry)) + len(d.held.Keys(view.KeyCall))
+			bounded := len(d.held.Keys(model.KeyEntry)) + len(d.held.Keys(model.KeyCall))
 			return len(d.held.Records) - bounded, entries(reflect.ValueOf(d.Machine))
 		}
 		records, inside := live(0, 60)
@@ -71,17 +71,17 @@
 		So(len(d.Doc().Sets), ShouldBeLessThanOrEqualTo, 3)
 	})
 	Convey("Thousands of routes, replaced one after the other, fit a disk of 128 MB many times over, with all versions that are kept", t, func() {
-		d := newDesk(1, table.New())
+		d := newDesk(1, store.New())
 		raw := bytes.Repeat([]byte("x"), 2<<20)
 		most := 0
 		for at := range 12 {
-			d.ask("d1", table.Stamp{})
-			d.write(Write{Build: func(held *table.Table) []table.Put {
+			d.ask("d1", store.Stamp{})
+			d.write(Write{Build: func(held *store.Table) []store.Put {
 				puts, _ := PutManifest(held, Manifest{Version: uint64(at + 1), Set: routes(8000, at), Packed: raw, Source: "operator"}, d.wall)
 				return puts
 			}, Done: func() {}})
 			d.settle()
-			most = max(most, len(table.Encode(*d.held)))
+			most = max(most, len(store.Encode(*d.held)))
 			d.pass(3 * time.Second)
 			d.settle()
 		}
@@ -98,12 +98,12 @@
 	Convey("However the time of day steps while changes are booked, each lands once, in order, and none moves its moment before an earlier one's, also under another primary", t, func() {
 		for _, jumps := range steps {
 			for _, isTurned := range []bool{false, true} {
-				d := newDesk(1, table.New())
+				d := newDesk(1, store.New())
 				var want, got []string
 				for at := range 6 {
 					id := fmt.Sprintf("b%d", at)
-					puts, _ := BookSet(d.held, id, d.wall+int64(time.Duration(2*at+2)*time.Second), []view.Binding{{Name: id, Database: "x"}}, d.wall)
-					So(d.write(Write{Build: func(*table.Table) []table.Put { return puts }, Done: func() {}}), ShouldBeGreaterThan, 0)
+					puts, _ := BookSet(d.held, id, d.wall+int64(time.Duration(2*at+2)*time.Second), []model.Binding{{Name: id, Database: "x"}}, d.wall)
+					So(d.write(Write{Build: func(*store.Table) []store.Put { return puts }, Done: func() {}}), ShouldBeGreaterThan, 0)
 					want = append(want, "booking "+id)
 				}
 				seen := uint64(0)
--- a/pooler/coordination/steer/steer.go
+++ b/internal/coordination/distribution/steer.go
@@ -1,8 +1,8 @@
-// Package steer is the machine of the control primary beside the epoch
+// Package distribution is the machine of the control primary beside the epoch
 // machine: news and leases for the data plane, the evidence behind the
 // writer roles, and the landing of binding sets. It has no clock, no links
 // and no disk of its own.
-package steer
+package distribution
 
 import (
 	"fmt"
@@ -10,19 +10,19 @@
 	"slices"
 	"time"
 
-	"tansyseam.example/pooler/coordination/epoch"
-	"tansyseam.example/pooler/coordination/failover"
-	"tansyseam.example/pooler/coordination/lease"
-	"tansyseam.example/pooler/coordination/timeline"
-	"tansyseam.example/pooler/state/table"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/consensus"
+	"tansyseam/internal/coordination/failover/asyncrepl"
+	"tansyseam/internal/coordination/lease"
+	"tansyseam/internal/coordination/schedule"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
 )
 
 // Report is what one node sees of one instance. Of an instance of which the
 // control primary has all by an earlier ask of the same run, it holds only the
 // name, and the position where that turned.
 type Report struct {
-	Instance view.Instance
+	Instance model.Instance
 	// Announced, of instances that are not synced, and Answered are how long
 	// ago.
 	Announced time.Duration
@@ -42,9 +42,9 @@
 type AskNews struct {
 	Node    string
 	Kind    string
-	Have    table.Stamp
+	Have    store.Stamp
 	Reports []Report
-	Highs   map[string]view.Position
+	Highs   map[string]model.Position
 	// Shows is the sequence of the set in force at the node.
 	Shows uint64
 	// Via names the peer that passes the ask on.
@@ -76,7 +76,7 @@
 type Told struct {
 	Node    string
 	Reports []Report
-	Highs   map[string]view.Position
+	Highs   map[string]model.Position
 	// Known is that of AskNews.
 	Known uint64
 }
@@ -85,12 +85,12 @@
 // was written since where the asker takes that and has one of this tenure.
 type News struct {
 	IsPrimary bool
-	Record    epoch.Record
+	Record    consensus.Record
 	Lease     time.Duration
 	Wall      int64
 	// Held is how long the ask waited for its answer.
 	Held time.Duration
-	Doc  *view.Doc
+	Doc  *model.Doc
 	// Tenure numbers the tenure that took in the ask. Where the ask left out
 	// what that one has not, nothing of it was taken in, and there is no lease.
 	Tenure uint64
@@ -98,7 +98,7 @@
 	// roll, all of them where that is of another tenure. What is not among
 	// them may still live; what has gone is marked so.
 	Roll      Roll
-	Instances []view.Instance
+	Instances []model.Instance
 }
 
 // Wait is the longest that an ask waits for news where the timing names none.
@@ -123,7 +123,7 @@
 // Write is an effect: puts to be decided against the state at their turn.
 // Done must be called when the write has ended, however it ended.
 type Write struct {
-	Build func(*table.Table) []table.Put
+	Build func(*store.Table) []store.Put
 	Done  func()
 }
 
@@ -133,9 +133,9 @@
 }
 
 type settledAt struct {
-	stamp  table.Stamp
+	stamp  store.Stamp
 	since  time.Duration
-	mark   view.Position
+	mark   model.Position
 	isMark bool
 }
 
@@ -143,9 +143,9 @@
 type Machine struct {
 	self    string
 	timing  lease.Timing
-	record  epoch.Record
-	table   *table.Table
-	doc     view.Doc
+	record  consensus.Record
+	table   *store.Table
+	doc     model.Doc
 	desk    *lease.Desk
 	waiters []waiter
 	// reports are by instance and node, reportsOn names the instances of each
@@ -155,7 +155,7 @@
 	told      map[string]time.Duration
 	// isWhole says of which nodes this tenure has all that they told.
 	isWhole     map[string]bool
-	highs       map[string]view.Position
+	highs       map[string]model.Position
 	shows       map[string]uint64
 	shown       uint64
 	settled     map[string]settledAt
@@ -165,11 +165,11 @@
 	number      uint64
 	runs        uint64
 	isEnrolling map[string]bool
-	inherited   table.Stamp
+	inherited   store.Stamp
 	// from is the epoch in which this tenure began, and first the stamp of the
 	// first write that it published; a node that has that has no other past.
 	from   uint64
-	first  table.Stamp
+	first  store.Stamp
 	isSure bool
 
 	roll     map[string]listed
@@ -179,12 +179,12 @@
 	evidence map[string]time.Duration
 	event    uint64
 	covered  map[string]uint64
-	marks    map[string]view.Position
+	marks    map[string]model.Position
 	phases   map[string]phaseAt
 }
 
 // New makes the machine with the record and state held on disk.
-func New(self string, timing lease.Timing, record epoch.Record, held *table.Table, now time.Duration) *Machine {
+func New(self string, timing lease.Timing, record consensus.Record, held *store.Table, now time.Duration) *Machine {
 	m := &Machine{self: self, timing: timing, record: record, from: record.Epoch + 1}
 	m.Wrote(held)
 	m.clear(now)
@@ -198,7 +198,7 @@
 	m.runs++
 	m.reports, m.reportsOn = map[string]map[string]reported{}, map[string]map[string]bool{}
 	m.told, m.isWhole = map[string]time.Duration{}, map[string]bool{}
-	m.highs = map[string]view.Position{}
+	m.highs = map[string]model.Position{}
 	m.shows, m.shown = map[string]uint64{}, 0
 	m.settled = map[string]settledAt{}
 	m.isLand, m.isTidy = false, false
@@ -208,42 +208,42 @@
 
 func (m *Machine) known() []string {
 	var names []string
-	for _, key := range m.table.Keys(view.KeyNode) {
-		names = append(names, key[len(view.KeyNode):])
+	for _, key := range m.table.Keys(model.KeyNode) {
+		names = append(names, key[len(model.KeyNode):])
 	}
 	return names
 }
 
 func (m *Machine) isKnown(node string) bool {
-	_, isHeld := m.table.Records[view.KeyNode+node]
+	_, isHeld := m.table.Records[model.KeyNode+node]
 	return isHeld
 }
 
 // Enroll gives the write that puts on record the nodes that ask for a lease
 // and are not, and strikes those long without one.
 func (m *Machine) Enroll(wall int64, now time.Duration) (Write, bool) {
-	var puts []table.Put
+	var puts []store.Put
 	var names []string
 	for _, held := range m.waiters {
 		node := held.ask.Node
-		if held.ask.Kind == view.KindData && !m.isKnown(node) && !m.isEnrolling[node] {
+		if held.ask.Kind == model.KindData && !m.isKnown(node) && !m.isEnrolling[node] {
 			m.isEnrolling[node] = true
 			names = append(names, node)
-			puts = append(puts, table.Put{Key: view.KeyNode + node, Data: table.Encode(wall)})
+			puts = append(puts, store.Put{Key: model.KeyNode + node, Data: store.Encode(wall)})
 		}
 	}
 	for _, node := range m.desk.Lapsed(now, forget) {
 		if m.isKnown(node) && !m.isEnrolling[node] {
 			m.isEnrolling[node] = true
 			names = append(names, node)
-			puts = append(puts, table.Put{Key: view.KeyNode + node, IsGone: true})
+			puts = append(puts, store.Put{Key: model.KeyNode + node, IsGone: true})
 		}
 	}
 	if len(puts) == 0 {
 		return Write{}, false
 	}
 	return Write{
-		Build: func(*table.Table) []table.Put { return puts },
+		Build: func(*store.Table) []store.Put { return puts },
 		Done: func() {
 			for _, node := range names {
 				delete(m.isEnrolling, node)
@@ -270,11 +270,11 @@
 
 // Turn takes an epoch record; it gives true when this machine has become
 // primary, with nothing known of what an earlier one gave out.
-func (m *Machine) Turn(record epoch.Record, held *table.Table, now time.Duration) bool {
+func (m *Machine) Turn(record consensus.Record, held *store.Table, now time.Duration) bool {
 	isNew := record.Primary == m.self && m.record.Primary != m.self
 	m.record = record
 	if isNew {
-		m.from, m.first = record.Epoch, table.Stamp{}
+		m.from, m.first = record.Epoch, store.Stamp{}
 	}
 	m.Wrote(held)
 	if isNew {
@@ -288,11 +288,11 @@
 func (m *Machine) Trust(isSure bool) { m.isSure = isSure }
 
 // Wrote takes the state that is safe to publish.
-func (m *Machine) Wrote(held *table.Table) {
+func (m *Machine) Wrote(held *store.Table) {
 	before := m.doc
-	m.doc, _ = view.DocFrom(held, before, m.table)
+	m.doc, _ = model.DocFrom(held, before, m.table)
 	m.table = held
-	if m.first == (table.Stamp{}) && held.Stamp.Epoch >= m.from {
+	if m.first == (store.Stamp{}) && held.Stamp.Epoch >= m.from {
 		m.first = held.Stamp
 	}
 	if m.doc.Stamp.IsBefore(m.first) {
@@ -305,16 +305,16 @@
 }
 
 // Record gives the epoch record.
-func (m *Machine) Record() epoch.Record { return m.record }
+func (m *Machine) Record() consensus.Record { return m.record }
 
 // Table gives the published state, to be read only.
-func (m *Machine) Table() *table.Table { return m.table }
+func (m *Machine) Table() *store.Table { return m.table }
 
 // Doc gives the data plane's part of it.
-func (m *Machine) Doc() view.Doc { return m.doc }
+func (m *Machine) Doc() model.Doc { return m.doc }
 
 // Held lists the nodes that may hold a lease, with what each has taken up.
-func (m *Machine) Held(now time.Duration) map[string]table.Stamp { return m.desk.Held(now) }
+func (m *Machine) Held(now time.Duration) map[string]store.Stamp { return m.desk.Held(now) }
 
 // Shows gives the sequence in force at a node, as it last said.
 func (m *Machine) Shows(node string) uint64 { return m.shows[node] }
@@ -322,7 +322,7 @@
 // Ask takes an ask; it is answered by Flush.
 func (m *Machine) Ask(ask AskNews, token uint64, now time.Duration) {
 	isUnfit := ask.Known != 0 && (ask.Known != m.number || !m.isWhole[ask.Node])
-	if ask.Kind == view.KindData && !isUnfit {
+	if ask.Kind == model.KindData && !isUnfit {
 		m.watch(now)
 		isLate := !m.noteAsk(ask)
 		m.desk.OnAsk(ask.Node, ask.Have, now)
@@ -364,14 +364,14 @@
 // with gives the instance that a node had told of, at the place that it tells
 // now. What comes beside the asks may come late, so the rest stays as the
 // node's asks have it, which later ones build on.
-func with(before, brief view.Instance) view.Instance {
-	if brief.Position != (view.Position{}) {
+func with(before, brief model.Instance) model.Instance {
+	if brief.Position != (model.Position{}) {
 		before.Position = brief.Position
 	}
 	return before
 }
 
-func (m *Machine) raise(highs map[string]view.Position) {
+func (m *Machine) raise(highs map[string]model.Position) {
 	for name, high := range highs {
 		m.highs[name] = m.highs[name].Later(high)
 	}
@@ -441,7 +441,7 @@
 			if m.isRollNews(held.ask, wall) {
 				news.Roll, news.Instances = Roll{Tenure: m.tenureOf(wall), Number: m.rollNo}, m.rollSince(held.ask.Roll)
 			}
-			if held.ask.Kind == view.KindData && m.isKnown(held.ask.Node) && !m.isEnrolling[held.ask.Node] {
+			if held.ask.Kind == model.KindData && m.isKnown(held.ask.Node) && !m.isEnrolling[held.ask.Node] {
 				news.Lease = m.desk.Grant(held.ask.Node, m.room(wall), now)
 			}
 		}
@@ -458,25 +458,25 @@
 // isCalm says whether all that was written since an ask's stamp is of writer
 // roles of synced databases that never moved.
 func (m *Machine) isCalm(ask AskNews) bool {
-	if m.first == (table.Stamp{}) || ask.Have.IsBefore(m.first) {
+	if m.first == (store.Stamp{}) || ask.Have.IsBefore(m.first) {
 		return false
 	}
 	isAfter := func(key string) bool { return ask.Have.IsBefore(m.table.Records[key].Stamp) }
-	if slices.ContainsFunc(m.doc.Sets, func(set view.Set) bool { return isAfter(view.SetKey(set.Sequence)) }) {
+	if slices.ContainsFunc(m.doc.Sets, func(set model.Set) bool { return isAfter(model.SetKey(set.Sequence)) }) {
 		return false
 	}
 	for name, writer := range m.doc.Writers {
-		isResting := writer.IsSynced && writer.Phase == view.PhaseOpen && writer.Holder == ""
-		if !isResting && isAfter(view.KeyDB+name) {
+		isResting := writer.IsSynced && writer.Phase == model.PhaseOpen && writer.Holder == ""
+		if !isResting && isAfter(model.KeyDB+name) {
 			return false
 		}
 	}
 	return true
 }
 
-func (m *Machine) docSince(ask AskNews) *view.Doc {
+func (m *Machine) docSince(ask AskNews) *model.Doc {
 	doc := m.doc
-	if ask.IsDelta && m.first != (table.Stamp{}) && !ask.Have.IsBefore(m.first) {
+	if ask.IsDelta && m.first != (store.Stamp{}) && !ask.Have.IsBefore(m.first) {
 		doc = doc.After(ask.Have, m.table)
 	}
 	return &doc
@@ -484,7 +484,7 @@
 
 // Heard is an instance as this machine itself heard it.
 type Heard struct {
-	Instance view.Instance
+	Instance model.Instance
 	At       time.Duration
 }
 
@@ -506,11 +506,11 @@
 }
 
 // Case puts together what a database's duty decides on.
-func (m *Machine) Case(database string, heard []Heard, wall int64, now time.Duration) failover.Case {
+func (m *Machine) Case(database string, heard []Heard, wall int64, now time.Duration) asyncrepl.Case {
 	writer, isKnown := m.doc.Writers[database]
-	writer = view.CloneWriter(writer)
+	writer = model.CloneWriter(writer)
 	writer.High = writer.High.Later(m.highs[database])
-	at := failover.Case{Database: database, Writer: writer, IsKnown: isKnown, Wall: wall, Age: now - m.desk.Began()}
+	at := asyncrepl.Case{Database: database, Writer: writer, IsKnown: isKnown, Wall: wall, Age: now - m.desk.Began()}
 	for name, told := range m.told {
 		if now-told < time.Second && m.desk.IsHeld(name, now) {
 			at.Asked++
@@ -527,8 +527,8 @@
 
 const never = time.Hour
 
-func (m *Machine) sight(heard Heard, now time.Duration) failover.Sight {
-	sight := failover.Sight{Instance: heard.Instance, Heard: now - heard.At, Placed: never}
+func (m *Machine) sight(heard Heard, now time.Duration) asyncrepl.Sight {
+	sight := asyncrepl.Sight{Instance: heard.Instance, Heard: now - heard.At, Placed: never}
 	told := sight.Heard
 	reports := m.reports[heard.Instance.Name]
 	for _, node := range slices.Sorted(maps.Keys(reports)) {
@@ -543,7 +543,7 @@
 		if since := age + min(one.report.Announced, max(one.report.Placed, one.report.Answered)); since < told {
 			told, sight.Placed, sight.Instance = since, one.report.Placed+age, one.report.Instance
 		}
-		if nearest > failover.DefaultTiming().Silence {
+		if nearest > asyncrepl.DefaultTiming().Silence {
 			sight.Silent++
 		}
 		sight.Lagging = max(sight.Lagging, one.report.Lagging)
@@ -551,8 +551,8 @@
 	return sight
 }
 
-func (m *Machine) settle(at *failover.Case, now time.Duration) {
-	record, isHeld := m.table.Records[view.KeyDB+at.Database]
+func (m *Machine) settle(at *asyncrepl.Case, now time.Duration) {
+	record, isHeld := m.table.Records[model.KeyDB+at.Database]
 	if !isHeld || !m.desk.Settled(record.Stamp, now) {
 		delete(m.settled, at.Database)
 		return
@@ -576,9 +576,9 @@
 // RecordCase asks the primary to write a writer record in place of the one
 // the case showed.
 type RecordCase struct {
-	Before   view.Writer
+	Before   model.Writer
 	IsKnown  bool
-	After    view.Writer
+	After    model.Writer
 	What     string
 	Evidence string
 	By       string
@@ -586,9 +586,9 @@
 
 // Record gives the puts of a RecordCase, or none where the record has
 // changed since the case was shown.
-func Record(held *table.Table, ask RecordCase, wall int64) []table.Put {
-	key := view.KeyDB + ask.After.Database
-	now, isKnown := table.Get[view.Writer](held, key)
+func Record(held *store.Table, ask RecordCase, wall int64) []store.Put {
+	key := model.KeyDB + ask.After.Database
+	now, isKnown := store.Get[model.Writer](held, key)
 	isSame := isKnown == ask.IsKnown && now.Term == ask.Before.Term && now.Phase == ask.Before.Phase &&
 		now.Intent == ask.Before.Intent && now.Calls == ask.Before.Calls && now.Fence == ask.Before.Fence &&
 		(!now.IsSynced || now.Since == ask.Before.Since) &&
@@ -596,7 +596,7 @@
 	if !isSame {
 		return nil
 	}
-	puts := []table.Put{{Key: key, Data: table.Encode(ask.After)}}
+	puts := []store.Put{{Key: key, Data: store.Encode(ask.After)}}
 	return append(puts, EntryPuts(held, wall, "database "+ask.After.Database, ask.What, ask.Evidence+" (duty held by "+ask.By+")")...)
 }
 
@@ -615,26 +615,26 @@
 const entriesKept = 400
 
 // EntryPuts adds a line to the fleet's own account of what it did.
-func EntryPuts(held *table.Table, wall int64, subject, what, evidence string) []table.Put {
-	keys := held.Keys(view.KeyEntry)
+func EntryPuts(held *store.Table, wall int64, subject, what, evidence string) []store.Put {
+	keys := held.Keys(model.KeyEntry)
 	order := uint64(1)
 	if len(keys) > 0 {
-		if last, isHeld := table.Get[view.Entry](held, keys[len(keys)-1]); isHeld {
+		if last, isHeld := store.Get[model.Entry](held, keys[len(keys)-1]); isHeld {
 			order = last.Order + 1
 		}
 	}
-	puts := []table.Put{{
-		Key:  fmt.Sprintf("%s%012d", view.KeyEntry, order),
-		Data: table.Encode(view.Entry{Order: order, At: wall, Subject: subject, What: what, Evidence: evidence}),
+	puts := []store.Put{{
+		Key:  fmt.Sprintf("%s%012d", model.KeyEntry, order),
+		Data: store.Encode(model.Entry{Order: order, At: wall, Subject: subject, What: what, Evidence: evidence}),
 	}}
 	for at := 0; at+entriesKept < len(keys); at++ {
-		puts = append(puts, table.Put{Key: keys[at], IsGone: true})
+		puts = append(puts, store.Put{Key: keys[at], IsGone: true})
 	}
 	return puts
 }
 
 // SetKey is the key of a binding set.
-func SetKey(sequence uint64) string { return view.SetKey(sequence) }
+func SetKey(sequence uint64) string { return model.SetKey(sequence) }
 
 // Land gives the next write that brings a booked or pending set on its way,
 // if one is due: a booking is taken a little before its moment, and a set
@@ -650,15 +650,15 @@
 	}
 	if _, isDue := nextBooking(m.table, wall); isDue {
 		m.isLand = true
-		return Write{Build: func(held *table.Table) []table.Put { return takeBooking(held, wall) }, Done: done}, true
+		return Write{Build: func(held *store.Table) []store.Put { return takeBooking(held, wall) }, Done: done}, true
 	}
 	if moved := m.catchUp(wall); len(moved) > 0 && m.mayMove(moved, now) {
 		m.isLand = true
-		return Write{Build: func(held *table.Table) []table.Put {
-			var puts []table.Put
+		return Write{Build: func(held *store.Table) []store.Put {
+			var puts []store.Put
 			for _, set := range moved {
 				if _, isHeld := held.Records[SetKey(set.Sequence)]; isHeld {
-					puts = append(puts, table.Put{Key: SetKey(set.Sequence), Data: table.Encode(set)})
+					puts = append(puts, store.Put{Key: SetKey(set.Sequence), Data: store.Encode(set)})
 				}
 			}
 			return puts
@@ -675,14 +675,14 @@
 	m.isLand = true
 	moment := wall + int64(earliest-now)
 	seen, by := m.doc.Stamp, m.tenure
-	return Write{Build: func(held *table.Table) []table.Put { return setMoments(held, seen, moment, wall, by) }, Done: done}, true
+	return Write{Build: func(held *store.Table) []store.Put { return setMoments(held, seen, moment, wall, by) }, Done: done}, true
 }
 
-func (m *Machine) catchUp(wall int64) []view.Set {
-	if !slices.ContainsFunc(m.doc.Sets, func(set view.Set) bool { return set.Moment > wall }) {
+func (m *Machine) catchUp(wall int64) []model.Set {
+	if !slices.ContainsFunc(m.doc.Sets, func(set model.Set) bool { return set.Moment > wall }) {
 		return nil
 	}
-	var moved []view.Set
+	var moved []model.Set
 	for _, set := range m.doc.Sets {
 		isAhead := set.Moment > wall
 		isOld := set.By != m.tenure && wall >= set.Due && !m.isHonest(set, wall)
@@ -697,47 +697,47 @@
 // mayMove says whether moments may be brought forward: where a node shows each set
 // already, or once no lease of an earlier tenure is left, by which a node that has not
 // heard of it would serve under the set before until the moment that it was told.
-func (m *Machine) mayMove(moved []view.Set, now time.Duration) bool {
-	isShown := !slices.ContainsFunc(moved, func(set view.Set) bool { return set.Sequence > m.shown })
+func (m *Machine) mayMove(moved []model.Set, now time.Duration) bool {
+	isShown := !slices.ContainsFunc(moved, func(set model.Set) bool { return set.Sequence > m.shown })
 	return isShown || now >= m.desk.Began()+m.timing.Full
 }
 
 // isHonest says whether a moment set by an earlier tenure may lie ahead by the
 // clock: one is set that far ahead, and all who hold a lease past it know it.
-func (m *Machine) isHonest(set view.Set, wall int64) bool {
+func (m *Machine) isHonest(set model.Set, wall int64) bool {
 	return m.isSure && time.Duration(set.Moment-wall) < m.timing.Full+m.timing.Margin
 }
 
-func nextBooking(held *table.Table, wall int64) (view.Booking, bool) {
-	var bookings []view.Booking
-	for _, key := range held.Keys(view.KeyBook) {
-		if booking, isHeld := table.Get[view.Booking](held, key); isHeld {
+func nextBooking(held *store.Table, wall int64) (model.Booking, bool) {
+	var bookings []model.Booking
+	for _, key := range held.Keys(model.KeyBook) {
+		if booking, isHeld := store.Get[model.Booking](held, key); isHeld {
 			bookings = append(bookings, booking)
 		}
 	}
-	return timeline.Next(bookings, wall)
+	return schedule.Next(bookings, wall)
 }
 
-func takeBooking(held *table.Table, wall int64) []table.Put {
+func takeBooking(held *store.Table, wall int64) []store.Put {
 	booking, isDue := nextBooking(held, wall)
 	if !isDue {
 		return nil
 	}
-	key := view.KeyBook + booking.ID
-	newest := view.DocOf(held).Newest()
-	set := follow(newest, view.Set{Bindings: booking.Bindings, Due: booking.At, Taken: wall, Source: "booking " + booking.ID})
-	puts := []table.Put{{Key: key, IsGone: true}, {Key: SetKey(set.Sequence), Data: table.Encode(set)}}
+	key := model.KeyBook + booking.ID
+	newest := model.DocOf(held).Newest()
+	set := follow(newest, model.Set{Bindings: booking.Bindings, Due: booking.At, Taken: wall, Source: "booking " + booking.ID})
+	puts := []store.Put{{Key: key, IsGone: true}, {Key: SetKey(set.Sequence), Data: store.Encode(set)}}
 	return append(puts, EntryPuts(held, wall, "bindings", fmt.Sprintf("booked change %s taken as sequence %d", booking.ID, set.Sequence), "its moment is near")...)
 }
 
-func setMoments(held *table.Table, seen table.Stamp, moment, wall int64, by string) []table.Put {
-	doc := view.DocOf(held)
-	var puts []table.Put
+func setMoments(held *store.Table, seen store.Stamp, moment, wall int64, by string) []store.Put {
+	doc := model.DocOf(held)
+	var puts []store.Put
 	last := uint64(0)
-	for _, set := range timeline.Moment(doc.Sets, moment) {
+	for _, set := range schedule.Moment(doc.Sets, moment) {
 		if stamp := held.Records[SetKey(set.Sequence)].Stamp; !seen.IsBefore(stamp) {
 			set.By = by
-			puts = append(puts, table.Put{Key: SetKey(set.Sequence), Data: table.Encode(set)})
+			puts = append(puts, store.Put{Key: SetKey(set.Sequence), Data: store.Encode(set)})
 			last = set.Sequence
 		}
 	}
@@ -763,17 +763,17 @@
 		return Write{}, false
 	}
 	m.isTidy = true
-	return Write{Build: func(held *table.Table) []table.Put {
-		var puts []table.Put
-		for _, set := range view.DocOf(held).Sets {
+	return Write{Build: func(held *store.Table) []store.Put {
+		var puts []store.Put
+		for _, set := range model.DocOf(held).Sets {
 			if set.Sequence < lowest {
-				puts = append(puts, table.Put{Key: SetKey(set.Sequence), IsGone: true})
+				puts = append(puts, store.Put{Key: SetKey(set.Sequence), IsGone: true})
 			}
 		}
-		raws := held.Keys(view.KeyRaw)
+		raws := held.Keys(model.KeyRaw)
 		for at, key := range raws {
 			if at+1 < len(raws) && key < RawKey(lowest) {
-				puts = append(puts, table.Put{Key: key, IsGone: true})
+				puts = append(puts, store.Put{Key: key, IsGone: true})
 			}
 		}
 		return puts
