--- a/pooler/coordination/steer/synced.go
+++ b/internal/coordination/distribution/synced.go
@@ -1,4 +1,4 @@
-package steer
+package distribution
 
 import (
 	"fmt"
@@ -8,16 +8,16 @@
 	"strings"
 	"time"
 
-	"tansyseam.example/pooler/coordination/takeover"
-	"tansyseam.example/pooler/state/table"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/failover/syncrepl"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
 )
 
 type phaseAt struct {
 	term    uint64
 	phase   string
 	since   int64
-	stamp   table.Stamp
+	stamp   store.Stamp
 	settled time.Duration
 }
 
@@ -26,7 +26,7 @@
 	m.births, m.lapses = map[string]lives{}, 0
 	m.evidence = map[string]time.Duration{}
 	m.event = 1
-	m.covered, m.marks, m.phases = map[string]uint64{}, map[string]view.Position{}, map[string]phaseAt{}
+	m.covered, m.marks, m.phases = map[string]uint64{}, map[string]model.Position{}, map[string]phaseAt{}
 }
 
 func (m *Machine) wait() time.Duration {
@@ -53,13 +53,13 @@
 	return m.tenure
 }
 
-func rollOf(instance view.Instance) view.Instance {
-	instance.Position, instance.Term, instance.Calls, instance.Birth = view.Position{}, 0, 0, ""
+func rollOf(instance model.Instance) model.Instance {
+	instance.Position, instance.Term, instance.Calls, instance.Birth = model.Position{}, 0, 0, ""
 	return instance
 }
 
 type listed struct {
-	instance view.Instance
+	instance model.Instance
 	turned   uint64
 }
 
@@ -83,7 +83,7 @@
 }
 
 // Enlist takes one instance into the roll, and gives true for a new number.
-func (m *Machine) Enlist(instance view.Instance) bool {
+func (m *Machine) Enlist(instance model.Instance) bool {
 	instance = rollOf(instance)
 	if !instance.IsSynced || m.roll[instance.Name].instance == instance {
 		return false
@@ -93,23 +93,23 @@
 	return true
 }
 
-func (m *Machine) rollSince(held Roll) []view.Instance {
+func (m *Machine) rollSince(held Roll) []model.Instance {
 	after := uint64(0)
 	if held.Tenure == m.tenure {
 		after = held.Number
 	}
-	var list []view.Instance
+	var list []model.Instance
 	for _, one := range m.roll {
 		if one.turned > after {
 			list = append(list, one.instance)
 		}
 	}
-	slices.SortFunc(list, func(a, b view.Instance) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(list, func(a, b model.Instance) int { return strings.Compare(a.Name, b.Name) })
 	return list
 }
 
 func (m *Machine) isRollNews(ask AskNews, wall int64) bool {
-	return ask.Kind == view.KindData && m.rollNo > 0 && ask.Roll != Roll{Tenure: m.tenureOf(wall), Number: m.rollNo}
+	return ask.Kind == model.KindData && m.rollNo > 0 && ask.Roll != Roll{Tenure: m.tenureOf(wall), Number: m.rollNo}
 }
 
 func (m *Machine) watch(now time.Duration) {
@@ -157,7 +157,7 @@
 	m.evidence[report.Instance.Name] = max(m.evidence[report.Instance.Name], at)
 }
 
-func (m *Machine) noteTerms(before view.Doc) {
+func (m *Machine) noteTerms(before model.Doc) {
 	for name, writer := range m.doc.Writers {
 		old, isKnown := before.Writers[name]
 		if isKnown && writer.Term != old.Term && m.covered != nil {
@@ -168,7 +168,7 @@
 
 // Covers takes a position that holds all that was acknowledged before an
 // event that this tenure showed.
-func (m *Machine) Covers(mark takeover.Mark) {
+func (m *Machine) Covers(mark syncrepl.Mark) {
 	if mark.Tenure != m.tenure || mark.Event > m.event {
 		return
 	}
@@ -184,13 +184,13 @@
 }
 
 // Takeover puts together what the duty of a synced database decides on.
-func (m *Machine) Takeover(database string, heard []Heard, wall int64, now time.Duration) takeover.Case {
+func (m *Machine) Takeover(database string, heard []Heard, wall int64, now time.Duration) syncrepl.Case {
 	m.watch(now)
 	writer, isKnown := m.doc.Writers[database]
-	writer = view.CloneWriter(writer)
+	writer = model.CloneWriter(writer)
 	writer.High = writer.High.Later(m.highs[database])
-	at := takeover.Case{
-		Database: database, Writer: writer, IsKnown: isKnown, Stamp: m.table.Records[view.KeyDB+database].Stamp, Wall: wall,
+	at := syncrepl.Case{
+		Database: database, Writer: writer, IsKnown: isKnown, Stamp: m.table.Records[model.KeyDB+database].Stamp, Wall: wall,
 		Age: now - m.desk.Began(), Tenure: m.tenureOf(wall), Event: m.event, Covered: m.covered[database],
 		Bound: m.marks[database].Later(writer.High),
 	}
@@ -210,10 +210,10 @@
 	return at
 }
 
-func (m *Machine) reportedOf(database string) []view.Instance {
-	var list []view.Instance
+func (m *Machine) reportedOf(database string) []model.Instance {
+	var list []model.Instance
 	for _, name := range slices.Sorted(maps.Keys(m.reportsOn[database])) {
-		last, found := "", view.Instance{}
+		last, found := "", model.Instance{}
 		for node, one := range m.reports[name] {
 			if one.report.Instance.IsSynced && one.report.Instance.Address != "" && node > last {
 				last, found = node, one.report.Instance
@@ -226,8 +226,8 @@
 	return list
 }
 
-func (m *Machine) syncedSight(instance view.Instance, heard, now time.Duration) takeover.Sight {
-	sight := takeover.Sight{Instance: instance, Heard: heard, Answered: time.Hour, Blank: now - max(m.evidence[instance.Name], m.desk.Began())}
+func (m *Machine) syncedSight(instance model.Instance, heard, now time.Duration) syncrepl.Sight {
+	sight := syncrepl.Sight{Instance: instance, Heard: heard, Answered: time.Hour, Blank: now - max(m.evidence[instance.Name], m.desk.Began())}
 	for node, one := range m.reports[instance.Name] {
 		age := now - one.at
 		if !m.desk.IsHeld(node, now) {
@@ -244,14 +244,14 @@
 		if isLately && one.report.Refused >= 2 {
 			sight.Refused++
 		}
-		if isLately && one.report.Overdue > takeover.DefaultTiming().Overdue {
+		if isLately && one.report.Overdue > syncrepl.DefaultTiming().Overdue {
 			sight.Overdue++
 		}
 	}
 	return sight
 }
 
-func (m *Machine) settlePhase(at *takeover.Case, now time.Duration) {
+func (m *Machine) settlePhase(at *syncrepl.Case, now time.Duration) {
 	writer := at.Writer
 	known, isKnown := m.phases[at.Database]
 	isSame := isKnown && known.term == writer.Term && known.phase == writer.Phase && known.since == writer.Since
--- a/pooler/coordination/steer/versions_test.go
+++ b/internal/coordination/distribution/versions_test.go
@@ -1,24 +1,24 @@
-package steer
+package distribution
 
 import (
 	"testing"
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/state/table"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
 )
 
 func manifestOf(version uint64, content string) Manifest {
-	set := view.Set{Bindings: []view.Binding{{Name: content, Database: "db"}}}
+	set := model.Set{Bindings: []model.Binding{{Name: content, Database: "db"}}}
 	return Manifest{Version: version, Set: set, Digest: DigestOf(set, []byte(content)), Source: "test"}
 }
 
 func TestOneContentUnderOneVersion(t *testing.T) {
 	Convey("Of two contents under one version the first is taken, and the other refused; the first is acknowledged again", t, func() {
-		d := newDesk(1, table.New())
+		d := newDesk(1, store.New())
 		put := func(sent Manifest) (isTaken, isConflict bool) {
-			d.write(Write{Build: func(held *table.Table) []table.Put {
+			d.write(Write{Build: func(held *store.Table) []store.Put {
 				puts, isOther := PutManifest(held, sent, d.wall)
 				isTaken, isConflict = len(puts) > 0, isOther
 				return puts
@@ -41,11 +41,11 @@
 		So(isTaken || isConflict, ShouldBeFalse)
 	})
 	Convey("What was taken under the last thousand versions is known after thousands, and what is kept of that is bounded", t, func() {
-		held := table.New()
+		held := store.New()
 		const last = 3 * VersionsKept
 		for sequence := uint64(1); sequence <= last; sequence++ {
 			one := takenVersion{Version: 2 * sequence, Digest: Digest{byte(sequence), byte(sequence >> 8)}}
-			held.Apply(table.Stamp{Epoch: 1, Sequence: sequence}, noteVersion(held, sequence, one))
+			held.Apply(store.Stamp{Epoch: 1, Sequence: sequence}, noteVersion(held, sequence, one))
 		}
 		for sequence := uint64(last - VersionsKept + 1); sequence <= last; sequence++ {
 			same := Digest{byte(sequence), byte(sequence >> 8)}
@@ -54,14 +54,14 @@
 			}
 		}
 		size := 0
-		for _, key := range held.Keys(view.KeyVersions) {
+		for _, key := range held.Keys(model.KeyVersions) {
 			size += len(held.Records[key].Data)
 		}
-		So(len(held.Keys(view.KeyVersions)), ShouldBeLessThanOrEqualTo, VersionsKept/versionsPerRecord+1)
+		So(len(held.Keys(model.KeyVersions)), ShouldBeLessThanOrEqualTo, VersionsKept/versionsPerRecord+1)
 		So(size, ShouldBeLessThan, 40*VersionsKept)
 	})
 	Convey("Without the bytes that were sent, what a manifest says is compared", t, func() {
-		one, other := view.Set{Bindings: []view.Binding{{Name: "a"}}}, view.Set{Bindings: []view.Binding{{Name: "b"}}}
+		one, other := model.Set{Bindings: []model.Binding{{Name: "a"}}}, model.Set{Bindings: []model.Binding{{Name: "b"}}}
 		again := one
 		again.Sequence, again.Taken = 7, 9
 		So(DigestOf(one, nil), ShouldEqual, DigestOf(again, nil))
--- a/pooler/coordination/failover/failover.go
+++ b/internal/coordination/failover/asyncrepl/failover.go
@@ -1,8 +1,8 @@
-// Package failover is the machine by which the holder of a database's duty
+// Package asyncrepl is the machine by which the holder of a database's duty
 // moves the writer role: close the term, hear that it is closed, pick the
 // replica, record the intent, make the one promote call, learn its outcome
 // by looking, open the new term.
-package failover
+package asyncrepl
 
 import (
 	"fmt"
@@ -10,12 +10,12 @@
 	"slices"
 	"time"
 
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/state/model"
 )
 
 // Sight is what the fleet sees of one instance.
 type Sight struct {
-	Instance view.Instance
+	Instance model.Instance
 	// Heard is how long ago any node heard it announce or had an answer.
 	Heard time.Duration
 	// Placed is how long ago it was asked for the place shown.
@@ -31,7 +31,7 @@
 // Case is what the duty's holder decides on.
 type Case struct {
 	Database string
-	Writer   view.Writer
+	Writer   model.Writer
 	IsKnown  bool
 	Sights   []Sight
 	// IsSettled says that every node that may hold a lease has taken up the
@@ -40,7 +40,7 @@
 	// SettledFor is how long that has been so.
 	SettledFor time.Duration
 	// Mark is a position of the primary heard after the record was settled.
-	Mark    view.Position
+	Mark    model.Position
 	HasMark bool
 	// Asked counts the leased nodes that reported; Age is how long the
 	// control primary has gathered reports.
@@ -51,7 +51,7 @@
 
 // Record is an effect: write this in place of the case's record.
 type Record struct {
-	Writer   view.Writer
+	Writer   model.Writer
 	What     string
 	Evidence string
 }
@@ -89,11 +89,11 @@
 type phase func(Case, Timing) []any
 
 var phases = map[string]phase{
-	"":                onNew,
-	view.PhaseOpen:    onOpen,
-	view.PhaseClosing: onClosing,
-	view.PhaseClosed:  onClosed,
-	view.PhaseIntent:  onIntent,
+	"":                 onNew,
+	model.PhaseOpen:    onOpen,
+	model.PhaseClosing: onClosing,
+	model.PhaseClosed:  onClosed,
+	model.PhaseIntent:  onIntent,
 }
 
 // Step decides what the case asks for. It is a function of the case alone,
@@ -124,7 +124,7 @@
 func onNew(at Case, timing Timing) []any {
 	var primaries []Sight
 	for _, sight := range at.live(timing) {
-		if sight.Instance.Role == view.RolePrimary {
+		if sight.Instance.Role == model.RolePrimary {
 			primaries = append(primaries, sight)
 		}
 	}
@@ -132,12 +132,12 @@
 		return nil
 	}
 	primary := primaries[0].Instance
-	writer := view.Writer{
-		Database: at.Database, Term: primary.Term, Primary: primary.Name, Birth: primary.Birth, Phase: view.PhaseOpen,
+	writer := model.Writer{
+		Database: at.Database, Term: primary.Term, Primary: primary.Name, Birth: primary.Birth, Phase: model.PhaseOpen,
 		Since: at.Wall, High: primary.Position, Required: map[string]string{}, Candidates: map[string]string{},
 	}
 	for _, sight := range at.live(timing) {
-		if sight.Instance.Role == view.RoleReplica {
+		if sight.Instance.Role == model.RoleReplica {
 			writer.Required[sight.Instance.Name] = sight.Instance.Birth
 		}
 	}
@@ -167,7 +167,7 @@
 	if isSeen && primary.Instance.IsLeaving {
 		why, isDown = "announces that it is leaving", true
 	}
-	if isSeen && !isDown && primary.Heard <= timing.Silence && primary.Instance.Role != view.RolePrimary {
+	if isSeen && !isDown && primary.Heard <= timing.Silence && primary.Instance.Role != model.RolePrimary {
 		why, isDown = "announces that it is no longer primary", true
 	}
 	if isDown {
@@ -177,8 +177,8 @@
 		if isSeen && primary.Instance.IsLeaving && len(survivors(at, timing)) == 0 {
 			return explain(at, "primary is leaving, and no candidate can be heard")
 		}
-		writer := view.CloneWriter(at.Writer)
-		writer.Phase, writer.Since, writer.Why = view.PhaseClosing, at.Wall, why
+		writer := model.CloneWriter(at.Writer)
+		writer.Phase, writer.Since, writer.Why = model.PhaseClosing, at.Wall, why
 		return []any{Record{Writer: writer, What: "term closing", Evidence: why}}
 	}
 	return tend(at, primary, timing)
@@ -198,7 +198,7 @@
 }
 
 func tend(at Case, primary Sight, timing Timing) []any {
-	writer := view.CloneWriter(at.Writer)
+	writer := model.CloneWriter(at.Writer)
 	fit := map[string]string{}
 	canJudge := primary.Heard < timing.Hold && isOneAhead(at, timing)
 	for _, sight := range at.Sights {
@@ -209,7 +209,7 @@
 		if _, isWaited := writer.Required[instance.Name]; !isWaited {
 			isBehind = isBehind || instance.Position.Index+timing.Near < primary.Instance.Position.Index
 		}
-		if instance.Role == view.RoleReplica && !isDown && !isBehind && !instance.IsLeaving && instance.Name != writer.Primary {
+		if instance.Role == model.RoleReplica && !isDown && !isBehind && !instance.IsLeaving && instance.Name != writer.Primary {
 			fit[instance.Name] = instance.Birth
 		}
 	}
@@ -283,7 +283,7 @@
 	if at.Writer.Why == "" {
 		return nil
 	}
-	writer := view.CloneWriter(at.Writer)
+	writer := model.CloneWriter(at.Writer)
 	writer.Why = ""
 	return []any{Record{Writer: writer, What: "well again", Evidence: at.Writer.Why}}
 }
@@ -292,7 +292,7 @@
 	if at.Writer.Why == why {
 		return nil
 	}
-	writer := view.CloneWriter(at.Writer)
+	writer := model.CloneWriter(at.Writer)
 	writer.Why = why
 	return []any{Record{Writer: writer, What: "waiting", Evidence: why}}
 }
@@ -301,19 +301,19 @@
 	if !at.IsSettled {
 		return nil
 	}
-	writer := view.CloneWriter(at.Writer)
-	writer.Phase, writer.Since = view.PhaseClosed, at.Wall
+	writer := model.CloneWriter(at.Writer)
+	writer.Phase, writer.Since = model.PhaseClosed, at.Wall
 	return []any{Record{Writer: writer, What: "term closed", Evidence: "every node that may hold a lease has stopped writing there"}}
 }
 
 func onClosed(at Case, timing Timing) []any {
 	found := survivors(at, timing)
 	old, isSeen := at.find(at.Writer.Primary)
-	isBack := isSeen && old.Heard <= timing.Silence && old.Instance.Role == view.RolePrimary && old.Instance.Term == at.Writer.Term &&
+	isBack := isSeen && old.Heard <= timing.Silence && old.Instance.Role == model.RolePrimary && old.Instance.Term == at.Writer.Term &&
 		old.Instance.Birth == at.Writer.Birth && !old.Instance.IsLeaving && !old.Instance.Position.IsBefore(at.Writer.High)
 	if len(found) == 0 && isBack {
-		writer := view.CloneWriter(at.Writer)
-		writer.Phase, writer.Since, writer.Why = view.PhaseOpen, at.Wall, ""
+		writer := model.CloneWriter(at.Writer)
+		writer.Phase, writer.Since, writer.Why = model.PhaseOpen, at.Wall, ""
 		return []any{Record{Writer: writer, What: "term opened again", Evidence: old.Instance.Name + " is back with all that was confirmed, and nothing was promoted"}}
 	}
 	if len(found) == 0 {
@@ -328,8 +328,8 @@
 		}
 		return 0
 	}).Instance
-	writer := view.CloneWriter(at.Writer)
-	writer.Phase, writer.Intent, writer.Since, writer.Calls = view.PhaseIntent, best.Name, at.Wall, 1
+	writer := model.CloneWriter(at.Writer)
+	writer.Phase, writer.Intent, writer.Since, writer.Calls = model.PhaseIntent, best.Name, at.Wall, 1
 	evidence := fmt.Sprintf("%s at %d/%d, confirmed up to %d/%d", best.Name, best.Position.Term, best.Position.Index, at.Writer.High.Term, at.Writer.High.Index)
 	return []any{
 		Record{Writer: writer, What: "promotion intended", Evidence: evidence},
@@ -343,20 +343,20 @@
 	waited := time.Duration(at.Wall - at.Writer.Since)
 	isTold := isSeen && sight.Placed < min(waited, timing.Silence)
 	if isTold && (instance.Birth != at.Writer.Candidates[at.Writer.Intent] || instance.Position.IsBefore(at.Writer.High)) {
-		writer := view.CloneWriter(at.Writer)
+		writer := model.CloneWriter(at.Writer)
 		delete(writer.Candidates, at.Writer.Intent)
-		writer.Phase, writer.Intent, writer.Calls, writer.Since = view.PhaseClosed, "", 0, at.Wall
+		writer.Phase, writer.Intent, writer.Calls, writer.Since = model.PhaseClosed, "", 0, at.Wall
 		writer.Term = max(writer.Term+1, instance.Term)
 		return []any{Record{Writer: writer, What: "intent given up, its term passed over", Evidence: fmt.Sprintf("%s came back without what was confirmed: at %d/%d as %s, confirmed up to %d/%d", instance.Name, instance.Position.Term, instance.Position.Index, instance.Birth, at.Writer.High.Term, at.Writer.High.Index)}}
 	}
-	isPromoted := isSeen && instance.Role == view.RolePrimary && instance.Term > at.Writer.Term
+	isPromoted := isSeen && instance.Role == model.RolePrimary && instance.Term > at.Writer.Term
 	if isPromoted && sight.Heard <= timing.Silence {
-		writer := view.Writer{
-			Database: at.Database, Term: instance.Term, Primary: instance.Name, Birth: instance.Birth, Phase: view.PhaseOpen, Since: at.Wall,
+		writer := model.Writer{
+			Database: at.Database, Term: instance.Term, Primary: instance.Name, Birth: instance.Birth, Phase: model.PhaseOpen, Since: at.Wall,
 			High: instance.Position, Base: instance.Position, Before: at.Writer.Term, Required: map[string]string{}, Candidates: map[string]string{},
 		}
 		for _, other := range at.live(timing) {
-			if other.Instance.Name != instance.Name && other.Instance.Role == view.RoleReplica && !other.Instance.IsLeaving {
+			if other.Instance.Name != instance.Name && other.Instance.Role == model.RoleReplica && !other.Instance.IsLeaving {
 				writer.Required[other.Instance.Name] = other.Instance.Birth
 			}
 		}
@@ -366,9 +366,9 @@
 		writer.Candidates = maps.Clone(writer.Required)
 		return []any{Record{Writer: writer, What: "new term open", Evidence: fmt.Sprintf("%s announces itself primary of term %d", instance.Name, instance.Term)}}
 	}
-	isStillReplica := isSeen && instance.Role == view.RoleReplica && sight.Heard < timing.Look
+	isStillReplica := isSeen && instance.Role == model.RoleReplica && sight.Heard < timing.Look
 	if isStillReplica && waited > timing.Again {
-		writer := view.CloneWriter(at.Writer)
+		writer := model.CloneWriter(at.Writer)
 		writer.Calls++
 		writer.Since = at.Wall
 		return []any{
--- a/pooler/coordination/takeover/holder.go
+++ b/internal/coordination/failover/syncrepl/holder.go
@@ -1,10 +1,10 @@
-package takeover
+package syncrepl
 
 import (
 	"time"
 
-	"tansyseam.example/pooler/coordination/failover"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/failover/asyncrepl"
+	"tansyseam/internal/state/model"
 )
 
 const forgetLooks = 2 * time.Minute
@@ -15,9 +15,9 @@
 	since         int64
 }
 
-func episodeOf(writer view.Writer) episode {
+func episodeOf(writer model.Writer) episode {
 	one := episode{term: writer.Term, phase: writer.Phase, intent: writer.Intent}
-	if writer.Phase == view.PhaseClosing {
+	if writer.Phase == model.PhaseClosing {
 		one.since = writer.Since
 	}
 	return one
@@ -100,7 +100,7 @@
 
 // Recorded takes in that a record which the holder asked for is kept; what
 // Step gave after it is carried out then.
-func (h *Holder) Recorded(record failover.Record) {
+func (h *Holder) Recorded(record asyncrepl.Record) {
 	h.of(record.Writer.Database).turn(episodeOf(record.Writer))
 }
 
--- a/pooler/coordination/takeover/holder_test.go
+++ b/internal/coordination/failover/syncrepl/holder_test.go
@@ -1,4 +1,4 @@
-package takeover
+package syncrepl
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/state/model"
 )
 
 func TestHolder(t *testing.T) {
@@ -15,7 +15,7 @@
 		c.Writer.Since = wall - int64(since)
 		return c
 	}
-	replica := Seen{IsAnswered: true, Role: view.RoleReplica, Term: 3, Position: at(3, 99)}
+	replica := Seen{IsAnswered: true, Role: model.RoleReplica, Term: 3, Position: at(3, 99)}
 	Convey("An answer is seen after the settling only where it was asked settled, and in the episode it came in", t, func() {
 		h := NewHolder("c2")
 		one := h.Show(closing(nil), now)
--- a/pooler/coordination/takeover/takeover.go
+++ b/internal/coordination/failover/syncrepl/takeover.go
@@ -1,9 +1,9 @@
-// Package takeover is the machine by which the holder of the duty moves the
+// Package syncrepl is the machine by which the holder of the duty moves the
 // writer role of a synced database, whose instances judge themselves when a
 // commit is safe: close the term, hear that every node has dropped the
 // primary, ask the replicas for their positions, record the intent, make the
 // promote call, learn its outcome by asking, open the new term.
-package takeover
+package syncrepl
 
 import (
 	"fmt"
@@ -11,14 +11,14 @@
 	"slices"
 	"time"
 
-	"tansyseam.example/pooler/coordination/failover"
-	"tansyseam.example/pooler/state/table"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/failover/asyncrepl"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
 )
 
 // Sight is what the fleet sees of one instance.
 type Sight struct {
-	Instance view.Instance
+	Instance model.Instance
 	// Heard is how long ago anybody heard it announce or had its answer.
 	Heard time.Duration
 	// Tried counts the leased nodes with evidence of it in the last second;
@@ -44,7 +44,7 @@
 	IsGone     bool
 	Role       string
 	Term       uint64
-	Position   view.Position
+	Position   model.Position
 	// IsAfter says that it was asked after the record was settled.
 	IsAfter bool
 	// Event is the last one that a case of that tenure showed before it was
@@ -69,9 +69,9 @@
 type Case struct {
 	Database string
 	Self     string
-	Writer   view.Writer
+	Writer   model.Writer
 	IsKnown  bool
-	Stamp    table.Stamp
+	Stamp    store.Stamp
 	Sights   []Sight
 	// IsSettled says that every node that may hold a lease has taken up the
 	// phase; SettledFor is how long that has been so.
@@ -82,7 +82,7 @@
 	// not behind it, Bound lies at or past all that was ever acknowledged.
 	Event   uint64
 	Covered uint64
-	Bound   view.Position
+	Bound   model.Position
 	Tenure  string
 	// Age is how long the control primary has gathered reports.
 	Age   time.Duration
@@ -98,7 +98,7 @@
 func (c Case) IsWhole() bool { return c.Covered >= c.Event }
 
 // Record is an effect: write this in place of the case's record.
-type Record = failover.Record
+type Record = asyncrepl.Record
 
 // Promote is an effect: make the platform's one call.
 type Promote struct {
@@ -127,7 +127,7 @@
 	Database string
 	Tenure   string
 	Event    uint64
-	Position view.Position
+	Position model.Position
 }
 
 // Timing holds the machine's bounds.
@@ -170,11 +170,11 @@
 type phase func(Case, Timing) []any
 
 var phases = map[string]phase{
-	"":                onNew,
-	view.PhaseOpen:    onOpen,
-	view.PhaseClosing: onClosing,
-	view.PhaseClosed:  onClosing,
-	view.PhaseIntent:  onIntent,
+	"":                 onNew,
+	model.PhaseOpen:    onOpen,
+	model.PhaseClosing: onClosing,
+	model.PhaseClosed:  onClosing,
+	model.PhaseIntent:  onIntent,
 }
 
 // Step decides what the case asks for. It is a function of the case alone,
@@ -212,7 +212,7 @@
 	isFound := false
 	for _, sight := range c.Sights {
 		seen := c.Seen[sight.Instance.Name]
-		isLeader := seen.IsAnswered && seen.Role == view.RolePrimary && seen.Term > above && !sight.Instance.IsGone
+		isLeader := seen.IsAnswered && seen.Role == model.RolePrimary && seen.Term > above && !sight.Instance.IsGone
 		if isLeader && (!isFound || seen.Term > by.Term) {
 			best, by, isFound = sight, seen, true
 		}
@@ -232,7 +232,7 @@
 func onNew(at Case, timing Timing) []any {
 	var primaries []Sight
 	for _, sight := range at.Sights {
-		if at.heard(sight) <= timing.Live && at.role(sight) == view.RolePrimary && !sight.Instance.IsGone {
+		if at.heard(sight) <= timing.Live && at.role(sight) == model.RolePrimary && !sight.Instance.IsGone {
 			primaries = append(primaries, sight)
 		}
 	}
@@ -258,8 +258,8 @@
 			return asks
 		}
 	}
-	writer := view.Writer{
-		Database: at.Database, Term: top.Term, Primary: best.Instance.Name, Phase: view.PhaseOpen, Since: at.Wall,
+	writer := model.Writer{
+		Database: at.Database, Term: top.Term, Primary: best.Instance.Name, Phase: model.PhaseOpen, Since: at.Wall,
 		IsSynced: true, Base: top.Position, Required: replicas(at, best.Instance.Name, timing),
 	}
 	return []any{Record{Writer: writer, What: "writer role known", Evidence: fmt.Sprintf("%s says it is primary of term %d", best.Instance.Name, top.Term)}}
@@ -293,7 +293,7 @@
 	},
 	func(at Case, primary Sight, timing Timing) (string, bool) {
 		seen := at.Seen[primary.Instance.Name]
-		return "says that it is a replica", seen.IsAnswered && seen.Age < timing.Look && seen.Role == view.RoleReplica
+		return "says that it is a replica", seen.IsAnswered && seen.Age < timing.Look && seen.Role == model.RoleReplica
 	},
 	func(at Case, primary Sight, timing Timing) (string, bool) {
 		isSo := primary.Refused*2 > primary.Tried && primary.Answered > timing.Refusal && at.isWritten(timing)
@@ -328,8 +328,8 @@
 	if !hasOther(at, timing) {
 		return explain(at, fmt.Sprintf("%s %s, and no other instance can be heard", at.Writer.Primary, why))
 	}
-	writer := view.CloneWriter(at.Writer)
-	writer.Phase, writer.Since, writer.Why = view.PhaseClosing, at.Wall, at.Writer.Primary+" "+why
+	writer := model.CloneWriter(at.Writer)
+	writer.Phase, writer.Since, writer.Why = model.PhaseClosing, at.Wall, at.Writer.Primary+" "+why
 	return []any{Record{Writer: writer, What: "term closing", Evidence: writer.Why}}
 }
 
@@ -347,24 +347,24 @@
 	}
 	name := at.Writer.Primary
 	seen := at.Seen[name]
-	isTelling := seen.IsAnswered && seen.Role == view.RolePrimary && seen.Term == at.Writer.Term
+	isTelling := seen.IsAnswered && seen.Role == model.RolePrimary && seen.Term == at.Writer.Term
 	isTelling = isTelling && seen.Event >= at.Event && seen.Tenure == at.Tenure
 	if !at.IsWhole() && isTelling {
 		effects = append(effects, Mark{Database: at.Database, Tenure: at.Tenure, Event: at.Event, Position: seen.Position})
 	}
 	isWanted := !at.IsWhole() && !isTelling
-	isDoubted := at.isQuiet(primary, timing) || at.role(primary) == view.RoleReplica
+	isDoubted := at.isQuiet(primary, timing) || at.role(primary) == model.RoleReplica
 	if isMet && (isWanted || isDoubted) && at.isDue(name, timing.Idle) {
 		effects = append(effects, ask(primary))
 	}
 	known := known(at, timing)
 	if !maps.Equal(known, at.Writer.Required) {
-		writer := view.CloneWriter(at.Writer)
+		writer := model.CloneWriter(at.Writer)
 		writer.Required = known
 		return append(effects, Record{Writer: writer, What: "replicas known", Evidence: fmt.Sprint(slices.Sorted(maps.Keys(known)))})
 	}
 	if at.Writer.Why != "" {
-		writer := view.CloneWriter(at.Writer)
+		writer := model.CloneWriter(at.Writer)
 		writer.Why = ""
 		return append(effects, Record{Writer: writer, What: "well again", Evidence: at.Writer.Why})
 	}
@@ -385,7 +385,7 @@
 
 func rivals(at Case, sight Sight, timing Timing) []any {
 	name := sight.Instance.Name
-	isRival := name != at.Writer.Primary && !sight.Instance.IsGone && at.role(sight) == view.RolePrimary && at.heard(sight) <= timing.Live
+	isRival := name != at.Writer.Primary && !sight.Instance.IsGone && at.role(sight) == model.RolePrimary && at.heard(sight) <= timing.Live
 	if !isRival || !at.isDue(name, timing.Order) {
 		return nil
 	}
@@ -399,14 +399,14 @@
 	if at.Writer.Why == why {
 		return nil
 	}
-	writer := view.CloneWriter(at.Writer)
+	writer := model.CloneWriter(at.Writer)
 	writer.Why = why
 	return []any{Record{Writer: writer, What: "waiting", Evidence: why}}
 }
 
 func opened(at Case, instance string, seen Seen, why string, timing Timing) any {
-	writer := view.Writer{
-		Database: at.Database, Term: seen.Term, Primary: instance, Phase: view.PhaseOpen, Since: at.Wall, IsSynced: true,
+	writer := model.Writer{
+		Database: at.Database, Term: seen.Term, Primary: instance, Phase: model.PhaseOpen, Since: at.Wall, IsSynced: true,
 		Before: at.Writer.Term, Base: seen.Position, High: at.Writer.High.Later(at.Writer.Floor),
 		Holder: at.Writer.Holder, Fence: at.Writer.Fence, Required: replicas(at, instance, timing),
 	}
@@ -418,11 +418,11 @@
 	silent    []string
 	lost      []string
 	answered  []Sight
-	positions map[string]view.Position
+	positions map[string]model.Position
 }
 
 func (c Case) poll(timing Timing) asking {
-	found := asking{positions: map[string]view.Position{}}
+	found := asking{positions: map[string]model.Position{}}
 	names := maps.Clone(c.Writer.Required)
 	if names == nil {
 		names = map[string]string{}
@@ -439,7 +439,7 @@
 		if isMet && !sight.Instance.IsGone && !seen.IsGone && isDue {
 			found.effects = append(found.effects, ask(sight))
 		}
-		if isMet && !sight.Instance.IsGone && seen.IsAfter && seen.IsAnswered && seen.Role == view.RoleReplica {
+		if isMet && !sight.Instance.IsGone && seen.IsAfter && seen.IsAnswered && seen.Role == model.RoleReplica {
 			found.answered = append(found.answered, sight)
 			found.positions[name] = seen.Position
 			continue
@@ -467,10 +467,10 @@
 	old, isMet := at.find(at.Writer.Primary)
 	seen, isSeen := at.Seen[at.Writer.Primary]
 	isStaying := isMet && !old.Instance.IsLeaving && !old.Instance.IsGone
-	isBack := isStaying && seen.IsAfter && seen.IsAnswered && seen.Role == view.RolePrimary && seen.Term == at.Writer.Term
+	isBack := isStaying && seen.IsAfter && seen.IsAnswered && seen.Role == model.RolePrimary && seen.Term == at.Writer.Term
 	if isBack {
-		writer := view.CloneWriter(at.Writer)
-		writer.Phase, writer.Since, writer.Why = view.PhaseOpen, at.Wall, ""
+		writer := model.CloneWriter(at.Writer)
+		writer.Phase, writer.Since, writer.Why = model.PhaseOpen, at.Wall, ""
 		return []any{Record{Writer: writer, What: "term opened again", Evidence: at.Writer.Primary + " answers as primary, and nothing was promoted"}}
 	}
 	isOldAsked := !isStaying || (isSeen && seen.IsAfter) || at.SettledFor > timing.Glance
@@ -482,13 +482,13 @@
 	if !isProven {
 		return append(found.effects, explain(at, why)...)
 	}
-	writer := view.CloneWriter(at.Writer)
-	writer.Phase, writer.Intent, writer.Since, writer.Calls, writer.Floor = view.PhaseIntent, pick.Instance.Name, at.Wall, 1, found.positions[pick.Instance.Name]
+	writer := model.CloneWriter(at.Writer)
+	writer.Phase, writer.Intent, writer.Since, writer.Calls, writer.Floor = model.PhaseIntent, pick.Instance.Name, at.Wall, 1, found.positions[pick.Instance.Name]
 	return calling(at, writer, "promotion intended", why)
 }
 
-func calling(at Case, writer view.Writer, what, why string) []any {
-	isNew := at.Writer.Phase != view.PhaseIntent
+func calling(at Case, writer model.Writer, what, why string) []any {
+	isNew := at.Writer.Phase != model.PhaseIntent
 	if isNew || writer.Holder != at.Self || at.IsFenced {
 		writer.Fence++
 		writer.Holder = at.Self
@@ -502,10 +502,10 @@
 // ceiling gives a position at or past all that was acknowledged, where the
 // old primary itself, or the instance that has its log by now, told its own
 // after the nodes had dropped it.
-func (c Case) ceiling() (view.Position, bool) {
-	highest, isTold := view.Position{}, false
+func (c Case) ceiling() (model.Position, bool) {
+	highest, isTold := model.Position{}, false
 	for _, seen := range c.Seen {
-		isLeading := seen.IsAnswered && seen.Role == view.RolePrimary && seen.Term == c.Writer.Term
+		isLeading := seen.IsAnswered && seen.Role == model.RolePrimary && seen.Term == c.Writer.Term
 		if c.IsSettled && seen.IsAfter && isLeading {
 			highest, isTold = highest.Later(seen.Position), true
 		}
@@ -551,7 +551,7 @@
 	return Sight{}, fmt.Sprintf("term is closed, and no replica is shown to hold all that was acknowledged (silent %v, gone %v): nothing is promoted", found.silent, found.lost), false
 }
 
-func compare(a, b view.Position) int {
+func compare(a, b model.Position) int {
 	if a.IsBefore(b) {
 		return -1
 	}
@@ -574,7 +574,7 @@
 	var effects []any
 	for _, sight := range at.Sights {
 		name := sight.Instance.Name
-		isRisen := name != at.Writer.Primary && at.role(sight) == view.RolePrimary && at.heard(sight) <= timing.Live
+		isRisen := name != at.Writer.Primary && at.role(sight) == model.RolePrimary && at.heard(sight) <= timing.Live
 		if (name == at.Writer.Intent || isRisen) && at.isDue(name, timing.Soon) && !at.Seen[name].IsGone {
 			effects = append(effects, ask(sight))
 		}
@@ -585,15 +585,15 @@
 	isGone := (isMet && sight.Instance.IsGone) || seen.IsGone
 	isDown := isSeen && !seen.IsAnswered && !seen.IsBusy
 	if isGone || (isDown && at.isOver(timing)) {
-		writer := view.CloneWriter(at.Writer)
-		writer.Phase, writer.Intent, writer.Calls, writer.Since, writer.Floor = view.PhaseClosing, "", 0, at.Wall, view.Position{}
+		writer := model.CloneWriter(at.Writer)
+		writer.Phase, writer.Intent, writer.Calls, writer.Since, writer.Floor = model.PhaseClosing, "", 0, at.Wall, model.Position{}
 		return []any{Record{Writer: writer, What: "intent given up", Evidence: at.Writer.Intent + " is not running, and no call for it can take effect"}}
 	}
-	isReplica := seen.IsAnswered && seen.Role == view.RoleReplica && seen.Age < timing.Look
+	isReplica := seen.IsAnswered && seen.Role == model.RoleReplica && seen.Age < timing.Look
 	isThrottled := len(at.Calls) > 0 && at.Calls[len(at.Calls)-1].Status == statusTooMany
 	isNext := waited > timing.Again || waited < 0 || (isThrottled && waited > timing.Retry)
 	if isNext && (isReplica || isDown || isThrottled) {
-		writer := view.CloneWriter(at.Writer)
+		writer := model.CloneWriter(at.Writer)
 		writer.Calls++
 		writer.Since = at.Wall
 		return append(effects, calling(at, writer, "promote call made again", at.Writer.Intent+" does not lead yet")...)
--- a/pooler/coordination/takeover/takeover_test.go
+++ b/internal/coordination/failover/syncrepl/takeover_test.go
@@ -1,4 +1,4 @@
-package takeover
+package syncrepl
 
 import (
 	"testing"
@@ -6,16 +6,16 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/state/model"
 )
 
 const wall = int64(1000 * time.Hour)
 
-func at(term, index uint64) view.Position { return view.Position{Term: term, Index: index} }
+func at(term, index uint64) model.Position { return model.Position{Term: term, Index: index} }
 
 func sight(name, role string) Sight {
 	return Sight{
-		Instance: view.Instance{Name: name, Database: "db", Address: name + ":1", Role: role, IsSynced: true},
+		Instance: model.Instance{Name: name, Database: "db", Address: name + ":1", Role: role, IsSynced: true},
 		Heard:    200 * time.Millisecond, Answered: 50 * time.Millisecond, Tried: 4,
 	}
 }
@@ -30,35 +30,35 @@
 	return Case{
 		Database: "db", Self: "c1", IsKnown: true, IsSettled: true, SettledFor: time.Minute, Age: time.Minute, Wall: wall,
 		Event: 1, Covered: 1, Tenure: "c1@1", Bound: at(3, 95),
-		Writer: view.Writer{
-			Database: "db", Term: 3, Primary: "a", Phase: view.PhaseOpen, IsSynced: true, Since: wall - int64(time.Minute),
+		Writer: model.Writer{
+			Database: "db", Term: 3, Primary: "a", Phase: model.PhaseOpen, IsSynced: true, Since: wall - int64(time.Minute),
 			Required: map[string]string{"b": "", "c": ""}, High: at(3, 95), Holder: "c1", Fence: 4,
 		},
-		Sights: []Sight{sight("a", view.RolePrimary), sight("b", view.RoleReplica), sight("c", view.RoleReplica)},
+		Sights: []Sight{sight("a", model.RolePrimary), sight("b", model.RoleReplica), sight("c", model.RoleReplica)},
 		Seen:   map[string]Seen{},
 	}
 }
 
 func closing(seen map[string]Seen) Case {
 	one := open()
-	one.Writer.Phase, one.Writer.Since, one.SettledFor, one.Seen = view.PhaseClosing, wall-int64(time.Second), 100*time.Millisecond, seen
+	one.Writer.Phase, one.Writer.Since, one.SettledFor, one.Seen = model.PhaseClosing, wall-int64(time.Second), 100*time.Millisecond, seen
 	return one
 }
 
 func intent(seen map[string]Seen, since time.Duration) Case {
 	one := closing(seen)
-	one.Writer.Phase, one.Writer.Intent, one.Writer.Calls, one.Writer.Floor = view.PhaseIntent, "b", 1, at(3, 99)
+	one.Writer.Phase, one.Writer.Intent, one.Writer.Calls, one.Writer.Floor = model.PhaseIntent, "b", 1, at(3, 99)
 	one.Writer.Since = wall - int64(since)
 	return one
 }
 
-func recorded(c Case) (view.Writer, bool) {
+func recorded(c Case) (model.Writer, bool) {
 	for _, effect := range Step(c, DefaultTiming()) {
 		if record, isOne := effect.(Record); isOne {
 			return record.Writer, true
 		}
 	}
-	return view.Writer{}, false
+	return model.Writer{}, false
 }
 
 func effects[T any](c Case) []T {
@@ -73,7 +73,7 @@
 
 func intended(c Case) string {
 	writer, _ := recorded(c)
-	if writer.Phase != view.PhaseIntent {
+	if writer.Phase != model.PhaseIntent {
 		return ""
 	}
 	return writer.Intent
@@ -82,7 +82,7 @@
 func TestMeeting(t *testing.T) {
 	fresh := func() Case {
 		one := open()
-		one.IsKnown, one.Writer = false, view.Writer{}
+		one.IsKnown, one.Writer = false, model.Writer{}
 		return one
 	}
 	Convey("A database that is met has its one primary asked, and is opened in the term that this tells", t, func() {
@@ -90,22 +90,22 @@
 		So(effects[Ask](one), ShouldResemble, []Ask{{Instance: "a", Address: "a:1"}})
 		_, isRecorded := recorded(one)
 		So(isRecorded, ShouldBeFalse)
-		one.Seen["a"] = told(view.RolePrimary, 3, 90)
+		one.Seen["a"] = told(model.RolePrimary, 3, 90)
 		writer, _ := recorded(one)
 		So(writer.Term, ShouldEqual, 3)
 		So(writer.Primary, ShouldEqual, "a")
 		So(writer.IsSynced, ShouldBeTrue)
-		So(writer.Phase, ShouldEqual, view.PhaseOpen)
+		So(writer.Phase, ShouldEqual, model.PhaseOpen)
 		So(writer.Required, ShouldResemble, map[string]string{"b": "", "c": ""})
 	})
 	Convey("Of two that say primary, both are asked and the higher term counts", t, func() {
 		one := fresh()
-		one.Sights[1].Instance.Role = view.RolePrimary
+		one.Sights[1].Instance.Role = model.RolePrimary
 		So(len(effects[Ask](one)), ShouldEqual, 2)
-		one.Seen["a"] = told(view.RolePrimary, 3, 90)
+		one.Seen["a"] = told(model.RolePrimary, 3, 90)
 		_, isRecorded := recorded(one)
 		So(isRecorded, ShouldBeFalse)
-		one.Seen["b"] = told(view.RolePrimary, 4, 90)
+		one.Seen["b"] = told(model.RolePrimary, 4, 90)
 		writer, _ := recorded(one)
 		So(writer.Primary, ShouldEqual, "b")
 		So(writer.Term, ShouldEqual, 4)
@@ -119,10 +119,10 @@
 	}
 	Convey("While all is well, nothing is done", t, func() { So(Step(open(), DefaultTiming()), ShouldBeEmpty) })
 	Convey("A primary that leaves or is gone has its term closed", t, func() {
-		for _, change := range []func(*view.Instance){func(i *view.Instance) { i.IsLeaving = true }, func(i *view.Instance) { i.IsGone = true }} {
+		for _, change := range []func(*model.Instance){func(i *model.Instance) { i.IsLeaving = true }, func(i *model.Instance) { i.IsGone = true }} {
 			one := open()
 			change(&one.Sights[0].Instance)
-			So(phaseOf(one), ShouldEqual, view.PhaseClosing)
+			So(phaseOf(one), ShouldEqual, model.PhaseClosing)
 		}
 	})
 	Convey("Not while no other instance that stays can be heard", t, func() {
@@ -130,7 +130,7 @@
 		one.Sights[0].Instance.IsLeaving = true
 		one.Sights[1].Instance.IsLeaving, one.Sights[2].Heard = true, 4*time.Second
 		writer, _ := recorded(one)
-		So(writer.Phase, ShouldEqual, view.PhaseOpen)
+		So(writer.Phase, ShouldEqual, model.PhaseOpen)
 		So(writer.Why, ShouldContainSubstring, "no other instance")
 	})
 	Convey("One that refuses most nodes and answered none of them is; few refusals, a late answer, new reports or a new term are not enough", t, func() {
@@ -139,7 +139,7 @@
 			one.Sights[0].Refused, one.Sights[0].Answered = 3, 400*time.Millisecond
 			return one
 		}
-		So(phaseOf(refusing()), ShouldEqual, view.PhaseClosing)
+		So(phaseOf(refusing()), ShouldEqual, model.PhaseClosing)
 		for _, change := range []func(*Case){
 			func(c *Case) { c.Sights[0].Refused = 2 },
 			func(c *Case) { c.Sights[0].Answered = 200 * time.Millisecond },
@@ -154,7 +154,7 @@
 	Convey("One that owes most nodes their answers is, unless any had one in the last 600 ms", t, func() {
 		one := open()
 		one.Sights[0].Overdue, one.Sights[0].Answered = 3, 620*time.Millisecond
-		So(phaseOf(one), ShouldEqual, view.PhaseClosing)
+		So(phaseOf(one), ShouldEqual, model.PhaseClosing)
 		one.Sights[0].Answered = 580 * time.Millisecond
 		So(phaseOf(one), ShouldEqual, "")
 		one.Sights[0].Answered, one.Sights[0].Overdue = 620*time.Millisecond, 2
@@ -170,10 +170,10 @@
 		So(phaseOf(quiet()), ShouldEqual, "")
 		one := quiet()
 		one.Seen["a"] = failed()
-		So(phaseOf(one), ShouldEqual, view.PhaseClosing)
+		So(phaseOf(one), ShouldEqual, model.PhaseClosing)
 		one.Seen["a"] = Seen{IsBusy: true, Age: 50 * time.Millisecond}
 		So(phaseOf(one), ShouldEqual, "")
-		one.Seen["a"] = told(view.RolePrimary, 3, 99)
+		one.Seen["a"] = told(model.RolePrimary, 3, 99)
 		So(Step(one, DefaultTiming()), ShouldBeEmpty)
 		for _, change := range []func(*Sight){
 			func(s *Sight) { s.Heard = 2 * time.Second }, func(s *Sight) { s.Tried = 1 }, func(s *Sight) { s.Blank = time.Second },
@@ -186,48 +186,48 @@
 	})
 	Convey("One that itself says just now that it is a replica is, though no other leads yet", t, func() {
 		one := open()
-		one.Sights[0].Instance.Role = view.RoleReplica
+		one.Sights[0].Instance.Role = model.RoleReplica
 		So(effects[Ask](one), ShouldResemble, []Ask{{Instance: "a", Address: "a:1"}})
 		So(phaseOf(one), ShouldEqual, "")
-		one.Seen["a"] = told(view.RoleReplica, 3, 99)
-		So(phaseOf(one), ShouldEqual, view.PhaseClosing)
+		one.Seen["a"] = told(model.RoleReplica, 3, 99)
+		So(phaseOf(one), ShouldEqual, model.PhaseClosing)
 	})
 	Convey("One that turned replica under another of a later term has its term closed; the other is asked first", t, func() {
 		one := open()
-		one.Sights[0].Instance.Role, one.Sights[1].Instance.Role = view.RoleReplica, view.RolePrimary
+		one.Sights[0].Instance.Role, one.Sights[1].Instance.Role = model.RoleReplica, model.RolePrimary
 		So(effects[Ask](one), ShouldContain, Ask{Instance: "b", Address: "b:1"})
 		So(phaseOf(one), ShouldEqual, "")
-		one.Seen["b"] = told(view.RolePrimary, 4, 99)
-		So(phaseOf(one), ShouldEqual, view.PhaseClosing)
+		one.Seen["b"] = told(model.RolePrimary, 4, 99)
+		So(phaseOf(one), ShouldEqual, model.PhaseClosing)
 	})
 }
 
 func TestOpenTerm(t *testing.T) {
 	Convey("Another that still says primary of an earlier term is ordered down, at a pace, and one that was asked just now is believed over its announcement", t, func() {
 		one := open()
-		one.Sights[1].Instance.Role = view.RolePrimary
+		one.Sights[1].Instance.Role = model.RolePrimary
 		So(effects[Ask](one), ShouldResemble, []Ask{{Instance: "b", Address: "b:1"}})
-		seen := told(view.RolePrimary, 2, 80)
+		seen := told(model.RolePrimary, 2, 80)
 		seen.Age = 600 * time.Millisecond
 		one.Seen["b"] = seen
 		So(effects[StepDown](one), ShouldResemble, []StepDown{{Instance: "b", Address: "b:1", Term: 3}})
 		seen.Age = 100 * time.Millisecond
 		one.Seen["b"] = seen
 		So(effects[StepDown](one), ShouldBeEmpty)
-		one.Seen["b"] = told(view.RoleReplica, 3, 80)
+		one.Seen["b"] = told(model.RoleReplica, 3, 80)
 		So(effects[StepDown](one), ShouldBeEmpty)
 		one.Seen, one.Sights[1].Heard = map[string]Seen{}, 4*time.Second
 		So(Step(one, DefaultTiming()), ShouldBeEmpty)
 	})
 	Convey("After an event the primary is asked, and its answer covers the event only where it was asked after it and in this tenure", t, func() {
 		one := open()
-		one.Event, one.Seen["a"] = 2, told(view.RolePrimary, 3, 99)
+		one.Event, one.Seen["a"] = 2, told(model.RolePrimary, 3, 99)
 		So(effects[Mark](one), ShouldBeEmpty)
 		old := one.Seen["a"]
 		old.Age = 2 * time.Second
 		one.Seen["a"] = old
 		So(effects[Ask](one), ShouldResemble, []Ask{{Instance: "a", Address: "a:1"}})
-		seen := told(view.RolePrimary, 3, 99)
+		seen := told(model.RolePrimary, 3, 99)
 		seen.Event = 2
 		one.Seen["a"] = seen
 		So(effects[Mark](one), ShouldResemble, []Mark{{Database: "db", Tenure: "c1@1", Event: 2, Position: at(3, 99)}})
@@ -238,7 +238,7 @@
 	Convey("Replicas that appear are recorded; one not heard of is forgotten only after a minute, and not while something is not covered", t, func() {
 		one := open()
 		one.Age = time.Hour
-		one.Sights = append(one.Sights, sight("d", view.RoleReplica))
+		one.Sights = append(one.Sights, sight("d", model.RoleReplica))
 		writer, _ := recorded(one)
 		So(writer.Required, ShouldContainKey, "d")
 		one = open()
@@ -256,7 +256,7 @@
 
 func TestChoice(t *testing.T) {
 	all := func() map[string]Seen {
-		return map[string]Seen{"a": failed(), "b": told(view.RoleReplica, 3, 99), "c": told(view.RoleReplica, 3, 97)}
+		return map[string]Seen{"a": failed(), "b": told(model.RoleReplica, 3, 99), "c": told(model.RoleReplica, 3, 97)}
 	}
 	Convey("Nothing is asked or chosen before every node that may hold a lease has dropped the primary", t, func() {
 		one := closing(all())
@@ -301,8 +301,8 @@
 	})
 	Convey("Terms count before numbers", t, func() {
 		one := closing(all())
-		one.Seen["c"] = told(view.RoleReplica, 3, 99)
-		seen := told(view.RoleReplica, 3, 0)
+		one.Seen["c"] = told(model.RoleReplica, 3, 99)
+		seen := told(model.RoleReplica, 3, 0)
 		seen.Position = at(2, 500)
 		one.Seen["b"] = seen
 		So(intended(one), ShouldEqual, "c")
@@ -357,26 +357,26 @@
 	})
 	Convey("A primary that is back is opened again, unless it leaves or lost the role", t, func() {
 		one := closing(all())
-		one.Seen["a"] = told(view.RolePrimary, 3, 99)
+		one.Seen["a"] = told(model.RolePrimary, 3, 99)
 		writer, _ := recorded(one)
-		So(writer.Phase, ShouldEqual, view.PhaseOpen)
+		So(writer.Phase, ShouldEqual, model.PhaseOpen)
 		So(writer.Primary, ShouldEqual, "a")
 		So(writer.Term, ShouldEqual, 3)
 		one.Sights[0].Instance.IsLeaving = true
 		So(intended(one), ShouldEqual, "b")
 		one.Sights[0].Instance.IsLeaving = false
-		one.Seen["a"] = told(view.RoleReplica, 3, 104)
+		one.Seen["a"] = told(model.RoleReplica, 3, 104)
 		So(intended(one), ShouldEqual, "a")
 	})
 	Convey("Another that already leads a later term is opened, with no call", t, func() {
 		one := closing(all())
-		one.Seen["c"] = told(view.RolePrimary, 5, 99)
+		one.Seen["c"] = told(model.RolePrimary, 5, 99)
 		writer, _ := recorded(one)
-		So(writer.Phase, ShouldEqual, view.PhaseOpen)
+		So(writer.Phase, ShouldEqual, model.PhaseOpen)
 		So(writer.Primary, ShouldEqual, "c")
 		So(writer.Term, ShouldEqual, 5)
 		So(effects[Promote](one), ShouldBeEmpty)
-		before := told(view.RolePrimary, 5, 99)
+		before := told(model.RolePrimary, 5, 99)
 		before.IsAfter = false
 		one.Seen["c"] = before
 		_, isRecorded := recorded(one)
@@ -386,7 +386,7 @@
 }
 
 func TestOutcome(t *testing.T) {
-	replica := func() map[string]Seen { return map[string]Seen{"b": told(view.RoleReplica, 3, 99)} }
+	replica := func() map[string]Seen { return map[string]Seen{"b": told(model.RoleReplica, 3, 99)} }
 	down := func() map[string]Seen { return map[string]Seen{"b": failed()} }
 	Convey("The outcome is learned from the instance, which is asked often", t, func() {
 		one := intent(replica(), 300*time.Millisecond)
@@ -395,18 +395,18 @@
 		seen.Age = 200 * time.Millisecond
 		one.Seen["b"] = seen
 		So(effects[Ask](one), ShouldResemble, []Ask{{Instance: "b", Address: "b:1"}})
-		one.Seen["b"] = told(view.RolePrimary, 3, 99)
+		one.Seen["b"] = told(model.RolePrimary, 3, 99)
 		_, isRecorded := recorded(one)
 		So(isRecorded, ShouldBeFalse)
-		one.Seen["b"] = told(view.RolePrimary, 4, 100)
+		one.Seen["b"] = told(model.RolePrimary, 4, 100)
 		writer, _ := recorded(one)
-		So(writer.Phase, ShouldEqual, view.PhaseOpen)
+		So(writer.Phase, ShouldEqual, model.PhaseOpen)
 		So(writer.Term, ShouldEqual, 4)
 		So(writer.Primary, ShouldEqual, "b")
 		So(writer.Before, ShouldEqual, 3)
 		So(writer.Base, ShouldResemble, at(4, 100))
 		So(writer.High, ShouldResemble, at(3, 99))
-		So(writer.Floor, ShouldResemble, view.Position{})
+		So(writer.Floor, ShouldResemble, model.Position{})
 		So(writer.Fence, ShouldEqual, 4)
 		So(writer.Holder, ShouldEqual, "c1")
 	})
@@ -432,9 +432,9 @@
 		one := intent(down(), 400*time.Millisecond)
 		one.Calls = []Call{{Instance: "b", Status: 409}}
 		writer, _ := recorded(one)
-		So(writer.Phase, ShouldEqual, view.PhaseClosing)
+		So(writer.Phase, ShouldEqual, model.PhaseClosing)
 		So(writer.Intent, ShouldEqual, "")
-		So(writer.Floor, ShouldResemble, view.Position{})
+		So(writer.Floor, ShouldResemble, model.Position{})
 		one.Writer.Calls = 2
 		_, isRecorded := recorded(one)
 		So(isRecorded, ShouldBeFalse)
@@ -449,7 +449,7 @@
 		So(isRecorded, ShouldBeFalse)
 		one = intent(map[string]Seen{"b": {IsGone: true, Age: 50 * time.Millisecond}}, 400*time.Millisecond)
 		writer, _ = recorded(one)
-		So(writer.Phase, ShouldEqual, view.PhaseClosing)
+		So(writer.Phase, ShouldEqual, model.PhaseClosing)
 	})
 	Convey("A second instance is never called while the outcome at the first is unknown, however long that lasts", t, func() {
 		for _, seen := range []map[string]Seen{down(), replica(), {}} {
@@ -475,7 +475,7 @@
 	}
 	isGivenUp := func(one Case) bool {
 		writer, isRecorded := recorded(one)
-		return isRecorded && writer.Phase == view.PhaseClosing && writer.Intent == ""
+		return isRecorded && writer.Phase == model.PhaseClosing && writer.Intent == ""
 	}
 	fenced := func(calls ...Call) Case {
 		one := down(calls...)
@@ -513,7 +513,7 @@
 		one.Writer.Fence = 6
 		So(isGivenUp(one), ShouldBeFalse)
 		one = fenced(lost(4), answered(5, 409))
-		one.Seen["b"] = told(view.RoleReplica, 3, 99)
+		one.Seen["b"] = told(model.RoleReplica, 3, 99)
 		So(isGivenUp(one), ShouldBeFalse)
 		one.Seen["b"] = Seen{IsBusy: true, IsAfter: true, Age: 50 * time.Millisecond}
 		So(isGivenUp(one), ShouldBeFalse)
@@ -536,7 +536,7 @@
 	})
 	Convey("A database whose promotion was lost goes on to another replica, in time, while the first never returns", t, func() {
 		now, lostFence := time.Duration(0), uint64(4)
-		one := intent(map[string]Seen{"b": failed(), "c": told(view.RoleReplica, 3, 99)}, time.Millisecond)
+		one := intent(map[string]Seen{"b": failed(), "c": told(model.RoleReplica, 3, 99)}, time.Millisecond)
 		one.IsFenced, one.Calls = true, []Call{{Instance: "b", Fence: lostFence}}
 		chosen := ""
 		for ; now < 10*time.Second && chosen == ""; now += 50 * time.Millisecond {
@@ -544,7 +544,7 @@
 			one.SettledFor = now
 			for _, effect := range Step(one, DefaultTiming()) {
 				if record, isRecord := effect.(Record); isRecord {
-					if record.Writer.Phase != view.PhaseIntent {
+					if record.Writer.Phase != model.PhaseIntent {
 						one.Calls = nil
 					}
 					one.Writer = record.Writer
@@ -554,7 +554,7 @@
 					one.Calls = append(one.Calls, Call{Instance: call.Instance, Fence: call.Fence, Status: status})
 				}
 			}
-			if one.Writer.Phase == view.PhaseIntent && one.Writer.Intent != "b" {
+			if one.Writer.Phase == model.PhaseIntent && one.Writer.Intent != "b" {
 				chosen = one.Writer.Intent
 			}
 		}
@@ -572,27 +572,27 @@
 			one.Event, one.SettledFor = 2, 5*time.Second
 			return intended(one)
 		}
-		So(play(told(view.RolePrimary, 3, 97), told(view.RoleReplica, 3, 97)), ShouldEqual, "b")
-		So(play(told(view.RolePrimary, 3, 98), told(view.RoleReplica, 3, 97)), ShouldEqual, "")
-		So(play(failed(), told(view.RoleReplica, 3, 97)), ShouldEqual, "")
-		early := told(view.RolePrimary, 3, 97)
+		So(play(told(model.RolePrimary, 3, 97), told(model.RoleReplica, 3, 97)), ShouldEqual, "b")
+		So(play(told(model.RolePrimary, 3, 98), told(model.RoleReplica, 3, 97)), ShouldEqual, "")
+		So(play(failed(), told(model.RoleReplica, 3, 97)), ShouldEqual, "")
+		early := told(model.RolePrimary, 3, 97)
 		early.IsAfter = false
-		So(play(early, told(view.RoleReplica, 3, 97)), ShouldEqual, "")
-		So(play(told(view.RolePrimary, 2, 97), told(view.RoleReplica, 3, 97)), ShouldEqual, "")
-		So(play(told(view.RoleReplica, 3, 97), told(view.RoleReplica, 3, 97)), ShouldEqual, "")
+		So(play(early, told(model.RoleReplica, 3, 97)), ShouldEqual, "")
+		So(play(told(model.RolePrimary, 2, 97), told(model.RoleReplica, 3, 97)), ShouldEqual, "")
+		So(play(told(model.RoleReplica, 3, 97), told(model.RoleReplica, 3, 97)), ShouldEqual, "")
 	})
 }
 
 func TestSuccessor(t *testing.T) {
 	Convey("An instance that has a gone primary's log and says that it leads the same term bounds what was acknowledged", t, func() {
 		play := func(d Seen) string {
-			one := closing(map[string]Seen{"b": told(view.RoleReplica, 3, 97), "c": told(view.RoleReplica, 3, 96), "d": d})
+			one := closing(map[string]Seen{"b": told(model.RoleReplica, 3, 97), "c": told(model.RoleReplica, 3, 96), "d": d})
 			one.Sights[0].Instance.IsGone = true
-			one.Sights = append(one.Sights, sight("d", view.RolePrimary))
+			one.Sights = append(one.Sights, sight("d", model.RolePrimary))
 			one.Event, one.SettledFor = 2, 5*time.Second
 			return intended(one)
 		}
-		So(play(told(view.RolePrimary, 3, 97)), ShouldEqual, "b")
-		So(play(told(view.RolePrimary, 3, 98)), ShouldEqual, "")
+		So(play(told(model.RolePrimary, 3, 97)), ShouldEqual, "b")
+		So(play(told(model.RolePrimary, 3, 98)), ShouldEqual, "")
 	})
 }
--- a/pooler/coordination/admit/admit.go
+++ b/internal/coordination/flowcontrol/admit.go
@@ -1,7 +1,7 @@
-// Package admit sizes, for one instance, the window of statements that this
+// Package flowcontrol sizes, for one instance, the window of statements that this
 // node keeps outstanding there, from the node's own latencies alone, after
 // "Towards Distributed Storage Resource Management using Flow Control".
-package admit
+package flowcontrol
 
 import (
 	"math"
--- a/pooler/coordination/admit/admit_test.go
+++ b/internal/coordination/flowcontrol/admit_test.go
@@ -1,4 +1,4 @@
-package admit
+package flowcontrol
 
 import (
 	"math"
--- a/pooler/coordination/goes/goes.go
+++ b/internal/coordination/idempotency/goes.go
@@ -1,9 +1,9 @@
-// Package goes is the machine by which a node knows what became of each go,
+// Package idempotency is the machine by which a node knows what became of each go,
 // and by which a repeat brought to any node joins the first or is told its
 // outcome, so that none takes effect twice. A go's id is the id of the
 // session it was first made in, a dot and a count; a session's id names the
 // node that gave it out and that node's birth.
-package goes
+package idempotency
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/state/model"
 )
 
 // Standings of a go.
@@ -34,7 +34,7 @@
 type Answer struct {
 	Standing string
 	Rows     []byte
-	Position view.Position
+	Position model.Position
 	To       string
 }
 
@@ -298,7 +298,7 @@
 
 // Settle notes what became of a go and gives the tokens that joined it. A
 // standing shown by proof is never changed; unknown may still be settled.
-func (m *Machine) Settle(id, standing string, rows []byte, position view.Position, now time.Duration) ([]any, Answer) {
+func (m *Machine) Settle(id, standing string, rows []byte, position model.Position, now time.Duration) ([]any, Answer) {
 	held, isHeld := m.records[id]
 	if !isHeld || held.Standing == Kept || held.Standing == Not {
 		return nil, Answer{}
--- a/pooler/coordination/goes/goes_test.go
+++ b/internal/coordination/idempotency/goes_test.go
@@ -1,4 +1,4 @@
-package goes
+package idempotency
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/state/model"
 )
 
 func TestGoes(t *testing.T) {
@@ -21,11 +21,11 @@
 		a, session := make_("a", "1")
 		So(a.Decide(session+".1", "first", now).Kind, ShouldEqual, Run)
 		So(a.Decide(session+".1", "again", now).Kind, ShouldEqual, Wait)
-		joined, answer := a.Settle(session+".1", Kept, nil, view.Position{Index: 4}, now)
+		joined, answer := a.Settle(session+".1", Kept, nil, model.Position{Index: 4}, now)
 		So(joined, ShouldResemble, []any{"again"})
 		So(answer.Standing, ShouldEqual, Kept)
 		So(a.Decide(session+".1", "late", now).Answer.Position.Index, ShouldEqual, 4)
-		a.Settle(session+".1", Unknown, nil, view.Position{}, now)
+		a.Settle(session+".1", Unknown, nil, model.Position{}, now)
 		So(a.Decide(session+".1", "late", now).Answer.Standing, ShouldEqual, Kept)
 	})
 	Convey("A go that never came is given up to one asker; it runs there alone", t, func() {
@@ -42,7 +42,7 @@
 		a, session := make_("a", "1")
 		for _, count := range []string{".1", ".2", ".3", ".4"} {
 			a.Decide(session+count, nil, now)
-			a.Settle(session+count, Kept, nil, view.Position{}, now)
+			a.Settle(session+count, Kept, nil, model.Position{}, now)
 		}
 		So(a.Has(session+".1"), ShouldBeFalse)
 		So(a.Decide(session+".1", nil, now).Answer.Standing, ShouldEqual, Unknown)
@@ -61,7 +61,7 @@
 	Convey("The heir of a node that stopped in good order answers for it", t, func() {
 		a, session := make_("a", "1")
 		a.Decide(session+".1", nil, now)
-		a.Settle(session+".1", Kept, nil, view.Position{Index: 9}, now)
+		a.Settle(session+".1", Kept, nil, model.Position{Index: 9}, now)
 		a.Decide(session+".2", nil, now)
 		b, _ := make_("b", "2")
 		c, _ := make_("c", "3")
--- a/pooler/coordination/lease/lease.go
+++ b/internal/coordination/lease/lease.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"tansyseam.example/pooler/state/table"
+	"tansyseam/internal/state/store"
 )
 
 // Timing holds the bounds of leases.
@@ -38,7 +38,7 @@
 
 type holding struct {
 	until time.Duration
-	acked table.Stamp
+	acked store.Stamp
 	// isCounted says that its lapse was not yet counted.
 	isCounted bool
 }
@@ -65,7 +65,7 @@
 }
 
 // OnAsk notes what a node has taken up.
-func (d *Desk) OnAsk(node string, acked table.Stamp, now time.Duration) {
+func (d *Desk) OnAsk(node string, acked store.Stamp, now time.Duration) {
 	held, isMet := d.nodes[node]
 	if !isMet {
 		held.until = now
@@ -130,7 +130,7 @@
 func (d *Desk) Thaw() { d.frozen = 0 }
 
 // Settled says whether every node that may hold a lease has taken up a stamp.
-func (d *Desk) Settled(stamp table.Stamp, now time.Duration) bool {
+func (d *Desk) Settled(stamp store.Stamp, now time.Duration) bool {
 	for _, held := range d.nodes {
 		if held.until > now && held.acked.IsBefore(stamp) {
 			return false
@@ -152,8 +152,8 @@
 func (d *Desk) IsHeld(node string, now time.Duration) bool { return d.nodes[node].until > now }
 
 // Held lists the nodes that may hold a lease, with what each has taken up.
-func (d *Desk) Held(now time.Duration) map[string]table.Stamp {
-	nodes := map[string]table.Stamp{}
+func (d *Desk) Held(now time.Duration) map[string]store.Stamp {
+	nodes := map[string]store.Stamp{}
 	for name, held := range d.nodes {
 		if held.until > now {
 			nodes[name] = held.acked
--- a/pooler/coordination/lease/lease_test.go
+++ b/internal/coordination/lease/lease_test.go
@@ -6,7 +6,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/state/table"
+	"tansyseam/internal/state/store"
 )
 
 func TestHolder(t *testing.T) {
@@ -52,9 +52,9 @@
 	timing := DefaultTiming()
 	Convey("A stamp is settled when each node that may hold a lease has taken it up or its lease is over", t, func() {
 		d := NewDesk(timing, nil, 0)
-		stamp := table.Stamp{Epoch: 1, Sequence: 2}
+		stamp := store.Stamp{Epoch: 1, Sequence: 2}
 		for _, node := range []string{"a", "b"} {
-			d.OnAsk(node, table.Stamp{Epoch: 1, Sequence: 1}, time.Second)
+			d.OnAsk(node, store.Stamp{Epoch: 1, Sequence: 1}, time.Second)
 			d.Grant(node, time.Minute, time.Second)
 		}
 		So(d.Settled(stamp, time.Second), ShouldBeFalse)
--- a/pooler/coordination/member/member.go
+++ b/internal/coordination/membership/member.go
@@ -1,10 +1,10 @@
-// Package member is the machine by which nodes find each other from three
+// Package membership is the machine by which nodes find each other from three
 // seeds, tell each other what they know, and hold one another dead only on
 // the word of more than one watcher. Beats go between a node and its few
 // watchers and carry what has lately changed; the rest is compared by digests
 // over ranges and mended from the newer. A watcher asks for the beats of those
 // that it watches, and is then sent them unasked for some time.
-package member
+package membership
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 	"slices"
 	"time"
 
-	"tansyseam.example/pooler/coordination/rendezvous"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/rendezvous"
+	"tansyseam/internal/state/model"
 )
 
 // Watchers is how many others watch each node.
@@ -33,8 +33,8 @@
 // Gossip is what nodes tell each other. From holds only name, birth and beat
 // where the other knows the rest.
 type Gossip struct {
-	From       view.Node
-	Nodes      []view.Node
+	From       model.Node
+	Nodes      []model.Node
 	Suspicions []Suspicion
 	IsReply    bool
 	// IsWatch says that the sender wants the other's beats.
@@ -62,7 +62,7 @@
 
 // Changed is an effect: a node's standing turned.
 type Changed struct {
-	Node view.Node
+	Node model.Node
 	Is   string
 	Why  string
 }
@@ -75,7 +75,7 @@
 )
 
 type peer struct {
-	node     view.Node
+	node     model.Node
 	heard    time.Duration
 	direct   time.Duration
 	standing string
@@ -119,7 +119,7 @@
 
 // Machine is one node's knowledge of the others.
 type Machine struct {
-	self       view.Node
+	self       model.Node
 	seeds      []string
 	timing     Timing
 	peers      map[string]*peer
@@ -140,7 +140,7 @@
 }
 
 // New makes the machine of a node.
-func New(self view.Node, seeds []string, timing Timing) *Machine {
+func New(self model.Node, seeds []string, timing Timing) *Machine {
 	return &Machine{
 		self: self, seeds: seeds, timing: timing, peers: map[string]*peer{},
 		suspicions: map[Suspicion]time.Duration{}, beaten: -timing.Beat, isTurned: true,
@@ -148,14 +148,14 @@
 }
 
 // Self gives the node's own entry.
-func (m *Machine) Self() view.Node { return m.self }
+func (m *Machine) Self() model.Node { return m.self }
 
 // Leave marks this node as having said goodbye.
 func (m *Machine) Leave() { m.self.Left, m.isTurned = true, true }
 
 // Nodes lists the known nodes of some standings, this node among the live.
-func (m *Machine) Nodes(standings ...string) []view.Node {
-	var nodes []view.Node
+func (m *Machine) Nodes(standings ...string) []model.Node {
+	var nodes []model.Node
 	if slices.Contains(standings, IsLive) {
 		nodes = append(nodes, m.self)
 	}
@@ -164,7 +164,7 @@
 			nodes = append(nodes, other.node)
 		}
 	}
-	slices.SortFunc(nodes, func(a, b view.Node) int { return cmpNames(a.Name, b.Name) })
+	slices.SortFunc(nodes, func(a, b model.Node) int { return cmpNames(a.Name, b.Name) })
 	return nodes
 }
 
@@ -227,12 +227,12 @@
 
 // Fellows gives the live nodes of this one's kind that it watches, or, where
 // it watches none, all that live.
-func (m *Machine) Fellows() []view.Node {
+func (m *Machine) Fellows() []model.Node {
 	isWatched := map[string]bool{}
 	for _, name := range m.Watched() {
 		isWatched[name] = true
 	}
-	var watched, live []view.Node
+	var watched, live []model.Node
 	for _, node := range m.Nodes(IsLive) {
 		if node.Name != m.self.Name && node.Kind == m.self.Kind {
 			live = append(live, node)
@@ -275,7 +275,7 @@
 	return int(sum.Sum32() % Ranges)
 }
 
-func digestOf(node view.Node) uint64 {
+func digestOf(node model.Node) uint64 {
 	sum := fnv.New64a()
 	_, _ = fmt.Fprint(sum, node.Name, "|", node.Birth, "|", node.Left, "|", node.Link, "|", node.Door, "|", node.Weight)
 	return sum.Sum64()
@@ -297,8 +297,8 @@
 	}
 }
 
-func brief(node view.Node) view.Node {
-	return view.Node{Name: node.Name, Birth: node.Birth, Beat: node.Beat, Left: node.Left}
+func brief(node model.Node) model.Node {
+	return model.Node{Name: node.Name, Birth: node.Birth, Beat: node.Beat, Left: node.Left}
 }
 
 func (m *Machine) gossip(to *peer, now time.Duration) Gossip {
@@ -320,7 +320,7 @@
 			gossip.Suspicions = append(gossip.Suspicions, suspicion)
 		}
 	}
-	slices.SortFunc(gossip.Nodes, func(a, b view.Node) int { return cmpNames(a.Name, b.Name) })
+	slices.SortFunc(gossip.Nodes, func(a, b model.Node) int { return cmpNames(a.Name, b.Name) })
 	slices.SortFunc(gossip.Suspicions, func(a, b Suspicion) int { return cmpNames(a.Node+"|"+a.By, b.Node+"|"+b.By) })
 	return gossip
 }
@@ -554,12 +554,12 @@
 		}
 	}
 	for _, other := range m.peers {
-		isTold := slices.ContainsFunc(reply.Nodes, func(node view.Node) bool { return node.Name == other.node.Name })
+		isTold := slices.ContainsFunc(reply.Nodes, func(node model.Node) bool { return node.Name == other.node.Name })
 		if other.standing != IsDead && !isTold && slices.Contains(wanted, rangeOf(other.node.Name)) {
 			reply.Nodes = append(reply.Nodes, other.node)
 		}
 	}
-	slices.SortFunc(reply.Nodes, func(a, b view.Node) int { return cmpNames(a.Name, b.Name) })
+	slices.SortFunc(reply.Nodes, func(a, b model.Node) int { return cmpNames(a.Name, b.Name) })
 }
 
 func (m *Machine) onSuspicion(suspicion Suspicion, now time.Duration) {
@@ -580,7 +580,7 @@
 	}
 }
 
-func (m *Machine) meet(node view.Node, now time.Duration, isDirect bool) {
+func (m *Machine) meet(node model.Node, now time.Duration, isDirect bool) {
 	if node.Name == m.self.Name || node.Name == "" {
 		return
 	}
@@ -607,7 +607,7 @@
 	}
 }
 
-func (m *Machine) renew(other *peer, node view.Node, isReborn bool, now time.Duration) {
+func (m *Machine) renew(other *peer, node model.Node, isReborn bool, now time.Duration) {
 	wasGone := other.standing != IsLive
 	isBrief := node.Link == ""
 	if isBrief {
--- a/pooler/coordination/member/member_test.go
+++ b/internal/coordination/membership/member_test.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/state/model"
 )
 
 type town struct {
@@ -30,7 +30,7 @@
 }
 
 func (t *town) add(name string) {
-	node := view.Node{Name: name, Kind: view.KindData, Link: name, Birth: int64(t.now) + 1}
+	node := model.Node{Name: name, Kind: model.KindData, Link: name, Birth: int64(t.now) + 1}
 	t.members[name] = New(node, []string{"n00", "n01", "n02"}, DefaultTiming())
 	t.order = append(t.order, name)
 }
@@ -87,15 +87,15 @@
 			watchers += len(town.members[name].Watched())
 		}
 		So(watchers, ShouldEqual, 14*Watchers)
-		So(town.members["n03"].Count(view.KindData), ShouldEqual, 14)
-		So(town.members["n03"].Count(view.KindControl), ShouldEqual, 0)
+		So(town.members["n03"].Count(model.KindData), ShouldEqual, 14)
+		So(town.members["n03"].Count(model.KindControl), ShouldEqual, 0)
 		Convey("A node that vanishes is held dead by all, and live again when it returns", func() {
 			town.gone["n07"] = true
 			town.pass(6 * time.Second)
 			So(town.holding("n07", IsDead), ShouldEqual, 13)
-			So(town.members["n03"].Count(view.KindData), ShouldEqual, 13)
+			So(town.members["n03"].Count(model.KindData), ShouldEqual, 13)
 			town.gone["n07"] = false
-			town.members["n07"] = New(view.Node{Name: "n07", Kind: view.KindData, Link: "n07", Birth: int64(town.now)}, []string{"n00", "n01", "n02"}, DefaultTiming())
+			town.members["n07"] = New(model.Node{Name: "n07", Kind: model.KindData, Link: "n07", Birth: int64(town.now)}, []string{"n00", "n01", "n02"}, DefaultTiming())
 			town.pass(4 * time.Second)
 			So(town.holding("n07", IsLive), ShouldEqual, 13)
 		})
@@ -201,7 +201,7 @@
 	Convey("The fellows of a node are of its kind: watched ones where there are any, else all that live", t, func() {
 		control := []string{"n00", "n01", "n02", "n03", "n04"}
 		town := newTown(11)
-		town.is(view.KindControl, control...)
+		town.is(model.KindControl, control...)
 		town.pass(4 * time.Second)
 		for _, name := range town.order {
 			one := town.members[name]
@@ -222,7 +222,7 @@
 			So(len(fellows), ShouldEqual, count)
 		}
 		lone := newTown(3)
-		lone.is(view.KindControl, "n01", "n02")
+		lone.is(model.KindControl, "n01", "n02")
 		lone.pass(4 * time.Second)
 		So(lone.members["n00"].Fellows(), ShouldBeEmpty)
 	})
--- a/pooler/coordination/hall/consumers.go
+++ b/internal/coordination/pool/httppool/consumers.go
@@ -1,4 +1,4 @@
-package hall
+package httppool
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"tansyseam.example/pooler/coordination/goes"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/idempotency"
+	"tansyseam/internal/state/model"
 )
 
 // Opened is a consumer that was let in.
@@ -15,7 +15,7 @@
 	Session  string
 	Sequence uint64
 	// Marks are those given that tell of databases known here.
-	Marks map[string]view.Position
+	Marks map[string]model.Position
 }
 
 func refuse(cause string, retry time.Duration, text string, parts ...any) Result {
@@ -23,7 +23,7 @@
 }
 
 // Open lets a consumer in; false gives the refusal.
-func (m *Machine) Open(binding, remote string, marks map[string]view.Position, now time.Duration) (Opened, Result, bool) {
+func (m *Machine) Open(binding, remote string, marks map[string]model.Position, now time.Duration) (Opened, Result, bool) {
 	if isReady, why := m.Ready(now); !isReady {
 		return Opened{}, refuse(CauseNotReady, 500*time.Millisecond+m.spread(50*time.Millisecond), "not ready: %s", why), false
 	}
@@ -35,7 +35,7 @@
 		return Opened{}, refuse(CauseNoBinding, 0, "no binding %q in sequence %d", binding, set.Sequence), false
 	}
 	m.ids++
-	made := &consumer{id: m.goes.Session(m.ids), binding: binding, remote: remote, marks: map[string]view.Position{}, used: now}
+	made := &consumer{id: m.goes.Session(m.ids), binding: binding, remote: remote, marks: map[string]model.Position{}, used: now}
 	for database, position := range marks {
 		if _, isKnown := m.names.Find(database); isKnown {
 			made.marks[database] = position
@@ -55,7 +55,7 @@
 }
 
 // Close lets a consumer go and gives its marks.
-func (m *Machine) Close(session string, now time.Duration) (map[string]view.Position, bool) {
+func (m *Machine) Close(session string, now time.Duration) (map[string]model.Position, bool) {
 	held, isHeld := m.consumers[session]
 	if !isHeld {
 		return nil, false
@@ -189,7 +189,7 @@
 			for _, j := range slices.Clone(waiting.jobs) {
 				if j.phase == phaseLine && !j.consumer.isInside {
 					m.unline(j)
-					m.settleGo(j.op.Go, goes.Not, nil, view.Position{}, now)
+					m.settleGo(j.op.Go, idempotency.Not, nil, model.Position{}, now)
 					m.finish(j, stopping, now)
 				}
 			}
--- a/pooler/coordination/hall/hall.go
+++ b/internal/coordination/pool/httppool/hall.go
@@ -1,20 +1,20 @@
-// Package hall is the machine by which a data-plane node carries consumers'
+// Package httppool is the machine by which a data-plane node carries consumers'
 // statements: the consumers and what state they hold at an instance, the
 // lines in which statements wait, the windows and connections of the
 // instances, what each statement came to, and the drain. Each method is one
 // event; Effects gives what it caused, to be carried out in order.
-package hall
+package httppool
 
 import (
 	"time"
 
-	"tansyseam.example/pooler/coordination/admit"
-	"tansyseam.example/pooler/coordination/goes"
-	"tansyseam.example/pooler/coordination/lease"
-	"tansyseam.example/pooler/coordination/serve"
-	"tansyseam.example/pooler/coordination/steer"
-	"tansyseam.example/pooler/state/dense"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/coordination/flowcontrol"
+	"tansyseam/internal/coordination/idempotency"
+	"tansyseam/internal/coordination/lease"
+	"tansyseam/internal/coordination/routing"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/symbol"
 )
 
 // Timing holds the machine's bounds.
@@ -80,7 +80,7 @@
 	IsFailed bool
 	Error    string
 	Rows     []byte
-	Position view.Position
+	Position model.Position
 	// IsClean says that the connection holds no state.
 	IsClean bool
 	// IsInside says that a transaction is open.
@@ -115,7 +115,7 @@
 type Result struct {
 	Outcome  string
 	Rows     []byte
-	Position view.Position
+	Position model.Position
 	Fault    string
 	// Cause, where given, says why nothing was done, other than for want of
 	// time or room.
@@ -125,7 +125,7 @@
 	Instance string
 	Sequence uint64
 	// Marks is the consumer's furthest position for each database.
-	Marks map[string]view.Position
+	Marks map[string]model.Position
 }
 
 // Effects.
@@ -164,7 +164,7 @@
 	// Report tells the control primary what is seen, before the next ask.
 	Report struct{}
 	// Turned tells a writer role that moved, Shown a set come in force.
-	Turned struct{ Moved serve.Moved }
+	Turned struct{ Moved routing.Moved }
 	Shown  struct{ Sequence uint64 }
 )
 
@@ -194,7 +194,7 @@
 	isStrict bool
 	isPinned bool
 	isInside bool
-	mark     view.Position
+	mark     model.Position
 	arrived  time.Duration
 	deadline time.Duration
 	phase    phase
@@ -207,8 +207,8 @@
 	term     uint64
 	sentAt   time.Duration
 	ranAt    time.Duration
-	position view.Position
-	seen     view.Position
+	position model.Position
+	seen     model.Position
 	rows     []byte
 }
 
@@ -293,9 +293,9 @@
 }
 
 type back struct {
-	sight     *serve.Sight
+	sight     *routing.Sight
 	database  int
-	window    *admit.Window
+	window    *flowcontrol.Window
 	idle      []*Wire
 	sessions  int
 	opening   int
@@ -323,7 +323,7 @@
 	id       string
 	binding  string
 	remote   string
-	marks    map[string]view.Position
+	marks    map[string]model.Position
 	pinned   *Wire
 	isInside bool
 	isBusy   bool
@@ -344,13 +344,13 @@
 type Machine struct {
 	place     Place
 	timing    Timing
-	tuning    admit.Tuning
+	tuning    flowcontrol.Tuning
 	count     func(name string, by int64)
-	serve     *serve.Machine
-	goes      *goes.Machine
-	names     *dense.Index
+	serve     *routing.Machine
+	goes      *idempotency.Machine
+	names     *symbol.Index
 	bases     []*base
-	backNames *dense.Index
+	backNames *symbol.Index
 	backs     []*back
 	consumers map[string]*consumer
 	roll      []*consumer
@@ -361,7 +361,7 @@
 	polls     []poll
 	ids       uint64
 	spreads   uint64
-	peers     admit.Peers
+	peers     flowcontrol.Peers
 	swept     time.Duration
 	isLeaving bool
 	effects   []Effect
@@ -371,10 +371,10 @@
 // rises.
 func New(place Place, timing Timing, count func(string, int64)) *Machine {
 	m := &Machine{
-		place: place, timing: timing, tuning: admit.Defaults(), count: count,
-		serve: serve.New(place.Name, lease.DefaultTiming()), goes: goes.New(place.Name, place.Birth, goes.DefaultTiming()),
-		names: dense.NewIndex(), backNames: dense.NewIndex(), consumers: map[string]*consumer{}, remotes: map[string][]*consumer{},
-		asks: map[string]int{}, seeks: map[string][]*Job{}, peers: admit.Peers{Most: 1},
+		place: place, timing: timing, tuning: flowcontrol.Defaults(), count: count,
+		serve: routing.New(place.Name, lease.DefaultTiming()), goes: idempotency.New(place.Name, place.Birth, idempotency.DefaultTiming()),
+		names: symbol.NewIndex(), backNames: symbol.NewIndex(), consumers: map[string]*consumer{}, remotes: map[string][]*consumer{},
+		asks: map[string]int{}, seeks: map[string][]*Job{}, peers: flowcontrol.Peers{Most: 1},
 	}
 	m.tuning.Beta = place.Beta
 	return m
@@ -391,10 +391,10 @@
 
 // Serve gives what the node knows of leases, sets and writer roles, to be
 // read only.
-func (m *Machine) Serve() *serve.Machine { return m.serve }
+func (m *Machine) Serve() *routing.Machine { return m.serve }
 
 // Goes gives the node's record of goes.
-func (m *Machine) Goes() *goes.Machine { return m.goes }
+func (m *Machine) Goes() *idempotency.Machine { return m.goes }
 
 func (m *Machine) base(name string) *base {
 	rank := m.names.Rank(name)
@@ -415,12 +415,12 @@
 }
 
 // Announced takes an instance's announcement.
-func (m *Machine) Announced(info view.Instance, now time.Duration) {
+func (m *Machine) Announced(info model.Instance, now time.Duration) {
 	one := m.base(info.Database)
 	rank := m.backNames.Rank(info.Name)
 	for len(m.backs) <= rank {
 		database, _ := m.names.Find(info.Database)
-		m.backs = append(m.backs, &back{window: admit.New(m.tuning), database: database, sight: m.serve.Sight(info.Name)})
+		m.backs = append(m.backs, &back{window: flowcontrol.New(m.tuning), database: database, sight: m.serve.Sight(info.Name)})
 	}
 	held := m.backs[rank]
 	known := held.sight.Info
@@ -473,23 +473,23 @@
 // Following says where an instance is to be looked at next, from which
 // position on, and false once it has long been silent and is followed no
 // more.
-func (m *Machine) Following(name string, now time.Duration) (address string, after view.Position, isOn bool) {
+func (m *Machine) Following(name string, now time.Duration) (address string, after model.Position, isOn bool) {
 	held := m.back(name)
 	if now-held.sight.Announced > time.Minute {
 		held.isWatched = false
-		return "", view.Position{}, false
+		return "", model.Position{}, false
 	}
 	return held.sight.Info.Address, held.sight.Position, true
 }
 
 // Ask gives the next ask for news.
-func (m *Machine) Ask(now time.Duration) steer.AskNews {
+func (m *Machine) Ask(now time.Duration) distribution.AskNews {
 	m.effective(now)
 	return m.serve.Ask(now, m.lags(now))
 }
 
 // Told gives what is seen, for the control primary.
-func (m *Machine) Told(now time.Duration) steer.Told { return m.serve.Told(now, m.lags(now)) }
+func (m *Machine) Told(now time.Duration) distribution.Told { return m.serve.Told(now, m.lags(now)) }
 
 func (m *Machine) lags(now time.Duration) map[string]time.Duration {
 	lags := map[string]time.Duration{}
@@ -504,7 +504,7 @@
 }
 
 // Took takes news that answers an ask sent at a moment.
-func (m *Machine) Took(news steer.News, sent, now time.Duration) {
+func (m *Machine) Took(news distribution.News, sent, now time.Duration) {
 	if news.Doc != nil {
 		m.count("docs_taken", 1)
 	}
@@ -526,7 +526,7 @@
 	}
 }
 
-func (m *Machine) effective(now time.Duration) view.Set {
+func (m *Machine) effective(now time.Duration) model.Set {
 	current, isNew := m.serve.Effective(now)
 	if isNew {
 		m.count("sets_shown", 1)
@@ -580,30 +580,30 @@
 }
 
 // Effective gives the set in force.
-func (m *Machine) Effective(now time.Duration) view.Set { return m.effective(now) }
+func (m *Machine) Effective(now time.Duration) model.Set { return m.effective(now) }
 
 // Backed is what the node shows of an instance.
 type Backed struct {
-	Info      view.Instance `json:"instance"`
-	HeardMS   int64         `json:"heard_ms"`
-	AnsweredM int64         `json:"answered_ms"`
-	Position  view.Position `json:"position"`
-	FreshMS   int64         `json:"fresh_ms"`
-	Admission admit.Reading `json:"admission"`
-	Sessions  int           `json:"sessions"`
-	Idle      int           `json:"idle"`
-	Pinned    int           `json:"pinned"`
-	Share     int           `json:"share"`
+	Info      model.Instance      `json:"instance"`
+	HeardMS   int64               `json:"heard_ms"`
+	AnsweredM int64               `json:"answered_ms"`
+	Position  model.Position      `json:"position"`
+	FreshMS   int64               `json:"fresh_ms"`
+	Admission flowcontrol.Reading `json:"admission"`
+	Sessions  int                 `json:"sessions"`
+	Idle      int                 `json:"idle"`
+	Pinned    int                 `json:"pinned"`
+	Share     int                 `json:"share"`
 }
 
 // Lined is what it shows of a database's lines.
 type Lined struct {
-	Database string        `json:"database"`
-	Turns    int           `json:"turns"`
-	Writes   int           `json:"writes"`
-	Reads    int           `json:"reads"`
-	Confirms int           `json:"confirms"`
-	High     view.Position `json:"high"`
+	Database string         `json:"database"`
+	Turns    int            `json:"turns"`
+	Writes   int            `json:"writes"`
+	Reads    int            `json:"reads"`
+	Confirms int            `json:"confirms"`
+	High     model.Position `json:"high"`
 }
 
 // Show gives what the node shows to operators.
--- a/pooler/coordination/hall/hall_test.go
+++ b/internal/coordination/pool/httppool/hall_test.go
@@ -1,4 +1,4 @@
-package hall
+package httppool
 
 import (
 	"fmt"
@@ -8,11 +8,11 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/coordination/epoch"
-	"tansyseam.example/pooler/coordination/goes"
-	"tansyseam.example/pooler/coordination/steer"
-	"tansyseam.example/pooler/state/table"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/consensus"
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/coordination/idempotency"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
 )
 
 type rig struct {
@@ -23,19 +23,19 @@
 	opens  []Open
 	seeks  []Seek
 	shuts  []*Wire
-	high   view.Position
+	high   model.Position
 	isSlow map[string]bool
 	stamp  uint64
 	phase  string
 }
 
 func newRig(connections int) *rig {
-	r := &rig{now: time.Hour, told: map[string]Result{}, isSlow: map[string]bool{}, phase: view.PhaseOpen}
+	r := &rig{now: time.Hour, told: map[string]Result{}, isSlow: map[string]bool{}, phase: model.PhaseOpen}
 	r.Machine = New(Place{Name: "d1", Zone: "za", Birth: "1", Beta: 1}, DefaultTiming(), func(string, int64) {})
 	for _, database := range []string{"x", "y"} {
-		for at, role := range []string{view.RolePrimary, view.RoleReplica} {
+		for at, role := range []string{model.RolePrimary, model.RoleReplica} {
 			name := fmt.Sprintf("%s%d", database, at)
-			r.Announced(view.Instance{Name: name, Database: database, Address: name, Role: role, Term: 1, Birth: "b", Connections: connections, Slots: 4}, r.now)
+			r.Announced(model.Instance{Name: name, Database: database, Address: name, Role: role, Term: 1, Birth: "b", Connections: connections, Slots: 4}, r.now)
 		}
 	}
 	r.news()
@@ -44,17 +44,17 @@
 
 func (r *rig) news() {
 	r.stamp++
-	doc := view.Doc{Stamp: table.Stamp{Epoch: 1, Sequence: r.stamp}, Writers: map[string]view.Writer{}, Sets: []view.Set{{
-		Sequence: 1, Moment: 1, Bindings: []view.Binding{{Name: "x", Database: "x"}, {Name: "y", Database: "y"}},
+	doc := model.Doc{Stamp: store.Stamp{Epoch: 1, Sequence: r.stamp}, Writers: map[string]model.Writer{}, Sets: []model.Set{{
+		Sequence: 1, Moment: 1, Bindings: []model.Binding{{Name: "x", Database: "x"}, {Name: "y", Database: "y"}},
 	}}}
 	for _, database := range []string{"x", "y"} {
 		replica := map[string]string{database + "1": "b"}
-		doc.Writers[database] = view.Writer{
+		doc.Writers[database] = model.Writer{
 			Database: database, Term: 1, Primary: database + "0", Birth: "b", Phase: r.phase, Required: replica, Candidates: replica,
 		}
 	}
-	record := epoch.Record{Epoch: 1, Primary: "c1"}
-	r.Took(steer.News{IsPrimary: true, Record: record, Lease: 1600 * time.Millisecond, Wall: int64(r.now), Doc: &doc}, r.now, r.now)
+	record := consensus.Record{Epoch: 1, Primary: "c1"}
+	r.Took(distribution.News{IsPrimary: true, Record: record, Lease: 1600 * time.Millisecond, Wall: int64(r.now), Doc: &doc}, r.now, r.now)
 	r.flow()
 }
 
@@ -162,14 +162,14 @@
 				return r.ask(session, "t", write(id))
 			}},
 			{"in line", OutcomeNot, func(r *rig, session, id string) *Job {
-				r.phase = view.PhaseClosing
+				r.phase = model.PhaseClosing
 				r.news()
 				return r.ask(session, "t", write(id))
 			}},
 			{"out", OutcomeUnknown, func(r *rig, session, id string) *Job { return r.ask(session, "t", write(id)) }},
 			{"not yet shown safe", OutcomeUnknown, func(r *rig, session, id string) *Job {
 				j := r.ask(session, "t", write(id))
-				r.reply(Reply{IsClean: true, Position: view.Position{Term: 1, Index: 9}})
+				r.reply(Reply{IsClean: true, Position: model.Position{Term: 1, Index: 9}})
 				return j
 			}},
 			{"a read that is out", OutcomeNot, func(r *rig, session, _ string) *Job { return r.ask(session, "t", Op{Act: ActRun, Text: "r"}) }},
@@ -235,7 +235,7 @@
 		So(len(r.seeks), ShouldEqual, most)
 		r.ask(r.open("x", "other"), "other", write("d3~1~1.1"))
 		So(r.seeks[most].Target, ShouldEqual, "d3")
-		r.Heard(r.seeks[0].Job, "d2", goes.Answer{}, false, r.now)
+		r.Heard(r.seeks[0].Job, "d2", idempotency.Answer{}, false, r.now)
 		r.flow()
 		So(r.told["0"].Outcome, ShouldEqual, OutcomeUnknown)
 		So(r.seeks[most+1].Job.Go(), ShouldEqual, fmt.Sprintf("d2~1~%d.1", most))
@@ -253,7 +253,7 @@
 			}
 		}
 		forwards := r.Effects()
-		r.phase = view.PhaseClosing
+		r.phase = model.PhaseClosing
 		r.news()
 		for _, effect := range forwards {
 			r.carry(effect)
@@ -293,7 +293,7 @@
 		session := r.open("x", "a")
 		r.ask(session, "w", write(session+".1"))
 		wire := r.sent[0].Wire
-		r.reply(Reply{IsClean: false, Position: view.Position{Term: 1, Index: 1}})
+		r.reply(Reply{IsClean: false, Position: model.Position{Term: 1, Index: 1}})
 		So(slices.Contains(r.shuts, wire), ShouldBeTrue)
 	})
 	Convey("State that lies idle gives way when others wait; a transaction does not", t, func() {
--- a/pooler/coordination/hall/line.go
+++ b/internal/coordination/pool/httppool/line.go
@@ -1,14 +1,14 @@
-package hall
+package httppool
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"tansyseam.example/pooler/coordination/admit"
-	"tansyseam.example/pooler/coordination/goes"
-	"tansyseam.example/pooler/coordination/selects"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/balancer"
+	"tansyseam/internal/coordination/flowcontrol"
+	"tansyseam/internal/coordination/idempotency"
+	"tansyseam/internal/state/model"
 )
 
 // Bind finds what a request meets: the binding in force, what its consumer
@@ -70,13 +70,13 @@
 // Join puts a request in its database's line.
 func (m *Machine) Join(j *Job, now time.Duration) {
 	if j.isTold {
-		m.settleGo(j.op.Go, goes.Not, nil, view.Position{}, now)
+		m.settleGo(j.op.Go, idempotency.Not, nil, model.Position{}, now)
 		return
 	}
 	one := m.base(j.database)
 	waiting := one.lineOf(j)
 	if waiting.live >= m.timing.Line {
-		m.settleGo(j.op.Go, goes.Not, nil, view.Position{}, now)
+		m.settleGo(j.op.Go, idempotency.Not, nil, model.Position{}, now)
 		m.finish(j, Result{Outcome: OutcomeNot, Fault: "the line is full", Retry: m.backAt(j, now)}, now)
 		return
 	}
@@ -99,7 +99,7 @@
 
 func (m *Machine) pumpWrites(one *base, now time.Duration) {
 	writer := m.serve.Writer(one.name)
-	if one.turns.live+one.writes.live == 0 || writer.Phase != view.PhaseOpen {
+	if one.turns.live+one.writes.live == 0 || writer.Phase != model.PhaseOpen {
 		return
 	}
 	target := m.back(writer.Primary)
@@ -145,21 +145,21 @@
 }
 
 func (m *Machine) selectBack(one *base, j *Job, now time.Duration) *back {
-	var choices []selects.Choice
+	var choices []balancer.Choice
 	var targets []*back
 	for _, held := range m.backs {
 		if m.bases[held.database] != one || held.leavingAt != 0 {
 			continue
 		}
 		reading := held.window.Read()
-		choices = append(choices, selects.Choice{
+		choices = append(choices, balancer.Choice{
 			HasRoom: held.window.HasRoom() && (len(held.idle) > 0 || m.canGrow(held, now)), IsNear: held.sight.Info.Zone == m.place.Zone,
 			IsFresh:  m.serve.MayRead(held.sight.Info.Name, j.arrived, j.fresh, j.mark, now),
 			Pressure: float64(reading.Open+reading.Ghosts) / max(reading.Window, 1), Cal: reading.Cal,
 		})
 		targets = append(targets, held)
 	}
-	best := selects.Select(choices)
+	best := balancer.Select(choices)
 	if best < 0 || len(targets[best].idle) > 0 {
 		return at(targets, best)
 	}
@@ -167,7 +167,7 @@
 	for rank, held := range targets {
 		choices[rank].HasRoom = choices[rank].HasRoom && len(held.idle) > 0
 	}
-	return at(targets, selects.Select(choices))
+	return at(targets, balancer.Select(choices))
 }
 
 func at(targets []*back, rank int) *back {
@@ -214,7 +214,7 @@
 	if j.isPinned && (wire == nil || wire.back != target || held.isLost) {
 		m.loseSession(held)
 		m.unline(j)
-		m.settleGo(j.op.Go, goes.Not, nil, view.Position{}, now)
+		m.settleGo(j.op.Go, idempotency.Not, nil, model.Position{}, now)
 		m.finish(j, Result{Outcome: OutcomeNot, Fault: "the session's state was lost with its instance", IsClosed: true}, now)
 		return true
 	}
@@ -263,7 +263,7 @@
 
 func (m *Machine) unsend(j *Job, now time.Duration) {
 	m.unout(j)
-	j.back.window.Done(admit.Refused, 0)
+	j.back.window.Done(flowcontrol.Refused, 0)
 	wire := j.wire
 	j.wire = nil
 	if !j.isPinned {
--- a/pooler/coordination/hall/outcome.go
+++ b/internal/coordination/pool/httppool/outcome.go
@@ -1,12 +1,12 @@
-package hall
+package httppool
 
 import (
 	"maps"
 	"time"
 
-	"tansyseam.example/pooler/coordination/admit"
-	"tansyseam.example/pooler/coordination/goes"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/flowcontrol"
+	"tansyseam/internal/coordination/idempotency"
+	"tansyseam/internal/state/model"
 )
 
 func (m *Machine) finish(j *Job, told Result, now time.Duration) {
@@ -55,16 +55,16 @@
 	},
 	phaseLine: func(m *Machine, j *Job, now time.Duration) {
 		m.unline(j)
-		m.settleGo(j.op.Go, goes.Not, nil, view.Position{}, now)
+		m.settleGo(j.op.Go, idempotency.Not, nil, model.Position{}, now)
 		m.finish(j, Result{Outcome: OutcomeNot, Fault: "deadline passed while waiting in line: " + m.whyWaits(j, now), Retry: m.backAt(j, now)}, now)
 	},
 	phaseTaken: func(m *Machine, j *Job, now time.Duration) {
-		m.settleGo(j.op.Go, goes.Not, nil, view.Position{}, now)
+		m.settleGo(j.op.Go, idempotency.Not, nil, model.Position{}, now)
 		m.finish(j, Result{Outcome: OutcomeNot, Fault: "deadline passed before it was passed on", Retry: m.backAt(j, now)}, now)
 	},
 	phaseOut: func(m *Machine, j *Job, now time.Duration) { m.abandon(j, now) },
 	phaseConfirm: func(m *Machine, j *Job, now time.Duration) {
-		m.settleGo(j.op.Go, goes.Unknown, nil, view.Position{}, now)
+		m.settleGo(j.op.Go, idempotency.Unknown, nil, model.Position{}, now)
 		m.finish(j, Result{Outcome: OutcomeUnknown, Fault: "it ran, but is not yet shown to be safe on the replicas", Retry: time.Second}, now)
 	},
 	phaseEnded: func(*Machine, *Job, time.Duration) {},
@@ -89,7 +89,7 @@
 	}{
 		{!m.serve.IsLeased(now), "this node has no lease from the control plane"},
 		{writer.Phase == "", "the database's primary is not known yet"},
-		{writer.Phase != view.PhaseOpen && (j.isStrict || j.op.IsWrite), "the writer role is moving"},
+		{writer.Phase != model.PhaseOpen && (j.isStrict || j.op.IsWrite), "the writer role is moving"},
 	}
 	for _, check := range checks {
 		if check.is {
@@ -102,7 +102,7 @@
 func (m *Machine) backAt(j *Job, now time.Duration) time.Duration {
 	one := m.base(j.database)
 	spread := m.spread(30 * time.Millisecond)
-	if m.serve.Writer(j.database).Phase != view.PhaseOpen || !m.serve.IsLeased(now) {
+	if m.serve.Writer(j.database).Phase != model.PhaseOpen || !m.serve.IsLeased(now) {
 		return 800*time.Millisecond + spread
 	}
 	ahead := one.reads.live + one.writes.live + one.turns.live
@@ -116,17 +116,17 @@
 	return min(100*time.Millisecond+spread+time.Duration(ahead+1)*cal/time.Duration(max(room, 1)), 5*time.Second)
 }
 
-func (m *Machine) settleGo(id, standing string, rows []byte, position view.Position, now time.Duration) {
+func (m *Machine) settleGo(id, standing string, rows []byte, position model.Position, now time.Duration) {
 	joined, answer := m.goes.Settle(id, standing, rows, position, now)
 	for _, token := range joined {
 		m.finish(token.(*Job), resultOf(answer), now)
 	}
 }
 
-func resultOf(answer goes.Answer) Result {
+func resultOf(answer idempotency.Answer) Result {
 	results := map[string]Result{
-		goes.Kept: {Outcome: OutcomeKept, Rows: answer.Rows, Position: answer.Position},
-		goes.Not:  {Outcome: OutcomeNot, Fault: "this go ended before with nothing kept", Retry: time.Second},
+		idempotency.Kept: {Outcome: OutcomeKept, Rows: answer.Rows, Position: answer.Position},
+		idempotency.Not:  {Outcome: OutcomeNot, Fault: "this go ended before with nothing kept", Retry: time.Second},
 	}
 	if found, isOne := results[answer.Standing]; isOne {
 		return found
@@ -134,27 +134,27 @@
 	return Result{Outcome: OutcomeUnknown, Fault: "what became of this go is not known", Retry: time.Second}
 }
 
-var decisions map[string]func(*Machine, *Job, goes.Decision, time.Duration)
+var decisions map[string]func(*Machine, *Job, idempotency.Decision, time.Duration)
 
 func init() {
-	decisions = map[string]func(*Machine, *Job, goes.Decision, time.Duration){
-		goes.Run: func(m *Machine, j *Job, _ goes.Decision, now time.Duration) {
+	decisions = map[string]func(*Machine, *Job, idempotency.Decision, time.Duration){
+		idempotency.Run: func(m *Machine, j *Job, _ idempotency.Decision, now time.Duration) {
 			if j.op.Act == ActCommit && !j.consumer.isInside {
-				m.settleGo(j.op.Go, goes.Not, nil, view.Position{}, now)
+				m.settleGo(j.op.Go, idempotency.Not, nil, model.Position{}, now)
 				m.finish(j, noTurn, now)
 				return
 			}
 			j.phase = phaseNew
 			m.emit(Admit{Job: j})
 		},
-		goes.Wait: func(_ *Machine, j *Job, _ goes.Decision, _ time.Duration) { j.phase = phaseJoined },
-		goes.Tell: func(m *Machine, j *Job, decision goes.Decision, now time.Duration) {
+		idempotency.Wait: func(_ *Machine, j *Job, _ idempotency.Decision, _ time.Duration) { j.phase = phaseJoined },
+		idempotency.Tell: func(m *Machine, j *Job, decision idempotency.Decision, now time.Duration) {
 			m.finish(j, resultOf(decision.Answer), now)
 		},
-		goes.Bad: func(m *Machine, j *Job, _ goes.Decision, now time.Duration) {
+		idempotency.Bad: func(m *Machine, j *Job, _ idempotency.Decision, now time.Duration) {
 			m.finish(j, Result{Outcome: OutcomeNot, Fault: "a go's id must be a session's id, a dot and a count", Cause: CauseBadGo}, now)
 		},
-		goes.Seek: func(m *Machine, j *Job, decision goes.Decision, now time.Duration) {
+		idempotency.Seek: func(m *Machine, j *Job, decision idempotency.Decision, now time.Duration) {
 			j.phase, j.target = phaseSeek, decision.Target
 			j.hops++
 			if j.hops > 64 {
@@ -166,14 +166,14 @@
 	}
 }
 
-func (m *Machine) decided(j *Job, decision goes.Decision, now time.Duration) {
+func (m *Machine) decided(j *Job, decision idempotency.Decision, now time.Duration) {
 	m.count("goes_"+decision.Kind, 1)
 	decisions[decision.Kind](m, j, decision, now)
 }
 
 func (m *Machine) seek(j *Job, now time.Duration) {
 	if j.target == m.place.Name {
-		m.heard(j, m.goes.OnAsk(goes.Ask{Go: j.op.Go, By: m.place.Name}, now), now)
+		m.heard(j, m.goes.OnAsk(idempotency.Ask{Go: j.op.Go, By: m.place.Name}, now), now)
 		return
 	}
 	if m.asks[j.target] >= m.timing.Seeks {
@@ -185,7 +185,7 @@
 }
 
 // Heard takes another node's answer on a go; false where there was none.
-func (m *Machine) Heard(j *Job, target string, answer goes.Answer, isAnswered bool, now time.Duration) {
+func (m *Machine) Heard(j *Job, target string, answer idempotency.Answer, isAnswered bool, now time.Duration) {
 	m.asks[target]--
 	for next := m.seeks[target]; len(next) > 0 && m.asks[target] < m.timing.Seeks; next = m.seeks[target] {
 		m.seeks[target] = next[1:]
@@ -207,8 +207,8 @@
 	m.heard(j, answer, now)
 }
 
-func (m *Machine) heard(j *Job, answer goes.Answer, now time.Duration) {
-	if answer.Standing == goes.Out {
+func (m *Machine) heard(j *Job, answer idempotency.Answer, now time.Duration) {
+	if answer.Standing == idempotency.Out {
 		m.polls = append(m.polls, poll{j, now + pollEvery})
 		return
 	}
@@ -237,19 +237,21 @@
 }
 
 // OnAsk answers another node that was brought a go of ours.
-func (m *Machine) OnAsk(ask goes.Ask, now time.Duration) goes.Answer { return m.goes.OnAsk(ask, now) }
+func (m *Machine) OnAsk(ask idempotency.Ask, now time.Duration) idempotency.Answer {
+	return m.goes.OnAsk(ask, now)
+}
 
 // Inherit takes a stopping node's record of goes.
-func (m *Machine) Inherit(left goes.Legacy, now time.Duration) {
+func (m *Machine) Inherit(left idempotency.Legacy, now time.Duration) {
 	m.goes.Inherit(left, now)
 	m.count("legacies_taken", 1)
 }
 
 // Window gives what a window shows, for an instance that was met.
-func (m *Machine) Window(instance string) (admit.Reading, bool) {
+func (m *Machine) Window(instance string) (flowcontrol.Reading, bool) {
 	held := m.back(instance)
 	if held == nil {
-		return admit.Reading{}, false
+		return flowcontrol.Reading{}, false
 	}
 	return held.window.Read(), true
 }
--- a/pooler/coordination/hall/wires.go
+++ b/internal/coordination/pool/httppool/wires.go
@@ -1,13 +1,13 @@
-package hall
+package httppool
 
 import (
 	"slices"
 	"time"
 
-	"tansyseam.example/pooler/coordination/admit"
-	"tansyseam.example/pooler/coordination/goes"
-	"tansyseam.example/pooler/coordination/serve"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/flowcontrol"
+	"tansyseam/internal/coordination/idempotency"
+	"tansyseam/internal/coordination/routing"
+	"tansyseam/internal/state/model"
 )
 
 func (m *Machine) dropWire(wire *Wire) {
@@ -55,7 +55,7 @@
 	held := wire.back
 	writer := m.serve.Writer(m.baseOf(held).name)
 	isPrimary := writer.Primary == held.sight.Info.Name
-	isStale := isPrimary && (writer.Phase != view.PhaseOpen || wire.term != writer.Term)
+	isStale := isPrimary && (writer.Phase != model.PhaseOpen || wire.term != writer.Term)
 	isReborn := wire.birth != held.sight.Info.Birth
 	if wire.isOver {
 		return
@@ -119,9 +119,9 @@
 		m.layGhost(j)
 		return
 	}
-	outcome := admit.Answered
+	outcome := flowcontrol.Answered
 	if reply.IsRefused {
-		outcome = admit.Refused
+		outcome = flowcontrol.Refused
 	}
 	m.unout(j)
 	j.back.window.Done(outcome, now-j.sentAt)
@@ -159,7 +159,7 @@
 	m.count("sessions_broken", 1)
 	if !m.layGhost(j) && slices.Contains(j.back.out, j) {
 		m.unout(j)
-		j.back.window.Done(admit.Lost, now-j.sentAt)
+		j.back.window.Done(flowcontrol.Lost, now-j.sentAt)
 	}
 	if j.consumer.pinned == j.wire {
 		m.loseSession(j.consumer)
@@ -170,7 +170,7 @@
 	}
 	j.phase = phaseEnded
 	if j.isLasting() {
-		m.settleGo(j.op.Go, goes.Unknown, nil, view.Position{}, now)
+		m.settleGo(j.op.Go, idempotency.Unknown, nil, model.Position{}, now)
 		m.finish(j, Result{Outcome: OutcomeUnknown, Fault: "the instance's session ended before its answer came", Retry: time.Second}, now)
 		return
 	}
@@ -181,7 +181,7 @@
 	j.phase = phaseEnded
 	name := j.back.sight.Info.Name
 	if reply.IsRefused || reply.IsFailed {
-		m.settleGo(j.op.Go, goes.Not, nil, view.Position{}, now)
+		m.settleGo(j.op.Go, idempotency.Not, nil, model.Position{}, now)
 		told := Result{Outcome: OutcomeNot, Fault: reply.Error, Cause: CauseFailed, Instance: name}
 		if reply.IsRefused {
 			told.Cause, told.Retry = "", 200*time.Millisecond
@@ -214,19 +214,19 @@
 	var kept []*Job
 	for _, j := range one.confirms {
 		verdict := m.serve.Judge(j.database, j.term, j.position, now)
-		if verdict == serve.VerdictNone {
+		if verdict == routing.VerdictNone {
 			kept = append(kept, j)
 			continue
 		}
-		if verdict == serve.VerdictKept {
+		if verdict == routing.VerdictKept {
 			m.count("confirm_us", (now - j.ranAt).Microseconds())
 			j.consumer.marks[j.database] = j.consumer.marks[j.database].Later(j.position)
 		}
 		j.phase = phaseEnded
 		m.settleGo(j.op.Go, verdict, j.rows, j.position, now)
 		m.finish(j, map[string]Result{
-			serve.VerdictKept:    {Outcome: OutcomeKept, Rows: j.rows, Position: j.position, Instance: j.back.sight.Info.Name},
-			serve.VerdictUnknown: {Outcome: OutcomeUnknown, Fault: "it ran on a primary that has since lost the writer role", Retry: time.Second},
+			routing.VerdictKept:    {Outcome: OutcomeKept, Rows: j.rows, Position: j.position, Instance: j.back.sight.Info.Name},
+			routing.VerdictUnknown: {Outcome: OutcomeUnknown, Fault: "it ran on a primary that has since lost the writer role", Retry: time.Second},
 		}[verdict], now)
 	}
 	one.confirms = kept
@@ -242,7 +242,7 @@
 	told := Result{Outcome: OutcomeNot, Fault: "no answer from the instance in time", Retry: time.Second}
 	if j.isLasting() {
 		told = Result{Outcome: OutcomeUnknown, Fault: "passed on, but no answer from the instance in time", Retry: time.Second}
-		m.settleGo(j.op.Go, goes.Unknown, nil, view.Position{}, now)
+		m.settleGo(j.op.Go, idempotency.Unknown, nil, model.Position{}, now)
 	}
 	if j.consumer.pinned == j.wire {
 		j.consumer.isLost = true
@@ -261,10 +261,10 @@
 	}
 }
 
-func (m *Machine) onWriterMoved(moved serve.Moved, now time.Duration) {
+func (m *Machine) onWriterMoved(moved routing.Moved, now time.Duration) {
 	m.count("writer_moves", 1)
 	old := m.back(moved.Before.Primary)
-	isFenced := moved.Before.Phase == view.PhaseOpen && old != nil && (moved.After.Phase != view.PhaseOpen || moved.After.Primary != moved.Before.Primary)
+	isFenced := moved.Before.Phase == model.PhaseOpen && old != nil && (moved.After.Phase != model.PhaseOpen || moved.After.Primary != moved.Before.Primary)
 	if !isFenced {
 		return
 	}
--- a/pooler/coordination/pool/answers.go
+++ b/internal/coordination/pool/linepool/answers.go
@@ -1,18 +1,18 @@
-package pool
+package linepool
 
 import (
 	"slices"
 	"time"
 
-	"tansyseam.example/pooler/coordination/admit"
-	"tansyseam.example/pooler/coordination/serve"
-	"tansyseam.example/pooler/coordination/steer"
-	"tansyseam.example/pooler/state/stream"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/coordination/flowcontrol"
+	"tansyseam/internal/coordination/routing"
+	"tansyseam/internal/state/lineproto"
+	"tansyseam/internal/state/model"
 )
 
 // Announced takes an instance as the control primary tells it.
-func (m *Machine) Announced(info view.Instance, now time.Duration) {
+func (m *Machine) Announced(info model.Instance, now time.Duration) {
 	one := m.base(info.Database)
 	rank := m.backNames.Rank(info.Name)
 	for len(m.backs) <= rank {
@@ -46,9 +46,9 @@
 	m.pump(one, now)
 }
 
-func newWindow(tuning admit.Tuning) *admit.Window { return admit.New(tuning) }
+func newWindow(tuning flowcontrol.Tuning) *flowcontrol.Window { return flowcontrol.New(tuning) }
 
-func (m *Machine) caps(set view.Set) {
+func (m *Machine) caps(set model.Set) {
 	for _, held := range m.backs {
 		told, isTold := set.Database(held.info.Database)
 		if !isTold || told.Connections == held.info.Connections {
@@ -64,7 +64,7 @@
 }
 
 // Ask gives the next ask for news.
-func (m *Machine) Ask(now time.Duration) steer.AskNews {
+func (m *Machine) Ask(now time.Duration) distribution.AskNews {
 	m.effective(now)
 	ask := m.serve.AskBrief(m.seen(now), now)
 	ask.Roll, ask.Birth = m.roll, m.place.Birth
@@ -76,10 +76,10 @@
 
 // Told gives what is seen, for the control primary: the primaries, and the
 // instances in trouble, less what it has by earlier asks.
-func (m *Machine) Told(now time.Duration) steer.Told { return m.serve.Brief(m.seen(now), now) }
+func (m *Machine) Told(now time.Duration) distribution.Told { return m.serve.Brief(m.seen(now), now) }
 
-func (m *Machine) seen(now time.Duration) steer.Told {
-	told := steer.Told{Node: m.place.Name, Highs: map[string]view.Position{}}
+func (m *Machine) seen(now time.Duration) distribution.Told {
+	told := distribution.Told{Node: m.place.Name, Highs: map[string]model.Position{}}
 	for _, held := range m.backs {
 		one := m.baseOf(held)
 		overdue := m.overdue(held, now)
@@ -90,12 +90,12 @@
 		}
 		seen := held.info
 		seen.Position = held.position
-		told.Reports = append(told.Reports, steer.Report{
+		told.Reports = append(told.Reports, distribution.Report{
 			Instance: seen, Answered: now - held.answered, Refused: held.refused, Overdue: overdue,
 		})
 	}
 	for _, one := range m.bases {
-		if one.high != (view.Position{}) {
+		if one.high != (model.Position{}) {
 			told.Highs[one.name] = one.high
 		}
 	}
@@ -167,7 +167,7 @@
 }
 
 // Took takes news that answers an ask sent at a moment.
-func (m *Machine) Took(news steer.News, sent, now time.Duration) {
+func (m *Machine) Took(news distribution.News, sent, now time.Duration) {
 	if news.Doc != nil {
 		m.count("docs_taken", 1)
 	}
@@ -178,7 +178,7 @@
 	if news.IsPrimary {
 		for _, one := range m.bases {
 			writer := m.serve.Writer(one.name)
-			if writer.Phase != view.PhaseOpen && writer.Floor != (view.Position{}) {
+			if writer.Phase != model.PhaseOpen && writer.Floor != (model.Position{}) {
 				m.sample(one, sent, writer.Floor, now)
 			}
 		}
@@ -195,9 +195,9 @@
 	m.pumpAll(now)
 }
 
-func (m *Machine) onMoved(one *base, moved serve.Moved, now time.Duration) {
+func (m *Machine) onMoved(one *base, moved routing.Moved, now time.Duration) {
 	m.count("writer_moves", 1)
-	if moved.After.Phase == view.PhaseOpen {
+	if moved.After.Phase == model.PhaseOpen {
 		one.closedAt, one.isDropped = 0, false
 		if moved.Before.Term != moved.After.Term {
 			one.samples = nil
@@ -206,11 +206,11 @@
 		one.closedAt = now
 	}
 	old := m.back(moved.Before.Primary)
-	isFenced := moved.Before.Phase == view.PhaseOpen && old != nil && (moved.After.Phase != view.PhaseOpen || moved.After.Term != moved.Before.Term)
+	isFenced := moved.Before.Phase == model.PhaseOpen && old != nil && (moved.After.Phase != model.PhaseOpen || moved.After.Term != moved.Before.Term)
 	if !isFenced {
 		return
 	}
-	isOld := func(term uint64) bool { return moved.After.Phase != view.PhaseOpen || term != moved.After.Term }
+	isOld := func(term uint64) bool { return moved.After.Phase != model.PhaseOpen || term != moved.After.Term }
 	for _, j := range slices.Clone(one.out) {
 		isRead := j.phase == phaseOut && j.isFree() && j.isStrict && len(j.legs) > 0
 		if isRead && isOld(j.term) && j.legs[0].conn.back == old {
@@ -260,11 +260,11 @@
 	c := j.client
 	m.close(j)
 	m.endTurn(c, now)
-	c.state = stream.StateFailed
+	c.state = lineproto.StateFailed
 	if j.isCommit {
-		c.state = stream.StateIdle
+		c.state = lineproto.StateIdle
 	}
-	m.fail(c, stream.CodeAborted, "the transaction was lost with its instance; nothing is kept", true)
+	m.fail(c, lineproto.CodeAborted, "the transaction was lost with its instance; nothing is kept", true)
 	m.next(c, now)
 }
 
@@ -284,7 +284,7 @@
 }
 
 // refuse ends a statement that was not passed on.
-func (m *Machine) refuse(j *Job, code stream.Code, text string, now time.Duration) {
+func (m *Machine) refuse(j *Job, code lineproto.Code, text string, now time.Duration) {
 	c := j.client
 	m.close(j)
 	m.settleState(j, now)
@@ -299,9 +299,9 @@
 		return
 	}
 	m.endTurn(c, now)
-	c.state = stream.StateFailed
+	c.state = lineproto.StateFailed
 	if j.isCommit {
-		c.state = stream.StateIdle
+		c.state = lineproto.StateIdle
 	}
 }
 
@@ -318,7 +318,7 @@
 	j.legs, j.isTwin = nil, false
 	j.tries++
 	if j.tries > m.timing.Tries {
-		m.refuse(j, stream.CodeBusy, "no instance took it; come back in 200 ms", now)
+		m.refuse(j, lineproto.CodeBusy, "no instance took it; come back in 200 ms", now)
 		return
 	}
 	m.bind(j, now)
@@ -326,15 +326,15 @@
 
 // pause puts a statement that an instance refused back in line; unless it
 // lagged, and another may not, it waits a little.
-func (m *Machine) pause(j *Job, code stream.Code, now time.Duration) {
-	if code != stream.CodeLagging {
+func (m *Machine) pause(j *Job, code lineproto.Code, now time.Duration) {
+	if code != lineproto.CodeLagging {
 		j.restAt = now + time.Duration(j.tries+1)*m.timing.Pause
 	}
 	m.again(j, now)
 }
 
 // Came takes messages from an instance, in order.
-func (m *Machine) Came(conn *Conn, message stream.Message, now time.Duration) {
+func (m *Machine) Came(conn *Conn, message lineproto.Message, now time.Duration) {
 	if conn.state == connOver {
 		return
 	}
@@ -351,7 +351,7 @@
 	}
 	first := conn.waits[0]
 	act, isKnown := arrivals[message.Kind]
-	isPast := first.leg != nil && first.leg.hasEnd && message.Kind != stream.KindReady
+	isPast := first.leg != nil && first.leg.hasEnd && message.Kind != lineproto.KindReady
 	if !isKnown || isPast {
 		m.count("answers_malformed", 1)
 		m.Lost(conn, now)
@@ -360,41 +360,41 @@
 	act(m, conn, first, message, now)
 }
 
-var arrivals map[stream.Kind]func(*Machine, *Conn, wait, stream.Message, time.Duration)
+var arrivals map[lineproto.Kind]func(*Machine, *Conn, wait, lineproto.Message, time.Duration)
 
 func init() {
-	arrivals = map[stream.Kind]func(*Machine, *Conn, wait, stream.Message, time.Duration){
-		stream.KindRow: func(_ *Machine, _ *Conn, first wait, message stream.Message, _ time.Duration) {
+	arrivals = map[lineproto.Kind]func(*Machine, *Conn, wait, lineproto.Message, time.Duration){
+		lineproto.KindRow: func(_ *Machine, _ *Conn, first wait, message lineproto.Message, _ time.Duration) {
 			if first.leg != nil {
 				first.leg.rows = append(first.leg.rows, message)
 			}
 		},
-		stream.KindDone:  (*Machine).onEnd,
-		stream.KindError: (*Machine).onEnd,
-		stream.KindReady: (*Machine).onReady,
+		lineproto.KindDone:  (*Machine).onEnd,
+		lineproto.KindError: (*Machine).onEnd,
+		lineproto.KindReady: (*Machine).onReady,
 	}
 }
 
-func (m *Machine) onEnd(conn *Conn, first wait, message stream.Message, _ time.Duration) {
+func (m *Machine) onEnd(conn *Conn, first wait, message lineproto.Message, _ time.Duration) {
 	if first.leg != nil {
 		first.leg.end, first.leg.hasEnd = message, true
 		return
 	}
-	if message.Kind == stream.KindError {
+	if message.Kind == lineproto.KindError {
 		m.count("own_statements_failed", 1)
 		conn.isDirty = true
 	}
 }
 
-func (m *Machine) onOpening(conn *Conn, message stream.Message, now time.Duration) {
+func (m *Machine) onOpening(conn *Conn, message lineproto.Message, now time.Duration) {
 	held := conn.back
-	if message.Code == stream.CodeWrongHost {
+	if message.Code == lineproto.CodeWrongHost {
 		m.Lost(conn, now)
 		return
 	}
 	held.opening--
 	held.answered, held.refused = now, 0
-	if message.Kind != stream.KindReady {
+	if message.Kind != lineproto.KindReady {
 		m.count("connections_refused", 1)
 		m.rest(held, now)
 		conn.state = connIdle
@@ -414,7 +414,7 @@
 	held.restAt = now + held.rest
 }
 
-func (m *Machine) onReady(conn *Conn, first wait, message stream.Message, now time.Duration) {
+func (m *Machine) onReady(conn *Conn, first wait, message lineproto.Message, now time.Duration) {
 	held := conn.back
 	conn.waits = conn.waits[1:]
 	if held.position.IsBefore(message.Position) {
@@ -444,15 +444,15 @@
 	m.pump(m.baseOf(held), now)
 }
 
-func (m *Machine) learn(l *leg, position view.Position, now time.Duration) {
+func (m *Machine) learn(l *leg, position model.Position, now time.Duration) {
 	one := m.baseOf(l.conn.back)
 	writer, target, isOpen := m.writer(one)
-	if isOpen && target == l.conn.back && l.job.term == writer.Term && m.serve.IsLeased(now) && position != (view.Position{}) {
+	if isOpen && target == l.conn.back && l.job.term == writer.Term && m.serve.IsLeased(now) && position != (model.Position{}) {
 		m.sample(one, l.sentAt, position, now)
 	}
 }
 
-func (m *Machine) sample(one *base, at time.Duration, position view.Position, now time.Duration) {
+func (m *Machine) sample(one *base, at time.Duration, position model.Position, now time.Duration) {
 	for len(one.samples) > 0 && (now-one.samples[0].at > 8*time.Second) {
 		one.samples = one.samples[1:]
 	}
@@ -473,10 +473,10 @@
 }
 
 func (m *Machine) score(l *leg, now time.Duration) {
-	outcome := admit.Answered
-	isRefused := l.end.Kind == stream.KindError && (l.end.Code == stream.CodeBusy || l.end.Code == stream.CodeLagging || l.end.Code == stream.CodeReadOnly || l.end.Code == stream.CodeNotFound)
+	outcome := flowcontrol.Answered
+	isRefused := l.end.Kind == lineproto.KindError && (l.end.Code == lineproto.CodeBusy || l.end.Code == lineproto.CodeLagging || l.end.Code == lineproto.CodeReadOnly || l.end.Code == lineproto.CodeNotFound)
 	if isRefused {
-		outcome = admit.Refused
+		outcome = flowcontrol.Refused
 	}
 	l.conn.back.window.Done(outcome, m.sized(l.job, now-l.sentAt))
 	if !isRefused {
@@ -494,7 +494,7 @@
 
 // isFailed says whether the instance ran the statement and failed it.
 func (l *leg) isFailed() bool {
-	return l.end.Kind == stream.KindError && (l.end.Code == stream.CodeFailed || l.end.Code == stream.CodeTimeout)
+	return l.end.Kind == lineproto.KindError && (l.end.Code == lineproto.CodeFailed || l.end.Code == lineproto.CodeTimeout)
 }
 
 // sized brings a latency to the reference size of work.
@@ -505,11 +505,11 @@
 	return time.Duration(float64(latency) * float64(m.timing.Reference) / float64(j.binding.Target))
 }
 
-func (m *Machine) settle(l *leg, ready stream.Message, now time.Duration) {
+func (m *Machine) settle(l *leg, ready lineproto.Message, now time.Duration) {
 	j, conn := l.job, l.conn
 	isOurs := !l.isDropped && j.phase == phaseOut
 	if !isOurs {
-		if conn.owner != nil || ready.State != stream.StateIdle {
+		if conn.owner != nil || ready.State != lineproto.StateIdle {
 			m.shut(conn, now)
 			return
 		}
@@ -521,7 +521,7 @@
 		return
 	}
 	m.recycleState(conn, ready.State, now)
-	if l.end.Kind == stream.KindError {
+	if l.end.Kind == lineproto.KindError {
 		m.settleError(l, now)
 		return
 	}
@@ -530,18 +530,18 @@
 
 // onBegun takes the answer to the begin that goes before a transaction's
 // first statement, which follows only now: it must never run outside.
-func (m *Machine) onBegun(l *leg, ready stream.Message, now time.Duration) {
+func (m *Machine) onBegun(l *leg, ready lineproto.Message, now time.Duration) {
 	j, conn := l.job, l.conn
-	isGood := l.end.Kind == stream.KindDone && ready.State == stream.StateInside
+	isGood := l.end.Kind == lineproto.KindDone && ready.State == lineproto.StateInside
 	isOurs := !l.isDropped && j.phase == phaseOut
 	if isGood && isOurs {
 		l.hasEnd, l.isBegun, l.rows, l.sentAt = false, true, nil, now
-		m.send(conn, l, []Out{m.textOf(j, conn, view.Position{})})
+		m.send(conn, l, []Out{m.textOf(j, conn, model.Position{})})
 		return
 	}
 	conn.leg, conn.owner = nil, nil
-	conn.back.window.Done(admit.Refused, 0)
-	if l.end.Code == stream.CodeLagging {
+	conn.back.window.Done(flowcontrol.Refused, 0)
+	if l.end.Code == lineproto.CodeLagging {
 		conn.back.lagUntil = now + m.timing.Lagging
 	}
 	m.count("begins_refused", 1)
@@ -553,21 +553,21 @@
 	m.pump(m.baseOf(conn.back), now)
 }
 
-func (m *Machine) settleTurn(l *leg, ready stream.Message, now time.Duration) {
+func (m *Machine) settleTurn(l *leg, ready lineproto.Message, now time.Duration) {
 	j, conn, c := l.job, l.conn, l.job.client
-	isError := l.end.Kind == stream.KindError
-	if j.isCommit || ready.State == stream.StateIdle {
+	isError := l.end.Kind == lineproto.KindError
+	if j.isCommit || ready.State == lineproto.StateIdle {
 		j.turn.conn, conn.owner = nil, nil
 		conn.isDirty = conn.isDirty || (isError && conn.isSet)
 		m.recycleState(conn, ready.State, now)
-		c.turn, c.state = nil, stream.StateIdle
+		c.turn, c.state = nil, lineproto.StateIdle
 	} else {
 		conn.state = connIdle
 		c.state = ready.State
 		if isError && l.end.Code.IsPromise() {
-			c.state = stream.StateFailed
+			c.state = lineproto.StateFailed
 		}
-		if c.state == stream.StateFailed {
+		if c.state == lineproto.StateFailed {
 			m.endTurn(c, now)
 		}
 	}
@@ -580,13 +580,13 @@
 
 func (m *Machine) settleError(l *leg, now time.Duration) {
 	j := l.job
-	if l.end.Code == stream.CodeLagging {
+	if l.end.Code == lineproto.CodeLagging {
 		l.conn.back.lagUntil = now + m.timing.Lagging
 	}
-	isUnknown := l.end.Code == stream.CodeNotFound
+	isUnknown := l.end.Code == lineproto.CodeNotFound
 	l.conn.isDirty = l.conn.isDirty || isUnknown
-	isRefused := l.end.Code == stream.CodeLagging || l.end.Code == stream.CodeBusy || l.end.Code == stream.CodeReadOnly
-	isFailed := j.isFree() && l.end.Code == stream.CodeFailed && j.failed+1 < j.goes()
+	isRefused := l.end.Code == lineproto.CodeLagging || l.end.Code == lineproto.CodeBusy || l.end.Code == lineproto.CodeReadOnly
+	isFailed := j.isFree() && l.end.Code == lineproto.CodeFailed && j.failed+1 < j.goes()
 	if isFailed {
 		j.failed, j.avoid = j.failed+1, l.conn.back
 		m.count("reads_failed_elsewhere", 1)
@@ -603,11 +603,11 @@
 	c := j.client
 	m.close(j)
 	m.count("errors_passed", 1)
-	m.say(c, stream.Message{Kind: stream.KindError, Tail: l.end.Tail, Code: l.end.Code}, m.ready(c, view.Position{}))
+	m.say(c, lineproto.Message{Kind: lineproto.KindError, Tail: l.end.Tail, Code: l.end.Code}, m.ready(c, model.Position{}))
 	m.next(c, now)
 }
 
-func (m *Machine) settleGood(l *leg, ready stream.Message, now time.Duration) {
+func (m *Machine) settleGood(l *leg, ready lineproto.Message, now time.Duration) {
 	j := l.job
 	j.answer = append(l.rows, l.end)
 	j.position = ready.Position
@@ -637,8 +637,8 @@
 func (m *Machine) settleConfirms(one *base, now time.Duration) {
 	for _, j := range slices.Clone(one.confirms) {
 		writer := m.serve.Writer(one.name)
-		isClosing := writer.Phase == view.PhaseClosing && !one.isDropped
-		isOver := writer.Term != j.term || (writer.Phase != view.PhaseOpen && !isClosing)
+		isClosing := writer.Phase == model.PhaseClosing && !one.isDropped
+		isOver := writer.Term != j.term || (writer.Phase != model.PhaseOpen && !isClosing)
 		if isOver {
 			m.unsure(j, "it ran on a primary that has since lost the writer role", now)
 			continue
@@ -661,9 +661,9 @@
 	m.close(j)
 	if j.turn != nil {
 		m.endTurn(c, now)
-		c.state = stream.StateIdle
+		c.state = lineproto.StateIdle
 	}
 	m.count("unknown", 1)
-	m.fail(c, stream.CodeUnknown, text, true)
+	m.fail(c, lineproto.CodeUnknown, text, true)
 	m.next(c, now)
 }
--- a/pooler/coordination/pool/clients.go
+++ b/internal/coordination/pool/linepool/clients.go
@@ -1,12 +1,12 @@
-package pool
+package linepool
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"tansyseam.example/pooler/state/stream"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/state/lineproto"
+	"tansyseam/internal/state/model"
 )
 
 // Met takes a session that was accepted; nil says that the node has as many
@@ -17,7 +17,7 @@
 		return nil
 	}
 	m.ranks++
-	made := &Client{Token: token, state: stream.StateIdle, rank: m.ranks, used: now}
+	made := &Client{Token: token, state: lineproto.StateIdle, rank: m.ranks, used: now}
 	m.clients[made] = true
 	m.count("clients_met", 1)
 	return made
@@ -50,7 +50,7 @@
 		return
 	}
 	if c.isMet || c.name != "" {
-		m.Bad(c, stream.CodeMalformed, "connected already", now)
+		m.Bad(c, lineproto.CodeMalformed, "connected already", now)
 		return
 	}
 	c.name, c.used = name, now
@@ -75,24 +75,24 @@
 				continue
 			}
 			m.count("clients_not_welcomed", 1)
-			m.fail(c, stream.CodeBusy, "not served now; come back in 500 ms", false)
+			m.fail(c, lineproto.CodeBusy, "not served now; come back in 500 ms", false)
 			m.end(c, now)
 			continue
 		}
 		if _, isBound := set.Find(c.name); !isBound {
-			m.fail(c, stream.CodeNoDatabase, c.name, false)
+			m.fail(c, lineproto.CodeNoDatabase, c.name, false)
 			m.end(c, now)
 			continue
 		}
 		c.isMet = true
-		m.say(c, stream.Message{Kind: stream.KindReady, State: c.state})
+		m.say(c, lineproto.Message{Kind: lineproto.KindReady, State: c.state})
 	}
 	m.guests = kept
 }
 
 // Bad takes a message that makes no sense; it is answered and the session
 // ends.
-func (m *Machine) Bad(c *Client, code stream.Code, text string, now time.Duration) {
+func (m *Machine) Bad(c *Client, code lineproto.Code, text string, now time.Duration) {
 	if c.isGone {
 		return
 	}
@@ -107,12 +107,12 @@
 		return
 	}
 	if !c.isMet {
-		m.Bad(c, stream.CodeMalformed, "not connected", now)
+		m.Bad(c, lineproto.CodeMalformed, "not connected", now)
 		return
 	}
 	if c.job != nil {
 		if len(c.inbox) >= m.timing.Inbox {
-			m.Bad(c, stream.CodeTooLong, "too much sent ahead", now)
+			m.Bad(c, lineproto.CodeTooLong, "too much sent ahead", now)
 			return
 		}
 		c.inbox = append(c.inbox, asked)
@@ -131,92 +131,92 @@
 	}
 }
 
-func (m *Machine) say(c *Client, messages ...stream.Message) {
+func (m *Machine) say(c *Client, messages ...lineproto.Message) {
 	if !c.isGone {
 		m.emit(Say{Client: c, Messages: messages})
 	}
 }
 
-func (m *Machine) ready(c *Client, position view.Position) stream.Message {
-	return stream.Message{Kind: stream.KindReady, State: c.state, Position: position}
+func (m *Machine) ready(c *Client, position model.Position) lineproto.Message {
+	return lineproto.Message{Kind: lineproto.KindReady, State: c.state, Position: position}
 }
 
-func (m *Machine) fail(c *Client, code stream.Code, text string, hasReady bool) {
-	messages := []stream.Message{{Kind: stream.KindError, Code: code, Text: text}}
+func (m *Machine) fail(c *Client, code lineproto.Code, text string, hasReady bool) {
+	messages := []lineproto.Message{{Kind: lineproto.KindError, Code: code, Text: text}}
 	if hasReady {
-		messages = append(messages, m.ready(c, view.Position{}))
+		messages = append(messages, m.ready(c, model.Position{}))
 	}
 	m.say(c, messages...)
 }
 
 func (m *Machine) done(c *Client) {
-	m.say(c, stream.Message{Kind: stream.KindDone, Tail: "-"}, m.ready(c, view.Position{}))
+	m.say(c, lineproto.Message{Kind: lineproto.KindDone, Tail: "-"}, m.ready(c, model.Position{}))
 }
 
 type taker func(m *Machine, c *Client, asked Asked, now time.Duration)
 
-var takers map[stream.Act]taker
+var takers map[lineproto.Act]taker
 
 func init() {
-	takers = map[stream.Act]taker{
-		stream.ActBegin:     func(m *Machine, c *Client, _ Asked, now time.Duration) { m.begin(c, false, now) },
-		stream.ActBeginRead: func(m *Machine, c *Client, _ Asked, now time.Duration) { m.begin(c, true, now) },
-		stream.ActCommit:    (*Machine).commit,
-		stream.ActRollback:  func(m *Machine, c *Client, _ Asked, now time.Duration) { m.rollback(c, now) },
-		stream.ActSet: func(m *Machine, c *Client, asked Asked, _ time.Duration) {
+	takers = map[lineproto.Act]taker{
+		lineproto.ActBegin:     func(m *Machine, c *Client, _ Asked, now time.Duration) { m.begin(c, false, now) },
+		lineproto.ActBeginRead: func(m *Machine, c *Client, _ Asked, now time.Duration) { m.begin(c, true, now) },
+		lineproto.ActCommit:    (*Machine).commit,
+		lineproto.ActRollback:  func(m *Machine, c *Client, _ Asked, now time.Duration) { m.rollback(c, now) },
+		lineproto.ActSet: func(m *Machine, c *Client, asked Asked, _ time.Duration) {
 			if c.values == nil {
 				c.values = map[string]string{}
 			}
 			c.values[asked.Statement.Name] = asked.Statement.Value
 			m.done(c)
 		},
-		stream.ActPrepare: func(m *Machine, c *Client, asked Asked, _ time.Duration) {
+		lineproto.ActPrepare: func(m *Machine, c *Client, asked Asked, _ time.Duration) {
 			if c.shapes == nil {
 				c.shapes = map[string]shape{}
 			}
 			c.shapes[asked.Statement.Name] = shape{text: asked.Statement.Shape, isWrite: asked.Statement.IsWrite}
 			m.done(c)
 		},
-		stream.ActForget: func(m *Machine, c *Client, asked Asked, _ time.Duration) {
+		lineproto.ActForget: func(m *Machine, c *Client, asked Asked, _ time.Duration) {
 			if _, isHeld := c.shapes[asked.Statement.Name]; !isHeld {
-				m.fail(c, stream.CodeNotFound, asked.Statement.Name, true)
+				m.fail(c, lineproto.CodeNotFound, asked.Statement.Name, true)
 				return
 			}
 			delete(c.shapes, asked.Statement.Name)
 			m.done(c)
 		},
-		stream.ActRead:  (*Machine).statement,
-		stream.ActWrite: (*Machine).statement,
-		stream.ActRun:   (*Machine).statement,
+		lineproto.ActRead:  (*Machine).statement,
+		lineproto.ActWrite: (*Machine).statement,
+		lineproto.ActRun:   (*Machine).statement,
 	}
 }
 
 func (m *Machine) take(c *Client, asked Asked, now time.Duration) {
 	act, isKnown := takers[asked.Statement.Act]
-	isEnd := asked.Statement.Act == stream.ActCommit || asked.Statement.Act == stream.ActRollback
-	if !isKnown || (c.state == stream.StateFailed && !isEnd) {
-		if c.state == stream.StateInside {
+	isEnd := asked.Statement.Act == lineproto.ActCommit || asked.Statement.Act == lineproto.ActRollback
+	if !isKnown || (c.state == lineproto.StateFailed && !isEnd) {
+		if c.state == lineproto.StateInside {
 			m.breakTurn(c, now)
 		}
-		m.fail(c, stream.CodeMalformed, "not taken in this state", true)
+		m.fail(c, lineproto.CodeMalformed, "not taken in this state", true)
 		return
 	}
 	act(m, c, asked, now)
 }
 
 func (m *Machine) begin(c *Client, isRead bool, now time.Duration) {
-	if c.state != stream.StateIdle {
+	if c.state != lineproto.StateIdle {
 		m.breakTurn(c, now)
-		m.fail(c, stream.CodeMalformed, "inside a transaction already", true)
+		m.fail(c, lineproto.CodeMalformed, "inside a transaction already", true)
 		return
 	}
-	c.state, c.turn = stream.StateInside, &turn{isRead: isRead}
+	c.state, c.turn = lineproto.StateInside, &turn{isRead: isRead}
 	m.done(c)
 }
 
 func (m *Machine) breakTurn(c *Client, now time.Duration) {
 	m.endTurn(c, now)
-	c.state = stream.StateFailed
+	c.state = lineproto.StateFailed
 }
 
 // endTurn gives up a client's transaction where it has one: what an instance
@@ -239,45 +239,45 @@
 }
 
 func (m *Machine) rollback(c *Client, now time.Duration) {
-	if c.state == stream.StateIdle {
-		m.fail(c, stream.CodeMalformed, "no transaction", true)
+	if c.state == lineproto.StateIdle {
+		m.fail(c, lineproto.CodeMalformed, "no transaction", true)
 		return
 	}
 	m.endTurn(c, now)
-	c.state = stream.StateIdle
+	c.state = lineproto.StateIdle
 	m.done(c)
 }
 
 func (m *Machine) commit(c *Client, asked Asked, now time.Duration) {
-	if c.state == stream.StateIdle {
-		m.fail(c, stream.CodeMalformed, "no transaction", true)
+	if c.state == lineproto.StateIdle {
+		m.fail(c, lineproto.CodeMalformed, "no transaction", true)
 		return
 	}
-	if c.state == stream.StateFailed || c.turn.isLost {
+	if c.state == lineproto.StateFailed || c.turn.isLost {
 		m.endTurn(c, now)
-		c.state = stream.StateIdle
-		m.fail(c, stream.CodeAborted, "the transaction had failed; nothing is kept", true)
+		c.state = lineproto.StateIdle
+		m.fail(c, lineproto.CodeAborted, "the transaction had failed; nothing is kept", true)
 		return
 	}
 	m.enter(&Job{client: c, asked: asked, isCommit: true, turn: c.turn}, now)
 }
 
 func (m *Machine) statement(c *Client, asked Asked, now time.Duration) {
-	j := &Job{client: c, asked: asked, isWrite: asked.Statement.Act == stream.ActWrite, turn: c.turn}
-	if asked.Statement.Act == stream.ActRun {
+	j := &Job{client: c, asked: asked, isWrite: asked.Statement.Act == lineproto.ActWrite, turn: c.turn}
+	if asked.Statement.Act == lineproto.ActRun {
 		held, isHeld := c.shapes[asked.Statement.Name]
 		if !isHeld {
 			if c.turn != nil {
 				m.breakTurn(c, now)
 			}
-			m.fail(c, stream.CodeNotFound, asked.Statement.Name, true)
+			m.fail(c, lineproto.CodeNotFound, asked.Statement.Name, true)
 			return
 		}
 		j.shape, j.isWrite = held, held.isWrite
 	}
 	if c.turn != nil && c.turn.isLost {
 		m.breakTurn(c, now)
-		m.fail(c, stream.CodeAborted, "the transaction was lost with its instance; nothing is kept", true)
+		m.fail(c, lineproto.CodeAborted, "the transaction was lost with its instance; nothing is kept", true)
 		return
 	}
 	m.enter(j, now)
@@ -310,7 +310,7 @@
 		return
 	}
 	for _, c := range m.sorted() {
-		isIdle := c.state == stream.StateIdle && c.job == nil && len(c.inbox) == 0
+		isIdle := c.state == lineproto.StateIdle && c.job == nil && len(c.inbox) == 0
 		isOut := past > m.timing.Turns && c.job == nil
 		if isIdle || isOut || past > m.timing.Finish {
 			m.end(c, now)
--- a/pooler/coordination/pool/conns.go
+++ b/internal/coordination/pool/linepool/conns.go
@@ -1,11 +1,11 @@
-package pool
+package linepool
 
 import (
 	"slices"
 	"time"
 
-	"tansyseam.example/pooler/coordination/admit"
-	"tansyseam.example/pooler/state/stream"
+	"tansyseam/internal/coordination/flowcontrol"
+	"tansyseam/internal/state/lineproto"
 )
 
 func (m *Machine) shutIdle(held *back, now time.Duration) {
@@ -30,7 +30,7 @@
 }
 
 func (m *Machine) recycleState(conn *Conn, state byte, now time.Duration) {
-	if state != stream.StateIdle {
+	if state != lineproto.StateIdle {
 		m.shut(conn, now)
 		return
 	}
@@ -46,7 +46,7 @@
 	m.emit(Shut{Conn: conn})
 	if l := conn.leg; l != nil {
 		conn.leg = nil
-		conn.back.window.Done(admit.Lost, m.sized(l.job, now-l.sentAt))
+		conn.back.window.Done(flowcontrol.Lost, m.sized(l.job, now-l.sentAt))
 	}
 }
 
@@ -78,7 +78,7 @@
 	l := conn.leg
 	conn.leg = nil
 	if l != nil {
-		held.window.Done(admit.Lost, m.sized(l.job, now-l.sentAt))
+		held.window.Done(flowcontrol.Lost, m.sized(l.job, now-l.sentAt))
 		held.grade.Note(true, now)
 	}
 	owner := conn.owner
@@ -206,9 +206,9 @@
 }
 
 func (m *Machine) lateInLine(j *Job, now time.Duration) {
-	code := stream.CodeBusy
+	code := lineproto.CodeBusy
 	if j.turn != nil && j.turn.conn != nil {
-		code = stream.CodeAborted
+		code = lineproto.CodeAborted
 	}
 	m.refuse(j, code, "no room in time; come back in 200 ms", now)
 }
@@ -232,7 +232,7 @@
 		m.abortTurn(j, now)
 		return
 	}
-	m.refuse(j, stream.CodeTimeout, "no answer from the instance in time", now)
+	m.refuse(j, lineproto.CodeTimeout, "no answer from the instance in time", now)
 }
 
 // abandon closes the connection of a statement that nobody waits for.
--- a/pooler/coordination/pool/crowd_test.go
+++ b/internal/coordination/pool/linepool/crowd_test.go
@@ -1,4 +1,4 @@
-package pool
+package linepool
 
 import (
 	"math/rand/v2"
@@ -8,7 +8,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/state/stream"
+	"tansyseam/internal/state/lineproto"
 )
 
 const (
@@ -169,7 +169,7 @@
 		if len(c.seats) >= c.bound {
 			c.refused++
 			node.opens = slices.DeleteFunc(node.opens, func(one Open) bool { return one.Conn == open.Conn })
-			node.came(open.Conn, bad(stream.CodeFull))
+			node.came(open.Conn, bad(lineproto.CodeFull))
 			continue
 		}
 		c.seats = append(c.seats, &seat{node: node, conn: open.Conn, due: c.now + crowdHandshake})
@@ -201,10 +201,10 @@
 		queue := one.queue
 		one.queue = nil
 		for at, out := range queue {
-			state := byte(stream.StateIdle)
+			state := byte(lineproto.StateIdle)
 			isInside := one.conn.owner != nil && !(out.Kind == OutText && out.Text == "commit")
 			if isInside && (at > 0 || out.Kind == OutBegin || out.Kind == OutText) {
-				state = stream.StateInside
+				state = lineproto.StateInside
 			}
 			one.node.came(one.conn, ok("s"), one.node.at(state))
 		}
--- a/pooler/coordination/pool/lines.go
+++ b/internal/coordination/pool/linepool/lines.go
@@ -1,13 +1,13 @@
-package pool
+package linepool
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"tansyseam.example/pooler/coordination/selects"
-	"tansyseam.example/pooler/state/stream"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/balancer"
+	"tansyseam/internal/state/lineproto"
+	"tansyseam/internal/state/model"
 )
 
 func (m *Machine) enter(j *Job, now time.Duration) {
@@ -26,7 +26,7 @@
 		}
 		if m.isCutOff(now) {
 			m.count("refused_cut_off", 1)
-			m.refuse(j, stream.CodeBusy, "not served now; come back in 500 ms", now)
+			m.refuse(j, lineproto.CodeBusy, "not served now; come back in 500 ms", now)
 			return
 		}
 		j.phase = phaseLease
@@ -38,7 +38,7 @@
 	} else {
 		binding, isBound := m.effective(now).Find(j.client.name)
 		if !isBound {
-			m.refuse(j, stream.CodeNoDatabase, j.client.name, now)
+			m.refuse(j, lineproto.CodeNoDatabase, j.client.name, now)
 			return
 		}
 		j.binding = binding
@@ -80,7 +80,7 @@
 	j.phase = phaseLine
 	list := m.listOf(one, j)
 	if len(*list) >= m.timing.Line {
-		m.refuse(j, stream.CodeBusy, "the line is full; come back in 500 ms", now)
+		m.refuse(j, lineproto.CodeBusy, "the line is full; come back in 500 ms", now)
 		return
 	}
 	*list = append(*list, j)
@@ -168,7 +168,7 @@
 			m.grow(target, len(one.writes), now)
 			return
 		}
-		j.term, j.floor = writer.Term, view.Position{}
+		j.term, j.floor = writer.Term, model.Position{}
 		m.pass(j, conn, now)
 	}
 }
@@ -204,7 +204,7 @@
 
 // floorOf gives a position that covers all that a read must see: whatever was
 // told kept before the bound, and the session's own commits.
-func (m *Machine) floorOf(one *base, j *Job) (floor view.Position, isKnown bool) {
+func (m *Machine) floorOf(one *base, j *Job) (floor model.Position, isKnown bool) {
 	least := j.arrived - j.binding.Freshness + freshMargin
 	for _, seen := range one.samples {
 		if seen.at >= least {
@@ -220,8 +220,8 @@
 
 const freshMargin = 100 * time.Millisecond
 
-func (m *Machine) selectBack(one *base, j *Job, not *back, now time.Duration) (*back, view.Position) {
-	var choices []selects.Choice
+func (m *Machine) selectBack(one *base, j *Job, not *back, now time.Duration) (*back, model.Position) {
+	var choices []balancer.Choice
 	var targets []*back
 	floor, isKnown := m.floorOf(one, j)
 	own := j.client.marks[one.name]
@@ -234,8 +234,8 @@
 		}
 		isHead := held == primary
 		reading := held.window.Read()
-		isRead := isKnown && !isHead && held.info.Role != view.RolePrimary && now >= held.lagUntil && (isFresh || !held.position.IsBefore(floor))
-		choices = append(choices, selects.Choice{
+		isRead := isKnown && !isHead && held.info.Role != model.RolePrimary && now >= held.lagUntil && (isFresh || !held.position.IsBefore(floor))
+		choices = append(choices, balancer.Choice{
 			HasRoom: held.window.HasRoom() && (len(held.idle) > 0 || m.canGrow(held, now)), IsNear: held.info.Zone == m.place.Zone,
 			IsFresh:  isRead || (isHead && isOpen && m.serve.MayWrite(one.name, writer.Term, now)),
 			Pressure: float64(reading.Open+reading.Ghosts) / max(reading.Window, 1), Cal: reading.Cal,
@@ -243,12 +243,12 @@
 		})
 		targets = append(targets, held)
 	}
-	best := selects.Select(choices)
+	best := balancer.Select(choices)
 	if best < 0 {
-		return nil, view.Position{}
+		return nil, model.Position{}
 	}
 	if targets[best] == primary {
-		floor = view.Position{}
+		floor = model.Position{}
 	}
 	return targets[best], floor
 }
@@ -315,7 +315,7 @@
 	isTurn := j.turn != nil
 	isFirst := isTurn && j.turn.conn == nil
 	outs = m.dress(conn, j.client, j.turn != nil && !isFirst)
-	if j.asked.Statement.Act == stream.ActRun {
+	if j.asked.Statement.Act == lineproto.ActRun {
 		if _, isHeld := conn.shapes[j.shape.text]; !isHeld {
 			conn.names++
 			name := fmt.Sprintf("p%d", conn.names)
@@ -339,7 +339,7 @@
 	} else {
 		floor := j.floor
 		if isTurn {
-			floor = view.Position{}
+			floor = model.Position{}
 		}
 		outs = append(outs, m.textOf(j, conn, floor))
 	}
@@ -355,8 +355,8 @@
 	m.send(conn, held, outs)
 }
 
-func (m *Machine) textOf(j *Job, conn *Conn, floor view.Position) Out {
-	if j.asked.Statement.Act == stream.ActRun {
+func (m *Machine) textOf(j *Job, conn *Conn, floor model.Position) Out {
+	if j.asked.Statement.Act == lineproto.ActRun {
 		return Out{Kind: OutRun, ID: j.asked.ID, Name: conn.shapes[j.shape.text], Value: j.asked.Statement.Rest, Floor: floor}
 	}
 	return Out{Kind: OutText, ID: j.asked.ID, Text: j.asked.Text, Floor: floor}
--- a/pooler/coordination/pool/pool.go
+++ b/internal/coordination/pool/linepool/pool.go
@@ -1,22 +1,22 @@
-// Package pool is the machine by which a data-plane node carries clients'
+// Package linepool is the machine by which a data-plane node carries clients'
 // sessions to synced instances: transactions, values and prepared shapes, the
 // lines in which statements wait, the windows and connections of the
 // instances, what each statement came to, and the drain. Each method is one
 // event; Effects gives what it caused, to be carried out in order.
-package pool
+package linepool
 
 import (
 	"time"
 
-	"tansyseam.example/pooler/coordination/admit"
-	"tansyseam.example/pooler/coordination/lease"
-	"tansyseam.example/pooler/coordination/outlier"
-	"tansyseam.example/pooler/coordination/rights"
-	"tansyseam.example/pooler/coordination/serve"
-	"tansyseam.example/pooler/coordination/steer"
-	"tansyseam.example/pooler/state/dense"
-	"tansyseam.example/pooler/state/stream"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/connquota"
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/coordination/flowcontrol"
+	"tansyseam/internal/coordination/lease"
+	"tansyseam/internal/coordination/outlier"
+	"tansyseam/internal/coordination/routing"
+	"tansyseam/internal/state/lineproto"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/symbol"
 )
 
 // Timing holds the machine's bounds.
@@ -115,7 +115,7 @@
 	Kind        OutKind
 	ID, Text    string
 	Name, Value string
-	Floor       view.Position
+	Floor       model.Position
 }
 
 // Effects.
@@ -125,7 +125,7 @@
 	// Say answers a client, all in one.
 	Say struct {
 		Client   *Client
-		Messages []stream.Message
+		Messages []lineproto.Message
 	}
 	// Close ends a client's session.
 	Close struct{ Client *Client }
@@ -144,8 +144,8 @@
 	// Report tells the control primary what is seen, before the next ask.
 	Report struct{}
 	// Turned tells a writer role that moved, Shown a set come in force.
-	Turned struct{ Moved serve.Moved }
-	Shown  struct{ Set view.Set }
+	Turned struct{ Moved routing.Moved }
+	Shown  struct{ Set model.Set }
 )
 
 // Place is the node's own.
@@ -180,12 +180,12 @@
 }
 
 type mark struct {
-	position view.Position
+	position model.Position
 	at       time.Duration
 }
 
 type turn struct {
-	binding view.Binding
+	binding model.Binding
 	isRead  bool
 	isLost  bool
 	// hasWrites says that a write was passed on, if only to be refused.
@@ -196,7 +196,7 @@
 // Asked is one query of a client.
 type Asked struct {
 	ID, Text  string
-	Statement stream.Statement
+	Statement lineproto.Statement
 }
 
 type phase int
@@ -214,7 +214,7 @@
 	client   *Client
 	asked    Asked
 	shape    shape
-	binding  view.Binding
+	binding  model.Binding
 	isWrite  bool
 	isCommit bool
 	isStrict bool
@@ -230,9 +230,9 @@
 	avoid    *back
 	failed   int
 	term     uint64
-	floor    view.Position
-	answer   []stream.Message
-	position view.Position
+	floor    model.Position
+	answer   []lineproto.Message
+	position model.Position
 }
 
 // mayLast says whether the statement, once run, may keep something for good.
@@ -263,8 +263,8 @@
 	// isBegun says that the statement itself has been sent, and not only the
 	// begin before it.
 	isBegun bool
-	rows    []stream.Message
-	end     stream.Message
+	rows    []lineproto.Message
+	end     lineproto.Message
 	hasEnd  bool
 }
 
@@ -302,11 +302,11 @@
 }
 
 type back struct {
-	info      view.Instance
+	info      model.Instance
 	database  int
-	share     rights.Share
+	share     connquota.Share
 	grade     outlier.Grade
-	window    *admit.Window
+	window    *flowcontrol.Window
 	idle      []*Conn
 	conns     []*Conn
 	opening   int
@@ -316,13 +316,13 @@
 	refused   int
 	lagUntil  time.Duration
 	leavingAt time.Duration
-	position  view.Position
+	position  model.Position
 	told      int
 }
 
 type sample struct {
 	at       time.Duration
-	position view.Position
+	position model.Position
 }
 
 type base struct {
@@ -333,7 +333,7 @@
 	out      []*Job
 	confirms []*Job
 	samples  []sample
-	high     view.Position
+	high     model.Position
 	closedAt time.Duration
 	// isDropped says that the control primary may have been told that nothing
 	// is told kept any more in the term that is closing.
@@ -344,19 +344,19 @@
 type Machine struct {
 	place     Place
 	timing    Timing
-	tuning    admit.Tuning
+	tuning    flowcontrol.Tuning
 	count     func(name string, by int64)
-	serve     *serve.Machine
-	names     *dense.Index
+	serve     *routing.Machine
+	names     *symbol.Index
 	bases     []*base
-	backNames *dense.Index
+	backNames *symbol.Index
 	backs     []*back
 	clients   map[*Client]bool
 	leaseless []*Job
 	guests    []*Client
 	ranks     uint64
-	roll      steer.Roll
-	sharers   rights.Names
+	roll      distribution.Roll
+	sharers   connquota.Names
 	leftAt    time.Duration
 	leasedAt  time.Duration
 	hasBeaten bool
@@ -369,8 +369,8 @@
 // rises.
 func New(place Place, timing Timing, leases lease.Timing, count func(string, int64)) *Machine {
 	m := &Machine{
-		place: place, timing: timing, tuning: admit.Defaults(), count: count, serve: serve.New(place.Name, leases),
-		names: dense.NewIndex(), backNames: dense.NewIndex(), clients: map[*Client]bool{},
+		place: place, timing: timing, tuning: flowcontrol.Defaults(), count: count, serve: routing.New(place.Name, leases),
+		names: symbol.NewIndex(), backNames: symbol.NewIndex(), clients: map[*Client]bool{},
 	}
 	m.tuning.Beta = place.Beta
 	return m
@@ -387,7 +387,7 @@
 
 // Serve gives what the node knows of leases, sets and writer roles, to be
 // read only.
-func (m *Machine) Serve() *serve.Machine { return m.serve }
+func (m *Machine) Serve() *routing.Machine { return m.serve }
 
 func (m *Machine) base(name string) *base {
 	rank := m.names.Rank(name)
@@ -407,10 +407,10 @@
 	return m.backs[rank]
 }
 
-func (m *Machine) writer(one *base) (view.Writer, *back, bool) {
+func (m *Machine) writer(one *base) (model.Writer, *back, bool) {
 	writer := m.serve.Writer(one.name)
 	target := m.back(writer.Primary)
-	return writer, target, writer.Phase == view.PhaseOpen && target != nil && !target.info.IsGone
+	return writer, target, writer.Phase == model.PhaseOpen && target != nil && !target.info.IsGone
 }
 
 func (m *Machine) isHead(held *back) bool {
@@ -437,9 +437,9 @@
 }
 
 // Effective gives the set in force.
-func (m *Machine) Effective(now time.Duration) view.Set { return m.effective(now) }
+func (m *Machine) Effective(now time.Duration) model.Set { return m.effective(now) }
 
-func (m *Machine) effective(now time.Duration) view.Set {
+func (m *Machine) effective(now time.Duration) model.Set {
 	current, isNew := m.serve.Effective(now)
 	if isNew {
 		m.count("sets_shown", 1)
@@ -499,26 +499,26 @@
 
 // Backed is what the node shows of an instance.
 type Backed struct {
-	Info      view.Instance `json:"instance"`
-	AnsweredM int64         `json:"answered_ms"`
-	Position  view.Position `json:"position"`
-	Admission admit.Reading `json:"admission"`
-	Refused   int           `json:"refused"`
-	Sessions  int           `json:"sessions"`
-	Idle      int           `json:"idle"`
-	Share     int           `json:"share"`
-	Kept      int           `json:"kept"`
+	Info      model.Instance      `json:"instance"`
+	AnsweredM int64               `json:"answered_ms"`
+	Position  model.Position      `json:"position"`
+	Admission flowcontrol.Reading `json:"admission"`
+	Refused   int                 `json:"refused"`
+	Sessions  int                 `json:"sessions"`
+	Idle      int                 `json:"idle"`
+	Share     int                 `json:"share"`
+	Kept      int                 `json:"kept"`
 }
 
 // Lined is what it shows of a database's lines.
 type Lined struct {
-	Database string        `json:"database"`
-	Turns    int           `json:"turns"`
-	Writes   int           `json:"writes"`
-	Reads    int           `json:"reads"`
-	Out      int           `json:"out"`
-	Confirms int           `json:"confirms"`
-	High     view.Position `json:"high"`
+	Database string         `json:"database"`
+	Turns    int            `json:"turns"`
+	Writes   int            `json:"writes"`
+	Reads    int            `json:"reads"`
+	Out      int            `json:"out"`
+	Confirms int            `json:"confirms"`
+	High     model.Position `json:"high"`
 }
 
 // Show gives what the node shows to operators.
--- a/pooler/coordination/pool/pool_test.go
+++ b/internal/coordination/pool/linepool/pool_test.go
@@ -1,4 +1,4 @@
-package pool
+package linepool
 
 import (
 	"testing"
@@ -6,11 +6,11 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/coordination/lease"
-	"tansyseam.example/pooler/coordination/rights"
-	"tansyseam.example/pooler/coordination/steer"
-	"tansyseam.example/pooler/state/stream"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/connquota"
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/coordination/lease"
+	"tansyseam/internal/state/lineproto"
+	"tansyseam/internal/state/model"
 )
 
 func TestBegin(t *testing.T) {
@@ -26,17 +26,17 @@
 		So(texts(first), ShouldEqual, "begin")
 		So(first.to(), ShouldEqual, "a")
 		So(r.sends, ShouldBeEmpty)
-		r.answer(first, stream.StateInside, ok("-"))
+		r.answer(first, lineproto.StateInside, ok("-"))
 		second := r.next()
 		So(texts(second), ShouldEqual, "write 1")
 		So(second.Conn, ShouldEqual, first.Conn)
-		r.answer(second, stream.StateInside, ok("w1"))
+		r.answer(second, lineproto.StateInside, ok("w1"))
 		So(r.heard(c), ShouldEqual, "DONE w1 / READY T")
 		r.query(c, commit())
 		third := r.next()
 		So(texts(third), ShouldEqual, "commit")
 		So(third.Conn, ShouldEqual, first.Conn)
-		r.answer(third, stream.StateIdle, ok("k1"))
+		r.answer(third, lineproto.StateIdle, ok("k1"))
 		So(r.heard(c), ShouldEqual, "DONE k1 / READY I")
 		So(r.sound(), ShouldEqual, "")
 	})
@@ -44,11 +44,11 @@
 		name  string
 		act   func() Asked
 		bound string
-		code  stream.Code
+		code  lineproto.Code
 	}{
-		{"LAGGING", beginRead, "stale", stream.CodeLagging},
-		{"READONLY", begin, "strict", stream.CodeReadOnly},
-		{"BUSY", begin, "strict", stream.CodeBusy},
+		{"LAGGING", beginRead, "stale", lineproto.CodeLagging},
+		{"READONLY", begin, "strict", lineproto.CodeReadOnly},
+		{"BUSY", begin, "strict", lineproto.CodeBusy},
 	}
 	for _, one := range refusals {
 		Convey("A begin refused with "+one.name+" keeps the statement back; it runs inside a later one", t, func() {
@@ -58,12 +58,12 @@
 			r.query(c, one.act())
 			r.query(c, read("1"))
 			count := r.answers(c)
-			r.answer(r.next(), stream.StateIdle, bad(one.code))
+			r.answer(r.next(), lineproto.StateIdle, bad(one.code))
 			So(r.answers(c), ShouldEqual, count)
 			r.wait(400 * time.Millisecond)
 			again := r.begun()
 			So(texts(again), ShouldEqual, "read 1")
-			r.answer(again, stream.StateInside, ok("s"))
+			r.answer(again, lineproto.StateInside, ok("s"))
 			So(r.heard(c), ShouldEqual, "DONE s / READY T")
 			So(r.sound(), ShouldEqual, "")
 		})
@@ -77,7 +77,7 @@
 			for r.now < time.Hour+5*time.Second && r.heard(c) == "DONE - / READY T" {
 				for len(r.sends) > 0 {
 					tries++
-					r.answer(r.next(), stream.StateIdle, bad(one.code))
+					r.answer(r.next(), lineproto.StateIdle, bad(one.code))
 				}
 				r.wait(25 * time.Millisecond)
 			}
@@ -91,7 +91,7 @@
 		c := r.client("strict")
 		r.query(c, begin())
 		r.query(c, write("1"))
-		r.answer(r.next(), stream.StateIdle, ok("-"))
+		r.answer(r.next(), lineproto.StateIdle, ok("-"))
 		for _, send := range r.sends {
 			So(texts(send), ShouldEqual, "begin")
 		}
@@ -103,7 +103,7 @@
 		r.query(c, commit())
 		one := r.begun()
 		So(texts(one), ShouldEqual, "commit")
-		r.answer(one, stream.StateIdle, ok("k"))
+		r.answer(one, lineproto.StateIdle, ok("k"))
 		So(r.heard(c), ShouldEqual, "DONE k / READY I")
 	})
 	Convey("A rollback of nothing, or before any statement, is the node's own", t, func() {
@@ -121,14 +121,14 @@
 		c := r.client("strict")
 		r.query(c, begin())
 		r.query(c, write("1"))
-		r.answer(r.begun(), stream.StateInside, ok("w"))
+		r.answer(r.begun(), lineproto.StateInside, ok("w"))
 		r.query(c, rollback())
 		So(r.heard(c), ShouldEqual, "DONE - / READY I")
 		back := r.next()
 		So(texts(back), ShouldEqual, "rollback")
 		r.query(c, write("2"))
 		So(r.next().Conn, ShouldNotEqual, back.Conn)
-		r.answer(back, stream.StateIdle, ok("-"))
+		r.answer(back, lineproto.StateIdle, ok("-"))
 		So(back.Conn.state, ShouldEqual, connIdle)
 		So(r.sound(), ShouldEqual, "")
 	})
@@ -137,10 +137,10 @@
 		c := r.client("strict")
 		r.query(c, begin())
 		r.query(c, write("1"))
-		r.answer(r.begun(), stream.StateInside, ok("w"))
+		r.answer(r.begun(), lineproto.StateInside, ok("w"))
 		r.query(c, rollback())
 		back := r.next()
-		r.answer(back, stream.StateInside, bad(stream.CodeOther))
+		r.answer(back, lineproto.StateInside, bad(lineproto.CodeOther))
 		So(back.Conn.IsOver(), ShouldBeTrue)
 	})
 	Convey("A single statement that leaves its connection inside a transaction ends the connection", t, func() {
@@ -148,7 +148,7 @@
 		c := r.client("strict")
 		r.query(c, read("1"))
 		one := r.next()
-		r.answer(one, stream.StateInside, ok("s"))
+		r.answer(one, lineproto.StateInside, ok("s"))
 		So(one.Conn.IsOver(), ShouldBeTrue)
 	})
 }
@@ -175,21 +175,21 @@
 		r.query(one, read("1"))
 		first := r.next()
 		So(texts(first), ShouldEqual, "set v=1, read 1")
-		r.answer(first, stream.StateIdle, ok("s"))
+		r.answer(first, lineproto.StateIdle, ok("s"))
 		r.query(one, read("2"))
 		second := r.next()
 		So(texts(second), ShouldEqual, "read 2")
 		So(second.Conn, ShouldEqual, first.Conn)
-		r.answer(second, stream.StateIdle, ok("s"))
+		r.answer(second, lineproto.StateIdle, ok("s"))
 		r.query(other, read("3"))
 		third := r.next()
 		So(texts(third), ShouldEqual, "set v=2, read 3")
-		r.answer(third, stream.StateIdle, ok("s"))
+		r.answer(third, lineproto.StateIdle, ok("s"))
 		r.query(plain, read("4"))
 		fourth := r.next()
 		So(texts(fourth), ShouldEqual, "reset, read 4")
 		So(fourth.Conn, ShouldEqual, first.Conn)
-		r.answer(fourth, stream.StateIdle, ok("s"))
+		r.answer(fourth, lineproto.StateIdle, ok("s"))
 		r.query(plain, read("5"))
 		So(texts(r.next()), ShouldEqual, "read 5")
 	})
@@ -201,15 +201,15 @@
 		r.query(one, runs("p", "1"))
 		first := r.next()
 		So(texts(first), ShouldEqual, "prepare p1 as read q, run p1 1")
-		r.answer(first, stream.StateIdle, ok("s"))
+		r.answer(first, lineproto.StateIdle, ok("s"))
 		r.query(other, runs("p", "2"))
 		second := r.next()
 		So(texts(second), ShouldEqual, "prepare p2 as write q, run p2 2")
-		r.answer(second, stream.StateIdle, ok("s"))
+		r.answer(second, lineproto.StateIdle, ok("s"))
 		r.query(one, runs("p", "3"))
 		third := r.next()
 		So(texts(third), ShouldEqual, "run p1 3")
-		r.answer(third, stream.StateIdle, ok("s"))
+		r.answer(third, lineproto.StateIdle, ok("s"))
 		r.query(one, prepare("p", "read z"))
 		r.query(one, runs("p", "4"))
 		So(texts(r.next()), ShouldEqual, "prepare p3 as read z, run p3 4")
@@ -229,15 +229,15 @@
 		c := r.client("strict")
 		r.query(c, begin())
 		r.query(c, read("1"))
-		r.answer(r.begun(), stream.StateInside, ok("s"))
+		r.answer(r.begun(), lineproto.StateInside, ok("s"))
 		r.query(c, set("v", "1"))
 		r.query(c, prepare("p", "read q"))
 		r.query(c, runs("p", "2"))
 		inside := r.next()
 		So(texts(inside), ShouldEqual, "set v=1, prepare p1 as read q, run p1 2")
-		r.answer(inside, stream.StateInside, ok("s"))
+		r.answer(inside, lineproto.StateInside, ok("s"))
 		r.query(c, rollback())
-		r.answer(r.next(), stream.StateIdle, ok("-"))
+		r.answer(r.next(), lineproto.StateIdle, ok("-"))
 		r.query(c, runs("p", "3"))
 		So(texts(r.next()), ShouldEqual, "reset, set v=1, prepare p2 as read q, run p2 3")
 	})
@@ -249,13 +249,13 @@
 		r.query(c, read("1"))
 		first := r.next()
 		So(texts(first), ShouldEqual, "set v=1, begin")
-		r.answer(first, stream.StateInside, ok("-"))
-		r.answer(r.next(), stream.StateInside, ok("s"))
+		r.answer(first, lineproto.StateInside, ok("-"))
+		r.answer(r.next(), lineproto.StateInside, ok("s"))
 		r.query(c, set("w", "2"))
 		r.query(c, read("2"))
-		r.answer(r.next(), stream.StateInside, ok("s"))
+		r.answer(r.next(), lineproto.StateInside, ok("s"))
 		r.query(c, commit())
-		r.answer(r.next(), stream.StateIdle, ok("k"))
+		r.answer(r.next(), lineproto.StateIdle, ok("k"))
 		r.query(c, read("3"))
 		So(texts(r.next()), ShouldEqual, "read 3")
 	})
@@ -264,12 +264,12 @@
 		c := r.client("strict")
 		r.query(c, begin())
 		r.query(c, read("1"))
-		r.answer(r.begun(), stream.StateInside, ok("s"))
+		r.answer(r.begun(), lineproto.StateInside, ok("s"))
 		r.query(c, set("v", "1"))
 		r.query(c, read("2"))
-		r.answer(r.next(), stream.StateInside, ok("s"))
+		r.answer(r.next(), lineproto.StateInside, ok("s"))
 		r.query(c, commit())
-		r.answer(r.next(), stream.StateIdle, bad(stream.CodeAborted))
+		r.answer(r.next(), lineproto.StateIdle, bad(lineproto.CodeAborted))
 		So(r.heard(c), ShouldEqual, "ERROR ABORTED / READY I")
 		r.query(c, read("3"))
 		So(texts(r.next()), ShouldEqual, "reset, set v=1, read 3")
@@ -280,7 +280,7 @@
 		r.query(c, set("v", "1"))
 		r.query(c, read("1"))
 		one := r.next()
-		r.came(one.Conn, bad(stream.CodeOther), r.at(stream.StateIdle), ok("s"), r.at(stream.StateIdle))
+		r.came(one.Conn, bad(lineproto.CodeOther), r.at(lineproto.StateIdle), ok("s"), r.at(lineproto.StateIdle))
 		r.query(c, read("2"))
 		So(texts(r.next()), ShouldEqual, "reset, set v=1, read 2")
 	})
@@ -290,12 +290,12 @@
 			c := r.client("strict")
 			r.query(c, prepare("p", text))
 			r.query(c, runs("p", "1"))
-			r.answer(r.next(), stream.StateIdle, bad(stream.CodeNotFound))
+			r.answer(r.next(), lineproto.StateIdle, bad(lineproto.CodeNotFound))
 			So(r.heard(c), ShouldNotContainSubstring, "NOTFOUND")
 			r.wait(50 * time.Millisecond)
 			again := r.next()
 			So(texts(again), ShouldEqual, "reset, prepare p2 as "+text+", run p2 1")
-			r.answer(again, stream.StateIdle, ok("s"))
+			r.answer(again, lineproto.StateIdle, ok("s"))
 			So(r.heard(c), ShouldEqual, "DONE s / READY I")
 		}
 	})
@@ -305,7 +305,7 @@
 		for at := range r.timing.Shapes + 1 {
 			r.query(c, prepare("p", "read "+time.Duration(at).String()))
 			r.query(c, runs("p", "1"))
-			r.answer(r.next(), stream.StateIdle, ok("s"))
+			r.answer(r.next(), lineproto.StateIdle, ok("s"))
 		}
 		r.query(c, prepare("p", "read last"))
 		r.query(c, runs("p", "1"))
@@ -320,7 +320,7 @@
 		r.query(c, read("1"))
 		send := r.next()
 		So(send.to(), ShouldEqual, "a")
-		So(send.floor(), ShouldResemble, view.Position{})
+		So(send.floor(), ShouldResemble, model.Position{})
 	})
 	Convey("A floor is what the primary told in answer to something sent within the bound", t, func() {
 		r := newRig(20)
@@ -333,11 +333,11 @@
 		r.query(c, read("1"))
 		send := r.next()
 		So(send.to(), ShouldNotEqual, "a")
-		So(send.floor(), ShouldResemble, view.Position{Term: 3, Index: 70})
-		r.answer(send, stream.StateIdle, ok("s"))
+		So(send.floor(), ShouldResemble, model.Position{Term: 3, Index: 70})
+		r.answer(send, lineproto.StateIdle, ok("s"))
 		r.wait(800 * time.Millisecond)
 		r.query(c, read("2"))
-		So(r.next().floor(), ShouldResemble, view.Position{Term: 3, Index: 90})
+		So(r.next().floor(), ShouldResemble, model.Position{Term: 3, Index: 90})
 		r.wait(1200 * time.Millisecond)
 		r.query(c, read("3"))
 		So(r.next().to(), ShouldEqual, "a")
@@ -348,7 +348,7 @@
 		r.query(slow, read("1"))
 		one := r.next()
 		r.wait(1450 * time.Millisecond)
-		r.answer(one, stream.StateIdle, ok("s"))
+		r.answer(one, lineproto.StateIdle, ok("s"))
 		r.query(c, read("2"))
 		So(r.next().to(), ShouldEqual, "a")
 	})
@@ -359,7 +359,7 @@
 		c, other := r.client("own"), r.client("own")
 		r.high = 80
 		r.query(c, write("1"))
-		r.answer(r.next(), stream.StateIdle, ok("w"))
+		r.answer(r.next(), lineproto.StateIdle, ok("w"))
 		r.wait(time.Second)
 		r.query(other, read("2"))
 		So(r.next().floor().Index, ShouldEqual, 70)
@@ -372,7 +372,7 @@
 		c := r.client("own")
 		r.high = 180
 		r.query(c, write("1"))
-		r.answer(r.next(), stream.StateIdle, ok("w"))
+		r.answer(r.next(), lineproto.StateIdle, ok("w"))
 		r.query(c, read("2"))
 		So(r.next().to(), ShouldEqual, "a")
 	})
@@ -396,9 +396,9 @@
 		r.query(c, read("1"))
 		first := r.next()
 		So(texts(first), ShouldEqual, "begin read")
-		So(first.floor(), ShouldResemble, view.Position{Term: 3, Index: 100})
-		r.answer(first, stream.StateInside, ok("-"))
-		So(r.next().floor(), ShouldResemble, view.Position{})
+		So(first.floor(), ShouldResemble, model.Position{Term: 3, Index: 100})
+		r.answer(first, lineproto.StateInside, ok("-"))
+		So(r.next().floor(), ShouldResemble, model.Position{})
 	})
 	Convey("A replica that lags is passed over for a while, and the read goes elsewhere", t, func() {
 		r := newRig(20)
@@ -406,35 +406,35 @@
 		c := r.client("stale")
 		r.query(c, read("1"))
 		first := r.next()
-		r.answer(first, stream.StateIdle, bad(stream.CodeLagging))
+		r.answer(first, lineproto.StateIdle, bad(lineproto.CodeLagging))
 		second := r.next()
 		So(second.to(), ShouldNotEqual, first.to())
-		r.answer(second, stream.StateIdle, bad(stream.CodeLagging))
+		r.answer(second, lineproto.StateIdle, bad(lineproto.CodeLagging))
 		third := r.next()
 		So(third.to(), ShouldEqual, "a")
-		r.answer(third, stream.StateIdle, ok("s"))
+		r.answer(third, lineproto.StateIdle, ok("s"))
 		So(r.heard(c), ShouldEqual, "DONE s / READY I")
 	})
 	Convey("Samples are of one term: a new one begins without", t, func() {
 		r := newRig(20)
 		r.sampled()
-		r.role(view.PhaseClosing, "a", 3)
-		r.role(view.PhaseOpen, "b", 4)
+		r.role(model.PhaseClosing, "a", 3)
+		r.role(model.PhaseOpen, "b", 4)
 		c := r.client("stale")
 		r.query(c, read("1"))
 		So(r.next().to(), ShouldEqual, "b")
 	})
 	Convey("While a term is closed, what the record holds covers all", t, func() {
 		r := newRig(20)
-		r.role(view.PhaseClosing, "a", 3)
-		r.doc.Writers["x"] = view.Writer{Database: "x", Term: 3, Primary: "a", Phase: view.PhaseIntent, IsSynced: true, Floor: view.Position{Term: 3, Index: 55}}
+		r.role(model.PhaseClosing, "a", 3)
+		r.doc.Writers["x"] = model.Writer{Database: "x", Term: 3, Primary: "a", Phase: model.PhaseIntent, IsSynced: true, Floor: model.Position{Term: 3, Index: 55}}
 		c := r.client("stale")
 		r.query(c, read("1"))
 		So(r.sends, ShouldBeEmpty)
 		r.wait(300 * time.Millisecond)
 		send := r.next()
 		So(send.to(), ShouldNotEqual, "a")
-		So(send.floor(), ShouldResemble, view.Position{Term: 3, Index: 55})
+		So(send.floor(), ShouldResemble, model.Position{Term: 3, Index: 55})
 	})
 }
 
@@ -453,12 +453,12 @@
 	Convey("They go out in an open term only, and then to its primary", t, func() {
 		r := newRig(20)
 		c := r.client("strict")
-		r.role(view.PhaseClosing, "a", 3)
+		r.role(model.PhaseClosing, "a", 3)
 		r.query(c, read("1"))
 		So(r.sends, ShouldBeEmpty)
-		r.role(view.PhaseIntent, "a", 3)
+		r.role(model.PhaseIntent, "a", 3)
 		So(r.sends, ShouldBeEmpty)
-		r.role(view.PhaseOpen, "b", 4)
+		r.role(model.PhaseOpen, "b", 4)
 		So(r.next().to(), ShouldEqual, "b")
 	})
 	Convey("A strict read that is out at a primary whose term closes is asked again at the next, and the first answer is dropped", t, func() {
@@ -466,11 +466,11 @@
 		c := r.client("strict")
 		r.query(c, read("1"))
 		old := r.next()
-		r.role(view.PhaseClosing, "a", 3)
-		r.answer(old, stream.StateIdle, ok("old"))
+		r.role(model.PhaseClosing, "a", 3)
+		r.answer(old, lineproto.StateIdle, ok("old"))
 		So(r.heard(c), ShouldEqual, "READY I")
-		r.role(view.PhaseOpen, "b", 4)
-		r.answer(r.next(), stream.StateIdle, ok("new"))
+		r.role(model.PhaseOpen, "b", 4)
+		r.answer(r.next(), lineproto.StateIdle, ok("new"))
 		So(r.heard(c), ShouldEqual, "DONE new / READY I")
 		So(r.sound(), ShouldEqual, "")
 	})
@@ -478,10 +478,10 @@
 		r := newRig(20)
 		c := r.client("strict")
 		r.instance("a").IsLeaving = true
-		r.role(view.PhaseClosing, "a", 3)
+		r.role(model.PhaseClosing, "a", 3)
 		r.query(c, write("1"))
 		So(r.sends, ShouldBeEmpty)
-		r.role(view.PhaseOpen, "c", 4)
+		r.role(model.PhaseOpen, "c", 4)
 		So(r.next().to(), ShouldEqual, "c")
 	})
 }
@@ -498,7 +498,7 @@
 		{"commit", func(r *rig, c *Client) Send {
 			r.query(c, begin())
 			r.query(c, write("1"))
-			r.answer(r.begun(), stream.StateInside, ok("w"))
+			r.answer(r.begun(), lineproto.StateInside, ok("w"))
 			r.query(c, commit())
 			return r.next()
 		}},
@@ -510,7 +510,7 @@
 			send := way.ask(r, c)
 			before := r.answers(c)
 			r.pass(1650 * time.Millisecond)
-			r.answer(send, stream.StateIdle, ok("k"))
+			r.answer(send, lineproto.StateIdle, ok("k"))
 			So(r.answers(c), ShouldEqual, before)
 			r.news(1600 * time.Millisecond)
 			So(r.heard(c), ShouldEqual, "DONE k / READY I")
@@ -521,7 +521,7 @@
 			c := r.client("strict")
 			send := way.ask(r, c)
 			r.pass(1650 * time.Millisecond)
-			r.answer(send, stream.StateIdle, ok("k"))
+			r.answer(send, lineproto.StateIdle, ok("k"))
 			r.pass(400 * time.Millisecond)
 			So(r.heard(c), ShouldEqual, "ERROR UNKNOWN / READY I")
 			So(r.sound(), ShouldEqual, "")
@@ -531,8 +531,8 @@
 			c := r.client("strict")
 			send := way.ask(r, c)
 			r.pass(1650 * time.Millisecond)
-			r.answer(send, stream.StateIdle, ok("k"))
-			r.role(view.PhaseOpen, "b", 4)
+			r.answer(send, lineproto.StateIdle, ok("k"))
+			r.role(model.PhaseOpen, "b", 4)
 			So(r.heard(c), ShouldEqual, "ERROR UNKNOWN / READY I")
 			So(r.sound(), ShouldEqual, "")
 		})
@@ -540,9 +540,9 @@
 			r := newRig(20)
 			c := r.client("strict")
 			send := way.ask(r, c)
-			r.role(view.PhaseOpen, "b", 4)
+			r.role(model.PhaseOpen, "b", 4)
 			if !send.Conn.IsOver() {
-				r.answer(send, stream.StateIdle, ok("k"))
+				r.answer(send, lineproto.StateIdle, ok("k"))
 			}
 			So(r.heard(c), ShouldEqual, "ERROR UNKNOWN / READY I")
 			So(r.sound(), ShouldEqual, "")
@@ -551,21 +551,21 @@
 			r := newRig(20)
 			c := r.client("strict")
 			send := way.ask(r, c)
-			r.role(view.PhaseClosing, "a", 3)
+			r.role(model.PhaseClosing, "a", 3)
 			r.high = 150
-			r.answer(send, stream.StateIdle, ok("k"))
+			r.answer(send, lineproto.StateIdle, ok("k"))
 			So(r.heard(c), ShouldEqual, "DONE k / READY I")
 			So(r.IsSettling(r.now), ShouldBeFalse)
-			So(r.Ask(r.now).Highs["x"], ShouldResemble, view.Position{Term: 3, Index: 150})
+			So(r.Ask(r.now).Highs["x"], ShouldResemble, model.Position{Term: 3, Index: 150})
 			So(r.sound(), ShouldEqual, "")
 		})
 		Convey("A "+way.name+" answered in a closing term after that word is unknown", t, func() {
 			r := newRig(20)
 			c := r.client("strict")
 			send := way.ask(r, c)
-			r.role(view.PhaseClosing, "a", 3)
+			r.role(model.PhaseClosing, "a", 3)
 			r.Ask(r.now)
-			r.answer(send, stream.StateIdle, ok("k"))
+			r.answer(send, lineproto.StateIdle, ok("k"))
 			So(r.heard(c), ShouldEqual, "ERROR UNKNOWN / READY I")
 			So(r.sound(), ShouldEqual, "")
 		})
@@ -574,11 +574,11 @@
 			c := r.client("strict")
 			send := way.ask(r, c)
 			before := r.answers(c)
-			r.doc.Writers["x"] = view.Writer{Database: "x", Term: 3, Primary: "a", Phase: view.PhaseClosing, IsSynced: true}
+			r.doc.Writers["x"] = model.Writer{Database: "x", Term: 3, Primary: "a", Phase: model.PhaseClosing, IsSynced: true}
 			r.news(100 * time.Millisecond)
 			r.pass(1650 * time.Millisecond)
 			if !send.Conn.IsOver() {
-				r.answer(send, stream.StateIdle, ok("k"))
+				r.answer(send, lineproto.StateIdle, ok("k"))
 				So(r.answers(c), ShouldEqual, before)
 			}
 			r.Ask(r.now)
@@ -589,9 +589,9 @@
 			r := newRig(20)
 			c := r.client("strict")
 			send := way.ask(r, c)
-			r.role(view.PhaseIntent, "a", 3)
+			r.role(model.PhaseIntent, "a", 3)
 			if !send.Conn.IsOver() {
-				r.answer(send, stream.StateIdle, ok("k"))
+				r.answer(send, lineproto.StateIdle, ok("k"))
 			}
 			So(r.heard(c), ShouldEqual, "ERROR UNKNOWN / READY I")
 		})
@@ -599,9 +599,9 @@
 			r := newRig(20)
 			c := r.client("strict")
 			send := way.ask(r, c)
-			r.role(view.PhaseClosing, "a", 3)
+			r.role(model.PhaseClosing, "a", 3)
 			So(r.IsSettling(r.now), ShouldBeTrue)
-			r.answer(send, stream.StateIdle, bad(stream.CodeReadOnly))
+			r.answer(send, lineproto.StateIdle, bad(lineproto.CodeReadOnly))
 			So(r.heard(c), ShouldEqual, "ERROR READONLY / READY I")
 			So(r.IsSettling(r.now), ShouldBeFalse)
 		})
@@ -610,7 +610,7 @@
 			c := r.client("strict")
 			send := way.ask(r, c)
 			before := r.answers(c)
-			r.role(view.PhaseClosing, "a", 3)
+			r.role(model.PhaseClosing, "a", 3)
 			So(r.IsSettling(r.now), ShouldBeTrue)
 			r.pass(100 * time.Millisecond)
 			So(r.IsSettling(r.now), ShouldBeTrue)
@@ -627,9 +627,9 @@
 		c := r.client("strict")
 		r.high = 140
 		r.query(c, write("1"))
-		r.answer(r.next(), stream.StateIdle, ok("w"))
-		So(r.Ask(r.now).Highs["x"], ShouldResemble, view.Position{Term: 3, Index: 140})
-		So(r.Told(r.now).Highs["x"], ShouldResemble, view.Position{Term: 3, Index: 140})
+		r.answer(r.next(), lineproto.StateIdle, ok("w"))
+		So(r.Ask(r.now).Highs["x"], ShouldResemble, model.Position{Term: 3, Index: 140})
+		So(r.Told(r.now).Highs["x"], ShouldResemble, model.Position{Term: 3, Index: 140})
 	})
 }
 
@@ -640,11 +640,11 @@
 		for _, c := range []*Client{working, resting, committing} {
 			r.query(c, begin())
 			r.query(c, write("1"))
-			r.answer(r.begun(), stream.StateInside, ok("w"))
+			r.answer(r.begun(), lineproto.StateInside, ok("w"))
 		}
 		r.query(working, write("2"))
 		out := r.next()
-		r.role(view.PhaseClosing, "a", 3)
+		r.role(model.PhaseClosing, "a", 3)
 		So(r.heard(working), ShouldEqual, "ERROR ABORTED / READY E")
 		So(out.Conn.IsOver(), ShouldBeTrue)
 		So(r.heard(resting), ShouldEqual, "DONE w / READY T")
@@ -664,14 +664,14 @@
 			c := r.client(name)
 			r.query(c, beginRead())
 			r.query(c, read("1"))
-			r.answer(r.begun(), stream.StateInside, ok("s"))
+			r.answer(r.begun(), lineproto.StateInside, ok("s"))
 			defer func() {
 				r.query(c, read("2"))
-				r.answer(r.next(), stream.StateInside, ok("s2"))
+				r.answer(r.next(), lineproto.StateInside, ok("s2"))
 				So(r.heard(c), ShouldEqual, "DONE s2 / READY T")
 			}()
 		}
-		r.role(view.PhaseClosing, "a", 3)
+		r.role(model.PhaseClosing, "a", 3)
 	})
 	Convey("A transaction whose begin is out when the term closes begins anew at the next primary", t, func() {
 		r := newRig(20)
@@ -679,7 +679,7 @@
 		r.query(c, begin())
 		r.query(c, write("1"))
 		r.next()
-		r.role(view.PhaseClosing, "a", 3)
+		r.role(model.PhaseClosing, "a", 3)
 		So(r.heard(c), ShouldBeIn, "DONE - / READY T", "ERROR ABORTED / READY E")
 		So(r.sound(), ShouldEqual, "")
 	})
@@ -688,8 +688,8 @@
 		c := r.client("strict")
 		r.query(c, begin())
 		r.query(c, write("1"))
-		r.answer(r.begun(), stream.StateInside, ok("w"))
-		r.role(view.PhaseOpen, "a", 5)
+		r.answer(r.begun(), lineproto.StateInside, ok("w"))
+		r.role(model.PhaseOpen, "a", 5)
 		r.query(c, write("2"))
 		So(r.heard(c), ShouldEqual, "ERROR ABORTED / READY E")
 		So(r.sends, ShouldBeEmpty)
@@ -699,7 +699,7 @@
 		c := r.client("strict")
 		r.query(c, begin())
 		r.query(c, write("1"))
-		r.answer(r.begun(), stream.StateInside, ok("w"))
+		r.answer(r.begun(), lineproto.StateInside, ok("w"))
 		r.pass(1700 * time.Millisecond)
 		r.query(c, commit())
 		So(r.sends, ShouldBeEmpty)
@@ -718,7 +718,7 @@
 		So(r.answers(c), ShouldEqual, 1)
 		r.isSlow = false
 		r.wait(500 * time.Millisecond)
-		r.answer(r.next(), stream.StateIdle, ok("w"))
+		r.answer(r.next(), lineproto.StateIdle, ok("w"))
 		So(r.heard(c), ShouldEqual, "DONE w / READY I")
 		So(r.sound(), ShouldEqual, "")
 	})
@@ -766,7 +766,7 @@
 			}
 			send := r.next()
 			if len(end.asks) > 1 {
-				r.answer(send, stream.StateInside, ok("-"))
+				r.answer(send, lineproto.StateInside, ok("-"))
 				send = r.next()
 			}
 			r.lost(send.Conn)
@@ -782,7 +782,7 @@
 			}
 			send := r.next()
 			if len(end.asks) > 1 {
-				r.answer(send, stream.StateInside, ok("-"))
+				r.answer(send, lineproto.StateInside, ok("-"))
 				send = r.next()
 			}
 			r.wait(2100 * time.Millisecond)
@@ -799,7 +799,7 @@
 			r.lost(r.next().Conn)
 			r.wait(100 * time.Millisecond)
 		}
-		r.answer(r.next(), stream.StateIdle, ok("s"))
+		r.answer(r.next(), lineproto.StateIdle, ok("s"))
 		So(r.heard(c), ShouldEqual, "DONE s / READY I")
 	})
 	Convey("A connection lost between the statements of a transaction is told at the next word", t, func() {
@@ -812,7 +812,7 @@
 			r.query(c, begin())
 			r.query(c, write("1"))
 			send := r.begun()
-			r.answer(send, stream.StateInside, ok("w"))
+			r.answer(send, lineproto.StateInside, ok("w"))
 			r.lost(send.Conn)
 			So(r.heard(c), ShouldEqual, "DONE w / READY T")
 			r.query(c, next.ask)
@@ -827,8 +827,8 @@
 		r.query(c, begin())
 		r.query(c, write("1"))
 		send := r.begun()
-		r.answer(send, stream.StateInside, ok("w"))
-		r.came(send.Conn, bad(stream.CodeOther))
+		r.answer(send, lineproto.StateInside, ok("w"))
+		r.came(send.Conn, bad(lineproto.CodeOther))
 		So(send.Conn.IsOver(), ShouldBeTrue)
 		So(r.sound(), ShouldEqual, "")
 		r.query(c, commit())
@@ -844,18 +844,18 @@
 			c := r.client("strict")
 			r.query(c, one.ask)
 			send := r.next()
-			r.came(send.Conn, r.at(stream.StateIdle))
+			r.came(send.Conn, r.at(lineproto.StateIdle))
 			So(send.Conn.IsOver(), ShouldBeTrue)
 			So(r.heard(c), ShouldEqual, one.heard)
 			So(r.sound(), ShouldEqual, "")
 			if one.heard == "READY I" {
-				r.answer(r.next(), stream.StateIdle, ok("s"))
+				r.answer(r.next(), lineproto.StateIdle, ok("s"))
 				So(r.heard(c), ShouldEqual, "DONE s / READY I")
 			}
 		}
 	})
 	Convey("Rows or a second end after the end are no answer either", t, func() {
-		for _, late := range []stream.Message{row("r"), ok("s2"), bad(stream.CodeBusy)} {
+		for _, late := range []lineproto.Message{row("r"), ok("s2"), bad(lineproto.CodeBusy)} {
 			r := newRig(20)
 			c := r.client("strict")
 			r.query(c, write("1"))
@@ -870,20 +870,20 @@
 		r := newRig(20)
 		c := r.client("strict")
 		r.query(c, read("1"))
-		r.answer(r.next(), stream.StateIdle, row("r1"), row("r2"), ok("s"))
+		r.answer(r.next(), lineproto.StateIdle, row("r1"), row("r2"), ok("s"))
 		So(r.heard(c), ShouldEqual, "ROW r1 / ROW r2 / DONE s / READY I")
 	})
 	Convey("Errors of an instance pass as they came", t, func() {
-		for _, code := range []stream.Code{stream.CodeFailed, stream.CodeTimeout, stream.CodeOther} {
+		for _, code := range []lineproto.Code{lineproto.CodeFailed, lineproto.CodeTimeout, lineproto.CodeOther} {
 			for _, ask := range []Asked{read("1"), write("1")} {
 				r := newRig(20)
 				c := r.client("strict")
 				r.query(c, ask)
-				r.answer(r.next(), stream.StateIdle, bad(code))
-				if code == stream.CodeFailed && ask.Statement.Act == stream.ActRead {
+				r.answer(r.next(), lineproto.StateIdle, bad(code))
+				if code == lineproto.CodeFailed && ask.Statement.Act == lineproto.ActRead {
 					So(r.answers(c), ShouldEqual, 1)
 					r.wait(50 * time.Millisecond)
-					r.answer(r.next(), stream.StateIdle, bad(code))
+					r.answer(r.next(), lineproto.StateIdle, bad(code))
 				}
 				So(r.heard(c), ShouldEqual, "ERROR "+codes[code]+" / READY I")
 				r.wait(200 * time.Millisecond)
@@ -898,12 +898,12 @@
 		r.wait(200 * time.Millisecond)
 		r.query(c, read("1"))
 		first := r.next()
-		r.answer(first, stream.StateIdle, bad(stream.CodeFailed))
+		r.answer(first, lineproto.StateIdle, bad(lineproto.CodeFailed))
 		r.wait(50 * time.Millisecond)
 		second := r.next()
 		So(second.to(), ShouldNotEqual, first.to())
 		So(texts(second), ShouldEqual, "read 1")
-		r.answer(second, stream.StateIdle, ok("s"))
+		r.answer(second, lineproto.StateIdle, ok("s"))
 		So(r.heard(c), ShouldEqual, "DONE s / READY I")
 		So(r.sound(), ShouldEqual, "")
 	})
@@ -915,7 +915,7 @@
 		goes := func() string {
 			r.query(c, read("1"))
 			send := r.next()
-			r.answer(send, stream.StateIdle, ok("s"))
+			r.answer(send, lineproto.StateIdle, ok("s"))
 			return send.to()
 		}
 		So(goes(), ShouldEqual, "b")
@@ -936,7 +936,7 @@
 		r.query(c, begin())
 		r.query(c, write("1"))
 		send := r.begun()
-		r.answer(send, stream.StateFailed, bad(stream.CodeFailed))
+		r.answer(send, lineproto.StateFailed, bad(lineproto.CodeFailed))
 		So(r.heard(c), ShouldEqual, "ERROR FAILED / READY E")
 		So(texts(r.next()), ShouldEqual, "rollback")
 		r.query(c, write("2"))
@@ -954,7 +954,7 @@
 		for end := r.now + 1900*time.Millisecond; r.now < end; {
 			for len(r.opens) > 0 {
 				tries++
-				r.came(r.opens[0].Conn, bad(stream.CodeFull))
+				r.came(r.opens[0].Conn, bad(lineproto.CodeFull))
 			}
 			r.wait(25 * time.Millisecond)
 		}
@@ -968,7 +968,7 @@
 		r.query(c, write("1"))
 		for range 20 {
 			for len(r.opens) > 0 {
-				r.came(r.opens[0].Conn, bad(stream.CodeWrongHost))
+				r.came(r.opens[0].Conn, bad(lineproto.CodeWrongHost))
 			}
 			r.wait(50 * time.Millisecond)
 		}
@@ -1053,7 +1053,7 @@
 		r.query(c, write("1"))
 		So(r.answers(c), ShouldEqual, 1)
 		r.news(1600 * time.Millisecond)
-		r.answer(r.next(), stream.StateIdle, ok("w"))
+		r.answer(r.next(), lineproto.StateIdle, ok("w"))
 		So(r.heard(c), ShouldEqual, "DONE w / READY I")
 		for range 10 {
 			r.pass(250 * time.Millisecond)
@@ -1068,7 +1068,7 @@
 		So(r.over[late], ShouldBeTrue)
 		r.news(1600 * time.Millisecond)
 		r.query(c, write("4"))
-		r.answer(r.next(), stream.StateIdle, ok("w"))
+		r.answer(r.next(), lineproto.StateIdle, ok("w"))
 		So(r.heard(c), ShouldEqual, "DONE w / READY I")
 		So(r.sound(), ShouldEqual, "")
 	})
@@ -1077,7 +1077,7 @@
 		c := r.client("strict")
 		r.query(c, begin())
 		r.query(c, write("1"))
-		r.answer(r.begun(), stream.StateInside, ok("w"))
+		r.answer(r.begun(), lineproto.StateInside, ok("w"))
 		for range 2 {
 			r.query(r.client("strict"), read("x"))
 		}
@@ -1115,7 +1115,7 @@
 		r.query(c, write("1"))
 		send := r.begun()
 		r.wait(1900 * time.Millisecond)
-		r.answer(send, stream.StateInside, ok("w"))
+		r.answer(send, lineproto.StateInside, ok("w"))
 		r.wait(2700 * time.Millisecond)
 		So(send.Conn.IsOver(), ShouldBeFalse)
 		r.wait(600 * time.Millisecond)
@@ -1164,7 +1164,7 @@
 					r.query(c, ask)
 				}
 				for at := 0; at < step.goes && len(r.sends) > 0; at++ {
-					r.answer(r.next(), stream.StateInside, ok("-"))
+					r.answer(r.next(), lineproto.StateInside, ok("-"))
 				}
 				before := r.answers(c)
 				out := r.sends
@@ -1174,13 +1174,13 @@
 				So(r.sound(), ShouldEqual, "")
 				for _, send := range out {
 					if !send.Conn.IsOver() {
-						r.answer(send, stream.StateIdle, ok("late"))
+						r.answer(send, lineproto.StateIdle, ok("late"))
 					}
 				}
 				for len(r.sends) > 0 {
 					send := r.next()
 					So(texts(send), ShouldEqual, "rollback")
-					r.answer(send, stream.StateIdle, ok("-"))
+					r.answer(send, lineproto.StateIdle, ok("-"))
 				}
 				r.wait(200 * time.Millisecond)
 				So(r.answers(c), ShouldEqual, before)
@@ -1199,7 +1199,7 @@
 		c := r.client("strict")
 		r.query(c, write("1"))
 		r.pass(1700 * time.Millisecond)
-		r.answer(r.next(), stream.StateIdle, ok("w"))
+		r.answer(r.next(), lineproto.StateIdle, ok("w"))
 		r.Gone(c, r.now)
 		r.flow()
 		So(r.sound(), ShouldEqual, "")
@@ -1243,10 +1243,10 @@
 			if !isFirst {
 				one, other = other, one
 			}
-			r.answer(one, stream.StateIdle, ok("won"))
+			r.answer(one, lineproto.StateIdle, ok("won"))
 			So(r.heard(c), ShouldEqual, "DONE won / READY I")
 			count := r.answers(c)
-			r.answer(other, stream.StateIdle, row("late"), ok("late"))
+			r.answer(other, lineproto.StateIdle, row("late"), ok("late"))
 			So(r.answers(c), ShouldEqual, count)
 			zero(r)
 		}
@@ -1255,28 +1255,28 @@
 		r, c, one, other := twinned()
 		r.lost(one.Conn)
 		So(r.sends, ShouldBeEmpty)
-		r.answer(other, stream.StateIdle, ok("s"))
+		r.answer(other, lineproto.StateIdle, ok("s"))
 		So(r.heard(c), ShouldEqual, "DONE s / READY I")
 		zero(r)
 		r, c, one, other = twinned()
 		r.lost(one.Conn)
 		r.lost(other.Conn)
-		r.answer(r.next(), stream.StateIdle, ok("s"))
+		r.answer(r.next(), lineproto.StateIdle, ok("s"))
 		So(r.heard(c), ShouldEqual, "DONE s / READY I")
 		zero(r)
 	})
 	Convey("A refusal of one leaves the other to answer", t, func() {
 		r, c, one, other := twinned()
-		r.answer(one, stream.StateIdle, bad(stream.CodeBusy))
+		r.answer(one, lineproto.StateIdle, bad(lineproto.CodeBusy))
 		So(r.sends, ShouldBeEmpty)
-		r.answer(other, stream.StateIdle, ok("s"))
+		r.answer(other, lineproto.StateIdle, ok("s"))
 		So(r.heard(c), ShouldEqual, "DONE s / READY I")
 		zero(r)
 	})
 	Convey("Writes, strict reads and reads inside have no twin", t, func() {
 		for _, asks := range [][]Asked{{write("1")}, {read("1")}, {begin(), read("1")}, {beginRead(), read("1")}} {
 			for _, name := range []string{"strict", "stale"} {
-				if name == "stale" && len(asks) == 1 && asks[0].Statement.Act == stream.ActRead {
+				if name == "stale" && len(asks) == 1 && asks[0].Statement.Act == lineproto.ActRead {
 					continue
 				}
 				r := newRig(20)
@@ -1303,7 +1303,7 @@
 		r := newRig(20)
 		r.Beat(nodes(4), 1, r.now)
 		So(r.back("a").window.Read().Max, ShouldEqual, 4)
-		So(r.back("a").share, ShouldResemble, rights.Share{Kept: 4, Most: 4})
+		So(r.back("a").share, ShouldResemble, connquota.Share{Kept: 4, Most: 4})
 		r.Beat(nodes(9), 1, r.now)
 		So(r.back("a").window.Read().Max, ShouldEqual, 2)
 		r.Beat(nodes(4), 1, r.now+30*time.Second)
@@ -1324,11 +1324,11 @@
 		r.query(urgent, read("now"))
 		So(len(r.sends), ShouldEqual, 2)
 		So(r.back("a").window.Read().Open, ShouldEqual, 2)
-		r.answer(r.next(), stream.StateIdle, ok("s"))
+		r.answer(r.next(), lineproto.StateIdle, ok("s"))
 		So(len(r.sends), ShouldEqual, 2)
 		So(texts(r.sends[1]), ShouldEqual, "read now")
 		for len(r.sends) > 0 {
-			r.answer(r.next(), stream.StateIdle, ok("s"))
+			r.answer(r.next(), lineproto.StateIdle, ok("s"))
 		}
 		for _, c := range append(clients, urgent) {
 			So(r.heard(c), ShouldEqual, "DONE s / READY I")
@@ -1353,7 +1353,7 @@
 			r.query(c, begin())
 			r.query(c, write("1"))
 			for len(r.sends) > 0 {
-				r.answer(r.next(), stream.StateInside, ok("-"))
+				r.answer(r.next(), lineproto.StateInside, ok("-"))
 			}
 		}
 		So(len(r.back("a").conns), ShouldEqual, 4)
@@ -1381,7 +1381,7 @@
 			r.query(c, read("1"))
 			send := r.next()
 			So(send.to(), ShouldEqual, "a")
-			r.answer(send, stream.StateIdle, ok("s"))
+			r.answer(send, lineproto.StateIdle, ok("s"))
 		}
 		So(len(r.back("b").conns)+len(r.back("c").conns), ShouldEqual, 0)
 	})
@@ -1390,16 +1390,16 @@
 		c := r.client("strict")
 		r.query(c, write("1"))
 		first := r.next()
-		r.answer(first, stream.StateIdle, ok("w"))
+		r.answer(first, lineproto.StateIdle, ok("w"))
 		r.instance("a").IsLeaving = true
 		r.news(1600 * time.Millisecond)
 		for range 3 {
 			r.query(c, write("2"))
 			send := r.next()
 			So(send.Conn, ShouldEqual, first.Conn)
-			r.answer(send, stream.StateIdle, ok("w"))
+			r.answer(send, lineproto.StateIdle, ok("w"))
 		}
-		r.role(view.PhaseClosing, "a", 3)
+		r.role(model.PhaseClosing, "a", 3)
 		So(len(r.back("a").conns), ShouldEqual, 0)
 	})
 	Convey("A primary that was leaving when the node first heard of it is sent what needs it for a shorter while", t, func() {
@@ -1410,7 +1410,7 @@
 		late.news(1600 * time.Millisecond)
 		c := late.client("strict")
 		late.query(c, write("1"))
-		late.answer(late.next(), stream.StateIdle, ok("w"))
+		late.answer(late.next(), lineproto.StateIdle, ok("w"))
 		late.wait(2100 * time.Millisecond)
 		late.query(c, write("2"))
 		So(late.sends, ShouldBeEmpty)
@@ -1425,13 +1425,13 @@
 		c, inside := r.client("strict"), r.client("strict")
 		r.query(inside, begin())
 		r.query(inside, write("1"))
-		r.answer(r.begun(), stream.StateInside, ok("w"))
+		r.answer(r.begun(), lineproto.StateInside, ok("w"))
 		r.instance("a").IsLeaving = true
 		r.news(1600 * time.Millisecond)
 		for range 2 {
 			r.wait(2400 * time.Millisecond)
 			r.query(inside, read("2"))
-			r.answer(r.next(), stream.StateInside, ok("w"))
+			r.answer(r.next(), lineproto.StateInside, ok("w"))
 		}
 		r.wait(300 * time.Millisecond)
 		for _, ask := range []Asked{read("3"), write("4")} {
@@ -1452,7 +1452,7 @@
 		send := r.next()
 		r.instance(send.to()).IsLeaving = true
 		r.news(1600 * time.Millisecond)
-		r.answer(send, stream.StateIdle, ok("s"))
+		r.answer(send, lineproto.StateIdle, ok("s"))
 		So(r.heard(c), ShouldEqual, "DONE s / READY I")
 		So(send.Conn.IsOver(), ShouldBeTrue)
 	})
@@ -1463,17 +1463,17 @@
 		r.query(c, beginRead())
 		r.query(c, read("1"))
 		send := r.begun()
-		r.answer(send, stream.StateInside, ok("s"))
+		r.answer(send, lineproto.StateInside, ok("s"))
 		r.instance(send.to()).IsLeaving = true
 		r.news(1600 * time.Millisecond)
 		r.query(c, read("2"))
-		r.answer(r.next(), stream.StateInside, ok("s2"))
+		r.answer(r.next(), lineproto.StateInside, ok("s2"))
 		So(r.heard(c), ShouldEqual, "DONE s2 / READY T")
 		for range 3 {
 			r.wait(2 * time.Second)
 			r.query(c, read("3"))
 			for len(r.sends) > 0 {
-				r.answer(r.next(), stream.StateInside, ok("s3"))
+				r.answer(r.next(), lineproto.StateInside, ok("s3"))
 			}
 		}
 		So(send.Conn.IsOver(), ShouldBeTrue)
@@ -1507,7 +1507,7 @@
 		r.wait(200 * time.Millisecond)
 		So(r.over[idle], ShouldBeTrue)
 		So(r.over[busy], ShouldBeFalse)
-		r.answer(send, stream.StateIdle, ok("w"))
+		r.answer(send, lineproto.StateIdle, ok("w"))
 		So(r.heard(busy), ShouldEqual, "DONE w / READY I")
 		r.wait(50 * time.Millisecond)
 		So(r.over[busy], ShouldBeTrue)
@@ -1519,13 +1519,13 @@
 		for _, one := range []*Client{c, other} {
 			r.query(one, begin())
 			r.query(one, write("1"))
-			r.answer(r.begun(), stream.StateInside, ok("w"))
+			r.answer(r.begun(), lineproto.StateInside, ok("w"))
 		}
 		r.Leave(r.now)
 		r.wait(2500 * time.Millisecond)
 		So(r.over[c], ShouldBeFalse)
 		r.query(c, commit())
-		r.answer(r.next(), stream.StateIdle, ok("k"))
+		r.answer(r.next(), lineproto.StateIdle, ok("k"))
 		So(r.heard(c), ShouldEqual, "DONE k / READY I")
 		r.wait(500 * time.Millisecond)
 		So(r.over[c], ShouldBeTrue)
@@ -1574,10 +1574,10 @@
 		c, inside := r.client("strict"), r.client("strict")
 		r.query(inside, begin())
 		r.query(inside, write("1"))
-		r.answer(r.begun(), stream.StateInside, ok("w"))
+		r.answer(r.begun(), lineproto.StateInside, ok("w"))
 		next := r.doc.Sets[0]
 		next.Sequence, next.Version = 2, 6
-		next.Bindings = []view.Binding{{Name: "strict", Database: "y", Timeout: 2 * time.Second}}
+		next.Bindings = []model.Binding{{Name: "strict", Database: "y", Timeout: 2 * time.Second}}
 		r.doc.Sets = append(r.doc.Sets, next)
 		r.news(1600 * time.Millisecond)
 		r.query(c, write("2"))
@@ -1585,12 +1585,12 @@
 		r.query(inside, write("3"))
 		send := r.next()
 		So(send.to(), ShouldEqual, "a")
-		r.answer(send, stream.StateInside, ok("w"))
+		r.answer(send, lineproto.StateInside, ok("w"))
 		next.Sequence, next.Version, next.Bindings = 3, 7, nil
 		r.doc.Sets = append(r.doc.Sets, next)
 		r.news(1600 * time.Millisecond)
 		r.query(inside, commit())
-		r.answer(r.next(), stream.StateIdle, ok("k"))
+		r.answer(r.next(), lineproto.StateIdle, ok("k"))
 		So(r.heard(inside), ShouldEqual, "DONE k / READY I")
 		r.query(inside, read("4"))
 		So(r.heard(inside), ShouldEqual, "ERROR NODB / READY I")
@@ -1603,13 +1603,13 @@
 		r.query(c, set("v", "1"))
 		r.query(c, commit())
 		r.query(c, read("2"))
-		r.answer(r.begun(), stream.StateInside, ok("w"))
+		r.answer(r.begun(), lineproto.StateInside, ok("w"))
 		send := r.next()
 		So(texts(send), ShouldEqual, "set v=1, commit")
-		r.answer(send, stream.StateIdle, ok("k"))
+		r.answer(send, lineproto.StateIdle, ok("k"))
 		send = r.next()
 		So(texts(send), ShouldEqual, "read 2")
-		r.answer(send, stream.StateIdle, ok("s"))
+		r.answer(send, lineproto.StateIdle, ok("s"))
 		So(r.said[c], ShouldResemble, []string{
 			"READY I", "DONE - / READY T", "DONE w / READY T", "DONE - / READY T", "DONE k / READY I", "DONE s / READY I",
 		})
@@ -1645,8 +1645,8 @@
 		{"prepare", func() Asked { return prepare("p", "read q") }, map[string]string{"I": "DONE - / READY I", "T": "DONE - / READY T", "E": "ERROR MALFORMED / READY E"}},
 		{"run", func() Asked { return runs("none", "1") }, map[string]string{"I": "ERROR NOTFOUND / READY I", "T": "ERROR NOTFOUND / READY E", "E": "ERROR MALFORMED / READY E"}},
 		{"forget", func() Asked { return forget("none") }, map[string]string{"I": "ERROR NOTFOUND / READY I", "T": "ERROR NOTFOUND / READY T", "E": "ERROR MALFORMED / READY E"}},
-		{"nonsense", func() Asked { return asked(stream.ActBad, "what") }, map[string]string{"I": "ERROR MALFORMED / READY I", "T": "ERROR MALFORMED / READY E", "E": "ERROR MALFORMED / READY E"}},
-		{"unheard of", func() Asked { return asked(stream.Act(99), "what") }, map[string]string{"I": "ERROR MALFORMED / READY I", "T": "ERROR MALFORMED / READY E", "E": "ERROR MALFORMED / READY E"}},
+		{"nonsense", func() Asked { return asked(lineproto.ActBad, "what") }, map[string]string{"I": "ERROR MALFORMED / READY I", "T": "ERROR MALFORMED / READY E", "E": "ERROR MALFORMED / READY E"}},
+		{"unheard of", func() Asked { return asked(lineproto.Act(99), "what") }, map[string]string{"I": "ERROR MALFORMED / READY I", "T": "ERROR MALFORMED / READY E", "E": "ERROR MALFORMED / READY E"}},
 	}
 	for _, act := range acts {
 		for state, want := range act.want {
@@ -1691,10 +1691,10 @@
 		c := r.client("strict")
 		r.query(c, write("1"))
 		send := r.next()
-		r.came(send.Conn, stream.Message{Kind: stream.KindBad})
+		r.came(send.Conn, lineproto.Message{Kind: lineproto.KindBad})
 		So(send.Conn.IsOver(), ShouldBeTrue)
 		So(r.heard(c), ShouldEqual, "ERROR UNKNOWN / READY I")
-		r.came(send.Conn, ok("late"), r.at(stream.StateIdle))
+		r.came(send.Conn, ok("late"), r.at(lineproto.StateIdle))
 		So(r.answers(c), ShouldEqual, 2)
 		So(r.sound(), ShouldEqual, "")
 	})
@@ -1720,7 +1720,7 @@
 	Convey("The instance that is to be promoted is told of, so that a new control primary can ask at its address", t, func() {
 		r := newRig(20)
 		So(len(r.Told(r.now).Reports), ShouldEqual, 2)
-		r.doc.Writers["x"] = view.Writer{Database: "x", Term: 3, Primary: "a", Intent: "b", Phase: view.PhaseIntent, IsSynced: true}
+		r.doc.Writers["x"] = model.Writer{Database: "x", Term: 3, Primary: "a", Intent: "b", Phase: model.PhaseIntent, IsSynced: true}
 		r.news(1600 * time.Millisecond)
 		names := []string{}
 		for _, report := range r.Told(r.now).Reports {
@@ -1740,7 +1740,7 @@
 	Convey("An ask tells the roll that the node has, its birth and the set it shows", t, func() {
 		r := newRig(20)
 		ask := r.Ask(r.now)
-		So(ask.Roll, ShouldResemble, steer.Roll{Tenure: "t", Number: 1})
+		So(ask.Roll, ShouldResemble, distribution.Roll{Tenure: "t", Number: 1})
 		So(ask.Birth, ShouldEqual, 1)
 		So(ask.Shows, ShouldEqual, 1)
 		So(ask.Node, ShouldEqual, "d1")
--- a/pooler/coordination/pool/random_test.go
+++ b/internal/coordination/pool/linepool/random_test.go
@@ -1,4 +1,4 @@
-package pool
+package linepool
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/state/stream"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/state/lineproto"
+	"tansyseam/internal/state/model"
 )
 
 // group is what is kept or lost together: a transaction, or a single write.
@@ -103,7 +103,7 @@
 			return false
 		}
 		for len(h.queue) > 0 && s.chance(0.7) {
-			s.run(h, stream.CodeOther)
+			s.run(h, lineproto.CodeOther)
 		}
 		return true
 	})
@@ -153,13 +153,13 @@
 	p.asked = p.asked[1:]
 	s.said++
 	act, own := one.asked.Statement.Act, one.asked.Statement
-	if act == stream.ActBegin || act == stream.ActBeginRead {
+	if act == lineproto.ActBegin || act == lineproto.ActBeginRead {
 		if code == "" {
 			p.group = s.group(p)
 		}
 	}
 	held := p.group
-	isSingle := p.state == stream.StateIdle && one.group != nil
+	isSingle := p.state == lineproto.StateIdle && one.group != nil
 	if isSingle {
 		held = one.group
 	}
@@ -171,24 +171,24 @@
 		}
 	}
 	isDone := code == ""
-	isKeeping := isDone && ((isSingle && one.group.writes > 0) || (act == stream.ActCommit && held != nil && held.writes > 0))
+	isKeeping := isDone && ((isSingle && one.group.writes > 0) || (act == lineproto.ActCommit && held != nil && held.writes > 0))
 	if isKeeping && !held.isKept {
 		s.break_("%s was told of what is not kept", line)
 	}
-	isOwn := act == stream.ActRead || act == stream.ActWrite || act == stream.ActRun || act == stream.ActCommit
+	isOwn := act == lineproto.ActRead || act == lineproto.ActWrite || act == lineproto.ActRun || act == lineproto.ActCommit
 	if isDone && isOwn && end != "s"+one.asked.ID {
 		s.break_("%s is not the answer to %s", line, one.asked.ID)
 	}
-	if isDone && act == stream.ActSet {
+	if isDone && act == lineproto.ActSet {
 		p.values[own.Name] = own.Value
 	}
-	if isDone && act == stream.ActPrepare {
+	if isDone && act == lineproto.ActPrepare {
 		p.shapes[own.Name] = own.Shape
 	}
-	if isDone && act == stream.ActForget {
+	if isDone && act == lineproto.ActForget {
 		delete(p.shapes, own.Name)
 	}
-	if state != stream.StateInside {
+	if state != lineproto.StateInside {
 		p.group = nil
 	}
 	p.state = state
@@ -213,7 +213,7 @@
 func (s *storm) query(p *person, ask Asked) {
 	s.of[ask.ID] = p
 	one := question{asked: ask}
-	isWrite := ask.Statement.Act == stream.ActWrite || ask.Statement.Act == stream.ActRun
+	isWrite := ask.Statement.Act == lineproto.ActWrite || ask.Statement.Act == lineproto.ActRun
 	if isWrite {
 		one.group = s.group(p)
 		one.group.isAsked = true
@@ -243,63 +243,63 @@
 
 // run runs the oldest text at a host, refusing it with a code where one is
 // given, and gives the answer.
-func (s *storm) run(h *host, refusal stream.Code) []stream.Message {
+func (s *storm) run(h *host, refusal lineproto.Code) []lineproto.Message {
 	out := h.queue[0]
 	h.queue = h.queue[1:]
-	ways := map[OutKind]func() []stream.Message{
-		OutReset: func() []stream.Message {
+	ways := map[OutKind]func() []lineproto.Message{
+		OutReset: func() []lineproto.Message {
 			h.values, h.shapes = map[string]string{}, map[string]string{}
-			return []stream.Message{ok("-")}
+			return []lineproto.Message{ok("-")}
 		},
-		OutSet: func() []stream.Message {
+		OutSet: func() []lineproto.Message {
 			h.values[out.Name] = out.Value
-			return []stream.Message{ok("-")}
+			return []lineproto.Message{ok("-")}
 		},
-		OutPrepare: func() []stream.Message {
+		OutPrepare: func() []lineproto.Message {
 			h.shapes[out.Name] = out.Value
-			return []stream.Message{ok("-")}
+			return []lineproto.Message{ok("-")}
 		},
-		OutRollback: func() []stream.Message {
+		OutRollback: func() []lineproto.Message {
 			s.undo(h)
-			return []stream.Message{ok("-")}
+			return []lineproto.Message{ok("-")}
 		},
-		OutBegin:     func() []stream.Message { return s.open(h, refusal) },
-		OutBeginRead: func() []stream.Message { return s.open(h, refusal) },
-		OutText:      func() []stream.Message { return s.statement(h, out, refusal) },
-		OutRun:       func() []stream.Message { return s.statement(h, out, refusal) },
+		OutBegin:     func() []lineproto.Message { return s.open(h, refusal) },
+		OutBeginRead: func() []lineproto.Message { return s.open(h, refusal) },
+		OutText:      func() []lineproto.Message { return s.statement(h, out, refusal) },
+		OutRun:       func() []lineproto.Message { return s.statement(h, out, refusal) },
 	}
 	said := ways[out.Kind]()
-	state := stream.StateIdle
+	state := lineproto.StateIdle
 	if h.isInside {
-		state = stream.StateInside
+		state = lineproto.StateInside
 	}
 	if h.isFailed {
-		state = stream.StateFailed
+		state = lineproto.StateFailed
 	}
 	return append(said, s.at(state))
 }
 
-func (s *storm) open(h *host, refusal stream.Code) []stream.Message {
+func (s *storm) open(h *host, refusal lineproto.Code) []lineproto.Message {
 	if h.isInside {
 		s.break_("begin inside a transaction")
 	}
-	if refusal != stream.CodeOther {
-		return []stream.Message{bad(refusal)}
+	if refusal != lineproto.CodeOther {
+		return []lineproto.Message{bad(refusal)}
 	}
 	h.isInside, h.before = true, [2]map[string]string{maps.Clone(h.values), maps.Clone(h.shapes)}
-	return []stream.Message{ok("-")}
+	return []lineproto.Message{ok("-")}
 }
 
-func (s *storm) statement(h *host, out Out, refusal stream.Code) []stream.Message {
+func (s *storm) statement(h *host, out Out, refusal lineproto.Code) []lineproto.Message {
 	p, one, isHead := s.find(out.ID)
 	if p == nil {
 		s.break_("a statement that nobody sent: %s", out.ID)
-		return []stream.Message{bad(stream.CodeOther)}
+		return []lineproto.Message{bad(lineproto.CodeOther)}
 	}
-	act, isWrite := stream.ActRead, false
+	act, isWrite := lineproto.ActRead, false
 	if isHead {
 		act = one.asked.Statement.Act
-		isTurn := p.state == stream.StateInside
+		isTurn := p.state == lineproto.StateInside
 		if isTurn != h.isInside {
 			s.break_("%s runs inside %v, its client is inside %v", out.ID, h.isInside, isTurn)
 		}
@@ -312,12 +312,12 @@
 		if h.isInside && h.group != p.group {
 			s.break_("%s runs inside another's transaction", out.ID)
 		}
-		isWrite = act == stream.ActWrite
+		isWrite = act == lineproto.ActWrite
 	}
 	if out.Kind == OutRun {
 		shape, isHeld := h.shapes[out.Name]
 		if !isHeld {
-			return []stream.Message{bad(stream.CodeNotFound)}
+			return []lineproto.Message{bad(lineproto.CodeNotFound)}
 		}
 		isWrite = shape[0] == 'w'
 		if isHead && p.shapes[one.asked.Statement.Name] != shape {
@@ -325,14 +325,14 @@
 		}
 	}
 	isCommit := out.Text == "commit"
-	if refusal != stream.CodeOther {
-		if refusal == stream.CodeFailed && h.isInside {
+	if refusal != lineproto.CodeOther {
+		if refusal == lineproto.CodeFailed && h.isInside {
 			h.isFailed = true
 		}
 		if isCommit {
 			s.undo(h)
 		}
-		return []stream.Message{bad(refusal)}
+		return []lineproto.Message{bad(refusal)}
 	}
 	if isCommit {
 		if h.group != nil {
@@ -351,7 +351,7 @@
 		one.group.writes++
 		one.group.isKept = true
 	}
-	return []stream.Message{row("r" + out.ID), ok("s" + out.ID)}
+	return []lineproto.Message{row("r" + out.ID), ok("s" + out.ID)}
 }
 
 func (s *storm) pick() *person {
@@ -387,7 +387,7 @@
 	}
 	names := []string{"strict", "stale", "own", "urgent", "other"}
 	c := s.Met(nil, s.now)
-	s.people = append(s.people, &person{client: c, state: stream.StateIdle, values: map[string]string{}, shapes: map[string]string{}})
+	s.people = append(s.people, &person{client: c, state: lineproto.StateIdle, values: map[string]string{}, shapes: map[string]string{}})
 	s.Connect(c, names[s.random.IntN(len(names))], s.now)
 }
 
@@ -407,19 +407,19 @@
 	h := s.hosts[s.random.IntN(len(s.hosts))]
 	if !h.isTaken {
 		if !s.isCalm && s.chance(0.1) {
-			s.Came(h.conn, bad([]stream.Code{stream.CodeFull, stream.CodeWrongHost}[s.random.IntN(2)]), s.now)
+			s.Came(h.conn, bad([]lineproto.Code{lineproto.CodeFull, lineproto.CodeWrongHost}[s.random.IntN(2)]), s.now)
 			return
 		}
 		h.isTaken = true
-		s.Came(h.conn, s.at(stream.StateIdle), s.now)
+		s.Came(h.conn, s.at(lineproto.StateIdle), s.now)
 		return
 	}
 	if len(h.queue) == 0 {
 		return
 	}
-	refusal := stream.CodeOther
+	refusal := lineproto.CodeOther
 	if !s.isCalm && s.chance(0.15) {
-		refusal = []stream.Code{stream.CodeBusy, stream.CodeLagging, stream.CodeReadOnly, stream.CodeFailed}[s.random.IntN(4)]
+		refusal = []lineproto.Code{lineproto.CodeBusy, lineproto.CodeLagging, lineproto.CodeReadOnly, lineproto.CodeFailed}[s.random.IntN(4)]
 	}
 	messages := s.run(h, refusal)
 	if !s.isCalm && s.chance(0.03) {
@@ -445,9 +445,9 @@
 func (s *storm) move() {
 	writer := s.doc.Writers["x"]
 	ways := []func(){
-		func() { s.role(view.PhaseClosing, writer.Primary, writer.Term) },
-		func() { s.role(view.PhaseOpen, writer.Primary, writer.Term) },
-		func() { s.role(view.PhaseOpen, []string{"a", "b", "c"}[s.random.IntN(3)], writer.Term+1) },
+		func() { s.role(model.PhaseClosing, writer.Primary, writer.Term) },
+		func() { s.role(model.PhaseOpen, writer.Primary, writer.Term) },
+		func() { s.role(model.PhaseOpen, []string{"a", "b", "c"}[s.random.IntN(3)], writer.Term+1) },
 		func() {
 			one := s.instance([]string{"a", "b", "c"}[s.random.IntN(3)])
 			one.IsLeaving = !one.IsLeaving
@@ -494,7 +494,7 @@
 	for at := range s.instances {
 		s.instances[at].IsLeaving, s.instances[at].IsGone = false, false
 	}
-	s.role(view.PhaseOpen, "a", s.doc.Writers["x"].Term+1)
+	s.role(model.PhaseOpen, "a", s.doc.Writers["x"].Term+1)
 	for range 400 {
 		s.wait(25 * time.Millisecond)
 		s.sync()
