--- a/proof/sim/conn.go
+++ b/test/simulation/conn.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"encoding/json"
@@ -6,9 +6,9 @@
 	"maps"
 	"time"
 
-	"tansyseam.example/pooler/coordination/hall"
-	"tansyseam.example/pooler/state/view"
-	"tansyseam.example/proof/stand"
+	"tansyseam/internal/coordination/pool/httppool"
+	"tansyseam/internal/state/model"
+	"tansyseam/test/standin"
 )
 
 type conn struct {
@@ -16,11 +16,11 @@
 	nodeLife int
 	inst     *instance
 	instLife int
-	wire     *hall.Wire
+	wire     *httppool.Wire
 	id       string
 	to, from stream
 	isReset  bool
-	waiting  func(hall.Reply, bool)
+	waiting  func(httppool.Reply, bool)
 
 	isOpen   bool
 	settings map[string]string
@@ -85,16 +85,16 @@
 	w.after(w.between(10*time.Microsecond, 200*time.Microsecond), func() { c.flow(s, from, to, life) })
 }
 
-func (c *conn) request(op hall.Op, done func(hall.Reply, bool)) {
+func (c *conn) request(op httppool.Op, done func(httppool.Reply, bool)) {
 	if c.isReset {
-		c.node.do(100*time.Microsecond, func() { done(hall.Reply{}, true) })
+		c.node.do(100*time.Microsecond, func() { done(httppool.Reply{}, true) })
 		return
 	}
 	c.waiting = done
 	c.push(&c.to, &c.node.machine, &c.inst.machine, c.instLife, func() { c.inst.run(c, op) })
 }
 
-func (c *conn) answer(reply hall.Reply) {
+func (c *conn) answer(reply httppool.Reply) {
 	c.push(&c.from, &c.inst.machine, &c.node.machine, c.nodeLife, func() {
 		done := c.waiting
 		c.waiting = nil
@@ -112,7 +112,7 @@
 		done := c.waiting
 		c.waiting = nil
 		if done != nil {
-			done(hall.Reply{}, true)
+			done(httppool.Reply{}, true)
 		}
 	})
 }
@@ -180,8 +180,8 @@
 	c.reset()
 }
 
-func (x *instance) reply(c *conn) hall.Reply {
-	return hall.Reply{
+func (x *instance) reply(c *conn) httppool.Reply {
+	return httppool.Reply{
 		Position: x.position(), IsClean: x.isLying || (c.turn == nil && len(c.settings)+len(c.prepared) == 0), IsInside: c.turn != nil,
 		Role: x.role, Term: x.term, Birth: x.birth, IsLeave: x.leaving != 0 && !x.fleet.plant.IsStubborn,
 	}
@@ -200,7 +200,7 @@
 }
 
 type rows struct {
-	Upto     stand.Position    `json:"upto"`
+	Upto     standin.Position  `json:"upto"`
 	Settings map[string]string `json:"settings"`
 	Text     string            `json:"text"`
 }
@@ -217,12 +217,12 @@
 	}
 	reply := x.reply(c)
 	position := x.position()
-	reply.Rows, _ = json.Marshal(rows{Upto: stand.Position{Term: position.Term, Index: position.Index}, Settings: c.settings, Text: text})
+	reply.Rows, _ = json.Marshal(rows{Upto: standin.Position{Term: position.Term, Index: position.Index}, Settings: c.settings, Text: text})
 	c.answer(reply)
 }
 
-func (x *instance) guard(c *conn, op hall.Op, isWrite bool) bool {
-	if !c.isOpen || (op.Term != 0 && op.Term != x.term) || (isWrite && x.role != view.RolePrimary) {
+func (x *instance) guard(c *conn, op httppool.Op, isWrite bool) bool {
+	if !c.isOpen || (op.Term != 0 && op.Term != x.term) || (isWrite && x.role != model.RolePrimary) {
 		x.refuse(c, "not here")
 		return false
 	}
@@ -253,8 +253,8 @@
 	x.line = append(x.line, begin)
 }
 
-func (x *instance) note(c *conn, op hall.Op, text string) {
-	ran := stand.Ran{
+func (x *instance) note(c *conn, op httppool.Op, text string) {
+	ran := standin.Ran{
 		At: int64(x.world.now), Instance: x.name, Conn: c.id, Act: op.Act, Text: text, Go: op.Go, IsWrite: op.IsWrite, Term: x.term,
 		Role: x.role, Leaving: x.leaving, Settings: maps.Clone(c.settings),
 	}
@@ -264,8 +264,8 @@
 	x.ran = append(x.ran, ran)
 }
 
-var acts = map[string]func(*instance, *conn, hall.Op){
-	hall.ActOpen: func(x *instance, c *conn, _ hall.Op) {
+var acts = map[string]func(*instance, *conn, httppool.Op){
+	httppool.ActOpen: func(x *instance, c *conn, _ httppool.Op) {
 		if x.opened >= x.fleet.shape.Connections {
 			x.refuse(c, "connections are capped")
 			return
@@ -275,8 +275,8 @@
 		x.most = max(x.most, x.opened)
 		c.answer(x.reply(c))
 	},
-	hall.ActRun: runOp,
-	hall.ActBegin: func(x *instance, c *conn, op hall.Op) {
+	httppool.ActRun: runOp,
+	httppool.ActBegin: func(x *instance, c *conn, op httppool.Op) {
 		if !x.guard(c, op, false) {
 			return
 		}
@@ -288,7 +288,7 @@
 		c.turn = &simTurn{id: fmt.Sprintf("%s/%d", c.id, x.turns)}
 		x.done(c, "")
 	},
-	hall.ActCommit: func(x *instance, c *conn, op hall.Op) {
+	httppool.ActCommit: func(x *instance, c *conn, op httppool.Op) {
 		if !x.guard(c, op, true) {
 			return
 		}
@@ -298,29 +298,29 @@
 		}
 		over := c.turn
 		x.work(true, func() {
-			if x.role != view.RolePrimary {
+			if x.role != model.RolePrimary {
 				x.refuse(c, "not primary any more")
 				return
 			}
 			x.note(c, op, "")
 			c.turn = nil
-			x.append(stand.Entry{Term: x.term, Index: uint64(len(x.entries)) + 1, Gos: append(over.gos, op.Go), Texts: over.texts})
+			x.append(standin.Entry{Term: x.term, Index: uint64(len(x.entries)) + 1, Gos: append(over.gos, op.Go), Texts: over.texts})
 			x.done(c, "")
 		})
 	},
-	hall.ActRollback: func(x *instance, c *conn, op hall.Op) {
+	httppool.ActRollback: func(x *instance, c *conn, op httppool.Op) {
 		if x.guard(c, op, false) {
 			c.turn = nil
 			x.done(c, "")
 		}
 	},
-	hall.ActSet: func(x *instance, c *conn, op hall.Op) {
+	httppool.ActSet: func(x *instance, c *conn, op httppool.Op) {
 		if x.guard(c, op, false) {
 			c.settings[op.Name] = op.Value
 			x.done(c, "")
 		}
 	},
-	hall.ActPrepare: func(x *instance, c *conn, op hall.Op) {
+	httppool.ActPrepare: func(x *instance, c *conn, op httppool.Op) {
 		if x.guard(c, op, false) {
 			c.prepared[op.Name] = op.Text
 			x.done(c, "")
@@ -328,9 +328,9 @@
 	},
 }
 
-func (x *instance) run(c *conn, op hall.Op) { acts[op.Act](x, c, op) }
+func (x *instance) run(c *conn, op httppool.Op) { acts[op.Act](x, c, op) }
 
-func runOp(x *instance, c *conn, op hall.Op) {
+func runOp(x *instance, c *conn, op httppool.Op) {
 	if !x.guard(c, op, op.IsWrite) {
 		return
 	}
@@ -348,7 +348,7 @@
 		if turn != c.turn {
 			return
 		}
-		if op.IsWrite && x.role != view.RolePrimary {
+		if op.IsWrite && x.role != model.RolePrimary {
 			x.refuse(c, "not primary any more")
 			return
 		}
@@ -357,7 +357,7 @@
 			c.turn.gos = append(c.turn.gos, op.Go)
 			c.turn.texts = append(c.turn.texts, text)
 		} else if op.IsWrite {
-			x.append(stand.Entry{Term: x.term, Index: uint64(len(x.entries)) + 1, Gos: []string{op.Go}, Texts: []string{text}})
+			x.append(standin.Entry{Term: x.term, Index: uint64(len(x.entries)) + 1, Gos: []string{op.Go}, Texts: []string{text}})
 		}
 		x.done(c, text)
 	})
--- a/proof/sim/control.go
+++ b/test/simulation/control.go
@@ -1,66 +1,66 @@
-package sim
+package simulation
 
 import (
 	"slices"
 	"time"
 
-	"tansyseam.example/pooler/coordination/duty"
-	"tansyseam.example/pooler/coordination/epoch"
-	"tansyseam.example/pooler/coordination/failover"
-	"tansyseam.example/pooler/coordination/lease"
-	"tansyseam.example/pooler/coordination/steer"
-	"tansyseam.example/pooler/coordination/takeover"
-	"tansyseam.example/pooler/state/synced"
-	"tansyseam.example/pooler/state/table"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/consensus"
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/coordination/failover/asyncrepl"
+	"tansyseam/internal/coordination/failover/syncrepl"
+	"tansyseam/internal/coordination/lease"
+	"tansyseam/internal/coordination/singleton"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
+	"tansyseam/internal/state/versionfile"
 )
 
 type control struct {
 	machine
 	fleet *fleet
 	disk  *disk
-	store *synced.Store
-	epoch *epoch.Machine
-	steer *steer.Machine
-	duty  *duty.Machine
-	heard map[string]steer.Heard
+	store *versionfile.Store
+	epoch *consensus.Machine
+	steer *distribution.Machine
+	duty  *singleton.Machine
+	heard map[string]distribution.Heard
 
-	gate    epoch.Gate
+	gate    consensus.Gate
 	primacy time.Duration
-	answers map[uint64]func(epoch.Answer)
+	answers map[uint64]func(consensus.Answer)
 	token   uint64
-	asks    map[uint64]func(steer.News)
+	asks    map[uint64]func(distribution.News)
 	errands map[string]int
 	crashAt int
 	// isAdded says that the machine came to a fleet that was founded without it.
 	isAdded bool
 
-	holder *takeover.Holder
+	holder *syncrepl.Holder
 }
 
 func (c *control) start() {
 	c.isUp, c.isFrozen, c.backlog = true, false, nil
-	c.gate, c.primacy = epoch.Gate{}, 0
-	c.answers = map[uint64]func(epoch.Answer){}
-	c.asks = map[uint64]func(steer.News){}
-	c.heard = map[string]steer.Heard{}
+	c.gate, c.primacy = consensus.Gate{}, 0
+	c.answers = map[uint64]func(consensus.Answer){}
+	c.asks = map[uint64]func(distribution.News){}
+	c.heard = map[string]distribution.Heard{}
 	c.errands = map[string]int{}
-	c.holder = takeover.NewHolder(c.name)
-	c.store = synced.NewStore(c.disk, 4)
-	saved, err := epoch.Load(c.store, func(kind string, passed int) { c.world.note("%s passed over %d %s", c.name, passed, kind) })
+	c.holder = syncrepl.NewHolder(c.name)
+	c.store = versionfile.NewStore(c.disk, 4)
+	saved, err := consensus.Load(c.store, func(kind string, passed int) { c.world.note("%s passed over %d %s", c.name, passed, kind) })
 	if err != nil {
 		c.world.note("%s cannot read its disk: %v", c.name, err)
 		c.isUp = false
 		return
 	}
 	now := c.clock()
-	founding := epoch.Founding{Disks: c.fleet.shape.Controls, IsPaired: true}
+	founding := consensus.Founding{Disks: c.fleet.shape.Controls, IsPaired: true}
 	if c.isAdded {
 		founding.Disks = 0
 	}
-	c.epoch = epoch.NewFounding(c.name, founding, epoch.DefaultTiming(), saved, now)
-	c.steer = steer.New(c.name, lease.DefaultTiming(), c.epoch.Record(), c.epoch.Table(), now)
-	c.duty = duty.New(c.name, now)
+	c.epoch = consensus.NewFounding(c.name, founding, consensus.DefaultTiming(), saved, now)
+	c.steer = distribution.New(c.name, lease.DefaultTiming(), c.epoch.Record(), c.epoch.Table(), now)
+	c.duty = singleton.New(c.name, now)
 	c.world.note("%s up", c.name)
 	c.do(time.Millisecond, c.beat)
 	c.do(5*time.Millisecond, c.duties)
@@ -76,14 +76,14 @@
 		names = append(names, other.name)
 	}
 	slices.Sort(names)
-	c.step(epoch.Peers{Names: names})
-	c.step(epoch.Tick{Wall: c.wall(), Owed: c.gate.Owed(c.clock())})
+	c.step(consensus.Peers{Names: names})
+	c.step(consensus.Tick{Wall: c.wall(), Owed: c.gate.Owed(c.clock())})
 	c.do(20*time.Millisecond, c.beat)
 }
 
 func (c *control) step(event any) { c.pass(c.gate.Pass(c.epoch.Step(event, c.clock()), c.clock())) }
 
-func (c *control) pass(effects []epoch.Effect) {
+func (c *control) pass(effects []consensus.Effect) {
 	primacy := time.Duration(0)
 	if c.epoch.IsPrimary(c.clock()) {
 		primacy = c.epoch.Primacy()
@@ -114,7 +114,7 @@
 	c.do(c.disk.slow+c.world.between(300*time.Microsecond, 6*time.Millisecond), func() { c.kept(work) })
 }
 
-func (c *control) kept(work epoch.Effect) {
+func (c *control) kept(work consensus.Effect) {
 	if c.world.now < c.disk.hangs {
 		c.do(c.disk.hangs-c.world.now, func() { c.kept(work) })
 		return
@@ -126,11 +126,11 @@
 	c.pass(c.gate.Done(err == nil, c.clock()))
 }
 
-func (c *control) write(work epoch.Effect) error {
-	if save, isSave := work.(epoch.Save); isSave {
+func (c *control) write(work consensus.Effect) error {
+	if save, isSave := work.(consensus.Save); isSave {
 		return c.store.Put(save.Kind, save.Sequence, save.Data)
 	}
-	for _, kind := range epoch.Kinds() {
+	for _, kind := range consensus.Kinds() {
 		if err := c.store.Clean(kind); err != nil {
 			return err
 		}
@@ -138,16 +138,16 @@
 	return nil
 }
 
-func (c *control) carry(effect epoch.Effect) {
-	if send, isOne := effect.(epoch.Send); isOne {
+func (c *control) carry(effect consensus.Effect) {
+	if send, isOne := effect.(consensus.Send); isOne {
 		target := c.fleet.controlBy(send.To)
 		body, from := send.Body, c.name
 		c.world.send(&c.machine, &target.machine, func() {
-			target.step(epoch.Heard{From: from, Body: body})
+			target.step(consensus.Heard{From: from, Body: body})
 		})
 		return
 	}
-	if answer, isOne := effect.(epoch.Answer); isOne {
+	if answer, isOne := effect.(consensus.Answer); isOne {
 		done := c.answers[answer.Token]
 		delete(c.answers, answer.Token)
 		if done != nil {
@@ -155,23 +155,23 @@
 		}
 		return
 	}
-	if wrote, isOne := effect.(epoch.Wrote); isOne {
+	if wrote, isOne := effect.(consensus.Wrote); isOne {
 		c.steer.Wrote(wrote.Table)
 		c.fleet.took(c.name, c.steer.Doc().Sets)
 		c.flush()
 		return
 	}
-	if turned, isOne := effect.(epoch.Turned); isOne {
+	if turned, isOne := effect.(consensus.Turned); isOne {
 		c.world.note("%s epoch %d primary %s backup %s: %s", c.name, turned.Record.Epoch, turned.Record.Primary, turned.Record.Backup, turned.Why)
 		c.steer.Turn(turned.Record, turned.Table, c.clock())
 	}
 }
 
-func (c *control) submit(build func(*table.Table) []table.Put, done func(epoch.Answer)) {
+func (c *control) submit(build func(*store.Table) []store.Put, done func(consensus.Answer)) {
 	c.token++
 	token := c.token
 	c.answers[token] = done
-	c.step(epoch.Submit{Token: token, Build: build})
+	c.step(consensus.Submit{Token: token, Build: build})
 }
 
 func (c *control) flush() {
@@ -183,9 +183,9 @@
 	}
 }
 
-func (c *control) onAskNews(ask steer.AskNews, answer func(steer.News)) {
+func (c *control) onAskNews(ask distribution.AskNews, answer func(distribution.News)) {
 	if !c.isPrimary() {
-		answer(steer.News{Record: c.epoch.Record()})
+		answer(distribution.News{Record: c.epoch.Record()})
 		return
 	}
 	c.token++
@@ -198,15 +198,15 @@
 	if !c.isPrimary() {
 		return
 	}
-	for _, next := range []func(int64, time.Duration) (steer.Write, bool){c.steer.Enroll, c.steer.Land, c.steer.Tidy} {
+	for _, next := range []func(int64, time.Duration) (distribution.Write, bool){c.steer.Enroll, c.steer.Land, c.steer.Tidy} {
 		if write, isDue := next(c.wallNow(), c.clock()); isDue {
-			c.submit(write.Build, func(epoch.Answer) { write.Done() })
+			c.submit(write.Build, func(consensus.Answer) { write.Done() })
 		}
 	}
 }
 
 func (c *control) duties() {
-	c.do(duty.Pace, c.duties)
+	c.do(singleton.Pace, c.duties)
 	c.flush()
 	c.move()
 	at := c.situation()
@@ -234,10 +234,10 @@
 	c.seek(at)
 }
 
-func (c *control) situation() duty.Situation {
-	at := duty.Situation{IsPrimary: c.isPrimary()}
+func (c *control) situation() singleton.Situation {
+	at := singleton.Situation{IsPrimary: c.isPrimary()}
 	for _, writer := range c.steer.Doc().Writers {
-		at.IsMoving = at.IsMoving || (writer.IsSynced && writer.Phase != view.PhaseOpen)
+		at.IsMoving = at.IsMoving || (writer.IsSynced && writer.Phase != model.PhaseOpen)
 	}
 	return at
 }
@@ -254,18 +254,18 @@
 	return all, synced
 }
 
-func (c *control) seek(at duty.Situation) {
+func (c *control) seek(at singleton.Situation) {
 	for _, effect := range c.duty.Seek(at, c.clock()) {
-		if canvass, isCanvass := effect.(duty.Canvass); isCanvass {
+		if canvass, isCanvass := effect.(singleton.Canvass); isCanvass {
 			c.canvass(canvass)
 		}
-		if attend, isAttend := effect.(duty.Attend); isAttend && c.duty.Begin(attend.Database) {
+		if attend, isAttend := effect.(singleton.Attend); isAttend && c.duty.Begin(attend.Database) {
 			c.attend(attend)
 		}
 	}
 }
 
-func (c *control) canvass(canvass duty.Canvass) {
+func (c *control) canvass(canvass singleton.Canvass) {
 	for _, name := range canvass.Voters {
 		voter := c.fleet.controlBy(name)
 		c.world.send(&c.machine, &voter.machine, func() {
@@ -304,7 +304,7 @@
 	recordBound = 2 * time.Second
 )
 
-func (c *control) attend(attend duty.Attend) {
+func (c *control) attend(attend singleton.Attend) {
 	database := attend.Database
 	primary := c.fleet.controlBy(c.epoch.Record().Primary)
 	if primary == nil {
@@ -335,9 +335,9 @@
 
 // carryAll carries effects out in order; what follows a record waits until
 // that is kept.
-func (c *control) carryAll(primary *control, database string, before view.Writer, isKnown bool, effects []any, act func(any), recorded func(failover.Record)) {
+func (c *control) carryAll(primary *control, database string, before model.Writer, isKnown bool, effects []any, act func(any), recorded func(asyncrepl.Record)) {
 	for rank, effect := range effects {
-		record, isRecord := effect.(failover.Record)
+		record, isRecord := effect.(asyncrepl.Record)
 		if !isRecord {
 			act(effect)
 			continue
@@ -352,19 +352,19 @@
 	c.duty.End(database)
 }
 
-func (c *control) record(primary *control, database string, before view.Writer, isKnown bool, record failover.Record, then func()) {
-	ask := steer.RecordCase{Before: before, IsKnown: isKnown, After: record.Writer, What: record.What, Evidence: record.Evidence, By: c.name}
+func (c *control) record(primary *control, database string, before model.Writer, isKnown bool, record asyncrepl.Record, then func()) {
+	ask := distribution.RecordCase{Before: before, IsKnown: isKnown, After: record.Writer, What: record.What, Evidence: record.Evidence, By: c.name}
 	isInTime := c.hold(database, recordBound)
 	c.world.send(&c.machine, &primary.machine, func() {
 		if !primary.isPrimary() {
 			return
 		}
 		isTaken := false
-		primary.submit(func(held *table.Table) []table.Put {
-			puts := steer.Record(held, ask, primary.wallNow())
+		primary.submit(func(held *store.Table) []store.Put {
+			puts := distribution.Record(held, ask, primary.wallNow())
 			isTaken = len(puts) > 0
 			return puts
-		}, func(done epoch.Answer) {
+		}, func(done consensus.Answer) {
 			isKept := done.IsKept && isTaken
 			c.world.send(&primary.machine, &c.machine, func() {
 				if !isInTime() {
@@ -381,8 +381,8 @@
 	})
 }
 
-func (c *control) heardList() []steer.Heard {
-	var list []steer.Heard
+func (c *control) heardList() []distribution.Heard {
+	var list []distribution.Heard
 	for _, name := range c.fleet.instanceNames() {
 		if heard, isHeard := c.heard[name]; isHeard {
 			list = append(list, heard)
@@ -391,23 +391,23 @@
 	return list
 }
 
-func (c *control) decide(primary *control, at failover.Case) {
-	effects := failover.Step(at, failover.DefaultTiming())
+func (c *control) decide(primary *control, at asyncrepl.Case) {
+	effects := asyncrepl.Step(at, asyncrepl.DefaultTiming())
 	if c.fleet.plant.IsWorstReplica && len(effects) == 2 {
-		effects = c.worstOf(at, effects[0].(failover.Record))
+		effects = c.worstOf(at, effects[0].(asyncrepl.Record))
 	}
 	c.carryAll(primary, at.Database, at.Writer, at.IsKnown, effects, func(effect any) {
-		if promote, isOne := effect.(failover.Promote); isOne {
+		if promote, isOne := effect.(asyncrepl.Promote); isOne {
 			c.fleet.platform.promote(c, promote)
 		}
-	}, func(failover.Record) {})
+	}, func(asyncrepl.Record) {})
 }
 
-func (c *control) worstOf(at failover.Case, record failover.Record) []any {
-	worst := slices.MinFunc(at.Sights, func(a, b failover.Sight) int {
+func (c *control) worstOf(at asyncrepl.Case, record asyncrepl.Record) []any {
+	worst := slices.MinFunc(at.Sights, func(a, b asyncrepl.Sight) int {
 		isFirst := a.Instance.Name != at.Writer.Primary && (b.Instance.Name == at.Writer.Primary || a.Instance.Position.IsBefore(b.Instance.Position))
 		return map[bool]int{true: -1, false: 1}[isFirst]
 	}).Instance.Name
 	record.Writer.Intent = worst
-	return []any{record, failover.Promote{Database: at.Database, Instance: worst, Term: at.Writer.Term + 1}}
+	return []any{record, asyncrepl.Promote{Database: at.Database, Instance: worst, Term: at.Writer.Term + 1}}
 }
--- a/proof/sim/digest_test.go
+++ b/test/simulation/digest_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"os"
@@ -12,7 +12,7 @@
 
 // TestHistoriesStay compares histories with those that were recorded. A change
 // that is meant to alter decisions records them anew with
-// `go run ./proof/cmd/simulate -digests` and says so; a refactoring may not.
+// `go run ./test/cmd/simulate -digests` and says so; a refactoring may not.
 func TestHistoriesStay(t *testing.T) {
 	Convey("The history of each recorded seed is the same to the byte", t, func() {
 		file, err := os.ReadFile("testdata/digests.txt")
--- a/proof/sim/disk.go
+++ b/test/simulation/disk.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"errors"
--- a/proof/sim/fleet.go
+++ b/test/simulation/fleet.go
@@ -1,16 +1,16 @@
-package sim
+package simulation
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"tansyseam.example/pooler/coordination/epoch"
-	"tansyseam.example/pooler/coordination/steer"
-	"tansyseam.example/pooler/state/table"
-	"tansyseam.example/pooler/state/view"
-	"tansyseam.example/proof/check"
-	"tansyseam.example/proof/stand"
+	"tansyseam/internal/coordination/consensus"
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
+	"tansyseam/test/history"
+	"tansyseam/test/standin"
 )
 
 // Plant is a defect put on purpose into what surrounds the product's
@@ -92,16 +92,16 @@
 	instances    []*instance
 	databases    []string
 	platform     *platform
-	events       []stand.Event
-	restarts     []check.Restart
-	sent         []check.Sent
-	seen         []check.Seen
-	told         []check.Told
-	calm         []check.Span
-	out          map[uint64]stand.Event
+	events       []standin.Event
+	restarts     []history.Restart
+	sent         []history.Sent
+	seen         []history.Seen
+	told         []history.Told
+	calm         []history.Span
+	out          map[uint64]standin.Event
 	outs         uint64
-	puts         []check.Put
-	closings     []check.Closing
+	puts         []history.Put
+	closings     []history.Closing
 	faults       []string
 	sequence     uint64
 	rush         float64
@@ -175,7 +175,7 @@
 
 func newFleet(seed uint64, shape Shape, plant Plant) *fleet {
 	w := newWorld(seed)
-	f := &fleet{world: w, plant: plant, shape: shape, out: map[uint64]stand.Event{}, rush: 1, removed: map[string]bool{}, isSeen: map[string]bool{}, met: map[string]int{}, ambushes: 4}
+	f := &fleet{world: w, plant: plant, shape: shape, out: map[uint64]standin.Event{}, rush: 1, removed: map[string]bool{}, isSeen: map[string]bool{}, met: map[string]int{}, ambushes: 4}
 	make_ := f.machine
 	for at := range shape.Controls {
 		f.controls = append(f.controls, &control{machine: make_(fmt.Sprintf("c%d", at+1)), fleet: f, disk: newDisk()})
@@ -190,13 +190,13 @@
 		for rank := range 3 {
 			name := fmt.Sprintf("%s-%c", database, 'a'+rank)
 			one := &instance{
-				machine: make_(name), fleet: f, database: database, role: view.RoleReplica, term: 1, birth: name + ".0",
+				machine: make_(name), fleet: f, database: database, role: model.RoleReplica, term: 1, birth: name + ".0",
 				upstream: primary, delay: 2 * time.Millisecond, service: 8 * time.Millisecond,
 			}
 			one.zone, one.isLying = zones[rank], plant.IsUnclean
 			one.crashed = one.onCrash
 			if rank == 0 {
-				one.role, primary = view.RolePrimary, one
+				one.role, primary = model.RolePrimary, one
 			}
 			f.instances = append(f.instances, one)
 		}
@@ -215,11 +215,11 @@
 	return f
 }
 
-func bindings(databases []string, id string) []view.Binding {
-	list := []view.Binding{{Name: "mark-" + id, Database: databases[0]}}
+func bindings(databases []string, id string) []model.Binding {
+	list := []model.Binding{{Name: "mark-" + id, Database: databases[0]}}
 	for _, database := range databases {
 		for _, bound := range bounds {
-			list = append(list, view.Binding{Name: bindingOf(database, bound), Database: database, Freshness: time.Duration(bound) * time.Millisecond})
+			list = append(list, model.Binding{Name: bindingOf(database, bound), Database: database, Freshness: time.Duration(bound) * time.Millisecond})
 		}
 	}
 	return list
@@ -229,7 +229,7 @@
 
 func bindingOf(database string, bound int) string { return fmt.Sprintf("%s-%d", database, bound) }
 
-func contentOf(bindings []view.Binding) string {
+func contentOf(bindings []model.Binding) string {
 	content := ""
 	for _, one := range bindings {
 		content += fmt.Sprintf("%s=%s/%d ", one.Name, one.Database, one.Freshness.Milliseconds())
@@ -237,13 +237,13 @@
 	return content
 }
 
-func (f *fleet) took(where string, sets []view.Set) {
+func (f *fleet) took(where string, sets []model.Set) {
 	for _, set := range sets {
 		content := contentOf(set.Bindings)
 		key := fmt.Sprint(set.Sequence, content)
 		if !f.isSeen[key] {
 			f.isSeen[key] = true
-			f.seen = append(f.seen, check.Seen{Node: where, Sequence: set.Sequence, Content: content, At: int64(f.world.now)})
+			f.seen = append(f.seen, history.Seen{Node: where, Sequence: set.Sequence, Content: content, At: int64(f.world.now)})
 		}
 	}
 }
@@ -255,13 +255,13 @@
 			continue
 		}
 		set := bindings(f.databases, id)
-		f.sent = append(f.sent, check.Sent{ID: id, Content: contentOf(set), Due: due - wallBase, IsBooked: due != 0, At: int64(f.world.now)})
+		f.sent = append(f.sent, history.Sent{ID: id, Content: contentOf(set), Due: due - wallBase, IsBooked: due != 0, At: int64(f.world.now)})
 		f.world.send(operator, &disk.machine, func() { f.put(operator, disk, id, expected, due, set) })
 		return
 	}
 }
 
-func (f *fleet) put(operator *machine, disk *control, id string, expected uint64, due int64, set []view.Binding) {
+func (f *fleet) put(operator *machine, disk *control, id string, expected uint64, due int64, set []model.Binding) {
 	if !disk.isPrimary() {
 		return
 	}
@@ -269,46 +269,46 @@
 		set = set[:len(set)-1]
 	}
 	sequence, isConflict := uint64(0), false
-	disk.submit(func(held *table.Table) []table.Put {
-		if past, isPast := steer.Past(held, id); isPast {
+	disk.submit(func(held *store.Table) []store.Put {
+		if past, isPast := distribution.Past(held, id); isPast {
 			sequence = uint64(past.Status)
 			return nil
 		}
 		if due != 0 {
-			puts, _ := steer.BookSet(held, id, due, set, disk.wallNow())
+			puts, _ := distribution.BookSet(held, id, due, set, disk.wallNow())
 			if len(puts) == 0 {
 				isConflict = true
 				return nil
 			}
-			return steer.Keep(held, id, steer.Outcome{}, puts)
+			return distribution.Keep(held, id, distribution.Outcome{}, puts)
 		}
-		puts, newest := steer.PutSet(held, expected, set, id, disk.wallNow())
+		puts, newest := distribution.PutSet(held, expected, set, id, disk.wallNow())
 		if len(puts) == 0 {
 			isConflict, sequence = true, newest
 			return nil
 		}
 		sequence = newest + 1
-		return steer.Keep(held, id, steer.Outcome{Status: int(sequence)}, puts)
-	}, func(done epoch.Answer) {
+		return distribution.Keep(held, id, distribution.Outcome{Status: int(sequence)}, puts)
+	}, func(done consensus.Answer) {
 		f.world.send(&disk.machine, operator, func() {
 			f.world.note("operator: %s on %d kept %v conflict %v sequence %d", id, expected, done.IsKept, isConflict, sequence)
 			f.sequence = max(f.sequence, sequence)
 			if done.IsKept {
 				f.acknowledged = max(f.acknowledged, sequence)
 			}
-			told := check.Told{ID: id, At: int64(f.world.now), Sequence: sequence, IsRefused: isConflict}
+			told := history.Told{ID: id, At: int64(f.world.now), Sequence: sequence, IsRefused: isConflict}
 			if isConflict || (done.IsKept && (due != 0 || sequence > 0)) {
 				f.told = append(f.told, told)
 			}
 			if done.IsKept && !isConflict && due == 0 && sequence > 0 {
-				f.puts = append(f.puts, check.Put{Sequence: sequence, Told: int64(f.world.now)})
+				f.puts = append(f.puts, history.Put{Sequence: sequence, Told: int64(f.world.now)})
 			}
 		})
 	})
 }
 
 func (f *fleet) restarted(n *node, from time.Duration) {
-	f.restarts = append(f.restarts, check.Restart{Door: n.name, From: int64(from), Until: int64(f.world.now)})
+	f.restarts = append(f.restarts, history.Restart{Door: n.name, From: int64(from), Until: int64(f.world.now)})
 }
 
 // Result is what one simulated run showed.
@@ -356,9 +356,9 @@
 		f.mend()
 	}
 	f.rest()
-	f.calm = append(f.calm, check.Span{From: int64(calm + 500*time.Millisecond), Until: int64(before)})
-	f.calm = append(f.calm, check.Span{From: int64(w.now + 12*time.Second), Until: int64(w.now + shape.Tail)})
-	f.closings = append(f.closings, check.Closing{
+	f.calm = append(f.calm, history.Span{From: int64(calm + 500*time.Millisecond), Until: int64(before)})
+	f.calm = append(f.calm, history.Span{From: int64(w.now + 12*time.Second), Until: int64(w.now + shape.Tail)})
+	f.closings = append(f.closings, history.Closing{
 		Name: "all faults", BeforeFrom: int64(calm + 500*time.Millisecond), BeforeUntil: int64(before), At: int64(w.now),
 	})
 	w.runUntil(w.now + shape.Tail)
@@ -366,8 +366,8 @@
 }
 
 func (f *fleet) result(seed uint64) Result {
-	evidence := check.Evidence{
-		Events: f.events, Logs: map[string]map[string][]stand.Entry{}, Writer: map[string]string{}, Puts: f.puts, Closings: f.closings,
+	evidence := history.Evidence{
+		Events: f.events, Logs: map[string]map[string][]standin.Entry{}, Writer: map[string]string{}, Puts: f.puts, Closings: f.closings,
 		Restarts: f.restarts, Sent: f.sent, Seen: f.seen, Told: f.told, End: int64(f.world.now), Calm: f.calm,
 	}
 	for _, event := range f.out {
@@ -383,7 +383,7 @@
 	}
 	for _, one := range f.instances {
 		if evidence.Logs[one.database] == nil {
-			evidence.Logs[one.database] = map[string][]stand.Entry{}
+			evidence.Logs[one.database] = map[string][]standin.Entry{}
 		}
 		evidence.Logs[one.database][one.name] = one.entries
 		evidence.Ran = append(evidence.Ran, one.ran...)
@@ -406,7 +406,7 @@
 			result.Epochs = max(result.Epochs, disk.epoch.Record().Epoch)
 		}
 	}
-	result.Faults = check.All(evidence)
+	result.Faults = history.All(evidence)
 	if len(f.faults) > 0 {
 		result.Faults["simulation"] = f.faults
 	}
--- a/proof/sim/lines.go
+++ b/test/simulation/lines.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"fmt"
@@ -7,10 +7,10 @@
 	"strings"
 	"time"
 
-	"tansyseam.example/pooler/coordination/epoch"
-	"tansyseam.example/pooler/coordination/steer"
-	"tansyseam.example/pooler/state/table"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/consensus"
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
 )
 
 // LinePlant is a defect put on purpose into what surrounds the machines of a
@@ -122,7 +122,7 @@
 	broken   map[string][]string
 	asks     map[string]*ask
 	stamps   map[string]string
-	appended map[string]view.Position
+	appended map[string]model.Position
 	promised map[string]string
 	kept     map[string]*ledger
 	leaders  map[string]uint64
@@ -154,7 +154,7 @@
 // ledger is what clients were told kept of one database, in order.
 type ledger struct {
 	at       []time.Duration
-	furthest []view.Position
+	furthest []model.Position
 }
 
 func (l *lines) fault(rule, format string, parts ...any) {
@@ -168,7 +168,7 @@
 	f := &fleet{world: w, shape: Shape{Controls: size.Controls}, met: map[string]int{}, isSeen: map[string]bool{}, removed: map[string]bool{}, ambushes: 8}
 	l := &lines{
 		fleet: f, defect: defect, size: size, hosts: map[string]*server{}, broken: map[string][]string{}, asks: map[string]*ask{},
-		stamps: map[string]string{}, appended: map[string]view.Position{}, promised: map[string]string{}, kept: map[string]*ledger{},
+		stamps: map[string]string{}, appended: map[string]model.Position{}, promised: map[string]string{}, kept: map[string]*ledger{},
 		leaders: map[string]uint64{}, sentAt: map[uint64]time.Duration{}, fences: map[string]uint64{}, codes: map[string]int{}, replaced: map[string]bool{},
 	}
 	f.lines = l
@@ -188,9 +188,9 @@
 		l.kept[database], l.leaders[database] = &ledger{}, 1
 		for rank := range 3 {
 			one := l.addServer(database, fmt.Sprintf("%s-%c", database, 'a'+rank), fmt.Sprintf("%s-%c:1", database, 'a'+rank), zones[rank])
-			one.role, one.term = view.RoleReplica, 1
+			one.role, one.term = model.RoleReplica, 1
 			if rank == 0 {
-				one.role = view.RolePrimary
+				one.role = model.RolePrimary
 			}
 		}
 		for _, one := range l.of(database) {
@@ -222,22 +222,22 @@
 func (l *lines) head(database string) *server {
 	var best *server
 	for _, one := range l.of(database) {
-		if one.role == view.RolePrimary && (best == nil || one.term > best.term) {
+		if one.role == model.RolePrimary && (best == nil || one.term > best.term) {
 			best = one
 		}
 	}
 	return best
 }
 
-func (l *lines) setOf(version uint64) view.Set {
-	set := view.Set{Version: version, Limits: view.Limits{Inside: 3 * time.Second}}
+func (l *lines) setOf(version uint64) model.Set {
+	set := model.Set{Version: version, Limits: model.Limits{Inside: 3 * time.Second}}
 	add := func(name, database string, freshness time.Duration, isOwn bool) {
-		set.Bindings = append(set.Bindings, view.Binding{
+		set.Bindings = append(set.Bindings, model.Binding{
 			Name: name, Database: database, Freshness: freshness, IsOwn: isOwn, Timeout: 1500 * time.Millisecond, Target: l.targetOf(name), Priority: 1,
 		})
 	}
 	for _, database := range l.databases {
-		set.Databases = append(set.Databases, view.Database{Name: database, Connections: l.size.Connections, Synced: 1})
+		set.Databases = append(set.Databases, model.Database{Name: database, Connections: l.size.Connections, Synced: 1})
 		add(database+"-strict", database, 0, false)
 		add(database+"-stale", database, staleBound, false)
 		add(database+"-own", database, staleBound, true)
@@ -274,11 +274,11 @@
 	if !disk.isPrimary() {
 		return
 	}
-	disk.submit(func(held *table.Table) []table.Put {
+	disk.submit(func(held *store.Table) []store.Put {
 		set := l.setOf(version)
-		puts, _ := steer.PutManifest(held, steer.Manifest{Version: version, Set: set, Digest: steer.DigestOf(set, nil), Source: "operator"}, disk.wallNow())
+		puts, _ := distribution.PutManifest(held, distribution.Manifest{Version: version, Set: set, Digest: distribution.DigestOf(set, nil), Source: "operator"}, disk.wallNow())
 		return puts
-	}, func(done epoch.Answer) {
+	}, func(done consensus.Answer) {
 		if !done.IsKept {
 			return
 		}
@@ -424,7 +424,7 @@
 func (l *lines) settledAll(disk *control) {
 	for _, database := range l.databases {
 		writer := disk.steer.Doc().Writers[database]
-		if writer.Phase != view.PhaseOpen && disk.wallNow()-writer.Since > int64(5*time.Second) {
+		if writer.Phase != model.PhaseOpen && disk.wallNow()-writer.Since > int64(5*time.Second) {
 			l.fault(RuleRecover, "%s is %s at the end: %s", database, writer.Phase, writer.Why)
 		}
 	}
@@ -441,15 +441,15 @@
 	}
 }
 
-func (l *lines) toldKept(database string, position view.Position) {
+func (l *lines) toldKept(database string, position model.Position) {
 	held := l.kept[database]
 	held.at, held.furthest = append(held.at, l.world.now), append(held.furthest, position)
 }
 
 // missing gives a commit told kept before a moment that a log prefix lacks.
-func (l *lines) missing(one *server, size int, before time.Duration) (view.Position, bool) {
+func (l *lines) missing(one *server, size int, before time.Duration) (model.Position, bool) {
 	held := l.kept[one.database]
-	var worst view.Position
+	var worst model.Position
 	for at := len(held.at) - 1; at >= 0; at-- {
 		if held.at[at] < before {
 			worst = worst.Later(held.furthest[at])
@@ -458,7 +458,7 @@
 			}
 		}
 	}
-	if worst == (view.Position{}) {
+	if worst == (model.Position{}) {
 		return worst, false
 	}
 	return worst, int(worst.Index) > size || !one.holds(worst)
--- a/proof/sim/lines_control.go
+++ b/test/simulation/lines_control.go
@@ -1,50 +1,50 @@
-package sim
+package simulation
 
 import (
 	"slices"
 	"time"
 
-	"tansyseam.example/pooler/coordination/failover"
-	"tansyseam.example/pooler/coordination/takeover"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/failover/asyncrepl"
+	"tansyseam/internal/coordination/failover/syncrepl"
+	"tansyseam/internal/state/model"
 )
 
-func (c *control) decideTakeover(primary *control, at takeover.Case) {
+func (c *control) decideTakeover(primary *control, at syncrepl.Case) {
 	at.IsFenced = c.fleet.lines.size.IsFenced
 	at = c.holder.Show(at, c.clock())
-	effects := takeover.Step(at, takeover.DefaultTiming())
+	effects := syncrepl.Step(at, syncrepl.DefaultTiming())
 	if c.fleet.lines.defect.IsWorst {
 		effects = c.worstCalls(at, effects)
 	}
 	c.carryAll(primary, at.Database, at.Writer, at.IsKnown, effects, func(effect any) { c.carryTakeover(primary, at, effect) }, c.holder.Recorded)
 }
 
-func (c *control) carryTakeover(primary *control, at takeover.Case, effect any) {
-	if ask, isAsk := effect.(takeover.Ask); isAsk {
+func (c *control) carryTakeover(primary *control, at syncrepl.Case, effect any) {
+	if ask, isAsk := effect.(syncrepl.Ask); isAsk {
 		c.order(at, ask.Instance, ask.Address, 0)
 	}
-	if down, isDown := effect.(takeover.StepDown); isDown {
+	if down, isDown := effect.(syncrepl.StepDown); isDown {
 		c.order(at, down.Instance, down.Address, down.Term)
 	}
-	if mark, isMark := effect.(takeover.Mark); isMark {
+	if mark, isMark := effect.(syncrepl.Mark); isMark {
 		c.world.send(&c.machine, &primary.machine, func() {
 			if primary.isPrimary() {
 				primary.steer.Covers(mark)
 			}
 		})
 	}
-	if call, isCall := effect.(takeover.Promote); isCall {
+	if call, isCall := effect.(syncrepl.Promote); isCall {
 		c.call(call)
 	}
 }
 
-func (c *control) worstCalls(at takeover.Case, effects []any) []any {
+func (c *control) worstCalls(at syncrepl.Case, effects []any) []any {
 	for rank, effect := range effects {
-		if record, isRecord := effect.(failover.Record); isRecord && record.Writer.Phase == view.PhaseIntent {
+		if record, isRecord := effect.(asyncrepl.Record); isRecord && record.Writer.Phase == model.PhaseIntent {
 			record.Writer.Intent = c.worst(at)
 			effects[rank] = record
 		}
-		if call, isCall := effect.(takeover.Promote); isCall {
+		if call, isCall := effect.(syncrepl.Promote); isCall {
 			call.Instance = c.worst(at)
 			effects[rank] = call
 		}
@@ -52,11 +52,11 @@
 	return effects
 }
 
-func (c *control) worst(at takeover.Case) string {
-	name, least := "", view.Position{Term: 1 << 60}
+func (c *control) worst(at syncrepl.Case) string {
+	name, least := "", model.Position{Term: 1 << 60}
 	for _, sight := range at.Sights {
 		seen := at.Seen[sight.Instance.Name]
-		if seen.IsAnswered && seen.Role == view.RoleReplica && seen.Position.IsBefore(least) {
+		if seen.IsAnswered && seen.Role == model.RoleReplica && seen.Position.IsBefore(least) {
 			name, least = sight.Instance.Name, seen.Position
 		}
 	}
@@ -66,33 +66,33 @@
 const orderWait = 400 * time.Millisecond
 
 // order asks an instance for its status, or orders it out of the writer role.
-func (c *control) order(at takeover.Case, instance, address string, term uint64) {
+func (c *control) order(at syncrepl.Case, instance, address string, term uint64) {
 	told := c.holder.Order(at, instance)
 	if told == nil {
 		return
 	}
 	isOver := false
-	over := func(seen takeover.Seen) {
+	over := func(seen syncrepl.Seen) {
 		if !isOver {
 			isOver = true
 			told(seen, c.clock())
 		}
 	}
-	c.do(orderWait, func() { over(takeover.Seen{}) })
+	c.do(orderWait, func() { over(syncrepl.Seen{}) })
 	target := c.fleet.lines.hosts[address]
 	if !target.isUp && !target.isVanished {
-		c.do(3*time.Millisecond, func() { over(takeover.Seen{}) })
+		c.do(3*time.Millisecond, func() { over(syncrepl.Seen{}) })
 		return
 	}
 	c.world.send(&c.machine, &target.machine, func() {
 		if term > 0 && target.name == instance {
 			target.stepDown(term, c.fleet.lines.head(at.Database))
 		}
-		seen := takeover.Seen{IsAnswered: true, Role: target.role, Term: target.term, Position: target.position()}
+		seen := syncrepl.Seen{IsAnswered: true, Role: target.role, Term: target.term, Position: target.position()}
 		if target.name != instance {
-			seen = takeover.Seen{IsGone: true}
+			seen = syncrepl.Seen{IsGone: true}
 		} else if len(target.line) > 12 || c.world.chance(0.05) {
-			seen = takeover.Seen{IsBusy: true}
+			seen = syncrepl.Seen{IsBusy: true}
 		}
 		c.world.send(&target.machine, &c.machine, func() { over(seen) })
 	})
@@ -105,7 +105,7 @@
 )
 
 // call makes the platform's one call.
-func (c *control) call(call takeover.Promote) {
+func (c *control) call(call syncrepl.Promote) {
 	l := c.fleet.lines
 	told := c.holder.Call(call, c.clock())
 	c.world.note("%s calls for %s to lead %s, fence %d", c.name, call.Instance, call.Database, call.Fence)
@@ -125,7 +125,7 @@
 	})
 }
 
-func (l *lines) promote(call takeover.Promote) int {
+func (l *lines) promote(call syncrepl.Promote) int {
 	if l.refusals > 0 {
 		l.refusals--
 		return statusTooMany
@@ -139,11 +139,11 @@
 		return statusConflict
 	}
 	target := l.servers[at]
-	if target.role == view.RolePrimary && target.term == l.leaders[call.Database] {
+	if target.role == model.RolePrimary && target.term == l.leaders[call.Database] {
 		return statusDone
 	}
 	l.platform.do(l.world.between(200*time.Millisecond, 700*time.Millisecond), func() {
-		isLeading := target.role == view.RolePrimary && target.term == l.leaders[call.Database]
+		isLeading := target.role == model.RolePrimary && target.term == l.leaders[call.Database]
 		if target.isUp && !target.isEnded && !isLeading {
 			target.enter(target.life, func() { target.lead(l.leaders[call.Database] + 1) })
 		}
--- a/proof/sim/lines_front.go
+++ b/test/simulation/lines_front.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"reflect"
@@ -6,25 +6,25 @@
 	"strings"
 	"time"
 
-	"tansyseam.example/pooler/coordination/lease"
-	"tansyseam.example/pooler/coordination/pool"
-	"tansyseam.example/pooler/coordination/steer"
-	words "tansyseam.example/pooler/state/stream"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/coordination/lease"
+	"tansyseam/internal/coordination/pool/linepool"
+	words "tansyseam/internal/state/lineproto"
+	"tansyseam/internal/state/model"
 )
 
 // front is a data-plane node of a fleet of synced instances.
 type front struct {
 	machine
 	lines     *lines
-	pool      *pool.Machine
+	pool      *linepool.Machine
 	births    int64
 	guess     int
 	misses    int
 	asked     uint64
 	links     []*lineLink
-	people    map[*pool.Client]*person
-	owed      map[*pool.Client]int
+	people    map[*linepool.Client]*person
+	owed      map[*linepool.Client]int
 	isGone    bool
 	left      time.Duration
 	thawed    time.Duration
@@ -43,9 +43,9 @@
 	n.births++
 	n.born = n.world.now
 	n.counts, n.mirrors = map[string]int64{}, map[string]*mirror{}
-	place := pool.Place{Name: n.name, Zone: n.zone, Birth: n.births, Beta: 1}
-	n.pool = pool.New(place, pool.DefaultTiming(), lease.DefaultTiming(), func(name string, by int64) { n.counts[name] += by })
-	n.links, n.people, n.owed = nil, map[*pool.Client]*person{}, map[*pool.Client]int{}
+	place := linepool.Place{Name: n.name, Zone: n.zone, Birth: n.births, Beta: 1}
+	n.pool = linepool.New(place, linepool.DefaultTiming(), lease.DefaultTiming(), func(name string, by int64) { n.counts[name] += by })
+	n.links, n.people, n.owed = nil, map[*linepool.Client]*person{}, map[*linepool.Client]int{}
 	n.world.note("%s up", n.name)
 	if !n.lines.defect.IsDeaf || n.births == 1 {
 		n.do(time.Millisecond, n.ask)
@@ -62,7 +62,7 @@
 			p.homeDied(isVanished)
 		}
 	}
-	n.links, n.people = nil, map[*pool.Client]*person{}
+	n.links, n.people = nil, map[*linepool.Client]*person{}
 }
 
 // isYoung says whether the node started, was frozen or thawed so lately that
@@ -78,18 +78,18 @@
 	}
 }
 
-var fronts map[reflect.Type]func(*front, pool.Effect)
+var fronts map[reflect.Type]func(*front, linepool.Effect)
 
-func at[T pool.Effect](act func(*front, T)) {
-	fronts[reflect.TypeFor[T]()] = func(n *front, effect pool.Effect) { act(n, effect.(T)) }
+func at[T linepool.Effect](act func(*front, T)) {
+	fronts[reflect.TypeFor[T]()] = func(n *front, effect linepool.Effect) { act(n, effect.(T)) }
 }
 
 func init() {
-	fronts = map[reflect.Type]func(*front, pool.Effect){}
+	fronts = map[reflect.Type]func(*front, linepool.Effect){}
 	at((*front).say)
-	at(func(n *front, over pool.Close) {
+	at(func(n *front, over linepool.Close) {
 		p := n.people[over.Client]
-		isCut := n.owed[over.Client] > 0 && n.isGone && n.world.now-n.left < pool.DefaultTiming().Finish-100*time.Millisecond
+		isCut := n.owed[over.Client] > 0 && n.isGone && n.world.now-n.left < linepool.DefaultTiming().Finish-100*time.Millisecond
 		if isCut {
 			n.lines.fault(RuleLost, "%s, which stops as planned, ends a session with a question open", n.name)
 		}
@@ -101,7 +101,7 @@
 	})
 	at((*front).open)
 	at((*front).send)
-	at(func(n *front, shut pool.Shut) {
+	at(func(n *front, shut linepool.Shut) {
 		link, isOpen := shut.Conn.Link.(*lineLink)
 		if isOpen {
 			n.mirrorShut(link)
@@ -117,25 +117,25 @@
 			}
 		})
 	})
-	at(func(n *front, _ pool.Report) {
+	at(func(n *front, _ linepool.Report) {
 		if !n.isTelling {
 			n.isTelling = true
 			n.do(5*time.Millisecond, n.tell)
 		}
 	})
-	at(func(n *front, turned pool.Turned) {
+	at(func(n *front, turned linepool.Turned) {
 		after := turned.Moved.After
 		n.world.note("%s holds %s: term %d %s at %s", n.name, turned.Moved.Database, after.Term, after.Phase, after.Primary)
-		if after.Phase != view.PhaseOpen {
+		if after.Phase != model.PhaseOpen {
 			n.lines.ambushLines()
 		}
 	})
-	at(func(n *front, shown pool.Shown) {
+	at(func(n *front, shown linepool.Shown) {
 		n.world.note("%s serves under version %d", n.name, shown.Set.Version)
 	})
 }
 
-func (n *front) say(say pool.Say) {
+func (n *front) say(say linepool.Say) {
 	p := n.people[say.Client]
 	if p == nil {
 		return
@@ -163,7 +163,7 @@
 	p.toPerson(n, say.Client, messages)
 }
 
-func (n *front) open(open pool.Open) {
+func (n *front) open(open linepool.Open) {
 	link := &lineLink{front: n, frontLife: n.life, server: n.lines.hosts[open.Address], conn: open.Conn}
 	link.serverLife = link.server.life
 	open.Conn.Link = link
@@ -171,7 +171,7 @@
 	link.toServer(func() { link.accept(open.Instance) })
 }
 
-func (n *front) send(send pool.Send) {
+func (n *front) send(send linepool.Send) {
 	link := send.Conn.Link.(*lineLink)
 	outs := slices.Clone(send.Outs)
 	n.mirrorSend(link, outs)
@@ -181,9 +181,9 @@
 			one.version = n.pool.Effective(n.clock()).Version
 		}
 		if defect.IsFloorless {
-			outs[at].Floor = view.Position{}
+			outs[at].Floor = model.Position{}
 		}
-		if defect.IsTexting && out.Kind == pool.OutText && strings.HasPrefix(out.Text, "read") && n.world.chance(0.05) {
+		if defect.IsTexting && out.Kind == linepool.OutText && strings.HasPrefix(out.Text, "read") && n.world.chance(0.05) {
 			outs[at].Text += "x"
 		}
 	}
@@ -206,7 +206,7 @@
 	frontLife  int
 	server     *server
 	serverLife int
-	conn       *pool.Conn
+	conn       *linepool.Conn
 	session    *session
 	to, from   time.Duration
 	isOver     bool
@@ -327,7 +327,7 @@
 	}
 	n.asked++
 	number, sent := n.asked, n.clock()
-	var ask steer.AskNews
+	var ask distribution.AskNews
 	n.step(func(now time.Duration) { ask = n.pool.Ask(now) })
 	target := n.lines.controls[n.guess%len(n.lines.controls)]
 	n.do(900*time.Millisecond, func() {
@@ -337,7 +337,7 @@
 			n.ask()
 		}
 	})
-	take := func(news steer.News) {
+	take := func(news distribution.News) {
 		if n.asked == number {
 			n.take(news, sent)
 		}
@@ -346,7 +346,7 @@
 		peer := n.lines.fronts[n.world.random.IntN(len(n.lines.fronts))]
 		n.world.send(&n.machine, &peer.machine, func() {
 			n.world.send(&peer.machine, &target.machine, func() {
-				target.onAskNews(ask, func(news steer.News) {
+				target.onAskNews(ask, func(news distribution.News) {
 					n.world.send(&target.machine, &peer.machine, func() {
 						n.world.send(&peer.machine, &n.machine, func() { take(news) })
 					})
@@ -356,13 +356,13 @@
 		return
 	}
 	n.world.send(&n.machine, &target.machine, func() {
-		target.onAskNews(ask, func(news steer.News) {
+		target.onAskNews(ask, func(news distribution.News) {
 			n.world.send(&target.machine, &n.machine, func() { take(news) })
 		})
 	})
 }
 
-func (n *front) take(news steer.News, sent time.Duration) {
+func (n *front) take(news distribution.News, sent time.Duration) {
 	n.asked++
 	if !news.IsPrimary {
 		n.misses++
--- a/proof/sim/lines_mirror.go
+++ b/test/simulation/lines_mirror.go
@@ -1,13 +1,13 @@
-package sim
+package simulation
 
 import (
 	"math"
 	"strings"
 	"time"
 
-	"tansyseam.example/pooler/coordination/admit"
-	"tansyseam.example/pooler/coordination/pool"
-	words "tansyseam.example/pooler/state/stream"
+	"tansyseam/internal/coordination/flowcontrol"
+	"tansyseam/internal/coordination/pool/linepool"
+	words "tansyseam/internal/state/lineproto"
 )
 
 // owedAnswer is what an instance still has to answer on a link. Scored ones
@@ -26,14 +26,14 @@
 
 const referenceTarget = 200 * time.Millisecond
 
-func (n *front) reading(name string) (admit.Reading, bool) {
+func (n *front) reading(name string) (flowcontrol.Reading, bool) {
 	instances, _ := n.pool.Show(n.clock())
 	for _, one := range instances {
 		if one.Info.Name == name {
 			return one.Admission, true
 		}
 	}
-	return admit.Reading{}, false
+	return flowcontrol.Reading{}, false
 }
 
 func (n *front) mirrorOf(name string) *mirror {
@@ -57,14 +57,14 @@
 	return held
 }
 
-func (n *front) mirrorSend(link *lineLink, outs []pool.Out) {
+func (n *front) mirrorSend(link *lineLink, outs []linepool.Out) {
 	if !n.lines.isMirrored {
 		return
 	}
 	link.owed = append(link.owed, make([]owedAnswer, len(outs)-1)...)
 	last := outs[len(outs)-1]
-	one := owedAnswer{isBegin: last.Kind == pool.OutBegin || last.Kind == pool.OutBeginRead}
-	one.isScored = one.isBegin || last.Kind == pool.OutText || last.Kind == pool.OutRun
+	one := owedAnswer{isBegin: last.Kind == linepool.OutBegin || last.Kind == linepool.OutBeginRead}
+	one.isScored = one.isBegin || last.Kind == linepool.OutText || last.Kind == linepool.OutRun
 	if asked := n.lines.asks[last.ID]; asked != nil {
 		one.scale = referenceTarget.Seconds() / n.lines.targetOf(asked.person.route).Seconds()
 	}
--- a/proof/sim/lines_person.go
+++ b/test/simulation/lines_person.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"tansyseam.example/pooler/coordination/pool"
-	words "tansyseam.example/pooler/state/stream"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/pool/linepool"
+	words "tansyseam/internal/state/lineproto"
+	"tansyseam/internal/state/model"
 )
 
 // clientTurn is a transaction as its client sees it.
@@ -29,11 +29,11 @@
 	values   string
 	turn     *clientTurn
 	sent     time.Duration
-	own      map[string]view.Position
+	own      map[string]model.Position
 	version  uint64
 	isOld    bool
 	database string
-	position view.Position
+	position model.Position
 	isSecond bool
 }
 
@@ -44,7 +44,7 @@
 	tail     string
 	rows     []string
 	state    byte
-	position view.Position
+	position model.Position
 }
 
 // person is a client: one session at a time, one operation after the other.
@@ -55,13 +55,13 @@
 	route    string
 	home     *front
 	homeLife int
-	client   *pool.Client
+	client   *linepool.Client
 	serial   int
 	to, from time.Duration
 	state    byte
 	values   map[string]string
 	shapes   map[string]string
-	own      map[string]view.Position
+	own      map[string]model.Position
 	waiting  func(reply)
 	isIn     bool
 	count    int
@@ -112,7 +112,7 @@
 	p.serial++
 	p.home, p.homeLife, p.client, p.isIn = home, home.life, nil, false
 	p.to, p.from, p.state = 0, 0, words.StateIdle
-	p.values, p.shapes, p.own = map[string]string{}, map[string]string{}, map[string]view.Position{}
+	p.values, p.shapes, p.own = map[string]string{}, map[string]string{}, map[string]model.Position{}
 	serial := p.serial
 	p.waiting = func(got reply) {
 		if got.isCut || got.isError {
@@ -191,7 +191,7 @@
 	})
 }
 
-func (p *person) toPerson(home *front, client *pool.Client, messages []words.Message) {
+func (p *person) toPerson(home *front, client *linepool.Client, messages []words.Message) {
 	w := p.world
 	p.from = max(w.now+w.between(200*time.Microsecond, 2500*time.Microsecond), p.from+time.Microsecond)
 	serial := p.serial
@@ -202,7 +202,7 @@
 	})
 }
 
-func (p *person) ended(home *front, client *pool.Client) {
+func (p *person) ended(home *front, client *linepool.Client) {
 	w, serial := p.world, p.serial
 	p.from = max(w.now+w.between(200*time.Microsecond, 2500*time.Microsecond), p.from+time.Microsecond)
 	w.after(p.from-w.now, func() {
@@ -277,7 +277,7 @@
 	p.toHome(func() {
 		if home.people[client] == p {
 			home.owed[client]++
-			home.pool.Query(client, pool.Asked{ID: one.id, Text: text, Statement: statement}, home.clock())
+			home.pool.Query(client, linepool.Asked{ID: one.id, Text: text, Statement: statement}, home.clock())
 		}
 	})
 }
@@ -567,7 +567,7 @@
 func (p *person) heardKept(one *ask) {
 	l := p.lines
 	l.writes++
-	if one.position == (view.Position{}) {
+	if one.position == (model.Position{}) {
 		l.fault(RuleMixed, "%s was told kept, and is nowhere", one.id)
 		return
 	}
@@ -634,7 +634,7 @@
 	if position, isMissing := l.missing(s, size, before); isMissing {
 		l.fault(RuleStale, "%s, sent at %.3f, runs at %s at %d, which lacks %v", one.id, (first-time.Hour).Seconds()*1000, s.name, size, position)
 	}
-	if own := one.own[s.database]; strings.HasSuffix(p.route, "-own") && own != (view.Position{}) && (int(own.Index) > size || !s.holds(own)) {
+	if own := one.own[s.database]; strings.HasSuffix(p.route, "-own") && own != (model.Position{}) && (int(own.Index) > size || !s.holds(own)) {
 		l.fault(RuleStale, "%s runs at %s at %d, which lacks the session's own %v", one.id, s.name, size, own)
 	}
 }
--- a/proof/sim/lines_server.go
+++ b/test/simulation/lines_server.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"fmt"
@@ -7,10 +7,10 @@
 	"strings"
 	"time"
 
-	"tansyseam.example/pooler/coordination/pool"
-	"tansyseam.example/pooler/coordination/steer"
-	words "tansyseam.example/pooler/state/stream"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/coordination/pool/linepool"
+	words "tansyseam/internal/state/lineproto"
+	"tansyseam/internal/state/model"
 )
 
 type lineEntry struct {
@@ -19,7 +19,7 @@
 }
 
 type pending struct {
-	position view.Position
+	position model.Position
 	done     func()
 }
 
@@ -57,14 +57,14 @@
 	return one
 }
 
-func (s *server) position() view.Position {
+func (s *server) position() model.Position {
 	if len(s.entries) == 0 {
-		return view.Position{}
+		return model.Position{}
 	}
-	return view.Position{Term: s.entries[len(s.entries)-1].term, Index: uint64(len(s.entries))}
+	return model.Position{Term: s.entries[len(s.entries)-1].term, Index: uint64(len(s.entries))}
 }
 
-func (s *server) holds(position view.Position) bool {
+func (s *server) holds(position model.Position) bool {
 	at := int(position.Index)
 	return at == 0 || (at <= len(s.entries) && s.entries[at-1].term == position.Term)
 }
@@ -73,12 +73,12 @@
 	s.isUp, s.isFrozen, s.backlog, s.moved = true, false, nil, nil
 	s.sessions, s.busy, s.line, s.pending = nil, 0, nil, nil
 	if s.lines.leaders[s.database] > s.term {
-		s.role = view.RoleReplica
+		s.role = model.RoleReplica
 	}
 	s.world.note("%s up as %s of term %d at %v", s.name, s.role, s.term, s.position())
 	s.do(time.Millisecond, s.beat)
 	s.do(time.Millisecond, s.pull)
-	if s.role == view.RolePrimary && s.term > 1 {
+	if s.role == model.RolePrimary && s.term > 1 {
 		s.gather()
 	}
 	if s.leaving != 0 {
@@ -96,9 +96,9 @@
 	s.sessions = nil
 }
 
-func (s *server) info() view.Instance {
+func (s *server) info() model.Instance {
 	s.calls++
-	return view.Instance{
+	return model.Instance{
 		Name: s.name, Database: s.database, Address: s.address, Zone: s.zone, Role: s.role, IsLeaving: s.leaving != 0,
 		Slots: s.lines.size.Slots, IsSynced: true, Calls: s.calls,
 	}
@@ -111,7 +111,7 @@
 
 // announce brings an announcement to any control machine, which passes it to
 // the primary before it answers.
-func (s *server) announce(info view.Instance, goes int) {
+func (s *server) announce(info model.Instance, goes int) {
 	first := pick(s.lines.fleet, s.lines.controls)
 	isAnswered := false
 	s.world.send(&s.machine, &first.machine, func() {
@@ -141,12 +141,12 @@
 	})
 }
 
-func (c *control) heardOf(info view.Instance) {
+func (c *control) heardOf(info model.Instance) {
 	if known, isKnown := c.heard[info.Name]; isKnown && info.Calls <= known.Instance.Calls {
 		return
 	}
-	c.heard[info.Name] = steer.Heard{Instance: info, At: c.clock()}
-	var list []steer.Heard
+	c.heard[info.Name] = distribution.Heard{Instance: info, At: c.clock()}
+	var list []distribution.Heard
 	for _, name := range slices.Sorted(maps.Keys(c.heard)) {
 		list = append(list, c.heard[name])
 	}
@@ -185,9 +185,9 @@
 	s.lines.made++
 	s.world.after(300*time.Millisecond, func() {
 		next := s.lines.addServer(s.database, fmt.Sprintf("%s.%d", strings.Split(s.name, ".")[0], s.lines.made), s.address, s.zone)
-		next.role, next.term, next.entries, next.upstream = view.RoleReplica, s.term, slices.Clone(s.entries), s.upstream
-		if s.role == view.RolePrimary && s.lines.leaders[s.database] == s.term {
-			next.role = view.RolePrimary
+		next.role, next.term, next.entries, next.upstream = model.RoleReplica, s.term, slices.Clone(s.entries), s.upstream
+		if s.role == model.RolePrimary && s.lines.leaders[s.database] == s.term {
+			next.role = model.RolePrimary
 		}
 		for _, other := range s.lines.of(s.database) {
 			if other.upstream == s {
@@ -199,7 +199,7 @@
 }
 
 // append adds a commit, and answers once a replica has received it.
-func (s *server) append(ids []string, done func()) view.Position {
+func (s *server) append(ids []string, done func()) model.Position {
 	s.entries = append(s.entries, lineEntry{term: s.term, ids: ids})
 	position := s.position()
 	l := s.lines
@@ -225,8 +225,8 @@
 	}
 }
 
-func (s *server) received(position view.Position) {
-	if s.role != view.RolePrimary {
+func (s *server) received(position model.Position) {
+	if s.role != model.RolePrimary {
 		return
 	}
 	var kept []pending
@@ -258,7 +258,7 @@
 
 // pull follows the primary known: what it has received it says at once.
 func (s *server) pull() {
-	if s.role != view.RoleReplica || s.upstream == nil || s.upstream == s {
+	if s.role != model.RoleReplica || s.upstream == nil || s.upstream == s {
 		s.do(50*time.Millisecond, s.pull)
 		return
 	}
@@ -272,7 +272,7 @@
 	}
 	s.do(300*time.Millisecond, again)
 	s.world.send(&s.machine, &up.machine, func() {
-		if up.role != view.RolePrimary {
+		if up.role != model.RolePrimary {
 			return
 		}
 		up.received(after)
@@ -285,7 +285,7 @@
 			entries, term := up.entries, up.term
 			up.world.send(&up.machine, &s.machine, func() {
 				s.do(s.delay, func() {
-					if !isOver && s.role == view.RoleReplica && s.upstream == up && s.position() == after && term >= s.term {
+					if !isOver && s.role == model.RoleReplica && s.upstream == up && s.position() == after && term >= s.term {
 						s.follow(entries, term)
 					}
 					again()
@@ -314,7 +314,7 @@
 // lead makes the server primary of a term, and has the others follow.
 func (s *server) lead(term uint64) {
 	l := s.lines
-	s.role, s.term, s.pending = view.RolePrimary, term, nil
+	s.role, s.term, s.pending = model.RolePrimary, term, nil
 	l.leaders[s.database] = term
 	s.world.note("%s leads term %d at %v", s.name, term, s.position())
 	l.whole(s, "the promoted one")
@@ -341,7 +341,7 @@
 		if other.term >= term {
 			return
 		}
-		if other.role == view.RolePrimary {
+		if other.role == model.RolePrimary {
 			other.do(time.Second, func() { other.stepDown(term, s) })
 			return
 		}
@@ -359,7 +359,7 @@
 		return
 	}
 	s.world.note("%s steps down for term %d", s.name, term)
-	s.role, s.term, s.upstream, s.pending = view.RoleReplica, term, to, nil
+	s.role, s.term, s.upstream, s.pending = model.RoleReplica, term, to, nil
 	for _, one := range slices.Clone(s.sessions) {
 		if one.isCommitting {
 			one.drop()
@@ -417,7 +417,7 @@
 	shapes       map[string]string
 	before       [2]map[string]string
 	turn         *lineTurn
-	queue        []pool.Out
+	queue        []linepool.Out
 	isBusy       bool
 	isGone       bool
 	isCommitting bool
@@ -521,33 +521,33 @@
 	x.next()
 }
 
-var owns map[pool.OutKind]func(*session, pool.Out) words.Message
+var owns map[linepool.OutKind]func(*session, linepool.Out) words.Message
 
 func init() {
-	owns = map[pool.OutKind]func(*session, pool.Out) words.Message{
-		pool.OutReset: func(x *session, _ pool.Out) words.Message {
+	owns = map[linepool.OutKind]func(*session, linepool.Out) words.Message{
+		linepool.OutReset: func(x *session, _ linepool.Out) words.Message {
 			if !x.server.lines.defect.IsUnclean {
 				x.values, x.shapes = map[string]string{}, map[string]string{}
 			}
 			return good("-")
 		},
-		pool.OutSet: func(x *session, out pool.Out) words.Message {
+		linepool.OutSet: func(x *session, out linepool.Out) words.Message {
 			x.values[out.Name] = out.Value
 			return good("-")
 		},
-		pool.OutPrepare: func(x *session, out pool.Out) words.Message {
+		linepool.OutPrepare: func(x *session, out linepool.Out) words.Message {
 			x.shapes[out.Name] = out.Value
 			return good("-")
 		},
-		pool.OutRollback: func(x *session, _ pool.Out) words.Message {
+		linepool.OutRollback: func(x *session, _ linepool.Out) words.Message {
 			if x.turn == nil {
 				return refusal(words.CodeMalformed, "MALFORMED")
 			}
 			x.undo()
 			return good("-")
 		},
-		pool.OutBegin:     func(x *session, out pool.Out) words.Message { return x.begin(out, false) },
-		pool.OutBeginRead: func(x *session, out pool.Out) words.Message { return x.begin(out, true) },
+		linepool.OutBegin:     func(x *session, out linepool.Out) words.Message { return x.begin(out, false) },
+		linepool.OutBeginRead: func(x *session, out linepool.Out) words.Message { return x.begin(out, true) },
 	}
 }
 
@@ -558,12 +558,12 @@
 	x.turn, x.before = nil, [2]map[string]string{}
 }
 
-func (x *session) begin(out pool.Out, isRead bool) words.Message {
+func (x *session) begin(out linepool.Out, isRead bool) words.Message {
 	s := x.server
 	if x.turn != nil {
 		return refusal(words.CodeMalformed, "MALFORMED")
 	}
-	if !isRead && s.role != view.RolePrimary {
+	if !isRead && s.role != model.RolePrimary {
 		return refusal(words.CodeReadOnly, "READONLY "+s.name)
 	}
 	if s.position().IsBefore(out.Floor) {
@@ -575,13 +575,13 @@
 }
 
 // run runs a statement of a client's.
-func (x *session) run(out pool.Out) {
+func (x *session) run(out linepool.Out) {
 	s, l := x.server, x.server.lines
 	if x.isGone {
 		return
 	}
 	text := out.Text
-	if out.Kind == pool.OutRun {
+	if out.Kind == linepool.OutRun {
 		shape, isHeld := x.shapes[out.Name]
 		if !isHeld {
 			x.over(refusal(words.CodeNotFound, "NOTFOUND"))
@@ -590,8 +590,8 @@
 		text = shape + out.Value
 	}
 	isWrite, isCommit := strings.HasPrefix(text, "write"), text == "commit"
-	isLost := x.turn != nil && !x.turn.isRead && (s.role != view.RolePrimary || s.term != x.turn.term)
-	isLost = isLost || (isWrite && (s.role != view.RolePrimary || (x.turn != nil && x.turn.isRead)))
+	isLost := x.turn != nil && !x.turn.isRead && (s.role != model.RolePrimary || s.term != x.turn.term)
+	isLost = isLost || (isWrite && (s.role != model.RolePrimary || (x.turn != nil && x.turn.isRead)))
 	if isLost && !(isCommit && len(x.turn.ids) == 0) {
 		if isCommit {
 			x.undo()
--- a/proof/sim/lines_trouble.go
+++ b/test/simulation/lines_trouble.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/state/model"
 )
 
 type lineTrouble struct {
@@ -75,7 +75,7 @@
 		}},
 		{"replica gone for good", func(l *lines, span time.Duration) {
 			one := l.anyServer()
-			if one.role == view.RolePrimary {
+			if one.role == model.RolePrimary {
 				return
 			}
 			for _, other := range l.of(one.database) {
@@ -149,7 +149,7 @@
 func (l *lines) replaceServer(old *server) {
 	l.made++
 	next := l.addServer(old.database, fmt.Sprintf("%s.%d", strings.Split(old.name, ".")[0], l.made), old.address, old.zone)
-	next.role, next.upstream = view.RoleReplica, l.head(old.database)
+	next.role, next.upstream = model.RoleReplica, l.head(old.database)
 	next.start()
 }
 
--- a/proof/sim/membership.go
+++ b/test/simulation/membership.go
@@ -1,11 +1,11 @@
-package sim
+package simulation
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"tansyseam.example/pooler/coordination/epoch"
+	"tansyseam/internal/coordination/consensus"
 )
 
 // mostReplaced bounds how many control machines of a run are replaced.
@@ -53,7 +53,7 @@
 	}
 	c.world.note("%s is told to end", c.name)
 	life, from := c.life, c.world.now
-	c.step(epoch.Leave{})
+	c.step(consensus.Leave{})
 	var look func()
 	look = func() {
 		if !c.isUp || c.life != life {
--- a/proof/sim/node.go
+++ b/test/simulation/node.go
@@ -1,20 +1,20 @@
-package sim
+package simulation
 
 import (
 	"fmt"
 	"reflect"
 	"time"
 
-	"tansyseam.example/pooler/coordination/goes"
-	"tansyseam.example/pooler/coordination/hall"
-	"tansyseam.example/pooler/coordination/steer"
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/coordination/idempotency"
+	"tansyseam/internal/coordination/pool/httppool"
+	"tansyseam/internal/state/model"
 )
 
 type node struct {
 	machine
 	fleet   *fleet
-	hall    *hall.Machine
+	hall    *httppool.Machine
 	births  int
 	guess   int
 	misses  int
@@ -34,8 +34,8 @@
 	n.isUp, n.isFrozen, n.backlog = true, false, nil
 	n.births++
 	n.counts = map[string]int64{}
-	place := hall.Place{Name: n.name, Zone: n.zone, Birth: fmt.Sprint(n.births), Beta: 1}
-	n.hall = hall.New(place, hall.DefaultTiming(), func(name string, by int64) { n.counts[name] += by })
+	place := httppool.Place{Name: n.name, Zone: n.zone, Birth: fmt.Sprint(n.births), Beta: 1}
+	n.hall = httppool.New(place, httppool.DefaultTiming(), func(name string, by int64) { n.counts[name] += by })
 	n.conns, n.mirrors = nil, map[string]*mirror{}
 	n.world.note("%s up", n.name)
 	n.do(time.Millisecond, n.ask)
@@ -63,51 +63,51 @@
 	n.do(n.world.between(0, most), func() { n.step(act) })
 }
 
-var carriers map[reflect.Type]func(*node, hall.Effect)
+var carriers map[reflect.Type]func(*node, httppool.Effect)
 
-func on[T hall.Effect](act func(*node, T)) {
-	carriers[reflect.TypeFor[T]()] = func(n *node, effect hall.Effect) { act(n, effect.(T)) }
+func on[T httppool.Effect](act func(*node, T)) {
+	carriers[reflect.TypeFor[T]()] = func(n *node, effect httppool.Effect) { act(n, effect.(T)) }
 }
 
 func init() {
-	carriers = map[reflect.Type]func(*node, hall.Effect){}
-	on(func(_ *node, tell hall.Tell) { tell.Job.Token.(func(hall.Result))(tell.Result) })
-	on(func(n *node, admit hall.Admit) {
+	carriers = map[reflect.Type]func(*node, httppool.Effect){}
+	on(func(_ *node, tell httppool.Tell) { tell.Job.Token.(func(httppool.Result))(tell.Result) })
+	on(func(n *node, admit httppool.Admit) {
 		n.later(200*time.Microsecond, func(now time.Duration) { n.hall.Join(admit.Job, now) })
 	})
-	on(func(n *node, forward hall.Forward) {
+	on(func(n *node, forward httppool.Forward) {
 		if held := n.mirrorOf(forward.Job.Instance()); held != nil {
 			held.take()
 		}
 		n.later(300*time.Microsecond, func(now time.Duration) { n.hall.Pass(forward.Job, now) })
 	})
-	on(func(n *node, send hall.Send) {
+	on(func(n *node, send httppool.Send) {
 		sent := n.clock()
 		n.do(n.world.between(0, 100*time.Microsecond), func() { n.send(send, sent) })
 	})
-	on(func(n *node, open hall.Open) { n.open(open) })
-	on(func(_ *node, shut hall.Shut) {
+	on(func(n *node, open httppool.Open) { n.open(open) })
+	on(func(_ *node, shut httppool.Shut) {
 		if c, isOpen := shut.Wire.Link.(*conn); isOpen {
 			c.shut()
 		}
 	})
-	on(func(n *node, seek hall.Seek) { n.seek(seek) })
-	on(func(n *node, watch hall.Watch) { n.watch(n.fleet.instanceBy(watch.Instance)) })
-	on(func(n *node, _ hall.Report) { n.do(20*time.Millisecond, n.tell) })
-	on(func(n *node, turned hall.Turned) {
+	on(func(n *node, seek httppool.Seek) { n.seek(seek) })
+	on(func(n *node, watch httppool.Watch) { n.watch(n.fleet.instanceBy(watch.Instance)) })
+	on(func(n *node, _ httppool.Report) { n.do(20*time.Millisecond, n.tell) })
+	on(func(n *node, turned httppool.Turned) {
 		after := turned.Moved.After
-		if after.Phase != view.PhaseOpen {
+		if after.Phase != model.PhaseOpen {
 			n.fleet.ambush()
 		}
 		n.world.note("%s holds %s: term %d %s at %s", n.name, turned.Moved.Database, after.Term, after.Phase, after.Primary)
 	})
-	on(func(n *node, shown hall.Shown) { n.world.note("%s serves under %d", n.name, shown.Sequence) })
+	on(func(n *node, shown httppool.Shown) { n.world.note("%s serves under %d", n.name, shown.Sequence) })
 }
 
-func (n *node) send(send hall.Send, sent time.Duration) {
+func (n *node) send(send httppool.Send, sent time.Duration) {
 	c := send.Wire.Link.(*conn)
 	isOver := false
-	c.request(send.Op, func(reply hall.Reply, isBroken bool) {
+	c.request(send.Op, func(reply httppool.Reply, isBroken bool) {
 		if isOver {
 			return
 		}
@@ -126,11 +126,11 @@
 	})
 }
 
-func (n *node) open(open hall.Open) {
+func (n *node) open(open httppool.Open) {
 	target := n.fleet.instanceBy(open.Address)
 	c := &conn{node: n, nodeLife: n.life, inst: target, wire: open.Wire}
 	isOver := false
-	over := func(reply hall.Reply, isOpen bool) {
+	over := func(reply httppool.Reply, isOpen bool) {
 		if isOver {
 			return
 		}
@@ -145,20 +145,20 @@
 			n.hall.Opened(open.Wire, reply, isOpen, now)
 		})
 	}
-	n.do(1600*time.Millisecond, func() { over(hall.Reply{}, false) })
+	n.do(1600*time.Millisecond, func() { over(httppool.Reply{}, false) })
 	n.world.send(&n.machine, &target.machine, func() {
 		c.accept()
-		c.request(hall.Op{Act: hall.ActOpen}, func(reply hall.Reply, isBroken bool) { over(reply, !isBroken) })
+		c.request(httppool.Op{Act: httppool.ActOpen}, func(reply httppool.Reply, isBroken bool) { over(reply, !isBroken) })
 	})
 	if !target.isUp && !target.isVanished {
-		n.do(2*time.Millisecond, func() { over(hall.Reply{}, false) })
+		n.do(2*time.Millisecond, func() { over(httppool.Reply{}, false) })
 	}
 }
 
 func (n *node) ask() {
 	n.asked++
 	number, sent := n.asked, n.clock()
-	var ask steer.AskNews
+	var ask distribution.AskNews
 	n.step(func(now time.Duration) { ask = n.hall.Ask(now) })
 	target := n.fleet.controls[n.guess%len(n.fleet.controls)]
 	n.do(600*time.Millisecond, func() {
@@ -170,7 +170,7 @@
 			n.ask()
 		}
 	})
-	take := func(news steer.News) {
+	take := func(news distribution.News) {
 		if n.asked == number {
 			n.take(news, sent)
 		}
@@ -179,7 +179,7 @@
 		peer := n.fleet.nodes[n.world.random.IntN(len(n.fleet.nodes))]
 		n.world.send(&n.machine, &peer.machine, func() {
 			n.world.send(&peer.machine, &target.machine, func() {
-				target.onAskNews(ask, func(news steer.News) {
+				target.onAskNews(ask, func(news distribution.News) {
 					n.world.send(&target.machine, &peer.machine, func() {
 						n.world.send(&peer.machine, &n.machine, func() { take(news) })
 					})
@@ -189,13 +189,13 @@
 		return
 	}
 	n.world.send(&n.machine, &target.machine, func() {
-		target.onAskNews(ask, func(news steer.News) {
+		target.onAskNews(ask, func(news distribution.News) {
 			n.world.send(&target.machine, &n.machine, func() { take(news) })
 		})
 	})
 }
 
-func (n *node) take(news steer.News, sent time.Duration) {
+func (n *node) take(news distribution.News, sent time.Duration) {
 	if !news.IsPrimary {
 		n.asked++
 		n.misses++
@@ -221,7 +221,7 @@
 	n.ask()
 }
 
-func (n *node) seen(info view.Instance) view.Instance {
+func (n *node) seen(info model.Instance) model.Instance {
 	if n.fleet.plant.IsStubborn {
 		info.IsLeaving = false
 	}
@@ -232,13 +232,13 @@
 			}
 		}
 	}
-	if n.fleet.plant.IsLyingBehind && info.Role == view.RolePrimary {
+	if n.fleet.plant.IsLyingBehind && info.Role == model.RolePrimary {
 		info.Position = n.fleet.instanceBy(info.Name).behind(4 * time.Second)
 	}
 	return info
 }
 
-func (n *node) onInstance(info view.Instance) {
+func (n *node) onInstance(info model.Instance) {
 	info = n.seen(info)
 	n.step(func(now time.Duration) { n.hall.Announced(info, now) })
 }
@@ -265,7 +265,7 @@
 					return
 				}
 				info = n.seen(info)
-				reply := hall.Reply{Birth: info.Birth, Role: info.Role, Term: info.Term, Position: info.Position, IsLeave: info.IsLeaving}
+				reply := httppool.Reply{Birth: info.Birth, Role: info.Role, Term: info.Term, Position: info.Position, IsLeave: info.IsLeaving}
 				n.step(func(now time.Duration) { n.hall.Looked(target.name, reply, sent, now) })
 				again()
 			})
@@ -293,10 +293,10 @@
 	})
 }
 
-func (n *node) seek(seek hall.Seek) {
+func (n *node) seek(seek httppool.Seek) {
 	other := n.fleet.nodeBy(seek.Target)
 	isOver, life := false, n.life
-	over := func(answer goes.Answer, isAnswered bool) {
+	over := func(answer idempotency.Answer, isAnswered bool) {
 		if isOver || n.life != life {
 			return
 		}
@@ -304,22 +304,22 @@
 		n.step(func(now time.Duration) { n.hall.Heard(seek.Job, seek.Target, answer, isAnswered, now) })
 	}
 	if n.fleet.plant.IsForgetful {
-		n.do(time.Millisecond, func() { over(goes.Answer{Standing: goes.Never}, true) })
+		n.do(time.Millisecond, func() { over(idempotency.Answer{Standing: idempotency.Never}, true) })
 		return
 	}
 	if other == nil {
-		n.do(time.Millisecond, func() { over(goes.Answer{}, false) })
+		n.do(time.Millisecond, func() { over(idempotency.Answer{}, false) })
 		return
 	}
-	n.do(800*time.Millisecond, func() { over(goes.Answer{}, false) })
-	ask := goes.Ask{Go: seek.Job.Go(), By: n.name}
+	n.do(800*time.Millisecond, func() { over(idempotency.Answer{}, false) })
+	ask := idempotency.Ask{Go: seek.Job.Go(), By: n.name}
 	n.world.send(&n.machine, &other.machine, func() {
 		answer := other.hall.OnAsk(ask, other.clock())
 		n.world.send(&other.machine, &n.machine, func() { over(answer, true) })
 	})
 }
 
-func (n *node) enter(session string, op hall.Op, bound time.Duration, told func(hall.Result)) {
+func (n *node) enter(session string, op httppool.Op, bound time.Duration, told func(httppool.Result)) {
 	n.step(func(now time.Duration) {
 		j, refusal, isIn := n.hall.Enter(session, op, bound, told, now)
 		if !isIn {
@@ -391,7 +391,7 @@
 		if other == n {
 			continue
 		}
-		word := goes.Legacy{Node: left.Node, Birth: left.Birth, Heir: left.Heir}
+		word := idempotency.Legacy{Node: left.Node, Birth: left.Birth, Heir: left.Heir}
 		if other == heir {
 			word = left
 		}
--- a/proof/sim/race_on_test.go
+++ b/test/simulation/race_on_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package sim
+package simulation
 
 const isRace = true
--- a/proof/sim/takeover.go
+++ b/test/simulation/takeover.go
@@ -1,12 +1,12 @@
-package sim
+package simulation
 
 import (
 	"slices"
 	"sync"
 	"time"
 
-	"tansyseam.example/pooler/coordination/epoch"
-	"tansyseam.example/pooler/state/table"
+	"tansyseam/internal/coordination/consensus"
+	"tansyseam/internal/state/store"
 )
 
 // Takeover is how control came back after its primary was lost.
@@ -69,9 +69,9 @@
 			number := 0
 			ask := func(one *control) {
 				number++
-				one.submit(func(*table.Table) []table.Put {
-					return []table.Put{{Key: "measured/" + time.Duration(number).String(), Data: []byte("x")}}
-				}, func(answer epoch.Answer) {
+				one.submit(func(*store.Table) []store.Put {
+					return []store.Put{{Key: "measured/" + time.Duration(number).String(), Data: []byte("x")}}
+				}, func(answer consensus.Answer) {
 					if answer.IsKept && one != old && found.Kept < 0 {
 						found.Kept = f.world.now - began
 					}
--- a/proof/sim/takeover_test.go
+++ b/test/simulation/takeover_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"fmt"
@@ -7,12 +7,12 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"tansyseam.example/pooler/coordination/epoch"
+	"tansyseam/internal/coordination/consensus"
 )
 
 func TestTakeoverOfControl(t *testing.T) {
 	onlyWithoutRace(t)
-	timing := epoch.DefaultTiming()
+	timing := consensus.DefaultTiming()
 	stalls := map[string]bool{"disk hangs": true, "disk refuses": true}
 	Convey("However control's primary is lost, another holds primacy soon, and never before the old one's has lapsed; soon after, a write is kept", t, func() {
 		for _, shape := range []Shape{Magnolia(), Chile()} {
--- a/proof/sim/trouble.go
+++ b/test/simulation/trouble.go
@@ -1,10 +1,10 @@
-package sim
+package simulation
 
 import (
 	"slices"
 	"time"
 
-	"tansyseam.example/pooler/state/view"
+	"tansyseam/internal/state/model"
 )
 
 func (f *fleet) watchPrimacy(until time.Duration) {
@@ -404,7 +404,7 @@
 }
 
 // Phases in which a trouble may meet a fleet.
-var Phases = []string{view.PhaseOpen, view.PhaseClosing, view.PhaseClosed, view.PhaseIntent, "epoch change", "set pending", "node stopping"}
+var Phases = []string{model.PhaseOpen, model.PhaseClosing, model.PhaseClosed, model.PhaseIntent, "epoch change", "set pending", "node stopping"}
 
 // TroubleNames lists the troubles.
 func TroubleNames() []string {
@@ -476,7 +476,7 @@
 func (f *fleet) isSound(database string) bool {
 	writer := f.nodes[0].hall.Serve().Writer(database)
 	primary := f.instanceBy(writer.Primary)
-	if primary == nil || writer.Phase != view.PhaseOpen || primary.term != writer.Term {
+	if primary == nil || writer.Phase != model.PhaseOpen || primary.term != writer.Term {
 		return false
 	}
 	for _, one := range f.instances {
--- a/proof/sim/world.go
+++ b/test/simulation/world.go
@@ -1,7 +1,7 @@
-// Package sim runs a whole fleet in one thread under a virtual clock: the
+// Package simulation runs a whole fleet in one thread under a virtual clock: the
 // product's own coordination and state code on simulated links, disks,
 // clocks and instances. The same seed gives the same history.
-package sim
+package simulation
 
 import (
 	"container/heap"
--- a/proof/stand/instance.go
+++ b/test/standin/instance.go
@@ -1,6 +1,6 @@
-// Package stand holds the stand-ins for what surrounds the fleet: instances,
+// Package standin holds the stand-ins for what surrounds the fleet: instances,
 // platform, callers, and a relay whose links can be cut.
-package stand
+package standin
 
 import (
 	"bufio"
--- a/proof/stand/platform.go
+++ b/test/standin/platform.go
@@ -1,4 +1,4 @@
-package stand
+package standin
 
 import (
 	"context"
