--- a/cmd/tansyseam-control/main.go
+++ b/cmd/tansyseam-control/main.go
@@ -12,39 +12,39 @@
 	"tansyseam/platform"
 )
 
-type manner struct {
-	seams *control.Seams
-	start func() error
+type adapterSet struct {
+	adapters *control.Adapters
+	start    func() error
 }
 
-var manners = map[string]func(*node.Node) manner{
-	"": func(*node.Node) manner { return manner{start: func() error { return nil }} },
-	config.MannerPlatform: func(node *node.Node) manner {
+var adaptersByMode = map[string]func(*node.Node) adapterSet{
+	"": func(*node.Node) adapterSet { return adapterSet{start: func() error { return nil }} },
+	config.ModePlatform: func(node *node.Node) adapterSet {
 		node.Translate = platform.Translate
-		orders := control.NewOrders(node.Crew, platform.Codec(), node.Place().Name)
-		return manner{seams: &control.Seams{Order: orders.Give, Promote: control.Promoter(node, platform.Promote)}, start: orders.Start}
+		orders := control.NewCommandClient(node.Workers, platform.Codec(), node.Config().Name)
+		return adapterSet{adapters: &control.Adapters{SendCommand: orders.Send, Promote: control.NewPromoter(node, platform.Promote)}, start: orders.Start}
 	},
 }
 
 // leaveBound is how long a machine waits for others to take its roles over.
-const leaveBound = 5 * time.Second
+const leaveTimeout = 5 * time.Second
 
 func main() {
-	os.Exit(bootstrap.Main("seamc", os.Args[1:], func(node *node.Node, place config.Settings) (bootstrap.Program, error) {
-		way := manners[place.Manner](node)
-		made, err := control.Open(node, place, way.seams)
+	os.Exit(bootstrap.Main("seamc", os.Args[1:], func(node *node.Node, cfg config.Config) (bootstrap.Daemon, error) {
+		set := adaptersByMode[cfg.Mode](node)
+		server, err := control.Open(node, cfg, set.adapters)
 		if err != nil {
-			return bootstrap.Program{}, err
+			return bootstrap.Daemon{}, err
 		}
 		begin := func() error {
-			if err := way.start(); err != nil {
+			if err := set.start(); err != nil {
 				return err
 			}
-			made.Start()
+			server.Start()
 			return nil
 		}
-		return bootstrap.Program{Start: begin, Drain: func() {
-			made.Leave(leaveBound)
+		return bootstrap.Daemon{Start: begin, Drain: func() {
+			server.Leave(leaveTimeout)
 			node.Leave()
 		}}, nil
 	}))
--- a/cmd/tansyseam-proxy/main.go
+++ b/cmd/tansyseam-proxy/main.go
@@ -12,26 +12,26 @@
 	"tansyseam/platform"
 )
 
-var manners = map[string]func(*node.Node) (bootstrap.Program, error){
-	"": func(node *node.Node) (bootstrap.Program, error) {
-		made, err := httpproxy.Open(node)
+var openByMode = map[string]func(*node.Node) (bootstrap.Daemon, error){
+	"": func(node *node.Node) (bootstrap.Daemon, error) {
+		proxy, err := httpproxy.New(node)
 		if err != nil {
-			return bootstrap.Program{}, err
+			return bootstrap.Daemon{}, err
 		}
-		return bootstrap.Program{Start: func() error { made.Start(); return nil }, Drain: made.Drain}, nil
+		return bootstrap.Daemon{Start: func() error { proxy.Start(); return nil }, Drain: proxy.Drain}, nil
 	},
-	config.MannerPlatform: func(node *node.Node) (bootstrap.Program, error) {
+	config.ModePlatform: func(node *node.Node) (bootstrap.Daemon, error) {
 		node.Translate = platform.Translate
-		made, err := lineproxy.Open(node, platform.Codec())
+		proxy, err := lineproxy.Open(node, platform.Codec())
 		if err != nil {
-			return bootstrap.Program{}, err
+			return bootstrap.Daemon{}, err
 		}
-		return bootstrap.Program{Start: made.Start, Drain: made.Drain}, nil
+		return bootstrap.Daemon{Start: proxy.Start, Drain: proxy.Drain}, nil
 	},
 }
 
 func main() {
-	os.Exit(bootstrap.Main("seamd", os.Args[1:], func(node *node.Node, place config.Settings) (bootstrap.Program, error) {
-		return manners[place.Manner](node)
+	os.Exit(bootstrap.Main("seamd", os.Args[1:], func(node *node.Node, cfg config.Config) (bootstrap.Daemon, error) {
+		return openByMode[cfg.Mode](node)
 	}))
 }
--- a/cmd/tansyseamctl/main.go
+++ b/cmd/tansyseamctl/main.go
@@ -17,46 +17,46 @@
 	"tansyseam/internal/transport/worker"
 )
 
-func main() { os.Exit(talk(os.Args[1:])) }
+func main() { os.Exit(execute(os.Args[1:])) }
 
-func talk(args []string) int {
-	logging.SetLogger(bootstrap.Silent{})
+func execute(args []string) int {
+	logging.SetLogger(bootstrap.SilentLogger{})
 	parser := flaggy.NewParser("tansyseamctl")
-	parser.Description = "queries on the fleet's state; without a query, a prompt. " + "Queries: " + strings.Join(shell.Names(), ", ")
+	parser.Description = "queries on the fleet's state; without a query, a prompt. " + "Queries: " + strings.Join(shell.QueryNames(), ", ")
 	parser.Version = config.Version
-	door, isJSON := "", false
-	parser.String(&door, "a", "at", "IP:port of any node's door")
-	parser.Bool(&isJSON, "j", "json", "answer in JSON")
+	address, asJSON := "", false
+	parser.String(&address, "a", "at", "IP:port of any node's door")
+	parser.Bool(&asJSON, "j", "json", "answer in JSON")
 	var words [3]string
 	for at := range words {
 		parser.AddPositionalValue(&words[at], fmt.Sprintf("word%d", at+1), at+1, false, "query and its words")
 	}
 	if err := parser.ParseArgs(args); err != nil {
 		fmt.Fprintln(os.Stderr, "tansyseamctl:", err)
-		return bootstrap.ExitSettings
+		return bootstrap.ExitBadConfig
 	}
-	if !config.IsAddress(door) {
+	if !config.IsIPPort(address) {
 		fmt.Fprintln(os.Stderr, "tansyseamctl: --at must be the IP:port of a node's door")
-		return bootstrap.ExitSettings
+		return bootstrap.ExitBadConfig
 	}
-	crew := worker.NewCrew()
-	defer crew.Stop(time.Second)
-	asking, err := shell.New(door, isJSON, os.Stdout, crew)
+	workers := worker.NewGroup()
+	defer workers.Stop(time.Second)
+	client, err := shell.New(address, asJSON, os.Stdout, workers)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "tansyseamctl:", err)
-		return bootstrap.ExitFault
+		return bootstrap.ExitFailure
 	}
 	line := strings.TrimSpace(strings.Join(words[:], " "))
 	if line == "" {
-		err = asking.Talk(os.Stdin)
-	} else if err = asking.Run(line); err != nil {
+		err = client.RunInteractive(os.Stdin)
+	} else if err = client.Run(line); err != nil {
 		fmt.Fprintln(os.Stderr, "tansyseamctl:", err)
 	}
-	if errors.Is(err, shell.ErrQuery) {
-		return bootstrap.ExitSettings
+	if errors.Is(err, shell.ErrBadQuery) {
+		return bootstrap.ExitBadConfig
 	}
 	if err != nil {
-		return bootstrap.ExitFault
+		return bootstrap.ExitFailure
 	}
-	return bootstrap.ExitGood
+	return bootstrap.ExitOK
 }
--- a/internal/app/config/settings_test.go
+++ b/internal/app/config/config_test.go
@@ -11,11 +11,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-var good = map[string]string{
+var validFlags = map[string]string{
 	"name": "d1", "zone": "za", "link": "127.0.0.1:1", "door": "127.0.0.1:2", "seeds": "127.0.0.1:1,127.0.0.1:3,127.0.0.1:4",
 }
 
-func TestSettings(t *testing.T) {
+func TestConfig(t *testing.T) {
 	write := func(text string) string {
 		path := filepath.Join(t.TempDir(), "settings.json")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -24,63 +24,63 @@
 		return path
 	}
 	Convey("Good flags are taken, and what is advertised follows what is listened on", t, func() {
-		read, err := Load("seamd", "", good)
+		loaded, err := Load("seamd", "", validFlags)
 		So(err, ShouldBeNil)
-		So(read.AdvertiseLink, ShouldEqual, "127.0.0.1:1")
-		So(read.Weight, ShouldEqual, 1)
+		So(loaded.AdvertiseRPCAddress, ShouldEqual, "127.0.0.1:1")
+		So(loaded.Weight, ShouldEqual, 1)
 	})
 	Convey("Every fault of file and flags is listed at once", t, func() {
 		file := write(`{"name":"bad name","zone":1,"disks":4,"seeds":["127.0.0.1:1","nowhere"],"link":"host:1","extra":true,"weight":{},"link":"x"}`)
 		_, err := Load("seamc", file, map[string]string{"disks": "many", "log_level": "loud"})
-		all := strings.Join(Faults(err), "\n")
+		all := strings.Join(Reasons(err), "\n")
 		for _, part := range []string{"/name", "/extra", "/link", "/seeds", "--disks", "/data", "/platform", "/log_level", "/door", "twice", "/weight: no such setting of seamc"} {
 			So(all, ShouldContainSubstring, part)
 		}
-		So(len(Faults(err)), ShouldBeGreaterThanOrEqualTo, 10)
+		So(len(Reasons(err)), ShouldBeGreaterThanOrEqualTo, 10)
 	})
 	Convey("A file that is no JSON object, or that is missing, is said to be so", t, func() {
-		_, err := Load("seamd", write(`[1]`), good)
-		So(Faults(err)[0], ShouldContainSubstring, "one object")
-		_, err = Load("seamd", filepath.Join(t.TempDir(), "none"), good)
+		_, err := Load("seamd", write(`[1]`), validFlags)
+		So(Reasons(err)[0], ShouldContainSubstring, "one object")
+		_, err = Load("seamd", filepath.Join(t.TempDir(), "none"), validFlags)
 		So(err, ShouldNotBeNil)
 	})
 	Convey("Flags win over the file, and are kept on a reload", t, func() {
 		file := write(`{"weight":3,"zone":"zz"}`)
-		read, err := Load("seamd", file, good)
+		loaded, err := Load("seamd", file, validFlags)
 		So(err, ShouldBeNil)
-		So(read.Weight, ShouldEqual, 3)
-		So(read.Zone, ShouldEqual, "za")
-		So(Flags("seamd", []string{"--zone", "za", "--weight=2", "--check"}), ShouldResemble, map[string]string{"zone": "za", "weight": "2"})
+		So(loaded.Weight, ShouldEqual, 3)
+		So(loaded.Zone, ShouldEqual, "za")
+		So(FlagValues("seamd", []string{"--zone", "za", "--weight=2", "--check"}), ShouldResemble, map[string]string{"zone": "za", "weight": "2"})
 	})
 	Convey("A change is split into what may change while running and what needs a restart", t, func() {
-		old, _ := Load("seamd", "", good)
+		old, _ := Load("seamd", "", validFlags)
 		new := old
 		new.Weight, new.Zone, new.LogLevel = 4, "zb", "debug"
-		live, fixed := Change("seamd", old, new)
+		live, fixed := Diff("seamd", old, new)
 		So(live, ShouldResemble, []string{"weight", "log_level"})
 		So(fixed, ShouldResemble, []string{"zone"})
-		adopted := Adopt("seamd", old, new)
+		adopted := ApplyLive("seamd", old, new)
 		So(adopted.Weight, ShouldEqual, 4)
 		So(adopted.Zone, ShouldEqual, "za")
 	})
 }
 
-func TestBounds(t *testing.T) {
+func TestDurationBounds(t *testing.T) {
 	Convey("Spans are read in the unit that their name gives, have defaults, and are held to their bounds", t, func() {
-		read, err := Load("seamd", "", good)
+		loaded, err := Load("seamd", "", validFlags)
 		So(err, ShouldBeNil)
-		So([]time.Duration{read.Grace, read.Drain}, ShouldResemble, []time.Duration{6 * time.Second, 7 * time.Second})
-		given := maps.Clone(good)
+		So([]time.Duration{loaded.ShutdownGrace, loaded.InstanceDrain}, ShouldResemble, []time.Duration{6 * time.Second, 7 * time.Second})
+		given := maps.Clone(validFlags)
 		given["grace_s"], given["drain_ms"] = "4.5", "5000"
-		read, err = Load("seamd", "", given)
+		loaded, err = Load("seamd", "", given)
 		So(err, ShouldBeNil)
-		So([]time.Duration{read.Grace, read.Drain}, ShouldResemble, []time.Duration{4500 * time.Millisecond, 5 * time.Second})
+		So([]time.Duration{loaded.ShutdownGrace, loaded.InstanceDrain}, ShouldResemble, []time.Duration{4500 * time.Millisecond, 5 * time.Second})
 		given["grace_s"], given["drain_ms"] = "1", "soon"
 		_, err = Load("seamd", "", given)
-		all := strings.Join(Faults(err), "\n")
+		all := strings.Join(Reasons(err), "\n")
 		So(all, ShouldContainSubstring, "/grace_s: must be")
 		So(all, ShouldContainSubstring, "--drain-ms: not a number")
 		_, err = Load("seamc", "", map[string]string{"in_force_ms": "1000"})
-		So(strings.Join(Faults(err), "\n"), ShouldContainSubstring, "/in_force_ms: must be")
+		So(strings.Join(Reasons(err), "\n"), ShouldContainSubstring, "/in_force_ms: must be")
 	})
 }
--- /dev/null
+++ b/internal/app/control/disk_fault_test.go
@@ -0,0 +1,102 @@
+package control
+
+import (
+	"net/http"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/juju/errors"
+
+	"tansyseam/internal/app/config"
+	"tansyseam/internal/app/node"
+	"tansyseam/internal/coordination/consensus"
+	"tansyseam/internal/protocol/message"
+	"tansyseam/internal/state/versionfile"
+)
+
+type faultyDisk struct {
+	versionfile.Directory
+	refusing bool
+	refusals int
+}
+
+func (d *faultyDisk) Write(name string, data []byte) error {
+	if d.refusing {
+		d.refusals++
+		return errors.New("no space left on device")
+	}
+	return d.Directory.Write(name, data)
+}
+
+func newServerOnFaultyDisk(t *testing.T) (*Server, *faultyDisk) {
+	cfg := config.Config{Name: "c1", Zone: "z", RPCAddress: "127.0.0.1:1", HTTPAddress: "127.0.0.1:2", AdvertiseHTTPAddress: "127.0.0.1:2", ControlNodes: 1, DataDir: t.TempDir(), Mode: "platform", ActivationBound: 3 * time.Second}
+	node, err := node.New("seamc", cfg, hclog.NewNullLogger())
+	So(err, ShouldBeNil)
+	disk := &faultyDisk{Directory: versionfile.Directory(cfg.DataDir)}
+	made, err := OpenOn(node, cfg, disk, nil)
+	So(err, ShouldBeNil)
+	return made, disk
+}
+
+func (s *Server) runPending() {
+	for range 3 {
+		s.tick()
+		for len(s.tasks) > 0 {
+			(<-s.tasks)()
+		}
+	}
+}
+
+func (s *Server) replaceManifestAsync(version int) *message.OperatorCallResult {
+	answered := &message.OperatorCallResult{}
+	s.onOperate(message.OperatorCall{Path: "/v1/manifest/replace", Body: []byte(manifestOf(version, 1000))}, func(answer any) { *answered = answer.(message.OperatorCallResult) })
+	return answered
+}
+
+func TestFailingDiskWrites(t *testing.T) {
+	Convey("A write that the disk refuses is not acknowledged and ends nothing; once the disk takes it, it is", t, func() {
+		s, disk := newServerOnFaultyDisk(t)
+		s.runPending()
+		So(s.isPrimary(), ShouldBeTrue)
+		disk.refusing = true
+		answered := s.replaceManifestAsync(7)
+		s.runPending()
+		So(disk.refusals, ShouldEqual, 1)
+		So(answered.Status, ShouldEqual, 0)
+		So(s.node.Counters.Snapshot()["files_refused"], ShouldEqual, 1)
+		disk.refusing = false
+		s.startDiskWrite(s.node.Now() + consensus.SyncRetryDelay)
+		s.runPending()
+		So(answered.Status, ShouldEqual, http.StatusOK)
+		again, err := OpenOn(s.node, s.node.Config(), disk, nil)
+		So(err, ShouldBeNil)
+		So(again.consensus.ReplicaTable().Version, ShouldResemble, s.consensus.ReplicaTable().Version)
+	})
+}
+
+func TestHangingDiskWrite(t *testing.T) {
+	Convey("While a sync is under way, the loop goes on hearing and answering what rests on no file, and nothing else", t, func() {
+		s, _ := newServerOnFaultyDisk(t)
+		s.runPending()
+		var work []func()
+		s.runOnDisk = func(one func()) { work = append(work, one) }
+		first := s.replaceManifestAsync(7)
+		s.runPending()
+		So(len(work), ShouldEqual, 1)
+		So(first.Status, ShouldEqual, 0)
+		So(s.isPrimary(), ShouldBeTrue)
+		So(s.gate.SyncPending(s.node.Now()), ShouldBeGreaterThan, 0)
+		owed := s.gate.SyncPending(s.node.Now() + time.Second)
+		now := s.node.Now() + time.Second
+		s.consensus.Step(consensus.Tick{WallNanos: 1, SyncPending: owed}, now)
+		So(s.consensus.IsPrimary(now), ShouldBeFalse)
+		refused := s.consensus.Step(consensus.Submit{Token: 99}, now)
+		So(refused, ShouldResemble, []consensus.Effect{consensus.SubmitResult{Token: 99}})
+		work[0]()
+		s.runPending()
+		So(first.Status, ShouldEqual, http.StatusOK)
+	})
+}
--- a/internal/app/control/manifests.go
+++ b/internal/app/control/manifests.go
@@ -18,7 +18,7 @@
 	"tansyseam/internal/state/store"
 )
 
-func pack(raw []byte) []byte {
+func compress(raw []byte) []byte {
 	if len(raw) == 0 {
 		return nil
 	}
@@ -29,7 +29,7 @@
 	return packed.Bytes()
 }
 
-func unpack(packed []byte) ([]byte, error) {
+func decompress(packed []byte) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -38,60 +38,60 @@
 	return raw, errors.Trace(err)
 }
 
-func (c *Control) replaceManifest(value *fastjson.Value, _ string, _ []byte, answer func(any)) {
-	set, raw, faults := bindings.Versioned(value)
-	if len(faults) > 0 {
-		c.node.Counts.Add("manifests_refused", 1)
-		answer(operated(http.StatusBadRequest, node.Refuse("the manifest is broken; nothing of it was taken", faults...)))
+func (s *Server) replaceManifest(value *fastjson.Value, _ string, _ []byte, answer func(any)) {
+	set, raw, violations := bindings.ParseManifest(value)
+	if len(violations) > 0 {
+		s.node.Counters.Add("manifests_refused", 1)
+		answer(operateReply(http.StatusBadRequest, node.NewErrorResponse("the manifest is broken; nothing of it was taken", violations...)))
 		return
 	}
-	sent := distribution.Manifest{Version: set.Version, Set: set, Packed: pack(raw), Digest: distribution.DigestOf(set, raw), Source: "manifest"}
-	isNew, isConflict := false, false
-	c.submit(func(held *store.Table) []store.Put {
-		c.mutex.Lock()
-		wall := c.wallNow()
-		c.mutex.Unlock()
+	sent := distribution.Manifest{Version: set.Version, Set: set, Compressed: compress(raw), Digest: distribution.DigestOf(set, raw), Source: "manifest"}
+	changed, conflicting := false, false
+	s.submit(func(stateTable *store.Table) []store.Put {
+		s.mutex.Lock()
+		wallTime := s.wallNow()
+		s.mutex.Unlock()
 		var puts []store.Put
-		puts, isConflict = distribution.PutManifest(held, sent, wall)
-		isNew = len(puts) > 0
+		puts, conflicting = distribution.ManifestPuts(stateTable, sent, wallTime)
+		changed = len(puts) > 0
 		return puts
-	}, func(done consensus.Answer) {
-		if !done.IsKept {
-			refusal := node.Refuse("the control primary changed under the call")
-			refusal.Outcome, refusal.Retry = "unknown", 500
-			answer(operated(http.StatusServiceUnavailable, refusal))
+	}, func(done consensus.SubmitResult) {
+		if !done.Committed {
+			refusal := node.NewErrorResponse("the control primary changed under the call")
+			refusal.Outcome, refusal.RetryAfterMillis = "unknown", 500
+			answer(operateReply(http.StatusServiceUnavailable, refusal))
 			return
 		}
-		if isConflict {
-			c.node.Counts.Add("manifests_conflicting", 1)
-			answer(operated(http.StatusConflict, node.Refuse(fmt.Sprintf("another manifest was taken as version %d; send this one under a version of its own", set.Version))))
+		if conflicting {
+			s.node.Counters.Add("manifests_conflicting", 1)
+			answer(operateReply(http.StatusConflict, node.NewErrorResponse(fmt.Sprintf("another manifest was taken as version %d; send this one under a version of its own", set.Version))))
 			return
 		}
-		if isNew {
-			c.node.Counts.Add("manifests_taken", 1)
-			c.log.Info("manifest taken", "version", set.Version, "bindings", len(set.Bindings), "databases", len(set.Databases))
+		if changed {
+			s.node.Counters.Add("manifests_taken", 1)
+			s.logger.Info("manifest taken", "version", set.Version, "bindings", len(set.Bindings), "databases", len(set.Databases))
 		}
-		answer(operated(http.StatusOK, map[string]any{"version": set.Version}))
+		answer(operateReply(http.StatusOK, map[string]any{"version": set.Version}))
 	})
 }
 
-func (c *Control) fetchManifest(_ *fastjson.Value, _ string, _ []byte, answer func(any)) {
-	c.mutex.Lock()
-	held := c.steer.Table()
-	c.mutex.Unlock()
-	set, packed, isHeld := distribution.Raw(held)
-	if !isHeld {
-		answer(operated(http.StatusNotFound, node.Refuse("no manifest was taken")))
+func (s *Server) fetchManifest(_ *fastjson.Value, _ string, _ []byte, answer func(any)) {
+	s.mutex.Lock()
+	stateTable := s.distributor.State()
+	s.mutex.Unlock()
+	set, packed, found := distribution.NewestManifest(stateTable)
+	if !found {
+		answer(operateReply(http.StatusNotFound, node.NewErrorResponse("no manifest was taken")))
 		return
 	}
 	if len(packed) == 0 {
-		answer(operated(http.StatusOK, bindings.Write(set)))
+		answer(operateReply(http.StatusOK, bindings.EncodeManifest(set)))
 		return
 	}
-	raw, err := unpack(packed)
+	raw, err := decompress(packed)
 	if err != nil {
-		answer(operated(http.StatusInternalServerError, node.Refuse("the manifest's bytes cannot be read")))
+		answer(operateReply(http.StatusInternalServerError, node.NewErrorResponse("the manifest's bytes cannot be read")))
 		return
 	}
-	answer(operated(http.StatusOK, map[string]any{"version": set.Version, "raw": base64.StdEncoding.EncodeToString(raw)}))
+	answer(operateReply(http.StatusOK, map[string]any{"version": set.Version, "raw": base64.StdEncoding.EncodeToString(raw)}))
 }
--- /dev/null
+++ b/internal/app/control/operations.go
@@ -0,0 +1,282 @@
+package control
+
+import (
+	"encoding/json"
+	"fmt"
+	"net"
+	"net/http"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/valyala/fastjson"
+
+	"tansyseam/internal/app/node"
+	"tansyseam/internal/coordination/consensus"
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/coordination/membership"
+	"tansyseam/internal/protocol/bindings"
+	"tansyseam/internal/protocol/message"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
+)
+
+func hostOf(address string) string {
+	host, _, _ := net.SplitHostPort(address)
+	return host
+}
+
+func (s *Server) registerEndpoints() {
+	passes := []string{"/v1/bindings/put", "/v1/changes/book", "/v1/changes/list", "/v1/bindings/list", "/v1/manifest/replace", "/v1/manifest/fetch"}
+	for _, path := range passes {
+		s.node.HandleCall(path, func(_ *fastjson.Value, raw []byte, _ *http.Request) (int, any) { return s.node.ForwardCall(path, raw) })
+	}
+	s.node.HandleCall("/v1/fleet", func(*fastjson.Value, []byte, *http.Request) (int, any) { return http.StatusOK, s.stateReport("fleet") })
+	s.node.HandleCall("/v1/vitals", func(*fastjson.Value, []byte, *http.Request) (int, any) {
+		ready, why := s.ready()
+		s.mutex.Lock()
+		defer s.mutex.Unlock()
+		return http.StatusOK, map[string]any{
+			"node": s.node.Config().Name, "is_ready": ready, "why": why, "epoch": s.distributor.Record().Epoch,
+			"primary": s.distributor.Record().Primary, "backup": s.distributor.Record().Backup, "sequence": s.appliedStamp.Sequence,
+		}
+	})
+	s.node.HandleCall("/v1/ready", func(*fastjson.Value, []byte, *http.Request) (int, any) {
+		ready, why := s.ready()
+		status := http.StatusOK
+		if !ready {
+			status = http.StatusServiceUnavailable
+		}
+		return status, map[string]any{"ready": ready, "why": why}
+	})
+}
+
+func (s *Server) ready() (bool, string) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if len(s.voters) == 0 && s.distributor.Record().Primary == "" {
+		return false, "the fleet is not formed, or this machine does not know where it stands"
+	}
+	return true, ""
+}
+
+type operation func(s *Server, value *fastjson.Value, path string, raw []byte, answer func(any))
+
+var operations = map[string]operation{
+	"/v1/bindings/put":  (*Server).putBindings,
+	"/v1/changes/book":  (*Server).scheduleChange,
+	"/v1/changes/list":  (*Server).listChanges,
+	"/v1/bindings/list": (*Server).listBindings,
+
+	"/v1/manifest/replace": (*Server).replaceManifest,
+	"/v1/manifest/fetch":   (*Server).fetchManifest,
+}
+
+func (s *Server) onOperate(call message.OperatorCall, answer func(any)) {
+	s.mutex.Lock()
+	elsewhere, primary := s.node.Now() >= s.primaryUntil, s.distributor.Record().Primary
+	s.mutex.Unlock()
+	if elsewhere {
+		answer(message.OperatorCallResult{NotPrimary: true, Primary: primary})
+		return
+	}
+	value, violations := s.node.Schemas.ValidateRequest(call.Path, call.Body)
+	act, known := operations[call.Path]
+	if len(violations) > 0 || !known {
+		answer(operateReply(http.StatusBadRequest, node.NewErrorResponse("call refused", violations...)))
+		return
+	}
+	act(s, value, call.Path, call.Body, answer)
+}
+
+func operateReply(status int, body any) message.OperatorCallResult {
+	data, _ := json.Marshal(body)
+	return message.OperatorCallResult{Status: status, Body: data}
+}
+
+type mutation func(stateTable *store.Table, wallTime int64) (status int, body any, puts []store.Put)
+
+func (s *Server) applyOnce(value *fastjson.Value, path string, act mutation, answer func(any)) {
+	id := string(value.GetStringBytes("id"))
+	s.mutex.Lock()
+	wallTime := s.wallNow()
+	s.mutex.Unlock()
+	var reply message.OperatorCallResult
+	s.submit(func(stateTable *store.Table) []store.Put {
+		if past, found := distribution.FindCallResult(stateTable, id); found {
+			reply = message.OperatorCallResult{Status: past.Status, Body: past.Body}
+			if past.Path != path {
+				reply = operateReply(http.StatusConflict, node.NewErrorResponse("the id was used for another call"))
+			}
+			return nil
+		}
+		status, body, puts := act(stateTable, wallTime)
+		reply = operateReply(status, body)
+		if len(puts) == 0 {
+			return nil
+		}
+		return distribution.RecordCallResult(stateTable, id, distribution.CallResult{Status: reply.Status, Body: reply.Body, Path: path}, puts)
+	}, func(done consensus.SubmitResult) {
+		if !done.Committed {
+			word := "not_kept"
+			if done.OutcomeUnknown {
+				word = "unknown"
+			}
+			refusal := node.NewErrorResponse("the control primary changed under the call")
+			refusal.Outcome, refusal.RetryAfterMillis = word, 1000
+			reply = operateReply(http.StatusServiceUnavailable, refusal)
+		}
+		s.node.Counters.Add("operate_"+strings.ReplaceAll(strings.TrimPrefix(path, "/v1/"), "/", "_"), 1)
+		answer(reply)
+	})
+}
+
+func (s *Server) knowsDatabase(database string) bool {
+	observed := s.observations()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return slices.Contains(s.distributor.Databases(observed), database)
+}
+
+func conflictRefusal(text string, sequence uint64) node.ErrorResponse {
+	refusal := node.NewErrorResponse(text)
+	refusal.Sequence = &sequence
+	return refusal
+}
+
+func (s *Server) putBindings(value *fastjson.Value, path string, _ []byte, answer func(any)) {
+	set, violations := bindings.Parse(value, s.knowsDatabase)
+	if len(violations) > 0 {
+		answer(operateReply(http.StatusUnprocessableEntity, node.NewErrorResponse("the set is broken; nothing of it was taken", violations...)))
+		return
+	}
+	expected := value.GetUint64("expected")
+	s.applyOnce(value, path, func(stateTable *store.Table, wallTime int64) (int, any, []store.Put) {
+		puts, newest := distribution.BindingSetPuts(stateTable, expected, set, "call "+string(value.GetStringBytes("id")), wallTime)
+		if len(puts) == 0 {
+			return http.StatusConflict, conflictRefusal(fmt.Sprintf("sequence %d was expected, %d is current", expected, newest), newest), nil
+		}
+		return http.StatusOK, map[string]any{"sequence": newest + 1}, puts
+	}, answer)
+}
+
+func (s *Server) scheduleChange(value *fastjson.Value, path string, _ []byte, answer func(any)) {
+	s.mutex.Lock()
+	wallTime := s.wallNow()
+	s.mutex.Unlock()
+	set, violations := bindings.Parse(value, s.knowsDatabase)
+	at, timeViolations := bindings.ParseScheduledTime(value, wallTime)
+	violations = append(violations, timeViolations...)
+	id := string(value.GetStringBytes("id"))
+	s.applyOnce(value, path, func(stateTable *store.Table, wallTime int64) (int, any, []store.Put) {
+		if len(violations) > 0 {
+			return http.StatusUnprocessableEntity, node.NewErrorResponse("the change is broken; nothing of it was taken", violations...), nil
+		}
+		puts, way := distribution.ScheduledChangePuts(stateTable, id, at, set, wallTime)
+		if len(puts) == 0 {
+			text := fmt.Sprintf("sequence %d, due at %d, is on its way already: book for that moment or later", way.Sequence, way.NotBefore/int64(time.Millisecond))
+			return http.StatusConflict, conflictRefusal(text, way.Sequence), nil
+		}
+		return http.StatusOK, map[string]any{"id": id, "at_ms": at / int64(time.Millisecond)}, puts
+	}, answer)
+}
+
+func bindingViews(bindingList []model.Binding) []map[string]any {
+	list := []map[string]any{}
+	for _, binding := range bindingList {
+		list = append(list, map[string]any{
+			"name": binding.Name, "database": binding.Database, "freshness_ms": binding.Freshness.Milliseconds(),
+		})
+	}
+	return list
+}
+
+func (s *Server) listChanges(_ *fastjson.Value, _ string, _ []byte, answer func(any)) {
+	s.mutex.Lock()
+	stateTable := s.distributor.State()
+	s.mutex.Unlock()
+	list := []map[string]any{}
+	for _, key := range stateTable.Keys(model.PrefixScheduledChange) {
+		if booking, found := store.Get(stateTable, key, model.ScheduledChangeFrom); found {
+			list = append(list, map[string]any{
+				"id": booking.ID, "at_ms": booking.EffectiveAt / int64(time.Millisecond), "bindings": bindingViews(booking.Bindings),
+			})
+		}
+	}
+	answer(operateReply(http.StatusOK, map[string]any{"changes": list}))
+}
+
+func (s *Server) listBindings(_ *fastjson.Value, _ string, _ []byte, answer func(any)) {
+	s.mutex.Lock()
+	snapshot, wallTime := s.distributor.Snapshot(), s.wallNow()
+	s.mutex.Unlock()
+	answer(operateReply(http.StatusOK, BindingSets(s.node.Config().Name, snapshot, snapshot.ActiveSet(wallTime))))
+}
+
+// ListOf writes the binding sets that a node knows.
+func BindingSets(node string, snapshot model.Snapshot, current model.BindingSet) map[string]any {
+	taken := []map[string]any{}
+	for _, set := range snapshot.Sets {
+		taken = append(taken, map[string]any{
+			"sequence": set.Sequence, "bindings": bindingViews(set.Bindings), "moment_ms": set.EffectiveAt / int64(time.Millisecond),
+		})
+	}
+	return map[string]any{"node": node, "sequence": current.Sequence, "bindings": bindingViews(current.Bindings), "taken": taken}
+}
+
+// NodesOf writes what a node knows of the others.
+func NodeViews(node *node.Node) []map[string]any {
+	list := []map[string]any{}
+	for _, other := range node.Nodes("", membership.StatusLive, membership.StatusDead, membership.StatusLeft) {
+		standing, silence := node.Status(other.Name)
+		list = append(list, map[string]any{
+			"node": other.Name, "kind": other.Kind, "zone": other.Zone, "link": other.RPCAddress, "door": other.HTTPAddress,
+			"standing": standing, "silent_ms": silence.Milliseconds(), "weight": other.Weight, "version": other.Version,
+		})
+	}
+	return list
+}
+
+// WritersOf writes the writer roles.
+func Writers(snapshot model.Snapshot) []model.WriterRole {
+	list := []model.WriterRole{}
+	for _, writer := range snapshot.Writers {
+		list = append(list, writer)
+	}
+	slices.SortFunc(list, func(a, b model.WriterRole) int { return strings.Compare(a.Database, b.Database) })
+	return list
+}
+
+func (s *Server) stateReport(what string) []byte {
+	now := s.node.Now()
+	instances := []map[string]any{}
+	for _, observed := range s.node.Instances(5 * time.Minute) {
+		instances = append(instances, map[string]any{
+			"instance": observed.Instance, "heard_ms": (now - observed.AnnouncedAt).Milliseconds(),
+		})
+	}
+	s.mutex.Lock()
+	entries := []model.AuditEntry{}
+	state, snapshot, record := s.distributor.State(), s.distributor.Snapshot(), s.distributor.Record()
+	for _, key := range state.Keys(model.PrefixAuditEntry) {
+		if entry, found := store.Get(state, key, model.AuditEntryFrom); found {
+			entries = append(entries, entry)
+		}
+	}
+	stateTable := []map[string]any{}
+	for name, stamp := range s.distributor.LeasedNodes(now) {
+		stateTable = append(stateTable, map[string]any{"node": name, "epoch": stamp.Epoch, "sequence": stamp.Sequence, "shows": s.distributor.ActiveSequence(name)})
+	}
+	body := map[string]any{
+		"node": s.node.Config().Name, "kind": model.KindControl, "what": what,
+		"instances": instances, "writers": Writers(snapshot),
+		"epoch":   map[string]any{"epoch": record.Epoch, "primary": record.Primary, "backup": record.Backup},
+		"primacy": now < s.primaryUntil, "stamp": map[string]any{"epoch": s.appliedStamp.Epoch, "sequence": s.appliedStamp.Sequence},
+		"leases": stateTable, "duties": s.singletons.Roles(now), "entries": entries, "voters": s.voters,
+		"sets": BindingSets(s.node.Config().Name, snapshot, snapshot.ActiveSet(s.wallNow())),
+	}
+	s.mutex.Unlock()
+	body["nodes"] = NodeViews(s.node)
+	data, _ := json.Marshal(body)
+	return data
+}
--- a/internal/app/httpproxy/drain.go
+++ b/internal/app/httpproxy/drain.go
@@ -10,35 +10,35 @@
 	"tansyseam/internal/transport/worker"
 )
 
-const lingerBound = 700 * time.Millisecond
+const lingerTimeout = 700 * time.Millisecond
 
 // Drain makes the node unready, ends what waits in line with a word on
 // coming back, finishes what was passed on, and closes the sessions.
-func (p *Plane) Drain() {
+func (p *Proxy) Drain() {
 	p.log.Info("stopping: no new work")
 	p.node.Leave()
-	p.do(p.hall.Leave)
-	for until := p.now() + finishBound; p.now() < until && p.busyCount() > 0; {
-		run20()
+	p.apply(p.pool.Drain)
+	for until := p.now() + finishTimeout; p.now() < until && p.activeSessions() > 0; {
+		pause()
 	}
 	left := 0
-	p.do(func(time.Duration) { left = p.hall.Part() })
-	p.bequeath()
-	p.log.Info("stopped", "sessions", left, "unfinished", p.busyCount())
-	worker.Await(make(chan struct{}), lingerBound)
+	p.apply(func(time.Duration) { left = p.pool.DisconnectSessions() })
+	p.handOver()
+	p.log.Info("stopped", "sessions", left, "unfinished", p.activeSessions())
+	worker.Await(make(chan struct{}), lingerTimeout)
 }
 
-func (p *Plane) busyCount() int {
+func (p *Proxy) activeSessions() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.hall.Busy()
+	return p.pool.ActiveSessions()
 }
 
-func (p *Plane) bequeath() {
+func (p *Proxy) handOver() {
 	self := p.node.Self()
 	var others []model.Node
 	var names []string
-	for _, node := range p.node.Nodes(model.KindData, membership.IsLive) {
+	for _, node := range p.node.Nodes(model.KindProxy, membership.StatusLive) {
 		if node.Name != self.Name {
 			others = append(others, node)
 			names = append(names, node.Name)
@@ -49,14 +49,14 @@
 		return
 	}
 	p.mutex.Lock()
-	left := p.hall.Goes().Leave(heirs[0])
+	left := p.pool.RequestLog().Export(heirs[0])
 	p.mutex.Unlock()
 	for _, node := range others {
-		if node.Name != left.Heir {
-			p.node.Hub.Send(node.Link, idempotency.Legacy{Node: left.Node, Birth: left.Birth, Heir: left.Heir})
+		if node.Name != left.Successor {
+			p.node.Hub.Send(node.RPCAddress, idempotency.Handover{Node: left.Node, Incarnation: left.Incarnation, Successor: left.Successor})
 			continue
 		}
-		if _, err := p.node.Hub.Call(node.Link, left, 800*time.Millisecond); err != nil {
+		if _, err := p.node.Hub.Call(node.RPCAddress, left, 800*time.Millisecond); err != nil {
 			p.log.Warn("record of goes not left", "heir", node.Name, "error", err)
 		}
 	}
--- a/internal/app/node/seeker_test.go
+++ b/internal/app/node/search_test.go
@@ -9,29 +9,29 @@
 	"tansyseam/internal/state/model"
 )
 
-func TestSeeker(t *testing.T) {
+func TestPrimarySearch(t *testing.T) {
 	Convey("Asks that bring no news go round all control machines, however many there are", t, func() {
 		for _, primary := range []string{"", "gone"} {
 			for count := 1; count <= 9; count++ {
 				var nodes []model.Node
 				for number := range count {
-					nodes = append(nodes, model.Node{Link: fmt.Sprint("link", number)})
+					nodes = append(nodes, model.Node{RPCAddress: fmt.Sprint("link", number)})
 				}
 				asked := map[string]int{}
 				for misses := range 3 * count {
-					asked[Seeker{Misses: misses}.target(primary, nodes)]++
+					asked[PrimarySearch{Misses: misses}.target(primary, nodes)]++
 				}
 				for _, node := range nodes {
-					SoMsg(fmt.Sprintf("%s of %d, primary %q", node.Link, count, primary), asked[node.Link], ShouldBeGreaterThan, 0)
+					SoMsg(fmt.Sprintf("%s of %d, primary %q", node.RPCAddress, count, primary), asked[node.RPCAddress], ShouldBeGreaterThan, 0)
 				}
 			}
 		}
 	})
 	Convey("The primary is asked first, and two times of three after", t, func() {
-		nodes := []model.Node{{Link: "a"}, {Link: "b"}, {Link: "c"}}
+		nodes := []model.Node{{RPCAddress: "a"}, {RPCAddress: "b"}, {RPCAddress: "c"}}
 		for misses := range 12 {
-			So(Seeker{Misses: misses}.target("primary", nodes) == "primary", ShouldEqual, misses%3 != 2)
+			So(PrimarySearch{Misses: misses}.target("primary", nodes) == "primary", ShouldEqual, misses%3 != 2)
 		}
-		So(Seeker{Misses: 2}.target("primary", nil), ShouldEqual, "primary")
+		So(PrimarySearch{Misses: 2}.target("primary", nil), ShouldEqual, "primary")
 	})
 }
--- a/internal/app/shell/shell.go
+++ b/internal/app/shell/shell.go
@@ -20,55 +20,55 @@
 
 // Errors of the shell.
 const (
-	ErrQuery   = errors.ConstError("bad query")
-	ErrReached = errors.ConstError("a node could not be reached")
+	ErrBadQuery    = errors.ConstError("bad query")
+	ErrUnreachable = errors.ConstError("a node could not be reached")
 )
 
 // Ask makes a remote call to a door.
-type Ask func(door, path string) ([]byte, error)
+type Requester func(address, path string) ([]byte, error)
 
 // Shell asks by way of one door, and from there any node of the fleet.
 type Shell struct {
-	Door   string
-	IsJSON bool
-	Out    io.Writer
-	ask    Ask
+	Address string
+	JSON    bool
+	Out     io.Writer
+	request Requester
 }
 
 // New makes a shell that asks over HTTP.
-func New(door string, isJSON bool, out io.Writer, crew *worker.Crew) (*Shell, error) {
+func New(address string, asJSON bool, out io.Writer, crew *worker.Group) (*Shell, error) {
 	client, err := httpserver.NewClient("", crew)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	return NewWith(door, isJSON, out, func(door, path string) ([]byte, error) {
-		session, err := client.Dial(door, 2*time.Second, nil)
+	return NewWithRequester(address, asJSON, out, func(address, path string) ([]byte, error) {
+		session, err := client.Dial(address, 2*time.Second, nil)
 		if err != nil {
 			return nil, errors.Trace(err)
 		}
 		defer session.Close()
-		answer := session.Ask(path, []byte("{}"), 3*time.Second)
+		answer := session.Post(path, []byte("{}"), 3*time.Second)
 		return answer.Body, errors.Trace(answer.Err)
 	}), nil
 }
 
 // NewWith makes a shell with another way of asking.
-func NewWith(door string, isJSON bool, out io.Writer, ask Ask) *Shell {
-	return &Shell{Door: door, IsJSON: isJSON, Out: out, ask: ask}
+func NewWithRequester(address string, asJSON bool, out io.Writer, ask Requester) *Shell {
+	return &Shell{Address: address, JSON: asJSON, Out: out, request: ask}
 }
 
 type row map[string]any
 
-type answer struct {
-	columns   []string
-	rows      []row
-	unreached []string
+type result struct {
+	columns     []string
+	rows        []row
+	unreachable []string
 }
 
 type query struct {
-	help string
-	most int
-	run  func(s *Shell, words []string) (answer, error)
+	help    string
+	maxArgs int
+	run     func(s *Shell, args []string) (result, error)
 }
 
 var queries map[string]query
@@ -76,23 +76,23 @@
 func init() {
 	queries = map[string]query{
 		"nodes":     {"every node as the asked node holds it", 0, (*Shell).nodes},
-		"vitals":    {"whether each node serves, and why not", 0, (*Shell).vitals},
+		"vitals":    {"whether each node serves, and why not", 0, (*Shell).health},
 		"instances": {"instances: role, term, position, freshness, by node", 1, (*Shell).instances},
 		"windows":   {"admission: window, CAL and threshold of each node for each instance", 1, (*Shell).windows},
 		"bindings":  {"binding sets, and the sequence in force at each node", 0, (*Shell).bindings},
 		"changes":   {"changes booked and not yet taken", 0, (*Shell).changes},
 		"epochs":    {"the control plane: epoch, primary, backup, as each control node knows them", 0, (*Shell).epochs},
-		"duties":    {"duties and who holds them", 0, (*Shell).duties},
+		"duties":    {"duties and who holds them", 0, (*Shell).singletons},
 		"leases":    {"leases given out by the control primary", 0, (*Shell).leases},
 		"writers":   {"the writer role of each database", 0, (*Shell).writers},
-		"why":       {"why SUBJECT: what the fleet did about a database, 'bindings' or 'control', with the evidence", 1, (*Shell).why},
+		"why":       {"why SUBJECT: what the fleet did about a database, 'bindings' or 'control', with the evidence", 1, (*Shell).history},
 		"counters":  {"counters NODE: a node's counters", 1, (*Shell).counters},
 		"help":      {"this list", 0, (*Shell).help},
 	}
 }
 
 // Names lists the queries.
-func Names() []string {
+func QueryNames() []string {
 	var names []string
 	for name := range queries {
 		names = append(names, name)
@@ -103,31 +103,31 @@
 
 // Run answers one query.
 func (s *Shell) Run(line string) error {
-	words := strings.Fields(line)
-	if len(words) == 0 {
+	args := strings.Fields(line)
+	if len(args) == 0 {
 		return nil
 	}
-	asked, isKnown := queries[words[0]]
-	if !isKnown {
-		return errors.WithType(errors.Errorf("no query %q; there are: %s", words[0], strings.Join(Names(), ", ")), ErrQuery)
+	asked, known := queries[args[0]]
+	if !known {
+		return errors.WithType(errors.Errorf("no query %q; there are: %s", args[0], strings.Join(QueryNames(), ", ")), ErrBadQuery)
 	}
-	if len(words)-1 > asked.most {
-		return errors.WithType(errors.Errorf("%q takes at most %d words, got %d: %s", words[0], asked.most, len(words)-1, asked.help), ErrQuery)
+	if len(args)-1 > asked.maxArgs {
+		return errors.WithType(errors.Errorf("%q takes at most %d words, got %d: %s", args[0], asked.maxArgs, len(args)-1, asked.help), ErrBadQuery)
 	}
-	found, err := asked.run(s, words[1:])
+	found, err := asked.run(s, args[1:])
 	if err != nil {
 		return err
 	}
-	s.show(found)
-	if len(found.unreached) > 0 {
-		return errors.WithType(errors.Errorf("not reached: %s", strings.Join(found.unreached, "; ")), ErrReached)
+	s.render(found)
+	if len(found.unreachable) > 0 {
+		return errors.WithType(errors.Errorf("not reached: %s", strings.Join(found.unreachable, "; ")), ErrUnreachable)
 	}
 	return nil
 }
 
 // Talk answers the lines of a reader until it ends or says quit; it gives
 // the last error, if there was one.
-func (s *Shell) Talk(in io.Reader) error {
+func (s *Shell) RunInteractive(in io.Reader) error {
 	var last error
 	lines := bufio.NewScanner(in)
 	_, _ = fmt.Fprint(s.Out, "tansyseamctl> ")
@@ -145,9 +145,9 @@
 	return last
 }
 
-func (s *Shell) show(found answer) {
-	if s.IsJSON {
-		data, _ := json.MarshalIndent(map[string]any{"rows": found.rows, "not_reached": found.unreached}, "", "  ")
+func (s *Shell) render(found result) {
+	if s.JSON {
+		data, _ := json.MarshalIndent(map[string]any{"rows": found.rows, "not_reached": found.unreachable}, "", "  ")
 		_, _ = fmt.Fprintln(s.Out, string(data))
 		return
 	}
@@ -163,81 +163,81 @@
 	_ = table.Flush()
 }
 
-func (s *Shell) get(door, path string) (*fastjson.Value, error) {
-	data, err := s.ask(door, path)
+func (s *Shell) fetch(address, path string) (*fastjson.Value, error) {
+	data, err := s.request(address, path)
 	if err != nil {
-		return nil, errors.WithType(errors.Errorf("%s: %v", door, err), ErrReached)
+		return nil, errors.WithType(errors.Errorf("%s: %v", address, err), ErrUnreachable)
 	}
 	value, err := fastjson.ParseBytes(data)
 	if err != nil {
-		return nil, errors.WithType(errors.Errorf("%s answered no JSON", door), ErrReached)
+		return nil, errors.WithType(errors.Errorf("%s answered no JSON", address), ErrUnreachable)
 	}
 	return value, nil
 }
 
-func text(value *fastjson.Value, keys ...string) string {
+func stringAt(value *fastjson.Value, keys ...string) string {
 	return string(value.GetStringBytes(keys...))
 }
 
-type place struct {
-	name, kind, door, standing string
+type nodeRef struct {
+	name, kind, address, status string
 }
 
-func (s *Shell) places() ([]place, *fastjson.Value, error) {
-	value, err := s.get(s.Door, "/v1/fleet")
+func (s *Shell) listNodes() ([]nodeRef, *fastjson.Value, error) {
+	value, err := s.fetch(s.Address, "/v1/fleet")
 	if err != nil {
 		return nil, nil, err
 	}
-	var list []place
+	var list []nodeRef
 	for _, node := range value.GetArray("nodes") {
-		list = append(list, place{text(node, "node"), text(node, "kind"), text(node, "door"), text(node, "standing")})
+		list = append(list, nodeRef{stringAt(node, "node"), stringAt(node, "kind"), stringAt(node, "door"), stringAt(node, "standing")})
 	}
 	return list, value, nil
 }
 
-func (s *Shell) each(kind, path string, act func(place, *fastjson.Value) []row) (answer, error) {
-	found := answer{}
-	list, _, err := s.places()
+func (s *Shell) collect(kind, path string, act func(nodeRef, *fastjson.Value) []row) (result, error) {
+	found := result{}
+	list, _, err := s.listNodes()
 	if err != nil {
 		return found, err
 	}
-	for _, one := range list {
-		if kind != "" && one.kind != kind {
+	for _, node := range list {
+		if kind != "" && node.kind != kind {
 			continue
 		}
-		if one.standing != "live" {
-			found.unreached = append(found.unreached, one.name+" is "+one.standing)
+		if node.status != "live" {
+			found.unreachable = append(found.unreachable, node.name+" is "+node.status)
 			continue
 		}
-		value, err := s.get(one.door, path)
+		value, err := s.fetch(node.address, path)
 		if err != nil {
-			found.unreached = append(found.unreached, one.name+": "+err.Error())
+			found.unreachable = append(found.unreachable, node.name+": "+err.Error())
 			continue
 		}
-		found.rows = append(found.rows, act(one, value)...)
+		found.rows = append(found.rows, act(node, value)...)
 	}
 	return found, nil
 }
 
-func (s *Shell) nodes([]string) (answer, error) {
-	found := answer{columns: []string{"node", "kind", "zone", "standing", "silent_ms", "weight", "version", "door"}}
-	_, value, err := s.places()
+func (s *Shell) nodes([]string) (result, error) {
+	found := result{columns: []string{"node", "kind", "zone", "standing", "silent_ms", "weight", "version", "door"}}
+	_, value, err := s.listNodes()
 	if err != nil {
 		return found, err
 	}
 	for _, node := range value.GetArray("nodes") {
 		found.rows = append(found.rows, row{
-			"node": text(node, "node"), "kind": text(node, "kind"), "zone": text(node, "zone"), "standing": text(node, "standing"),
-			"silent_ms": node.GetInt("silent_ms"), "weight": node.GetFloat64("weight"), "version": node.GetInt("version"), "door": text(node, "door"),
+			"node": stringAt(node, "node"), "kind": stringAt(node, "kind"), "zone": stringAt(node, "zone"), "standing": stringAt(node, "standing"),
+			"silent_ms": node.GetInt("silent_ms"), "weight": node.GetFloat64("weight"), "version": node.GetInt("version"), "door": stringAt(node, "door"),
 		})
 	}
 	return found, nil
 }
 
-func (s *Shell) vitals([]string) (answer, error) {
-	found, err := s.each("", "/v1/vitals", func(one place, value *fastjson.Value) []row {
+func (s *Shell) health([]string) (result, error) {
+	found, err := s.collect("", "/v1/vitals", func(node nodeRef, value *fastjson.Value) []row {
 		return []row{{
-			"node": one.name, "kind": one.kind, "ready": value.GetBool("is_ready"), "why": text(value, "why"),
+			"node": node.name, "kind": node.kind, "ready": value.GetBool("is_ready"), "why": stringAt(value, "why"),
 			"epoch": value.GetInt("epoch"), "sequence": value.GetInt("sequence"), "sessions": value.GetInt("sessions"), "lease_ms": value.GetInt("lease_ms"),
 		}}
 	})
@@ -245,20 +245,20 @@
 	return found, err
 }
 
-func isWanted(words []string, name string) bool {
-	return len(words) == 0 || strings.HasPrefix(name, words[0])
+func matchesPrefix(args []string, name string) bool {
+	return len(args) == 0 || strings.HasPrefix(name, args[0])
 }
 
-func (s *Shell) instances(words []string) (answer, error) {
-	found, err := s.each("seamd", "/v1/fleet", func(one place, value *fastjson.Value) []row {
+func (s *Shell) instances(args []string) (result, error) {
+	found, err := s.collect("seamd", "/v1/fleet", func(node nodeRef, value *fastjson.Value) []row {
 		var rows []row
 		for _, item := range value.GetArray("instances") {
-			name := text(item, "instance", "instance")
-			if !isWanted(words, name) {
+			name := stringAt(item, "instance", "instance")
+			if !matchesPrefix(args, name) {
 				continue
 			}
 			rows = append(rows, row{
-				"node": one.name, "instance": name, "role": text(item, "instance", "role"), "term": item.GetInt("instance", "term"),
+				"node": node.name, "instance": name, "role": stringAt(item, "instance", "role"), "term": item.GetInt("instance", "term"),
 				"position": fmt.Sprintf("%d/%d", item.GetInt("position", "term"), item.GetInt("position", "index")),
 				"heard_ms": item.GetInt("heard_ms"), "answered_ms": item.GetInt("answered_ms"), "fresh_ms": item.GetInt("fresh_ms"),
 				"leaving": item.GetBool("instance", "leaving"), "sessions": fmt.Sprintf("%d of %d", item.GetInt("sessions"), item.GetInt("share")),
@@ -270,18 +270,18 @@
 	return found, err
 }
 
-func (s *Shell) windows(words []string) (answer, error) {
-	found, err := s.each("seamd", "/v1/fleet", func(one place, value *fastjson.Value) []row {
+func (s *Shell) windows(args []string) (result, error) {
+	found, err := s.collect("seamd", "/v1/fleet", func(node nodeRef, value *fastjson.Value) []row {
 		var rows []row
 		for _, item := range value.GetArray("instances") {
-			name := text(item, "instance", "instance")
-			if !isWanted(words, name) {
+			name := stringAt(item, "instance", "instance")
+			if !matchesPrefix(args, name) {
 				continue
 			}
 			admission := item.Get("admission")
 			ms := func(key string) string { return fmt.Sprintf("%.2f", admission.GetFloat64(key)/1e6) }
 			rows = append(rows, row{
-				"node": one.name, "instance": name, "window": fmt.Sprintf("%.2f", admission.GetFloat64("window")), "cal_ms": ms("cal_ns"),
+				"node": node.name, "instance": name, "window": fmt.Sprintf("%.2f", admission.GetFloat64("window")), "cal_ms": ms("cal_ns"),
 				"threshold_ms": ms("threshold_ns"), "open": admission.GetInt("open"), "ghosts": admission.GetInt("ghosts"),
 				"beta": admission.GetFloat64("beta"), "max": admission.GetFloat64("max"), "seen": admission.GetInt("seen"),
 			})
@@ -292,17 +292,17 @@
 	return found, err
 }
 
-func (s *Shell) bindings([]string) (answer, error) {
-	found, err := s.each("", "/v1/fleet", func(one place, value *fastjson.Value) []row {
+func (s *Shell) bindings([]string) (result, error) {
+	found, err := s.collect("", "/v1/fleet", func(node nodeRef, value *fastjson.Value) []row {
 		sets := value.Get("sets")
 		inForce := "in force"
-		if one.kind == "seamd" && value.GetInt("lease_ms") == 0 {
+		if node.kind == "seamd" && value.GetInt("lease_ms") == 0 {
 			inForce = "old news: the node has no lease and serves nothing"
 		}
-		if one.kind == "seamc" && !value.GetBool("primacy") {
+		if node.kind == "seamc" && !value.GetBool("primacy") {
 			return nil
 		}
-		rows := []row{{"node": one.name, "sequence": sets.GetInt("sequence"), "bindings": len(sets.GetArray("bindings")), "state": inForce}}
+		rows := []row{{"node": node.name, "sequence": sets.GetInt("sequence"), "bindings": len(sets.GetArray("bindings")), "state": inForce}}
 		for _, set := range sets.GetArray("taken") {
 			if set.GetInt("sequence") <= sets.GetInt("sequence") {
 				continue
@@ -311,7 +311,7 @@
 			if moment := set.GetInt64("moment_ms"); moment != 0 {
 				state = "takes effect at " + time.UnixMilli(moment).UTC().Format(time.RFC3339Nano)
 			}
-			rows = append(rows, row{"node": one.name, "sequence": set.GetInt("sequence"), "bindings": len(set.GetArray("bindings")), "state": state})
+			rows = append(rows, row{"node": node.name, "sequence": set.GetInt("sequence"), "bindings": len(set.GetArray("bindings")), "state": state})
 		}
 		return rows
 	})
@@ -319,27 +319,27 @@
 	return found, err
 }
 
-func (s *Shell) changes([]string) (answer, error) {
-	found := answer{columns: []string{"id", "at", "bindings"}}
-	value, err := s.get(s.Door, "/v1/changes/list")
+func (s *Shell) changes([]string) (result, error) {
+	found := result{columns: []string{"id", "at", "bindings"}}
+	value, err := s.fetch(s.Address, "/v1/changes/list")
 	if err != nil {
 		return found, err
 	}
-	if reason := text(value, "error"); reason != "" {
-		return found, errors.WithType(errors.New(reason), ErrReached)
+	if reason := stringAt(value, "error"); reason != "" {
+		return found, errors.WithType(errors.New(reason), ErrUnreachable)
 	}
 	for _, change := range value.GetArray("changes") {
 		found.rows = append(found.rows, row{
-			"id": text(change, "id"), "at": time.UnixMilli(change.GetInt64("at_ms")).UTC().Format(time.RFC3339Nano), "bindings": len(change.GetArray("bindings")),
+			"id": stringAt(change, "id"), "at": time.UnixMilli(change.GetInt64("at_ms")).UTC().Format(time.RFC3339Nano), "bindings": len(change.GetArray("bindings")),
 		})
 	}
 	return found, nil
 }
 
-func (s *Shell) epochs([]string) (answer, error) {
-	found, err := s.each("seamc", "/v1/fleet", func(one place, value *fastjson.Value) []row {
+func (s *Shell) epochs([]string) (result, error) {
+	found, err := s.collect("seamc", "/v1/fleet", func(node nodeRef, value *fastjson.Value) []row {
 		return []row{{
-			"node": one.name, "epoch": value.GetInt("epoch", "epoch"), "primary": text(value, "epoch", "primary"), "backup": text(value, "epoch", "backup"),
+			"node": node.name, "epoch": value.GetInt("epoch", "epoch"), "primary": stringAt(value, "epoch", "primary"), "backup": stringAt(value, "epoch", "backup"),
 			"holds_primacy": value.GetBool("primacy"), "state": fmt.Sprintf("%d/%d", value.GetInt("stamp", "epoch"), value.GetInt("stamp", "sequence")),
 		}}
 	})
@@ -347,12 +347,12 @@
 	return found, err
 }
 
-func (s *Shell) duties([]string) (answer, error) {
-	found, err := s.each("seamc", "/v1/fleet", func(one place, value *fastjson.Value) []row {
+func (s *Shell) singletons([]string) (result, error) {
+	found, err := s.collect("seamc", "/v1/fleet", func(node nodeRef, value *fastjson.Value) []row {
 		var rows []row
 		for _, duty := range value.GetArray("duties") {
 			if duty.GetBool("is_held") {
-				rows = append(rows, row{"duty": text(duty, "duty"), "held_by": one.name})
+				rows = append(rows, row{"duty": stringAt(duty, "duty"), "held_by": node.name})
 			}
 		}
 		return rows
@@ -361,44 +361,44 @@
 	return found, err
 }
 
-func (s *Shell) fromPrimary() (*fastjson.Value, string, error) {
-	list, _, err := s.places()
+func (s *Shell) fetchFromPrimary() (*fastjson.Value, string, error) {
+	list, _, err := s.listNodes()
 	if err != nil {
 		return nil, "", err
 	}
-	var missed []string
-	for _, one := range list {
-		if one.kind != "seamc" {
+	var unreachable []string
+	for _, node := range list {
+		if node.kind != "seamc" {
 			continue
 		}
-		value, err := s.get(one.door, "/v1/fleet")
+		value, err := s.fetch(node.address, "/v1/fleet")
 		if err != nil {
-			missed = append(missed, one.name)
+			unreachable = append(unreachable, node.name)
 			continue
 		}
 		if value.GetBool("primacy") {
-			return value, one.name, nil
+			return value, node.name, nil
 		}
 	}
-	return nil, "", errors.WithType(errors.Errorf("no control machine that was reached holds primacy (not reached: %s)", strings.Join(missed, ", ")), ErrReached)
+	return nil, "", errors.WithType(errors.Errorf("no control machine that was reached holds primacy (not reached: %s)", strings.Join(unreachable, ", ")), ErrUnreachable)
 }
 
-func (s *Shell) leases([]string) (answer, error) {
-	found := answer{columns: []string{"node", "has_taken_up", "shows"}}
-	value, _, err := s.fromPrimary()
+func (s *Shell) leases([]string) (result, error) {
+	found := result{columns: []string{"node", "has_taken_up", "shows"}}
+	value, _, err := s.fetchFromPrimary()
 	if err != nil {
 		return found, err
 	}
 	for _, lease := range value.GetArray("leases") {
 		found.rows = append(found.rows, row{
-			"node": text(lease, "node"), "has_taken_up": fmt.Sprintf("%d/%d", lease.GetInt("epoch"), lease.GetInt("sequence")), "shows": lease.GetInt("shows"),
+			"node": stringAt(lease, "node"), "has_taken_up": fmt.Sprintf("%d/%d", lease.GetInt("epoch"), lease.GetInt("sequence")), "shows": lease.GetInt("shows"),
 		})
 	}
 	slices.SortFunc(found.rows, func(a, b row) int { return strings.Compare(fmt.Sprint(a["node"]), fmt.Sprint(b["node"])) })
 	return found, nil
 }
 
-func names(value *fastjson.Value, key string) string {
+func sortedKeys(value *fastjson.Value, key string) string {
 	var list []string
 	if object := value.GetObject(key); object != nil {
 		object.Visit(func(name []byte, _ *fastjson.Value) { list = append(list, string(name)) })
@@ -407,57 +407,57 @@
 	return strings.Join(list, ",")
 }
 
-func (s *Shell) writers([]string) (answer, error) {
-	found := answer{columns: []string{"database", "term", "primary", "phase", "commits_wait_for", "may_be_promoted", "why"}}
-	value, _, err := s.fromPrimary()
+func (s *Shell) writers([]string) (result, error) {
+	found := result{columns: []string{"database", "term", "primary", "phase", "commits_wait_for", "may_be_promoted", "why"}}
+	value, _, err := s.fetchFromPrimary()
 	if err != nil {
 		return found, err
 	}
 	for _, writer := range value.GetArray("writers") {
 		found.rows = append(found.rows, row{
-			"database": text(writer, "Database"), "term": writer.GetInt("Term"), "primary": text(writer, "Primary"), "phase": text(writer, "Phase"),
-			"commits_wait_for": names(writer, "Required"), "may_be_promoted": names(writer, "Candidates"), "why": text(writer, "Why"),
+			"database": stringAt(writer, "Database"), "term": writer.GetInt("Term"), "primary": stringAt(writer, "Primary"), "phase": stringAt(writer, "Phase"),
+			"commits_wait_for": sortedKeys(writer, "Required"), "may_be_promoted": sortedKeys(writer, "Candidates"), "why": stringAt(writer, "Why"),
 		})
 	}
 	return found, nil
 }
 
-func (s *Shell) why(words []string) (answer, error) {
-	found := answer{columns: []string{"at", "subject", "what", "evidence"}}
-	value, _, err := s.fromPrimary()
+func (s *Shell) history(args []string) (result, error) {
+	found := result{columns: []string{"at", "subject", "what", "evidence"}}
+	value, _, err := s.fetchFromPrimary()
 	if err != nil {
 		return found, err
 	}
 	for _, entry := range value.GetArray("entries") {
-		subject := text(entry, "subject")
-		if len(words) > 0 && subject != words[0] && subject != "database "+words[0] {
+		subject := stringAt(entry, "subject")
+		if len(args) > 0 && subject != args[0] && subject != "database "+args[0] {
 			continue
 		}
 		found.rows = append(found.rows, row{
-			"at": time.Unix(0, entry.GetInt64("at")).UTC().Format("15:04:05.000"), "subject": subject, "what": text(entry, "what"), "evidence": text(entry, "evidence"),
+			"at": time.Unix(0, entry.GetInt64("at")).UTC().Format("15:04:05.000"), "subject": subject, "what": stringAt(entry, "what"), "evidence": stringAt(entry, "evidence"),
 		})
 	}
-	if len(words) > 0 && len(found.rows) == 0 {
-		return found, errors.WithType(errors.Errorf("nothing is on record about %q", words[0]), ErrQuery)
+	if len(args) > 0 && len(found.rows) == 0 {
+		return found, errors.WithType(errors.Errorf("nothing is on record about %q", args[0]), ErrBadQuery)
 	}
 	return found, nil
 }
 
-func (s *Shell) counters(words []string) (answer, error) {
-	found := answer{columns: []string{"counter", "count"}}
-	door := s.Door
-	if len(words) == 1 {
-		list, _, err := s.places()
+func (s *Shell) counters(args []string) (result, error) {
+	found := result{columns: []string{"counter", "count"}}
+	address := s.Address
+	if len(args) == 1 {
+		list, _, err := s.listNodes()
 		if err != nil {
 			return found, err
 		}
-		at := slices.IndexFunc(list, func(one place) bool { return one.name == words[0] })
+		at := slices.IndexFunc(list, func(node nodeRef) bool { return node.name == args[0] })
 		if at < 0 {
-			return found, errors.WithType(errors.Errorf("no node %q is known", words[0]), ErrQuery)
+			return found, errors.WithType(errors.Errorf("no node %q is known", args[0]), ErrBadQuery)
 		}
-		door = list[at].door
+		address = list[at].address
 	}
-	value, err := s.get(door, "/v1/counters")
+	value, err := s.fetch(address, "/v1/counters")
 	if err != nil {
 		return found, err
 	}
@@ -468,9 +468,9 @@
 	return found, nil
 }
 
-func (s *Shell) help([]string) (answer, error) {
-	found := answer{columns: []string{"query", "answers"}}
-	for _, name := range Names() {
+func (s *Shell) help([]string) (result, error) {
+	found := result{columns: []string{"query", "answers"}}
+	for _, name := range QueryNames() {
 		found.rows = append(found.rows, row{"query": name, "answers": queries[name].help})
 	}
 	return found, nil
--- a/internal/app/shell/shell_test.go
+++ b/internal/app/shell/shell_test.go
@@ -11,35 +11,35 @@
 	"github.com/juju/errors"
 )
 
-const nodes = `"nodes":[
+const nodesJSON = `"nodes":[
 	{"node":"c1","kind":"seamc","door":"c1","standing":"live"},
 	{"node":"d1","kind":"seamd","door":"d1","standing":"live"},
 	{"node":"d2","kind":"seamd","door":"d2","standing":"live"},
 	{"node":"d3","kind":"seamd","door":"d3","standing":"dead"}]`
 
-func answers(door, _ string) ([]byte, error) {
+func respond(address, _ string) ([]byte, error) {
 	bodies := map[string]string{
-		"c1": `{` + nodes + `,"primacy":true,"sets":{"sequence":4,"bindings":[],"taken":[{"sequence":5,"bindings":[],"moment_ms":0}]},
+		"c1": `{` + nodesJSON + `,"primacy":true,"sets":{"sequence":4,"bindings":[],"taken":[{"sequence":5,"bindings":[],"moment_ms":0}]},
 			"entries":[{"at":1,"subject":"database db","what":"term closed","evidence":"five nodes"}]}`,
-		"d1": `{` + nodes + `,"lease_ms":900,"sets":{"sequence":4,"bindings":[],"taken":[]}}`,
-		"d2": `{` + nodes + `,"lease_ms":0,"sets":{"sequence":3,"bindings":[],"taken":[]}}`,
+		"d1": `{` + nodesJSON + `,"lease_ms":900,"sets":{"sequence":4,"bindings":[],"taken":[]}}`,
+		"d2": `{` + nodesJSON + `,"lease_ms":0,"sets":{"sequence":3,"bindings":[],"taken":[]}}`,
 	}
-	body, isKnown := bodies[door]
-	if !isKnown {
+	body, known := bodies[address]
+	if !known {
 		return nil, errors.New("refused")
 	}
 	return []byte(body), nil
 }
 
 func TestShell(t *testing.T) {
-	ask := func(isJSON bool, line string) (string, error) {
+	ask := func(asJSON bool, line string) (string, error) {
 		var out bytes.Buffer
-		err := NewWith("d1", isJSON, &out, answers).Run(line)
+		err := NewWithRequester("d1", asJSON, &out, respond).Run(line)
 		return out.String(), err
 	}
 	Convey("What is old news is said to be so, and who was not reached is named", t, func() {
 		out, err := ask(false, "bindings")
-		So(errors.Is(err, ErrReached), ShouldBeTrue)
+		So(errors.Is(err, ErrUnreachable), ShouldBeTrue)
 		So(err.Error(), ShouldContainSubstring, "d3 is dead")
 		So(out, ShouldContainSubstring, "old news")
 		So(out, ShouldContainSubstring, "being carried to all nodes")
@@ -56,7 +56,7 @@
 	Convey("A bad query is told what there is", t, func() {
 		for _, line := range []string{"nonsense", "nodes and more", "why nobody", "counters nobody"} {
 			_, err := ask(false, line)
-			So(errors.Is(err, ErrQuery), ShouldBeTrue)
+			So(errors.Is(err, ErrBadQuery), ShouldBeTrue)
 		}
 		_, err := ask(false, "nonsense")
 		So(err.Error(), ShouldContainSubstring, "writers")
--- a/internal/coordination/connquota/rights.go
+++ b/internal/coordination/connquota/quota.go
@@ -18,80 +18,80 @@
 
 // Plenty is the share from which a node has connections of its own only: one
 // that rests inside a transaction then leaves it another.
-const Plenty = 2
+const MinExclusive = 2
 
 // Share is what one node may have at one instance: Kept connections at rest,
 // Most in all.
-type Share struct {
-	Kept int
-	Most int
+type Quota struct {
+	MaxIdle int
+	MaxOpen int
 }
 
 // IsScarce says whether connections over the kept ones are given back.
-func (s Share) IsScarce() bool { return s.Kept < s.Most }
+func (s Quota) IsScarce() bool { return s.MaxIdle < s.MaxOpen }
 
 // Names are the nodes that share: those that lived in the last minute, so that
 // one that comes back finds its rights free. The zero value knows none.
-type Names struct {
-	seen  map[string]time.Duration
-	names []string
-	live  []string
-	noted time.Duration
+type Members struct {
+	lastSeen  map[string]time.Duration
+	names     []string
+	live      []string
+	updatedAt time.Duration
 }
 
 const (
-	remembered = time.Minute
+	retention = time.Minute
 	// looked is how often the same names are gone through again.
-	looked = time.Second
+	refreshInterval = time.Second
 )
 
 // Note takes the names of the nodes that live now, and says whether those that
 // share have changed.
-func (n *Names) Note(live []string, now time.Duration) bool {
-	if n.seen != nil && now-n.noted < looked && slices.Equal(live, n.live) {
+func (m *Members) Update(live []string, now time.Duration) bool {
+	if m.lastSeen != nil && now-m.updatedAt < refreshInterval && slices.Equal(live, m.live) {
 		return false
 	}
-	if n.seen == nil {
-		n.seen = map[string]time.Duration{}
+	if m.lastSeen == nil {
+		m.lastSeen = map[string]time.Duration{}
 	}
-	n.live, n.noted = append(n.live[:0], live...), now
-	isNew := false
+	m.live, m.updatedAt = append(m.live[:0], live...), now
+	changed := false
 	for _, name := range live {
-		_, isKnown := n.seen[name]
-		isNew = isNew || !isKnown
-		n.seen[name] = now
+		_, known := m.lastSeen[name]
+		changed = changed || !known
+		m.lastSeen[name] = now
 	}
-	for name, at := range n.seen {
-		if now-at >= remembered {
-			delete(n.seen, name)
-			isNew = true
+	for name, at := range m.lastSeen {
+		if now-at >= retention {
+			delete(m.lastSeen, name)
+			changed = true
 		}
 	}
-	if isNew {
-		n.names = n.names[:0]
-		for name := range n.seen {
-			n.names = append(n.names, name)
+	if changed {
+		m.names = m.names[:0]
+		for name := range m.lastSeen {
+			m.names = append(m.names, name)
 		}
-		slices.Sort(n.names)
+		slices.Sort(m.names)
 	}
-	return isNew
+	return changed
 }
 
 // Count is how many nodes share, one at least.
-func (n *Names) Count() int { return max(len(n.names), 1) }
+func (m *Members) Count() int { return max(len(m.names), 1) }
 
 // Of gives the share of a node at an instance with a cap; one connection is
 // left to the control primary. A cap below two is not known yet.
-func (n *Names) Of(node, instance string, connections int) Share {
-	if connections < Plenty {
-		return Share{Kept: 1, Most: 1}
+func (m *Members) Quota(node, instance string, connections int) Quota {
+	if connections < MinExclusive {
+		return Quota{MaxIdle: 1, MaxOpen: 1}
 	}
-	if own := connections / (n.Count() + 1); own >= Plenty {
-		return Share{Kept: own, Most: own}
+	if own := connections / (m.Count() + 1); own >= MinExclusive {
+		return Quota{MaxIdle: own, MaxOpen: own}
 	}
-	share := Share{Most: Plenty}
-	if half := connections / 2; half >= n.Count() || rendezvous.IsAmong(n.names, instance, node, half) {
-		share.Kept = 1
+	quota := Quota{MaxOpen: MinExclusive}
+	if half := connections / 2; half >= m.Count() || rendezvous.IsSelected(m.names, instance, node, half) {
+		quota.MaxIdle = 1
 	}
-	return share
+	return quota
 }
--- a/internal/coordination/consensus/catchup_test.go
+++ b/internal/coordination/consensus/catchup_test.go
@@ -11,7 +11,7 @@
 )
 
 // change writes one of so many keys at the primary.
-func (c *cluster) change(number, keys int) {
+func (c *cluster) submitChange(number, keys int) {
 	c.step(c.primary(), Submit{Token: uint64(1000 + number), Build: func(*store.Table) []store.Put {
 		return []store.Put{{Key: fmt.Sprint("key", number%keys), Data: []byte(fmt.Sprintf("%06d", number))}}
 	}})
@@ -22,24 +22,24 @@
 	// away has a machine miss so many changes, and gives what is sent to it, in bytes,
 	// until it is whole again, and how long that takes.
 	away := func(changes int, isBlank bool) (size int, span time.Duration) {
-		c, founding := foundedOf(3, "c1", "c2", "c3")
+		c, founding := newFormedCluster(3, "c1", "c2", "c3")
 		for number := range keys {
-			c.change(number, keys)
+			c.submitChange(number, keys)
 		}
 		lost := c.machines[c.primary()].Record().Backup
 		c.up[lost] = false
 		c.run(4 * time.Second)
 		for number := range changes {
-			c.change(number, keys)
+			c.submitChange(number, keys)
 		}
-		So(c.answers[uint64(1000+changes-1)].IsKept, ShouldBeTrue)
+		So(c.results[uint64(1000+changes-1)].Committed, ShouldBeTrue)
 		c.up[lost] = true
 		if isBlank {
 			c.add(founding, lost)
 		}
 		c.sent = func(_, to string, body any) {
-			if fill, isFill := body.(Fill); isFill && to == lost {
-				size += len(store.Encode(fill))
+			if fill, isFill := body.(RepairRanges); isFill && to == lost {
+				size += len(store.EncodePlain(fill))
 			}
 		}
 		from := c.now
@@ -47,10 +47,10 @@
 		So(c.machines[lost].IsPrimary(c.now), ShouldBeFalse)
 		c.up[c.machines[c.primary()].Record().Backup] = false
 		for c.now < from+20*time.Second && c.machines[c.primary()].Record().Backup != lost {
-			c.change(changes+keys, keys)
+			c.submitChange(changes+keys, keys)
 			c.run(20 * time.Millisecond)
 		}
-		So(c.machines[lost].Copy().Records, ShouldResemble, c.machines[c.primary()].Copy().Records)
+		So(c.machines[lost].ReplicaTable().Records, ShouldResemble, c.machines[c.primary()].ReplicaTable().Records)
 		return size, c.now - from
 	}
 	Convey("What is sent to a machine that missed changes is bounded by the state, not by their number, whether it has its disk or not, and it holds no role before it is whole", t, func() {
@@ -60,7 +60,7 @@
 				size, span := away(changes, isBlank)
 				So(size, ShouldBeGreaterThan, 0)
 				So(size, ShouldBeLessThan, 2*few)
-				So(span, ShouldBeLessThan, catchUp+time.Second)
+				So(span, ShouldBeLessThan, catchUpTime+time.Second)
 			}
 		}
 	})
--- /dev/null
+++ b/internal/coordination/consensus/diskloss_test.go
@@ -0,0 +1,169 @@
+package consensus
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/internal/coordination/proposal"
+	"tansyseam/internal/state/store"
+)
+
+var five = []string{"c1", "c2", "c3", "c4", "c5"}
+
+func bodiesSent[T any](effects []Effect) []T {
+	var list []T
+	for _, effect := range effects {
+		if send, isSend := effect.(Send); isSend {
+			if body, isOne := send.Body.(T); isOne {
+				list = append(list, body)
+			}
+		}
+	}
+	return list
+}
+
+// restart makes the machine anew from what its effects have saved.
+func restart(self string, effects []Effect, now time.Duration) *Machine {
+	saved := PersistentState{}
+	for _, effect := range effects {
+		save, isSave := effect.(Save)
+		if !isSave {
+			continue
+		}
+		if save.Kind == FileIdentity {
+			identity, err := DecodeIdentity(save.Data)
+			So(err, ShouldBeNil)
+			saved.Identity = identity
+		}
+		if save.Kind == FileVoterState {
+			voterState, err := DecodeVoterState(save.Data)
+			So(err, ShouldBeNil)
+			saved.VoterState = voterState
+		}
+	}
+	return New(self, len(five), DefaultTiming(), saved, now)
+}
+
+func newBlankMachine(self string, now time.Duration) *Machine {
+	m := New(self, len(five), DefaultTiming(), PersistentState{}, now)
+	m.Step(Peers{Names: five}, now)
+	So(len(bodiesSent[StatusRequest](m.Step(Tick{WallNanos: 77}, now))), ShouldBeGreaterThanOrEqualTo, len(five)-1)
+	return m
+}
+
+// speaks counts how often a machine grants, votes or stands, whatever it is asked.
+func countParticipation(m *Machine, from string, now time.Duration) int {
+	record := m.Record()
+	number := proposal.Number{Round: 1, Name: from}
+	var effects []Effect
+	for _, body := range []any{
+		RenewLease{Record: record, SentAt: now}, Prepare{Decided: record, Number: number, Version: store.Version{Epoch: 99}},
+		Accept{Epoch: record.Epoch + 1, Number: number, Value: store.EncodePlain(record)},
+		Replicate{Record: record, Version: store.Version{Epoch: record.Epoch, Sequence: 1}}, RepairDigests{Record: record}, RepairRanges{Record: record},
+	} {
+		effects = append(effects, m.Step(Received{From: from, Body: body}, now)...)
+	}
+	effects = append(effects, m.Step(Tick{WallNanos: 78}, now)...)
+	count := len(bodiesSent[RenewLeaseAck](effects)) + len(bodiesSent[Accepted](effects)) + len(bodiesSent[Prepare](effects)) +
+		len(bodiesSent[RenewLease](effects)) + len(bodiesSent[RepairRequest](effects)) + len(bodiesSent[RepairDone](effects))
+	for _, promised := range bodiesSent[Promise](effects) {
+		count += boolInt(promised.Granted)
+	}
+	for _, ack := range bodiesSent[ReplicateAck](effects) {
+		count += boolInt(ack.Synced)
+	}
+	return count
+}
+
+func boolInt(is bool) int { return int(boolBit(is)) }
+
+func TestMachineThatLostItsDisk(t *testing.T) {
+	Convey("Whatever role it had, a machine that lost its disk does not grant, vote, stand or sync until a record has its new disk, also after a restart", t, func() {
+		for _, self := range []string{"c1", "c2", "c3"} {
+			now := time.Hour
+			record := Record{Epoch: 4, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(five)}
+			m := newBlankMachine(self, now)
+			effects := m.Step(Received{From: "c4", Body: Status{Cluster: "x", Decided: record}}, now)
+			So(m.Record(), ShouldResemble, record)
+			So(m.IsMember(), ShouldBeFalse)
+			for range 2 {
+				for later := now; later < now+5*time.Second; later += 50 * time.Millisecond {
+					So(countParticipation(m, "c1", later), ShouldEqual, 0)
+				}
+				now += 10 * time.Second
+				m = restart(self, effects, now)
+				So(m.IsMember(), ShouldBeFalse)
+			}
+			next := record
+			next.Epoch, next.Primary, next.Backup = 5, "c4", "c5"
+			m.Step(Received{From: "c4", Body: Decided{Record: next}}, now)
+			So(countParticipation(m, "c4", now), ShouldEqual, 0)
+			next.Epoch, next.Voters = 6, next.Voters.Replace(Member{Name: self}, Member{Name: self, Incarnation: 77})
+			m.Step(Received{From: "c4", Body: Decided{Record: next}}, now)
+			So(m.IsMember(), ShouldBeTrue)
+			So(countParticipation(m, "c4", now), ShouldBeGreaterThan, 0)
+		}
+	})
+	Convey("A record that has an older disk of the machine gives it no vote", t, func() {
+		m := newBlankMachine("c3", time.Hour)
+		record := Record{Epoch: 4, Primary: "c1", Voters: votersWithoutIncarnation(five).Replace(Member{Name: "c3"}, Member{Name: "c3", Incarnation: 76})}
+		m.Step(Received{From: "c4", Body: Status{Cluster: "x", Decided: record}}, time.Hour)
+		So(m.IsMember(), ShouldBeFalse)
+		So(countParticipation(m, "c1", time.Hour), ShouldEqual, 0)
+	})
+}
+
+func TestOlderFilesThanWereSynced(t *testing.T) {
+	Convey("A machine whose newest files are unsound, or whose votes are gone, is as one whose disk is blank, formed or not", t, func() {
+		now := time.Hour
+		old := Record{Epoch: 2, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(five)}
+		record := Record{Epoch: 4, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(five)}
+		for _, saved := range []PersistentState{
+			{Identity: &Identity{Cluster: "x", Self: "c3", Voters: five, Formed: true}, VoterState: &VoterState{Sequence: 1, Decided: old}, Corrupted: true},
+			{Identity: &Identity{Cluster: "x", Self: "c3", Voters: five}, VoterState: &VoterState{Sequence: 1, Decided: old}, Corrupted: true},
+			{Identity: &Identity{Cluster: "x", Self: "c3", Voters: five, Formed: true}},
+		} {
+			m := New("c3", len(five), DefaultTiming(), saved, now)
+			m.Step(Peers{Names: five}, now)
+			So(len(bodiesSent[StatusRequest](m.Step(Tick{WallNanos: 77}, now))), ShouldEqual, len(five)-1)
+			So(countParticipation(m, "c1", now), ShouldEqual, 0)
+			m.Step(Received{From: "c1", Body: Decided{Record: record}}, now)
+			So(countParticipation(m, "c1", now), ShouldEqual, 0)
+			effects := m.Step(Received{From: "c2", Body: Status{Cluster: "x", Decided: record}}, now)
+			So(m.Record(), ShouldResemble, record)
+			So(countParticipation(m, "c1", now), ShouldEqual, 0)
+			isCleaned := false
+			for _, effect := range effects {
+				_, isClean := effect.(RemoveCorrupt)
+				isCleaned = isCleaned || isClean
+			}
+			So(isCleaned, ShouldEqual, saved.Corrupted)
+			record := record
+			record.Epoch, record.Voters = 5, record.Voters.Replace(Member{Name: "c3"}, Member{Name: "c3", Incarnation: 77})
+			m.Step(Received{From: "c1", Body: Decided{Record: record}}, now)
+			So(countParticipation(m, "c1", now), ShouldBeGreaterThan, 0)
+		}
+	})
+	Convey("A machine whose files are unsound founds nothing and agrees to nothing", t, func() {
+		m := New("c1", 3, DefaultTiming(), PersistentState{Corrupted: true}, time.Hour)
+		m.Step(Peers{Names: []string{"c1", "c2", "c3"}}, time.Hour)
+		effects := m.Step(Tick{WallNanos: 77}, time.Hour)
+		effects = append(effects, m.Step(Received{From: "c2", Body: FormCluster{Identity: Identity{Cluster: "y", Voters: []string{"c1", "c2", "c3"}}}}, time.Hour)...)
+		So(bodiesSent[FormCluster](effects), ShouldBeEmpty)
+		So(bodiesSent[FormClusterAck](effects), ShouldBeEmpty)
+	})
+}
+
+func TestFilesOfABuildWithoutIncarnations(t *testing.T) {
+	Convey("A record without voters on disk has the machines that the fleet was founded with", t, func() {
+		m := newFormedMachine("c2", time.Hour)
+		So(m.IsMember(), ShouldBeTrue)
+		So(m.Record().Voters, ShouldEqual, votersWithoutIncarnation([]string{"c1", "c2", "c3"}))
+	})
+}
+
+func putKey(key string) func(*store.Table) []store.Put {
+	return func(*store.Table) []store.Put { return []store.Put{{Key: key, Data: []byte("x")}} }
+}
--- a/internal/coordination/consensus/membership.go
+++ b/internal/coordination/consensus/membership.go
@@ -13,21 +13,21 @@
 
 const (
 	// standbyLife is for how long a standby's offer counts.
-	standbyLife = time.Second
+	standbyOfferTTL = time.Second
 	// leavingLife is for how long a voter's word that it ends counts.
-	leavingLife = time.Second
+	leavingTTL = time.Second
 	// silentSpans is how many spans of primacy a voter may be silent before a
 	// standby replaces it.
-	silentSpans = 3
+	replacementLeases = 3
 	// unheardSpans is how many spans of primacy a machine hears nothing of the
 	// primary before it asks all others where things stand.
-	unheardSpans = 2
+	contactLossLeases = 2
 )
 
 // standby is a machine's offer to vote.
 type standby struct {
 	incarnation uint64
-	at          time.Duration
+	offeredAt   time.Duration
 	// epoch is the one by whose record it does not vote.
 	epoch uint64
 }
@@ -36,76 +36,76 @@
 type Electorate struct {
 	Voters Voters
 	// IsMember says whether this machine is one of the voters.
-	IsMember bool
+	IncludesSelf bool
 	// IsChanging says that this machine has accepted a record with other voters,
 	// which may be settled.
-	IsChanging bool
+	Changing bool
 }
 
 // Electorate gives the voters as this machine knows them.
 func (m *Machine) Electorate() Electorate {
-	return Electorate{Voters: m.ballots.Decided.Voters, IsMember: m.IsMember(), IsChanging: m.isChanging()}
+	return Electorate{Voters: m.voterState.Decided.Voters, IncludesSelf: m.IsMember(), Changing: m.isChanging()}
 }
 
 func (m *Machine) isChanging() bool {
-	if len(m.ballots.Voter.Value) == 0 {
+	if len(m.voterState.Acceptor.Value) == 0 {
 		return false
 	}
 	var accepted Record
-	isRead := decodeRecord(m.ballots.Voter.Value, &accepted)
-	return !isRead || accepted.Voters != m.ballots.Decided.Voters
+	isRead := decodeRecord(m.voterState.Acceptor.Value, &accepted)
+	return !isRead || accepted.Voters != m.voterState.Decided.Voters
 }
 
 // IsMember says whether this machine votes, by the record that it knows.
 func (m *Machine) IsMember() bool {
-	return m.isFormed() && m.ballots.Decided.Voters.Has(Member{Name: m.self, Incarnation: m.identity.Incarnation})
+	return m.isFormed() && m.voterState.Decided.Voters.Has(Member{Name: m.self, Incarnation: m.identity.Incarnation})
 }
 
 // IsStandby says whether the machine knows a fleet and has no vote in it.
 func (m *Machine) IsStandby() bool { return m.isFormed() && !m.IsMember() }
 
 func (m *Machine) isVoter(name string) bool {
-	_, isIn := m.ballots.Decided.Voters.Find(name)
-	return isIn
+	_, found := m.voterState.Decided.Voters.Find(name)
+	return found
 }
 
 // keepInTouch asks for newer records while no primary is heard of, and offers
 // this machine to the primary while it has no vote.
-func (m *Machine) keepInTouch(now time.Duration) {
-	isUnheard := now-m.heardAt >= unheardSpans*m.timing.Primacy
-	isDue := now-m.asked >= m.timing.Form && !m.hasPrimacy(now) && (isUnheard || !m.IsMember())
+func (m *Machine) refreshStatus(now time.Duration) {
+	isUnheard := now-m.lastPrimaryContact >= contactLossLeases*m.timing.PrimaryLease
+	isDue := now-m.statusRequestedAt >= m.timing.FormInterval && !m.holdsLease(now) && (isUnheard || !m.IsMember())
 	if !isDue {
 		return
 	}
-	m.asked = now
-	if !m.IsMember() && !m.isLeaving {
-		m.send(m.ballots.Decided.Primary, Join{
-			Cluster: m.identity.Cluster, Epoch: m.ballots.Decided.Epoch, Incarnation: m.identity.Incarnation,
+	m.statusRequestedAt = now
+	if !m.IsMember() && !m.stopping {
+		m.send(m.voterState.Decided.Primary, Join{
+			Cluster: m.identity.Cluster, Epoch: m.voterState.Decided.Epoch, Incarnation: m.identity.Incarnation,
 		})
 	}
 	if isUnheard {
-		m.askAll()
+		m.requestStatusFromAll()
 	}
 }
 
-func (m *Machine) askAll() {
+func (m *Machine) requestStatusFromAll() {
 	for _, name := range m.peers {
 		if name != m.self {
-			m.send(name, AskStanding{})
+			m.send(name, StatusRequest{})
 		}
 	}
 }
 
-func (m *Machine) onAskStanding(from string, _ AskStanding, _ time.Duration) {
+func (m *Machine) onStatusRequest(from string, _ StatusRequest, _ time.Duration) {
 	if m.isFormed() {
-		m.send(from, Standing{Cluster: m.identity.Cluster, Decided: m.ballots.Decided})
+		m.send(from, Status{Cluster: m.identity.Cluster, Decided: m.voterState.Decided})
 	}
 }
 
 func (m *Machine) onDecided(from string, told Decided, now time.Duration) {
 	m.adopt(told.Record, now, "told")
-	if m.isFormed() && m.ballots.Decided == told.Record && told.Record.Primary == from {
-		m.heardAt = now
+	if m.isFormed() && m.voterState.Decided == told.Record && told.Record.Primary == from {
+		m.lastPrimaryContact = now
 	}
 }
 
@@ -116,43 +116,43 @@
 	if !m.isFormed() || join.Cluster != m.identity.Cluster {
 		return
 	}
-	m.send(from, Decided{Record: m.ballots.Decided})
-	isMember := m.ballots.Decided.Voters.Has(Member{Name: from, Incarnation: join.Incarnation})
-	if m.isNamed() && !isMember && join.Epoch == m.ballots.Decided.Epoch {
-		m.standbys[from] = standby{incarnation: join.Incarnation, at: now, epoch: join.Epoch}
+	m.send(from, Decided{Record: m.voterState.Decided})
+	isMember := m.voterState.Decided.Voters.Has(Member{Name: from, Incarnation: join.Incarnation})
+	if m.isRecordedPrimary() && !isMember && join.Epoch == m.voterState.Decided.Epoch {
+		m.standbys[from] = standby{incarnation: join.Incarnation, offeredAt: now, epoch: join.Epoch}
 	}
 }
 
 func (m *Machine) onLeave(_ Leave, now time.Duration) {
-	m.isLeaving = true
-	m.tellLeaving(now)
+	m.stopping = true
+	m.announceLeaving(now)
 }
 
 // tellLeaving tells the primary that this machine is about to end.
-func (m *Machine) tellLeaving(now time.Duration) {
-	if m.isLeaving && m.isFormed() && !m.hasPrimacy(now) && m.ballots.Decided.Primary != m.self {
-		m.send(m.ballots.Decided.Primary, Leaving{})
+func (m *Machine) announceLeaving(now time.Duration) {
+	if m.stopping && m.isFormed() && !m.holdsLease(now) && m.voterState.Decided.Primary != m.self {
+		m.send(m.voterState.Decided.Primary, Leaving{})
 	}
 }
 
 // onLeaving notes that a voter ends. It is released at once where no standby could
 // vote in its place, and the others are a majority without it.
 func (m *Machine) onLeaving(from string, _ Leaving, now time.Duration) {
-	m.leaving[from] = now
-	isIdle := from != m.ballots.Decided.Primary && from != m.ballots.Decided.Backup
-	if m.hasPrimacy(now) && isIdle && !m.hasStandby(now) && m.canSpare(from, now) {
-		m.send(from, Released{Epoch: m.ballots.Decided.Epoch})
+	m.leavingAnnounced[from] = now
+	isIdle := from != m.voterState.Decided.Primary && from != m.voterState.Decided.Backup
+	if m.holdsLease(now) && isIdle && !m.hasStandby(now) && m.hasQuorumWithout(from, now) {
+		m.send(from, Released{Epoch: m.voterState.Decided.Epoch})
 	}
 }
 
 // canSpare says whether the voters that answer are a majority without one of them.
-func (m *Machine) canSpare(name string, now time.Duration) bool {
+func (m *Machine) hasQuorumWithout(name string, now time.Duration) bool {
 	names := m.Voters()
 	count := 0
 	for _, other := range names {
-		at, isHeard := m.acks[other]
-		isThere := other == m.self || (isHeard && now-at < m.timing.Primacy)
-		if isThere && other != name && !m.isLeavingNow(other, now) {
+		at, known := m.lastAck[other]
+		isThere := other == m.self || (known && now-at < m.timing.PrimaryLease)
+		if isThere && other != name && !m.hasAnnouncedLeaving(other, now) {
 			count++
 		}
 	}
@@ -162,7 +162,7 @@
 // hasStandby says whether a machine offered to vote lately, in whichever epoch.
 func (m *Machine) hasStandby(now time.Duration) bool {
 	for name, one := range m.standbys {
-		if now-one.at < standbyLife && !m.isVoter(name) && !m.isLeavingNow(name, now) {
+		if now-one.offeredAt < standbyOfferTTL && !m.isVoter(name) && !m.hasAnnouncedLeaving(name, now) {
 			return true
 		}
 	}
@@ -170,30 +170,30 @@
 }
 
 func (m *Machine) onReleased(from string, released Released, _ time.Duration) {
-	if from == m.ballots.Decided.Primary {
-		m.releasedIn = released.Epoch
+	if from == m.voterState.Decided.Primary {
+		m.releasedEpoch = released.Epoch
 	}
 }
 
-func (m *Machine) isLeavingNow(name string, now time.Duration) bool {
-	at, isTold := m.leaving[name]
-	return isTold && now-at < leavingLife
+func (m *Machine) hasAnnouncedLeaving(name string, now time.Duration) bool {
+	at, known := m.leavingAnnounced[name]
+	return known && now-at < leavingTTL
 }
 
 // IsFree says whether this machine may end: it has no vote, or holds no role and was
 // released.
-func (m *Machine) IsFree() bool {
-	decided := m.ballots.Decided
+func (m *Machine) MayStop() bool {
+	decided := m.voterState.Decided
 	isIdle := decided.Primary != m.self && decided.Backup != m.self
-	return !m.IsMember() || (isIdle && m.releasedIn == decided.Epoch)
+	return !m.IsMember() || (isIdle && m.releasedEpoch == decided.Epoch)
 }
 
 // handOver makes the backup primary, where this primary is about to end.
-func (m *Machine) handOver(now time.Duration) bool {
-	decided := m.ballots.Decided
-	at, isHeard := m.acks[decided.Backup]
-	isReady := decided.Backup != "" && isHeard && now-at < m.timing.Primacy/2 && !m.isLeavingNow(decided.Backup, now)
-	if !m.isLeaving || !isReady {
+func (m *Machine) transferPrimary(now time.Duration) bool {
+	decided := m.voterState.Decided
+	at, known := m.lastAck[decided.Backup]
+	isReady := decided.Backup != "" && known && now-at < m.timing.PrimaryLease/2 && !m.hasAnnouncedLeaving(decided.Backup, now)
+	if !m.stopping || !isReady {
 		return false
 	}
 	m.propose(Record{Epoch: decided.Epoch + 1, Primary: decided.Backup, Backup: m.self, Voters: decided.Voters}, now)
@@ -201,18 +201,18 @@
 }
 
 // changeVoters replaces a voter, where one is to be replaced.
-func (m *Machine) changeVoters(now time.Duration) bool {
-	old, next, isDue := m.replacement(now)
+func (m *Machine) replaceVoter(now time.Duration) bool {
+	old, next, isDue := m.nextReplacement(now)
 	if !isDue {
 		return false
 	}
-	decided := m.ballots.Decided
-	record := m.successor(decided.Backup)
+	decided := m.voterState.Decided
+	record := m.nextRecord(decided.Backup)
 	record.Voters = decided.Voters.Replace(old, next)
 	if decided.Backup == old.Name {
 		record.Backup = ""
 	}
-	if !m.canAnswer(record.Voters, next.Name, now) {
+	if !m.hasQuorumWith(record.Voters, next.Name, now) {
 		return false
 	}
 	m.propose(record, now)
@@ -221,11 +221,11 @@
 
 // replacement gives a voter that is to be replaced and by whom: one that came back
 // without its disk by itself, and else one that ends or is silent by a standby.
-func (m *Machine) replacement(now time.Duration) (old, next Member, isDue bool) {
+func (m *Machine) nextReplacement(now time.Duration) (old, next Member, isDue bool) {
 	ready := m.readyStandbys(now)
-	voters := m.ballots.Decided.Voters
+	voters := m.voterState.Decided.Voters
 	for _, one := range ready {
-		if old, isIn := voters.Find(one.Name); isIn {
+		if old, found := voters.Find(one.Name); found {
 			return old, one, true
 		}
 	}
@@ -233,8 +233,8 @@
 		return old, next, false
 	}
 	for _, member := range voters.Members() {
-		if member.Name != m.self && m.isToBeReplaced(member.Name, now) {
-			return member, m.nearest(ready, member), true
+		if member.Name != m.self && m.needsReplacement(member.Name, now) {
+			return member, m.pickStandby(ready, member), true
 		}
 	}
 	return old, next, false
@@ -244,7 +244,7 @@
 	var ready []Member
 	for _, name := range slices.Sorted(maps.Keys(m.standbys)) {
 		one := m.standbys[name]
-		if now-one.at < standbyLife && one.epoch == m.ballots.Decided.Epoch && !m.isLeavingNow(name, now) {
+		if now-one.offeredAt < standbyOfferTTL && one.epoch == m.voterState.Decided.Epoch && !m.hasAnnouncedLeaving(name, now) {
 			ready = append(ready, Member{Name: name, Incarnation: one.incarnation})
 		}
 	}
@@ -252,17 +252,17 @@
 }
 
 // isToBeReplaced says whether a voter is silent, or ends and holds no role.
-func (m *Machine) isToBeReplaced(name string, now time.Duration) bool {
-	silence := now - max(m.acks[name], m.votersAt)
-	isEnding := m.isLeavingNow(name, now) && name != m.ballots.Decided.Backup
-	return isEnding || silence > silentSpans*m.timing.Primacy
+func (m *Machine) needsReplacement(name string, now time.Duration) bool {
+	silence := now - max(m.lastAck[name], m.votersSince)
+	isEnding := m.hasAnnouncedLeaving(name, now) && name != m.voterState.Decided.Backup
+	return isEnding || silence > replacementLeases*m.timing.PrimaryLease
 }
 
 // nearest gives the standby in the zone with the fewest other voters, the first
 // by name of several.
-func (m *Machine) nearest(ready []Member, old Member) Member {
+func (m *Machine) pickStandby(ready []Member, old Member) Member {
 	inZone := map[string]int{}
-	for _, member := range m.ballots.Decided.Voters.Members() {
+	for _, member := range m.voterState.Decided.Voters.Members() {
 		if member != old {
 			inZone[m.zones[member.Name]]++
 		}
@@ -272,12 +272,12 @@
 
 // canAnswer says whether a majority of some voters, with one that is new, has been
 // heard lately.
-func (m *Machine) canAnswer(voters Voters, newcomer string, now time.Duration) bool {
+func (m *Machine) hasQuorumWith(voters Voters, newcomer string, now time.Duration) bool {
 	names := voters.Names()
 	count := 0
 	for _, name := range names {
-		at, isHeard := m.acks[name]
-		if name == m.self || name == newcomer || (isHeard && now-at < m.timing.Primacy) {
+		at, known := m.lastAck[name]
+		if name == m.self || name == newcomer || (known && now-at < m.timing.PrimaryLease) {
 			count++
 		}
 	}
@@ -285,25 +285,25 @@
 }
 
 // successor gives the record of the next epoch with this machine as primary.
-func (m *Machine) successor(backup string) Record {
-	decided := m.ballots.Decided
+func (m *Machine) nextRecord(backup string) Record {
+	decided := m.voterState.Decided
 	return Record{Epoch: decided.Epoch + 1, Primary: m.self, Backup: backup, Voters: decided.Voters}
 }
 
 // forgetReplaced drops what was known of voters that a new record does not have.
-func (m *Machine) forgetReplaced(before Voters, now time.Duration) {
-	after := m.ballots.Decided.Voters
+func (m *Machine) forgetReplacedVoters(before Voters, now time.Duration) {
+	after := m.voterState.Decided.Voters
 	if before == after {
 		return
 	}
 	for _, member := range before.Members() {
 		if !after.Has(member) {
-			delete(m.acks, member.Name)
-			delete(m.spares, member.Name)
-			delete(m.leaving, member.Name)
-			delete(m.walls, member.Name)
-			delete(m.shunned, member.Name)
+			delete(m.lastAck, member.Name)
+			delete(m.spareVersions, member.Name)
+			delete(m.leavingAnnounced, member.Name)
+			delete(m.clockOffsets, member.Name)
+			delete(m.excludedUntil, member.Name)
 		}
 	}
-	m.votersAt = now
+	m.votersSince = now
 }
--- a/internal/coordination/consensus/membership_test.go
+++ b/internal/coordination/consensus/membership_test.go
@@ -12,15 +12,15 @@
 )
 
 // catchUp is the time that a machine has to be whole after its start.
-const catchUp = 4 * time.Second
+const catchUpTime = 4 * time.Second
 
-func foundedOf(voters int, names ...string) (*cluster, func(string) Founding) {
+func newFormedCluster(voters int, names ...string) (*cluster, func(string) BootstrapConfig) {
 	var seeds []string
 	for at := range 3 {
 		seeds = append(seeds, address(names[at]))
 	}
-	founding := func(string) Founding {
-		return Founding{Voters: voters, IsFounder: true, IsPaired: true, Seeds: seeds}
+	founding := func(string) BootstrapConfig {
+		return BootstrapConfig{Voters: voters, MayBootstrap: true, RequireBackup: true, Seeds: seeds}
 	}
 	c := newCluster(names[:voters], founding)
 	c.run(6 * time.Second)
@@ -29,17 +29,17 @@
 }
 
 // add starts a machine with a blank disk.
-func (c *cluster) add(founding func(string) Founding, name string) {
+func (c *cluster) add(founding func(string) BootstrapConfig, name string) {
 	blank := founding(name)
-	blank.IsFounder = false
-	c.machines[name] = NewFounding(name, blank, DefaultTiming(), Saved{}, c.now)
+	blank.MayBootstrap = false
+	c.machines[name] = NewWithBootstrap(name, blank, DefaultTiming(), PersistentState{}, c.now)
 	c.up[name] = true
 }
 
-func (c *cluster) kept(token uint64) bool {
+func (c *cluster) submitAndCommit(token uint64) bool {
 	c.submit(token)
 	c.run(time.Second)
-	return c.answers[token].IsKept
+	return c.results[token].Committed
 }
 
 // witness gives a live voter that the record does not name.
@@ -54,7 +54,7 @@
 }
 
 // loses lists which machine of a fleet is lost.
-var loses = map[string]func(c *cluster) string{
+var lossTargets = map[string]func(c *cluster) string{
 	"primary": func(c *cluster) string { return c.primary() },
 	"backup":  func(c *cluster) string { return c.machines[c.primary()].Record().Backup },
 	"witness": func(c *cluster) string { return c.witness() },
@@ -62,18 +62,18 @@
 
 func TestReplacement(t *testing.T) {
 	Convey("Whichever machine is gone, one that comes in its place votes and is whole within the time that it has, so that the next loss, of any, is borne; many times over", t, func() {
-		for first, lose := range loses {
-			for second, loseNext := range loses {
-				c, founding := foundedOf(3, "c1", "c2", "c3")
+		for first, lose := range lossTargets {
+			for second, loseNext := range lossTargets {
+				c, founding := newFormedCluster(3, "c1", "c2", "c3")
 				token := uint64(1)
-				So(c.kept(token), ShouldBeTrue)
+				So(c.submitAndCommit(token), ShouldBeTrue)
 				for round := range 4 {
 					about := fmt.Sprintf("%s, then %s, %d", first, second, round)
 					c.up[lose(c)] = false
 					c.run(time.Second)
 					name := fmt.Sprintf("n%d", round)
 					c.add(founding, name)
-					c.run(catchUp)
+					c.run(catchUpTime)
 					So(c.primary(), ShouldNotBeEmpty)
 					SoMsg(about, c.machines[name].IsMember(), ShouldBeTrue)
 					SoMsg(about, c.machines[c.primary()].Record().Backup, ShouldNotBeEmpty)
@@ -81,8 +81,8 @@
 					c.up[lost] = false
 					c.run(3 * time.Second)
 					token++
-					SoMsg(about, c.kept(token), ShouldBeTrue)
-					So(c.machines[c.primary()].Table().Records, ShouldContainKey, "1")
+					SoMsg(about, c.submitAndCommit(token), ShouldBeTrue)
+					So(c.machines[c.primary()].CommittedTable().Records, ShouldContainKey, "1")
 					c.up[lost] = true
 					c.run(5 * time.Second)
 				}
@@ -90,18 +90,18 @@
 		}
 	})
 	Convey("Any machine's disk is lost, and another's once the first has been back for the time that it has: all that was acknowledged is there", t, func() {
-		for _, lose := range loses {
-			for _, loseNext := range loses {
-				c, founding := foundedOf(3, "c1", "c2", "c3")
+		for _, lose := range lossTargets {
+			for _, loseNext := range lossTargets {
+				c, founding := newFormedCluster(3, "c1", "c2", "c3")
 				for token := uint64(1); token < 8; token += 2 {
-					So(c.kept(token), ShouldBeTrue)
+					So(c.submitAndCommit(token), ShouldBeTrue)
 					c.add(founding, lose(c))
-					c.run(catchUp)
-					So(c.kept(token+1), ShouldBeTrue)
+					c.run(catchUpTime)
+					So(c.submitAndCommit(token+1), ShouldBeTrue)
 					c.add(founding, loseNext(c))
-					c.run(catchUp)
+					c.run(catchUpTime)
 					for before := uint64(1); before <= token+1; before++ {
-						So(c.machines[c.primary()].Table().Records, ShouldContainKey, fmt.Sprint(before))
+						So(c.machines[c.primary()].CommittedTable().Records, ShouldContainKey, fmt.Sprint(before))
 					}
 				}
 			}
@@ -109,10 +109,10 @@
 	})
 	Convey("Of five machines, where two may be lost, two are gone and two others come; then any two lose their disks", t, func() {
 		for _, first := range []string{"primary", "backup", "witness"} {
-			c, founding := foundedOf(5, "c1", "c2", "c3", "c4", "c5")
-			So(c.kept(1), ShouldBeTrue)
+			c, founding := newFormedCluster(5, "c1", "c2", "c3", "c4", "c5")
+			So(c.submitAndCommit(1), ShouldBeTrue)
 			for round := range 3 {
-				gone := loses[first](c)
+				gone := lossTargets[first](c)
 				voters := c.machines[c.primary()].Record().Voters.Names()
 				also := voters[round]
 				if also == gone {
@@ -127,22 +127,22 @@
 				for name, isUp := range c.up {
 					So(record.Voters.Names(), map[bool]func(any, ...any) string{true: ShouldContain, false: ShouldNotContain}[isUp], name)
 				}
-				So(c.kept(uint64(round+2)), ShouldBeTrue)
+				So(c.submitAndCommit(uint64(round+2)), ShouldBeTrue)
 				c.wipe(founding, record.Primary, record.Backup)
 				c.run(8 * time.Second)
 				for before := 1; before <= round+2; before++ {
-					So(c.machines[c.primary()].Table().Records, ShouldContainKey, fmt.Sprint(before))
+					So(c.machines[c.primary()].CommittedTable().Records, ShouldContainKey, fmt.Sprint(before))
 				}
 			}
 		}
 	})
 	Convey("A machine that was replaced while it was away comes back with its disk as a standby, and its old epoch gives nobody primacy", t, func() {
-		c, founding := foundedOf(3, "c1", "c2", "c3")
+		c, founding := newFormedCluster(3, "c1", "c2", "c3")
 		away := c.primary()
 		c.up[away] = false
 		c.run(time.Second)
 		c.add(founding, "n1")
-		c.run(catchUp)
+		c.run(catchUpTime)
 		for _, name := range c.live() {
 			c.up[name] = false
 		}
@@ -158,18 +158,18 @@
 		So(c.machines[away].IsStandby(), ShouldBeTrue)
 		So(c.machines[away].Record(), ShouldResemble, c.machines[c.primary()].Record())
 		c.up["n1"] = false
-		c.run(catchUp)
+		c.run(catchUpTime)
 		So(c.machines[away].IsMember(), ShouldBeTrue)
 	})
 	Convey("No voter is replaced while it answers, nor before it was silent for a while, nor by one that is not there", t, func() {
-		c, founding := foundedOf(3, "c1", "c2", "c3")
+		c, founding := newFormedCluster(3, "c1", "c2", "c3")
 		c.add(founding, "n1")
 		c.run(20 * time.Second)
 		So(c.machines["n1"].IsMember(), ShouldBeFalse)
 		witness := c.witness()
 		for range 5 {
 			c.up[witness] = false
-			c.run(silentSpans*DefaultTiming().Primacy - 200*time.Millisecond)
+			c.run(replacementLeases*DefaultTiming().PrimaryLease - 200*time.Millisecond)
 			So(c.machines["n1"].IsMember(), ShouldBeFalse)
 			c.up[witness] = true
 			c.run(time.Second)
@@ -179,38 +179,38 @@
 		So(c.machines[c.primary()].Record().Voters.Names(), ShouldContain, witness)
 	})
 	Convey("A standby in the zone with the fewest voters is taken", t, func() {
-		m := started("c1", time.Hour)
+		m := newFormedMachine("c1", time.Hour)
 		m.zones = map[string]string{"c1": "a", "c2": "b", "c3": "c", "n1": "a", "n2": "b", "n3": "c", "n4": "c"}
 		ready := []Member{{"n1", 1}, {"n2", 1}, {"n3", 1}, {"n4", 1}}
-		So(m.nearest(ready, Member{Name: "c3"}).Name, ShouldEqual, "n3")
-		So(m.nearest(ready, Member{Name: "c2"}).Name, ShouldEqual, "n2")
-		So(m.nearest(ready[:2], Member{Name: "c3"}).Name, ShouldEqual, "n1")
+		So(m.pickStandby(ready, Member{Name: "c3"}).Name, ShouldEqual, "n3")
+		So(m.pickStandby(ready, Member{Name: "c2"}).Name, ShouldEqual, "n2")
+		So(m.pickStandby(ready[:2], Member{Name: "c3"}).Name, ShouldEqual, "n1")
 	})
 }
 
 func TestOffers(t *testing.T) {
 	now := time.Hour
 	primary := func() *Machine {
-		m := started("c1", now)
-		m.Step(Tick{Wall: 77}, now)
-		m.Step(Heard{From: "c3", Body: RenewAck{Decided: m.Record(), Sent: now, Life: m.life, IsGranted: true}}, now)
+		m := newFormedMachine("c1", now)
+		m.Step(Tick{WallNanos: 77}, now)
+		m.Step(Received{From: "c3", Body: RenewLeaseAck{Decided: m.Record(), SentAt: now, Incarnation: m.processIncarnation, Granted: true}}, now)
 		So(m.IsPrimary(now), ShouldBeTrue)
 		return m
 	}
 	offer := func(m *Machine, join Join) []Effect {
-		return m.Step(Heard{From: "n1", Body: join}, now)
+		return m.Step(Received{From: "n1", Body: join}, now)
 	}
 	Convey("An offer is answered by the newest record, and counts only from a machine that has synced that one and has no vote by it", t, func() {
 		m := primary()
 		effects := offer(m, Join{Cluster: "x", Epoch: 3, Incarnation: 7})
-		So(sentBy[Decided](effects), ShouldResemble, []Decided{{Record: m.Record()}})
+		So(bodiesSent[Decided](effects), ShouldResemble, []Decided{{Record: m.Record()}})
 		So(m.readyStandbys(now), ShouldBeEmpty)
 		offer(m, Join{Cluster: "other", Epoch: 4, Incarnation: 7})
 		So(m.readyStandbys(now), ShouldBeEmpty)
 		offer(m, Join{Cluster: "x", Epoch: 4, Incarnation: 7})
 		So(m.readyStandbys(now), ShouldResemble, []Member{{"n1", 7}})
-		So(m.readyStandbys(now+standbyLife), ShouldBeEmpty)
-		m.Step(Heard{From: "c2", Body: Join{Cluster: "x", Epoch: 4}}, now)
+		So(m.readyStandbys(now+standbyOfferTTL), ShouldBeEmpty)
+		m.Step(Received{From: "c2", Body: Join{Cluster: "x", Epoch: 4}}, now)
 		So(len(m.readyStandbys(now)), ShouldEqual, 1)
 	})
 	Convey("An offer that rests on an older epoch counts no more once there is a newer one", t, func() {
@@ -218,42 +218,42 @@
 		offer(m, Join{Cluster: "x", Epoch: 4, Incarnation: 7})
 		next := m.Record()
 		next.Epoch, next.Backup = 5, "c3"
-		m.Step(Heard{From: "c3", Body: Decided{Record: next}}, now)
+		m.Step(Received{From: "c3", Body: Decided{Record: next}}, now)
 		So(m.readyStandbys(now), ShouldBeEmpty)
 	})
 	Convey("A standby's offer waits until the record that gives it no vote is synced", t, func() {
-		m := blank("n1", now)
-		var gate Gate
-		effects := m.Step(Heard{From: "c2", Body: Standing{Cluster: "x", Decided: Record{Epoch: 4, Primary: "c1", Voters: foundingVoters(five)}}}, now)
-		effects = append(effects, m.Step(Tick{Wall: 78}, now+time.Second)...)
-		So(len(sentBy[Join](effects)), ShouldEqual, 1)
-		So(sentBy[Join](gate.Pass(effects, now)), ShouldBeEmpty)
+		m := newBlankMachine("n1", now)
+		var gate SyncGate
+		effects := m.Step(Received{From: "c2", Body: Status{Cluster: "x", Decided: Record{Epoch: 4, Primary: "c1", Voters: votersWithoutIncarnation(five)}}}, now)
+		effects = append(effects, m.Step(Tick{WallNanos: 78}, now+time.Second)...)
+		So(len(bodiesSent[Join](effects)), ShouldEqual, 1)
+		So(bodiesSent[Join](gate.Pass(effects, now)), ShouldBeEmpty)
 		var free []Effect
 		for range 2 {
 			_, isDue := gate.Next(now)
 			So(isDue, ShouldBeTrue)
-			So(sentBy[Join](free), ShouldBeEmpty)
+			So(bodiesSent[Join](free), ShouldBeEmpty)
 			free = gate.Done(true, now)
 		}
-		So(len(sentBy[Join](free)), ShouldEqual, 1)
+		So(len(bodiesSent[Join](free)), ShouldEqual, 1)
 	})
 	Convey("A voter whose record is replaced by one without it lends no vote to a spare until it votes again and is filled", t, func() {
-		record := Record{Epoch: 4, Primary: "c1", Backup: "c2", Voters: foundingVoters(five)}
-		m := NewFounding("c4", Founding{Voters: 5, IsPaired: true}, DefaultTiming(), Saved{
-			Identity: &Identity{Cluster: "x", Self: "c4", Voters: five, IsFormed: true},
-			Ballots:  &Ballots{Sequence: 1, Decided: record}, Table: store.New(),
+		record := Record{Epoch: 4, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(five)}
+		m := NewWithBootstrap("c4", BootstrapConfig{Voters: 5, RequireBackup: true}, DefaultTiming(), PersistentState{
+			Identity:   &Identity{Cluster: "x", Self: "c4", Voters: five, Formed: true},
+			VoterState: &VoterState{Sequence: 1, Decided: record}, Table: store.New(),
 		}, now)
-		So(m.ballots.IsHollow, ShouldBeFalse)
+		So(m.voterState.ReplicaIncomplete, ShouldBeFalse)
 		without := record
 		without.Epoch, without.Voters = 5, record.Voters.Replace(Member{Name: "c4"}, Member{Name: "n1", Incarnation: 9})
-		m.Step(Heard{From: "c1", Body: Decided{Record: without}}, now)
-		So(m.ballots.IsHollow, ShouldBeTrue)
+		m.Step(Received{From: "c1", Body: Decided{Record: without}}, now)
+		So(m.voterState.ReplicaIncomplete, ShouldBeTrue)
 		record.Epoch = 6
-		m.Step(Heard{From: "c1", Body: Decided{Record: record}}, now)
+		m.Step(Received{From: "c1", Body: Decided{Record: record}}, now)
 		So(m.IsMember(), ShouldBeTrue)
-		So(m.ballots.IsHollow, ShouldBeTrue)
-		m.Step(Heard{From: "c1", Body: Offer{Record: record, Stamp: m.Copy().Stamp, Digests: m.Copy().Digests()}}, now)
-		So(m.ballots.IsHollow, ShouldBeFalse)
+		So(m.voterState.ReplicaIncomplete, ShouldBeTrue)
+		m.Step(Received{From: "c1", Body: RepairDigests{Record: record, Version: m.ReplicaTable().Version, Digests: m.ReplicaTable().Digests()}}, now)
+		So(m.voterState.ReplicaIncomplete, ShouldBeFalse)
 	})
 }
 
@@ -261,16 +261,16 @@
 	leave := func(c *cluster, name string) time.Duration {
 		from := c.now
 		c.step(name, Leave{})
-		for c.now < from+3*time.Second && !c.machines[name].IsFree() {
+		for c.now < from+3*time.Second && !c.machines[name].MayStop() {
 			c.run(20 * time.Millisecond)
 		}
 		c.up[name] = false
 		return c.now - from
 	}
 	Convey("A machine that is to end hands its role over first, in less time than a takeover takes, and what is acknowledged is on two disks beside it", t, func() {
-		for role, pick := range loses {
-			c, _ := foundedOf(3, "c1", "c2", "c3")
-			So(c.kept(1), ShouldBeTrue)
+		for role, pick := range lossTargets {
+			c, _ := newFormedCluster(3, "c1", "c2", "c3")
+			So(c.submitAndCommit(1), ShouldBeTrue)
 			leaving := pick(c)
 			So(leave(c, leaving), ShouldBeLessThan, 500*time.Millisecond)
 			c.run(200 * time.Millisecond)
@@ -278,13 +278,13 @@
 			record := c.machines[c.primary()].Record()
 			So(record.Backup, ShouldNotBeEmpty)
 			So(record.Backup, ShouldNotEqual, leaving)
-			So(c.machines[record.Backup].Copy().Records, ShouldContainKey, "1")
-			So(c.kept(2), ShouldBeTrue)
+			So(c.machines[record.Backup].ReplicaTable().Records, ShouldContainKey, "1")
+			So(c.submitAndCommit(2), ShouldBeTrue)
 		}
 	})
 	Convey("Where a standby is there, it takes the vote of the machine that ends", t, func() {
-		for role, pick := range loses {
-			c, founding := foundedOf(3, "c1", "c2", "c3")
+		for role, pick := range lossTargets {
+			c, founding := newFormedCluster(3, "c1", "c2", "c3")
 			c.add(founding, "n1")
 			c.run(2 * time.Second)
 			So(c.machines["n1"].IsMember(), ShouldBeFalse)
@@ -295,12 +295,12 @@
 			So(c.machines[c.primary()].Record().Voters.Names(), ShouldNotContain, leaving)
 			c.up[c.primary()] = false
 			c.run(3 * time.Second)
-			So(c.kept(2), ShouldBeTrue)
+			So(c.submitAndCommit(2), ShouldBeTrue)
 		}
 	})
 	Convey("Where one machine's disk is lost and another voter ends before that one is back, its place is taken first", t, func() {
-		c, founding := foundedOf(3, "c1", "c2", "c3")
-		So(c.kept(1), ShouldBeTrue)
+		c, founding := newFormedCluster(3, "c1", "c2", "c3")
+		So(c.submitAndCommit(1), ShouldBeTrue)
 		c.add(founding, "n1")
 		c.run(2 * time.Second)
 		record, witness := c.machines[c.primary()].Record(), c.witness()
@@ -309,55 +309,55 @@
 		So(leave(c, witness), ShouldBeLessThan, 500*time.Millisecond)
 		So(c.machines["n1"].IsMember(), ShouldBeTrue)
 		c.add(founding, record.Backup)
-		c.run(catchUp)
-		So(c.kept(2), ShouldBeTrue)
+		c.run(catchUpTime)
+		So(c.submitAndCommit(2), ShouldBeTrue)
 	})
 	Convey("A voter without which there is no majority waits for a standby that comes while it is about to end", t, func() {
-		c, founding := foundedOf(3, "c1", "c2", "c3")
+		c, founding := newFormedCluster(3, "c1", "c2", "c3")
 		witness := c.witness()
 		c.up[c.machines[c.primary()].Record().Backup] = false
 		c.run(time.Second)
 		c.step(witness, Leave{})
 		c.run(time.Second)
-		So(c.machines[witness].IsFree(), ShouldBeFalse)
+		So(c.machines[witness].MayStop(), ShouldBeFalse)
 		c.add(founding, "n1")
 		c.run(time.Second)
-		So(c.machines[witness].IsFree(), ShouldBeTrue)
+		So(c.machines[witness].MayStop(), ShouldBeTrue)
 		c.up[witness] = false
 		c.run(time.Second)
-		So(c.kept(1), ShouldBeTrue)
+		So(c.submitAndCommit(1), ShouldBeTrue)
 	})
 	Convey("A backup that ends is followed by a voter that failed lately, where there is no other", t, func() {
-		c, _ := foundedOf(3, "c1", "c2", "c3")
+		c, _ := newFormedCluster(3, "c1", "c2", "c3")
 		backup := c.machines[c.primary()].Record().Backup
-		c.machines[c.primary()].shunned[c.witness()] = c.now + time.Hour
+		c.machines[c.primary()].excludedUntil[c.witness()] = c.now + time.Hour
 		So(leave(c, backup), ShouldBeLessThan, time.Second)
-		So(c.kept(1), ShouldBeTrue)
+		So(c.submitAndCommit(1), ShouldBeTrue)
 	})
 	Convey("All machines of a fleet may be restarted in turn, many times, and writes go on", t, func() {
-		c, _ := foundedOf(3, "c1", "c2", "c3")
+		c, _ := newFormedCluster(3, "c1", "c2", "c3")
 		for token := uint64(1); token < 20; token++ {
 			leaving := c.live()[int(token)%3]
 			leave(c, leaving)
-			SoMsg(leaving, c.kept(token), ShouldBeTrue)
-			c.machines[leaving].isLeaving, c.machines[leaving].releasedIn = false, 0
+			SoMsg(leaving, c.submitAndCommit(token), ShouldBeTrue)
+			c.machines[leaving].stopping, c.machines[leaving].releasedEpoch = false, 0
 			c.up[leaving] = true
 			c.run(time.Second)
 		}
 	})
 	Convey("A machine that is to end offers itself for no vote", t, func() {
-		m := blank("n1", time.Hour)
-		m.Step(Heard{From: "c2", Body: Standing{Cluster: "x", Decided: Record{Epoch: 4, Primary: "c1", Voters: foundingVoters(five)}}}, time.Hour)
+		m := newBlankMachine("n1", time.Hour)
+		m.Step(Received{From: "c2", Body: Status{Cluster: "x", Decided: Record{Epoch: 4, Primary: "c1", Voters: votersWithoutIncarnation(five)}}}, time.Hour)
 		m.Step(Leave{}, time.Hour)
-		So(sentBy[Join](m.Step(Tick{Wall: 78}, 2*time.Hour)), ShouldBeEmpty)
-		So(m.IsFree(), ShouldBeTrue)
+		So(bodiesSent[Join](m.Step(Tick{WallNanos: 78}, 2*time.Hour)), ShouldBeEmpty)
+		So(m.MayStop(), ShouldBeTrue)
 	})
 }
 
 func TestPrimaryThatHearsNobody(t *testing.T) {
 	Convey("A primary that others hear, and that hears nobody, leaves them the time to make the backup primary", t, func() {
 		now := time.Hour + time.Second
-		primary, backup, witness := started("c1", time.Hour), started("c2", time.Hour), started("c3", time.Hour)
+		primary, backup, witness := newFormedMachine("c1", time.Hour), newFormedMachine("c2", time.Hour), newFormedMachine("c3", time.Hour)
 		all := map[string]*Machine{"c2": backup, "c3": witness}
 		var carry func(from string, effects []Effect)
 		carry = func(from string, effects []Effect) {
@@ -365,7 +365,7 @@
 				send, isSend := effects[0].(Send)
 				effects = effects[1:]
 				if to := all[send.To]; isSend && to != nil && from != send.To {
-					for _, answer := range to.Step(Heard{From: from, Body: send.Body}, now) {
+					for _, answer := range to.Step(Received{From: from, Body: send.Body}, now) {
 						if back, isBack := answer.(Send); isBack && all[back.To] != nil {
 							carry(send.To, []Effect{back})
 						}
@@ -374,9 +374,9 @@
 			}
 		}
 		for until := now + 6*time.Second; now < until && !backup.IsPrimary(now); now += 20 * time.Millisecond {
-			carry("c1", primary.Step(Tick{Wall: 7}, now))
-			carry("c2", backup.Step(Tick{Wall: 7}, now))
-			carry("c3", witness.Step(Tick{Wall: 7}, now))
+			carry("c1", primary.Step(Tick{WallNanos: 7}, now))
+			carry("c2", backup.Step(Tick{WallNanos: 7}, now))
+			carry("c3", witness.Step(Tick{WallNanos: 7}, now))
 			So(primary.IsPrimary(now), ShouldBeFalse)
 		}
 		So(backup.IsPrimary(now), ShouldBeTrue)
@@ -384,31 +384,31 @@
 	})
 	Convey("One that hears a majority again asks at once", t, func() {
 		now := time.Hour + 10*time.Second
-		m := started("c1", time.Hour)
-		So(sentBy[Renew](m.Step(Tick{Wall: 7}, now)), ShouldNotBeEmpty)
-		So(sentBy[Renew](m.Step(Tick{Wall: 7}, now+time.Second)), ShouldBeEmpty)
-		m.Step(Heard{From: "c3", Body: AskStanding{}}, now+time.Second)
-		So(sentBy[Renew](m.Step(Tick{Wall: 7}, now+time.Second)), ShouldNotBeEmpty)
+		m := newFormedMachine("c1", time.Hour)
+		So(bodiesSent[RenewLease](m.Step(Tick{WallNanos: 7}, now)), ShouldNotBeEmpty)
+		So(bodiesSent[RenewLease](m.Step(Tick{WallNanos: 7}, now+time.Second)), ShouldBeEmpty)
+		m.Step(Received{From: "c3", Body: StatusRequest{}}, now+time.Second)
+		So(bodiesSent[RenewLease](m.Step(Tick{WallNanos: 7}, now+time.Second)), ShouldNotBeEmpty)
 	})
 }
 
 func TestElectorate(t *testing.T) {
 	Convey("A voter that has accepted a record with other voters says so until an epoch settles it", t, func() {
 		now := time.Hour + time.Second
-		m := started("c3", time.Hour)
-		So(m.Electorate(), ShouldResemble, Electorate{Voters: m.Record().Voters, IsMember: true})
+		m := newFormedMachine("c3", time.Hour)
+		So(m.Electorate(), ShouldResemble, Electorate{Voters: m.Record().Voters, IncludesSelf: true})
 		next := m.Record()
 		next.Epoch = 5
 		accept := func(round uint64) {
 			number := proposal.Number{Round: round, Name: "c1"}
-			So(sentBy[Accepted](m.Step(Heard{From: "c1", Body: Accept{Epoch: 5, Number: number, Value: store.Encode(next)}}, now)), ShouldNotBeEmpty)
+			So(bodiesSent[Accepted](m.Step(Received{From: "c1", Body: Accept{Epoch: 5, Number: number, Value: store.EncodePlain(next)}}, now)), ShouldNotBeEmpty)
 		}
 		accept(1)
-		So(m.Electorate().IsChanging, ShouldBeFalse)
+		So(m.Electorate().Changing, ShouldBeFalse)
 		next.Voters = next.Voters.Replace(Member{Name: "c2"}, Member{Name: "n1", Incarnation: 4})
 		accept(2)
-		So(m.Electorate().IsChanging, ShouldBeTrue)
-		m.Step(Heard{From: "c1", Body: Decided{Record: next}}, now)
-		So(m.Electorate(), ShouldResemble, Electorate{Voters: next.Voters, IsMember: true})
+		So(m.Electorate().Changing, ShouldBeTrue)
+		m.Step(Received{From: "c1", Body: Decided{Record: next}}, now)
+		So(m.Electorate(), ShouldResemble, Electorate{Voters: next.Voters, IncludesSelf: true})
 	})
 }
--- a/internal/coordination/consensus/messages.go
+++ b/internal/coordination/consensus/messages.go
@@ -10,21 +10,21 @@
 // Messages between disk machines.
 type (
 	// Form proposes the voters of a new fleet; all must agree.
-	Form struct{ Identity Identity }
+	FormCluster struct{ Identity Identity }
 	// FormAck agrees, and tells with which disk.
-	FormAck struct {
+	FormClusterAck struct {
 		Cluster     string
 		Incarnation uint64
 	}
 	// Formed tells that all agreed, and the first record.
-	Formed struct {
+	ClusterFormed struct {
 		Cluster string
 		Record  Record
 	}
 	// AskStanding asks for the newest record that the other knows.
-	AskStanding struct{}
+	StatusRequest struct{}
 	// Standing tells it.
-	Standing struct {
+	Status struct {
 		Cluster string
 		Decided Record
 	}
@@ -43,38 +43,38 @@
 	// Renew asks for primacy for a bounded time.
 	// Life tells the asker's run of the program, which no answer outlives; a
 	// build that does not know it leaves it out.
-	Renew struct {
-		Record Record
-		Sent   time.Duration
-		Life   int64
+	RenewLease struct {
+		Record      Record
+		SentAt      time.Duration
+		Incarnation int64
 	}
 	// RenewAck grants it, or says who is ahead. Wall is 0 from a machine
 	// that has just started and not read its clock yet.
-	RenewAck struct {
-		Decided   Record
-		Sent      time.Duration
-		Life      int64
-		Wall      int64
-		IsGranted bool
+	RenewLeaseAck struct {
+		Decided     Record
+		SentAt      time.Duration
+		Incarnation int64
+		WallNanos   int64
+		Granted     bool
 	}
 	// Prepare asks for a promise on the epoch after Decided. Stamp is that of the
 	// candidate's copy.
 	Prepare struct {
 		Decided Record
 		Number  proposal.Number
-		Stamp   store.Stamp
+		Version store.Version
 	}
 	// Promised gives or refuses it. Wait tells for how long what binds the teller
 	// still does, where that is why.
-	Promised struct {
-		Epoch    uint64
-		Number   proposal.Number
-		IsGiven  bool
-		Higher   proposal.Number
-		Accepted proposal.Number
-		Value    []byte
-		Decided  Record
-		Wait     time.Duration
+	Promise struct {
+		Epoch           uint64
+		Number          proposal.Number
+		Granted         bool
+		HighestPromised proposal.Number
+		Accepted        proposal.Number
+		Value           []byte
+		Decided         Record
+		RetryAfter      time.Duration
 	}
 	// Accept asks to accept a record.
 	Accept struct {
@@ -90,37 +90,37 @@
 	// Decided tells a settled record.
 	Decided struct{ Record Record }
 	// Write carries a write from primary to backup.
-	Write struct {
-		Record Record
-		Before store.Stamp
-		Stamp  store.Stamp
-		Puts   []store.Put
+	Replicate struct {
+		Record          Record
+		PreviousVersion store.Version
+		Version         store.Version
+		Puts            []store.Put
 	}
 	// WriteAck says that the backup synced it.
-	WriteAck struct {
-		Stamp    store.Stamp
-		IsSynced bool
+	ReplicateAck struct {
+		Version store.Version
+		Synced  bool
 	}
 	// Offer compares copies by digests.
-	Offer struct {
+	RepairDigests struct {
 		Record  Record
-		Stamp   store.Stamp
-		Digests [store.Ranges][32]byte
+		Version store.Version
+		Digests [store.RangeCount][32]byte
 	}
 	// Want names the ranges that are unlike.
-	Want struct {
-		Stamp  store.Stamp
-		Ranges []int
+	RepairRequest struct {
+		Version store.Version
+		Ranges  []int
 	}
 	// Fill brings them.
-	Fill struct {
+	RepairRanges struct {
 		Record  Record
-		Stamp   store.Stamp
+		Version store.Version
 		Ranges  []int
 		Records map[string]store.Record
 	}
 	// Filled says that the copy is synced up to a stamp.
-	Filled struct{ Stamp store.Stamp }
+	RepairDone struct{ Version store.Version }
 )
 
 // Events.
@@ -128,20 +128,20 @@
 	// Tick is a clock event with this machine's wall clock. Owed says for how
 	// long the disk has owed a sync.
 	Tick struct {
-		Wall int64
-		Owed time.Duration
+		WallNanos   int64
+		SyncPending time.Duration
 	}
 	// Heard is a message.
-	Heard struct {
+	Received struct {
 		From string
 		Body any
 	}
 	// Peers tells the control nodes met so far, by link address, where that is
 	// known, which of them is met there, and the zone of each.
 	Peers struct {
-		Names []string
-		Links map[string]string
-		Zones map[string]string
+		Names     []string
+		ByAddress map[string]string
+		Zones     map[string]string
 	}
 	// Leave says that this machine is to end: it hands its roles over.
 	Leave struct{}
@@ -167,26 +167,26 @@
 		Data     []byte
 	}
 	// Clean removes unsound files, now that what they held is made good.
-	Clean struct{}
+	RemoveCorrupt struct{}
 	// Answer ends a Submit; IsKept false means not written.
-	Answer struct {
-		Token  uint64
-		IsKept bool
+	SubmitResult struct {
+		Token     uint64
+		Committed bool
 		// IsUnknown says that the write may yet turn out kept.
-		IsUnknown bool
-		Stamp     store.Stamp
+		OutcomeUnknown bool
+		Version        store.Version
 	}
 	// Turned tells a change of role or epoch, with its cause and the state that
 	// is safe to publish at that point: later effects may still have to sync
 	// what Table gives.
-	Turned struct {
+	EpochChanged struct {
 		Record Record
-		Why    string
+		Reason string
 		Table  *store.Table
 	}
 	// Wrote tells that the state changed and is safe.
-	Wrote struct {
-		Stamp store.Stamp
-		Table *store.Table
+	TableCommitted struct {
+		Version store.Version
+		Table   *store.Table
 	}
 )
--- a/internal/coordination/consensus/record.go
+++ b/internal/coordination/consensus/record.go
@@ -44,7 +44,7 @@
 }
 
 // foundingVoters makes the set of a fleet founded by a build without incarnations.
-func foundingVoters(names []string) Voters {
+func votersWithoutIncarnation(names []string) Voters {
 	var members []Member
 	for _, name := range names {
 		members = append(members, Member{Name: name})
--- a/internal/coordination/consensus/replication.go
+++ b/internal/coordination/consensus/replication.go
@@ -7,206 +7,206 @@
 )
 
 func (m *Machine) onSubmit(submit Submit, now time.Duration) {
-	if !m.isNamed() {
-		m.emit(Answer{Token: submit.Token})
+	if !m.isRecordedPrimary() {
+		m.emit(SubmitResult{Token: submit.Token})
 		return
 	}
-	m.queue = append(m.queue, submit)
-	if m.isStalled() {
-		m.refuseIdle(now)
+	m.submitQueue = append(m.submitQueue, submit)
+	if m.isDiskStalled() {
+		m.rejectQueueWithoutLease(now)
 		return
 	}
-	m.pump(now)
+	m.startNextWrite(now)
 }
 
-func (m *Machine) pump(now time.Duration) {
-	for len(m.queue) > 0 && m.pending == nil && m.round == nil && !m.isUnsettled && !m.isUnpaired() && m.IsPrimary(now) {
-		submit := m.queue[0]
-		m.queue = m.queue[1:]
-		puts := submit.Build(m.copy)
+func (m *Machine) startNextWrite(now time.Duration) {
+	for len(m.submitQueue) > 0 && m.pendingWrite == nil && m.proposer == nil && !m.proposalUnsettled && !m.awaitsBackup() && m.IsPrimary(now) {
+		submit := m.submitQueue[0]
+		m.submitQueue = m.submitQueue[1:]
+		puts := submit.Build(m.replica)
 		if len(puts) == 0 {
-			m.emit(Answer{Token: submit.Token, IsKept: true, Stamp: m.copy.Stamp})
+			m.emit(SubmitResult{Token: submit.Token, Committed: true, Version: m.replica.Version})
 			continue
 		}
-		before := m.copy.Stamp
-		stamp := store.Stamp{Epoch: m.ballots.Decided.Epoch, Sequence: before.Sequence + 1}
-		m.copy = m.copy.Clone()
-		m.copy.Apply(stamp, puts)
+		before := m.replica.Version
+		stamp := store.Version{Epoch: m.voterState.Decided.Epoch, Sequence: before.Sequence + 1}
+		m.replica = m.replica.Clone()
+		m.replica.Apply(stamp, puts)
 		m.saveTable()
-		m.pending = &write{token: submit.Token, puts: puts, stamp: stamp, sent: now}
-		if m.ballots.Decided.Backup == "" {
-			m.finishWrite(now)
+		m.pendingWrite = &write{token: submit.Token, puts: puts, version: stamp, sentAt: now}
+		if m.voterState.Decided.Backup == "" {
+			m.commitWrite(now)
 			continue
 		}
-		sent := Write{Record: m.ballots.Decided, Before: before, Stamp: stamp, Puts: puts}
+		sent := Replicate{Record: m.voterState.Decided, PreviousVersion: before, Version: stamp, Puts: puts}
 		m.send(sent.Record.Backup, sent)
 		m.eachSpare(func(name string) { m.send(name, sent) })
 	}
 }
 
-func (m *Machine) finishWrite(now time.Duration) {
-	if m.pending == nil {
+func (m *Machine) commitWrite(now time.Duration) {
+	if m.pendingWrite == nil {
 		return
 	}
-	stamp := m.pending.stamp
-	m.safe = m.copy
-	m.emit(Wrote{Stamp: stamp, Table: m.safe})
-	m.emit(Answer{Token: m.pending.token, IsKept: true, Stamp: stamp})
-	m.pending = nil
-	m.pump(now)
+	stamp := m.pendingWrite.version
+	m.committed = m.replica
+	m.emit(TableCommitted{Version: stamp, Table: m.committed})
+	m.emit(SubmitResult{Token: m.pendingWrite.token, Committed: true, Version: stamp})
+	m.pendingWrite = nil
+	m.startNextWrite(now)
 }
 
-func (m *Machine) failQueue() {
-	if m.pending != nil {
-		m.emit(Answer{Token: m.pending.token, IsUnknown: true})
-		m.pending = nil
+func (m *Machine) failWrites() {
+	if m.pendingWrite != nil {
+		m.emit(SubmitResult{Token: m.pendingWrite.token, OutcomeUnknown: true})
+		m.pendingWrite = nil
 	}
-	m.refuseQueue()
+	m.rejectQueue()
 }
 
-func (m *Machine) refuseQueue() {
-	for _, submit := range m.queue {
-		m.emit(Answer{Token: submit.Token})
+func (m *Machine) rejectQueue() {
+	for _, submit := range m.submitQueue {
+		m.emit(SubmitResult{Token: submit.Token})
 	}
-	m.queue = nil
+	m.submitQueue = nil
 }
 
 // refuseIdle refuses what waits and was not begun while the disk hangs and
 // primacy has lapsed.
-func (m *Machine) refuseIdle(now time.Duration) {
-	if !m.hasPrimacy(now) {
-		m.refuseQueue()
+func (m *Machine) rejectQueueWithoutLease(now time.Duration) {
+	if !m.holdsLease(now) {
+		m.rejectQueue()
 	}
 }
 
-func (m *Machine) onWrite(from string, sent Write, now time.Duration) {
+func (m *Machine) onReplicate(from string, sent Replicate, now time.Duration) {
 	m.adopt(sent.Record, now, "write from the primary")
-	decided := m.ballots.Decided
-	isOurs := decided == sent.Record && decided.Primary == from && m.IsMember() && (decided.Backup == m.self || m.sparesWanted() > 0) && !m.isGivenAway(from)
-	ack := WriteAck{Stamp: sent.Stamp}
-	if isOurs && m.copy.Stamp == sent.Before {
-		m.copy = m.copy.Clone()
-		m.copy.Apply(sent.Stamp, sent.Puts)
+	decided := m.voterState.Decided
+	isOurs := decided == sent.Record && decided.Primary == from && m.IsMember() && (decided.Backup == m.self || m.requiredSpares() > 0) && !m.hasPromisedOther(from)
+	ack := ReplicateAck{Version: sent.Version}
+	if isOurs && m.replica.Version == sent.PreviousVersion {
+		m.replica = m.replica.Clone()
+		m.replica.Apply(sent.Version, sent.Puts)
 		m.saveTable()
-		m.fill()
-		ack.IsSynced = true
+		m.noteReplicaComplete()
+		ack.Synced = true
 	}
 	m.send(from, ack)
 }
 
-func (m *Machine) onWriteAck(from string, ack WriteAck, now time.Duration) {
+func (m *Machine) onReplicateAck(from string, ack ReplicateAck, now time.Duration) {
 	if m.isSpare(from) {
-		m.spared(from, ack.Stamp, ack.IsSynced, now)
+		m.noteSpareVersion(from, ack.Version, ack.Synced, now)
 		return
 	}
-	if m.pending == nil || from != m.ballots.Decided.Backup || ack.Stamp != m.pending.stamp || !m.isNamed() {
+	if m.pendingWrite == nil || from != m.voterState.Decided.Backup || ack.Version != m.pendingWrite.version || !m.isRecordedPrimary() {
 		return
 	}
-	if ack.IsSynced {
-		m.backed(now)
+	if ack.Synced {
+		m.noteBackupSynced(now)
 		return
 	}
-	if m.round == nil {
+	if m.proposer == nil {
 		m.dropBackup(now, "backup out of step")
 	}
 }
 
 // bringIn fills the copy of a voter that is to be the backup. One that failed lately
 // is tried only while the backup is about to end.
-func (m *Machine) bringIn(now time.Duration) {
-	if m.repairing != nil && now-m.repairing.sent < m.timing.Reply {
+func (m *Machine) recruitBackup(now time.Duration) {
+	if m.activeRepair != nil && now-m.activeRepair.sentAt < m.timing.ReplyTimeout {
 		return
 	}
-	if m.repairing != nil {
-		m.shunned[m.repairing.peer] = now + m.timing.Primacy
-		m.repairing = nil
+	if m.activeRepair != nil {
+		m.excludedUntil[m.activeRepair.peer] = now + m.timing.PrimaryLease
+		m.activeRepair = nil
 	}
-	best := m.lastHeard(now, func(name string) bool { return now >= m.shunned[name] })
-	if best == "" && m.isLeavingNow(m.ballots.Decided.Backup, now) {
-		best = m.lastHeard(now, func(string) bool { return true })
+	best := m.latestResponder(now, func(name string) bool { return now >= m.excludedUntil[name] })
+	if best == "" && m.hasAnnouncedLeaving(m.voterState.Decided.Backup, now) {
+		best = m.latestResponder(now, func(string) bool { return true })
 	}
 	if best != "" {
-		m.offer(best, now)
+		m.startRepair(best, now)
 	}
 }
 
 // lastHeard gives the voter last heard of those that could be the backup.
-func (m *Machine) lastHeard(now time.Duration, isFit func(string) bool) string {
+func (m *Machine) latestResponder(now time.Duration, isFit func(string) bool) string {
 	best := ""
-	m.others(func(name string) {
-		at, isHeard := m.acks[name]
-		isOut := name == m.ballots.Decided.Backup || m.isLeavingNow(name, now) || !isFit(name)
-		if !isHeard || now-at > m.timing.Primacy || isOut {
+	m.eachOtherVoter(func(name string) {
+		at, known := m.lastAck[name]
+		isOut := name == m.voterState.Decided.Backup || m.hasAnnouncedLeaving(name, now) || !isFit(name)
+		if !known || now-at > m.timing.PrimaryLease || isOut {
 			return
 		}
-		if best == "" || m.acks[best] < at {
+		if best == "" || m.lastAck[best] < at {
 			best = name
 		}
 	})
 	return best
 }
 
-func (m *Machine) offer(peer string, now time.Duration) {
-	m.repairing = &repair{peer: peer, sent: now, stamp: m.copy.Stamp}
-	m.show(peer)
+func (m *Machine) startRepair(peer string, now time.Duration) {
+	m.activeRepair = &repair{peer: peer, sentAt: now, version: m.replica.Version}
+	m.sendDigests(peer)
 }
 
-func (m *Machine) show(peer string) {
-	m.send(peer, Offer{Record: m.ballots.Decided, Stamp: m.copy.Stamp, Digests: m.copy.Digests()})
+func (m *Machine) sendDigests(peer string) {
+	m.send(peer, RepairDigests{Record: m.voterState.Decided, Version: m.replica.Version, Digests: m.replica.Digests()})
 }
 
-func (m *Machine) onOffer(from string, offer Offer, now time.Duration) {
+func (m *Machine) onRepairDigests(from string, offer RepairDigests, now time.Duration) {
 	m.adopt(offer.Record, now, "offer")
-	if m.ballots.Decided != offer.Record || offer.Record.Primary != from || !m.IsMember() || m.isGivenAway(from) {
+	if m.voterState.Decided != offer.Record || offer.Record.Primary != from || !m.IsMember() || m.hasPromisedOther(from) {
 		return
 	}
-	ranks := store.Differ(m.copy.Digests(), offer.Digests)
-	if len(ranks) == 0 && m.copy.Stamp == offer.Stamp {
-		m.fill()
-		m.send(from, Filled{Stamp: offer.Stamp})
+	ranks := store.DifferingRanges(m.replica.Digests(), offer.Digests)
+	if len(ranks) == 0 && m.replica.Version == offer.Version {
+		m.noteReplicaComplete()
+		m.send(from, RepairDone{Version: offer.Version})
 		return
 	}
-	m.send(from, Want{Stamp: offer.Stamp, Ranges: ranks})
+	m.send(from, RepairRequest{Version: offer.Version, Ranges: ranks})
 }
 
-func (m *Machine) onWant(from string, want Want, now time.Duration) {
-	isRepaired := m.repairing != nil && m.repairing.peer == from
+func (m *Machine) onRepairRequest(from string, want RepairRequest, now time.Duration) {
+	isRepaired := m.activeRepair != nil && m.activeRepair.peer == from
 	if !isRepaired && !m.isSpare(from) {
 		return
 	}
-	if want.Stamp != m.copy.Stamp {
+	if want.Version != m.replica.Version {
 		if isRepaired {
-			m.offer(from, now)
+			m.startRepair(from, now)
 		}
 		return
 	}
-	m.send(from, Fill{Record: m.ballots.Decided, Stamp: m.copy.Stamp, Ranges: want.Ranges, Records: m.copy.Cut(want.Ranges)})
+	m.send(from, RepairRanges{Record: m.voterState.Decided, Version: m.replica.Version, Ranges: want.Ranges, Records: m.replica.RecordsInRanges(want.Ranges)})
 }
 
-func (m *Machine) onFill(from string, fill Fill, _ time.Duration) {
-	if m.ballots.Decided != fill.Record || fill.Record.Primary != from || !m.IsMember() || m.isGivenAway(from) {
+func (m *Machine) onRepairRanges(from string, fill RepairRanges, _ time.Duration) {
+	if m.voterState.Decided != fill.Record || fill.Record.Primary != from || !m.IsMember() || m.hasPromisedOther(from) {
 		return
 	}
-	m.copy = m.copy.Clone()
-	m.copy.Mend(fill.Stamp, fill.Ranges, fill.Records)
+	m.replica = m.replica.Clone()
+	m.replica.ReplaceRanges(fill.Version, fill.Ranges, fill.Records)
 	m.saveTable()
-	m.fill()
-	m.send(from, Filled{Stamp: fill.Stamp})
+	m.noteReplicaComplete()
+	m.send(from, RepairDone{Version: fill.Version})
 }
 
-func (m *Machine) onFilled(from string, filled Filled, now time.Duration) {
+func (m *Machine) onRepairDone(from string, filled RepairDone, now time.Duration) {
 	if m.isSpare(from) {
-		m.spared(from, filled.Stamp, true, now)
+		m.noteSpareVersion(from, filled.Version, true, now)
 	}
-	if m.repairing == nil || m.repairing.peer != from || !m.isNamed() {
+	if m.activeRepair == nil || m.activeRepair.peer != from || !m.isRecordedPrimary() {
 		return
 	}
-	if filled.Stamp != m.copy.Stamp || (m.pending != nil && !m.isUnpaired()) {
-		m.offer(from, now)
+	if filled.Version != m.replica.Version || (m.pendingWrite != nil && !m.awaitsBackup()) {
+		m.startRepair(from, now)
 		return
 	}
-	m.repairing = nil
-	if m.round == nil {
-		m.propose(m.successor(from), now)
+	m.activeRepair = nil
+	if m.proposer == nil {
+		m.propose(m.nextRecord(from), now)
 	}
 }
--- a/internal/coordination/distribution/delta_test.go
+++ b/internal/coordination/distribution/delta_test.go
@@ -13,78 +13,78 @@
 	"tansyseam/internal/state/store"
 )
 
-func (d *desk) puts(puts ...store.Put) {
-	d.write(Write{Build: func(*store.Table) []store.Put { return puts }, Done: func() {}})
+func (h *harness) put(puts ...store.Put) {
+	h.write(Write{Build: func(*store.Table) []store.Put { return puts }, Done: func() {}})
 }
 
 func writerPut(name string, term uint64) store.Put {
-	return store.Put{Key: model.KeyDB + name, Data: store.Encode(model.Writer{Database: name, Term: term, Phase: model.PhaseOpen})}
+	return store.Put{Key: model.PrefixWriterRole + name, Data: store.Encode(model.WriterRole{Database: name, Term: term, Phase: model.PhaseOpen})}
 }
 
-func syncedPut(writer model.Writer) store.Put {
-	writer.IsSynced = true
-	return store.Put{Key: model.KeyDB + writer.Database, Data: store.Encode(writer)}
+func syncWriterPut(writer model.WriterRole) store.Put {
+	writer.SyncReplication = true
+	return store.Put{Key: model.PrefixWriterRole + writer.Database, Data: store.Encode(writer)}
 }
 
-func setPut(sequence uint64, moment int64) store.Put {
-	return store.Put{Key: SetKey(sequence), Data: store.Encode(model.Set{Sequence: sequence, Moment: moment})}
+func setPut(sequence uint64, effectiveAt int64) store.Put {
+	return store.Put{Key: BindingSetKey(sequence), Data: store.Encode(model.BindingSet{Sequence: sequence, EffectiveAt: effectiveAt})}
 }
 
-func (d *desk) newsFor(have store.Stamp, isDelta bool) *model.Doc {
-	d.Ask(AskNews{Node: "d1", Kind: model.KindData, Have: have, IsDelta: isDelta}, 1, d.now)
-	d.pass(Wait)
-	return d.Flush(true, d.wall, d.now)[0].News.Doc
+func (h *harness) requestSnapshot(have store.Version, acceptsDelta bool) *model.Snapshot {
+	h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: have, AcceptsDelta: acceptsDelta}, 1, h.now)
+	h.advance(DefaultPollTimeout)
+	return h.Flush(true, h.wall, h.now)[0].Update.Snapshot
 }
 
 func TestDeltas(t *testing.T) {
 	Convey("Given a tenure with a hundred databases and a node that has taken up all of it", t, func() {
-		d := newDesk(1, store.New())
-		d.Turn(consensus.Record{Epoch: 2, Primary: "c2", Backup: "c1"}, d.held, d.now)
-		d.Turn(consensus.Record{Epoch: 3, Primary: "c1", Backup: "c2"}, d.held, d.now)
-		d.puts(setPut(1, 1), setPut(2, 2))
+		h := newHarness(1, store.New())
+		h.EpochChanged(consensus.Record{Epoch: 2, Primary: "c2", Backup: "c1"}, h.stored, h.now)
+		h.EpochChanged(consensus.Record{Epoch: 3, Primary: "c1", Backup: "c2"}, h.stored, h.now)
+		h.put(setPut(1, 1), setPut(2, 2))
 		for number := range 100 {
-			d.puts(writerPut(fmt.Sprintf("db%d", number), 1))
+			h.put(writerPut(fmt.Sprintf("db%d", number), 1))
 		}
-		whole := d.newsFor(store.Stamp{}, true)
+		whole := h.requestSnapshot(store.Version{}, true)
 		So(len(whole.Writers), ShouldEqual, 100)
-		have := whole.Stamp
+		have := whole.Version
 		Convey("a write brings it what was written, and others all", func() {
-			d.puts(writerPut("db7", 2))
-			delta := d.newsFor(have, true)
+			h.put(writerPut("db7", 2))
+			delta := h.requestSnapshot(have, true)
 			So(len(delta.Writers), ShouldEqual, 1)
 			So(delta.Sets, ShouldBeEmpty)
-			taken, isFit := whole.With(*delta)
-			So(isFit, ShouldBeTrue)
+			taken, applied := whole.Apply(*delta)
+			So(applied, ShouldBeTrue)
 			So(taken.Writers["db7"].Term, ShouldEqual, 2)
 			So(len(taken.Writers), ShouldEqual, 100)
-			So(len(d.newsFor(have, false).Writers), ShouldEqual, 100)
-			So(len(d.newsFor(store.Stamp{Epoch: 1, Sequence: 900}, true).Writers), ShouldEqual, 100)
-			_, isFit = model.Doc{Stamp: store.Stamp{Epoch: 3, Sequence: 1}}.With(*delta)
-			So(isFit, ShouldBeFalse)
+			So(len(h.requestSnapshot(have, false).Writers), ShouldEqual, 100)
+			So(len(h.requestSnapshot(store.Version{Epoch: 1, Sequence: 900}, true).Writers), ShouldEqual, 100)
+			_, applied = model.Snapshot{Version: store.Version{Epoch: 3, Sequence: 1}}.Apply(*delta)
+			So(applied, ShouldBeFalse)
 		})
 		Convey("a write that is not for the data plane is no news", func() {
-			d.puts(store.Put{Key: model.KeyNode + "d9"}, store.Put{Key: model.KeyEntry + "1"}, store.Put{Key: model.KeyCall + "x"})
-			So(d.newsFor(have, true), ShouldBeNil)
+			h.put(store.Put{Key: model.PrefixNode + "d9"}, store.Put{Key: model.PrefixAuditEntry + "1"}, store.Put{Key: model.PrefixCallResult + "x"})
+			So(h.requestSnapshot(have, true), ShouldBeNil)
 		})
 		Convey("a set that was dropped is dropped with the next write", func() {
-			d.puts(store.Put{Key: SetKey(1), IsGone: true})
-			d.puts(setPut(3, 0))
-			taken, _ := whole.With(*d.newsFor(have, true))
-			So(taken.Sets, ShouldResemble, d.Doc().Sets)
+			h.put(store.Put{Key: BindingSetKey(1), Deleted: true})
+			h.put(setPut(3, 0))
+			taken, _ := whole.Apply(*h.requestSnapshot(have, true))
+			So(taken.Sets, ShouldResemble, h.Snapshot().Sets)
 		})
 		Convey("the next tenure tells all of its own, also where it knows less", func() {
-			d.puts(writerPut("db7", 2))
-			have = d.newsFor(have, true).Stamp
+			h.put(writerPut("db7", 2))
+			have = h.requestSnapshot(have, true).Version
 			fewer := store.New()
-			fewer.Apply(store.Stamp{Epoch: 3, Sequence: 1}, []store.Put{writerPut("db1", 1)})
-			d.Turn(consensus.Record{Epoch: 4, Primary: "c2"}, fewer, d.now)
-			d.Turn(consensus.Record{Epoch: 5, Primary: "c1"}, fewer, d.now)
-			d.held = fewer
-			d.puts(store.Put{Key: model.KeyEntry + "2"})
-			news := d.newsFor(have, true)
-			So(news, ShouldNotBeNil)
-			So(news.Since, ShouldResemble, store.Stamp{})
-			So(len(news.Writers), ShouldEqual, 1)
+			fewer.Apply(store.Version{Epoch: 3, Sequence: 1}, []store.Put{writerPut("db1", 1)})
+			h.EpochChanged(consensus.Record{Epoch: 4, Primary: "c2"}, fewer, h.now)
+			h.EpochChanged(consensus.Record{Epoch: 5, Primary: "c1"}, fewer, h.now)
+			h.stored = fewer
+			h.put(store.Put{Key: model.PrefixAuditEntry + "2"})
+			update := h.requestSnapshot(have, true)
+			So(update, ShouldNotBeNil)
+			So(update.BaseVersion, ShouldResemble, store.Version{})
+			So(len(update.Writers), ShouldEqual, 1)
 		})
 	})
 	Convey("Writer roles that become known one by one go together to an ask that has just come; a role that moves, or a set, goes at once", t, func() {
@@ -92,74 +92,74 @@
 			puts   []store.Put
 			isCalm bool
 		}{
-			{[]store.Put{syncedPut(model.Writer{Database: "db1", Term: 1, Phase: model.PhaseOpen})}, true},
-			{[]store.Put{syncedPut(model.Writer{Database: "db1", Term: 1, Phase: model.PhaseClosing})}, false},
-			{[]store.Put{syncedPut(model.Writer{Database: "db1", Term: 2, Phase: model.PhaseOpen, Holder: "c1"})}, false},
+			{[]store.Put{syncWriterPut(model.WriterRole{Database: "db1", Term: 1, Phase: model.PhaseOpen})}, true},
+			{[]store.Put{syncWriterPut(model.WriterRole{Database: "db1", Term: 1, Phase: model.PhaseClosing})}, false},
+			{[]store.Put{syncWriterPut(model.WriterRole{Database: "db1", Term: 2, Phase: model.PhaseOpen, Promoter: "c1"})}, false},
 			{[]store.Put{writerPut("db1", 1)}, false},
 			{[]store.Put{setPut(1, 0)}, false},
 		} {
-			d := newDesk(1, store.New())
-			d.Turn(consensus.Record{Epoch: 2, Primary: "c2"}, d.held, d.now)
-			d.Turn(consensus.Record{Epoch: 3, Primary: "c1"}, d.held, d.now)
-			d.puts(syncedPut(model.Writer{Database: "db0", Term: 1, Phase: model.PhaseOpen}))
-			d.Ask(AskNews{Node: "d1", Kind: model.KindData, Have: d.Doc().Stamp, IsDelta: true}, 1, d.now)
-			answers := len(d.Flush(true, d.wall, d.now))
+			h := newHarness(1, store.New())
+			h.EpochChanged(consensus.Record{Epoch: 2, Primary: "c2"}, h.stored, h.now)
+			h.EpochChanged(consensus.Record{Epoch: 3, Primary: "c1"}, h.stored, h.now)
+			h.put(syncWriterPut(model.WriterRole{Database: "db0", Term: 1, Phase: model.PhaseOpen}))
+			h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.Snapshot().Version, AcceptsDelta: true}, 1, h.now)
+			answers := len(h.Flush(true, h.wall, h.now))
 			for range 10 {
-				d.puts(kind.puts...)
-				d.pass(5 * time.Millisecond)
-				answers += len(d.Flush(true, d.wall, d.now))
+				h.put(kind.puts...)
+				h.advance(5 * time.Millisecond)
+				answers += len(h.Flush(true, h.wall, h.now))
 			}
 			So(answers == 0, ShouldEqual, kind.isCalm)
-			d.pass(calm)
-			So(answers+len(d.Flush(true, d.wall, d.now)), ShouldEqual, 1)
+			h.advance(settleDelay)
+			So(answers+len(h.Flush(true, h.wall, h.now)), ShouldEqual, 1)
 		}
 	})
 	Convey("What a node makes of deltas is what it would have been told whole", t, func() {
 		for seed := range int64(20) {
 			dice := rand.New(rand.NewSource(seed))
-			d := newDesk(1, store.New())
-			d.Turn(consensus.Record{Epoch: 2, Primary: "c2"}, d.held, d.now)
-			d.Turn(consensus.Record{Epoch: 3, Primary: "c1"}, d.held, d.now)
-			doc := model.Doc{Writers: map[string]model.Writer{}}
+			h := newHarness(1, store.New())
+			h.EpochChanged(consensus.Record{Epoch: 2, Primary: "c2"}, h.stored, h.now)
+			h.EpochChanged(consensus.Record{Epoch: 3, Primary: "c1"}, h.stored, h.now)
+			snapshot := model.Snapshot{Writers: map[string]model.WriterRole{}}
 			sequence, lowest := uint64(0), uint64(1)
 			for range 100 {
 				kind := dice.Intn(5)
 				if kind == 0 {
 					sequence++
-					d.puts(setPut(sequence, 0))
+					h.put(setPut(sequence, 0))
 				}
 				if kind == 1 && sequence > 0 {
-					d.puts(setPut(sequence, int64(dice.Intn(9)+1)))
+					h.put(setPut(sequence, int64(dice.Intn(9)+1)))
 				}
 				if kind == 2 && lowest < sequence {
-					d.puts(store.Put{Key: SetKey(lowest), IsGone: true}, setPut(sequence, 3))
+					h.put(store.Put{Key: BindingSetKey(lowest), Deleted: true}, setPut(sequence, 3))
 					lowest++
 				}
 				if kind >= 3 {
-					d.puts(writerPut(fmt.Sprintf("db%d", dice.Intn(6)), uint64(dice.Intn(9))))
+					h.put(writerPut(fmt.Sprintf("db%d", dice.Intn(6)), uint64(dice.Intn(9))))
 				}
 				if dice.Intn(3) == 0 {
 					continue
 				}
-				if news := d.newsFor(doc.Stamp, true); news != nil {
-					isFit := false
-					doc, isFit = doc.With(*news)
-					So(isFit, ShouldBeTrue)
+				if update := h.requestSnapshot(snapshot.Version, true); update != nil {
+					applied := false
+					snapshot, applied = snapshot.Apply(*update)
+					So(applied, ShouldBeTrue)
 				}
-				So(doc.Sets, ShouldResemble, model.DocOf(d.held).Sets)
-				So(doc.Writers, ShouldResemble, model.DocOf(d.held).Writers)
+				So(snapshot.Sets, ShouldResemble, model.ReadSnapshot(h.stored).Sets)
+				So(snapshot.Writers, ShouldResemble, model.ReadSnapshot(h.stored).Writers)
 			}
 		}
 	})
 	Convey("A write reads again what it wrote, not the whole state", t, func() {
-		d := newDesk(1, store.New())
+		h := newHarness(1, store.New())
 		for number := range 50 {
-			d.puts(writerPut(fmt.Sprintf("db%d", number), 1))
+			h.put(writerPut(fmt.Sprintf("db%d", number), 1))
 		}
-		before, held := d.Doc(), d.held
-		d.puts(writerPut("db3", 2))
-		doc, read := model.DocFrom(d.held, before, held)
+		previous, state := h.Snapshot(), h.stored
+		h.put(writerPut("db3", 2))
+		snapshot, read := model.RefreshSnapshot(h.stored, previous, state)
 		So(read, ShouldEqual, 1)
-		So(doc, ShouldResemble, model.DocOf(d.held))
+		So(snapshot, ShouldResemble, model.ReadSnapshot(h.stored))
 	})
 }
--- a/internal/coordination/distribution/life_test.go
+++ b/internal/coordination/distribution/retention_test.go
@@ -36,97 +36,97 @@
 	return count
 }
 
-func TestLongLife(t *testing.T) {
-	routes := func(count, salt int) model.Set {
-		set := model.Set{}
+func TestRetention(t *testing.T) {
+	routes := func(count, salt int) model.BindingSet {
+		set := model.BindingSet{}
 		for at := range count {
 			set.Bindings = append(set.Bindings, model.Binding{Name: fmt.Sprintf("r-%d-%d", salt, at), Database: "db"})
 		}
 		return set
 	}
 	Convey("After hundreds of sets, calls and nodes that came and went, what is held is no more than after dozens", t, func() {
-		d := newDesk(1, store.New())
+		h := newHarness(1, store.New())
 		live := func(from, to int) (int, int) {
 			for at := from; at < to; at++ {
 				for one := range 3 {
-					d.ask(fmt.Sprintf("d%d", at/2+one), d.held.Stamp)
+					h.request(fmt.Sprintf("d%d", at/2+one), h.stored.Version)
 				}
-				d.write(Write{Build: func(held *store.Table) []store.Put {
-					puts, _ := PutManifest(held, Manifest{Version: uint64(at + 1), Set: routes(3, at), Packed: []byte("raw"), Source: "operator"}, d.wall)
-					return Keep(held, fmt.Sprint("call", at), Outcome{Status: 200, Path: "/v1/manifest/replace"}, puts)
+				h.write(Write{Build: func(state *store.Table) []store.Put {
+					puts, _ := ManifestPuts(state, Manifest{Version: uint64(at + 1), Set: routes(3, at), Compressed: []byte("raw"), Source: "operator"}, h.wall)
+					return RecordCallResult(state, fmt.Sprint("call", at), CallResult{Status: 200, Path: "/v1/manifest/replace"}, puts)
 				}, Done: func() {}})
 				for range 5 {
-					d.pass(2 * time.Second)
-					d.settle()
+					h.advance(2 * time.Second)
+					h.runWrites()
 				}
 			}
 			// Entries and kept calls have bounds, and tests, of their own.
-			bounded := len(d.held.Keys(model.KeyEntry)) + len(d.held.Keys(model.KeyCall))
-			return len(d.held.Records) - bounded, entries(reflect.ValueOf(d.Machine))
+			bounded := len(h.stored.Keys(model.PrefixAuditEntry)) + len(h.stored.Keys(model.PrefixCallResult))
+			return len(h.stored.Records) - bounded, entries(reflect.ValueOf(h.Machine))
 		}
 		records, inside := live(0, 60)
 		later, stillInside := live(60, 180)
 		So(later, ShouldBeLessThanOrEqualTo, records+2)
 		So(stillInside, ShouldBeLessThanOrEqualTo, inside+4)
-		So(len(d.Doc().Sets), ShouldBeLessThanOrEqualTo, 3)
+		So(len(h.Snapshot().Sets), ShouldBeLessThanOrEqualTo, 3)
 	})
 	Convey("Thousands of routes, replaced one after the other, fit a disk of 128 MB many times over, with all versions that are kept", t, func() {
-		d := newDesk(1, store.New())
+		h := newHarness(1, store.New())
 		raw := bytes.Repeat([]byte("x"), 2<<20)
 		most := 0
 		for at := range 12 {
-			d.ask("d1", store.Stamp{})
-			d.write(Write{Build: func(held *store.Table) []store.Put {
-				puts, _ := PutManifest(held, Manifest{Version: uint64(at + 1), Set: routes(8000, at), Packed: raw, Source: "operator"}, d.wall)
+			h.request("d1", store.Version{})
+			h.write(Write{Build: func(state *store.Table) []store.Put {
+				puts, _ := ManifestPuts(state, Manifest{Version: uint64(at + 1), Set: routes(8000, at), Compressed: raw, Source: "operator"}, h.wall)
 				return puts
 			}, Done: func() {}})
-			d.settle()
-			most = max(most, len(store.Encode(*d.held)))
-			d.pass(3 * time.Second)
-			d.settle()
+			h.runWrites()
+			most = max(most, len(store.Encode(*h.stored)))
+			h.advance(3 * time.Second)
+			h.runWrites()
 		}
 		const versions = 5
 		So(most*versions, ShouldBeLessThan, 128<<20)
 	})
 }
 
-func TestBookedSetsUnderClockSteps(t *testing.T) {
+func TestScheduledChangesUnderClockSteps(t *testing.T) {
 	steps := [][]time.Duration{
 		{3 * time.Second, -3 * time.Second}, {-4 * time.Second, 4 * time.Second},
 		{2 * time.Second, 2 * time.Second, -5 * time.Second, time.Second}, {-time.Second, -time.Second, -time.Second, 3 * time.Second},
 	}
 	Convey("However the time of day steps while changes are booked, each lands once, in order, and none moves its moment before an earlier one's, also under another primary", t, func() {
 		for _, jumps := range steps {
-			for _, isTurned := range []bool{false, true} {
-				d := newDesk(1, store.New())
+			for _, epochChanged := range []bool{false, true} {
+				h := newHarness(1, store.New())
 				var want, got []string
 				for at := range 6 {
 					id := fmt.Sprintf("b%d", at)
-					puts, _ := BookSet(d.held, id, d.wall+int64(time.Duration(2*at+2)*time.Second), []model.Binding{{Name: id, Database: "x"}}, d.wall)
-					So(d.write(Write{Build: func(*store.Table) []store.Put { return puts }, Done: func() {}}), ShouldBeGreaterThan, 0)
+					puts, _ := ScheduledChangePuts(h.stored, id, h.wall+int64(time.Duration(2*at+2)*time.Second), []model.Binding{{Name: id, Database: "x"}}, h.wall)
+					So(h.write(Write{Build: func(*store.Table) []store.Put { return puts }, Done: func() {}}), ShouldBeGreaterThan, 0)
 					want = append(want, "booking "+id)
 				}
 				seen := uint64(0)
 				for at := range 400 {
 					if at%40 == 20 {
-						d.wall += int64(jumps[at/40%len(jumps)])
+						h.wall += int64(jumps[at/40%len(jumps)])
 					}
-					if isTurned && at%100 == 60 {
-						next := newDesk(d.Record().Epoch+1, d.held)
-						next.now, next.wall = d.now, d.wall
-						d = next
-						d.pass(2 * time.Second)
+					if epochChanged && at%100 == 60 {
+						next := newHarness(h.Record().Epoch+1, h.stored)
+						next.now, next.wall = h.now, h.wall
+						h = next
+						h.advance(2 * time.Second)
 					}
-					d.ask("d1", d.held.Stamp)
-					d.settle()
-					d.pass(80 * time.Millisecond)
-					moment := int64(0)
-					for _, set := range d.Doc().Sets {
+					h.request("d1", h.stored.Version)
+					h.runWrites()
+					h.advance(80 * time.Millisecond)
+					effectiveAt := int64(0)
+					for _, set := range h.Snapshot().Sets {
 						if set.Sequence > seen {
 							got, seen = append(got, set.Source), set.Sequence
 						}
-						So(set.Moment == 0 || set.Moment >= moment, ShouldBeTrue)
-						moment = max(moment, set.Moment)
+						So(set.EffectiveAt == 0 || set.EffectiveAt >= effectiveAt, ShouldBeTrue)
+						effectiveAt = max(effectiveAt, set.EffectiveAt)
 					}
 				}
 				So(slices.Clone(got), ShouldResemble, want)
--- a/internal/coordination/distribution/versions.go
+++ b/internal/coordination/distribution/versions.go
@@ -11,7 +11,7 @@
 
 // VersionsKept is for how many manifests, at least, it is known what was taken under
 // their versions.
-const VersionsKept = 1024
+const MinRetainedVersions = 1024
 
 const versionsPerRecord = 64
 
@@ -20,42 +20,44 @@
 
 // DigestOf gives the digest of a manifest: of its bytes as they were sent, or where
 // those are not known of what it says.
-func DigestOf(set model.Set, raw []byte) Digest {
+func DigestOf(set model.BindingSet, raw []byte) Digest {
 	if len(raw) == 0 {
-		raw = store.Encode(model.Set{Bindings: set.Bindings, Databases: set.Databases, Limits: set.Limits})
+		raw = store.Encode(model.BindingSet{Bindings: set.Bindings, Databases: set.Databases, Limits: set.Limits})
 	}
 	sum := sha256.Sum256(raw)
 	return Digest(sum[:16])
 }
 
 // takenVersion is one manifest that was taken.
-type takenVersion struct {
+type acceptedVersion struct {
 	Version uint64
 	Digest  Digest
 }
 
-func versionsKey(block uint64) string { return fmt.Sprintf("%s%012d", model.KeyVersions, block) }
+func versionsKey(block uint64) string {
+	return fmt.Sprintf("%s%012d", model.PrefixManifestVersions, block)
+}
 
 // noteVersion gives the puts that note what was taken under a version, and strike
 // what is long past.
-func noteVersion(held *store.Table, sequence uint64, one takenVersion) []store.Put {
+func versionPuts(state *store.Table, sequence uint64, one acceptedVersion) []store.Put {
 	key := versionsKey(sequence / versionsPerRecord)
-	list, _ := store.Get[[]takenVersion](held, key)
-	puts := []store.Put{{Key: key, Data: store.Encode(append(slices.Clone(list), one))}}
-	keys := held.Keys(model.KeyVersions)
-	const kept = VersionsKept/versionsPerRecord + 1
+	list, _ := store.GetPlain[[]acceptedVersion](state, key)
+	puts := []store.Put{{Key: key, Data: store.EncodePlain(append(slices.Clone(list), one))}}
+	keys := state.Keys(model.PrefixManifestVersions)
+	const kept = MinRetainedVersions/versionsPerRecord + 1
 	for at, old := range keys {
 		if at+kept < len(keys) || (at+kept == len(keys) && len(list) == 0) {
-			puts = append(puts, store.Put{Key: old, IsGone: true})
+			puts = append(puts, store.Put{Key: old, Deleted: true})
 		}
 	}
 	return puts
 }
 
 // isOther says whether another content than this one was taken under a version.
-func isOther(held *store.Table, version uint64, digest Digest) bool {
-	for _, key := range slices.Backward(held.Keys(model.KeyVersions)) {
-		list, _ := store.Get[[]takenVersion](held, key)
+func differsFromAccepted(state *store.Table, version uint64, digest Digest) bool {
+	for _, key := range slices.Backward(state.Keys(model.PrefixManifestVersions)) {
+		list, _ := store.GetPlain[[]acceptedVersion](state, key)
 		for _, one := range list {
 			if one.Version == version {
 				return one.Digest != digest
--- a/internal/coordination/flowcontrol/peers.go
+++ b/internal/coordination/flowcontrol/peer_counter.go
@@ -4,34 +4,34 @@
 
 // Peers is how many nodes share an instance: the most that lived in the last
 // minute, so that one that comes back finds its share free.
-type Peers struct {
-	Most  int
-	sizes []sizeAt
+type PeerCounter struct {
+	Max    int
+	recent []peerSample
 }
 
-type sizeAt struct {
+type peerSample struct {
 	at    time.Duration
 	count int
 }
 
 // Note takes the number of nodes that live now, and says whether the most has
 // changed.
-func (p *Peers) Note(count int, now time.Duration) bool {
-	kept := p.sizes[:0]
+func (p *PeerCounter) Observe(count int, now time.Duration) bool {
+	kept := p.recent[:0]
 	most := max(count, 1)
-	for _, one := range p.sizes {
+	for _, one := range p.recent {
 		if now-one.at < time.Minute {
 			kept = append(kept, one)
 			most = max(most, one.count)
 		}
 	}
 	if len(kept) == 0 || kept[len(kept)-1].count != count {
-		kept = append(kept, sizeAt{now, count})
+		kept = append(kept, peerSample{now, count})
 	} else {
 		kept[len(kept)-1].at = now
 	}
-	p.sizes = kept
-	isNew := most != p.Most
-	p.Most = most
-	return isNew
+	p.recent = kept
+	changed := most != p.Max
+	p.Max = most
+	return changed
 }
--- /dev/null
+++ b/internal/coordination/idempotency/machine.go
@@ -0,0 +1,344 @@
+// Package idempotency is the machine by which a node knows what became of each go,
+// and by which a repeat brought to any node joins the first or is told its
+// outcome, so that none takes effect twice. A go's id is the id of the
+// session it was first made in, a dot and a count; a session's id names the
+// node that gave it out and that node's birth.
+package idempotency
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"tansyseam/internal/state/model"
+)
+
+// Standings of a go.
+const (
+	StateUnseen       = "never"
+	StateInFlight     = "out"
+	StateCommitted    = "kept"
+	StateNotCommitted = "not_kept"
+	StateUnknown      = "unknown"
+	StateTransferred  = "moved"
+)
+
+// Ask asks a node what became of a go.
+type StatusRequest struct {
+	RequestID string
+	Requester string
+}
+
+// Answer tells it. Never also promises that the node will not run it.
+type Status struct {
+	State    string
+	Rows     []byte
+	Position model.Position
+	Owner    string
+}
+
+// Legacy is the record that a node leaves when it stops in good order;
+// without Goes and Scopes it tells only who the heir is.
+type Handover struct {
+	Node        string
+	Incarnation string
+	Successor   string
+	Requests    map[string]Status
+	Sessions    map[string]uint64
+}
+
+// LegacyTaken answers it.
+type HandoverAck struct{}
+
+// Timing holds the machine's bounds.
+type Timing struct {
+	Retention  time.Duration
+	MaxRecords int
+}
+
+// DefaultTiming gives the project's bounds.
+func DefaultTiming() Timing { return Timing{Retention: 3 * time.Minute, MaxRecords: 100000} }
+
+type record struct {
+	Status
+	updatedAt time.Duration
+	waiters   []any
+}
+
+type sessionRecord struct {
+	highestPruned uint64
+	closedAt      time.Duration
+	closed        bool
+}
+
+type predecessor struct {
+	successor string
+	records   map[string]*record
+	sessions  map[string]*sessionRecord
+}
+
+// Machine is one node's record.
+type Machine struct {
+	self             string
+	incarnation      string
+	timing           Timing
+	records          map[string]*record
+	recordOrder      []string
+	sessions         map[string]*sessionRecord
+	predecessors     map[string]*predecessor
+	predecessorOrder []string
+	lastSweep        time.Duration
+}
+
+// New makes the record of a node that starts.
+func New(self, incarnation string, timing Timing) *Machine {
+	return &Machine{
+		self: self, incarnation: incarnation, timing: timing, records: map[string]*record{}, sessions: map[string]*sessionRecord{},
+		predecessors: map[string]*predecessor{},
+	}
+}
+
+// Session makes the id of a session by its number.
+func (m *Machine) SessionID(number uint64) string {
+	return fmt.Sprintf("%s~%s~%d", m.self, m.incarnation, number)
+}
+
+// Open notes a session.
+func (m *Machine) OpenSession(session string) { m.sessions[session] = &sessionRecord{} }
+
+// Close notes that a session is closed; its goes are kept for a while.
+func (m *Machine) CloseSession(session string, now time.Duration) {
+	if held, found := m.sessions[session]; found {
+		held.closed, held.closedAt = true, now
+	}
+}
+
+// Sweep forgets sessions long closed.
+func (m *Machine) ExpireSessions(now time.Duration) {
+	if now-m.lastSweep < time.Second {
+		return
+	}
+	m.lastSweep = now
+	for id, held := range m.sessions {
+		if held.closed && now-held.closedAt > m.timing.Retention {
+			delete(m.sessions, id)
+		}
+	}
+}
+
+func parseRequestID(id string) (session string, count uint64, valid bool) {
+	at := strings.LastIndexByte(id, '.')
+	if at <= 0 {
+		return "", 0, false
+	}
+	count, err := strconv.ParseUint(id[at+1:], 10, 64)
+	return id[:at], count, err == nil
+}
+
+func parseSessionID(session string) (node, incarnation string) {
+	parts := strings.Split(session, "~")
+	if len(parts) != 3 {
+		return "", ""
+	}
+	return parts[0], parts[1]
+}
+
+func isUnseen(scopes map[string]*sessionRecord, id string) bool {
+	session, count, _ := parseRequestID(id)
+	held, found := scopes[session]
+	return found && count > held.highestPruned
+}
+
+func (m *Machine) insert(id, standing, to string, now time.Duration) {
+	m.records[id] = &record{Status: Status{State: standing, Owner: to}, updatedAt: now}
+	m.recordOrder = append(m.recordOrder, id)
+	for len(m.recordOrder) > m.timing.MaxRecords || (len(m.recordOrder) > 0 && m.isExpired(m.recordOrder[0], now)) {
+		oldest := m.recordOrder[0]
+		m.recordOrder = m.recordOrder[1:]
+		delete(m.records, oldest)
+		session, count, _ := parseRequestID(oldest)
+		if held, found := m.sessions[session]; found {
+			held.highestPruned = max(held.highestPruned, count)
+		}
+	}
+}
+
+func (m *Machine) isExpired(id string, now time.Duration) bool {
+	held, found := m.records[id]
+	return !found || (held.State != StateInFlight && now-held.updatedAt > m.timing.Retention)
+}
+
+// Kinds of decision.
+const (
+	// Run: it was never made, and is on record as out now.
+	Execute = "run"
+	// Wait: its first is out here; the token was joined to it.
+	Wait = "wait"
+	// Tell: it has ended, as Answer says.
+	Reply = "tell"
+	// Seek: the node Target must be asked.
+	Lookup = "seek"
+	// Bad: the id has not the right shape.
+	Invalid = "bad"
+)
+
+// Decision says what is to be done with a go that was brought here.
+type Decision struct {
+	Kind   string
+	Node   string
+	Status Status
+}
+
+var unknownDecision = Decision{Kind: Reply, Status: Status{State: StateUnknown}}
+
+// Decide takes a go. The token is joined to its first where that is out.
+func (m *Machine) Decide(id string, token any, now time.Duration) Decision {
+	session, _, valid := parseRequestID(id)
+	if !valid {
+		return Decision{Kind: Invalid}
+	}
+	if held, found := m.records[id]; found {
+		return m.join(held, token)
+	}
+	owner, incarnation := parseSessionID(session)
+	if owner == m.self && incarnation == m.incarnation {
+		if !isUnseen(m.sessions, id) {
+			return unknownDecision
+		}
+		m.insert(id, StateInFlight, "", now)
+		return Decision{Kind: Execute}
+	}
+	if left, found := m.predecessors[owner+"~"+incarnation]; found {
+		return Decision{Kind: Lookup, Node: left.successor}
+	}
+	if owner == m.self || owner == "" {
+		return unknownDecision
+	}
+	return Decision{Kind: Lookup, Node: owner}
+}
+
+func (m *Machine) join(held *record, token any) Decision {
+	if held.State == StateTransferred {
+		return Decision{Kind: Lookup, Node: held.Owner}
+	}
+	if held.State == StateInFlight {
+		held.waiters = append(held.waiters, token)
+		return Decision{Kind: Wait}
+	}
+	return Decision{Kind: Reply, Status: held.Status}
+}
+
+// BirthOf gives the birth of the node that gave out a go's session.
+func IncarnationOf(id string) string {
+	session, _, _ := parseRequestID(id)
+	_, incarnation := parseSessionID(session)
+	return incarnation
+}
+
+// IsFirst says whether a go was surely never made before: only then may a
+// node that does not pass it on say that nothing was kept.
+func (m *Machine) IsUnseen(id string) bool {
+	session, _, valid := parseRequestID(id)
+	owner, incarnation := parseSessionID(session)
+	_, found := m.records[id]
+	return valid && !found && owner == m.self && incarnation == m.incarnation && isUnseen(m.sessions, id)
+}
+
+// Has says whether a go is on record.
+func (m *Machine) Contains(id string) bool {
+	_, found := m.records[id]
+	return found
+}
+
+// Heard goes on with what the node that was asked told.
+func (m *Machine) DecideFromPeer(id string, token any, answer Status, now time.Duration) Decision {
+	owned := answer.State == StateUnseen || (answer.State == StateTransferred && answer.Owner == m.self)
+	if owned {
+		if held, found := m.records[id]; found && held.State != StateTransferred {
+			return m.join(held, token)
+		}
+		m.insert(id, StateInFlight, "", now)
+		return Decision{Kind: Execute}
+	}
+	if answer.State == StateTransferred {
+		return Decision{Kind: Lookup, Node: answer.Owner}
+	}
+	return Decision{Kind: Reply, Status: answer}
+}
+
+// OnAsk answers another node that was brought a go. Where the go surely
+// never came, it is given up to the asker for good.
+func (m *Machine) HandleStatusRequest(ask StatusRequest, now time.Duration) Status {
+	if held, found := m.records[ask.RequestID]; found {
+		return held.Status
+	}
+	session, _, _ := parseRequestID(ask.RequestID)
+	owner, incarnation := parseSessionID(session)
+	if owner == m.self && incarnation == m.incarnation {
+		if !isUnseen(m.sessions, ask.RequestID) {
+			return Status{State: StateUnknown}
+		}
+		m.insert(ask.RequestID, StateTransferred, ask.Requester, now)
+		return Status{State: StateUnseen}
+	}
+	left, found := m.predecessors[owner+"~"+incarnation]
+	if !found || left.successor != m.self {
+		return Status{State: StateUnknown}
+	}
+	if held, found := left.records[ask.RequestID]; found {
+		return held.Status
+	}
+	if !isUnseen(left.sessions, ask.RequestID) {
+		return Status{State: StateUnknown}
+	}
+	left.records[ask.RequestID] = &record{Status: Status{State: StateTransferred, Owner: ask.Requester}, updatedAt: now}
+	return Status{State: StateUnseen}
+}
+
+// Settle notes what became of a go and gives the tokens that joined it. A
+// standing shown by proof is never changed; unknown may still be settled.
+func (m *Machine) Complete(id, standing string, rows []byte, position model.Position, now time.Duration) ([]any, Status) {
+	held, found := m.records[id]
+	if !found || held.State == StateCommitted || held.State == StateNotCommitted {
+		return nil, Status{}
+	}
+	held.Status, held.updatedAt = Status{State: standing, Rows: rows, Position: position}, now
+	joined := held.waiters
+	held.waiters = nil
+	return joined, held.Status
+}
+
+// Leave gives the record for an heir. What is still out is unknown.
+func (m *Machine) Export(heir string) Handover {
+	left := Handover{Node: m.self, Incarnation: m.incarnation, Successor: heir, Requests: map[string]Status{}, Sessions: map[string]uint64{}}
+	for id, held := range m.records {
+		answer := held.Status
+		if answer.State == StateInFlight {
+			answer.State = StateUnknown
+		}
+		left.Requests[id] = answer
+	}
+	for session, held := range m.sessions {
+		left.Sessions[session] = held.highestPruned
+	}
+	return left
+}
+
+// Inherit takes another node's record, or word of who has it.
+func (m *Machine) Import(left Handover, now time.Duration) {
+	held := &predecessor{successor: left.Successor, records: map[string]*record{}, sessions: map[string]*sessionRecord{}}
+	for id, answer := range left.Requests {
+		held.records[id] = &record{Status: answer, updatedAt: now}
+	}
+	for session, pruned := range left.Sessions {
+		held.sessions[session] = &sessionRecord{highestPruned: pruned}
+	}
+	key := left.Node + "~" + left.Incarnation
+	m.predecessors[key] = held
+	m.predecessorOrder = append(m.predecessorOrder, key)
+	if len(m.predecessorOrder) > 64 {
+		delete(m.predecessors, m.predecessorOrder[0])
+		m.predecessorOrder = m.predecessorOrder[1:]
+	}
+}
--- a/internal/coordination/lease/lease.go
+++ b/internal/coordination/lease/lease.go
@@ -11,128 +11,128 @@
 
 // Timing holds the bounds of leases.
 type Timing struct {
-	Full time.Duration
+	LeaseDuration time.Duration
 	// Drift is the part of a lease, in hundredths, that a node gives up for
 	// clocks that run apart.
-	Drift time.Duration
+	DriftPercent time.Duration
 	// Margin is added before a common moment.
-	Margin time.Duration
+	ActivationMargin time.Duration
 	// Wait is the longest that an ask waits for news.
-	Wait time.Duration
+	PollTimeout time.Duration
 	// InForce is within how long of its taking a set is in force everywhere.
-	InForce time.Duration
+	ActivationDeadline time.Duration
 }
 
 // Patience is how long after a set was taken, or was due, nodes may still
 // be leased to serve under the one before. After that they hold.
-func (t Timing) Patience() time.Duration { return t.InForce - 300*time.Millisecond }
+func (t Timing) PreviousSetLimit() time.Duration { return t.ActivationDeadline - 300*time.Millisecond }
 
 // Reach is how far past its taking leases may go while a set has no moment: a
 // node that is silent has lapsed by then, and the moment comes after the others'.
-func (t Timing) Reach() time.Duration { return t.InForce - 600*time.Millisecond }
+func (t Timing) PendingSetLimit() time.Duration { return t.ActivationDeadline - 600*time.Millisecond }
 
 // DefaultTiming gives the project's bounds.
 func DefaultTiming() Timing {
-	return Timing{Full: 1600 * time.Millisecond, Drift: 3, Margin: 60 * time.Millisecond, Wait: 250 * time.Millisecond, InForce: 3 * time.Second}
+	return Timing{LeaseDuration: 1600 * time.Millisecond, DriftPercent: 3, ActivationMargin: 60 * time.Millisecond, PollTimeout: 250 * time.Millisecond, ActivationDeadline: 3 * time.Second}
 }
 
-type holding struct {
-	until time.Duration
-	acked store.Stamp
+type nodeLease struct {
+	expiresAt    time.Duration
+	acknowledged store.Version
 	// isCounted says that its lapse was not yet counted.
-	isCounted bool
+	lapsePending bool
 }
 
 // Desk is what the control primary has given out.
-type Desk struct {
-	timing Timing
-	began  time.Duration
-	nodes  map[string]holding
-	frozen time.Duration
+type Grantor struct {
+	timing      Timing
+	startedAt   time.Duration
+	leases      map[string]nodeLease
+	frozenUntil time.Duration
 	// lapses counts the leases seen to lapse; none lapses before soonest.
-	lapses  uint64
-	soonest time.Duration
+	lapseCount uint64
+	nextExpiry time.Duration
 }
 
 // NewDesk starts with no lease of its own given out. Each node on record may
 // hold one of an earlier primary's, for up to a full lease.
-func NewDesk(timing Timing, nodes []string, now time.Duration) *Desk {
-	d := &Desk{timing: timing, began: now, nodes: map[string]holding{}, soonest: now + timing.Full}
+func NewGrantor(timing Timing, nodes []string, now time.Duration) *Grantor {
+	g := &Grantor{timing: timing, startedAt: now, leases: map[string]nodeLease{}, nextExpiry: now + timing.LeaseDuration}
 	for _, node := range nodes {
-		d.nodes[node] = holding{until: now + timing.Full, isCounted: true}
+		g.leases[node] = nodeLease{expiresAt: now + timing.LeaseDuration, lapsePending: true}
 	}
-	return d
+	return g
 }
 
 // OnAsk notes what a node has taken up.
-func (d *Desk) OnAsk(node string, acked store.Stamp, now time.Duration) {
-	held, isMet := d.nodes[node]
-	if !isMet {
-		held.until = now
+func (g *Grantor) Acknowledge(node string, acknowledged store.Version, now time.Duration) {
+	entry, known := g.leases[node]
+	if !known {
+		entry.expiresAt = now
 	}
-	if held.acked.IsBefore(acked) {
-		held.acked = acked
+	if entry.acknowledged.IsBefore(acknowledged) {
+		entry.acknowledged = acknowledged
 	}
-	d.nodes[node] = held
+	g.leases[node] = entry
 }
 
 // OnBare notes that a node holds no lease now, nor will by an earlier grant.
-func (d *Desk) OnBare(node string, now time.Duration) {
-	if held, isMet := d.nodes[node]; isMet {
-		held.until = min(held.until, now)
-		d.soonest = min(d.soonest, held.until)
-		d.nodes[node] = held
+func (g *Grantor) Release(node string, now time.Duration) {
+	if entry, known := g.leases[node]; known {
+		entry.expiresAt = min(entry.expiresAt, now)
+		g.nextExpiry = min(g.nextExpiry, entry.expiresAt)
+		g.leases[node] = entry
 	}
 }
 
 // Grant gives the lease that goes with an answer, counted by the node from
 // when it sent the ask.
-func (d *Desk) Grant(node string, most, now time.Duration) time.Duration {
-	held := d.nodes[node]
-	length := min(d.timing.Full, most)
-	if d.frozen != 0 {
-		length = max(min(length, d.frozen-now), 0)
+func (g *Grantor) Grant(node string, limit, now time.Duration) time.Duration {
+	entry := g.leases[node]
+	duration := min(g.timing.LeaseDuration, limit)
+	if g.frozenUntil != 0 {
+		duration = max(min(duration, g.frozenUntil-now), 0)
 	}
-	held.until = max(held.until, now+length)
-	if held.until > now {
-		held.isCounted = true
-		d.soonest = min(d.soonest, held.until)
+	entry.expiresAt = max(entry.expiresAt, now+duration)
+	if entry.expiresAt > now {
+		entry.lapsePending = true
+		g.nextExpiry = min(g.nextExpiry, entry.expiresAt)
 	}
-	d.nodes[node] = held
-	return length
+	g.leases[node] = entry
+	return duration
 }
 
 // Lapses counts the leases that were seen to lapse up to now. The nodes are
 // looked through only when one may have.
-func (d *Desk) Lapses(now time.Duration) uint64 {
-	if now < d.soonest {
-		return d.lapses
+func (g *Grantor) LapseCount(now time.Duration) uint64 {
+	if now < g.nextExpiry {
+		return g.lapseCount
 	}
-	d.soonest = now + d.timing.Full
-	for name, held := range d.nodes {
-		if held.until > now {
-			d.soonest = min(d.soonest, held.until)
+	g.nextExpiry = now + g.timing.LeaseDuration
+	for name, entry := range g.leases {
+		if entry.expiresAt > now {
+			g.nextExpiry = min(g.nextExpiry, entry.expiresAt)
 			continue
 		}
-		if held.isCounted {
-			held.isCounted = false
-			d.nodes[name] = held
-			d.lapses++
+		if entry.lapsePending {
+			entry.lapsePending = false
+			g.leases[name] = entry
+			g.lapseCount++
 		}
 	}
-	return d.lapses
+	return g.lapseCount
 }
 
 // Freeze bars leases past a moment until the moment is safely recorded.
-func (d *Desk) Freeze(until time.Duration) { d.frozen = until }
+func (g *Grantor) Freeze(expiresAt time.Duration) { g.frozenUntil = expiresAt }
 
 // Thaw ends a freeze.
-func (d *Desk) Thaw() { d.frozen = 0 }
+func (g *Grantor) Unfreeze() { g.frozenUntil = 0 }
 
 // Settled says whether every node that may hold a lease has taken up a stamp.
-func (d *Desk) Settled(stamp store.Stamp, now time.Duration) bool {
-	for _, held := range d.nodes {
-		if held.until > now && held.acked.IsBefore(stamp) {
+func (g *Grantor) AllAcknowledged(version store.Version, now time.Duration) bool {
+	for _, entry := range g.leases {
+		if entry.expiresAt > now && entry.acknowledged.IsBefore(version) {
 			return false
 		}
 	}
@@ -140,33 +140,35 @@
 }
 
 // Latest gives the end of the last lease given out.
-func (d *Desk) Latest(now time.Duration) time.Duration {
+func (g *Grantor) LatestExpiry(now time.Duration) time.Duration {
 	latest := now
-	for _, held := range d.nodes {
-		latest = max(latest, held.until)
+	for _, entry := range g.leases {
+		latest = max(latest, entry.expiresAt)
 	}
 	return latest
 }
 
 // IsHeld says whether a node may hold a lease.
-func (d *Desk) IsHeld(node string, now time.Duration) bool { return d.nodes[node].until > now }
+func (g *Grantor) HasLease(node string, now time.Duration) bool {
+	return g.leases[node].expiresAt > now
+}
 
 // Held lists the nodes that may hold a lease, with what each has taken up.
-func (d *Desk) Held(now time.Duration) map[string]store.Stamp {
-	nodes := map[string]store.Stamp{}
-	for name, held := range d.nodes {
-		if held.until > now {
-			nodes[name] = held.acked
+func (g *Grantor) LeasedNodes(now time.Duration) map[string]store.Version {
+	nodes := map[string]store.Version{}
+	for name, entry := range g.leases {
+		if entry.expiresAt > now {
+			nodes[name] = entry.acknowledged
 		}
 	}
 	return nodes
 }
 
 // Lapsed names the nodes that have held no lease for a span.
-func (d *Desk) Lapsed(now, span time.Duration) []string {
+func (g *Grantor) LapsedNodes(now, duration time.Duration) []string {
 	var names []string
-	for name, held := range d.nodes {
-		if held.until+span < now {
+	for name, entry := range g.leases {
+		if entry.expiresAt+duration < now {
 			names = append(names, name)
 		}
 	}
@@ -175,95 +177,95 @@
 }
 
 // Forget drops a node that is no longer on record.
-func (d *Desk) Forget(node string) {
-	if d.nodes[node].isCounted {
-		d.lapses++
+func (g *Grantor) Remove(node string) {
+	if g.leases[node].lapsePending {
+		g.lapseCount++
 	}
-	delete(d.nodes, node)
+	delete(g.leases, node)
 }
 
 // Began gives when this primary took the desk.
-func (d *Desk) Began() time.Duration { return d.began }
+func (g *Grantor) StartedAt() time.Duration { return g.startedAt }
 
 // Holder is a node's own lease and its reckoning of the primary's clock.
-type Holder struct {
-	timing  Timing
-	until   time.Duration
-	epoch   uint64
-	offset  int64
-	offsets int
-	doubt   time.Duration
-	readAt  time.Duration
-	cutAt   time.Duration
+type Lease struct {
+	timing        Timing
+	expiresAt     time.Duration
+	epoch         uint64
+	clockOffset   int64
+	clockReadings int
+	clockError    time.Duration
+	clockReadAt   time.Duration
+	ignoredBefore time.Duration
 }
 
 // NewHolder starts without a lease.
-func NewHolder(timing Timing) *Holder { return &Holder{timing: timing} }
+func NewLease(timing Timing) *Lease { return &Lease{timing: timing} }
 
 // Grant is what came with an answer.
 type Grant struct {
-	Epoch   uint64
-	Primary string
-	Length  time.Duration
+	Epoch    uint64
+	Primary  string
+	Duration time.Duration
 	// Wall is the primary's clock when it answered, and Held how long it had
 	// kept the ask until then.
-	Wall int64
-	Held time.Duration
+	PrimaryTime int64
+	QueuedFor   time.Duration
 }
 
-const wander = 2
+const clockDriftPercent = 2
 
 // MostDoubt is how far the reckoning of the primary's clock may be out for a
 // node to serve by it.
-const MostDoubt = 80 * time.Millisecond
+const MaxClockError = 80 * time.Millisecond
 
 // Doubt bounds how far the reckoning may be out.
-func (h *Holder) Doubt(now time.Duration) time.Duration {
-	if h.offsets == 0 {
+func (l *Lease) ClockError(now time.Duration) time.Duration {
+	if l.clockReadings == 0 {
 		return time.Hour
 	}
-	return h.doubt + (now-h.readAt)*wander/100
+	return l.clockError + (now-l.clockReadAt)*clockDriftPercent/100
 }
 
 // OnGrant takes a lease counted from when its ask was sent. Grants of an
 // epoch older than one seen are nothing, and so is one that leaves the
 // primary's clock in too much doubt: the answer says when it was written,
 // give or take half its trip.
-func (h *Holder) OnGrant(grant Grant, sent, now time.Duration) bool {
-	if grant.Epoch < h.epoch || sent < h.cutAt {
+func (l *Lease) Accept(grant Grant, sentAt, now time.Duration) bool {
+	if grant.Epoch < l.epoch || sentAt < l.ignoredBefore {
 		return false
 	}
-	doubt := max(now-sent-grant.Held, 0) / 2
-	if grant.Epoch > h.epoch || doubt <= h.Doubt(now) {
-		h.offset, h.doubt, h.readAt = grant.Wall+int64(doubt)-int64(now), doubt, now
-		h.offsets++
+	clockError := max(now-sentAt-grant.QueuedFor, 0) / 2
+	if grant.Epoch > l.epoch || clockError <= l.ClockError(now) {
+		l.clockOffset, l.clockError, l.clockReadAt = grant.PrimaryTime+int64(clockError)-int64(now), clockError, now
+		l.clockReadings++
 	}
-	h.epoch = grant.Epoch
-	if h.Doubt(now) > MostDoubt {
+	l.epoch = grant.Epoch
+	if l.ClockError(now) > MaxClockError {
 		return false
 	}
-	h.until = max(h.until, sent+grant.Length-grant.Length*h.timing.Drift/100)
+	l.expiresAt = max(l.expiresAt, sentAt+grant.Duration-grant.Duration*l.timing.DriftPercent/100)
 	return true
 }
 
 // Bare says whether no lease is held now; grants for asks sent before are then
 // nothing from now on, so that the node may say so.
-func (h *Holder) Bare(now time.Duration) bool {
-	if h.IsHeld(now) {
+func (l *Lease) ConfirmExpired(now time.Duration) bool {
+	if l.IsValid(now) {
 		return false
 	}
-	h.cutAt = max(h.cutAt, now)
+	l.ignoredBefore = max(l.ignoredBefore, now)
 	return true
 }
 
 // IsHeld says whether the node may serve at this moment.
-func (h *Holder) IsHeld(now time.Duration) bool { return now < h.until }
+func (l *Lease) IsValid(now time.Duration) bool { return now < l.expiresAt }
 
 // Left gives what remains of the lease.
-func (h *Holder) Left(now time.Duration) time.Duration { return max(h.until-now, 0) }
+func (l *Lease) Remaining(now time.Duration) time.Duration { return max(l.expiresAt-now, 0) }
 
 // Wall reckons the primary's clock.
-func (h *Holder) Wall(now time.Duration) int64 { return h.offset + int64(now) }
+func (l *Lease) PrimaryTime(now time.Duration) int64 { return l.clockOffset + int64(now) }
 
 // Epoch gives the highest epoch that granted.
-func (h *Holder) Epoch() uint64 { return h.epoch }
+func (l *Lease) Epoch() uint64 { return l.epoch }
--- a/internal/coordination/outlier/outlier.go
+++ b/internal/coordination/outlier/outlier.go
@@ -11,35 +11,35 @@
 
 const (
 	// Weight is what one outcome counts against those before.
-	Weight = 0.3
+	SampleWeight = 0.3
 	// Fading is the time in which half of a grade is forgotten.
-	Fading = 2 * time.Second
+	HalfLife = 2 * time.Second
 )
 
 // Grade is one instance's; the zero value is that of one that never failed.
-type Grade struct {
-	failing float64
-	at      time.Duration
+type FailureRate struct {
+	rate       float64
+	observedAt time.Duration
 }
 
 // Failing is the part of the late outcomes that were failures, from 0 to
 // below 1.
-func (g *Grade) Failing(now time.Duration) float64 {
-	return g.failing * math.Exp2(-float64(max(now-g.at, 0))/float64(Fading))
+func (r *FailureRate) Rate(now time.Duration) float64 {
+	return r.rate * math.Exp2(-float64(max(now-r.observedAt, 0))/float64(HalfLife))
 }
 
 // Note takes one outcome.
-func (g *Grade) Note(isFailed bool, now time.Duration) {
-	next := g.Failing(now) * (1 - Weight)
-	if isFailed {
-		next += Weight
+func (r *FailureRate) Observe(failed bool, now time.Duration) {
+	next := r.Rate(now) * (1 - SampleWeight)
+	if failed {
+		next += SampleWeight
 	}
-	g.failing, g.at = next, now
+	r.rate, r.observedAt = next, now
 }
 
 // Factor is by how much dearer the instance is than one that never failed:
 // 1 at least.
-func (g *Grade) Factor(now time.Duration) float64 {
-	good := 1 - g.Failing(now)
+func (r *FailureRate) CostFactor(now time.Duration) float64 {
+	good := 1 - r.Rate(now)
 	return 1 / (good * good)
 }
--- a/internal/coordination/outlier/outlier_test.go
+++ b/internal/coordination/outlier/outlier_test.go
@@ -7,35 +7,35 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestGrade(t *testing.T) {
+func TestFailureRate(t *testing.T) {
 	Convey("An instance that never failed costs what it costs", t, func() {
-		g := Grade{}
+		r := FailureRate{}
 		for at := range 10 {
-			g.Note(false, time.Duration(at)*time.Second)
+			r.Observe(false, time.Duration(at)*time.Second)
 		}
-		So(g.Factor(time.Minute), ShouldEqual, 1)
+		So(r.CostFactor(time.Minute), ShouldEqual, 1)
 	})
 	Convey("Each failure makes it dearer, each good answer cheaper, without an end to either", t, func() {
-		g, last := Grade{}, 1.0
+		r, last := FailureRate{}, 1.0
 		for range 50 {
-			g.Note(true, time.Hour)
-			So(g.Factor(time.Hour), ShouldBeGreaterThan, last)
-			last = g.Factor(time.Hour)
-			if g.Failing(time.Hour) > 0.999 {
+			r.Observe(true, time.Hour)
+			So(r.CostFactor(time.Hour), ShouldBeGreaterThan, last)
+			last = r.CostFactor(time.Hour)
+			if r.Rate(time.Hour) > 0.999 {
 				break
 			}
 		}
 		for range 5 {
-			g.Note(false, time.Hour)
-			So(g.Factor(time.Hour), ShouldBeLessThan, last)
-			last = g.Factor(time.Hour)
+			r.Observe(false, time.Hour)
+			So(r.CostFactor(time.Hour), ShouldBeLessThan, last)
+			last = r.CostFactor(time.Hour)
 		}
 	})
 	Convey("It is tried again: half of what is held against it fades in a while", t, func() {
-		g := Grade{}
-		g.Note(true, time.Hour)
-		before := g.Failing(time.Hour)
-		So(g.Failing(time.Hour+Fading), ShouldAlmostEqual, before/2)
-		So(g.Factor(time.Hour+20*Fading), ShouldAlmostEqual, 1, 0.001)
+		r := FailureRate{}
+		r.Observe(true, time.Hour)
+		before := r.Rate(time.Hour)
+		So(r.Rate(time.Hour+HalfLife), ShouldAlmostEqual, before/2)
+		So(r.CostFactor(time.Hour+20*HalfLife), ShouldAlmostEqual, 1, 0.001)
 	})
 }
--- a/internal/coordination/pool/httppool/outcome.go
+++ b/internal/coordination/pool/httppool/outcome.go
@@ -9,87 +9,87 @@
 	"tansyseam/internal/state/model"
 )
 
-func (m *Machine) finish(j *Job, told Result, now time.Duration) {
-	if j.isTold {
+func (m *Machine) respond(request *Request, result Result, now time.Duration) {
+	if request.responded {
 		return
 	}
-	j.isTold = true
-	if told.Fault != "" && told.Retry == 0 && told.Cause == "" {
-		told.Retry = time.Second
+	request.responded = true
+	if result.Error != "" && result.RetryAfter == 0 && result.Cause == "" {
+		result.RetryAfter = time.Second
 	}
-	held := j.consumer
-	if told.Outcome == OutcomeKept {
-		held.marks[j.database] = held.marks[j.database].Later(told.Position)
+	held := request.session
+	if result.Outcome == OutcomeCommitted {
+		held.minPositions[request.databaseName] = held.minPositions[request.databaseName].Max(result.Position)
 	}
-	held.isBusy, held.used = false, now
-	if held.isShut || held.isLost {
-		m.loseSession(held)
+	held.busy, held.lastUsed = false, now
+	if held.closed || held.stateLost {
+		m.discardPinned(held)
 	}
-	told.IsClosed = told.IsClosed || held.isShut
-	if told.IsClosed {
-		m.shut(held, now)
+	result.SessionClosed = result.SessionClosed || held.closed
+	if result.SessionClosed {
+		m.endSession(held, now)
 	}
-	told.Sequence, told.Marks = j.sequence, maps.Clone(held.marks)
-	m.count("outcome_"+told.Outcome, 1)
-	m.emit(Tell{Job: j, Result: told})
+	result.BindingSequence, result.MinPositions = request.bindingSequence, maps.Clone(held.minPositions)
+	m.count("outcome_"+result.Outcome, 1)
+	m.emit(Respond{Request: request, Result: result})
 }
 
 // GiveUp ends a request whose deadline has passed, or that could not go on
 // to the next stage.
-func (m *Machine) GiveUp(j *Job, now time.Duration) {
-	if j.isTold {
+func (m *Machine) Cancel(request *Request, now time.Duration) {
+	if request.responded {
 		return
 	}
 	m.count("gave_up", 1)
-	givings[j.phase](m, j, now)
+	cancelByPhase[request.phase](m, request, now)
 }
 
-var givings = map[phase]func(*Machine, *Job, time.Duration){
-	phaseNew:   giveUpNew,
-	phaseLease: giveUpNew,
-	phaseSeek: func(m *Machine, j *Job, now time.Duration) {
-		m.finish(j, Result{Outcome: OutcomeUnknown, Fault: "the node that had this go has not answered", Retry: time.Second}, now)
+var cancelByPhase = map[phase]func(*Machine, *Request, time.Duration){
+	phaseNew:           cancelUnsent,
+	phaseAwaitingLease: cancelUnsent,
+	phaseLookup: func(m *Machine, request *Request, now time.Duration) {
+		m.respond(request, Result{Outcome: OutcomeUnknown, Error: "the node that had this go has not answered", RetryAfter: time.Second}, now)
 	},
-	phaseJoined: func(m *Machine, j *Job, now time.Duration) {
-		m.finish(j, Result{Outcome: OutcomeUnknown, Fault: "its first sending is still out", Retry: time.Second}, now)
+	phaseAwaitingFirst: func(m *Machine, request *Request, now time.Duration) {
+		m.respond(request, Result{Outcome: OutcomeUnknown, Error: "its first sending is still out", RetryAfter: time.Second}, now)
 	},
-	phaseLine: func(m *Machine, j *Job, now time.Duration) {
-		m.unline(j)
-		m.settleGo(j.op.Go, idempotency.Not, nil, model.Position{}, now)
-		m.finish(j, Result{Outcome: OutcomeNot, Fault: "deadline passed while waiting in line: " + m.whyWaits(j, now), Retry: m.backAt(j, now)}, now)
+	phaseQueued: func(m *Machine, request *Request, now time.Duration) {
+		m.dequeue(request)
+		m.recordOutcome(request.op.RequestID, idempotency.StateNotCommitted, nil, model.Position{}, now)
+		m.respond(request, Result{Outcome: OutcomeNotCommitted, Error: "deadline passed while waiting in line: " + m.waitReason(request, now), RetryAfter: m.retryAfter(request, now)}, now)
 	},
-	phaseTaken: func(m *Machine, j *Job, now time.Duration) {
-		m.settleGo(j.op.Go, idempotency.Not, nil, model.Position{}, now)
-		m.finish(j, Result{Outcome: OutcomeNot, Fault: "deadline passed before it was passed on", Retry: m.backAt(j, now)}, now)
+	phaseAssigned: func(m *Machine, request *Request, now time.Duration) {
+		m.recordOutcome(request.op.RequestID, idempotency.StateNotCommitted, nil, model.Position{}, now)
+		m.respond(request, Result{Outcome: OutcomeNotCommitted, Error: "deadline passed before it was passed on", RetryAfter: m.retryAfter(request, now)}, now)
 	},
-	phaseOut: func(m *Machine, j *Job, now time.Duration) { m.abandon(j, now) },
-	phaseConfirm: func(m *Machine, j *Job, now time.Duration) {
-		m.settleGo(j.op.Go, idempotency.Unknown, nil, model.Position{}, now)
-		m.finish(j, Result{Outcome: OutcomeUnknown, Fault: "it ran, but is not yet shown to be safe on the replicas", Retry: time.Second}, now)
+	phaseInFlight: func(m *Machine, request *Request, now time.Duration) { m.abandon(request, now) },
+	phaseUnconfirmed: func(m *Machine, request *Request, now time.Duration) {
+		m.recordOutcome(request.op.RequestID, idempotency.StateUnknown, nil, model.Position{}, now)
+		m.respond(request, Result{Outcome: OutcomeUnknown, Error: "it ran, but is not yet shown to be safe on the replicas", RetryAfter: time.Second}, now)
 	},
-	phaseEnded: func(*Machine, *Job, time.Duration) {},
+	phaseDone: func(*Machine, *Request, time.Duration) {},
 }
 
-func giveUpNew(m *Machine, j *Job, now time.Duration) {
-	m.finish(j, Result{Outcome: m.unsentOutcome(j), Fault: "deadline passed before it was passed on", Retry: m.backAt(j, now)}, now)
+func cancelUnsent(m *Machine, request *Request, now time.Duration) {
+	m.respond(request, Result{Outcome: m.unsentOutcome(request), Error: "deadline passed before it was passed on", RetryAfter: m.retryAfter(request, now)}, now)
 }
 
-func (m *Machine) unsentOutcome(j *Job) string {
-	if j.isLasting() && !m.goes.IsFirst(j.op.Go) {
+func (m *Machine) unsentOutcome(request *Request) string {
+	if request.mayPersist() && !m.requestLog.IsUnseen(request.op.RequestID) {
 		return OutcomeUnknown
 	}
-	return OutcomeNot
+	return OutcomeNotCommitted
 }
 
-func (m *Machine) whyWaits(j *Job, now time.Duration) string {
-	writer := m.serve.Writer(j.database)
+func (m *Machine) waitReason(request *Request, now time.Duration) string {
+	writer := m.routing.WriterRole(request.databaseName)
 	checks := []struct {
 		is  bool
 		why string
 	}{
-		{!m.serve.IsLeased(now), "this node has no lease from the control plane"},
+		{!m.routing.HasLease(now), "this node has no lease from the control plane"},
 		{writer.Phase == "", "the database's primary is not known yet"},
-		{writer.Phase != model.PhaseOpen && (j.isStrict || j.op.IsWrite), "the writer role is moving"},
+		{writer.Phase != model.PhaseOpen && (request.strict || request.op.Write), "the writer role is moving"},
 	}
 	for _, check := range checks {
 		if check.is {
@@ -99,159 +99,161 @@
 	return "no room in the windows of its instances"
 }
 
-func (m *Machine) backAt(j *Job, now time.Duration) time.Duration {
-	one := m.base(j.database)
-	spread := m.spread(30 * time.Millisecond)
-	if m.serve.Writer(j.database).Phase != model.PhaseOpen || !m.serve.IsLeased(now) {
+func (m *Machine) retryAfter(request *Request, now time.Duration) time.Duration {
+	one := m.database(request.databaseName)
+	spread := m.jitter(30 * time.Millisecond)
+	if m.routing.WriterRole(request.databaseName).Phase != model.PhaseOpen || !m.routing.HasLease(now) {
 		return 800*time.Millisecond + spread
 	}
-	ahead := one.reads.live + one.writes.live + one.turns.live
+	ahead := one.reads.length + one.writes.length + one.transactions.length
 	room, cal := 0, time.Duration(0)
-	for _, held := range m.backs {
-		if m.baseOf(held) == one {
+	for _, held := range m.instances {
+		if m.databaseOf(held) == one {
 			room += held.window.Size()
-			cal = max(cal, held.window.Read().Cal)
+			cal = max(cal, held.window.Reading().AverageLatency)
 		}
 	}
 	return min(100*time.Millisecond+spread+time.Duration(ahead+1)*cal/time.Duration(max(room, 1)), 5*time.Second)
 }
 
-func (m *Machine) settleGo(id, standing string, rows []byte, position model.Position, now time.Duration) {
-	joined, answer := m.goes.Settle(id, standing, rows, position, now)
+func (m *Machine) recordOutcome(id, standing string, rows []byte, position model.Position, now time.Duration) {
+	joined, answer := m.requestLog.Complete(id, standing, rows, position, now)
 	for _, token := range joined {
-		m.finish(token.(*Job), resultOf(answer), now)
+		m.respond(token.(*Request), resultFromStatus(answer), now)
 	}
 }
 
-func resultOf(answer idempotency.Answer) Result {
+func resultFromStatus(answer idempotency.Status) Result {
 	results := map[string]Result{
-		idempotency.Kept: {Outcome: OutcomeKept, Rows: answer.Rows, Position: answer.Position},
-		idempotency.Not:  {Outcome: OutcomeNot, Fault: "this go ended before with nothing kept", Retry: time.Second},
+		idempotency.StateCommitted:    {Outcome: OutcomeCommitted, Rows: answer.Rows, Position: answer.Position},
+		idempotency.StateNotCommitted: {Outcome: OutcomeNotCommitted, Error: "this go ended before with nothing kept", RetryAfter: time.Second},
 	}
-	if found, isOne := results[answer.Standing]; isOne {
+	if found, ok := results[answer.State]; ok {
 		return found
 	}
-	return Result{Outcome: OutcomeUnknown, Fault: "what became of this go is not known", Retry: time.Second}
+	return Result{Outcome: OutcomeUnknown, Error: "what became of this go is not known", RetryAfter: time.Second}
 }
 
-var decisions map[string]func(*Machine, *Job, idempotency.Decision, time.Duration)
+var decisionHandlers map[string]func(*Machine, *Request, idempotency.Decision, time.Duration)
 
 func init() {
-	decisions = map[string]func(*Machine, *Job, idempotency.Decision, time.Duration){
-		idempotency.Run: func(m *Machine, j *Job, _ idempotency.Decision, now time.Duration) {
-			if j.op.Act == ActCommit && !j.consumer.isInside {
-				m.settleGo(j.op.Go, idempotency.Not, nil, model.Position{}, now)
-				m.finish(j, noTurn, now)
+	decisionHandlers = map[string]func(*Machine, *Request, idempotency.Decision, time.Duration){
+		idempotency.Execute: func(m *Machine, request *Request, _ idempotency.Decision, now time.Duration) {
+			if request.op.Kind == OpCommit && !request.session.inTransaction {
+				m.recordOutcome(request.op.RequestID, idempotency.StateNotCommitted, nil, model.Position{}, now)
+				m.respond(request, noTransactionResult, now)
 				return
 			}
-			j.phase = phaseNew
-			m.emit(Admit{Job: j})
+			request.phase = phaseNew
+			m.emit(Enqueue{Request: request})
 		},
-		idempotency.Wait: func(_ *Machine, j *Job, _ idempotency.Decision, _ time.Duration) { j.phase = phaseJoined },
-		idempotency.Tell: func(m *Machine, j *Job, decision idempotency.Decision, now time.Duration) {
-			m.finish(j, resultOf(decision.Answer), now)
+		idempotency.Wait: func(_ *Machine, request *Request, _ idempotency.Decision, _ time.Duration) {
+			request.phase = phaseAwaitingFirst
 		},
-		idempotency.Bad: func(m *Machine, j *Job, _ idempotency.Decision, now time.Duration) {
-			m.finish(j, Result{Outcome: OutcomeNot, Fault: "a go's id must be a session's id, a dot and a count", Cause: CauseBadGo}, now)
+		idempotency.Reply: func(m *Machine, request *Request, decision idempotency.Decision, now time.Duration) {
+			m.respond(request, resultFromStatus(decision.Status), now)
 		},
-		idempotency.Seek: func(m *Machine, j *Job, decision idempotency.Decision, now time.Duration) {
-			j.phase, j.target = phaseSeek, decision.Target
-			j.hops++
-			if j.hops > 64 {
-				m.GiveUp(j, now)
+		idempotency.Invalid: func(m *Machine, request *Request, _ idempotency.Decision, now time.Duration) {
+			m.respond(request, Result{Outcome: OutcomeNotCommitted, Error: "a go's id must be a session's id, a dot and a count", Cause: CauseInvalidRequestID}, now)
+		},
+		idempotency.Lookup: func(m *Machine, request *Request, decision idempotency.Decision, now time.Duration) {
+			request.phase, request.lookupNode = phaseLookup, decision.Node
+			request.lookupCount++
+			if request.lookupCount > 64 {
+				m.Cancel(request, now)
 				return
 			}
-			m.seek(j, now)
+			m.lookup(request, now)
 		},
 	}
 }
 
-func (m *Machine) decided(j *Job, decision idempotency.Decision, now time.Duration) {
+func (m *Machine) applyDecision(request *Request, decision idempotency.Decision, now time.Duration) {
 	m.count("goes_"+decision.Kind, 1)
-	decisions[decision.Kind](m, j, decision, now)
+	decisionHandlers[decision.Kind](m, request, decision, now)
 }
 
-func (m *Machine) seek(j *Job, now time.Duration) {
-	if j.target == m.place.Name {
-		m.heard(j, m.goes.OnAsk(idempotency.Ask{Go: j.op.Go, By: m.place.Name}, now), now)
+func (m *Machine) lookup(request *Request, now time.Duration) {
+	if request.lookupNode == m.node.Name {
+		m.applyLookup(request, m.requestLog.HandleStatusRequest(idempotency.StatusRequest{RequestID: request.op.RequestID, Requester: m.node.Name}, now), now)
 		return
 	}
-	if m.asks[j.target] >= m.timing.Seeks {
-		m.seeks[j.target] = append(m.seeks[j.target], j)
+	if m.lookupsInFlight[request.lookupNode] >= m.timing.MaxLookups {
+		m.queuedLookups[request.lookupNode] = append(m.queuedLookups[request.lookupNode], request)
 		return
 	}
-	m.asks[j.target]++
-	m.emit(Seek{Job: j, Target: j.target})
+	m.lookupsInFlight[request.lookupNode]++
+	m.emit(Lookup{Request: request, Node: request.lookupNode})
 }
 
 // Heard takes another node's answer on a go; false where there was none.
-func (m *Machine) Heard(j *Job, target string, answer idempotency.Answer, isAnswered bool, now time.Duration) {
-	m.asks[target]--
-	for next := m.seeks[target]; len(next) > 0 && m.asks[target] < m.timing.Seeks; next = m.seeks[target] {
-		m.seeks[target] = next[1:]
-		if !next[0].isTold {
-			m.seek(next[0], now)
+func (m *Machine) LookupDone(request *Request, target string, answer idempotency.Status, answered bool, now time.Duration) {
+	m.lookupsInFlight[target]--
+	for next := m.queuedLookups[target]; len(next) > 0 && m.lookupsInFlight[target] < m.timing.MaxLookups; next = m.queuedLookups[target] {
+		m.queuedLookups[target] = next[1:]
+		if !next[0].responded {
+			m.lookup(next[0], now)
 		}
 	}
-	if m.asks[target] == 0 {
-		delete(m.asks, target)
-		delete(m.seeks, target)
+	if m.lookupsInFlight[target] == 0 {
+		delete(m.lookupsInFlight, target)
+		delete(m.queuedLookups, target)
 	}
-	if j.isTold {
+	if request.responded {
 		return
 	}
-	if !isAnswered {
-		m.finish(j, Result{Outcome: OutcomeUnknown, Fault: "the node that had this go cannot be asked", Retry: time.Second}, now)
+	if !answered {
+		m.respond(request, Result{Outcome: OutcomeUnknown, Error: "the node that had this go cannot be asked", RetryAfter: time.Second}, now)
 		return
 	}
-	m.heard(j, answer, now)
+	m.applyLookup(request, answer, now)
 }
 
-func (m *Machine) heard(j *Job, answer idempotency.Answer, now time.Duration) {
-	if answer.Standing == idempotency.Out {
-		m.polls = append(m.polls, poll{j, now + pollEvery})
+func (m *Machine) applyLookup(request *Request, answer idempotency.Status, now time.Duration) {
+	if answer.State == idempotency.StateInFlight {
+		m.pendingPolls = append(m.pendingPolls, pendingPoll{request, now + pollInterval})
 		return
 	}
-	m.decided(j, m.goes.Heard(j.op.Go, j, answer, now), now)
+	m.applyDecision(request, m.requestLog.DecideFromPeer(request.op.RequestID, request, answer, now), now)
 }
 
-const pollEvery = 40 * time.Millisecond
+const pollInterval = 40 * time.Millisecond
 
-type poll struct {
-	job *Job
-	at  time.Duration
+type pendingPoll struct {
+	request *Request
+	at      time.Duration
 }
 
-func (m *Machine) pollAgain(now time.Duration) {
-	waiting := m.polls
-	m.polls = nil
+func (m *Machine) retryPolls(now time.Duration) {
+	waiting := m.pendingPolls
+	m.pendingPolls = nil
 	for _, one := range waiting {
-		if one.at > now && !one.job.isTold {
-			m.polls = append(m.polls, one)
+		if one.at > now && !one.request.responded {
+			m.pendingPolls = append(m.pendingPolls, one)
 			continue
 		}
-		if !one.job.isTold {
-			m.seek(one.job, now)
+		if !one.request.responded {
+			m.lookup(one.request, now)
 		}
 	}
 }
 
 // OnAsk answers another node that was brought a go of ours.
-func (m *Machine) OnAsk(ask idempotency.Ask, now time.Duration) idempotency.Answer {
-	return m.goes.OnAsk(ask, now)
+func (m *Machine) HandleStatusRequest(ask idempotency.StatusRequest, now time.Duration) idempotency.Status {
+	return m.requestLog.HandleStatusRequest(ask, now)
 }
 
 // Inherit takes a stopping node's record of goes.
-func (m *Machine) Inherit(left idempotency.Legacy, now time.Duration) {
-	m.goes.Inherit(left, now)
+func (m *Machine) ImportHandover(left idempotency.Handover, now time.Duration) {
+	m.requestLog.Import(left, now)
 	m.count("legacies_taken", 1)
 }
 
 // Window gives what a window shows, for an instance that was met.
-func (m *Machine) Window(instance string) (flowcontrol.Reading, bool) {
-	held := m.back(instance)
+func (m *Machine) WindowReading(instance string) (flowcontrol.Reading, bool) {
+	held := m.instance(instance)
 	if held == nil {
 		return flowcontrol.Reading{}, false
 	}
-	return held.window.Read(), true
+	return held.window.Reading(), true
 }
