--- a/internal/coordination/pool/linepool/answers.go
+++ b/internal/coordination/pool/linepool/answers.go
@@ -12,91 +12,95 @@
 )
 
 // Announced takes an instance as the control primary tells it.
-func (m *Machine) Announced(info model.Instance, now time.Duration) {
-	one := m.base(info.Database)
-	rank := m.backNames.Rank(info.Name)
-	for len(m.backs) <= rank {
-		database, _ := m.names.Find(info.Database)
-		m.backs = append(m.backs, &back{window: newWindow(m.tuning), database: database, answered: -time.Hour})
-	}
-	held := m.backs[rank]
+func (p *Pool) InstanceAnnounced(info model.Instance, now time.Duration) {
+	one := p.database(info.Database)
+	rank := p.backendNames.Intern(info.Name)
+	for len(p.backends) <= rank {
+		database, _ := p.databaseNames.Lookup(info.Database)
+		p.backends = append(p.backends, &backend{window: newWindow(p.windowParameters), databaseID: database, lastResponse: -time.Hour})
+	}
+	held := p.backends[rank]
 	known := held.info
 	if info.Connections <= 1 {
 		info.Connections = known.Connections
 	}
 	held.info = info
-	if known.Name != "" && (known.Role != info.Role || (known.IsLeaving && !info.IsLeaving)) {
-		held.window.Restart()
+	if known.Name != "" && (known.Role != info.Role || (known.Leaving && !info.Leaving)) {
+		held.window.Reset()
 	}
-	if known.Address != info.Address || info.IsGone {
-		m.shutIdle(held, now)
+	if known.Address != info.Address || info.Stopped {
+		p.closeIdle(held, now)
 	}
-	if !info.IsLeaving && !info.IsGone {
-		held.leavingAt = 0
-	} else if held.leavingAt == 0 {
-		held.leavingAt = now
+	if !info.Leaving && !info.Stopped {
+		held.drainingSince = 0
+	} else if held.drainingSince == 0 {
+		held.drainingSince = now
 		if known.Name == "" {
-			held.leavingAt = now - m.timing.Leaving + m.timing.Late
+			held.drainingSince = now - p.config.DrainWindow + p.config.LateDrainWindow
 		}
-		if !m.isHead(held) {
-			m.shutIdle(held, now)
+		if !p.isPrimary(held) {
+			p.closeIdle(held, now)
 		}
 	}
-	m.retune(held)
-	m.pump(one, now)
+	p.retuneWindow(held)
+	p.dispatch(one, now)
 }
 
-func newWindow(tuning flowcontrol.Tuning) *flowcontrol.Window { return flowcontrol.New(tuning) }
+func newWindow(tuning flowcontrol.Parameters) *flowcontrol.Window {
+	return flowcontrol.NewWindow(tuning)
+}
 
-func (m *Machine) caps(set model.Set) {
-	for _, held := range m.backs {
+func (p *Pool) updateCapacities(set model.BindingSet) {
+	for _, held := range p.backends {
 		told, isTold := set.Database(held.info.Database)
-		if !isTold || told.Connections == held.info.Connections {
+		if !isTold || told.MaxConnections == held.info.Connections {
 			continue
 		}
-		isNew := held.info.Connections <= 1
-		held.info.Connections = told.Connections
-		m.retune(held)
-		if isNew {
-			held.window.Restart()
+		changed := held.info.Connections <= 1
+		held.info.Connections = told.MaxConnections
+		p.retuneWindow(held)
+		if changed {
+			held.window.Reset()
 		}
 	}
 }
 
 // Ask gives the next ask for news.
-func (m *Machine) Ask(now time.Duration) distribution.AskNews {
-	m.effective(now)
-	ask := m.serve.AskBrief(m.seen(now), now)
-	ask.Roll, ask.Birth = m.roll, m.place.Birth
-	for _, one := range m.bases {
-		one.isDropped = one.closedAt != 0
+func (p *Pool) NextUpdateRequest(now time.Duration) distribution.UpdateRequest {
+	p.effectiveSet(now)
+	ask := p.routing.DeltaUpdateRequest(p.observations(now), now)
+	ask.ListVersion, ask.Incarnation = p.listVersion, p.identity.Incarnation
+	for _, one := range p.databases {
+		one.closeReported = one.writerClosedAt != 0
 	}
 	return ask
 }
 
 // Told gives what is seen, for the control primary: the primaries, and the
 // instances in trouble, less what it has by earlier asks.
-func (m *Machine) Told(now time.Duration) distribution.Told { return m.serve.Brief(m.seen(now), now) }
-
-func (m *Machine) seen(now time.Duration) distribution.Told {
-	told := distribution.Told{Node: m.place.Name, Highs: map[string]model.Position{}}
-	for _, held := range m.backs {
-		one := m.baseOf(held)
-		overdue := m.overdue(held, now)
-		writer := m.serve.Writer(one.name)
-		isNamed := writer.Primary == held.info.Name || writer.Intent == held.info.Name
-		if !isNamed && held.refused == 0 && overdue < 300*time.Millisecond {
+func (p *Pool) Report(now time.Duration) distribution.NodeReport {
+	return p.routing.DeltaReport(p.observations(now), now)
+}
+
+func (p *Pool) observations(now time.Duration) distribution.NodeReport {
+	told := distribution.NodeReport{Node: p.identity.Name, HighWatermarks: map[string]model.Position{}}
+	for _, held := range p.backends {
+		one := p.databaseOf(held)
+		overdue := p.overdue(held, now)
+		writer := p.routing.WriterRole(one.name)
+		isNamed := writer.Primary == held.info.Name || writer.Promoting == held.info.Name
+		if !isNamed && held.refusals == 0 && overdue < 300*time.Millisecond {
 			continue
 		}
 		seen := held.info
 		seen.Position = held.position
-		told.Reports = append(told.Reports, distribution.Report{
-			Instance: seen, Answered: now - held.answered, Refused: held.refused, Overdue: overdue,
+		told.Reports = append(told.Reports, distribution.InstanceReport{
+			Instance: seen, ResponseAge: now - held.lastResponse, RefusedConnections: held.refusals, OldestStatementAge: overdue,
 		})
 	}
-	for _, one := range m.bases {
-		if one.high != (model.Position{}) {
-			told.Highs[one.name] = one.high
+	for _, one := range p.databases {
+		if one.highWatermark != (model.Position{}) {
+			told.HighWatermarks[one.name] = one.highWatermark
 		}
 	}
 	return told
@@ -104,566 +108,566 @@
 
 // overdue is the age of the oldest thing asked of an instance while nothing
 // was heard of it.
-func (m *Machine) overdue(held *back, now time.Duration) time.Duration {
+func (p *Pool) overdue(held *backend, now time.Duration) time.Duration {
 	oldest := now
 	for _, conn := range held.conns {
-		if conn.leg != nil {
-			oldest = min(oldest, conn.leg.sentAt)
+		if conn.attempt != nil {
+			oldest = min(oldest, conn.attempt.sentAt)
 		}
 		if conn.state == connOpening {
-			oldest = min(oldest, conn.opened)
+			oldest = min(oldest, conn.openedAt)
 		}
 	}
 	if oldest == now {
 		return 0
 	}
-	return now - max(oldest, held.answered)
+	return now - max(oldest, held.lastResponse)
 }
 
 // watch tells the control primary at once when a primary turns doubtful.
-func (m *Machine) watch(now time.Duration) {
-	for _, one := range m.bases {
-		_, target, isOpen := m.writer(one)
-		if !isOpen {
+func (p *Pool) reportSuspects(now time.Duration) {
+	for _, one := range p.databases {
+		_, target, open := p.writer(one)
+		if !open {
 			continue
 		}
 		level := 0
 		for _, bound := range []time.Duration{300 * time.Millisecond, 610 * time.Millisecond} {
-			if m.overdue(target, now) > bound {
+			if p.overdue(target, now) > bound {
 				level++
 			}
 		}
-		level += min(target.refused, 2) * 4
-		if level > target.told {
-			m.emit(Report{})
+		level += min(target.refusals, 2) * 4
+		if level > target.reportedLevel {
+			p.emit(Report{})
 		}
-		target.told = level
+		target.reportedLevel = level
 	}
 }
 
 // IsSettling says whether commits are out at a primary whose term is closing,
 // which may still be answered: the next ask, which tells that this node has
 // stopped there, waits for them a little.
-func (m *Machine) IsSettling(now time.Duration) bool {
-	for _, one := range m.bases {
-		head := m.back(m.serve.Writer(one.name).Primary)
-		isAlive := head != nil && now-head.answered < 2*m.timing.Settle
-		if isAlive && one.closedAt != 0 && now-one.closedAt < m.timing.Settle && len(m.stranded(one)) > 0 {
+func (p *Pool) HasStrandedCommits(now time.Duration) bool {
+	for _, one := range p.databases {
+		head := p.backend(p.routing.WriterRole(one.name).Primary)
+		isAlive := head != nil && now-head.lastResponse < 2*p.config.ClosingGrace
+		if isAlive && one.writerClosedAt != 0 && now-one.writerClosedAt < p.config.ClosingGrace && len(p.strandedCommits(one)) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func (m *Machine) stranded(one *base) []*Job {
-	writer, _, isOpen := m.writer(one)
-	var found []*Job
-	for _, j := range one.out {
-		if j.mayLast() && j.isSent() && (!isOpen || j.term != writer.Term) {
-			found = append(found, j)
+func (p *Pool) strandedCommits(one *databaseState) []*Request {
+	writer, _, open := p.writer(one)
+	var found []*Request
+	for _, request := range one.inFlight {
+		if request.mayPersist() && request.isSent() && (!open || request.term != writer.Term) {
+			found = append(found, request)
 		}
 	}
 	return found
 }
 
 // Took takes news that answers an ask sent at a moment.
-func (m *Machine) Took(news distribution.News, sent, now time.Duration) {
-	if news.Doc != nil {
-		m.count("docs_taken", 1)
-	}
-	for _, moved := range m.serve.Take(news, sent, now) {
-		m.emit(Turned{Moved: moved})
-		m.onMoved(m.base(moved.Database), moved, now)
-	}
-	if news.IsPrimary {
-		for _, one := range m.bases {
-			writer := m.serve.Writer(one.name)
-			if writer.Phase != model.PhaseOpen && writer.Floor != (model.Position{}) {
-				m.sample(one, sent, writer.Floor, now)
+func (p *Pool) ApplyUpdate(update distribution.Update, sent, now time.Duration) {
+	if update.Snapshot != nil {
+		p.count("docs_taken", 1)
+	}
+	for _, change := range p.routing.ApplyUpdate(update, sent, now) {
+		p.emit(WriterChanged{Change: change})
+		p.onWriterChanged(p.database(change.Database), change, now)
+	}
+	if update.FromPrimary {
+		for _, one := range p.databases {
+			writer := p.routing.WriterRole(one.name)
+			if writer.Phase != model.PhaseOpen && writer.MinPosition != (model.Position{}) {
+				p.recordPosition(one, sent, writer.MinPosition, now)
 			}
 		}
 	}
-	if news.Instances != nil {
-		m.roll = news.Roll
-		for _, info := range news.Instances {
-			m.Announced(info, now)
+	if update.Instances != nil {
+		p.listVersion = update.ListVersion
+		for _, info := range update.Instances {
+			p.InstanceAnnounced(info, now)
 		}
 	}
-	m.caps(m.serve.Doc().Newest())
-	m.effective(now)
-	m.welcome(now)
-	m.pumpAll(now)
+	p.updateCapacities(p.routing.Snapshot().NewestSet())
+	p.effectiveSet(now)
+	p.admitConnecting(now)
+	p.dispatchAll(now)
 }
 
-func (m *Machine) onMoved(one *base, moved routing.Moved, now time.Duration) {
-	m.count("writer_moves", 1)
-	if moved.After.Phase == model.PhaseOpen {
-		one.closedAt, one.isDropped = 0, false
-		if moved.Before.Term != moved.After.Term {
+func (p *Pool) onWriterChanged(one *databaseState, change routing.WriterRoleChanged, now time.Duration) {
+	p.count("writer_moves", 1)
+	if change.Current.Phase == model.PhaseOpen {
+		one.writerClosedAt, one.closeReported = 0, false
+		if change.Previous.Term != change.Current.Term {
 			one.samples = nil
 		}
-	} else if one.closedAt == 0 {
-		one.closedAt = now
+	} else if one.writerClosedAt == 0 {
+		one.writerClosedAt = now
 	}
-	old := m.back(moved.Before.Primary)
-	isFenced := moved.Before.Phase == model.PhaseOpen && old != nil && (moved.After.Phase != model.PhaseOpen || moved.After.Term != moved.Before.Term)
+	old := p.backend(change.Previous.Primary)
+	isFenced := change.Previous.Phase == model.PhaseOpen && old != nil && (change.Current.Phase != model.PhaseOpen || change.Current.Term != change.Previous.Term)
 	if !isFenced {
 		return
 	}
-	isOld := func(term uint64) bool { return moved.After.Phase != model.PhaseOpen || term != moved.After.Term }
-	for _, j := range slices.Clone(one.out) {
-		isRead := j.phase == phaseOut && j.isFree() && j.isStrict && len(j.legs) > 0
-		if isRead && isOld(j.term) && j.legs[0].conn.back == old {
-			m.again(j, now)
+	isOld := func(term uint64) bool { return change.Current.Phase != model.PhaseOpen || term != change.Current.Term }
+	for _, request := range slices.Clone(one.inFlight) {
+		isRead := request.phase == phaseInFlight && request.isRetryableRead() && request.primaryOnly && len(request.attempts) > 0
+		if isRead && isOld(request.term) && request.attempts[0].conn.backend == old {
+			p.requeue(request, now)
 		}
 	}
 	for _, conn := range slices.Clone(old.conns) {
 		owner := conn.owner
-		if owner == nil || owner.turn == nil || owner.turn.isRead || !isOld(conn.term) {
+		if owner == nil || owner.transaction == nil || owner.transaction.readOnly || !isOld(conn.term) {
 			continue
 		}
-		if j := owner.job; j != nil && j.isCommit && j.isSent() {
+		if request := owner.request; request != nil && request.commit && request.isSent() {
 			continue
 		}
-		m.loseTurn(owner, now)
+		p.loseTransaction(owner, now)
 	}
-	m.shutIdle(old, now)
+	p.closeIdle(old, now)
 }
 
 // loseTurn gives up a transaction on the instance's side; the client is told
 // at its next word, or now where a statement is out.
-func (m *Machine) loseTurn(c *Client, now time.Duration) {
-	held := c.turn
-	if held == nil || held.isLost {
+func (p *Pool) loseTransaction(c *Client, now time.Duration) {
+	held := c.transaction
+	if held == nil || held.lost {
 		return
 	}
-	j := c.job
-	if j != nil && j.isSent() && j.mayLast() {
-		m.cut(j, now)
+	request := c.request
+	if request != nil && request.isSent() && request.mayPersist() {
+		p.abortStranded(request, now)
 		return
 	}
-	held.isLost = true
+	held.lost = true
 	conn := held.conn
 	held.conn = nil
 	if conn != nil {
 		conn.owner = nil
-		m.shut(conn, now)
+		p.closeConn(conn, now)
 	}
-	if j != nil && j.phase != phaseEnded {
-		m.abortTurn(j, now)
+	if request != nil && request.phase != phaseEnded {
+		p.abortTransaction(request, now)
 	}
 }
 
 // abortTurn ends a statement whose transaction is over and was not asked to
 // commit: nothing of it is kept.
-func (m *Machine) abortTurn(j *Job, now time.Duration) {
-	c := j.client
-	m.close(j)
-	m.endTurn(c, now)
+func (p *Pool) abortTransaction(request *Request, now time.Duration) {
+	c := request.client
+	p.finish(request)
+	p.endTransaction(c, now)
 	c.state = lineproto.StateFailed
-	if j.isCommit {
+	if request.commit {
 		c.state = lineproto.StateIdle
 	}
-	m.fail(c, lineproto.CodeAborted, "the transaction was lost with its instance; nothing is kept", true)
-	m.next(c, now)
+	p.respondError(c, lineproto.CodeAborted, "the transaction was lost with its instance; nothing is kept", true)
+	p.handlePipelined(c, now)
 }
 
 // close takes a statement out of every line.
-func (m *Machine) close(j *Job) {
-	one := m.base(j.binding.Database)
-	m.unline(j)
-	remove(&one.out, j)
-	remove(&one.confirms, j)
-	j.phase = phaseEnded
-	for _, held := range j.legs {
-		held.isDropped = true
+func (p *Pool) finish(request *Request) {
+	one := p.database(request.binding.Database)
+	p.dequeue(request)
+	remove(&one.inFlight, request)
+	remove(&one.unconfirmed, request)
+	request.phase = phaseEnded
+	for _, held := range request.attempts {
+		held.abandoned = true
 	}
-	if j.client.job == j {
-		j.client.job = nil
+	if request.client.request == request {
+		request.client.request = nil
 	}
 }
 
 // refuse ends a statement that was not passed on.
-func (m *Machine) refuse(j *Job, code lineproto.Code, text string, now time.Duration) {
-	c := j.client
-	m.close(j)
-	m.settleState(j, now)
-	m.fail(c, code, text, true)
-	m.next(c, now)
+func (p *Pool) reject(request *Request, code lineproto.Code, text string, now time.Duration) {
+	c := request.client
+	p.finish(request)
+	p.failTransactionOf(request, now)
+	p.respondError(c, code, text, true)
+	p.handlePipelined(c, now)
 }
 
 // settleState brings the client's state to that after a failed statement.
-func (m *Machine) settleState(j *Job, now time.Duration) {
-	c := j.client
-	if j.turn == nil {
+func (p *Pool) failTransactionOf(request *Request, now time.Duration) {
+	c := request.client
+	if request.transaction == nil {
 		return
 	}
-	m.endTurn(c, now)
+	p.endTransaction(c, now)
 	c.state = lineproto.StateFailed
-	if j.isCommit {
+	if request.commit {
 		c.state = lineproto.StateIdle
 	}
 }
 
 // forsake ends a statement whose client has gone.
-func (m *Machine) forsake(j *Job, _ time.Duration) { m.close(j) }
+func (p *Pool) abandonRequest(request *Request, _ time.Duration) { p.finish(request) }
 
 // again puts a read back in line; what is out of it is not waited for.
-func (m *Machine) again(j *Job, now time.Duration) {
-	one := m.base(j.binding.Database)
-	remove(&one.out, j)
-	for _, held := range j.legs {
-		held.isDropped = true
-	}
-	j.legs, j.isTwin = nil, false
-	j.tries++
-	if j.tries > m.timing.Tries {
-		m.refuse(j, lineproto.CodeBusy, "no instance took it; come back in 200 ms", now)
+func (p *Pool) requeue(request *Request, now time.Duration) {
+	one := p.database(request.binding.Database)
+	remove(&one.inFlight, request)
+	for _, held := range request.attempts {
+		held.abandoned = true
+	}
+	request.attempts, request.hedged = nil, false
+	request.retries++
+	if request.retries > p.config.MaxRetries {
+		p.reject(request, lineproto.CodeBusy, "no instance took it; come back in 200 ms", now)
 		return
 	}
-	m.bind(j, now)
+	p.bind(request, now)
 }
 
 // pause puts a statement that an instance refused back in line; unless it
 // lagged, and another may not, it waits a little.
-func (m *Machine) pause(j *Job, code lineproto.Code, now time.Duration) {
+func (p *Pool) requeueAfterRefusal(request *Request, code lineproto.Code, now time.Duration) {
 	if code != lineproto.CodeLagging {
-		j.restAt = now + time.Duration(j.tries+1)*m.timing.Pause
+		request.notBefore = now + time.Duration(request.retries+1)*p.config.RetryDelay
 	}
-	m.again(j, now)
+	p.requeue(request, now)
 }
 
 // Came takes messages from an instance, in order.
-func (m *Machine) Came(conn *Conn, message lineproto.Message, now time.Duration) {
-	if conn.state == connOver {
+func (p *Pool) Received(conn *Conn, message lineproto.Message, now time.Duration) {
+	if conn.state == connClosed {
 		return
 	}
-	held := conn.back
+	held := conn.backend
 	if conn.state == connOpening {
-		m.onOpening(conn, message, now)
+		p.onOpened(conn, message, now)
 		return
 	}
-	held.answered, held.refused = now, 0
-	if len(conn.waits) == 0 {
-		m.count("answers_unasked", 1)
-		m.Lost(conn, now)
+	held.lastResponse, held.refusals = now, 0
+	if len(conn.pending) == 0 {
+		p.count("answers_unasked", 1)
+		p.ConnectionLost(conn, now)
 		return
 	}
-	first := conn.waits[0]
-	act, isKnown := arrivals[message.Kind]
-	isPast := first.leg != nil && first.leg.hasEnd && message.Kind != lineproto.KindReady
-	if !isKnown || isPast {
-		m.count("answers_malformed", 1)
-		m.Lost(conn, now)
+	first := conn.pending[0]
+	act, found := instanceMessageHandlers[message.Kind]
+	isPast := first.attempt != nil && first.attempt.hasResult && message.Kind != lineproto.KindReady
+	if !found || isPast {
+		p.count("answers_malformed", 1)
+		p.ConnectionLost(conn, now)
 		return
 	}
-	act(m, conn, first, message, now)
+	act(p, conn, first, message, now)
 }
 
-var arrivals map[lineproto.Kind]func(*Machine, *Conn, wait, lineproto.Message, time.Duration)
+var instanceMessageHandlers map[lineproto.Kind]func(*Pool, *Conn, pendingAnswer, lineproto.Message, time.Duration)
 
 func init() {
-	arrivals = map[lineproto.Kind]func(*Machine, *Conn, wait, lineproto.Message, time.Duration){
-		lineproto.KindRow: func(_ *Machine, _ *Conn, first wait, message lineproto.Message, _ time.Duration) {
-			if first.leg != nil {
-				first.leg.rows = append(first.leg.rows, message)
+	instanceMessageHandlers = map[lineproto.Kind]func(*Pool, *Conn, pendingAnswer, lineproto.Message, time.Duration){
+		lineproto.KindRow: func(_ *Pool, _ *Conn, first pendingAnswer, message lineproto.Message, _ time.Duration) {
+			if first.attempt != nil {
+				first.attempt.rows = append(first.attempt.rows, message)
 			}
 		},
-		lineproto.KindDone:  (*Machine).onEnd,
-		lineproto.KindError: (*Machine).onEnd,
-		lineproto.KindReady: (*Machine).onReady,
+		lineproto.KindDone:  (*Pool).onResult,
+		lineproto.KindError: (*Pool).onResult,
+		lineproto.KindReady: (*Pool).onReady,
 	}
 }
 
-func (m *Machine) onEnd(conn *Conn, first wait, message lineproto.Message, _ time.Duration) {
-	if first.leg != nil {
-		first.leg.end, first.leg.hasEnd = message, true
+func (p *Pool) onResult(conn *Conn, first pendingAnswer, message lineproto.Message, _ time.Duration) {
+	if first.attempt != nil {
+		first.attempt.result, first.attempt.hasResult = message, true
 		return
 	}
 	if message.Kind == lineproto.KindError {
-		m.count("own_statements_failed", 1)
-		conn.isDirty = true
+		p.count("own_statements_failed", 1)
+		conn.dirty = true
 	}
 }
 
-func (m *Machine) onOpening(conn *Conn, message lineproto.Message, now time.Duration) {
-	held := conn.back
-	if message.Code == lineproto.CodeWrongHost {
-		m.Lost(conn, now)
+func (p *Pool) onOpened(conn *Conn, message lineproto.Message, now time.Duration) {
+	held := conn.backend
+	if message.Code == lineproto.CodeWrongInstance {
+		p.ConnectionLost(conn, now)
 		return
 	}
 	held.opening--
-	held.answered, held.refused = now, 0
+	held.lastResponse, held.refusals = now, 0
 	if message.Kind != lineproto.KindReady {
-		m.count("connections_refused", 1)
-		m.rest(held, now)
+		p.count("connections_refused", 1)
+		p.backOff(held, now)
 		conn.state = connIdle
-		m.shut(conn, now)
+		p.closeConn(conn, now)
 		return
 	}
-	m.count("connections_opened", 1)
-	held.rest = 0
-	held.position = held.position.Later(message.Position)
+	p.count("connections_opened", 1)
+	held.backoff = 0
+	held.position = held.position.Max(message.Position)
 	conn.state = connBusy
-	m.recycle(conn, now)
-	m.pump(m.baseOf(held), now)
+	p.release(conn, now)
+	p.dispatch(p.databaseOf(held), now)
 }
 
-func (m *Machine) rest(held *back, now time.Duration) {
-	held.rest = min(max(2*held.rest, m.timing.RestFirst), m.timing.RestMost)
-	held.restAt = now + held.rest
+func (p *Pool) backOff(held *backend, now time.Duration) {
+	held.backoff = min(max(2*held.backoff, p.config.InitialBackoff), p.config.MaxBackoff)
+	held.backoffUntil = now + held.backoff
 }
 
-func (m *Machine) onReady(conn *Conn, first wait, message lineproto.Message, now time.Duration) {
-	held := conn.back
-	conn.waits = conn.waits[1:]
+func (p *Pool) onReady(conn *Conn, first pendingAnswer, message lineproto.Message, now time.Duration) {
+	held := conn.backend
+	conn.pending = conn.pending[1:]
 	if held.position.IsBefore(message.Position) {
 		held.position = message.Position
 	}
-	if first.leg == nil {
-		if len(conn.waits) == 0 && conn.leg == nil {
-			m.recycleState(conn, message.State, now)
-			m.pump(m.baseOf(held), now)
+	if first.attempt == nil {
+		if len(conn.pending) == 0 && conn.attempt == nil {
+			p.releaseInState(conn, message.State, now)
+			p.dispatch(p.databaseOf(held), now)
 		}
 		return
 	}
-	l := first.leg
-	if !l.hasEnd {
-		m.count("answers_malformed", 1)
-		m.Lost(conn, now)
+	l := first.attempt
+	if !l.hasResult {
+		p.count("answers_malformed", 1)
+		p.ConnectionLost(conn, now)
 		return
 	}
-	if !l.isBegun {
-		m.onBegun(l, message, now)
+	if !l.statementSent {
+		p.onBeginAnswered(l, message, now)
 		return
 	}
-	conn.leg = nil
-	m.learn(l, message.Position, now)
-	m.score(l, now)
-	m.settle(l, message, now)
-	m.pump(m.baseOf(held), now)
+	conn.attempt = nil
+	p.learnPosition(l, message.Position, now)
+	p.recordOutcome(l, now)
+	p.complete(l, message, now)
+	p.dispatch(p.databaseOf(held), now)
 }
 
-func (m *Machine) learn(l *leg, position model.Position, now time.Duration) {
-	one := m.baseOf(l.conn.back)
-	writer, target, isOpen := m.writer(one)
-	if isOpen && target == l.conn.back && l.job.term == writer.Term && m.serve.IsLeased(now) && position != (model.Position{}) {
-		m.sample(one, l.sentAt, position, now)
+func (p *Pool) learnPosition(l *attempt, position model.Position, now time.Duration) {
+	one := p.databaseOf(l.conn.backend)
+	writer, target, open := p.writer(one)
+	if open && target == l.conn.backend && l.request.term == writer.Term && p.routing.HasLease(now) && position != (model.Position{}) {
+		p.recordPosition(one, l.sentAt, position, now)
 	}
 }
 
-func (m *Machine) sample(one *base, at time.Duration, position model.Position, now time.Duration) {
-	for len(one.samples) > 0 && (now-one.samples[0].at > 8*time.Second) {
+func (p *Pool) recordPosition(one *databaseState, at time.Duration, position model.Position, now time.Duration) {
+	for len(one.samples) > 0 && (now-one.samples[0].takenAt > 8*time.Second) {
 		one.samples = one.samples[1:]
 	}
 	if count := len(one.samples); count > 0 {
 		last := one.samples[count-1]
-		if at <= last.at {
+		if at <= last.takenAt {
 			return
 		}
 		if position.IsBefore(last.position) {
 			position = last.position
 		}
-		if count > 1 && at-one.samples[count-2].at < 20*time.Millisecond {
-			one.samples[count-1] = sample{at: at, position: position}
+		if count > 1 && at-one.samples[count-2].takenAt < 20*time.Millisecond {
+			one.samples[count-1] = positionSample{takenAt: at, position: position}
 			return
 		}
 	}
-	one.samples = append(one.samples, sample{at: at, position: position})
+	one.samples = append(one.samples, positionSample{takenAt: at, position: position})
 }
 
-func (m *Machine) score(l *leg, now time.Duration) {
-	outcome := flowcontrol.Answered
-	isRefused := l.end.Kind == lineproto.KindError && (l.end.Code == lineproto.CodeBusy || l.end.Code == lineproto.CodeLagging || l.end.Code == lineproto.CodeReadOnly || l.end.Code == lineproto.CodeNotFound)
+func (p *Pool) recordOutcome(l *attempt, now time.Duration) {
+	outcome := flowcontrol.Completed
+	isRefused := l.result.Kind == lineproto.KindError && (l.result.Code == lineproto.CodeBusy || l.result.Code == lineproto.CodeLagging || l.result.Code == lineproto.CodeReadOnly || l.result.Code == lineproto.CodeNotFound)
 	if isRefused {
-		outcome = flowcontrol.Refused
+		outcome = flowcontrol.Rejected
 	}
-	l.conn.back.window.Done(outcome, m.sized(l.job, now-l.sentAt))
+	l.conn.backend.window.Release(outcome, p.normalizedLatency(l.request, now-l.sentAt))
 	if !isRefused {
-		l.conn.back.grade.Note(l.isFailed(), now)
+		l.conn.backend.health.Observe(l.isFailed(), now)
 	}
 }
 
 // goes is how often a read that an instance failed may be run in all.
-func (j *Job) goes() int {
-	if j.binding.Tries > 0 {
-		return j.binding.Tries
+func (request *Request) maxAttempts() int {
+	if request.binding.MaxAttempts > 0 {
+		return request.binding.MaxAttempts
 	}
 	return 2
 }
 
 // isFailed says whether the instance ran the statement and failed it.
-func (l *leg) isFailed() bool {
-	return l.end.Kind == lineproto.KindError && (l.end.Code == lineproto.CodeFailed || l.end.Code == lineproto.CodeTimeout)
+func (l *attempt) isFailed() bool {
+	return l.result.Kind == lineproto.KindError && (l.result.Code == lineproto.CodeFailed || l.result.Code == lineproto.CodeTimeout)
 }
 
 // sized brings a latency to the reference size of work.
-func (m *Machine) sized(j *Job, latency time.Duration) time.Duration {
-	if j.binding.Target <= 0 {
+func (p *Pool) normalizedLatency(request *Request, latency time.Duration) time.Duration {
+	if request.binding.LatencyTarget <= 0 {
 		return latency
 	}
-	return time.Duration(float64(latency) * float64(m.timing.Reference) / float64(j.binding.Target))
+	return time.Duration(float64(latency) * float64(p.config.ReferenceTarget) / float64(request.binding.LatencyTarget))
 }
 
-func (m *Machine) settle(l *leg, ready lineproto.Message, now time.Duration) {
-	j, conn := l.job, l.conn
-	isOurs := !l.isDropped && j.phase == phaseOut
+func (p *Pool) complete(l *attempt, ready lineproto.Message, now time.Duration) {
+	request, conn := l.request, l.conn
+	isOurs := !l.abandoned && request.phase == phaseInFlight
 	if !isOurs {
 		if conn.owner != nil || ready.State != lineproto.StateIdle {
-			m.shut(conn, now)
+			p.closeConn(conn, now)
 			return
 		}
-		m.recycle(conn, now)
+		p.release(conn, now)
 		return
 	}
-	if j.turn != nil {
-		m.settleTurn(l, ready, now)
+	if request.transaction != nil {
+		p.completeInTransaction(l, ready, now)
 		return
 	}
-	m.recycleState(conn, ready.State, now)
-	if l.end.Kind == lineproto.KindError {
-		m.settleError(l, now)
+	p.releaseInState(conn, ready.State, now)
+	if l.result.Kind == lineproto.KindError {
+		p.completeWithError(l, now)
 		return
 	}
-	m.settleGood(l, ready, now)
+	p.completeWithSuccess(l, ready, now)
 }
 
 // onBegun takes the answer to the begin that goes before a transaction's
 // first statement, which follows only now: it must never run outside.
-func (m *Machine) onBegun(l *leg, ready lineproto.Message, now time.Duration) {
-	j, conn := l.job, l.conn
-	isGood := l.end.Kind == lineproto.KindDone && ready.State == lineproto.StateInside
-	isOurs := !l.isDropped && j.phase == phaseOut
+func (p *Pool) onBeginAnswered(l *attempt, ready lineproto.Message, now time.Duration) {
+	request, conn := l.request, l.conn
+	isGood := l.result.Kind == lineproto.KindDone && ready.State == lineproto.StateInTransaction
+	isOurs := !l.abandoned && request.phase == phaseInFlight
 	if isGood && isOurs {
-		l.hasEnd, l.isBegun, l.rows, l.sentAt = false, true, nil, now
-		m.send(conn, l, []Out{m.textOf(j, conn, model.Position{})})
+		l.hasResult, l.statementSent, l.rows, l.sentAt = false, true, nil, now
+		p.send(conn, l, []Command{p.statementCommand(request, conn, model.Position{})})
 		return
 	}
-	conn.leg, conn.owner = nil, nil
-	conn.back.window.Done(flowcontrol.Refused, 0)
-	if l.end.Code == lineproto.CodeLagging {
-		conn.back.lagUntil = now + m.timing.Lagging
+	conn.attempt, conn.owner = nil, nil
+	conn.backend.window.Release(flowcontrol.Rejected, 0)
+	if l.result.Code == lineproto.CodeLagging {
+		conn.backend.laggingUntil = now + p.config.LaggingPause
 	}
-	m.count("begins_refused", 1)
-	m.recycleState(conn, ready.State, now)
+	p.count("begins_refused", 1)
+	p.releaseInState(conn, ready.State, now)
 	if isOurs {
-		j.turn.conn = nil
-		m.pause(j, l.end.Code, now)
+		request.transaction.conn = nil
+		p.requeueAfterRefusal(request, l.result.Code, now)
 	}
-	m.pump(m.baseOf(conn.back), now)
+	p.dispatch(p.databaseOf(conn.backend), now)
 }
 
-func (m *Machine) settleTurn(l *leg, ready lineproto.Message, now time.Duration) {
-	j, conn, c := l.job, l.conn, l.job.client
-	isError := l.end.Kind == lineproto.KindError
-	if j.isCommit || ready.State == lineproto.StateIdle {
-		j.turn.conn, conn.owner = nil, nil
-		conn.isDirty = conn.isDirty || (isError && conn.isSet)
-		m.recycleState(conn, ready.State, now)
-		c.turn, c.state = nil, lineproto.StateIdle
+func (p *Pool) completeInTransaction(l *attempt, ready lineproto.Message, now time.Duration) {
+	request, conn, c := l.request, l.conn, l.request.client
+	isError := l.result.Kind == lineproto.KindError
+	if request.commit || ready.State == lineproto.StateIdle {
+		request.transaction.conn, conn.owner = nil, nil
+		conn.dirty = conn.dirty || (isError && conn.changed)
+		p.releaseInState(conn, ready.State, now)
+		c.transaction, c.state = nil, lineproto.StateIdle
 	} else {
 		conn.state = connIdle
 		c.state = ready.State
-		if isError && l.end.Code.IsPromise() {
+		if isError && l.result.Code.GuaranteesNoEffect() {
 			c.state = lineproto.StateFailed
 		}
 		if c.state == lineproto.StateFailed {
-			m.endTurn(c, now)
+			p.endTransaction(c, now)
 		}
 	}
 	if isError {
-		m.settleError(l, now)
+		p.completeWithError(l, now)
 		return
 	}
-	m.settleGood(l, ready, now)
+	p.completeWithSuccess(l, ready, now)
 }
 
-func (m *Machine) settleError(l *leg, now time.Duration) {
-	j := l.job
-	if l.end.Code == lineproto.CodeLagging {
-		l.conn.back.lagUntil = now + m.timing.Lagging
+func (p *Pool) completeWithError(l *attempt, now time.Duration) {
+	request := l.request
+	if l.result.Code == lineproto.CodeLagging {
+		l.conn.backend.laggingUntil = now + p.config.LaggingPause
 	}
-	isUnknown := l.end.Code == lineproto.CodeNotFound
-	l.conn.isDirty = l.conn.isDirty || isUnknown
-	isRefused := l.end.Code == lineproto.CodeLagging || l.end.Code == lineproto.CodeBusy || l.end.Code == lineproto.CodeReadOnly
-	isFailed := j.isFree() && l.end.Code == lineproto.CodeFailed && j.failed+1 < j.goes()
+	isUnknown := l.result.Code == lineproto.CodeNotFound
+	l.conn.dirty = l.conn.dirty || isUnknown
+	isRefused := l.result.Code == lineproto.CodeLagging || l.result.Code == lineproto.CodeBusy || l.result.Code == lineproto.CodeReadOnly
+	isFailed := request.isRetryableRead() && l.result.Code == lineproto.CodeFailed && request.failures+1 < request.maxAttempts()
 	if isFailed {
-		j.failed, j.avoid = j.failed+1, l.conn.back
-		m.count("reads_failed_elsewhere", 1)
+		request.failures, request.avoid = request.failures+1, l.conn.backend
+		p.count("reads_failed_elsewhere", 1)
 	}
-	isAgain := (j.isFree() && isRefused) || (j.turn == nil && isUnknown) || isFailed
-	if isAgain && l.hasTwin() {
-		l.isDropped = true
+	isAgain := (request.isRetryableRead() && isRefused) || (request.transaction == nil && isUnknown) || isFailed
+	if isAgain && l.hasOtherAttempt() {
+		l.abandoned = true
 		return
 	}
 	if isAgain {
-		m.pause(j, l.end.Code, now)
+		p.requeueAfterRefusal(request, l.result.Code, now)
 		return
 	}
-	c := j.client
-	m.close(j)
-	m.count("errors_passed", 1)
-	m.say(c, lineproto.Message{Kind: lineproto.KindError, Tail: l.end.Tail, Code: l.end.Code}, m.ready(c, model.Position{}))
-	m.next(c, now)
-}
-
-func (m *Machine) settleGood(l *leg, ready lineproto.Message, now time.Duration) {
-	j := l.job
-	j.answer = append(l.rows, l.end)
-	j.position = ready.Position
-	if j.mayLast() {
-		one := m.base(j.binding.Database)
-		remove(&one.out, j)
-		j.phase = phaseConfirm
-		one.confirms = append(one.confirms, j)
-		m.settleConfirms(one, now)
+	c := request.client
+	p.finish(request)
+	p.count("errors_passed", 1)
+	p.respond(c, lineproto.Message{Kind: lineproto.KindError, Payload: l.result.Payload, Code: l.result.Code}, p.readyMessage(c, model.Position{}))
+	p.handlePipelined(c, now)
+}
+
+func (p *Pool) completeWithSuccess(l *attempt, ready lineproto.Message, now time.Duration) {
+	request := l.request
+	request.answer = append(l.rows, l.result)
+	request.position = ready.Position
+	if request.mayPersist() {
+		one := p.database(request.binding.Database)
+		remove(&one.inFlight, request)
+		request.phase = phaseUnconfirmed
+		one.unconfirmed = append(one.unconfirmed, request)
+		p.confirmCommits(one, now)
 		return
 	}
-	m.tell(j, now)
+	p.respondWithAnswer(request, now)
 }
 
-func (m *Machine) tell(j *Job, now time.Duration) {
-	c := j.client
-	m.close(j)
-	m.count("answered", 1)
-	m.say(c, append(j.answer, m.ready(c, j.position))...)
-	m.next(c, now)
+func (p *Pool) respondWithAnswer(request *Request, now time.Duration) {
+	c := request.client
+	p.finish(request)
+	p.count("answered", 1)
+	p.respond(c, append(request.answer, p.readyMessage(c, request.position))...)
+	p.handlePipelined(c, now)
 }
 
 // settleConfirms tells commits that ran, while the lease is held and the term
 // in which they ran is open, or is closing and the node has not yet told that
 // it knows: until then nothing else is promoted, and the positions that are
 // asked for after cover what is told now.
-func (m *Machine) settleConfirms(one *base, now time.Duration) {
-	for _, j := range slices.Clone(one.confirms) {
-		writer := m.serve.Writer(one.name)
-		isClosing := writer.Phase == model.PhaseClosing && !one.isDropped
-		isOver := writer.Term != j.term || (writer.Phase != model.PhaseOpen && !isClosing)
+func (p *Pool) confirmCommits(one *databaseState, now time.Duration) {
+	for _, request := range slices.Clone(one.unconfirmed) {
+		writer := p.routing.WriterRole(one.name)
+		isClosing := writer.Phase == model.PhaseClosing && !one.closeReported
+		isOver := writer.Term != request.term || (writer.Phase != model.PhaseOpen && !isClosing)
 		if isOver {
-			m.unsure(j, "it ran on a primary that has since lost the writer role", now)
+			p.respondUnknown(request, "it ran on a primary that has since lost the writer role", now)
 			continue
 		}
-		if !m.serve.IsLeased(now) {
+		if !p.routing.HasLease(now) {
 			continue
 		}
-		one.high = one.high.Later(j.position)
-		if j.client.marks == nil {
-			j.client.marks = map[string]mark{}
+		one.highWatermark = one.highWatermark.Max(request.position)
+		if request.client.ownCommits == nil {
+			request.client.ownCommits = map[string]ownCommit{}
 		}
-		held := j.client.marks[one.name]
-		j.client.marks[one.name] = mark{position: held.position.Later(j.position), at: now}
-		m.tell(j, now)
+		held := request.client.ownCommits[one.name]
+		request.client.ownCommits[one.name] = ownCommit{position: held.position.Max(request.position), at: now}
+		p.respondWithAnswer(request, now)
 	}
 }
 
-func (m *Machine) unsure(j *Job, text string, now time.Duration) {
-	c := j.client
-	m.close(j)
-	if j.turn != nil {
-		m.endTurn(c, now)
+func (p *Pool) respondUnknown(request *Request, text string, now time.Duration) {
+	c := request.client
+	p.finish(request)
+	if request.transaction != nil {
+		p.endTransaction(c, now)
 		c.state = lineproto.StateIdle
 	}
-	m.count("unknown", 1)
-	m.fail(c, lineproto.CodeUnknown, text, true)
-	m.next(c, now)
+	p.count("unknown", 1)
+	p.respondError(c, lineproto.CodeUnknownOutcome, text, true)
+	p.handlePipelined(c, now)
 }
--- a/internal/coordination/pool/linepool/clients.go
+++ b/internal/coordination/pool/linepool/clients.go
@@ -11,331 +11,331 @@
 
 // Met takes a session that was accepted; nil says that the node has as many
 // as it takes.
-func (m *Machine) Met(token any, now time.Duration) *Client {
-	if len(m.clients) >= m.timing.Clients {
-		m.count("clients_refused", 1)
+func (p *Pool) Accept(token any, now time.Duration) *Client {
+	if len(p.clients) >= p.config.MaxClients {
+		p.count("clients_refused", 1)
 		return nil
 	}
-	m.ranks++
-	made := &Client{Token: token, state: lineproto.StateIdle, rank: m.ranks, used: now}
-	m.clients[made] = true
-	m.count("clients_met", 1)
+	p.clientSerial++
+	made := &Client{Token: token, state: lineproto.StateIdle, serial: p.clientSerial, lastUsed: now}
+	p.clients[made] = true
+	p.count("clients_met", 1)
 	return made
 }
 
 // Gone tells that a client's session ended.
-func (m *Machine) Gone(c *Client, now time.Duration) {
-	if c.isGone {
+func (p *Pool) ClientDisconnected(c *Client, now time.Duration) {
+	if c.closed {
 		return
 	}
-	c.isGone = true
-	delete(m.clients, c)
-	c.inbox = nil
-	if j := c.job; j != nil {
-		m.forsake(j, now)
+	c.closed = true
+	delete(p.clients, c)
+	c.pipelined = nil
+	if request := c.request; request != nil {
+		p.abandonRequest(request, now)
 	}
-	m.endTurn(c, now)
+	p.endTransaction(c, now)
 }
 
-func (m *Machine) end(c *Client, now time.Duration) {
-	if !c.isGone {
-		m.emit(Close{Client: c})
-		m.Gone(c, now)
+func (p *Pool) closeClient(c *Client, now time.Duration) {
+	if !c.closed {
+		p.emit(CloseClient{Client: c})
+		p.ClientDisconnected(c, now)
 	}
 }
 
 // Connect takes a client's connect.
-func (m *Machine) Connect(c *Client, name string, now time.Duration) {
-	if c.isGone {
+func (p *Pool) Connect(c *Client, name string, now time.Duration) {
+	if c.closed {
 		return
 	}
-	if c.isMet || c.name != "" {
-		m.Bad(c, lineproto.CodeMalformed, "connected already", now)
+	if c.connected || c.binding != "" {
+		p.ProtocolError(c, lineproto.CodeMalformed, "connected already", now)
 		return
 	}
-	c.name, c.used = name, now
-	m.guests = append(m.guests, c)
-	m.welcome(now)
+	c.binding, c.lastUsed = name, now
+	p.connecting = append(p.connecting, c)
+	p.admitConnecting(now)
 }
 
-func (m *Machine) welcome(now time.Duration) {
-	if len(m.guests) == 0 {
+func (p *Pool) admitConnecting(now time.Duration) {
+	if len(p.connecting) == 0 {
 		return
 	}
-	isLeased := m.serve.IsLeased(now)
-	set := m.effective(now)
+	leased := p.routing.HasLease(now)
+	set := p.effectiveSet(now)
 	var kept []*Client
-	for _, c := range m.guests {
-		if c.isGone {
+	for _, c := range p.connecting {
+		if c.closed {
 			continue
 		}
-		if !isLeased || set.Sequence == 0 {
-			if now-c.used < m.timing.Welcome && !m.isCutOff(now) {
+		if !leased || set.Sequence == 0 {
+			if now-c.lastUsed < p.config.ConnectWait && !p.isIsolated(now) {
 				kept = append(kept, c)
 				continue
 			}
-			m.count("clients_not_welcomed", 1)
-			m.fail(c, lineproto.CodeBusy, "not served now; come back in 500 ms", false)
-			m.end(c, now)
+			p.count("clients_not_welcomed", 1)
+			p.respondError(c, lineproto.CodeBusy, "not served now; come back in 500 ms", false)
+			p.closeClient(c, now)
 			continue
 		}
-		if _, isBound := set.Find(c.name); !isBound {
-			m.fail(c, lineproto.CodeNoDatabase, c.name, false)
-			m.end(c, now)
+		if _, found := set.Binding(c.binding); !found {
+			p.respondError(c, lineproto.CodeUnknownDatabase, c.binding, false)
+			p.closeClient(c, now)
 			continue
 		}
-		c.isMet = true
-		m.say(c, lineproto.Message{Kind: lineproto.KindReady, State: c.state})
+		c.connected = true
+		p.respond(c, lineproto.Message{Kind: lineproto.KindReady, State: c.state})
 	}
-	m.guests = kept
+	p.connecting = kept
 }
 
 // Bad takes a message that makes no sense; it is answered and the session
 // ends.
-func (m *Machine) Bad(c *Client, code lineproto.Code, text string, now time.Duration) {
-	if c.isGone {
+func (p *Pool) ProtocolError(c *Client, code lineproto.Code, text string, now time.Duration) {
+	if c.closed {
 		return
 	}
-	m.count("clients_malformed", 1)
-	m.fail(c, code, text, false)
-	m.end(c, now)
+	p.count("clients_malformed", 1)
+	p.respondError(c, code, text, false)
+	p.closeClient(c, now)
 }
 
 // Query takes a client's query.
-func (m *Machine) Query(c *Client, asked Asked, now time.Duration) {
-	if c.isGone {
+func (p *Pool) Query(c *Client, query Query, now time.Duration) {
+	if c.closed {
 		return
 	}
-	if !c.isMet {
-		m.Bad(c, lineproto.CodeMalformed, "not connected", now)
+	if !c.connected {
+		p.ProtocolError(c, lineproto.CodeMalformed, "not connected", now)
 		return
 	}
-	if c.job != nil {
-		if len(c.inbox) >= m.timing.Inbox {
-			m.Bad(c, lineproto.CodeTooLong, "too much sent ahead", now)
+	if c.request != nil {
+		if len(c.pipelined) >= p.config.MaxPipelined {
+			p.ProtocolError(c, lineproto.CodeTooMuchInput, "too much sent ahead", now)
 			return
 		}
-		c.inbox = append(c.inbox, asked)
+		c.pipelined = append(c.pipelined, query)
 		return
 	}
-	c.used = now
-	m.take(c, asked, now)
+	c.lastUsed = now
+	p.handleQuery(c, query, now)
 }
 
-func (m *Machine) next(c *Client, now time.Duration) {
-	c.used = now
-	for len(c.inbox) > 0 && c.job == nil && !c.isGone {
-		asked := c.inbox[0]
-		c.inbox = c.inbox[1:]
-		m.take(c, asked, now)
+func (p *Pool) handlePipelined(c *Client, now time.Duration) {
+	c.lastUsed = now
+	for len(c.pipelined) > 0 && c.request == nil && !c.closed {
+		query := c.pipelined[0]
+		c.pipelined = c.pipelined[1:]
+		p.handleQuery(c, query, now)
 	}
 }
 
-func (m *Machine) say(c *Client, messages ...lineproto.Message) {
-	if !c.isGone {
-		m.emit(Say{Client: c, Messages: messages})
+func (p *Pool) respond(c *Client, messages ...lineproto.Message) {
+	if !c.closed {
+		p.emit(Respond{Client: c, Messages: messages})
 	}
 }
 
-func (m *Machine) ready(c *Client, position model.Position) lineproto.Message {
+func (p *Pool) readyMessage(c *Client, position model.Position) lineproto.Message {
 	return lineproto.Message{Kind: lineproto.KindReady, State: c.state, Position: position}
 }
 
-func (m *Machine) fail(c *Client, code lineproto.Code, text string, hasReady bool) {
+func (p *Pool) respondError(c *Client, code lineproto.Code, text string, withReady bool) {
 	messages := []lineproto.Message{{Kind: lineproto.KindError, Code: code, Text: text}}
-	if hasReady {
-		messages = append(messages, m.ready(c, model.Position{}))
+	if withReady {
+		messages = append(messages, p.readyMessage(c, model.Position{}))
 	}
-	m.say(c, messages...)
+	p.respond(c, messages...)
 }
 
-func (m *Machine) done(c *Client) {
-	m.say(c, lineproto.Message{Kind: lineproto.KindDone, Tail: "-"}, m.ready(c, model.Position{}))
+func (p *Pool) respondDone(c *Client) {
+	p.respond(c, lineproto.Message{Kind: lineproto.KindDone, Payload: "-"}, p.readyMessage(c, model.Position{}))
 }
 
-type taker func(m *Machine, c *Client, asked Asked, now time.Duration)
+type queryHandler func(p *Pool, c *Client, query Query, now time.Duration)
 
-var takers map[lineproto.Act]taker
+var queryHandlers map[lineproto.Action]queryHandler
 
 func init() {
-	takers = map[lineproto.Act]taker{
-		lineproto.ActBegin:     func(m *Machine, c *Client, _ Asked, now time.Duration) { m.begin(c, false, now) },
-		lineproto.ActBeginRead: func(m *Machine, c *Client, _ Asked, now time.Duration) { m.begin(c, true, now) },
-		lineproto.ActCommit:    (*Machine).commit,
-		lineproto.ActRollback:  func(m *Machine, c *Client, _ Asked, now time.Duration) { m.rollback(c, now) },
-		lineproto.ActSet: func(m *Machine, c *Client, asked Asked, _ time.Duration) {
-			if c.values == nil {
-				c.values = map[string]string{}
+	queryHandlers = map[lineproto.Action]queryHandler{
+		lineproto.ActionBegin:         func(p *Pool, c *Client, _ Query, now time.Duration) { p.begin(c, false, now) },
+		lineproto.ActionBeginReadOnly: func(p *Pool, c *Client, _ Query, now time.Duration) { p.begin(c, true, now) },
+		lineproto.ActionCommit:        (*Pool).commit,
+		lineproto.ActionRollback:      func(p *Pool, c *Client, _ Query, now time.Duration) { p.rollback(c, now) },
+		lineproto.ActionSet: func(p *Pool, c *Client, query Query, _ time.Duration) {
+			if c.variables == nil {
+				c.variables = map[string]string{}
 			}
-			c.values[asked.Statement.Name] = asked.Statement.Value
-			m.done(c)
+			c.variables[query.Statement.Name] = query.Statement.Value
+			p.respondDone(c)
 		},
-		lineproto.ActPrepare: func(m *Machine, c *Client, asked Asked, _ time.Duration) {
-			if c.shapes == nil {
-				c.shapes = map[string]shape{}
+		lineproto.ActionPrepare: func(p *Pool, c *Client, query Query, _ time.Duration) {
+			if c.prepared == nil {
+				c.prepared = map[string]preparedStatement{}
 			}
-			c.shapes[asked.Statement.Name] = shape{text: asked.Statement.Shape, isWrite: asked.Statement.IsWrite}
-			m.done(c)
+			c.prepared[query.Statement.Name] = preparedStatement{text: query.Statement.PreparedText, write: query.Statement.Write}
+			p.respondDone(c)
 		},
-		lineproto.ActForget: func(m *Machine, c *Client, asked Asked, _ time.Duration) {
-			if _, isHeld := c.shapes[asked.Statement.Name]; !isHeld {
-				m.fail(c, lineproto.CodeNotFound, asked.Statement.Name, true)
+		lineproto.ActionDeallocate: func(p *Pool, c *Client, query Query, _ time.Duration) {
+			if _, found := c.prepared[query.Statement.Name]; !found {
+				p.respondError(c, lineproto.CodeNotFound, query.Statement.Name, true)
 				return
 			}
-			delete(c.shapes, asked.Statement.Name)
-			m.done(c)
+			delete(c.prepared, query.Statement.Name)
+			p.respondDone(c)
 		},
-		lineproto.ActRead:  (*Machine).statement,
-		lineproto.ActWrite: (*Machine).statement,
-		lineproto.ActRun:   (*Machine).statement,
+		lineproto.ActionRead:    (*Pool).statement,
+		lineproto.ActionWrite:   (*Pool).statement,
+		lineproto.ActionExecute: (*Pool).statement,
 	}
 }
 
-func (m *Machine) take(c *Client, asked Asked, now time.Duration) {
-	act, isKnown := takers[asked.Statement.Act]
-	isEnd := asked.Statement.Act == lineproto.ActCommit || asked.Statement.Act == lineproto.ActRollback
-	if !isKnown || (c.state == lineproto.StateFailed && !isEnd) {
-		if c.state == lineproto.StateInside {
-			m.breakTurn(c, now)
+func (p *Pool) handleQuery(c *Client, query Query, now time.Duration) {
+	act, found := queryHandlers[query.Statement.Action]
+	isEnd := query.Statement.Action == lineproto.ActionCommit || query.Statement.Action == lineproto.ActionRollback
+	if !found || (c.state == lineproto.StateFailed && !isEnd) {
+		if c.state == lineproto.StateInTransaction {
+			p.failTransaction(c, now)
 		}
-		m.fail(c, lineproto.CodeMalformed, "not taken in this state", true)
+		p.respondError(c, lineproto.CodeMalformed, "not taken in this state", true)
 		return
 	}
-	act(m, c, asked, now)
+	act(p, c, query, now)
 }
 
-func (m *Machine) begin(c *Client, isRead bool, now time.Duration) {
+func (p *Pool) begin(c *Client, isRead bool, now time.Duration) {
 	if c.state != lineproto.StateIdle {
-		m.breakTurn(c, now)
-		m.fail(c, lineproto.CodeMalformed, "inside a transaction already", true)
+		p.failTransaction(c, now)
+		p.respondError(c, lineproto.CodeMalformed, "inside a transaction already", true)
 		return
 	}
-	c.state, c.turn = lineproto.StateInside, &turn{isRead: isRead}
-	m.done(c)
+	c.state, c.transaction = lineproto.StateInTransaction, &transaction{readOnly: isRead}
+	p.respondDone(c)
 }
 
-func (m *Machine) breakTurn(c *Client, now time.Duration) {
-	m.endTurn(c, now)
+func (p *Pool) failTransaction(c *Client, now time.Duration) {
+	p.endTransaction(c, now)
 	c.state = lineproto.StateFailed
 }
 
 // endTurn gives up a client's transaction where it has one: what an instance
 // holds of it is rolled back.
-func (m *Machine) endTurn(c *Client, now time.Duration) {
-	held := c.turn
-	c.turn = nil
+func (p *Pool) endTransaction(c *Client, now time.Duration) {
+	held := c.transaction
+	c.transaction = nil
 	if held == nil || held.conn == nil {
 		return
 	}
 	conn := held.conn
 	held.conn = nil
 	conn.owner = nil
-	if conn.state != connIdle || conn.leg != nil {
-		m.shut(conn, now)
+	if conn.state != connIdle || conn.attempt != nil {
+		p.closeConn(conn, now)
 		return
 	}
-	conn.isDirty = conn.isDirty || conn.isSet
-	m.send(conn, nil, []Out{{Kind: OutRollback}})
+	conn.dirty = conn.dirty || conn.changed
+	p.send(conn, nil, []Command{{Kind: CommandRollback}})
 }
 
-func (m *Machine) rollback(c *Client, now time.Duration) {
+func (p *Pool) rollback(c *Client, now time.Duration) {
 	if c.state == lineproto.StateIdle {
-		m.fail(c, lineproto.CodeMalformed, "no transaction", true)
+		p.respondError(c, lineproto.CodeMalformed, "no transaction", true)
 		return
 	}
-	m.endTurn(c, now)
+	p.endTransaction(c, now)
 	c.state = lineproto.StateIdle
-	m.done(c)
+	p.respondDone(c)
 }
 
-func (m *Machine) commit(c *Client, asked Asked, now time.Duration) {
+func (p *Pool) commit(c *Client, query Query, now time.Duration) {
 	if c.state == lineproto.StateIdle {
-		m.fail(c, lineproto.CodeMalformed, "no transaction", true)
+		p.respondError(c, lineproto.CodeMalformed, "no transaction", true)
 		return
 	}
-	if c.state == lineproto.StateFailed || c.turn.isLost {
-		m.endTurn(c, now)
+	if c.state == lineproto.StateFailed || c.transaction.lost {
+		p.endTransaction(c, now)
 		c.state = lineproto.StateIdle
-		m.fail(c, lineproto.CodeAborted, "the transaction had failed; nothing is kept", true)
+		p.respondError(c, lineproto.CodeAborted, "the transaction had failed; nothing is kept", true)
 		return
 	}
-	m.enter(&Job{client: c, asked: asked, isCommit: true, turn: c.turn}, now)
+	p.submit(&Request{client: c, query: query, commit: true, transaction: c.transaction}, now)
 }
 
-func (m *Machine) statement(c *Client, asked Asked, now time.Duration) {
-	j := &Job{client: c, asked: asked, isWrite: asked.Statement.Act == lineproto.ActWrite, turn: c.turn}
-	if asked.Statement.Act == lineproto.ActRun {
-		held, isHeld := c.shapes[asked.Statement.Name]
-		if !isHeld {
-			if c.turn != nil {
-				m.breakTurn(c, now)
+func (p *Pool) statement(c *Client, query Query, now time.Duration) {
+	request := &Request{client: c, query: query, write: query.Statement.Action == lineproto.ActionWrite, transaction: c.transaction}
+	if query.Statement.Action == lineproto.ActionExecute {
+		held, found := c.prepared[query.Statement.Name]
+		if !found {
+			if c.transaction != nil {
+				p.failTransaction(c, now)
 			}
-			m.fail(c, lineproto.CodeNotFound, asked.Statement.Name, true)
+			p.respondError(c, lineproto.CodeNotFound, query.Statement.Name, true)
 			return
 		}
-		j.shape, j.isWrite = held, held.isWrite
+		request.prepared, request.write = held, held.write
 	}
-	if c.turn != nil && c.turn.isLost {
-		m.breakTurn(c, now)
-		m.fail(c, lineproto.CodeAborted, "the transaction was lost with its instance; nothing is kept", true)
+	if c.transaction != nil && c.transaction.lost {
+		p.failTransaction(c, now)
+		p.respondError(c, lineproto.CodeAborted, "the transaction was lost with its instance; nothing is kept", true)
 		return
 	}
-	m.enter(j, now)
+	p.submit(request, now)
 }
 
 // Leave makes the node unready; after a while sessions end as they rest.
-func (m *Machine) Leave(now time.Duration) {
-	if !m.isLeaving {
-		m.isLeaving, m.leftAt = true, now
+func (p *Pool) Drain(now time.Duration) {
+	if !p.draining {
+		p.draining, p.drainStarted = true, now
 	}
 }
 
-func (m *Machine) leaving(now time.Duration) {
-	m.welcome(now)
-	isDue := now-m.looked > 200*time.Millisecond
-	if !isDue && !m.isLeaving {
+func (p *Pool) closeIdleClients(now time.Duration) {
+	p.admitConnecting(now)
+	isDue := now-p.lastIdleCheck > 200*time.Millisecond
+	if !isDue && !p.draining {
 		return
 	}
-	m.looked = now
-	inside := m.inside(now)
-	for _, c := range m.sorted() {
-		isResting := c.turn != nil && c.job == nil && now-c.used > inside
-		if isResting && !c.turn.isLost {
-			m.count("transactions_rested_out", 1)
-			m.loseTurn(c, now)
+	p.lastIdleCheck = now
+	inside := p.idleInTransactionLimit(now)
+	for _, c := range p.clientsBySerial() {
+		isResting := c.transaction != nil && c.request == nil && now-c.lastUsed > inside
+		if isResting && !c.transaction.lost {
+			p.count("transactions_rested_out", 1)
+			p.loseTransaction(c, now)
 		}
 	}
-	past := now - m.leftAt
-	if !m.isLeaving || past < m.timing.Linger {
+	past := now - p.drainStarted
+	if !p.draining || past < p.config.Linger {
 		return
 	}
-	for _, c := range m.sorted() {
-		isIdle := c.state == lineproto.StateIdle && c.job == nil && len(c.inbox) == 0
-		isOut := past > m.timing.Turns && c.job == nil
-		if isIdle || isOut || past > m.timing.Finish {
-			m.end(c, now)
+	for _, c := range p.clientsBySerial() {
+		isIdle := c.state == lineproto.StateIdle && c.request == nil && len(c.pipelined) == 0
+		isOut := past > p.config.EndTransactions && c.request == nil
+		if isIdle || isOut || past > p.config.EndSessions {
+			p.closeClient(c, now)
 		}
 	}
 }
 
-func (m *Machine) inside(now time.Duration) time.Duration {
-	if bound := m.effective(now).Limits.Inside; bound > 0 {
+func (p *Pool) idleInTransactionLimit(now time.Duration) time.Duration {
+	if bound := p.effectiveSet(now).Limits.TransactionIdleTimeout; bound > 0 {
 		return bound
 	}
-	return m.timing.Inside
+	return p.config.TransactionIdleTimeout
 }
 
-func (m *Machine) sorted() []*Client {
-	list := make([]*Client, 0, len(m.clients))
-	for c := range m.clients {
+func (p *Pool) clientsBySerial() []*Client {
+	list := make([]*Client, 0, len(p.clients))
+	for c := range p.clients {
 		list = append(list, c)
 	}
-	slices.SortFunc(list, func(a, b *Client) int { return cmp.Compare(a.rank, b.rank) })
+	slices.SortFunc(list, func(a, b *Client) int { return cmp.Compare(a.serial, b.serial) })
 	return list
 }
 
 // IsDrained says whether no session is left.
-func (m *Machine) IsDrained() bool { return len(m.clients) == 0 }
+func (p *Pool) IsDrained() bool { return len(p.clients) == 0 }
 
 // Bye takes a client's good-bye.
-func (m *Machine) Bye(c *Client, now time.Duration) { m.end(c, now) }
+func (p *Pool) Terminate(c *Client, now time.Duration) { p.closeClient(c, now) }
--- a/internal/coordination/pool/linepool/pool.go
+++ b/internal/coordination/pool/linepool/pool.go
@@ -20,102 +20,102 @@
 )
 
 // Timing holds the machine's bounds.
-type Timing struct {
+type Config struct {
 	// Timeout bounds a statement whose binding names none.
-	Timeout time.Duration
+	DefaultTimeout time.Duration
 	// Away is how long a statement waits where not room is wanting, but the
 	// lease or the writer role; it is then told when to come back.
-	Away time.Duration
+	UnavailableWait time.Duration
 	// Patience is the part of its time that a statement may wait in line.
-	Patience float64
+	QueueFraction float64
 	// Welcome is how long a connect may wait for a lease and a set.
-	Welcome time.Duration
+	ConnectWait time.Duration
 	// Open bounds the opening of a connection.
-	Open time.Duration
+	OpenTimeout time.Duration
 	// Settle is how long commits that are out may still be answered by a
 	// primary whose term is closing.
-	Settle time.Duration
+	ClosingGrace time.Duration
 	// Reap is when a connection is shut whose answer nobody waits for.
-	Reap time.Duration
+	AbandonedTimeout time.Duration
 	// Inside is how long a transaction may rest where the manifest names
 	// nothing.
-	Inside time.Duration
+	TransactionIdleTimeout time.Duration
 	// RestFirst and RestMost bound the rest after a connection was refused.
-	RestFirst, RestMost time.Duration
+	InitialBackoff, MaxBackoff time.Duration
 	// Spare is how long a connection over the node's rights may rest.
-	Spare time.Duration
+	SurplusIdle time.Duration
 	// Pause is how long a statement that was refused waits, for each time that
 	// it was, and Tries how often it may be put back.
-	Pause time.Duration
-	Tries int
+	RetryDelay time.Duration
+	MaxRetries int
 	// Leaving is how long an instance that leaves is still sent what must go
 	// there: statements of open transactions, and all that needs the primary.
-	Leaving time.Duration
+	DrainWindow time.Duration
 	// Late is what is left of that where an instance was leaving already when
 	// the node first heard of it.
-	Late time.Duration
+	LateDrainWindow time.Duration
 	// Lagging is how long a replica that lagged is passed over.
-	Lagging time.Duration
+	LaggingPause time.Duration
 	// Caught is the age from which a session's own commit is taken to have
 	// reached the replicas.
-	Caught time.Duration
+	ReplicationBound time.Duration
 	// Linger is how long a node that stops goes on as before, so that no new
 	// sessions are sent to it any more; Turns is when open transactions are
 	// ended, and Finish when all is.
-	Linger, Turns, Finish time.Duration
+	Linger, EndTransactions, EndSessions time.Duration
 	// Line and Clients bound a line and the node's clients, Inbox what a
 	// client may send ahead, Shapes what is prepared on one connection.
-	Line, Clients, Inbox, Shapes int
+	MaxQueueLength, MaxClients, MaxPipelined, MaxPrepared int
 	// Reference is the target at which a latency counts as it is: others are
 	// brought to it in proportion, as the size of the work.
-	Reference time.Duration
+	ReferenceTarget time.Duration
 }
 
 // DefaultTiming gives the project's bounds.
-func DefaultTiming() Timing {
-	return Timing{
-		Timeout: 5 * time.Second, Away: 700 * time.Millisecond, Patience: 0.45, Welcome: 1800 * time.Millisecond, Open: 700 * time.Millisecond, Settle: 150 * time.Millisecond,
-		Reap: 10 * time.Second, Inside: 3 * time.Second, RestFirst: 40 * time.Millisecond, RestMost: 400 * time.Millisecond,
-		Spare: 40 * time.Millisecond,
-		Pause: 20 * time.Millisecond, Tries: 8,
-		Leaving: 5 * time.Second, Late: 2 * time.Second, Lagging: 150 * time.Millisecond, Caught: 300 * time.Millisecond,
-		Linger: 2300 * time.Millisecond, Turns: 2900 * time.Millisecond, Finish: 5400 * time.Millisecond,
-		Line: 4096, Clients: 3000, Inbox: 16, Shapes: 200, Reference: 200 * time.Millisecond,
+func DefaultConfig() Config {
+	return Config{
+		DefaultTimeout: 5 * time.Second, UnavailableWait: 700 * time.Millisecond, QueueFraction: 0.45, ConnectWait: 1800 * time.Millisecond, OpenTimeout: 700 * time.Millisecond, ClosingGrace: 150 * time.Millisecond,
+		AbandonedTimeout: 10 * time.Second, TransactionIdleTimeout: 3 * time.Second, InitialBackoff: 40 * time.Millisecond, MaxBackoff: 400 * time.Millisecond,
+		SurplusIdle: 40 * time.Millisecond,
+		RetryDelay:  20 * time.Millisecond, MaxRetries: 8,
+		DrainWindow: 5 * time.Second, LateDrainWindow: 2 * time.Second, LaggingPause: 150 * time.Millisecond, ReplicationBound: 300 * time.Millisecond,
+		Linger: 2300 * time.Millisecond, EndTransactions: 2900 * time.Millisecond, EndSessions: 5400 * time.Millisecond,
+		MaxQueueLength: 4096, MaxClients: 3000, MaxPipelined: 16, MaxPrepared: 200, ReferenceTarget: 200 * time.Millisecond,
 	}
 }
 
 // Within fits the bounds to a stop that is waited for as long as grace, and to
 // instances that serve on for drain after they were heard to leave.
-func (t Timing) Within(grace, drain time.Duration) Timing {
-	t.Turns, t.Finish = grace/2-100*time.Millisecond, grace-600*time.Millisecond
-	t.Linger = min(t.Linger, t.Finish-600*time.Millisecond)
-	t.Leaving = max(drain-2*time.Second, drain/2)
-	t.Late = t.Leaving * 2 / 5
+func (t Config) Within(grace, drain time.Duration) Config {
+	t.EndTransactions, t.EndSessions = grace/2-100*time.Millisecond, grace-600*time.Millisecond
+	t.Linger = min(t.Linger, t.EndSessions-600*time.Millisecond)
+	t.DrainWindow = max(drain-2*time.Second, drain/2)
+	t.LateDrainWindow = t.DrainWindow * 2 / 5
 	return t
 }
 
 // Outs are what the node sends to an instance.
-type OutKind int
+type CommandKind int
 
 // Kinds of Out.
 const (
-	OutText OutKind = iota
-	OutBegin
-	OutBeginRead
-	OutRollback
-	OutReset
-	OutSet
-	OutPrepare
-	OutRun
+	CommandText CommandKind = iota
+	CommandBegin
+	CommandBeginReadOnly
+	CommandRollback
+	CommandReset
+	CommandSet
+	CommandPrepare
+	CommandExecute
 )
 
 // Out is one message to an instance. ID and Text are the client's; the others
 // are the node's own.
-type Out struct {
-	Kind        OutKind
+type Command struct {
+	Kind        CommandKind
 	ID, Text    string
 	Name, Value string
-	Floor       model.Position
+	MinPosition model.Position
 }
 
 // Effects.
@@ -123,78 +123,78 @@
 	// Effect is one of the types below.
 	Effect any
 	// Say answers a client, all in one.
-	Say struct {
+	Respond struct {
 		Client   *Client
 		Messages []lineproto.Message
 	}
 	// Close ends a client's session.
-	Close struct{ Client *Client }
+	CloseClient struct{ Client *Client }
 	// Open opens a connection to an instance.
-	Open struct {
+	Connect struct {
 		Conn                        *Conn
 		Address, Database, Instance string
 	}
 	// Send sends to an instance, all in one.
 	Send struct {
-		Conn *Conn
-		Outs []Out
+		Conn     *Conn
+		Commands []Command
 	}
 	// Shut closes a connection to an instance.
-	Shut struct{ Conn *Conn }
+	Disconnect struct{ Conn *Conn }
 	// Report tells the control primary what is seen, before the next ask.
 	Report struct{}
 	// Turned tells a writer role that moved, Shown a set come in force.
-	Turned struct{ Moved routing.Moved }
-	Shown  struct{ Set model.Set }
+	WriterChanged struct{ Change routing.WriterRoleChanged }
+	SetActivated  struct{ Set model.BindingSet }
 )
 
 // Place is the node's own.
-type Place struct {
-	Name, Zone string
-	Birth      int64
-	Beta       float64
+type Identity struct {
+	Name, Zone  string
+	Incarnation int64
+	Weight      float64
 }
 
-type shape struct {
-	text    string
-	isWrite bool
+type preparedStatement struct {
+	text  string
+	write bool
 }
 
 // Client is one session.
 type Client struct {
 	// Token belongs to whoever brought the session.
-	Token    any
-	name     string
-	values   map[string]string
-	shapes   map[string]shape
-	marks    map[string]mark
-	state    byte
-	turn     *turn
-	job      *Job
-	inbox    []Asked
-	rank     uint64
-	used     time.Duration
-	isMet    bool
-	isGone   bool
-	isEnding bool
-}
-
-type mark struct {
+	Token       any
+	binding     string
+	variables   map[string]string
+	prepared    map[string]preparedStatement
+	ownCommits  map[string]ownCommit
+	state       byte
+	transaction *transaction
+	request     *Request
+	pipelined   []Query
+	serial      uint64
+	lastUsed    time.Duration
+	connected   bool
+	closed      bool
+	isEnding    bool
+}
+
+type ownCommit struct {
 	position model.Position
 	at       time.Duration
 }
 
-type turn struct {
-	binding model.Binding
-	isRead  bool
-	isLost  bool
+type transaction struct {
+	binding  model.Binding
+	readOnly bool
+	lost     bool
 	// hasWrites says that a write was passed on, if only to be refused.
 	hasWrites bool
 	conn      *Conn
 }
 
 // Asked is one query of a client.
-type Asked struct {
+type Query struct {
 	ID, Text  string
 	Statement lineproto.Statement
 }
@@ -202,70 +202,72 @@
 type phase int
 
 const (
-	phaseLease phase = iota
-	phaseLine
-	phaseOut
-	phaseConfirm
+	phaseAwaitingLease phase = iota
+	phaseQueued
+	phaseInFlight
+	phaseUnconfirmed
 	phaseEnded
 )
 
 // Job is one statement on its way.
-type Job struct {
-	client   *Client
-	asked    Asked
-	shape    shape
-	binding  model.Binding
-	isWrite  bool
-	isCommit bool
-	isStrict bool
-	turn     *turn
-	arrived  time.Duration
-	deadline time.Duration
-	phase    phase
-	legs     []*leg
-	isTwin   bool
-	tries    int
-	restAt   time.Duration
+type Request struct {
+	client      *Client
+	query       Query
+	prepared    preparedStatement
+	binding     model.Binding
+	write       bool
+	commit      bool
+	primaryOnly bool
+	transaction *transaction
+	arrivedAt   time.Duration
+	deadline    time.Duration
+	phase       phase
+	attempts    []*attempt
+	hedged      bool
+	retries     int
+	notBefore   time.Duration
 	// avoid is the instance that failed it last, failed how often one did.
-	avoid    *back
-	failed   int
-	term     uint64
-	floor    model.Position
-	answer   []lineproto.Message
-	position model.Position
+	avoid       *backend
+	failures    int
+	term        uint64
+	minPosition model.Position
+	answer      []lineproto.Message
+	position    model.Position
 }
 
 // mayLast says whether the statement, once run, may keep something for good.
-func (j *Job) mayLast() bool {
-	return (j.isCommit && (!j.turn.isRead || j.turn.hasWrites)) || (j.isWrite && j.turn == nil)
+func (request *Request) mayPersist() bool {
+	return (request.commit && (!request.transaction.readOnly || request.transaction.hasWrites)) || (request.write && request.transaction == nil)
 }
 
 // isSent says whether the statement itself has been passed on.
-func (j *Job) isSent() bool {
-	if j.phase != phaseOut {
-		return j.phase == phaseConfirm
+func (request *Request) isSent() bool {
+	if request.phase != phaseInFlight {
+		return request.phase == phaseUnconfirmed
 	}
-	for _, held := range j.legs {
-		if held.isBegun {
+	for _, held := range request.attempts {
+		if held.statementSent {
 			return true
 		}
 	}
 	return false
 }
 
-func (j *Job) isFree() bool { return !j.isWrite && !j.isCommit && j.turn == nil }
+func (request *Request) isRetryableRead() bool {
+	return !request.write && !request.commit && request.transaction == nil
+}
 
-type leg struct {
-	job       *Job
+type attempt struct {
+	request   *Request
 	conn      *Conn
 	sentAt    time.Duration
-	isDropped bool
+	abandoned bool
 	// isBegun says that the statement itself has been sent, and not only the
 	// begin before it.
-	isBegun bool
-	rows    []lineproto.Message
-	end     lineproto.Message
-	hasEnd  bool
+	statementSent bool
+	rows          []lineproto.Message
+	result        lineproto.Message
+	hasResult     bool
 }
 
 type connState int
@@ -274,159 +276,159 @@
 	connOpening connState = iota
 	connIdle
 	connBusy
-	connOver
+	connClosed
 )
 
 // Conn is one connection to an instance.
 type Conn struct {
 	// Link belongs to whoever opened it.
-	Link    any
-	back    *back
-	state   connState
-	values  map[string]string
-	shapes  map[string]string
-	names   int
-	isDirty bool
-	isSet   bool
-	owner   *Client
-	leg     *leg
-	waits   []wait
-	opened  time.Duration
-	rested  time.Duration
-	term    uint64
-}
-
-type wait struct {
-	kind OutKind
-	leg  *leg
-}
-
-type back struct {
-	info      model.Instance
-	database  int
-	share     connquota.Share
-	grade     outlier.Grade
-	window    *flowcontrol.Window
-	idle      []*Conn
-	conns     []*Conn
-	opening   int
-	restAt    time.Duration
-	rest      time.Duration
-	answered  time.Duration
-	refused   int
-	lagUntil  time.Duration
-	leavingAt time.Duration
-	position  model.Position
-	told      int
-}
-
-type sample struct {
-	at       time.Duration
+	Transport     any
+	backend       *backend
+	state         connState
+	variables     map[string]string
+	prepared      map[string]string
+	preparedCount int
+	dirty         bool
+	changed       bool
+	owner         *Client
+	attempt       *attempt
+	pending       []pendingAnswer
+	openedAt      time.Duration
+	idleSince     time.Duration
+	term          uint64
+}
+
+type pendingAnswer struct {
+	kind    CommandKind
+	attempt *attempt
+}
+
+type backend struct {
+	info          model.Instance
+	databaseID    int
+	quota         connquota.Quota
+	health        outlier.FailureRate
+	window        *flowcontrol.Window
+	idle          []*Conn
+	conns         []*Conn
+	opening       int
+	backoffUntil  time.Duration
+	backoff       time.Duration
+	lastResponse  time.Duration
+	refusals      int
+	laggingUntil  time.Duration
+	drainingSince time.Duration
+	position      model.Position
+	reportedLevel int
+}
+
+type positionSample struct {
+	takenAt  time.Duration
 	position model.Position
 }
 
-type base struct {
-	name     string
-	writes   []*Job
-	reads    []*Job
-	turns    []*Job
-	out      []*Job
-	confirms []*Job
-	samples  []sample
-	high     model.Position
-	closedAt time.Duration
+type databaseState struct {
+	name             string
+	primaryQueue     []*Request
+	readQueue        []*Request
+	transactionQueue []*Request
+	inFlight         []*Request
+	unconfirmed      []*Request
+	samples          []positionSample
+	highWatermark    model.Position
+	writerClosedAt   time.Duration
 	// isDropped says that the control primary may have been told that nothing
 	// is told kept any more in the term that is closing.
-	isDropped bool
+	closeReported bool
 }
 
 // Machine is one node's state. It does no I/O and has no clock.
-type Machine struct {
-	place     Place
-	timing    Timing
-	tuning    flowcontrol.Tuning
-	count     func(name string, by int64)
-	serve     *routing.Machine
-	names     *symbol.Index
-	bases     []*base
-	backNames *symbol.Index
-	backs     []*back
-	clients   map[*Client]bool
-	leaseless []*Job
-	guests    []*Client
-	ranks     uint64
-	roll      distribution.Roll
-	sharers   connquota.Names
-	leftAt    time.Duration
-	leasedAt  time.Duration
-	hasBeaten bool
-	looked    time.Duration
-	isLeaving bool
-	effects   []Effect
+type Pool struct {
+	identity         Identity
+	config           Config
+	windowParameters flowcontrol.Parameters
+	count            func(name string, by int64)
+	routing          *routing.Machine
+	databaseNames    *symbol.Table
+	databases        []*databaseState
+	backendNames     *symbol.Table
+	backends         []*backend
+	clients          map[*Client]bool
+	awaitingLease    []*Request
+	connecting       []*Client
+	clientSerial     uint64
+	listVersion      distribution.ListVersion
+	quotaNodes       connquota.Members
+	drainStarted     time.Duration
+	lastLeased       time.Duration
+	ticked           bool
+	lastIdleCheck    time.Duration
+	draining         bool
+	effects          []Effect
 }
 
 // New makes a node that knows nothing yet; count hears of each counter that
 // rises.
-func New(place Place, timing Timing, leases lease.Timing, count func(string, int64)) *Machine {
-	m := &Machine{
-		place: place, timing: timing, tuning: flowcontrol.Defaults(), count: count, serve: routing.New(place.Name, leases),
-		names: symbol.NewIndex(), backNames: symbol.NewIndex(), clients: map[*Client]bool{},
+func New(place Identity, timing Config, leases lease.Timing, count func(string, int64)) *Pool {
+	p := &Pool{
+		identity: place, config: timing, windowParameters: flowcontrol.DefaultParameters(), count: count, routing: routing.New(place.Name, leases),
+		databaseNames: symbol.NewTable(), backendNames: symbol.NewTable(), clients: map[*Client]bool{},
 	}
-	m.tuning.Beta = place.Beta
-	return m
+	p.windowParameters.Beta = place.Weight
+	return p
 }
 
 // Effects gives what the events since the last call caused.
-func (m *Machine) Effects() []Effect {
-	effects := m.effects
-	m.effects = nil
+func (p *Pool) Effects() []Effect {
+	effects := p.effects
+	p.effects = nil
 	return effects
 }
 
-func (m *Machine) emit(effect Effect) { m.effects = append(m.effects, effect) }
+func (p *Pool) emit(effect Effect) { p.effects = append(p.effects, effect) }
 
 // Serve gives what the node knows of leases, sets and writer roles, to be
 // read only.
-func (m *Machine) Serve() *routing.Machine { return m.serve }
+func (p *Pool) Routing() *routing.Machine { return p.routing }
 
-func (m *Machine) base(name string) *base {
-	rank := m.names.Rank(name)
-	for len(m.bases) <= rank {
-		m.bases = append(m.bases, &base{name: m.names.Name(len(m.bases))})
+func (p *Pool) database(name string) *databaseState {
+	rank := p.databaseNames.Intern(name)
+	for len(p.databases) <= rank {
+		p.databases = append(p.databases, &databaseState{name: p.databaseNames.Name(len(p.databases))})
 	}
-	return m.bases[rank]
+	return p.databases[rank]
 }
 
-func (m *Machine) baseOf(held *back) *base { return m.bases[held.database] }
+func (p *Pool) databaseOf(held *backend) *databaseState { return p.databases[held.databaseID] }
 
-func (m *Machine) back(name string) *back {
-	rank, isKnown := m.backNames.Find(name)
-	if !isKnown {
+func (p *Pool) backend(name string) *backend {
+	rank, found := p.backendNames.Lookup(name)
+	if !found {
 		return nil
 	}
-	return m.backs[rank]
+	return p.backends[rank]
 }
 
-func (m *Machine) writer(one *base) (model.Writer, *back, bool) {
-	writer := m.serve.Writer(one.name)
-	target := m.back(writer.Primary)
-	return writer, target, writer.Phase == model.PhaseOpen && target != nil && !target.info.IsGone
+func (p *Pool) writer(one *databaseState) (model.WriterRole, *backend, bool) {
+	writer := p.routing.WriterRole(one.name)
+	target := p.backend(writer.Primary)
+	return writer, target, writer.Phase == model.PhaseOpen && target != nil && !target.info.Stopped
 }
 
-func (m *Machine) isHead(held *back) bool {
-	_, target, isOpen := m.writer(m.baseOf(held))
-	return isOpen && target == held
+func (p *Pool) isPrimary(held *backend) bool {
+	_, target, open := p.writer(p.databaseOf(held))
+	return open && target == held
 }
 
 // Ready says whether the node may be given sessions, and why not.
-func (m *Machine) Ready(now time.Duration) (bool, string) {
+func (p *Pool) Ready(now time.Duration) (bool, string) {
 	checks := []struct {
 		isBad bool
 		why   string
 	}{
-		{m.isLeaving, "stopping"},
-		{!m.serve.IsLeased(now), "no lease from the control primary"},
-		{m.effective(now).Sequence == 0, "no bindings in force"},
+		{p.draining, "stopping"},
+		{!p.routing.HasLease(now), "no lease from the control primary"},
+		{p.effectiveSet(now).Sequence == 0, "no bindings in force"},
 	}
 	for _, check := range checks {
 		if check.isBad {
@@ -437,103 +439,103 @@
 }
 
 // Effective gives the set in force.
-func (m *Machine) Effective(now time.Duration) model.Set { return m.effective(now) }
+func (p *Pool) EffectiveSet(now time.Duration) model.BindingSet { return p.effectiveSet(now) }
 
-func (m *Machine) effective(now time.Duration) model.Set {
-	current, isNew := m.serve.Effective(now)
-	if isNew {
-		m.count("sets_shown", 1)
-		m.emit(Shown{Set: current})
+func (p *Pool) effectiveSet(now time.Duration) model.BindingSet {
+	current, changed := p.routing.ActiveSet(now)
+	if changed {
+		p.count("sets_shown", 1)
+		p.emit(SetActivated{Set: current})
 	}
 	return current
 }
 
 // Beat is the regular clock event; live names the data-plane nodes that live,
 // beta is this node's weight.
-func (m *Machine) Beat(live []string, beta float64, now time.Duration) {
-	m.size(live, beta, now)
-	if !m.hasBeaten || m.serve.IsLeased(now) {
-		m.hasBeaten, m.leasedAt = true, now
+func (p *Pool) Tick(live []string, weight float64, now time.Duration) {
+	p.updatePeers(live, weight, now)
+	if !p.ticked || p.routing.HasLease(now) {
+		p.ticked, p.lastLeased = true, now
 	}
-	for _, held := range m.backs {
+	for _, held := range p.backends {
 		held.window.Tick(now)
-		m.tend(held, now)
+		p.maintainConns(held, now)
 	}
-	m.expire(now)
-	m.twins(now)
-	m.leaving(now)
-	m.watch(now)
-	m.pumpAll(now)
+	p.expireRequests(now)
+	p.hedgeReads(now)
+	p.closeIdleClients(now)
+	p.reportSuspects(now)
+	p.dispatchAll(now)
 }
 
 // isCutOff says whether the lease has been gone for so long that nothing new
 // waits for it.
-func (m *Machine) isCutOff(now time.Duration) bool {
-	return m.hasBeaten && !m.serve.IsLeased(now) && now-m.leasedAt > m.timing.Away
+func (p *Pool) isIsolated(now time.Duration) bool {
+	return p.ticked && !p.routing.HasLease(now) && now-p.lastLeased > p.config.UnavailableWait
 }
 
-func (m *Machine) size(live []string, beta float64, now time.Duration) {
-	if isNew := m.sharers.Note(live, now); isNew || beta != m.tuning.Beta {
-		m.tuning.Beta = beta
-		for _, held := range m.backs {
-			m.retune(held)
+func (p *Pool) updatePeers(live []string, weight float64, now time.Duration) {
+	if changed := p.quotaNodes.Update(live, now); changed || weight != p.windowParameters.Beta {
+		p.windowParameters.Beta = weight
+		for _, held := range p.backends {
+			p.retuneWindow(held)
 		}
 	}
 }
 
-func (m *Machine) retune(held *back) {
-	held.share = m.sharers.Of(m.place.Name, held.info.Name, held.info.Connections)
-	held.window.Retune(m.tuning.Beta, float64(held.share.Most))
+func (p *Pool) retuneWindow(held *backend) {
+	held.quota = p.quotaNodes.Quota(p.identity.Name, held.info.Name, held.info.Connections)
+	held.window.Retune(p.windowParameters.Beta, float64(held.quota.MaxOpen))
 }
 
-func (m *Machine) pumpAll(now time.Duration) {
-	m.rebind(now)
-	for _, one := range m.bases {
-		m.settleConfirms(one, now)
-		m.pump(one, now)
+func (p *Pool) dispatchAll(now time.Duration) {
+	p.resumeAwaitingLease(now)
+	for _, one := range p.databases {
+		p.confirmCommits(one, now)
+		p.dispatch(one, now)
 	}
 }
 
 // Clients counts the sessions.
-func (m *Machine) Clients() int { return len(m.clients) }
+func (p *Pool) Clients() int { return len(p.clients) }
 
 // Backed is what the node shows of an instance.
-type Backed struct {
-	Info      model.Instance      `json:"instance"`
-	AnsweredM int64               `json:"answered_ms"`
-	Position  model.Position      `json:"position"`
-	Admission flowcontrol.Reading `json:"admission"`
-	Refused   int                 `json:"refused"`
-	Sessions  int                 `json:"sessions"`
-	Idle      int                 `json:"idle"`
-	Share     int                 `json:"share"`
-	Kept      int                 `json:"kept"`
+type InstanceStatus struct {
+	Instance      model.Instance      `json:"instance"`
+	AnsweredAgeMS int64               `json:"answered_ms"`
+	Position      model.Position      `json:"position"`
+	Window        flowcontrol.Reading `json:"admission"`
+	Refusals      int                 `json:"refused"`
+	Connections   int                 `json:"sessions"`
+	Idle          int                 `json:"idle"`
+	Quota         int                 `json:"share"`
+	QuotaIdle     int                 `json:"kept"`
 }
 
 // Lined is what it shows of a database's lines.
-type Lined struct {
-	Database string         `json:"database"`
-	Turns    int            `json:"turns"`
-	Writes   int            `json:"writes"`
-	Reads    int            `json:"reads"`
-	Out      int            `json:"out"`
-	Confirms int            `json:"confirms"`
-	High     model.Position `json:"high"`
+type QueueStatus struct {
+	Database      string         `json:"database"`
+	Transactions  int            `json:"turns"`
+	Writes        int            `json:"writes"`
+	Reads         int            `json:"reads"`
+	InFlight      int            `json:"out"`
+	Unconfirmed   int            `json:"confirms"`
+	HighWatermark model.Position `json:"high"`
 }
 
 // Show gives what the node shows to operators.
-func (m *Machine) Show(now time.Duration) (instances []Backed, lines []Lined) {
-	instances, lines = []Backed{}, []Lined{}
-	for _, held := range m.backs {
-		instances = append(instances, Backed{
-			Info: held.info, AnsweredM: (now - held.answered).Milliseconds(), Position: held.position, Admission: held.window.Read(),
-			Refused: held.refused, Sessions: len(held.conns), Idle: len(held.idle), Share: held.share.Most, Kept: held.share.Kept,
+func (p *Pool) Status(now time.Duration) (instances []InstanceStatus, lines []QueueStatus) {
+	instances, lines = []InstanceStatus{}, []QueueStatus{}
+	for _, held := range p.backends {
+		instances = append(instances, InstanceStatus{
+			Instance: held.info, AnsweredAgeMS: (now - held.lastResponse).Milliseconds(), Position: held.position, Window: held.window.Reading(),
+			Refusals: held.refusals, Connections: len(held.conns), Idle: len(held.idle), Quota: held.quota.MaxOpen, QuotaIdle: held.quota.MaxIdle,
 		})
 	}
-	for _, one := range m.bases {
-		lines = append(lines, Lined{
-			Database: one.name, Turns: len(one.turns), Writes: len(one.writes), Reads: len(one.reads), Out: len(one.out),
-			Confirms: len(one.confirms), High: one.high,
+	for _, one := range p.databases {
+		lines = append(lines, QueueStatus{
+			Database: one.name, Transactions: len(one.transactionQueue), Writes: len(one.primaryQueue), Reads: len(one.readQueue), InFlight: len(one.inFlight),
+			Unconfirmed: len(one.unconfirmed), HighWatermark: one.highWatermark,
 		})
 	}
 	return instances, lines
--- a/internal/coordination/pool/linepool/random_test.go
+++ b/internal/coordination/pool/linepool/random_test.go
@@ -15,127 +15,127 @@
 )
 
 // group is what is kept or lost together: a transaction, or a single write.
-type group struct {
-	id       int
-	by       *person
-	writes   int
-	isAsked  bool
-	isKept   bool
-	promised string
+type writeGroup struct {
+	id              int
+	by              *simulatedClient
+	writes          int
+	submitted       bool
+	persisted       bool
+	promisedNotKept string
 }
 
-type question struct {
-	asked Asked
-	group *group
+type pendingQuery struct {
+	query Query
+	group *writeGroup
 }
 
-type person struct {
-	client *Client
-	asked  []question
-	state  byte
-	values map[string]string
-	shapes map[string]string
-	group  *group
-	isGone bool
-	isMet  bool
+type simulatedClient struct {
+	client    *Client
+	pending   []pendingQuery
+	state     byte
+	variables map[string]string
+	prepared  map[string]string
+	group     *writeGroup
+	closed    bool
+	connected bool
 }
 
 // host is the far end of one connection, which runs what it is sent.
-type host struct {
-	conn      *Conn
-	queue     []Out
-	values    map[string]string
-	shapes    map[string]string
-	before    [2]map[string]string
-	isInside  bool
-	isFailed  bool
-	hasWrites bool
-	group     *group
-	isTaken   bool
+type simulatedServer struct {
+	conn          *Conn
+	queue         []Command
+	variables     map[string]string
+	prepared      map[string]string
+	savedSession  [2]map[string]string
+	inTransaction bool
+	failed        bool
+	hasWrites     bool
+	group         *writeGroup
+	accepted      bool
 }
 
-type storm struct {
-	*rig
-	random *rand.Rand
-	people []*person
-	hosts  []*host
-	of     map[string]*person
-	groups int
-	fault  string
-	isCalm bool
-	said   int
+type simulation struct {
+	*harness
+	random           *rand.Rand
+	simulatedClients []*simulatedClient
+	servers          []*simulatedServer
+	senders          map[string]*simulatedClient
+	groups           int
+	violation        string
+	faultFree        bool
+	answered         int
 }
 
-func newStorm(seed uint64) *storm {
-	s := &storm{rig: newRig(12), random: rand.New(rand.NewPCG(seed, 7)), of: map[string]*person{}}
-	s.isSlow = true
+func newSimulation(seed uint64) *simulation {
+	s := &simulation{harness: newHarness(12), random: rand.New(rand.NewPCG(seed, 7)), senders: map[string]*simulatedClient{}}
+	s.manualOpen = true
 	return s
 }
 
-func (s *storm) break_(format string, parts ...any) {
-	if s.fault == "" {
-		s.fault = fmt.Sprintf(format, parts...)
+func (s *simulation) violated(format string, parts ...any) {
+	if s.violation == "" {
+		s.violation = fmt.Sprintf(format, parts...)
 	}
 }
 
-func (s *storm) chance(part float64) bool { return s.random.Float64() < part }
+func (s *simulation) chance(part float64) bool { return s.random.Float64() < part }
 
-func (s *storm) sync() {
-	s.flow()
+func (s *simulation) sync() {
+	s.applyEffects()
 	for _, open := range s.opens {
-		s.hosts = append(s.hosts, &host{conn: open.Conn, values: map[string]string{}, shapes: map[string]string{}})
+		s.servers = append(s.servers, &simulatedServer{conn: open.Conn, variables: map[string]string{}, prepared: map[string]string{}})
 	}
 	s.opens = nil
 	for _, send := range s.sends {
-		at := slices.IndexFunc(s.hosts, func(h *host) bool { return h.conn == send.Conn })
+		at := slices.IndexFunc(s.servers, func(h *simulatedServer) bool { return h.conn == send.Conn })
 		if at < 0 {
-			s.break_("sent on a connection that is not open")
+			s.violated("sent on a connection that is not open")
 			continue
 		}
-		s.hosts[at].queue = append(s.hosts[at].queue, send.Outs...)
+		s.servers[at].queue = append(s.servers[at].queue, send.Commands...)
 	}
 	s.sends = nil
-	for _, p := range s.people {
-		s.listen(p)
+	for _, p := range s.simulatedClients {
+		s.checkResponses(p)
 	}
-	s.hosts = slices.DeleteFunc(s.hosts, func(h *host) bool {
-		if !h.conn.IsOver() {
+	s.servers = slices.DeleteFunc(s.servers, func(h *simulatedServer) bool {
+		if !h.conn.IsClosed() {
 			return false
 		}
 		for len(h.queue) > 0 && s.chance(0.7) {
-			s.run(h, lineproto.CodeOther)
+			s.runNext(h, lineproto.CodeOther)
 		}
 		return true
 	})
-	if fault := s.sound(); fault != "" {
-		s.break_("%s", fault)
+	if fault := s.invariantViolation(); fault != "" {
+		s.violated("%s", fault)
 	}
 }
 
 // listen takes what was said to a client, and checks it.
-func (s *storm) listen(p *person) {
-	lines := s.rig.said[p.client]
-	s.rig.said[p.client] = nil
+func (s *simulation) checkResponses(p *simulatedClient) {
+	lines := s.harness.responses[p.client]
+	s.harness.responses[p.client] = nil
 	for _, line := range lines {
-		if !p.isMet {
-			p.isMet = true
+		if !p.connected {
+			p.connected = true
 			continue
 		}
-		if len(p.asked) == 0 {
-			s.break_("an answer to nothing: %s", line)
+		if len(p.pending) == 0 {
+			s.violated("an answer to nothing: %s", line)
 			return
 		}
-		s.hear(p, line)
+		s.checkResponse(p, line)
 	}
-	if s.over[p.client] {
-		p.isGone = true
+	if s.closedClients[p.client] {
+		p.closed = true
 	}
 }
 
-func (s *storm) hear(p *person, line string) {
+func (s *simulation) checkResponse(p *simulatedClient, line string) {
 	var code, end string
 	var state byte
-	for _, part := range splits(line) {
+	for _, part := range splitResponse(line) {
 		if len(part) > 5 && part[:5] == "ERROR" {
 			code = part[6:]
 		}
@@ -149,13 +149,13 @@
 	if state == 0 {
 		return
 	}
-	one := p.asked[0]
-	p.asked = p.asked[1:]
-	s.said++
-	act, own := one.asked.Statement.Act, one.asked.Statement
-	if act == lineproto.ActBegin || act == lineproto.ActBeginRead {
+	one := p.pending[0]
+	p.pending = p.pending[1:]
+	s.answered++
+	act, own := one.query.Statement.Action, one.query.Statement
+	if act == lineproto.ActionBegin || act == lineproto.ActionBeginReadOnly {
 		if code == "" {
-			p.group = s.group(p)
+			p.group = s.newGroup(p)
 		}
 	}
 	held := p.group
@@ -165,36 +165,36 @@
 	}
 	isPromise := slices.Contains(promises, code)
 	if isPromise && held != nil && (isSingle || held == p.group) {
-		held.promised = line
-		if held.isKept {
-			s.break_("%s was told of what is kept: %s %s in group %d", line, one.asked.ID, one.asked.Text, held.id)
+		held.promisedNotKept = line
+		if held.persisted {
+			s.violated("%s was told of what is kept: %s %s in group %d", line, one.query.ID, one.query.Text, held.id)
 		}
 	}
 	isDone := code == ""
-	isKeeping := isDone && ((isSingle && one.group.writes > 0) || (act == lineproto.ActCommit && held != nil && held.writes > 0))
-	if isKeeping && !held.isKept {
-		s.break_("%s was told of what is not kept", line)
+	isKeeping := isDone && ((isSingle && one.group.writes > 0) || (act == lineproto.ActionCommit && held != nil && held.writes > 0))
+	if isKeeping && !held.persisted {
+		s.violated("%s was told of what is not kept", line)
 	}
-	isOwn := act == lineproto.ActRead || act == lineproto.ActWrite || act == lineproto.ActRun || act == lineproto.ActCommit
-	if isDone && isOwn && end != "s"+one.asked.ID {
-		s.break_("%s is not the answer to %s", line, one.asked.ID)
+	isOwn := act == lineproto.ActionRead || act == lineproto.ActionWrite || act == lineproto.ActionExecute || act == lineproto.ActionCommit
+	if isDone && isOwn && end != "s"+one.query.ID {
+		s.violated("%s is not the answer to %s", line, one.query.ID)
 	}
-	if isDone && act == lineproto.ActSet {
-		p.values[own.Name] = own.Value
+	if isDone && act == lineproto.ActionSet {
+		p.variables[own.Name] = own.Value
 	}
-	if isDone && act == lineproto.ActPrepare {
-		p.shapes[own.Name] = own.Shape
+	if isDone && act == lineproto.ActionPrepare {
+		p.prepared[own.Name] = own.PreparedText
 	}
-	if isDone && act == lineproto.ActForget {
-		delete(p.shapes, own.Name)
+	if isDone && act == lineproto.ActionDeallocate {
+		delete(p.prepared, own.Name)
 	}
-	if state != lineproto.StateInside {
+	if state != lineproto.StateInTransaction {
 		p.group = nil
 	}
 	p.state = state
 }
 
-func splits(line string) []string {
+func splitResponse(line string) []string {
 	var parts []string
 	for {
 		at := slices.Index([]byte(line), '/')
@@ -205,159 +205,159 @@
 	}
 }
 
-func (s *storm) group(p *person) *group {
+func (s *simulation) newGroup(p *simulatedClient) *writeGroup {
 	s.groups++
-	return &group{id: s.groups, by: p}
+	return &writeGroup{id: s.groups, by: p}
 }
 
-func (s *storm) query(p *person, ask Asked) {
-	s.of[ask.ID] = p
-	one := question{asked: ask}
-	isWrite := ask.Statement.Act == lineproto.ActWrite || ask.Statement.Act == lineproto.ActRun
+func (s *simulation) submitQuery(p *simulatedClient, ask Query) {
+	s.senders[ask.ID] = p
+	one := pendingQuery{query: ask}
+	isWrite := ask.Statement.Action == lineproto.ActionWrite || ask.Statement.Action == lineproto.ActionExecute
 	if isWrite {
-		one.group = s.group(p)
-		one.group.isAsked = true
+		one.group = s.newGroup(p)
+		one.group.submitted = true
 	}
-	p.asked = append(p.asked, one)
+	p.pending = append(p.pending, one)
 	s.Query(p.client, ask, s.now)
 }
 
-func (s *storm) find(id string) (*person, question, bool) {
-	p := s.of[id]
+func (s *simulation) findPending(id string) (*simulatedClient, pendingQuery, bool) {
+	p := s.senders[id]
 	if p == nil {
-		return nil, question{}, false
+		return nil, pendingQuery{}, false
 	}
-	at := slices.IndexFunc(p.asked, func(one question) bool { return one.asked.ID == id })
+	at := slices.IndexFunc(p.pending, func(one pendingQuery) bool { return one.query.ID == id })
 	if at < 0 {
-		return p, question{}, false
+		return p, pendingQuery{}, false
 	}
-	return p, p.asked[at], at == 0 && !p.isGone
+	return p, p.pending[at], at == 0 && !p.closed
 }
 
-func (s *storm) undo(h *host) {
-	if s.chance(0.5) && h.before[0] != nil {
-		h.values, h.shapes = h.before[0], h.before[1]
+func (s *simulation) rollBack(h *simulatedServer) {
+	if s.chance(0.5) && h.savedSession[0] != nil {
+		h.variables, h.prepared = h.savedSession[0], h.savedSession[1]
 	}
-	h.isInside, h.isFailed, h.hasWrites, h.group, h.before = false, false, false, nil, [2]map[string]string{}
+	h.inTransaction, h.failed, h.hasWrites, h.group, h.savedSession = false, false, false, nil, [2]map[string]string{}
 }
 
 // run runs the oldest text at a host, refusing it with a code where one is
 // given, and gives the answer.
-func (s *storm) run(h *host, refusal lineproto.Code) []lineproto.Message {
+func (s *simulation) runNext(h *simulatedServer, refusal lineproto.Code) []lineproto.Message {
 	out := h.queue[0]
 	h.queue = h.queue[1:]
-	ways := map[OutKind]func() []lineproto.Message{
-		OutReset: func() []lineproto.Message {
-			h.values, h.shapes = map[string]string{}, map[string]string{}
+	ways := map[CommandKind]func() []lineproto.Message{
+		CommandReset: func() []lineproto.Message {
+			h.variables, h.prepared = map[string]string{}, map[string]string{}
 			return []lineproto.Message{ok("-")}
 		},
-		OutSet: func() []lineproto.Message {
-			h.values[out.Name] = out.Value
+		CommandSet: func() []lineproto.Message {
+			h.variables[out.Name] = out.Value
 			return []lineproto.Message{ok("-")}
 		},
-		OutPrepare: func() []lineproto.Message {
-			h.shapes[out.Name] = out.Value
+		CommandPrepare: func() []lineproto.Message {
+			h.prepared[out.Name] = out.Value
 			return []lineproto.Message{ok("-")}
 		},
-		OutRollback: func() []lineproto.Message {
-			s.undo(h)
+		CommandRollback: func() []lineproto.Message {
+			s.rollBack(h)
 			return []lineproto.Message{ok("-")}
 		},
-		OutBegin:     func() []lineproto.Message { return s.open(h, refusal) },
-		OutBeginRead: func() []lineproto.Message { return s.open(h, refusal) },
-		OutText:      func() []lineproto.Message { return s.statement(h, out, refusal) },
-		OutRun:       func() []lineproto.Message { return s.statement(h, out, refusal) },
+		CommandBegin:         func() []lineproto.Message { return s.beginTransaction(h, refusal) },
+		CommandBeginReadOnly: func() []lineproto.Message { return s.beginTransaction(h, refusal) },
+		CommandText:          func() []lineproto.Message { return s.runStatement(h, out, refusal) },
+		CommandExecute:       func() []lineproto.Message { return s.runStatement(h, out, refusal) },
 	}
 	said := ways[out.Kind]()
 	state := lineproto.StateIdle
-	if h.isInside {
-		state = lineproto.StateInside
+	if h.inTransaction {
+		state = lineproto.StateInTransaction
 	}
-	if h.isFailed {
+	if h.failed {
 		state = lineproto.StateFailed
 	}
-	return append(said, s.at(state))
+	return append(said, s.readyIn(state))
 }
 
-func (s *storm) open(h *host, refusal lineproto.Code) []lineproto.Message {
-	if h.isInside {
-		s.break_("begin inside a transaction")
+func (s *simulation) beginTransaction(h *simulatedServer, refusal lineproto.Code) []lineproto.Message {
+	if h.inTransaction {
+		s.violated("begin inside a transaction")
 	}
 	if refusal != lineproto.CodeOther {
 		return []lineproto.Message{bad(refusal)}
 	}
-	h.isInside, h.before = true, [2]map[string]string{maps.Clone(h.values), maps.Clone(h.shapes)}
+	h.inTransaction, h.savedSession = true, [2]map[string]string{maps.Clone(h.variables), maps.Clone(h.prepared)}
 	return []lineproto.Message{ok("-")}
 }
 
-func (s *storm) statement(h *host, out Out, refusal lineproto.Code) []lineproto.Message {
-	p, one, isHead := s.find(out.ID)
+func (s *simulation) runStatement(h *simulatedServer, out Command, refusal lineproto.Code) []lineproto.Message {
+	p, one, isHead := s.findPending(out.ID)
 	if p == nil {
-		s.break_("a statement that nobody sent: %s", out.ID)
+		s.violated("a statement that nobody sent: %s", out.ID)
 		return []lineproto.Message{bad(lineproto.CodeOther)}
 	}
-	act, isWrite := lineproto.ActRead, false
+	act, isWrite := lineproto.ActionRead, false
 	if isHead {
-		act = one.asked.Statement.Act
-		isTurn := p.state == lineproto.StateInside
-		if isTurn != h.isInside {
-			s.break_("%s runs inside %v, its client is inside %v", out.ID, h.isInside, isTurn)
+		act = one.query.Statement.Action
+		isTurn := p.state == lineproto.StateInTransaction
+		if isTurn != h.inTransaction {
+			s.violated("%s runs inside %v, its client is inside %v", out.ID, h.inTransaction, isTurn)
 		}
-		if !maps.Equal(h.values, p.values) {
-			s.break_("%s runs with %v, not %v", out.ID, h.values, p.values)
+		if !maps.Equal(h.variables, p.variables) {
+			s.violated("%s runs with %v, not %v", out.ID, h.variables, p.variables)
 		}
-		if h.isInside && h.group == nil {
+		if h.inTransaction && h.group == nil {
 			h.group = p.group
 		}
-		if h.isInside && h.group != p.group {
-			s.break_("%s runs inside another's transaction", out.ID)
+		if h.inTransaction && h.group != p.group {
+			s.violated("%s runs inside another's transaction", out.ID)
 		}
-		isWrite = act == lineproto.ActWrite
+		isWrite = act == lineproto.ActionWrite
 	}
-	if out.Kind == OutRun {
-		shape, isHeld := h.shapes[out.Name]
-		if !isHeld {
+	if out.Kind == CommandExecute {
+		shape, found := h.prepared[out.Name]
+		if !found {
 			return []lineproto.Message{bad(lineproto.CodeNotFound)}
 		}
 		isWrite = shape[0] == 'w'
-		if isHead && p.shapes[one.asked.Statement.Name] != shape {
-			s.break_("%s runs %s, not %s", out.ID, shape, p.shapes[one.asked.Statement.Name])
+		if isHead && p.prepared[one.query.Statement.Name] != shape {
+			s.violated("%s runs %s, not %s", out.ID, shape, p.prepared[one.query.Statement.Name])
 		}
 	}
 	isCommit := out.Text == "commit"
 	if refusal != lineproto.CodeOther {
-		if refusal == lineproto.CodeFailed && h.isInside {
-			h.isFailed = true
+		if refusal == lineproto.CodeFailed && h.inTransaction {
+			h.failed = true
 		}
 		if isCommit {
-			s.undo(h)
+			s.rollBack(h)
 		}
 		return []lineproto.Message{bad(refusal)}
 	}
 	if isCommit {
 		if h.group != nil {
-			h.group.isKept = h.hasWrites
-			if h.group.promised != "" && h.hasWrites {
-				s.break_("kept after %s", h.group.promised)
+			h.group.persisted = h.hasWrites
+			if h.group.promisedNotKept != "" && h.hasWrites {
+				s.violated("kept after %s", h.group.promisedNotKept)
 			}
 		}
-		h.isInside, h.hasWrites, h.group = false, false, nil
-	} else if isWrite && h.isInside {
+		h.inTransaction, h.hasWrites, h.group = false, false, nil
+	} else if isWrite && h.inTransaction {
 		h.hasWrites = true
 		if h.group != nil {
 			h.group.writes++
 		}
 	} else if isWrite && one.group != nil {
 		one.group.writes++
-		one.group.isKept = true
+		one.group.persisted = true
 	}
 	return []lineproto.Message{row("r" + out.ID), ok("s" + out.ID)}
 }
 
-func (s *storm) pick() *person {
-	var list []*person
-	for _, p := range s.people {
-		if !p.isGone {
+func (s *simulation) randomClient() *simulatedClient {
+	var list []*simulatedClient
+	for _, p := range s.simulatedClients {
+		if !p.closed {
 			list = append(list, p)
 		}
 	}
@@ -367,115 +367,115 @@
 	return list[s.random.IntN(len(list))]
 }
 
-func (s *storm) text() Asked {
+func (s *simulation) randomQuery() Query {
 	names := []string{"n1", "n2"}
 	name := names[s.random.IntN(2)]
-	ways := []func() Asked{
+	ways := []func() Query{
 		begin, begin, beginRead, commit, commit, commit, rollback,
-		func() Asked { return read("t") }, func() Asked { return read("t") }, func() Asked { return write("t") }, func() Asked { return write("t") },
-		func() Asked { return set(name, fmt.Sprint(s.random.IntN(3))) },
-		func() Asked { return prepare(name, []string{"read q", "write q", "read z"}[s.random.IntN(3)]) },
-		func() Asked { return runs(name, "t") }, func() Asked { return runs(name, "t") },
-		func() Asked { return forget(name) },
+		func() Query { return read("t") }, func() Query { return read("t") }, func() Query { return write("t") }, func() Query { return write("t") },
+		func() Query { return set(name, fmt.Sprint(s.random.IntN(3))) },
+		func() Query { return prepare(name, []string{"read q", "write q", "read z"}[s.random.IntN(3)]) },
+		func() Query { return runs(name, "t") }, func() Query { return runs(name, "t") },
+		func() Query { return forget(name) },
 	}
 	return ways[s.random.IntN(len(ways))]()
 }
 
-func (s *storm) meet() {
-	if len(s.people) > 60 {
+func (s *simulation) connectClient() {
+	if len(s.simulatedClients) > 60 {
 		return
 	}
 	names := []string{"strict", "stale", "own", "urgent", "other"}
-	c := s.Met(nil, s.now)
-	s.people = append(s.people, &person{client: c, state: lineproto.StateIdle, values: map[string]string{}, shapes: map[string]string{}})
+	c := s.Accept(nil, s.now)
+	s.simulatedClients = append(s.simulatedClients, &simulatedClient{client: c, state: lineproto.StateIdle, variables: map[string]string{}, prepared: map[string]string{}})
 	s.Connect(c, names[s.random.IntN(len(names))], s.now)
 }
 
-func (s *storm) ask() {
-	p := s.pick()
-	if p == nil || !p.isMet || len(p.asked) > 4 || (len(p.asked) > 0 && s.chance(0.8)) {
+func (s *simulation) sendQuery() {
+	p := s.randomClient()
+	if p == nil || !p.connected || len(p.pending) > 4 || (len(p.pending) > 0 && s.chance(0.8)) {
 		return
 	}
-	s.query(p, s.text())
+	s.submitQuery(p, s.randomQuery())
 }
 
 // serve lets a host go one step.
-func (s *storm) serve() {
-	if len(s.hosts) == 0 {
+func (s *simulation) advanceServer() {
+	if len(s.servers) == 0 {
 		return
 	}
-	h := s.hosts[s.random.IntN(len(s.hosts))]
-	if !h.isTaken {
-		if !s.isCalm && s.chance(0.1) {
-			s.Came(h.conn, bad([]lineproto.Code{lineproto.CodeFull, lineproto.CodeWrongHost}[s.random.IntN(2)]), s.now)
+	h := s.servers[s.random.IntN(len(s.servers))]
+	if !h.accepted {
+		if !s.faultFree && s.chance(0.1) {
+			s.Received(h.conn, bad([]lineproto.Code{lineproto.CodeTooManyConnections, lineproto.CodeWrongInstance}[s.random.IntN(2)]), s.now)
 			return
 		}
-		h.isTaken = true
-		s.Came(h.conn, s.at(lineproto.StateIdle), s.now)
+		h.accepted = true
+		s.Received(h.conn, s.readyIn(lineproto.StateIdle), s.now)
 		return
 	}
 	if len(h.queue) == 0 {
 		return
 	}
 	refusal := lineproto.CodeOther
-	if !s.isCalm && s.chance(0.15) {
+	if !s.faultFree && s.chance(0.15) {
 		refusal = []lineproto.Code{lineproto.CodeBusy, lineproto.CodeLagging, lineproto.CodeReadOnly, lineproto.CodeFailed}[s.random.IntN(4)]
 	}
-	messages := s.run(h, refusal)
-	if !s.isCalm && s.chance(0.03) {
+	messages := s.runNext(h, refusal)
+	if !s.faultFree && s.chance(0.03) {
 		messages = messages[:s.random.IntN(len(messages))]
 		for _, message := range messages {
-			s.Came(h.conn, message, s.now)
+			s.Received(h.conn, message, s.now)
 		}
-		s.Lost(h.conn, s.now)
+		s.ConnectionLost(h.conn, s.now)
 		return
 	}
 	for _, message := range messages {
-		s.Came(h.conn, message, s.now)
+		s.Received(h.conn, message, s.now)
 	}
 }
 
-func (s *storm) leave() {
-	if p := s.pick(); p != nil && s.chance(0.3) {
-		p.isGone = true
-		s.Gone(p.client, s.now)
+func (s *simulation) disconnectClient() {
+	if p := s.randomClient(); p != nil && s.chance(0.3) {
+		p.closed = true
+		s.ClientDisconnected(p.client, s.now)
 	}
 }
 
-func (s *storm) move() {
+func (s *simulation) changeFleet() {
 	writer := s.doc.Writers["x"]
 	ways := []func(){
-		func() { s.role(model.PhaseClosing, writer.Primary, writer.Term) },
-		func() { s.role(model.PhaseOpen, writer.Primary, writer.Term) },
-		func() { s.role(model.PhaseOpen, []string{"a", "b", "c"}[s.random.IntN(3)], writer.Term+1) },
+		func() { s.setWriter(model.PhaseClosing, writer.Primary, writer.Term) },
+		func() { s.setWriter(model.PhaseOpen, writer.Primary, writer.Term) },
+		func() { s.setWriter(model.PhaseOpen, []string{"a", "b", "c"}[s.random.IntN(3)], writer.Term+1) },
 		func() {
-			one := s.instance([]string{"a", "b", "c"}[s.random.IntN(3)])
-			one.IsLeaving = !one.IsLeaving
-			s.news(1600 * time.Millisecond)
+			one := s.registered([]string{"a", "b", "c"}[s.random.IntN(3)])
+			one.Leaving = !one.Leaving
+			s.update(1600 * time.Millisecond)
 		},
 		func() {
-			one := s.instance([]string{"b", "c"}[s.random.IntN(2)])
-			one.IsGone = !one.IsGone
-			s.news(400 * time.Millisecond)
+			one := s.registered([]string{"b", "c"}[s.random.IntN(2)])
+			one.Stopped = !one.Stopped
+			s.update(400 * time.Millisecond)
 		},
 	}
 	ways[s.random.IntN(len(ways))]()
 }
 
-func (s *storm) step() {
+func (s *simulation) step() {
 	ways := []struct {
 		part float64
 		act  func()
 	}{
-		{0.03, s.meet}, {0.3, s.ask}, {0.45, s.serve}, {0.02, s.leave}, {0.01, s.move},
+		{0.03, s.connectClient}, {0.3, s.sendQuery}, {0.45, s.advanceServer}, {0.02, s.disconnectClient}, {0.01, s.changeFleet},
 		{0.01, func() {
-			if len(s.hosts) > 0 {
-				s.Lost(s.hosts[s.random.IntN(len(s.hosts))].conn, s.now)
+			if len(s.servers) > 0 {
+				s.ConnectionLost(s.servers[s.random.IntN(len(s.servers))].conn, s.now)
 			}
 		}},
-		{0.1, func() { s.pass(time.Duration(s.random.IntN(30)) * time.Millisecond) }},
-		{0.005, func() { s.pass(time.Duration(s.random.IntN(2500)) * time.Millisecond) }},
-		{1, func() { s.news(1600 * time.Millisecond) }},
+		{0.1, func() { s.advance(time.Duration(s.random.IntN(30)) * time.Millisecond) }},
+		{0.005, func() { s.advance(time.Duration(s.random.IntN(2500)) * time.Millisecond) }},
+		{1, func() { s.update(1600 * time.Millisecond) }},
 	}
 	draw := s.random.Float64()
 	for _, way := range ways {
@@ -489,42 +489,42 @@
 }
 
 // calm ends all trouble and lets everything be answered.
-func (s *storm) calm() {
-	s.isCalm = true
-	for at := range s.instances {
-		s.instances[at].IsLeaving, s.instances[at].IsGone = false, false
+func (s *simulation) settle() {
+	s.faultFree = true
+	for at := range s.registry {
+		s.registry[at].Leaving, s.registry[at].Stopped = false, false
 	}
-	s.role(model.PhaseOpen, "a", s.doc.Writers["x"].Term+1)
+	s.setWriter(model.PhaseOpen, "a", s.doc.Writers["x"].Term+1)
 	for range 400 {
-		s.wait(25 * time.Millisecond)
+		s.advanceInTicks(25 * time.Millisecond)
 		s.sync()
-		for range 3 * len(s.hosts) {
-			s.serve()
+		for range 3 * len(s.servers) {
+			s.advanceServer()
 			s.sync()
 		}
 	}
 }
 
-func (s *storm) left() string {
-	for _, p := range s.people {
-		if !p.isGone && len(p.asked) > 0 {
-			return fmt.Sprintf("%s was never answered", p.asked[0].asked.ID)
+func (s *simulation) unfinished() string {
+	for _, p := range s.simulatedClients {
+		if !p.closed && len(p.pending) > 0 {
+			return fmt.Sprintf("%s was never answered", p.pending[0].query.ID)
 		}
 	}
-	for _, held := range s.backs {
-		if open := held.window.Read().Open; open != 0 {
+	for _, held := range s.backends {
+		if open := held.window.Reading().InFlight; open != 0 {
 			return fmt.Sprintf("%s still counts %d out", held.info.Name, open)
 		}
 	}
-	for _, one := range s.bases {
-		if len(one.turns)+len(one.writes)+len(one.reads)+len(one.out)+len(one.confirms) > 0 {
+	for _, one := range s.databases {
+		if len(one.transactionQueue)+len(one.primaryQueue)+len(one.readQueue)+len(one.inFlight)+len(one.unconfirmed) > 0 {
 			return one.name + " has a line that is not empty"
 		}
 	}
 	return ""
 }
 
-func TestStorms(t *testing.T) {
+func TestRandomSchedules(t *testing.T) {
 	Convey("Under random events, by fixed seeds, nothing is miscounted, mixed, leaked, answered twice or never", t, func() {
 		said := 0
 		seeds := []uint64{11769, 10165, 1915, 1997, 2055, 2597, 3267, 3510, 3808, 3927}
@@ -532,18 +532,18 @@
 			seeds = append(seeds, seed)
 		}
 		for _, seed := range append(seeds, 57) {
-			s := newStorm(seed)
-			for step := 0; step < 2500 && s.fault == ""; step++ {
+			s := newSimulation(seed)
+			for step := 0; step < 2500 && s.violation == ""; step++ {
 				s.step()
 			}
-			if s.fault == "" {
-				s.calm()
+			if s.violation == "" {
+				s.settle()
 			}
-			if s.fault == "" {
-				s.fault = s.left()
+			if s.violation == "" {
+				s.violation = s.unfinished()
 			}
-			SoMsg(fmt.Sprintf("seed %d", seed), s.fault, ShouldEqual, "")
-			said += s.said
+			SoMsg(fmt.Sprintf("seed %d", seed), s.violation, ShouldEqual, "")
+			said += s.answered
 		}
 		So(said, ShouldBeGreaterThan, 10000)
 	})
--- a/internal/coordination/pool/linepool/timing_test.go
+++ b/internal/coordination/pool/linepool/timing_test.go
@@ -9,15 +9,15 @@
 
 func TestTimingWithin(t *testing.T) {
 	Convey("A stop's steps stand in order within its grace, and a leaving instance is left before it goes, whatever the bounds", t, func() {
-		So(DefaultTiming().Within(6*time.Second, 7*time.Second), ShouldResemble, DefaultTiming())
+		So(DefaultConfig().Within(6*time.Second, 7*time.Second), ShouldResemble, DefaultConfig())
 		for _, grace := range []time.Duration{2 * time.Second, 4 * time.Second, 6 * time.Second, 30 * time.Second} {
 			for _, drain := range []time.Duration{time.Second, 5 * time.Second, 7 * time.Second, time.Minute} {
-				one := DefaultTiming().Within(grace, drain)
-				So(one.Turns, ShouldBeBetween, 0, grace/2)
-				So(one.Linger, ShouldBeBetween, 0, one.Finish)
-				So(one.Finish, ShouldBeLessThan, grace)
-				So(one.Leaving, ShouldBeBetween, 0, drain)
-				So(one.Late, ShouldBeBetween, 0, one.Leaving)
+				one := DefaultConfig().Within(grace, drain)
+				So(one.EndTransactions, ShouldBeBetween, 0, grace/2)
+				So(one.Linger, ShouldBeBetween, 0, one.EndSessions)
+				So(one.EndSessions, ShouldBeLessThan, grace)
+				So(one.DrainWindow, ShouldBeBetween, 0, drain)
+				So(one.LateDrainWindow, ShouldBeBetween, 0, one.DrainWindow)
 			}
 		}
 	})
--- a/internal/coordination/rendezvous/rendezvous.go
+++ b/internal/coordination/rendezvous/rendezvous.go
@@ -38,7 +38,7 @@
 
 // IsAmong says whether a name is one of the count that Select gives, without
 // ranking all: it looks only until enough others are found that score higher.
-func IsAmong(names []string, key, name string, count int) bool {
+func IsSelected(names []string, key, name string, count int) bool {
 	own, higher := score(name, key), 0
 	for _, other := range names {
 		if other == key || other == name {
--- a/internal/coordination/rendezvous/rendezvous_test.go
+++ b/internal/coordination/rendezvous/rendezvous_test.go
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestIsAmong(t *testing.T) {
+func TestIsSelected(t *testing.T) {
 	Convey("Who is among the few is what Select says, for every key and name", t, func() {
 		for _, size := range []int{1, 2, 3, 4, 9, 40} {
 			var names []string
@@ -18,7 +18,7 @@
 			for _, key := range append(slices.Clone(names), "elsewhere") {
 				few := Select(names, key, 3)
 				for _, name := range names {
-					SoMsg(key+" "+name, IsAmong(names, key, name, 3), ShouldEqual, slices.Contains(few, name))
+					SoMsg(key+" "+name, IsSelected(names, key, name, 3), ShouldEqual, slices.Contains(few, name))
 				}
 			}
 		}
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -84,7 +84,7 @@
 	})
 	Convey("Goroutines start in one place, and there is no switch", t, func() {
 		for _, one := range sources() {
-			isHome := one.path == filepath.Join("transport", "worker", "run.go")
+			isHome := one.path == filepath.Join("transport", "worker", "group.go")
 			for _, line := range strings.Split(one.text, "\n") {
 				line = strings.TrimSpace(line)
 				SoMsg(one.path+": "+line, !isHome && strings.HasPrefix(line, "go "), ShouldBeFalse)
--- a/internal/protocol/adapter/door.go
+++ b/internal/protocol/adapter/adapter.go
@@ -13,12 +13,12 @@
 
 // Translate gives a request's translation, or false where it is none of that
 // manner.
-type Translate func(method, path string, body []byte) (Translation, bool)
+type TranslateFunc func(method, path string, body []byte) (Translation, bool)
 
 // Promotion is the platform's one call that makes a replica the primary.
 type Promotion struct {
-	Database, Instance, Holder string
-	Fence                      uint64
+	Database, Instance, LeaseHolder string
+	FencingToken                    uint64
 }
 
 // Request is an HTTP request ready to be sent.
--- a/internal/protocol/bindings/manifest_test.go
+++ b/internal/protocol/bindings/bindings_test.go
@@ -13,45 +13,45 @@
 
 func knows(database string) bool { return database == "desks1" }
 
-func TestSets(t *testing.T) {
+func TestBindingSets(t *testing.T) {
 	route := func(name, rest string) string {
 		return `{"apiVersion":"gateway.networking.k8s.io/v1alpha2","kind":"TCPRoute","metadata":{"name":"` + name + `","annotations":{"tansyseam.example/freshness-ms":"1500"}},` +
 			`"spec":{"rules":[{"backendRefs":[{"name":"desks1"` + rest + `}]}]}}`
 	}
 	read := func(text string) ([]model.Binding, []string) {
-		bindings, faults := Bindings(fastjson.MustParse(text), knows)
+		bindings, violations := Parse(fastjson.MustParse(text), knows)
 		var paths []string
-		for _, fault := range faults {
+		for _, fault := range violations {
 			paths = append(paths, fault.Path)
 		}
 		return bindings, paths
 	}
 	Convey("Both forms of a set give the same bindings", t, func() {
-		plain, faults := read(`{"bindings":[{"name":"floor","database":"desks1","freshness_ms":1500}]}`)
-		So(faults, ShouldBeEmpty)
-		routes, faults := read(`{"routes":[` + route("floor", "") + `]}`)
-		So(faults, ShouldBeEmpty)
+		plain, violations := read(`{"bindings":[{"name":"floor","database":"desks1","freshness_ms":1500}]}`)
+		So(violations, ShouldBeEmpty)
+		routes, violations := read(`{"routes":[` + route("floor", "") + `]}`)
+		So(violations, ShouldBeEmpty)
 		So(routes, ShouldResemble, plain)
 		So(plain[0].Freshness, ShouldEqual, 1500*time.Millisecond)
 	})
 	Convey("Unsupported fields are refused by name, with all other faults at once", t, func() {
-		_, faults := read(`{"routes":[` + route("floor", `,"weight":3`) + `,` + route("floor", "") + `,{"kind":"HTTPRoute","metadata":{"name":"-x","labels":{}},"spec":{"parentRefs":[],"rules":[]}}]}`)
+		_, violations := read(`{"routes":[` + route("floor", `,"weight":3`) + `,` + route("floor", "") + `,{"kind":"HTTPRoute","metadata":{"name":"-x","labels":{}},"spec":{"parentRefs":[],"rules":[]}}]}`)
 		for _, path := range []string{
 			"/routes/0/spec/rules/0/backendRefs/0/weight", "/routes/1/metadata/name", "/routes/2/kind", "/routes/2/metadata/name",
 			"/routes/2/metadata/labels", "/routes/2/spec/parentRefs", "/routes/2/spec/rules", "/routes/2",
 		} {
-			So(faults, ShouldContain, path)
+			So(violations, ShouldContain, path)
 		}
 	})
 	Convey("Repeated names, unknown databases and freshness that cannot be held are each named", t, func() {
-		_, faults := read(`{"bindings":[{"name":"a","database":"nowhere","freshness_ms":7},{"name":"a","database":"desks1","freshness_ms":0}]}`)
-		So(faults, ShouldResemble, []string{"/bindings/0/database", "/bindings/0/freshness_ms", "/bindings/1/name"})
+		_, violations := read(`{"bindings":[{"name":"a","database":"nowhere","freshness_ms":7},{"name":"a","database":"desks1","freshness_ms":0}]}`)
+		So(violations, ShouldResemble, []string{"/bindings/0/database", "/bindings/0/freshness_ms", "/bindings/1/name"})
 	})
 	Convey("A moment in the past or more than a year ahead is refused", t, func() {
 		now := int64(1_800_000_000_000) * int64(time.Millisecond)
 		for text, count := range map[string]int{`{"at_ms":1799999999999}`: 1, `{"at_ms":1900000000000}`: 1, `{"at_ms":1800000001000}`: 0} {
-			_, faults := Moment(fastjson.MustParse(text), now)
-			So(len(faults), ShouldEqual, count)
+			_, violations := ParseScheduledTime(fastjson.MustParse(text), now)
+			So(len(violations), ShouldEqual, count)
 		}
 	})
 }
--- a/internal/protocol/bindings/versioned.go
+++ b/internal/protocol/bindings/versioned_manifest.go
@@ -11,17 +11,17 @@
 	"tansyseam/internal/state/model"
 )
 
-func span(value *fastjson.Value, key string) time.Duration {
+func milliseconds(value *fastjson.Value, key string) time.Duration {
 	return time.Duration(value.GetInt64(key)) * time.Millisecond
 }
 
 // Versioned reads a whole manifest whose shape was checked, with the bytes
 // that the operator sent, and gives every reason why it cannot be taken.
-func Versioned(value *fastjson.Value) (model.Set, []byte, []schema.Fault) {
-	set := model.Set{Version: value.GetUint64("version")}
-	var faults []schema.Fault
+func ParseManifest(value *fastjson.Value) (model.BindingSet, []byte, []schema.Violation) {
+	set := model.BindingSet{Version: value.GetUint64("version")}
+	var violations []schema.Violation
 	fault := func(reason, path string, parts ...any) {
-		faults = append(faults, schema.Fault{Path: fmt.Sprintf(path, parts...), Reason: reason})
+		violations = append(violations, schema.Violation{Path: fmt.Sprintf(path, parts...), Reason: reason})
 	}
 	if set.Version == 0 {
 		fault("a version is 1 or more", "/version")
@@ -29,7 +29,7 @@
 	known := map[string]bool{}
 	for at, item := range value.GetArray("databases") {
 		database := model.Database{
-			Name: string(item.GetStringBytes("name")), Connections: item.GetInt("connections"), Synced: item.GetInt("synced"),
+			Name: string(item.GetStringBytes("name")), MaxConnections: item.GetInt("connections"), MinSyncReplicas: item.GetInt("synced"),
 		}
 		if known[database.Name] {
 			fault(fmt.Sprintf("database %q stands twice", database.Name), "/databases/%d/name", at)
@@ -41,8 +41,8 @@
 	for at, item := range value.GetArray("bindings") {
 		binding := model.Binding{
 			Name: string(item.GetStringBytes("name")), Database: string(item.GetStringBytes("database")),
-			Freshness: span(item, "freshness_ms"), IsOwn: item.GetBool("own"), Timeout: span(item, "timeout_ms"),
-			Target: span(item, "target_ms"), Priority: item.GetInt("priority"), Tries: item.GetInt("tries"),
+			Freshness: milliseconds(item, "freshness_ms"), ReadYourWrites: item.GetBool("own"), Timeout: milliseconds(item, "timeout_ms"),
+			LatencyTarget: milliseconds(item, "target_ms"), Priority: item.GetInt("priority"), MaxAttempts: item.GetInt("tries"),
 		}
 		if seen[binding.Name] {
 			fault(fmt.Sprintf("name %q stands twice", binding.Name), "/bindings/%d/name", at)
@@ -57,31 +57,31 @@
 		set.Bindings = append(set.Bindings, binding)
 	}
 	limits := value.Get("limits")
-	set.Limits = model.Limits{Message: limits.GetInt("message_bytes"), Idle: span(limits, "idle_ms"), Inside: span(limits, "inside_ms")}
+	set.Limits = model.Limits{MaxMessageBytes: limits.GetInt("message_bytes"), IdleTimeout: milliseconds(limits, "idle_ms"), TransactionIdleTimeout: milliseconds(limits, "inside_ms")}
 	raw, err := base64.StdEncoding.DecodeString(string(value.GetStringBytes("raw")))
 	if err != nil {
 		fault("not base64", "/raw")
 	}
-	return set, raw, faults
+	return set, raw, violations
 }
 
 // Write gives a manifest in the product's own form.
-func Write(set model.Set) map[string]any {
+func EncodeManifest(set model.BindingSet) map[string]any {
 	bindings, databases := []map[string]any{}, []map[string]any{}
 	for _, binding := range set.Bindings {
 		bindings = append(bindings, map[string]any{
-			"name": binding.Name, "database": binding.Database, "freshness_ms": binding.Freshness.Milliseconds(), "own": binding.IsOwn,
-			"timeout_ms": binding.Timeout.Milliseconds(), "target_ms": binding.Target.Milliseconds(),
-			"priority": binding.Priority, "tries": binding.Tries,
+			"name": binding.Name, "database": binding.Database, "freshness_ms": binding.Freshness.Milliseconds(), "own": binding.ReadYourWrites,
+			"timeout_ms": binding.Timeout.Milliseconds(), "target_ms": binding.LatencyTarget.Milliseconds(),
+			"priority": binding.Priority, "tries": binding.MaxAttempts,
 		})
 	}
 	for _, database := range set.Databases {
-		databases = append(databases, map[string]any{"name": database.Name, "connections": database.Connections, "synced": database.Synced})
+		databases = append(databases, map[string]any{"name": database.Name, "connections": database.MaxConnections, "synced": database.MinSyncReplicas})
 	}
 	return map[string]any{
 		"version": set.Version, "bindings": bindings, "databases": databases,
 		"limits": map[string]any{
-			"message_bytes": set.Limits.Message, "idle_ms": set.Limits.Idle.Milliseconds(), "inside_ms": set.Limits.Inside.Milliseconds(),
+			"message_bytes": set.Limits.MaxMessageBytes, "idle_ms": set.Limits.IdleTimeout.Milliseconds(), "inside_ms": set.Limits.TransactionIdleTimeout.Milliseconds(),
 		},
 	}
 }
--- a/internal/protocol/bindings/versioned_test.go
+++ b/internal/protocol/bindings/versioned_manifest_test.go
@@ -13,40 +13,40 @@
 	"tansyseam/internal/state/model"
 )
 
-func TestVersionedManifests(t *testing.T) {
-	book, err := schema.Open()
+func TestManifests(t *testing.T) {
+	validator, err := schema.NewValidator()
 	if err != nil {
 		t.Fatal(err)
 	}
 	const good = `{"version":7,"bindings":[{"name":"b","database":"db","freshness_ms":1500,"own":true,"timeout_ms":1000,"target_ms":200,"priority":1,"tries":2}],` +
 		`"databases":[{"name":"db","connections":80,"synced":1}],"limits":{"message_bytes":262144,"idle_ms":15000,"inside_ms":3000},"raw":"aGk="}`
 	Convey("A manifest is read whole, and written as it was read", t, func() {
-		value, faults := book.Request("/v1/manifest/replace", []byte(good))
-		So(faults, ShouldBeEmpty)
-		set, raw, faults := Versioned(value)
-		So(faults, ShouldBeEmpty)
+		value, violations := validator.ValidateRequest("/v1/manifest/replace", []byte(good))
+		So(violations, ShouldBeEmpty)
+		set, raw, violations := ParseManifest(value)
+		So(violations, ShouldBeEmpty)
 		So(string(raw), ShouldEqual, "hi")
-		So(set, ShouldResemble, model.Set{
+		So(set, ShouldResemble, model.BindingSet{
 			Version: 7, Bindings: []model.Binding{{
-				Name: "b", Database: "db", Freshness: 1500 * time.Millisecond, IsOwn: true, Timeout: time.Second,
-				Target: 200 * time.Millisecond, Priority: 1, Tries: 2,
+				Name: "b", Database: "db", Freshness: 1500 * time.Millisecond, ReadYourWrites: true, Timeout: time.Second,
+				LatencyTarget: 200 * time.Millisecond, Priority: 1, MaxAttempts: 2,
 			}},
-			Databases: []model.Database{{Name: "db", Connections: 80, Synced: 1}},
-			Limits:    model.Limits{Message: 262144, Idle: 15 * time.Second, Inside: 3 * time.Second},
+			Databases: []model.Database{{Name: "db", MaxConnections: 80, MinSyncReplicas: 1}},
+			Limits:    model.Limits{MaxMessageBytes: 262144, IdleTimeout: 15 * time.Second, TransactionIdleTimeout: 3 * time.Second},
 		})
-		data, _ := json.Marshal(Write(set))
-		So(book.Answer("/v1/manifest/fetch", data, false), ShouldBeEmpty)
-		again, _, faults := Versioned(fastjson.MustParseBytes(data))
-		So(faults, ShouldBeEmpty)
+		data, _ := json.Marshal(EncodeManifest(set))
+		So(validator.ValidateAnswer("/v1/manifest/fetch", data, false), ShouldBeEmpty)
+		again, _, violations := ParseManifest(fastjson.MustParseBytes(data))
+		So(violations, ShouldBeEmpty)
 		So(again, ShouldResemble, set)
 	})
 	Convey("Every reason against one is given at once", t, func() {
-		value, faults := book.Request("/v1/manifest/replace", []byte(`{"version":0,"bindings":[{"name":"b","database":"db","timeout_ms":0},{"name":"b","database":"nowhere","timeout_ms":5}],`+
+		value, violations := validator.ValidateRequest("/v1/manifest/replace", []byte(`{"version":0,"bindings":[{"name":"b","database":"db","timeout_ms":0},{"name":"b","database":"nowhere","timeout_ms":5}],`+
 			`"databases":[{"name":"db","connections":1},{"name":"db","connections":1}],"raw":"!"}`))
-		So(faults, ShouldBeEmpty)
-		_, _, faults = Versioned(value)
+		So(violations, ShouldBeEmpty)
+		_, _, violations = ParseManifest(value)
 		var paths []string
-		for _, fault := range faults {
+		for _, fault := range violations {
 			paths = append(paths, fault.Path)
 		}
 		So(paths, ShouldResemble, []string{"/version", "/databases/1/name", "/bindings/0/timeout_ms", "/bindings/1/name", "/bindings/1/database", "/raw"})
@@ -56,8 +56,8 @@
 			`{}`, `[]`, `{"version":1,"bindings":[]}`, `{"version":-1,"bindings":[],"databases":[]}`, `{"version":1,"bindings":[{"name":"b"}],"databases":[]}`,
 			`{"version":1,"bindings":[],"databases":[],"more":1}`, `{"version":1,"version":2,"bindings":[],"databases":[]}`,
 		} {
-			_, faults := book.Request("/v1/manifest/replace", []byte(body))
-			SoMsg(body, faults, ShouldNotBeEmpty)
+			_, violations := validator.ValidateRequest("/v1/manifest/replace", []byte(body))
+			SoMsg(body, violations, ShouldNotBeEmpty)
 		}
 	})
 }
--- /dev/null
+++ b/internal/protocol/message/encoding_failover.go
@@ -0,0 +1,291 @@
+package message
+
+import (
+	"time"
+
+	"tansyseam/internal/coordination/failover/asyncrepl"
+	"tansyseam/internal/coordination/failover/syncrepl"
+	"tansyseam/internal/state/encoded"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
+)
+
+// The encoded names are those of the first release; see package encoded.
+
+// encodedAsyncEvidence is asyncrepl.Evidence as it is sent.
+type encodedAsyncEvidence struct {
+	Database   string
+	Writer     encoded.Writer
+	IsKnown    bool
+	Sights     []encodedAsyncObservation
+	IsSettled  bool
+	SettledFor time.Duration
+	Mark       model.Position
+	HasMark    bool
+	Asked      int
+	Age        time.Duration
+	Wall       int64
+}
+
+func encodeAsyncEvidence(m asyncrepl.Evidence) encodedAsyncEvidence {
+	return encodedAsyncEvidence{
+		Database:   m.Database,
+		Writer:     m.Writer.Encoded(),
+		IsKnown:    m.Known,
+		Sights:     encoded.Slice(m.Observations, encodeAsyncObservation),
+		IsSettled:  m.Settled,
+		SettledFor: m.SettledFor,
+		Mark:       m.PrimaryPosition,
+		HasMark:    m.HasPrimaryPosition,
+		Asked:      m.ReportingNodes,
+		Age:        m.GatheredFor,
+		Wall:       m.WallNanos,
+	}
+}
+
+func decodeAsyncEvidence(e encodedAsyncEvidence) asyncrepl.Evidence {
+	return asyncrepl.Evidence{
+		Database:           e.Database,
+		Writer:             model.WriterRoleFrom(e.Writer),
+		Known:              e.IsKnown,
+		Observations:       encoded.Slice(e.Sights, decodeAsyncObservation),
+		Settled:            e.IsSettled,
+		SettledFor:         e.SettledFor,
+		PrimaryPosition:    e.Mark,
+		HasPrimaryPosition: e.HasMark,
+		ReportingNodes:     e.Asked,
+		GatheredFor:        e.Age,
+		WallNanos:          e.Wall,
+	}
+}
+
+// encodedAsyncObservation is asyncrepl.Observation as it is sent.
+type encodedAsyncObservation struct {
+	Instance encoded.Instance
+	Heard    time.Duration
+	Placed   time.Duration
+	Silent   int
+	Asked    int
+	Lagging  time.Duration
+}
+
+func encodeAsyncObservation(m asyncrepl.Observation) encodedAsyncObservation {
+	return encodedAsyncObservation{
+		Instance: m.Instance.Encoded(),
+		Heard:    m.ContactAge,
+		Placed:   m.PositionAge,
+		Silent:   m.SilentNodes,
+		Asked:    m.ReportingNodes,
+		Lagging:  m.CommitWait,
+	}
+}
+
+func decodeAsyncObservation(e encodedAsyncObservation) asyncrepl.Observation {
+	return asyncrepl.Observation{
+		Instance:       model.InstanceFrom(e.Instance),
+		ContactAge:     e.Heard,
+		PositionAge:    e.Placed,
+		SilentNodes:    e.Silent,
+		ReportingNodes: e.Asked,
+		CommitWait:     e.Lagging,
+	}
+}
+
+// encodedSyncEvidence is syncrepl.Evidence as it is sent.
+type encodedSyncEvidence struct {
+	Database   string
+	Self       string
+	Writer     encoded.Writer
+	IsKnown    bool
+	Stamp      store.Version
+	Sights     []encodedSyncObservation
+	IsSettled  bool
+	SettledFor time.Duration
+	Event      uint64
+	Covered    uint64
+	Bound      model.Position
+	Tenure     string
+	Age        time.Duration
+	Wall       int64
+	Seen       map[string]encodedProbeResult
+	Calls      []encodedPromoteCall
+	IsFenced   bool
+}
+
+func encodeSyncEvidence(m syncrepl.Evidence) encodedSyncEvidence {
+	return encodedSyncEvidence{
+		Database:   m.Database,
+		Self:       m.Self,
+		Writer:     m.Writer.Encoded(),
+		IsKnown:    m.Known,
+		Stamp:      m.Version,
+		Sights:     encoded.Slice(m.Observations, encodeSyncObservation),
+		IsSettled:  m.Settled,
+		SettledFor: m.SettledFor,
+		Event:      m.GapSequence,
+		Covered:    m.CoveredSequence,
+		Bound:      m.CommitBound,
+		Tenure:     m.Tenure,
+		Age:        m.GatheredFor,
+		Wall:       m.WallNanos,
+		Seen:       encoded.Map(m.Probes, encodeProbeResult),
+		Calls:      encoded.Slice(m.PromoteCalls, encodePromoteCall),
+		IsFenced:   m.FencingEnforced,
+	}
+}
+
+func decodeSyncEvidence(e encodedSyncEvidence) syncrepl.Evidence {
+	return syncrepl.Evidence{
+		Database:        e.Database,
+		Self:            e.Self,
+		Writer:          model.WriterRoleFrom(e.Writer),
+		Known:           e.IsKnown,
+		Version:         e.Stamp,
+		Observations:    encoded.Slice(e.Sights, decodeSyncObservation),
+		Settled:         e.IsSettled,
+		SettledFor:      e.SettledFor,
+		GapSequence:     e.Event,
+		CoveredSequence: e.Covered,
+		CommitBound:     e.Bound,
+		Tenure:          e.Tenure,
+		GatheredFor:     e.Age,
+		WallNanos:       e.Wall,
+		Probes:          encoded.Map(e.Seen, decodeProbeResult),
+		PromoteCalls:    encoded.Slice(e.Calls, decodePromoteCall),
+		FencingEnforced: e.IsFenced,
+	}
+}
+
+// encodedSyncObservation is syncrepl.Observation as it is sent.
+type encodedSyncObservation struct {
+	Instance encoded.Instance
+	Heard    time.Duration
+	Tried    int
+	Refused  int
+	Overdue  int
+	Answered time.Duration
+	Blank    time.Duration
+}
+
+func encodeSyncObservation(m syncrepl.Observation) encodedSyncObservation {
+	return encodedSyncObservation{
+		Instance: m.Instance.Encoded(),
+		Heard:    m.ContactAge,
+		Tried:    m.ReportingNodes,
+		Refused:  m.RefusedNodes,
+		Overdue:  m.OverdueNodes,
+		Answered: m.AnswerAge,
+		Blank:    m.UnobservedFor,
+	}
+}
+
+func decodeSyncObservation(e encodedSyncObservation) syncrepl.Observation {
+	return syncrepl.Observation{
+		Instance:       model.InstanceFrom(e.Instance),
+		ContactAge:     e.Heard,
+		ReportingNodes: e.Tried,
+		RefusedNodes:   e.Refused,
+		OverdueNodes:   e.Overdue,
+		AnswerAge:      e.Answered,
+		UnobservedFor:  e.Blank,
+	}
+}
+
+// encodedProbeResult is syncrepl.ProbeResult as it is sent.
+type encodedProbeResult struct {
+	Age        time.Duration
+	IsAnswered bool
+	IsBusy     bool
+	IsGone     bool
+	Role       string
+	Term       uint64
+	Position   model.Position
+	IsAfter    bool
+	Event      uint64
+	Tenure     string
+}
+
+func encodeProbeResult(m syncrepl.ProbeResult) encodedProbeResult {
+	return encodedProbeResult{
+		Age:        m.Age,
+		IsAnswered: m.Answered,
+		IsBusy:     m.Busy,
+		IsGone:     m.Gone,
+		Role:       m.Role,
+		Term:       m.Term,
+		Position:   m.Position,
+		IsAfter:    m.AfterSettled,
+		Event:      m.GapSequence,
+		Tenure:     m.Tenure,
+	}
+}
+
+func decodeProbeResult(e encodedProbeResult) syncrepl.ProbeResult {
+	return syncrepl.ProbeResult{
+		Age:          e.Age,
+		Answered:     e.IsAnswered,
+		Busy:         e.IsBusy,
+		Gone:         e.IsGone,
+		Role:         e.Role,
+		Term:         e.Term,
+		Position:     e.Position,
+		AfterSettled: e.IsAfter,
+		GapSequence:  e.Event,
+		Tenure:       e.Tenure,
+	}
+}
+
+// encodedPromoteCall is syncrepl.PromoteCall as it is sent.
+type encodedPromoteCall struct {
+	Instance string
+	Age      time.Duration
+	Status   int
+	Fence    uint64
+	IsUnsent bool
+}
+
+func encodePromoteCall(m syncrepl.PromoteCall) encodedPromoteCall {
+	return encodedPromoteCall{
+		Instance: m.Instance,
+		Age:      m.Age,
+		Status:   m.Status,
+		Fence:    m.FencingToken,
+		IsUnsent: m.Unsent,
+	}
+}
+
+func decodePromoteCall(e encodedPromoteCall) syncrepl.PromoteCall {
+	return syncrepl.PromoteCall{
+		Instance:     e.Instance,
+		Age:          e.Age,
+		Status:       e.Status,
+		FencingToken: e.Fence,
+		Unsent:       e.IsUnsent,
+	}
+}
+
+// encodedReportBound is syncrepl.ReportBound as it is sent.
+type encodedReportBound struct {
+	Database string
+	Tenure   string
+	Event    uint64
+	Position model.Position
+}
+
+func encodeReportBound(m syncrepl.ReportBound) encodedReportBound {
+	return encodedReportBound{
+		Database: m.Database,
+		Tenure:   m.Tenure,
+		Event:    m.GapSequence,
+		Position: m.Position,
+	}
+}
+
+func decodeReportBound(e encodedReportBound) syncrepl.ReportBound {
+	return syncrepl.ReportBound{
+		Database:    e.Database,
+		Tenure:      e.Tenure,
+		GapSequence: e.Event,
+		Position:    e.Position,
+	}
+}
--- a/internal/protocol/message/msg_test.go
+++ b/internal/protocol/message/message_test.go
@@ -19,14 +19,14 @@
 				rows = append(rows, line)
 			}
 		}
-		for _, body := range Bodies() {
+		for _, body := range All() {
 			name := reflect.TypeOf(body).Name()
-			isThere := false
+			found := false
 			for _, row := range rows {
-				isThere = isThere || strings.Contains(row, "."+name+"`") || strings.Contains(row, "`"+name+"`")
+				found = found || strings.Contains(row, "."+name+"`") || strings.Contains(row, "`"+name+"`")
 			}
-			SoMsg(reflect.TypeOf(body).String(), isThere, ShouldBeTrue)
+			SoMsg(reflect.TypeOf(body).String(), found, ShouldBeTrue)
 		}
-		So(len(Bodies()), ShouldBeGreaterThan, 40)
+		So(len(All()), ShouldBeGreaterThan, 40)
 	})
 }
--- /dev/null
+++ b/internal/protocol/message/registry.go
@@ -0,0 +1,143 @@
+package message
+
+import (
+	"encoding/gob"
+	"reflect"
+	"sync"
+
+	"tansyseam/internal/coordination/consensus"
+	"tansyseam/internal/coordination/idempotency"
+)
+
+// kind is one kind of message: the name under which it is registered with gob, and
+// how it is converted to and from the form in which it is sent.
+type kind struct {
+	name    string
+	message any
+	encoded any
+	encode  func(any) any
+	decode  func(any) any
+}
+
+// converted is a kind whose fields are sent under other names than they have here.
+func converted[Message, Encoded any](name string, encode func(Message) Encoded, decode func(Encoded) Message) kind {
+	return kind{
+		name:    name,
+		message: *new(Message),
+		encoded: *new(Encoded),
+		encode:  func(message any) any { return encode(message.(Message)) },
+		decode:  func(sent any) any { return decode(sent.(Encoded)) },
+	}
+}
+
+// plain is a kind that is sent as it is.
+func plain[Message any](name string) kind {
+	unchanged := func(message any) any { return message }
+	return kind{name: name, message: *new(Message), encoded: *new(Message), encode: unchanged, decode: unchanged}
+}
+
+// kinds lists every message. The names are those of the first release, since two
+// builds share a fleet while a new version is rolled out: they never change.
+var kinds = []kind{
+	converted("tansyseam.example/pooler/coordination/steer.AskNews", encodeUpdateRequest, decodeUpdateRequest),
+	converted("tansyseam.example/pooler/coordination/steer.Told", encodeNodeReport, decodeNodeReport),
+	converted("tansyseam.example/pooler/coordination/steer.News", encodeUpdate, decodeUpdate),
+	converted("tansyseam.example/pooler/coordination/steer.RecordCase", encodeWriterRoleChange, decodeWriterRoleChange),
+	converted("tansyseam.example/pooler/coordination/goes.Ask", encodeStatusRequest, decodeStatusRequest),
+	converted("tansyseam.example/pooler/coordination/goes.Answer", encodeStatus, decodeStatus),
+	converted("tansyseam.example/pooler/coordination/goes.Legacy", encodeHandover, decodeHandover),
+	plain[idempotency.HandoverAck]("tansyseam.example/pooler/coordination/goes.LegacyTaken"),
+	converted("tansyseam.example/pooler/coordination/ballot.Ask", encodeVoteRequest, decodeVoteRequest),
+	converted("tansyseam.example/pooler/coordination/ballot.Vote", encodeVote, decodeVote),
+	converted("tansyseam.example/pooler/coordination/member.Gossip", encodeGossip, decodeGossip),
+	converted("tansyseam.example/pooler/coordination/takeover.Mark", encodeReportBound, decodeReportBound),
+	converted("tansyseam.example/pooler/coordination/epoch.Form", encodeFormCluster, decodeFormCluster),
+	plain[consensus.FormClusterAck]("tansyseam.example/pooler/coordination/epoch.FormAck"),
+	plain[consensus.ClusterFormed]("tansyseam.example/pooler/coordination/epoch.Formed"),
+	plain[consensus.StatusRequest]("tansyseam.example/pooler/coordination/epoch.AskStanding"),
+	plain[consensus.Status]("tansyseam.example/pooler/coordination/epoch.Standing"),
+	plain[consensus.Join]("tansyseam.example/pooler/coordination/epoch.Join"),
+	plain[consensus.Leaving]("tansyseam.example/pooler/coordination/epoch.Leaving"),
+	plain[consensus.Released]("tansyseam.example/pooler/coordination/epoch.Released"),
+	converted("tansyseam.example/pooler/coordination/epoch.Renew", encodeRenewLease, decodeRenewLease),
+	converted("tansyseam.example/pooler/coordination/epoch.RenewAck", encodeRenewLeaseAck, decodeRenewLeaseAck),
+	converted("tansyseam.example/pooler/coordination/epoch.Prepare", encodePrepare, decodePrepare),
+	converted("tansyseam.example/pooler/coordination/epoch.Promised", encodePromise, decodePromise),
+	plain[consensus.Accept]("tansyseam.example/pooler/coordination/epoch.Accept"),
+	plain[consensus.Accepted]("tansyseam.example/pooler/coordination/epoch.Accepted"),
+	plain[consensus.Decided]("tansyseam.example/pooler/coordination/epoch.Decided"),
+	converted("tansyseam.example/pooler/coordination/epoch.Write", encodeReplicate, decodeReplicate),
+	converted("tansyseam.example/pooler/coordination/epoch.WriteAck", encodeReplicateAck, decodeReplicateAck),
+	converted("tansyseam.example/pooler/coordination/epoch.Offer", encodeRepairDigests, decodeRepairDigests),
+	converted("tansyseam.example/pooler/coordination/epoch.Want", encodeRepairRequest, decodeRepairRequest),
+	converted("tansyseam.example/pooler/coordination/epoch.Fill", encodeRepairRanges, decodeRepairRanges),
+	converted("tansyseam.example/pooler/coordination/epoch.Filled", encodeRepairDone, decodeRepairDone),
+	converted("tansyseam.example/pooler/protocol/msg.PassNews", encodeForwardUpdateRequest, decodeForwardUpdateRequest),
+	plain[OperatorCall]("tansyseam.example/pooler/protocol/msg.Operate"),
+	converted("tansyseam.example/pooler/protocol/msg.Operated", encodeOperatorCallResult, decodeOperatorCallResult),
+	plain[EvidenceRequest]("tansyseam.example/pooler/protocol/msg.AskCase"),
+	converted("tansyseam.example/pooler/protocol/msg.CaseAnswer", encodeEvidenceResponse, decodeEvidenceResponse),
+	converted("tansyseam.example/pooler/protocol/msg.Recorded", encodeRecordResult, decodeRecordResult),
+	plain[QueryRequest]("tansyseam.example/pooler/protocol/msg.Query"),
+	plain[QueryResponse]("tansyseam.example/pooler/protocol/msg.QueryAnswer"),
+	converted("tansyseam.example/pooler/protocol/msg.Announce", encodeInstanceAnnouncement, decodeInstanceAnnouncement),
+	converted("tansyseam.example/pooler/protocol/msg.Announced", encodeAnnouncementResult, decodeAnnouncementResult),
+	plain[EpochChanged]("tansyseam.example/pooler/protocol/msg.Turned"),
+}
+
+var (
+	kindsByMessage = indexBy(func(k kind) any { return k.message })
+	kindsByEncoded = indexBy(func(k kind) any { return k.encoded })
+)
+
+func indexBy(sample func(kind) any) map[reflect.Type]kind {
+	index := make(map[reflect.Type]kind, len(kinds))
+	for _, kind := range kinds {
+		index[reflect.TypeOf(sample(kind))] = kind
+	}
+	return index
+}
+
+// Encode gives the form in which a message is sent. A value of no known kind is
+// returned as it is.
+func Encode(message any) any {
+	if kind, ok := kindsByMessage[reflect.TypeOf(message)]; ok {
+		return kind.encode(message)
+	}
+	return message
+}
+
+// Decode gives the message that was received in the form in which it is sent. A
+// value of no known kind is returned as it is.
+func Decode(sent any) any {
+	if kind, ok := kindsByEncoded[reflect.TypeOf(sent)]; ok {
+		return kind.decode(sent)
+	}
+	return sent
+}
+
+// All lists a zero value of each message.
+func All() []any {
+	messages := make([]any, 0, len(kinds))
+	for _, kind := range kinds {
+		messages = append(messages, kind.message)
+	}
+	return messages
+}
+
+// Names lists the name under which each message of All is sent.
+func Names() []string {
+	names := make([]string, 0, len(kinds))
+	for _, kind := range kinds {
+		names = append(names, kind.name)
+	}
+	return names
+}
+
+// Register makes all messages known to gob. It must be called before the first
+// message is sent or received.
+var Register = sync.OnceFunc(func() {
+	for _, kind := range kinds {
+		gob.RegisterName(kind.name, kind.encoded)
+	}
+})
--- a/internal/protocol/promotion/platform.go
+++ b/internal/protocol/promotion/promotion.go
@@ -6,7 +6,7 @@
 
 // Promote writes the call. Its outcome is never read from the answer, which
 // may be lost, but learned by looking at the instance.
-func Promote(database, instance string, term uint64) (string, []byte) {
+func NewRequest(database, instance string, term uint64) (string, []byte) {
 	body, _ := json.Marshal(struct {
 		Database string `json:"database"`
 		Instance string `json:"instance"`
--- a/internal/protocol/schema/schema.go
+++ b/internal/protocol/schema/schema.go
@@ -17,116 +17,116 @@
 )
 
 // ErrShape says that a body does not have the shape the schema gives it.
-const ErrShape = errors.ConstError("body not of the fixed shape")
+const ErrBadShape = errors.ConstError("body not of the fixed shape")
 
 //go:embed schema.json
-var file []byte
+var document []byte
 
-const id = "https://tansyseam.example/schema/v1"
+const schemaID = "https://tansyseam.example/schema/v1"
 
 // Fault is one reason why a body is refused, with its JSON path.
-type Fault struct {
+type Violation struct {
 	Path   string `json:"path"`
 	Reason string `json:"reason"`
 }
 
 // Call is one entry of the schema file's table of calls.
-type Call struct {
-	Path    string
-	For     string
-	Request string
-	Answer  string
+type Endpoint struct {
+	Path         string
+	Purpose      string
+	RequestShape string
+	AnswerShape  string
 }
 
 // Book is the compiled schema file.
-type Book struct {
-	calls map[string]Call
-	defs  map[string]*jsonschema.Schema
+type Validator struct {
+	endpoints map[string]Endpoint
+	shapes    map[string]*jsonschema.Schema
 }
 
 // File gives the schema file as it is served.
-func File() []byte { return file }
+func Document() []byte { return document }
 
 // Open compiles the schema file.
-func Open() (*Book, error) {
-	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(file))
+func NewValidator() (*Validator, error) {
+	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(document))
 	if err != nil {
 		return nil, errors.Annotate(err, "schema file")
 	}
 	compiler := jsonschema.NewCompiler()
-	if err := compiler.AddResource(id, doc); err != nil {
+	if err := compiler.AddResource(schemaID, doc); err != nil {
 		return nil, errors.Annotate(err, "schema file")
 	}
 	root := doc.(map[string]any)
-	book := &Book{calls: map[string]Call{}, defs: map[string]*jsonschema.Schema{}}
+	validator := &Validator{endpoints: map[string]Endpoint{}, shapes: map[string]*jsonschema.Schema{}}
 	for name := range root["$defs"].(map[string]any) {
-		compiled, err := compiler.Compile(id + "#/$defs/" + name)
+		compiled, err := compiler.Compile(schemaID + "#/$defs/" + name)
 		if err != nil {
 			return nil, errors.Annotatef(err, "schema %s", name)
 		}
-		book.defs[name] = compiled
+		validator.shapes[name] = compiled
 	}
 	for path, entry := range root["calls"].(map[string]any) {
 		fields := entry.(map[string]any)
-		call := Call{Path: path, For: fields["for"].(string), Request: fields["request"].(string), Answer: fields["answer"].(string)}
-		if book.defs[call.Request] == nil || book.defs[call.Answer] == nil {
+		endpoint := Endpoint{Path: path, Purpose: fields["for"].(string), RequestShape: fields["request"].(string), AnswerShape: fields["answer"].(string)}
+		if validator.shapes[endpoint.RequestShape] == nil || validator.shapes[endpoint.AnswerShape] == nil {
 			return nil, errors.Errorf("schema call %s names an unknown shape", path)
 		}
-		book.calls[path] = call
+		validator.endpoints[path] = endpoint
 	}
-	return book, nil
+	return validator, nil
 }
 
 // Calls lists the calls by path.
-func (b *Book) Calls() []Call {
-	var calls []Call
-	for _, call := range b.calls {
-		calls = append(calls, call)
+func (v *Validator) Endpoints() []Endpoint {
+	var calls []Endpoint
+	for _, endpoint := range v.endpoints {
+		calls = append(calls, endpoint)
 	}
-	slices.SortFunc(calls, func(a, c Call) int { return strings.Compare(a.Path, c.Path) })
+	slices.SortFunc(calls, func(a, c Endpoint) int { return strings.Compare(a.Path, c.Path) })
 	return calls
 }
 
 // Request parses and checks a call's body; an empty body stands for {}.
-func (b *Book) Request(path string, body []byte) (*fastjson.Value, []Fault) {
-	call, isKnown := b.calls[path]
-	if !isKnown {
-		return nil, []Fault{{Path: "", Reason: "no such call"}}
+func (v *Validator) ValidateRequest(path string, body []byte) (*fastjson.Value, []Violation) {
+	endpoint, known := v.endpoints[path]
+	if !known {
+		return nil, []Violation{{Path: "", Reason: "no such call"}}
 	}
-	return b.check(call.Request, body)
+	return v.validate(endpoint.RequestShape, body)
 }
 
 // Answer checks an answer's body, or a refusal's where isRefusal.
-func (b *Book) Answer(path string, body []byte, isRefusal bool) []Fault {
+func (v *Validator) ValidateAnswer(path string, body []byte, refusal bool) []Violation {
 	name := "Refusal"
-	if !isRefusal {
-		name = b.calls[path].Answer
+	if !refusal {
+		name = v.endpoints[path].AnswerShape
 	}
-	_, faults := b.check(name, body)
-	return faults
+	_, violations := v.validate(name, body)
+	return violations
 }
 
-func (b *Book) check(name string, body []byte) (*fastjson.Value, []Fault) {
+func (v *Validator) validate(name string, body []byte) (*fastjson.Value, []Violation) {
 	if len(bytes.TrimSpace(body)) == 0 {
 		body = []byte("{}")
 	}
 	value, err := fastjson.ParseBytes(body)
 	if err != nil {
-		return nil, []Fault{{Path: "", Reason: "malformed JSON: " + short(err.Error())}}
+		return nil, []Violation{{Path: "", Reason: "malformed JSON: " + truncate(err.Error())}}
 	}
-	var faults []Fault
-	plain := Plain(value, "", &faults)
+	var violations []Violation
+	decoded := Decode(value, "", &violations)
 	var problem *jsonschema.ValidationError
-	if err := b.defs[name].Validate(plain); errors.As(err, &problem) {
-		gather(problem, &faults)
+	if err := v.shapes[name].Validate(decoded); errors.As(err, &problem) {
+		collectViolations(problem, &violations)
 	}
-	if len(faults) > 0 {
-		return nil, faults
+	if len(violations) > 0 {
+		return nil, violations
 	}
 	return value, nil
 }
 
-func short(text string) string {
+func truncate(text string) string {
 	if len(text) > 120 {
 		return text[:120]
 	}
@@ -135,48 +135,48 @@
 
 var printer = message.NewPrinter(language.English)
 
-func gather(problem *jsonschema.ValidationError, faults *[]Fault) {
+func collectViolations(problem *jsonschema.ValidationError, violations *[]Violation) {
 	if len(problem.Causes) == 0 {
 		path := ""
 		for _, part := range problem.InstanceLocation {
 			path += "/" + part
 		}
-		*faults = append(*faults, Fault{Path: path, Reason: problem.ErrorKind.LocalizedString(printer)})
+		*violations = append(*violations, Violation{Path: path, Reason: problem.ErrorKind.LocalizedString(printer)})
 		return
 	}
 	for _, cause := range problem.Causes {
-		gather(cause, faults)
+		collectViolations(cause, violations)
 	}
 }
 
-type plainer func(value *fastjson.Value, path string, faults *[]Fault) any
+type decoder func(value *fastjson.Value, path string, violations *[]Violation) any
 
-var plainers map[fastjson.Type]plainer
+var decoders map[fastjson.Type]decoder
 
 func init() {
-	plainers = map[fastjson.Type]plainer{
-		fastjson.TypeNull:  func(*fastjson.Value, string, *[]Fault) any { return nil },
-		fastjson.TypeTrue:  func(*fastjson.Value, string, *[]Fault) any { return true },
-		fastjson.TypeFalse: func(*fastjson.Value, string, *[]Fault) any { return false },
-		fastjson.TypeString: func(value *fastjson.Value, _ string, _ *[]Fault) any {
+	decoders = map[fastjson.Type]decoder{
+		fastjson.TypeNull:  func(*fastjson.Value, string, *[]Violation) any { return nil },
+		fastjson.TypeTrue:  func(*fastjson.Value, string, *[]Violation) any { return true },
+		fastjson.TypeFalse: func(*fastjson.Value, string, *[]Violation) any { return false },
+		fastjson.TypeString: func(value *fastjson.Value, _ string, _ *[]Violation) any {
 			return string(value.GetStringBytes())
 		},
-		fastjson.TypeNumber: func(value *fastjson.Value, _ string, _ *[]Fault) any { return value.GetFloat64() },
-		fastjson.TypeArray: func(value *fastjson.Value, path string, faults *[]Fault) any {
+		fastjson.TypeNumber: func(value *fastjson.Value, _ string, _ *[]Violation) any { return value.GetFloat64() },
+		fastjson.TypeArray: func(value *fastjson.Value, path string, violations *[]Violation) any {
 			items := []any{}
 			for at, item := range value.GetArray() {
-				items = append(items, Plain(item, fmt.Sprintf("%s/%d", path, at), faults))
+				items = append(items, Decode(item, fmt.Sprintf("%s/%d", path, at), violations))
 			}
 			return items
 		},
-		fastjson.TypeObject: func(value *fastjson.Value, path string, faults *[]Fault) any {
+		fastjson.TypeObject: func(value *fastjson.Value, path string, violations *[]Violation) any {
 			fields := map[string]any{}
 			value.GetObject().Visit(func(key []byte, field *fastjson.Value) {
 				name := string(key)
-				if _, isTwice := fields[name]; isTwice {
-					*faults = append(*faults, Fault{Path: path + "/" + name, Reason: "key given twice"})
+				if _, duplicate := fields[name]; duplicate {
+					*violations = append(*violations, Violation{Path: path + "/" + name, Reason: "key given twice"})
 				}
-				fields[name] = Plain(field, path+"/"+name, faults)
+				fields[name] = Decode(field, path+"/"+name, violations)
 			})
 			return fields
 		},
@@ -184,6 +184,6 @@
 }
 
 // Plain turns a parsed value into plain Go values, noting keys given twice.
-func Plain(value *fastjson.Value, path string, faults *[]Fault) any {
-	return plainers[value.Type()](value, path, faults)
+func Decode(value *fastjson.Value, path string, violations *[]Violation) any {
+	return decoders[value.Type()](value, path, violations)
 }
--- a/internal/protocol/schema/schema_test.go
+++ b/internal/protocol/schema/schema_test.go
@@ -7,15 +7,15 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestShapes(t *testing.T) {
-	book, err := Open()
+func TestValidation(t *testing.T) {
+	validator, err := NewValidator()
 	if err != nil {
 		t.Fatal(err)
 	}
 	paths := func(path, body string) map[string]string {
-		_, faults := book.Request(path, []byte(body))
+		_, violations := validator.ValidateRequest(path, []byte(body))
 		found := map[string]string{}
-		for _, fault := range faults {
+		for _, fault := range violations {
 			found[fault.Path] = fault.Reason
 		}
 		return found
@@ -44,13 +44,13 @@
 		So(paths("/v1/statement", `{"session":"s","kind":"write","text":"x","go":"s.1"}`), ShouldBeEmpty)
 	})
 	Convey("Text passes as it was written, escapes and all", t, func() {
-		value, faults := book.Request("/v1/statement", []byte(`{"session":"s","kind":"read","text":"a\u00e9\"\\\n\u2028 b"}`))
-		So(faults, ShouldBeEmpty)
+		value, violations := validator.ValidateRequest("/v1/statement", []byte(`{"session":"s","kind":"read","text":"a\u00e9\"\\\n\u2028 b"}`))
+		So(violations, ShouldBeEmpty)
 		So(string(value.GetStringBytes("text")), ShouldEqual, "aé\"\\\n\u2028 b")
 	})
 	Convey("Answers are held against their shape too", t, func() {
-		So(book.Answer("/v1/ready", []byte(`{"ready":true,"why":""}`), false), ShouldBeEmpty)
-		So(book.Answer("/v1/ready", []byte(`{"ready":"yes"}`), false), ShouldNotBeEmpty)
-		So(book.Answer("/v1/ready", []byte(`{"error":"x","faults":[{"path":"/a","reason":"b"}]}`), true), ShouldBeEmpty)
+		So(validator.ValidateAnswer("/v1/ready", []byte(`{"ready":true,"why":""}`), false), ShouldBeEmpty)
+		So(validator.ValidateAnswer("/v1/ready", []byte(`{"ready":"yes"}`), false), ShouldNotBeEmpty)
+		So(validator.ValidateAnswer("/v1/ready", []byte(`{"error":"x","faults":[{"path":"/a","reason":"b"}]}`), true), ShouldBeEmpty)
 	})
 }
--- a/internal/state/versionfile/synced.go
+++ b/internal/state/versionfile/versionfile.go
@@ -18,11 +18,11 @@
 )
 
 // ErrNone says that no sound version of a kind is held.
-const ErrNone = errors.ConstError("no sound version on disk")
+const ErrNotFound = errors.ConstError("no sound version on disk")
 
 // ErrSync says that a write did not reach the disk: it may be tried again, and
 // nothing may rest on it before that.
-const ErrSync = errors.ConstError("version not synced")
+const ErrNotSynced = errors.ConstError("version not synced")
 
 // Disk is the little that the store asks of a file system, so that a
 // simulated one can stand in.
@@ -34,30 +34,30 @@
 }
 
 // Folder is the Disk of a real data folder.
-type Folder string
+type Directory string
 
 // OpenFolder makes the data folder and clears files left half written.
-func OpenFolder(path string) (Folder, error) {
+func OpenDirectory(path string) (Directory, error) {
 	if err := os.MkdirAll(path, 0o750); err != nil {
 		return "", errors.Annotate(err, "data folder")
 	}
-	folder := Folder(path)
-	names, err := folder.Names()
+	directory := Directory(path)
+	names, err := directory.Names()
 	if err != nil {
 		return "", errors.Trace(err)
 	}
 	for _, name := range names {
 		if strings.HasSuffix(name, ".aside") {
-			_ = folder.Remove(name)
+			_ = directory.Remove(name)
 		}
 	}
-	return folder, nil
+	return directory, nil
 }
 
 // Write puts data aside, syncs it, renames it and syncs the folder.
-func (f Folder) Write(name string, data []byte) error {
-	aside := filepath.Join(string(f), name+".aside")
-	file, err := os.OpenFile(aside, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
+func (f Directory) Write(name string, data []byte) error {
+	temporary := filepath.Join(string(f), name+".aside")
+	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -68,14 +68,14 @@
 	for _, step := range steps {
 		if err := step(); err != nil {
 			_ = file.Close()
-			_ = os.Remove(aside)
+			_ = os.Remove(temporary)
 			return errors.Trace(err)
 		}
 	}
 	if err := file.Close(); err != nil {
 		return errors.Trace(err)
 	}
-	if err := os.Rename(aside, filepath.Join(string(f), name)); err != nil {
+	if err := os.Rename(temporary, filepath.Join(string(f), name)); err != nil {
 		return errors.Trace(err)
 	}
 	dir, err := os.Open(string(f))
@@ -87,7 +87,7 @@
 }
 
 // Read gives a file's bytes.
-func (f Folder) Read(name string) ([]byte, error) {
+func (f Directory) Read(name string) ([]byte, error) {
 	file, err := os.Open(filepath.Join(string(f), name))
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -97,7 +97,7 @@
 }
 
 // Names lists the folder.
-func (f Folder) Names() ([]string, error) {
+func (f Directory) Names() ([]string, error) {
 	entries, err := os.ReadDir(string(f))
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -112,7 +112,7 @@
 }
 
 // Remove deletes a file.
-func (f Folder) Remove(name string) error {
+func (f Directory) Remove(name string) error {
 	return errors.Trace(os.Remove(filepath.Join(string(f), name)))
 }
 
@@ -133,7 +133,7 @@
 	return fmt.Sprintf("%s-%020d.v", kind, sequence)
 }
 
-func sequences(names []string, kind string) []uint64 {
+func sequencesOf(names []string, kind string) []uint64 {
 	var found []uint64
 	for _, name := range names {
 		middle, isOurs := strings.CutPrefix(name, kind+"-")
@@ -154,22 +154,22 @@
 func (s *Store) Put(kind string, sequence uint64, data []byte) error {
 	var buffer bytes.Buffer
 	buffer.Write(magic)
-	head := []byte(kind)
-	_ = binary.Write(&buffer, binary.BigEndian, uint16(len(head)))
-	buffer.Write(head)
+	kindBytes := []byte(kind)
+	_ = binary.Write(&buffer, binary.BigEndian, uint16(len(kindBytes)))
+	buffer.Write(kindBytes)
 	_ = binary.Write(&buffer, binary.BigEndian, sequence)
 	_ = binary.Write(&buffer, binary.BigEndian, uint32(len(data)))
 	buffer.Write(data)
 	sum := sha256.Sum256(buffer.Bytes())
 	buffer.Write(sum[:])
 	if err := s.disk.Write(fileName(kind, sequence), buffer.Bytes()); err != nil {
-		return errors.WithType(errors.Annotatef(err, "%s %d", kind, sequence), ErrSync)
+		return errors.WithType(errors.Annotatef(err, "%s %d", kind, sequence), ErrNotSynced)
 	}
 	names, err := s.disk.Names()
 	if err != nil {
 		return nil
 	}
-	for rank, old := range sequences(names, kind) {
+	for rank, old := range sequencesOf(names, kind) {
 		if rank >= s.keep && old < sequence {
 			_ = s.disk.Remove(fileName(kind, old))
 		}
@@ -184,39 +184,39 @@
 	if err != nil {
 		return 0, nil, 0, errors.Trace(err)
 	}
-	passed := 0
-	for _, sequence := range sequences(names, kind) {
+	skipped := 0
+	for _, sequence := range sequencesOf(names, kind) {
 		raw, err := s.disk.Read(fileName(kind, sequence))
 		if err == nil {
-			if data, isSound := open(raw, kind, sequence); isSound {
-				return sequence, data, passed, nil
+			if data, sound := decodeVersion(raw, kind, sequence); sound {
+				return sequence, data, skipped, nil
 			}
 		}
-		passed++
+		skipped++
 	}
-	return 0, nil, passed, ErrNone
+	return 0, nil, skipped, ErrNotFound
 }
 
 // Clean removes the unsound versions of a kind. It is called once what they
 // held has been made good from elsewhere.
-func (s *Store) Clean(kind string) error {
+func (s *Store) RemoveCorrupt(kind string) error {
 	names, err := s.disk.Names()
 	if err != nil {
 		return errors.Trace(err)
 	}
-	for _, sequence := range sequences(names, kind) {
+	for _, sequence := range sequencesOf(names, kind) {
 		raw, err := s.disk.Read(fileName(kind, sequence))
-		if _, isSound := open(raw, kind, sequence); err == nil && isSound {
+		if _, sound := decodeVersion(raw, kind, sequence); err == nil && sound {
 			continue
 		}
 		if err := s.disk.Remove(fileName(kind, sequence)); err != nil {
-			return errors.WithType(errors.Trace(err), ErrSync)
+			return errors.WithType(errors.Trace(err), ErrNotSynced)
 		}
 	}
 	return nil
 }
 
-func open(raw []byte, kind string, sequence uint64) ([]byte, bool) {
+func decodeVersion(raw []byte, kind string, sequence uint64) ([]byte, bool) {
 	if len(raw) < len(magic)+2+8+4+sha256.Size || !bytes.HasPrefix(raw, magic) {
 		return nil, false
 	}
--- a/internal/state/versionfile/synced_test.go
+++ b/internal/state/versionfile/versionfile_test.go
@@ -13,19 +13,19 @@
 func TestVersions(t *testing.T) {
 	Convey("Given a data folder", t, func() {
 		path := t.TempDir()
-		folder, err := OpenFolder(path)
+		directory, err := OpenDirectory(path)
 		So(err, ShouldBeNil)
-		store := NewStore(folder, 3)
+		store := NewStore(directory, 3)
 		Convey("The newest version is read back, and old ones are pruned", func() {
 			for sequence := uint64(1); sequence <= 9; sequence++ {
 				So(store.Put("table", sequence, []byte{byte(sequence)}), ShouldBeNil)
 			}
-			sequence, data, passed, err := store.Latest("table")
+			sequence, data, skipped, err := store.Latest("table")
 			So(err, ShouldBeNil)
 			So(sequence, ShouldEqual, 9)
 			So(data, ShouldResemble, []byte{9})
-			So(passed, ShouldEqual, 0)
-			names, _ := folder.Names()
+			So(skipped, ShouldEqual, 0)
+			names, _ := directory.Names()
 			So(len(names), ShouldEqual, 3)
 		})
 		Convey("Torn, empty, foreign and changed files are never read as state", func() {
@@ -37,27 +37,27 @@
 			for sequence, data := range bad {
 				So(os.WriteFile(filepath.Join(path, fileName("table", sequence)), data, 0o600), ShouldBeNil)
 			}
-			sequence, data, passed, err := store.Latest("table")
+			sequence, data, skipped, err := store.Latest("table")
 			So(err, ShouldBeNil)
 			So(sequence, ShouldEqual, 1)
 			So(string(data), ShouldEqual, "good")
-			So(passed, ShouldEqual, len(bad))
-			So(store.Clean("table"), ShouldBeNil)
-			_, _, passed, _ = store.Latest("table")
-			So(passed, ShouldEqual, 0)
+			So(skipped, ShouldEqual, len(bad))
+			So(store.RemoveCorrupt("table"), ShouldBeNil)
+			_, _, skipped, _ = store.Latest("table")
+			So(skipped, ShouldEqual, 0)
 		})
 		Convey("A file left half written aside is cleared, and is no version", func() {
 			So(os.WriteFile(filepath.Join(path, fileName("table", 7)+".aside"), []byte("half"), 0o600), ShouldBeNil)
-			_, err := OpenFolder(path)
+			_, err := OpenDirectory(path)
 			So(err, ShouldBeNil)
 			_, _, _, err = store.Latest("table")
-			So(errors.Is(err, ErrNone), ShouldBeTrue)
-			names, _ := folder.Names()
+			So(errors.Is(err, ErrNotFound), ShouldBeTrue)
+			names, _ := directory.Names()
 			So(names, ShouldBeEmpty)
 		})
 		Convey("A write that fails says so", func() {
-			store := NewStore(Folder(filepath.Join(path, "missing")), 3)
-			So(errors.Is(store.Put("table", 1, nil), ErrSync), ShouldBeTrue)
+			store := NewStore(Directory(filepath.Join(path, "missing")), 3)
+			So(errors.Is(store.Put("table", 1, nil), ErrNotSynced), ShouldBeTrue)
 		})
 	})
 }
--- a/internal/transport/httpserver/order_test.go
+++ b/internal/transport/httpserver/connection_test.go
@@ -22,31 +22,31 @@
 		const dialers, each = 8, 60
 		address := freeAddress(t)
 		var served atomic.Int64
-		door, err := OpenDoor(address, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			body, isWhole := ReadBody(r)
-			if isWhole && string(body) == "asked" && r.RemoteAddr != "" {
+		server, err := Listen(address, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			body, complete := ReadBody(r)
+			if complete && string(body) == "asked" && r.RemoteAddr != "" {
 				served.Add(1)
 			}
 			_, _ = w.Write([]byte("told"))
 		}), nil)
 		So(err, ShouldBeNil)
-		Reset(door.Close)
-		crew := worker.NewCrew()
-		client, err := NewClient("127.0.0.1", crew)
+		Reset(server.Close)
+		workers := worker.NewGroup()
+		client, err := NewClient("127.0.0.1", workers)
 		So(err, ShouldBeNil)
 		Reset(client.Close)
 		var answered atomic.Int64
 		var all sync.WaitGroup
 		for range dialers {
 			all.Add(1)
-			crew.Go(func() {
+			workers.Go(func() {
 				defer all.Done()
 				for range each {
 					session, err := client.Dial(address, 10*time.Second, nil)
 					if err != nil {
 						continue
 					}
-					if answer := session.Ask("/", []byte("asked"), 10*time.Second); answer.Err == nil && string(answer.Body) == "told" {
+					if answer := session.Post("/", []byte("asked"), 10*time.Second); answer.Err == nil && string(answer.Body) == "told" {
 						answered.Add(1)
 					}
 					session.Close()
@@ -59,15 +59,15 @@
 	})
 }
 
-func TestLongAnswerToACallerThatParts(t *testing.T) {
+func TestLongResponseWithConnectionClose(t *testing.T) {
 	Convey("An answer longer than its connection takes at once arrives whole, though the caller asked to be parted from", t, func() {
 		const size = 16 << 20
 		address := freeAddress(t)
-		door, err := OpenDoor(address, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		server, err := Listen(address, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = w.Write(bytes.Repeat([]byte("x"), size))
 		}), nil)
 		So(err, ShouldBeNil)
-		Reset(door.Close)
+		Reset(server.Close)
 		narrow := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
 		}}
--- a/internal/transport/httpserver/web_test.go
+++ b/internal/transport/httpserver/server_test.go
@@ -21,54 +21,54 @@
 
 // ledger is an allocator that gives no buffer twice, and notes each one that
 // is freed more than once, or changed after it was freed.
-type ledger struct {
-	mutex   sync.Mutex
-	isFreed map[*[]byte]bool
-	faults  []string
+type recordingAllocator struct {
+	mutex  sync.Mutex
+	freed  map[*[]byte]bool
+	faults []string
 }
 
-func (l *ledger) Malloc(size int) *[]byte {
+func (l *recordingAllocator) Malloc(size int) *[]byte {
 	buffer := make([]byte, size, max(size, 1024))
 	return &buffer
 }
 
-func (l *ledger) Realloc(buffer *[]byte, size int) *[]byte {
+func (l *recordingAllocator) Realloc(buffer *[]byte, size int) *[]byte {
 	panic("deprecated: nothing calls it")
 }
 
-func (l *ledger) Append(buffer *[]byte, more ...byte) *[]byte {
+func (l *recordingAllocator) Append(buffer *[]byte, more ...byte) *[]byte {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.isFreed[buffer] {
+	if l.freed[buffer] {
 		l.faults = append(l.faults, fmt.Sprintf("%d bytes appended to a buffer that was freed", len(more)))
 	}
 	*buffer = append(*buffer, more...)
 	return buffer
 }
 
-func (l *ledger) AppendString(buffer *[]byte, more string) *[]byte {
+func (l *recordingAllocator) AppendString(buffer *[]byte, more string) *[]byte {
 	return l.Append(buffer, []byte(more)...)
 }
 
-func (l *ledger) Free(buffer *[]byte) {
+func (l *recordingAllocator) Free(buffer *[]byte) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.isFreed[buffer] {
+	if l.freed[buffer] {
 		l.faults = append(l.faults, "a buffer freed twice")
 	}
-	l.isFreed[buffer] = true
+	l.freed[buffer] = true
 }
 
-func (l *ledger) found() []string {
+func (l *recordingAllocator) recordedFaults() []string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.faults
 }
 
-func keepLedger() (*ledger, func()) {
-	held, before := &ledger{isFreed: map[*[]byte]bool{}}, mempool.DefaultMemPool
-	mempool.DefaultMemPool = held
-	return held, func() { mempool.DefaultMemPool = before }
+func installRecordingAllocator() (*recordingAllocator, func()) {
+	allocator, before := &recordingAllocator{freed: map[*[]byte]bool{}}, mempool.DefaultMemPool
+	mempool.DefaultMemPool = allocator
+	return allocator, func() { mempool.DefaultMemPool = before }
 }
 
 func freeAddress(t *testing.T) string {
@@ -82,8 +82,8 @@
 
 // echo answers with the body, repeated as often as the path says.
 func echo(w http.ResponseWriter, r *http.Request) {
-	body, isWhole := ReadBody(r)
-	if !isWhole {
+	body, complete := ReadBody(r)
+	if !complete {
 		w.WriteHeader(http.StatusRequestEntityTooLarge)
 		return
 	}
@@ -94,23 +94,23 @@
 }
 
 // drawer is a connection whose far end is the test: what is written is kept.
-type drawer struct {
+type recordedConn struct {
 	net.Conn
 	written bytes.Buffer
 }
 
-func (d *drawer) Write(data []byte) (int, error)   { return d.written.Write(data) }
-func (d *drawer) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
-func (d *drawer) SetReadDeadline(time.Time) error  { return nil }
-func (d *drawer) SetWriteDeadline(time.Time) error { return nil }
+func (d *recordedConn) Write(data []byte) (int, error)   { return d.written.Write(data) }
+func (d *recordedConn) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
+func (d *recordedConn) SetReadDeadline(time.Time) error  { return nil }
+func (d *recordedConn) SetWriteDeadline(time.Time) error { return nil }
 
-func TestAnswersGiveBuffersBackOnce(t *testing.T) {
-	held, restore := keepLedger()
+func TestResponsesFreeBuffersOnce(t *testing.T) {
+	allocator, restore := installRecordingAllocator()
 	defer restore()
 	Convey("An answer of any size is written whole, its length told, and each of its buffers given back once", t, func() {
-		engine := nbhttp.NewEngine(nbhttp.Config{Handler: sized(http.HandlerFunc(echo))})
+		engine := nbhttp.NewEngine(nbhttp.Config{Handler: withContentLength(http.HandlerFunc(echo))})
 		for _, size := range []int{0, 1, 500, 1024, 40000, 65000, 65300, 65530, 65536, 70000, 200000} {
-			conn := &drawer{}
+			conn := &recordedConn{}
 			parser := nbhttp.NewParser(conn, engine, nbhttp.NewServerProcessor(), false, func(act func()) bool { act(); return true })
 			So(parser.Parse([]byte(fmt.Sprintf("POST /%d HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\ny", size))), ShouldBeNil)
 			response, err := http.ReadResponse(bufio.NewReader(&conn.written), nil)
@@ -118,7 +118,7 @@
 			data, err := io.ReadAll(response.Body)
 			So(err, ShouldBeNil)
 			So(string(data), ShouldEqual, strings.Repeat("y", size))
-			So(held.found(), ShouldBeEmpty)
+			So(allocator.recordedFaults(), ShouldBeEmpty)
 			So(response.ContentLength, ShouldEqual, size)
 			So(response.TransferEncoding, ShouldBeEmpty)
 		}
@@ -126,28 +126,28 @@
 }
 
 func TestBodiesKeepApart(t *testing.T) {
-	held, restore := keepLedger()
+	allocator, restore := installRecordingAllocator()
 	defer restore()
 	address := freeAddress(t)
-	opened, err := OpenDoor(address, http.HandlerFunc(echo), nil)
+	server, err := Listen(address, http.HandlerFunc(echo), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer opened.Close()
-	crew := worker.NewCrew()
-	defer crew.Stop(5 * time.Second)
-	client, err := NewClient("127.0.0.1", crew)
+	defer server.Close()
+	workers := worker.NewGroup()
+	defer workers.Stop(5 * time.Second)
+	client, err := NewClient("127.0.0.1", workers)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer client.Close()
-	ask := func(body string, count int) Answer {
+	ask := func(body string, count int) Response {
 		session, err := client.Dial(address, 5*time.Second, nil)
 		if err != nil {
-			return Answer{Err: err}
+			return Response{Err: err}
 		}
 		defer session.Close()
-		return session.Ask(fmt.Sprintf("/%d", count), []byte(body), 20*time.Second)
+		return session.Post(fmt.Sprintf("/%d", count), []byte(body), 20*time.Second)
 	}
 	Convey("An answer of any size arrives whole with its length told, and each buffer is given back once", t, func() {
 		var lengths []int64
@@ -163,7 +163,7 @@
 			So(string(data), ShouldEqual, strings.Repeat("y", size))
 			lengths = append(lengths, response.ContentLength-int64(size))
 		}
-		So(held.found(), ShouldBeEmpty)
+		So(allocator.recordedFaults(), ShouldBeEmpty)
 		So(lengths, ShouldResemble, make([]int64, len(lengths)))
 	})
 	Convey("Many sessions, large and small, some of them closed with an answer on its way: nobody reads another's body", t, func() {
@@ -171,7 +171,7 @@
 		wrong := make(chan string, 1000)
 		for at := range 40 {
 			group.Add(1)
-			crew.Go(func() {
+			workers.Go(func() {
 				defer group.Done()
 				for turn := range 10 {
 					body := fmt.Sprintf("<%d.%d>", at, turn)
@@ -182,12 +182,12 @@
 						continue
 					}
 					if at%5 == 0 {
-						session.Do(fmt.Sprintf("/%d", count), []byte(body), func(Answer) {})
+						session.PostAsync(fmt.Sprintf("/%d", count), []byte(body), func(Response) {})
 						session.Close()
 						continue
 					}
 					for range 3 {
-						answer := session.Ask(fmt.Sprintf("/%d", count), []byte(body), 20*time.Second)
+						answer := session.Post(fmt.Sprintf("/%d", count), []byte(body), 20*time.Second)
 						if answer.Err != nil || string(answer.Body) != strings.Repeat(body, count) {
 							wrong <- fmt.Sprintf("%s: %v, %.40s", body, answer.Err, answer.Body)
 						}
@@ -201,6 +201,6 @@
 		for one := range wrong {
 			So(one, ShouldBeEmpty)
 		}
-		So(held.found(), ShouldBeEmpty)
+		So(allocator.recordedFaults(), ShouldBeEmpty)
 	})
 }
--- a/internal/transport/lineserver/wire.go
+++ b/internal/transport/lineserver/server.go
@@ -17,24 +17,24 @@
 
 // Errors of the wire layer.
 const (
-	ErrListen  = errors.ConstError("address cannot be listened on")
-	ErrTooLong = errors.ConstError("line too long")
+	ErrListen      = errors.ConstError("address cannot be listened on")
+	ErrLineTooLong = errors.ConstError("line too long")
 )
 
 // Handler hears of one connection. Lines hears of all whole lines that came
 // together, in order; they are not valid after it returns. Ended comes once.
 type Handler interface {
-	Lines(lines [][]byte)
-	Ended(err error)
+	OnLines(lines [][]byte)
+	OnClose(err error)
 }
 
 // Conn is one connection.
 type Conn struct {
-	raw     *nbio.Conn
-	handler Handler
-	rest    []byte
-	longest int
-	isEnded bool
+	raw           *nbio.Conn
+	handler       Handler
+	partial       []byte
+	maxLineLength int
+	closed        bool
 }
 
 // Write sends bytes; what the network does not take now follows later, in
@@ -45,52 +45,52 @@
 func (c *Conn) Close() { _ = c.raw.Close() }
 
 // Remote gives the far end's address.
-func (c *Conn) Remote() string { return c.raw.RemoteAddr().String() }
+func (c *Conn) RemoteAddress() string { return c.raw.RemoteAddr().String() }
 
 // Engine serves all connections of a process.
-type Engine struct {
-	engine  *nbio.Engine
-	crew    *worker.Crew
-	longest int
-	greet   func(*Conn) Handler
-	mutex   sync.Mutex
+type Server struct {
+	engine        *nbio.Engine
+	workers       *worker.Group
+	maxLineLength int
+	accept        func(*Conn) Handler
+	mutex         sync.Mutex
 }
 
-type ended struct{ err error }
+type closedEarly struct{ err error }
 
 // put joins a connection to the engine's; one that has ended meanwhile is
 // told so.
-func (e *Engine) put(raw *nbio.Conn, conn *Conn) {
+func (e *Server) attach(raw *nbio.Conn, conn *Conn) {
 	e.mutex.Lock()
-	over, isOver := raw.Session().(ended)
-	conn.isEnded = isOver
-	if !isOver {
+	over, closed := raw.Session().(closedEarly)
+	conn.closed = closed
+	if !closed {
 		raw.SetSession(conn)
 	}
 	e.mutex.Unlock()
-	if isOver {
-		conn.handler.Ended(over.err)
+	if closed {
+		conn.handler.OnClose(over.err)
 	}
 }
 
 // end tells the end of a connection once, even where it comes before the
 // connection was joined.
-func (e *Engine) end(raw *nbio.Conn, err error) {
+func (e *Server) detach(raw *nbio.Conn, err error) {
 	e.mutex.Lock()
-	conn, isJoined := raw.Session().(*Conn)
-	isTold := isJoined && conn.isEnded
-	if isJoined {
-		conn.isEnded = true
+	conn, attached := raw.Session().(*Conn)
+	notified := attached && conn.closed
+	if attached {
+		conn.closed = true
 	} else {
-		raw.SetSession(ended{err})
+		raw.SetSession(closedEarly{err})
 	}
 	e.mutex.Unlock()
-	if isJoined && !isTold {
-		conn.handler.Ended(err)
+	if attached && !notified {
+		conn.handler.OnClose(err)
 	}
 }
 
-func (e *Engine) get(raw *nbio.Conn) *Conn {
+func (e *Server) connOf(raw *nbio.Conn) *Conn {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	conn, _ := raw.Session().(*Conn)
@@ -99,31 +99,31 @@
 
 // New makes an engine; address may be empty, for one that only opens. Greet
 // gives the handler of each accepted connection.
-func New(crew *worker.Crew, address string, longest int, greet func(*Conn) Handler) *Engine {
+func NewServer(workers *worker.Group, address string, maxLineLength int, accept func(*Conn) Handler) *Server {
 	config := nbio.Config{Network: "tcp", NPoller: 1, ReadBufferSize: 16 << 10, MaxWriteBufferSize: 4 << 20}
 	if address != "" {
 		config.Addrs = []string{address}
 	}
-	e := &Engine{engine: nbio.NewEngine(config), crew: crew, longest: longest, greet: greet}
+	e := &Server{engine: nbio.NewEngine(config), workers: workers, maxLineLength: maxLineLength, accept: accept}
 	e.engine.OnOpen(func(raw *nbio.Conn) {
-		if e.get(raw) != nil {
+		if e.connOf(raw) != nil {
 			return
 		}
-		conn := &Conn{raw: raw, longest: longest}
-		conn.handler = e.greet(conn)
-		e.put(raw, conn)
+		conn := &Conn{raw: raw, maxLineLength: maxLineLength}
+		conn.handler = e.accept(conn)
+		e.attach(raw, conn)
 	})
 	e.engine.OnData(func(raw *nbio.Conn, data []byte) {
-		if conn := e.get(raw); conn != nil {
+		if conn := e.connOf(raw); conn != nil {
 			conn.onData(data)
 		}
 	})
-	e.engine.OnClose(e.end)
+	e.engine.OnClose(e.detach)
 	return e
 }
 
 // Start listens and serves.
-func (e *Engine) Start() error {
+func (e *Server) Start() error {
 	if err := e.engine.Start(); err != nil {
 		return errors.WithType(errors.Trace(err), ErrListen)
 	}
@@ -131,31 +131,31 @@
 }
 
 // Stop ends all connections.
-func (e *Engine) Stop() { e.engine.Stop() }
+func (e *Server) Stop() { e.engine.Stop() }
 
 // Open opens a connection and writes first as soon as it is up. The handler
 // hears of lines and of the end, also where the connection never came up; up
 // hears of the connection before all else. It does not block.
-func (e *Engine) Open(address string, first []byte, bound time.Duration, handler Handler, up func(*Conn)) {
-	e.crew.Go(func() {
-		dialer := net.Dialer{Timeout: bound, KeepAliveConfig: keepAlive}
+func (e *Server) Dial(address string, first []byte, timeout time.Duration, handler Handler, onConnect func(*Conn)) {
+	e.workers.Go(func() {
+		dialer := net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive}
 		dialled, err := dialer.Dial("tcp", address)
 		if err != nil {
-			handler.Ended(err)
+			handler.OnClose(err)
 			return
 		}
-		worker.LimitSilence(dialled.(*net.TCPConn), silence)
+		worker.SetUserTimeout(dialled.(*net.TCPConn), userTimeout)
 		raw, err := nbio.NBConn(dialled)
 		if err != nil {
 			_ = dialled.Close()
-			handler.Ended(err)
+			handler.OnClose(err)
 			return
 		}
-		conn := &Conn{raw: raw, handler: handler, longest: e.longest}
-		e.put(raw, conn)
-		up(conn)
+		conn := &Conn{raw: raw, handler: handler, maxLineLength: e.maxLineLength}
+		e.attach(raw, conn)
+		onConnect(conn)
 		if _, err := e.engine.AddConn(raw); err != nil {
-			e.end(raw, err)
+			e.detach(raw, err)
 			return
 		}
 		if len(first) > 0 {
@@ -164,32 +164,32 @@
 	})
 }
 
-const silence = 2 * time.Second
+const userTimeout = 2 * time.Second
 
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3}
 
 func (c *Conn) onData(data []byte) {
-	if len(c.rest) > 0 {
-		data = append(c.rest, data...)
-		c.rest = nil
+	if len(c.partial) > 0 {
+		data = append(c.partial, data...)
+		c.partial = nil
 	}
 	var lines [][]byte
 	for {
 		at := bytes.IndexByte(data, '\n')
-		if at < 0 || at > c.longest {
+		if at < 0 || at > c.maxLineLength {
 			break
 		}
 		lines = append(lines, bytes.TrimSuffix(data[:at], []byte{'\r'}))
 		data = data[at+1:]
 	}
 	if len(lines) > 0 {
-		c.handler.Lines(lines)
+		c.handler.OnLines(lines)
 	}
-	if len(data) > c.longest {
-		_ = c.raw.CloseWithError(ErrTooLong)
+	if len(data) > c.maxLineLength {
+		_ = c.raw.CloseWithError(ErrLineTooLong)
 		return
 	}
 	if len(data) > 0 {
-		c.rest = append([]byte(nil), data...)
+		c.partial = append([]byte(nil), data...)
 	}
 }
--- a/internal/transport/lineserver/wire_test.go
+++ b/internal/transport/lineserver/server_test.go
@@ -16,19 +16,21 @@
 	"tansyseam/internal/transport/worker"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 // ear hears one connection; events holds lines and, at the end, the end.
-type ear struct {
+type recorder struct {
 	conn   *Conn
 	events chan string
 	ended  chan error
 	echo   bool
 }
 
-func newEar() *ear { return &ear{events: make(chan string, 1<<16), ended: make(chan error, 16)} }
+func newRecorder() *recorder {
+	return &recorder{events: make(chan string, 1<<16), ended: make(chan error, 16)}
+}
 
-func (e *ear) Lines(lines [][]byte) {
+func (e *recorder) OnLines(lines [][]byte) {
 	for _, line := range lines {
 		e.events <- string(line)
 	}
@@ -37,43 +39,43 @@
 	}
 }
 
-func (e *ear) Ended(err error) {
+func (e *recorder) OnClose(err error) {
 	e.ended <- err
 	e.events <- "ended"
 }
 
-func (e *ear) next() string {
-	over := time.NewTimer(patience)
+func (e *recorder) next() string {
+	over := time.NewTimer(testTimeout)
 	defer over.Stop()
-	line, isOne := worker.Take(e.events, over.C)
-	So(isOne, ShouldBeTrue)
+	line, ok := worker.Receive(e.events, over.C)
+	So(ok, ShouldBeTrue)
 	return line
 }
 
-func (e *ear) over() error {
-	bound := time.NewTimer(patience)
-	defer bound.Stop()
-	err, isOne := worker.Take(e.ended, bound.C)
-	So(isOne, ShouldBeTrue)
+func (e *recorder) closeError() error {
+	timeout := time.NewTimer(testTimeout)
+	defer timeout.Stop()
+	err, ok := worker.Receive(e.ended, timeout.C)
+	So(ok, ShouldBeTrue)
 	return err
 }
 
-type port struct {
-	engine  *Engine
-	address string
-	ears    chan *ear
+type testServer struct {
+	engine    *Server
+	address   string
+	recorders chan *recorder
 }
 
-func open(longest int, echo bool) *port {
+func startTestServer(maxLineLength int, echo bool) *testServer {
 	probe, err := net.Listen("tcp", "127.0.0.1:0")
 	So(err, ShouldBeNil)
-	p := &port{address: probe.Addr().String(), ears: make(chan *ear, 1024)}
+	p := &testServer{address: probe.Addr().String(), recorders: make(chan *recorder, 1024)}
 	So(probe.Close(), ShouldBeNil)
-	p.engine = New(worker.NewCrew(), p.address, longest, func(conn *Conn) Handler {
-		one := newEar()
-		one.conn, one.echo = conn, echo
-		p.ears <- one
-		return one
+	p.engine = NewServer(worker.NewGroup(), p.address, maxLineLength, func(conn *Conn) Handler {
+		recorder := newRecorder()
+		recorder.conn, recorder.echo = conn, echo
+		p.recorders <- recorder
+		return recorder
 	})
 	So(p.engine.Start(), ShouldBeNil)
 	// The engine below never ends if it is stopped before its listener runs.
@@ -82,74 +84,74 @@
 	return p
 }
 
-func (p *port) dial() (*net.TCPConn, *ear) {
+func (p *testServer) dial() (*net.TCPConn, *recorder) {
 	conn, err := net.Dial("tcp", p.address)
 	So(err, ShouldBeNil)
-	over := time.NewTimer(patience)
+	over := time.NewTimer(testTimeout)
 	defer over.Stop()
-	one, isOne := worker.Take(p.ears, over.C)
-	So(isOne, ShouldBeTrue)
-	return conn.(*net.TCPConn), one
+	recorder, ok := worker.Receive(p.recorders, over.C)
+	So(ok, ShouldBeTrue)
+	return conn.(*net.TCPConn), recorder
 }
 
 func TestAccepted(t *testing.T) {
 	Convey("Given a listening engine", t, func() {
-		p := open(1000, false)
+		p := startTestServer(1000, false)
 		defer p.engine.Stop()
-		conn, one := p.dial()
+		conn, recorder := p.dial()
 		defer func() { _ = conn.Close() }()
-		say := func(text string) {
+		send := func(text string) {
 			_, err := conn.Write([]byte(text))
 			So(err, ShouldBeNil)
 		}
 		Convey("Lines come whole and in order, with or without CR, and blank ones too", func() {
-			say("one\r\ntwo\nthr")
-			So([]string{one.next(), one.next()}, ShouldResemble, []string{"one", "two"})
-			say("ee\r")
-			say("\n\r\n\nx\ry\r\r\n")
-			So([]string{one.next(), one.next(), one.next(), one.next()}, ShouldResemble, []string{"three", "", "", "x\ry\r"})
+			send("one\r\ntwo\nthr")
+			So([]string{recorder.next(), recorder.next()}, ShouldResemble, []string{"one", "two"})
+			send("ee\r")
+			send("\n\r\n\nx\ry\r\r\n")
+			So([]string{recorder.next(), recorder.next(), recorder.next(), recorder.next()}, ShouldResemble, []string{"three", "", "", "x\ry\r"})
 		})
 		Convey("A line of the longest length is taken; one byte more ends the connection, whole or not", func() {
-			say(strings.Repeat("a", 1000) + "\n")
-			So(one.next(), ShouldEqual, strings.Repeat("a", 1000))
-			say("good\n" + strings.Repeat("b", 1001) + "\nnever\n")
-			So(one.next(), ShouldEqual, "good")
-			So(one.next(), ShouldEqual, "ended")
-			So(errors.Is(one.over(), ErrTooLong), ShouldBeTrue)
-			So(len(one.events), ShouldEqual, 0)
+			send(strings.Repeat("a", 1000) + "\n")
+			So(recorder.next(), ShouldEqual, strings.Repeat("a", 1000))
+			send("good\n" + strings.Repeat("b", 1001) + "\nnever\n")
+			So(recorder.next(), ShouldEqual, "good")
+			So(recorder.next(), ShouldEqual, "ended")
+			So(errors.Is(recorder.closeError(), ErrLineTooLong), ShouldBeTrue)
+			So(len(recorder.events), ShouldEqual, 0)
 		})
 		Convey("An overlong line without an end is not waited for", func() {
-			say(strings.Repeat("b", 1001))
-			So(one.next(), ShouldEqual, "ended")
-			So(errors.Is(one.over(), ErrTooLong), ShouldBeTrue)
+			send(strings.Repeat("b", 1001))
+			So(recorder.next(), ShouldEqual, "ended")
+			So(errors.Is(recorder.closeError(), ErrLineTooLong), ShouldBeTrue)
 		})
 		Convey("A far end that closes its side is told after its lines, once, without what it left half said", func() {
-			say("one\ntwo\nhalf")
+			send("one\ntwo\nhalf")
 			So(conn.CloseWrite(), ShouldBeNil)
-			So([]string{one.next(), one.next(), one.next()}, ShouldResemble, []string{"one", "two", "ended"})
+			So([]string{recorder.next(), recorder.next(), recorder.next()}, ShouldResemble, []string{"one", "two", "ended"})
 			_, err := conn.Read(make([]byte, 1))
 			So(err, ShouldNotBeNil)
-			So(len(one.events), ShouldEqual, 0)
+			So(len(recorder.events), ShouldEqual, 0)
 		})
 		Convey("A far end that resets is told once", func() {
-			say("one\n")
-			So(one.next(), ShouldEqual, "one")
+			send("one\n")
+			So(recorder.next(), ShouldEqual, "one")
 			So(conn.SetLinger(0), ShouldBeNil)
 			So(conn.Close(), ShouldBeNil)
-			So(one.next(), ShouldEqual, "ended")
-			So(len(one.ended), ShouldEqual, 1)
+			So(recorder.next(), ShouldEqual, "ended")
+			So(len(recorder.ended), ShouldEqual, 1)
 		})
 		Convey("Closed from this side, it ends once, and writes to it do nothing", func() {
-			one.conn.Close()
-			So(one.next(), ShouldEqual, "ended")
-			one.conn.Close()
-			one.conn.Write([]byte("x\n"))
+			recorder.conn.Close()
+			So(recorder.next(), ShouldEqual, "ended")
+			recorder.conn.Close()
+			recorder.conn.Write([]byte("x\n"))
 			_, err := conn.Read(make([]byte, 1))
 			So(err, ShouldNotBeNil)
-			So(len(one.ended), ShouldEqual, 1)
+			So(len(recorder.ended), ShouldEqual, 1)
 		})
 		Convey("A silent one holds up nobody", func() {
-			say("half a li")
+			send("half a li")
 			for at := range 20 {
 				other, heard := p.dial()
 				_, err := fmt.Fprintf(other, "line %d\n", at)
@@ -158,27 +160,27 @@
 				So(other.Close(), ShouldBeNil)
 				So(heard.next(), ShouldEqual, "ended")
 			}
-			say("ne\n")
-			So(one.next(), ShouldEqual, "half a line")
+			send("ne\n")
+			So(recorder.next(), ShouldEqual, "half a line")
 		})
 	})
 }
 
 func TestFlood(t *testing.T) {
 	Convey("A flood of lines comes whole and in order, and is answered in order", t, func() {
-		p := open(1000, true)
+		p := startTestServer(1000, true)
 		defer p.engine.Stop()
-		conn, one := p.dial()
+		conn, recorder := p.dial()
 		defer func() { _ = conn.Close() }()
 		const count = 20000
-		crew := worker.NewCrew()
-		crew.Go(func() {
+		workers := worker.NewGroup()
+		workers.Go(func() {
 			for at := range count {
 				_, _ = fmt.Fprintf(conn, "%d\n", at)
 			}
 		})
 		answered := make(chan int, 1)
-		crew.Go(func() {
+		workers.Go(func() {
 			buffer, lines := make([]byte, 4096), 0
 			for lines < count {
 				read, err := conn.Read(buffer)
@@ -191,49 +193,49 @@
 		})
 		wrong := 0
 		for at := range count {
-			if one.next() != fmt.Sprint(at) {
+			if recorder.next() != fmt.Sprint(at) {
 				wrong++
 			}
 		}
 		So(wrong, ShouldEqual, 0)
-		So(worker.Await(answered, patience), ShouldBeTrue)
-		So(crew.Stop(patience), ShouldBeTrue)
+		So(worker.Await(answered, testTimeout), ShouldBeTrue)
+		So(workers.Stop(testTimeout), ShouldBeTrue)
 	})
 	Convey("A far end that never reads is given up before it takes much memory", t, func() {
-		p := open(1000, false)
+		p := startTestServer(1000, false)
 		defer p.engine.Stop()
-		conn, one := p.dial()
+		conn, recorder := p.dial()
 		defer func() { _ = conn.Close() }()
 		So(conn.SetReadBuffer(4096), ShouldBeNil)
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		piece := bytes.Repeat([]byte{'x'}, 64<<10)
-		for at := 0; at < 1024 && len(one.ended) == 0; at++ {
-			one.conn.Write(piece)
+		for at := 0; at < 1024 && len(recorder.ended) == 0; at++ {
+			recorder.conn.Write(piece)
 		}
-		So(one.next(), ShouldEqual, "ended")
+		So(recorder.next(), ShouldEqual, "ended")
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		So(int64(after.HeapAlloc)-int64(before.HeapAlloc), ShouldBeLessThan, 24<<20)
 	})
 	Convey("A hundred far ends that say half a line each take no more than they said", t, func() {
 		const count, size = 100, 60000
-		p := open(1<<20, false)
+		p := startTestServer(1<<20, false)
 		defer p.engine.Stop()
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		var ears []*ear
+		var recorders []*recorder
 		for range count {
-			conn, one := p.dial()
+			conn, recorder := p.dial()
 			defer func() { _ = conn.Close() }()
 			_, err := conn.Write(append([]byte("head\n"), bytes.Repeat([]byte{'x'}, size)...))
 			So(err, ShouldBeNil)
-			ears = append(ears, one)
+			recorders = append(recorders, recorder)
 		}
-		for _, one := range ears {
-			So(one.next(), ShouldEqual, "head")
+		for _, recorder := range recorders {
+			So(recorder.next(), ShouldEqual, "head")
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -242,69 +244,69 @@
 	})
 }
 
-func TestOpened(t *testing.T) {
+func TestDialed(t *testing.T) {
 	Convey("Given an engine that only opens", t, func() {
-		e := New(worker.NewCrew(), "", 1000, func(*Conn) Handler { panic("nobody is greeted") })
+		e := NewServer(worker.NewGroup(), "", 1000, func(*Conn) Handler { panic("nobody is greeted") })
 		So(e.Start(), ShouldBeNil)
 		defer e.Stop()
-		reach := func(address string, bound time.Duration) (*ear, chan bool) {
-			one, ups := newEar(), make(chan bool, 8)
-			e.Open(address, []byte("hello\n"), bound, one, func(conn *Conn) { one.conn = conn; ups <- true })
-			return one, ups
+		reach := func(address string, timeout time.Duration) (*recorder, chan bool) {
+			recorder, ups := newRecorder(), make(chan bool, 8)
+			e.Dial(address, []byte("hello\n"), timeout, recorder, func(conn *Conn) { recorder.conn = conn; ups <- true })
+			return recorder, ups
 		}
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		defer func() { _ = listener.Close() }()
-		meet := func() (*ear, net.Conn) {
-			one, _ := reach(listener.Addr().String(), patience)
+		meet := func() (*recorder, net.Conn) {
+			recorder, _ := reach(listener.Addr().String(), testTimeout)
 			far, err := listener.Accept()
 			So(err, ShouldBeNil)
-			return one, far
+			return recorder, far
 		}
 		// The engine below never ends if it is stopped before it runs.
 		first, far := meet()
 		So(far.Close(), ShouldBeNil)
 		So(first.next(), ShouldEqual, "ended")
 		Convey("The first words go out before all others, and the end comes once", func() {
-			one, far := meet()
+			recorder, far := meet()
 			heard := make([]byte, 6)
 			_, err = far.Read(heard)
 			So(err, ShouldBeNil)
 			So(string(heard), ShouldEqual, "hello\n")
 			_, err = far.Write([]byte("READY\nand\n"))
 			So(err, ShouldBeNil)
-			So([]string{one.next(), one.next()}, ShouldResemble, []string{"READY", "and"})
+			So([]string{recorder.next(), recorder.next()}, ShouldResemble, []string{"READY", "and"})
 			So(far.Close(), ShouldBeNil)
-			So(one.next(), ShouldEqual, "ended")
-			So(len(one.ended), ShouldEqual, 1)
-			one, _ = reach("no address", patience)
-			So(one.next(), ShouldEqual, "ended")
-			So(one.over(), ShouldNotBeNil)
+			So(recorder.next(), ShouldEqual, "ended")
+			So(len(recorder.ended), ShouldEqual, 1)
+			recorder, _ = reach("no address", testTimeout)
+			So(recorder.next(), ShouldEqual, "ended")
+			So(recorder.closeError(), ShouldNotBeNil)
 		})
 		Convey("A refused one ends once, and was never up", func() {
 			probe, err := net.Listen("tcp", "127.0.0.1:0")
 			So(err, ShouldBeNil)
 			So(probe.Close(), ShouldBeNil)
-			one, ups := reach(probe.Addr().String(), patience)
-			So(one.next(), ShouldEqual, "ended")
-			So(one.over(), ShouldNotBeNil)
+			recorder, ups := reach(probe.Addr().String(), testTimeout)
+			So(recorder.next(), ShouldEqual, "ended")
+			So(recorder.closeError(), ShouldNotBeNil)
 			So(len(ups), ShouldEqual, 0)
-			So(len(one.events), ShouldEqual, 0)
+			So(len(recorder.events), ShouldEqual, 0)
 		})
 		Convey("A far end that never answers is given up at the bound", func() {
-			address, done := deaf()
+			address, done := listenWithFullBacklog()
 			defer done()
-			one, ups := reach(address, 50*time.Millisecond)
-			So(one.next(), ShouldEqual, "ended")
-			So(one.over(), ShouldNotBeNil)
+			recorder, ups := reach(address, 50*time.Millisecond)
+			So(recorder.next(), ShouldEqual, "ended")
+			So(recorder.closeError(), ShouldNotBeNil)
 			So(len(ups), ShouldEqual, 0)
-			So(len(one.events), ShouldEqual, 0)
+			So(len(recorder.events), ShouldEqual, 0)
 		})
 	})
 }
 
 // deaf listens with a queue that is full, so that openings are not answered.
-func deaf() (string, func()) {
+func listenWithFullBacklog() (string, func()) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	So(err, ShouldBeNil)
 	So(syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), ShouldBeNil)
@@ -330,15 +332,15 @@
 
 func TestAddress(t *testing.T) {
 	Convey("An address in use is told as such", t, func() {
-		p := open(1000, false)
+		p := startTestServer(1000, false)
 		defer p.engine.Stop()
-		So(errors.Is(New(worker.NewCrew(), p.address, 1000, nil).Start(), ErrListen), ShouldBeTrue)
+		So(errors.Is(NewServer(worker.NewGroup(), p.address, 1000, nil).Start(), ErrListen), ShouldBeTrue)
 	})
 }
 
 // FuzzSplit holds the splitting to one thing: wherever the chunks are cut,
 // the lines are the same.
-func FuzzSplit(f *testing.F) {
+func FuzzLineSplitting(f *testing.F) {
 	f.Add([]byte("one\r\ntwo\nthree"), []byte{1, 2, 3})
 	f.Add([]byte("\r\n\n\r\r\n"), []byte{1})
 	f.Add([]byte("a\r\nb"), []byte{2, 1, 1})
@@ -347,8 +349,8 @@
 	f.Add([]byte("x\n\x00\xff\ny\n"), []byte{})
 	f.Fuzz(func(t *testing.T, data, cuts []byte) {
 		split := func(cuts []byte) []string {
-			one := newEar()
-			conn := &Conn{handler: one, longest: 1 << 20}
+			recorder := newRecorder()
+			conn := &Conn{handler: recorder, maxLineLength: 1 << 20}
 			rest := data
 			for at := 0; len(rest) > 0; at++ {
 				size := len(rest)
@@ -363,12 +365,12 @@
 				}
 				rest = rest[size:]
 			}
-			close(one.events)
+			close(recorder.events)
 			var lines []string
-			for line := range one.events {
+			for line := range recorder.events {
 				lines = append(lines, line)
 			}
-			return append(lines, string(conn.rest))
+			return append(lines, string(conn.partial))
 		}
 		if len(data) > 1<<15 {
 			return
--- a/internal/transport/rpc/link_test.go
+++ b/internal/transport/rpc/hub_test.go
@@ -22,41 +22,41 @@
 	return listener.Addr().String()
 }
 
-func TestLinks(t *testing.T) {
+func TestHub(t *testing.T) {
 	message.Register()
 	Convey("Given two hubs", t, func() {
-		crew, counts := worker.NewCrew(), &worker.Counters{}
-		near, far := freePort(), freePort()
-		answering := New("far", far, crew, counts, func(from string, body any, answer func(any)) {
-			answer(idempotency.Answer{Standing: from + " asked " + body.(idempotency.Ask).Go})
+		workers, counters := worker.NewGroup(), &worker.Counters{}
+		clientAddress, serverAddress := freePort(), freePort()
+		server := NewHub("far", serverAddress, workers, counters, func(from string, body any, answer func(any)) {
+			answer(idempotency.Status{State: from + " asked " + body.(idempotency.StatusRequest).RequestID})
 		})
-		asking := New("near", near, crew, &worker.Counters{}, func(_ string, _ any, answer func(any)) { answer(idempotency.Answer{}) })
-		So(answering.Listen(), ShouldBeNil)
-		So(asking.Listen(), ShouldBeNil)
+		client := NewHub("near", clientAddress, workers, &worker.Counters{}, func(_ string, _ any, answer func(any)) { answer(idempotency.Status{}) })
+		So(server.Listen(), ShouldBeNil)
+		So(client.Listen(), ShouldBeNil)
 		Reset(func() {
-			crew.Stop(5 * time.Second)
-			answering.Close()
-			asking.Close()
+			workers.Stop(5 * time.Second)
+			server.Close()
+			client.Close()
 		})
 		// The engine below never ends if it is stopped before its listener runs.
-		for hub, address := range map[*Hub]string{answering: near, asking: far} {
-			_, err := hub.Call(address, idempotency.Ask{Go: "first"}, time.Minute)
+		for hub, address := range map[*Hub]string{server: clientAddress, client: serverAddress} {
+			_, err := hub.Call(address, idempotency.StatusRequest{RequestID: "first"}, time.Minute)
 			So(err, ShouldBeNil)
 		}
 		ask := func() string {
-			reply, err := asking.Call(far, idempotency.Ask{Go: "x"}, 5*time.Second)
+			reply, err := client.Call(serverAddress, idempotency.StatusRequest{RequestID: "x"}, 5*time.Second)
 			So(err, ShouldBeNil)
-			return reply.(idempotency.Answer).Standing
+			return reply.(idempotency.Status).State
 		}
 		Convey("A call is answered, and a call to nobody fails without waiting out its bound", func() {
 			So(ask(), ShouldEqual, "near asked x")
-			began := time.Now()
-			_, err := asking.Call(freePort(), idempotency.Ask{}, time.Minute)
+			started := time.Now()
+			_, err := client.Call(freePort(), idempotency.StatusRequest{}, time.Minute)
 			So(err, ShouldNotBeNil)
-			So(time.Since(began), ShouldBeLessThan, 30*time.Second)
+			So(time.Since(started), ShouldBeLessThan, 30*time.Second)
 		})
 		Convey("Garbage, oversized, wrong-version and changed frames close their own link, are counted, and harm nothing else", func() {
-			good, err := pack(Envelope{From: "evil", ID: 1, Body: idempotency.Ask{Go: "x"}})
+			good, err := encodeFrame(Envelope{From: "evil", ID: 1, Body: idempotency.StatusRequest{RequestID: "x"}})
 			So(err, ShouldBeNil)
 			frame := func(change func([]byte)) []byte {
 				data := append([]byte(nil), good...)
@@ -70,7 +70,7 @@
 				"link_refused_checksum":  frame(func(data []byte) { data[len(data)-1] ^= 1 }),
 			}
 			for count, data := range bad {
-				conn, err := net.Dial("tcp", far)
+				conn, err := net.Dial("tcp", serverAddress)
 				So(err, ShouldBeNil)
 				_, err = conn.Write(data)
 				So(err, ShouldBeNil)
@@ -78,19 +78,19 @@
 				_, err = conn.Read(make([]byte, 1))
 				So(err, ShouldNotBeNil)
 				_ = conn.Close()
-				So(counts.Read()[count], ShouldEqual, 1)
+				So(counters.Snapshot()[count], ShouldEqual, 1)
 			}
 			So(ask(), ShouldEqual, "near asked x")
 		})
 		Convey("A message that only a newer build knows is passed over, and the link lives on", func() {
-			strange, err := pack(Envelope{From: "newer", ID: 1, Body: idempotency.Ask{Go: "y"}})
+			unknown, err := encodeFrame(Envelope{From: "newer", ID: 1, Body: idempotency.StatusRequest{RequestID: "y"}})
 			So(err, ShouldBeNil)
-			changed := bytes.ReplaceAll(strange, []byte("goes.Ask"), []byte("goes.Nex"))
-			So(changed, ShouldNotResemble, strange)
-			binary.BigEndian.PutUint32(changed[8:], crc32.ChecksumIEEE(changed[headSize:]))
-			known, err := pack(Envelope{From: "newer", ID: 2, Body: idempotency.Ask{Go: "z"}})
+			changed := bytes.ReplaceAll(unknown, []byte("goes.Ask"), []byte("goes.Nex"))
+			So(changed, ShouldNotResemble, unknown)
+			binary.BigEndian.PutUint32(changed[8:], crc32.ChecksumIEEE(changed[headerSize:]))
+			known, err := encodeFrame(Envelope{From: "newer", ID: 2, Body: idempotency.StatusRequest{RequestID: "z"}})
 			So(err, ShouldBeNil)
-			conn, err := net.Dial("tcp", far)
+			conn, err := net.Dial("tcp", serverAddress)
 			So(err, ShouldBeNil)
 			defer func() { _ = conn.Close() }()
 			_, err = conn.Write(append(changed, known...))
@@ -98,14 +98,14 @@
 			So(conn.SetReadDeadline(time.Now().Add(10*time.Second)), ShouldBeNil)
 			count, err := conn.Read(make([]byte, 4096))
 			So(err, ShouldBeNil)
-			So(count, ShouldBeGreaterThan, headSize)
-			So(counts.Read()["link_unknown_message"], ShouldEqual, 1)
+			So(count, ShouldBeGreaterThan, headerSize)
+			So(counters.Snapshot()["link_unknown_message"], ShouldEqual, 1)
 		})
 		Convey("A frame of the version after ours is still read", func() {
-			next, err := pack(Envelope{From: "newer", ID: 1, Body: idempotency.Ask{Go: "y"}})
+			next, err := encodeFrame(Envelope{From: "newer", ID: 1, Body: idempotency.StatusRequest{RequestID: "y"}})
 			So(err, ShouldBeNil)
-			next[3] = Version + 1
-			conn, err := net.Dial("tcp", far)
+			next[3] = ProtocolVersion + 1
+			conn, err := net.Dial("tcp", serverAddress)
 			So(err, ShouldBeNil)
 			defer func() { _ = conn.Close() }()
 			_, err = conn.Write(next)
@@ -113,7 +113,7 @@
 			So(conn.SetReadDeadline(time.Now().Add(10*time.Second)), ShouldBeNil)
 			count, err := conn.Read(make([]byte, 4096))
 			So(err, ShouldBeNil)
-			So(count, ShouldBeGreaterThan, headSize)
+			So(count, ShouldBeGreaterThan, headerSize)
 		})
 	})
 }
--- a/internal/transport/worker/counter.go
+++ b/internal/transport/worker/counters.go
@@ -12,18 +12,18 @@
 
 // Add raises a count.
 func (c *Counters) Add(name string, by int64) {
-	held, isHeld := c.counts.Load(name)
-	if !isHeld {
-		held, _ = c.counts.LoadOrStore(name, new(atomic.Int64))
+	counter, found := c.counts.Load(name)
+	if !found {
+		counter, _ = c.counts.LoadOrStore(name, new(atomic.Int64))
 	}
-	held.(*atomic.Int64).Add(by)
+	counter.(*atomic.Int64).Add(by)
 }
 
 // Read copies all counts.
-func (c *Counters) Read() map[string]int64 {
+func (c *Counters) Snapshot() map[string]int64 {
 	counts := map[string]int64{}
-	c.counts.Range(func(name, held any) bool {
-		counts[name.(string)] = held.(*atomic.Int64).Load()
+	c.counts.Range(func(name, counter any) bool {
+		counts[name.(string)] = counter.(*atomic.Int64).Load()
 		return true
 	})
 	return counts
