--- a/internal/transport/worker/run.go
+++ b/internal/transport/worker/group.go
@@ -9,47 +9,47 @@
 )
 
 // Crew starts goroutines and waits for them at the end.
-type Crew struct {
-	group  sync.WaitGroup
-	stop   chan struct{}
-	once   sync.Once
-	isOver atomic.Bool
-	began  time.Time
+type Group struct {
+	running   sync.WaitGroup
+	stopping  chan struct{}
+	stopOnce  sync.Once
+	stopped   atomic.Bool
+	startedAt time.Time
 }
 
 // NewCrew makes a crew whose clock starts now.
-func NewCrew() *Crew { return &Crew{stop: make(chan struct{}), began: time.Now()} }
+func NewGroup() *Group { return &Group{stopping: make(chan struct{}), startedAt: time.Now()} }
 
 // Now is the monotonic time since the crew began, plus an hour, so that it
 // never lies near zero.
-func (c *Crew) Now() time.Duration { return time.Since(c.began) + time.Hour }
+func (c *Group) Now() time.Duration { return time.Since(c.startedAt) + time.Hour }
 
 // Go starts work.
-func (c *Crew) Go(work func()) {
-	c.group.Add(1)
+func (c *Group) Go(work func()) {
+	c.running.Add(1)
 	go func() {
-		defer c.group.Done()
+		defer c.running.Done()
 		work()
 	}()
 }
 
 // Stopping is closed when the crew is told to stop.
-func (c *Crew) Stopping() <-chan struct{} { return c.stop }
+func (c *Group) Stopping() <-chan struct{} { return c.stopping }
 
 // IsStopping says whether the crew was told to stop.
-func (c *Crew) IsStopping() bool { return c.isOver.Load() }
+func (c *Group) IsStopping() bool { return c.stopped.Load() }
 
 // Stop tells all loops and stages to end and waits for them, for a bound.
-func (c *Crew) Stop(bound time.Duration) bool {
-	c.once.Do(func() { c.isOver.Store(true); close(c.stop) })
+func (c *Group) Stop(timeout time.Duration) bool {
+	c.stopOnce.Do(func() { c.stopped.Store(true); close(c.stopping) })
 	done := make(chan struct{})
-	go func() { c.group.Wait(); close(done) }()
-	return Await(done, bound)
+	go func() { c.running.Wait(); close(done) }()
+	return Await(done, timeout)
 }
 
 // Await waits for a channel, for a bound.
-func Await[T any](done <-chan T, bound time.Duration) bool {
-	timer := time.NewTimer(bound)
+func Await[T any](done <-chan T, timeout time.Duration) bool {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-done:
@@ -61,41 +61,41 @@
 
 // Loop runs queued work and a regular beat, one at a time, until the crew
 // stops.
-func (c *Crew) Loop(queue <-chan func(), every time.Duration, beat func()) {
+func (c *Group) Loop(queue <-chan func(), interval time.Duration, tick func()) {
 	c.Go(func() {
-		ticker := time.NewTicker(every)
+		ticker := time.NewTicker(interval)
 		defer ticker.Stop()
 		for {
 			select {
-			case <-c.stop:
+			case <-c.stopping:
 				return
 			case work := <-queue:
 				work()
 			case <-ticker.C:
-				beat()
+				tick()
 			}
 		}
 	})
 }
 
 // Stage is one step of a request's way: a bounded queue and its workers.
-type Stage[T any] struct {
+type Pool[T any] struct {
 	Name  string
 	queue chan T
-	crew  *Crew
+	group *Group
 }
 
 // NewStage starts a stage.
-func NewStage[T any](crew *Crew, name string, size, workers int, act func(T)) *Stage[T] {
-	s := &Stage[T]{Name: name, queue: make(chan T, size), crew: crew}
+func NewPool[T any](group *Group, name string, size, workers int, handle func(T)) *Pool[T] {
+	s := &Pool[T]{Name: name, queue: make(chan T, size), group: group}
 	for range workers {
-		crew.Go(func() {
+		group.Go(func() {
 			for {
 				select {
-				case <-crew.stop:
+				case <-group.stopping:
 					return
 				case item := <-s.queue:
-					act(item)
+					handle(item)
 				}
 			}
 		})
@@ -105,26 +105,26 @@
 
 // Push waits for a place in the queue, for a bound: a full queue holds its
 // callers back.
-func (s *Stage[T]) Push(item T, bound time.Duration) bool {
+func (s *Pool[T]) Submit(item T, timeout time.Duration) bool {
 	select {
 	case s.queue <- item:
 		return true
 	default:
 	}
-	timer := time.NewTimer(bound)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case s.queue <- item:
 		return true
 	case <-timer.C:
 		return false
-	case <-s.crew.stop:
+	case <-s.group.stopping:
 		return false
 	}
 }
 
 // Offer puts an item in the queue if there is a place at once.
-func (s *Stage[T]) Offer(item T) bool {
+func (s *Pool[T]) TrySubmit(item T) bool {
 	select {
 	case s.queue <- item:
 		return true
@@ -134,32 +134,32 @@
 }
 
 // Depth is the number of items that wait.
-func (s *Stage[T]) Depth() int { return len(s.queue) }
+func (s *Pool[T]) QueueLength() int { return len(s.queue) }
 
 // Take receives a value unless another channel is ready first.
-func Take[T, U any](values <-chan T, over <-chan U) (T, bool) {
+func Receive[T, U any](values <-chan T, cancel <-chan U) (T, bool) {
 	select {
 	case value := <-values:
 		return value, true
-	case <-over:
-		var none T
-		return none, false
+	case <-cancel:
+		var zero T
+		return zero, false
 	}
 }
 
 // Poll receives a value if there is one at once.
-func Poll[T any](values <-chan T) (T, bool) {
+func TryReceive[T any](values <-chan T) (T, bool) {
 	select {
 	case value := <-values:
 		return value, true
 	default:
-		var none T
-		return none, false
+		var zero T
+		return zero, false
 	}
 }
 
 // Offer sends a value if there is room at once.
-func Offer[T any](values chan<- T, value T) bool {
+func TrySend[T any](values chan<- T, value T) bool {
 	select {
 	case values <- value:
 		return true
--- a/test/cmd/modelcheck/main.go
+++ b/test/cmd/modelcheck/main.go
@@ -21,9 +21,9 @@
 	most := flag.Int("most", 0, "end each search after so many states, where given")
 	jobs := flag.Int("jobs", 2, "shapes searched at once")
 	flag.Parse()
-	shapes := modelcheck.Shapes()
+	shapes := modelcheck.TestConfigs()
 	if *isDeeper {
-		shapes = modelcheck.Deeper()
+		shapes = modelcheck.DeepConfigs()
 	}
 	slots := make(chan struct{}, max(*jobs, 1))
 	var group sync.WaitGroup
@@ -38,17 +38,17 @@
 			defer group.Done()
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			shape.Most = *most
+			shape.MaxStates = *most
 			began := time.Now()
 			result := modelcheck.Run(shape)
 			mutex.Lock()
 			defer mutex.Unlock()
 			fmt.Printf("shape %d: %s: %d states, %d steps, epochs up to %d, %d writes kept, ended early %t, %.1f s\n",
-				at, describe(shape), result.States, result.Steps, result.Epochs, result.Acked, result.IsCut, time.Since(began).Seconds())
-			if result.Fault != "" {
+				at, describe(shape), result.States, result.Steps, result.HighestEpoch, result.AckedWrites, result.Truncated, time.Since(began).Seconds())
+			if result.Violation != "" {
 				broken++
-				fmt.Println("  broken:", result.Fault)
-				fmt.Println("    " + strings.Join(result.Course, "\n    "))
+				fmt.Println("  broken:", result.Violation)
+				fmt.Println("    " + strings.Join(result.Trace, "\n    "))
 			}
 		}()
 	}
@@ -59,13 +59,13 @@
 	return 0
 }
 
-func describe(shape modelcheck.Shape) string {
+func describe(shape modelcheck.Config) string {
 	kinds, places := "any", "any"
-	if len(shape.Only) > 0 {
-		kinds = strings.Join(shape.Only, ", ")
+	if len(shape.AllowedFaults) > 0 {
+		kinds = strings.Join(shape.AllowedFaults, ", ")
 	}
-	if len(shape.At) > 0 {
-		places = strings.Join(shape.At, ", ")
+	if len(shape.FaultHosts) > 0 {
+		places = strings.Join(shape.FaultHosts, ", ")
 	}
-	return fmt.Sprintf("%d machines, %d faults (%s; at %s), %d disks lost, %d rounds of %v", shape.Machines, shape.Faults, kinds, places, shape.Wipes, shape.Rounds, max(shape.Round, 100*time.Millisecond))
+	return fmt.Sprintf("%d machines, %d faults (%s; at %s), %d disks lost, %d rounds of %v", shape.Machines, shape.MaxFaults, kinds, places, shape.MaxWipes, shape.Rounds, max(shape.RoundDuration, 100*time.Millisecond))
 }
--- a/test/cmd/simulate/digests.go
+++ b/test/cmd/simulate/digests.go
@@ -10,8 +10,8 @@
 
 // digests prints the digest of the history of each seed, in the order of the
 // seeds. Two builds that decide alike print the same.
-func digests(from, count uint64, manner, shapeName string, jobs int) int {
-	digest, err := simulation.DigestOf(manner, shapeName)
+func digests(from, count uint64, mode, shapeName string, jobs int) int {
+	digest, err := simulation.DigestOf(mode, shapeName)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 2
@@ -34,7 +34,7 @@
 	close(places)
 	group.Wait()
 	for place, one := range found {
-		fmt.Println(manner, shapeName, from+uint64(place), one)
+		fmt.Println(mode, shapeName, from+uint64(place), one)
 	}
 	return 0
 }
--- a/test/cmd/simulate/lines.go
+++ b/test/cmd/simulate/lines.go
@@ -9,16 +9,16 @@
 )
 
 // lines plays fleets of synced instances.
-func lines(from, count, replay uint64, jobs int, shapeName string, isMet bool) int {
-	size, isKnown := map[string]simulation.LineShape{"magnolia": simulation.SmallLines(), "chile": simulation.LargeLines()}[shapeName]
-	if !isKnown {
+func runLineSeeds(from, count, replay uint64, jobs int, shapeName string, printPhases bool) int {
+	size, known := map[string]simulation.LineConfig{"magnolia": simulation.SmallLineConfig(), "chile": simulation.LargeLineConfig()}[shapeName]
+	if !known {
 		fmt.Fprintln(os.Stderr, "no such shape")
 		return 2
 	}
 	if replay != 0 {
-		result := simulation.RunLines(replay, size, simulation.LinePlant{}, func(format string, parts ...any) { fmt.Printf(format+"\n", parts...) })
-		showLines(result)
-		return verdict(len(result.Faults))
+		result := simulation.RunLines(replay, size, simulation.LineDefects{}, func(format string, parts ...any) { fmt.Printf(format+"\n", parts...) })
+		printLineResult(result)
+		return exitCode(len(result.Violations))
 	}
 	seeds := make(chan uint64)
 	results := make(chan simulation.LineResult)
@@ -28,7 +28,7 @@
 		go func() {
 			defer group.Done()
 			for seed := range seeds {
-				results <- simulation.RunLines(seed, size, simulation.LinePlant{}, nil)
+				results <- simulation.RunLines(seed, size, simulation.LineDefects{}, nil)
 			}
 		}()
 	}
@@ -43,28 +43,28 @@
 	broken, served, writes, terms := 0, 0, 0, uint64(0)
 	met, codes := map[string]int{}, map[string]int{}
 	for result := range results {
-		for pair, times := range result.Met {
+		for pair, times := range result.FaultPhases {
 			met[pair] += times
 		}
-		for code, times := range result.Codes {
+		for code, times := range result.FailureCodes {
 			codes[code] += times
 		}
 		served, writes, terms = served+result.Served, writes+result.Writes, terms+result.Terms-1
-		if len(result.Faults) > 0 {
+		if len(result.Violations) > 0 {
 			broken++
-			showLines(result)
+			printLineResult(result)
 		}
 	}
-	if isMet {
-		showMetOf(simulation.LineTroubleNames(), met)
+	if printPhases {
+		printFaultPhasesOf(simulation.LineFaultNames(), met)
 	}
 	fmt.Printf("%d seeds of lines, %s, %d broken; %d operations served, %d writes kept, %d promotions; failures met by clients %v\n", count, shapeName, broken, served, writes, terms, codes)
-	return verdict(broken)
+	return exitCode(broken)
 }
 
-func showLines(result simulation.LineResult) {
-	fmt.Printf("seed %d: served %d, writes kept %d, terms %d, history %.16s\n", result.Seed, result.Served, result.Writes, result.Terms, result.Trace)
-	for rule, faults := range result.Faults {
+func printLineResult(result simulation.LineResult) {
+	fmt.Printf("seed %d: served %d, writes kept %d, terms %d, history %.16s\n", result.Seed, result.Served, result.Writes, result.Terms, result.HistoryDigest)
+	for rule, faults := range result.Violations {
 		fmt.Printf("  %s: %d\n", rule, len(faults))
 		for _, fault := range faults[:min(3, len(faults))] {
 			fmt.Println("     ", fault)
--- a/test/compatibility/messages_test.go
+++ b/test/compatibility/messages_test.go
@@ -36,11 +36,11 @@
 	message.Register()
 	Convey("Each message, encoded by 6cad5d2 with no field zero, is read with every field", t, func() {
 		names := message.Names()
-		for at, body := range message.Bodies() {
+		for at, body := range message.All() {
 			path := fileOf(names[at])
 			if _, err := os.Stat(path); err != nil && *isWriting {
 				var buffer bytes.Buffer
-				frame := frameOf(filled(body))
+				frame := frameOf(message.Encode(filled(body)))
 				So(gob.NewEncoder(&buffer).Encode(&frame), ShouldBeNil)
 				So(os.MkdirAll(messageFolder, 0o755), ShouldBeNil)
 				So(os.WriteFile(path, buffer.Bytes(), 0o644), ShouldBeNil)
@@ -49,12 +49,13 @@
 			So(err, ShouldBeNil)
 			var frame rpc.Envelope
 			So(gob.NewDecoder(bytes.NewReader(data)).Decode(&frame), ShouldBeNil)
+			frame.Body = message.Decode(frame.Body)
 			SoMsg(path, frame, ShouldResemble, frameOf(filled(body)))
 		}
 	})
 	Convey("No message of an earlier build has gone", t, func() {
 		files, err := filepath.Glob(messageFolder + "/*.gob")
 		So(err, ShouldBeNil)
-		So(len(files), ShouldEqual, len(message.Bodies()))
+		So(len(files), ShouldEqual, len(message.All()))
 	})
 }
--- a/test/compatibility/stored_test.go
+++ b/test/compatibility/stored_test.go
@@ -20,19 +20,28 @@
 // storedRecord is a kind of record that disks hold: how it is written, and read
 // back.
 type storedRecord struct {
-	name   string
-	sample any
-	encode func(any) []byte
-	decode func([]byte) (any, error)
+	name    string
+	sample  any
+	encoded any
+	encode  func(any) []byte
+	decode  func([]byte) (any, error)
 }
 
-func recordOf[T any](name string) storedRecord {
+func recordOf[Encoded any, Value interface{ Encoded() Encoded }](name string, from func(Encoded) Value) storedRecord {
 	return storedRecord{
-		name: name, sample: *new(T),
-		encode: func(value any) []byte { return store.Encode(value) },
+		name: name, sample: *new(Value), encoded: *new(Encoded),
+		encode: func(value any) []byte { return store.Encode(value.(Value)) },
+		decode: func(data []byte) (any, error) { return store.Decode(data, from) },
+	}
+}
+
+func plainRecordOf[Value any](name string) storedRecord {
+	return storedRecord{
+		name: name, sample: *new(Value), encoded: *new(Value),
+		encode: func(value any) []byte { return store.EncodePlain(value) },
 		decode: func(data []byte) (any, error) {
-			var value T
-			err := store.Decode(data, &value)
+			var value Value
+			err := store.DecodePlain(data, &value)
 			return value, err
 		},
 	}
@@ -40,14 +49,14 @@
 
 func storedRecords() []storedRecord {
 	return []storedRecord{
-		recordOf[consensus.Identity]("identity"),
-		recordOf[consensus.Ballots]("ballots"),
-		recordOf[store.Table]("table"),
-		recordOf[model.Set]("set"),
-		recordOf[model.Writer]("writer"),
-		recordOf[model.Booking]("booking"),
-		recordOf[model.Entry]("entry"),
-		recordOf[distribution.Outcome]("outcome"),
+		recordOf("identity", consensus.IdentityFrom),
+		recordOf("ballots", consensus.VoterStateFrom),
+		recordOf("table", store.TableFrom),
+		recordOf("set", model.BindingSetFrom),
+		recordOf("writer", model.WriterRoleFrom),
+		recordOf("booking", model.ScheduledChangeFrom),
+		recordOf("entry", model.AuditEntryFrom),
+		plainRecordOf[distribution.CallResult]("outcome"),
 	}
 }
 
@@ -72,19 +81,19 @@
 	Convey("A data folder of 6cad5d2 is read whole", t, func() {
 		const folder = "testdata/folder"
 		if _, err := os.Stat(folder); err != nil && *isWriting {
-			disk, err := versionfile.OpenFolder(folder)
+			disk, err := versionfile.OpenDirectory(folder)
 			So(err, ShouldBeNil)
 			files := versionfile.NewStore(disk, 2)
-			So(files.Put(consensus.FileIdentity, 2, store.Encode(filled(consensus.Identity{}))), ShouldBeNil)
-			So(files.Put(consensus.FileBallots, 5, store.Encode(filled(consensus.Ballots{}))), ShouldBeNil)
-			So(files.Put(consensus.FileTable, 9, store.Encode(filled(store.Table{}))), ShouldBeNil)
+			So(files.Put(consensus.FileIdentity, 2, store.Encode(filled(consensus.Identity{}).(consensus.Identity))), ShouldBeNil)
+			So(files.Put(consensus.FileVoterState, 5, store.Encode(filled(consensus.VoterState{}).(consensus.VoterState))), ShouldBeNil)
+			So(files.Put(consensus.FileTable, 9, store.Encode(filled(store.Table{}).(store.Table))), ShouldBeNil)
 		}
-		disk := versionfile.Folder(folder)
+		disk := versionfile.Directory(folder)
 		saved, err := consensus.Load(versionfile.NewStore(disk, 2), func(kind string, passed int) { So(passed, ShouldEqual, 0) })
 		So(err, ShouldBeNil)
 		So(*saved.Identity, ShouldResemble, filled(consensus.Identity{}))
-		So(*saved.Ballots, ShouldResemble, filled(consensus.Ballots{}))
+		So(*saved.VoterState, ShouldResemble, filled(consensus.VoterState{}))
 		So(*saved.Table, ShouldResemble, filled(store.Table{}))
-		So(saved.Copies, ShouldEqual, uint64(9))
+		So(saved.TableSequence, ShouldEqual, uint64(9))
 	})
 }
--- a/test/e2e/brief_test.go
+++ b/test/e2e/brief_test.go
@@ -35,13 +35,13 @@
 	for _, scenario := range Scenarios() {
 		names["run"][scenario.Name] = true
 	}
-	for _, trouble := range simulation.TroubleNames() {
+	for _, trouble := range simulation.FaultNames() {
 		names["trouble"][trouble] = true
 	}
 	for _, rule := range history.Rules() {
 		names["rule"][rule.Name] = true
 	}
-	plant := reflect.TypeFor[simulation.Plant]()
+	plant := reflect.TypeFor[simulation.Defects]()
 	for at := range plant.NumField() {
 		names["plant"][plant.Field(at).Name] = true
 	}
--- a/test/e2e/outside.go
+++ b/test/e2e/outside.go
@@ -31,7 +31,7 @@
 }
 
 func actCalls(r *Run) {
-	book, err := schema.Open()
+	book, err := schema.NewValidator()
 	if err != nil {
 		r.Miss("%v", err)
 		return
@@ -44,7 +44,7 @@
 			r.Miss("%s: %d, wanted %d: %s", path, code, want, answer)
 		}
 		isRefusal := code >= 400 && !bytes.Contains(answer, []byte(`"outcome":"`)) && path != "/v1/ready"
-		if faults := book.Answer(path, answer, isRefusal); len(faults) > 0 {
+		if faults := book.ValidateAnswer(path, answer, isRefusal); len(faults) > 0 {
 			r.Miss("%s: answer is not of its shape: %v: %s", path, faults, answer)
 		}
 		found := map[string]any{}
@@ -57,7 +57,7 @@
 	}
 	for _, disk := range r.Disks {
 		for _, path := range []string{"/v1/bindings/list", "/v1/changes/list", "/v1/fleet", "/v1/vitals", "/v1/counters", "/v1/ready"} {
-			if code, answer := r.raw(disk.Door, path, nil); code != http.StatusOK || len(book.Answer(path, answer, false)) > 0 {
+			if code, answer := r.raw(disk.Door, path, nil); code != http.StatusOK || len(book.ValidateAnswer(path, answer, false)) > 0 {
 				r.Miss("%s of %s: %d %s", path, disk.Name, code, answer)
 			}
 		}
--- a/test/e2e/scenario.go
+++ b/test/e2e/scenario.go
@@ -61,7 +61,7 @@
 			Sequence uint64 `json:"sequence"`
 		}
 		if err == nil && code == http.StatusOK && json.Unmarshal(raw, &answer) == nil {
-			r.Proof.Puts = append(r.Proof.Puts, history.Put{Sequence: answer.Sequence, Told: time.Now().UnixNano()})
+			r.Proof.AcceptedSets = append(r.Proof.AcceptedSets, history.AcceptedSet{Sequence: answer.Sequence, AcknowledgedAt: time.Now().UnixNano()})
 			return answer.Sequence
 		}
 		r.Note("put answered %d %s", code, raw)
@@ -73,7 +73,7 @@
 
 // Closed notes the end of a fault.
 func (r *Run) Closed(name string, from, until time.Time) {
-	r.Proof.Closings = append(r.Proof.Closings, history.Closing{
+	r.Proof.ClosedFaults = append(r.Proof.ClosedFaults, history.ClosedFault{
 		Name: name, BeforeFrom: from.UnixNano(), BeforeUntil: until.UnixNano(), At: time.Now().UnixNano(),
 	})
 }
@@ -184,7 +184,7 @@
 				front.Kill()
 			}
 			r.Note("stopped after %d ms", time.Since(from).Milliseconds())
-			r.Proof.Restarts = append(r.Proof.Restarts, history.Restart{Door: front.Door, From: from.Add(-2 * time.Second).UnixNano(), Until: time.Now().UnixNano()})
+			r.Proof.Restarts = append(r.Proof.Restarts, history.Restart{Address: front.Door, From: from.Add(-2 * time.Second).UnixNano(), Until: time.Now().UnixNano()})
 			_ = r.Fault(r.Primary(r.database()).Name, standin.Fault{Slow: ptr(1.0)})
 			_ = front.Start(r.Folder)
 			if term := r.Writers(r.Fronts[1].Door)[r.database()].Term; term != 1 {
@@ -306,7 +306,7 @@
 				from := time.Now()
 				front.Kill()
 				r.Hold(50 * time.Millisecond)
-				r.Proof.Restarts = append(r.Proof.Restarts, history.Restart{Door: front.Door, From: from.Add(-50 * time.Millisecond).UnixNano(), Until: time.Now().UnixNano()})
+				r.Proof.Restarts = append(r.Proof.Restarts, history.Restart{Address: front.Door, From: from.Add(-50 * time.Millisecond).UnixNano(), Until: time.Now().UnixNano()})
 				_ = front.Start(r.Folder)
 				Until(8*time.Second, func() bool { return r.Platform.Ready() >= len(r.Fronts) })
 				r.Hold(400 * time.Millisecond)
@@ -388,7 +388,7 @@
 	if first+second != http.StatusOK+http.StatusConflict {
 		r.Miss("one of two racing puts must be taken and one told of the conflict: %d, %d", first, second)
 	}
-	r.Proof.Puts = append(r.Proof.Puts, history.Put{Sequence: 3, Told: time.Now().UnixNano()})
+	r.Proof.AcceptedSets = append(r.Proof.AcceptedSets, history.AcceptedSet{Sequence: 3, AcknowledgedAt: time.Now().UnixNano()})
 	code, raw, _ := r.PutBindings("first", 0, bindings)
 	if code != http.StatusOK || !strings.Contains(string(raw), `"sequence":1`) {
 		r.Miss("a repeated call must get its first answer: %d %s", code, raw)
@@ -406,7 +406,7 @@
 		if err != nil || code != http.StatusOK {
 			r.Miss("booking %d: %d %s %v", at, code, raw, err)
 		}
-		r.Proof.Puts = append(r.Proof.Puts, history.Put{Sequence: uint64(4 + at), Told: time.Now().UnixNano(), Due: due.UnixMilli() * 1e6})
+		r.Proof.AcceptedSets = append(r.Proof.AcceptedSets, history.AcceptedSet{Sequence: uint64(4 + at), AcknowledgedAt: time.Now().UnixNano(), EffectiveAt: due.UnixMilli() * 1e6})
 	}
 	isLanded := Until(8*time.Second, func() bool {
 		_, raw, err := r.Post(r.Fronts[0].Door, "/v1/bindings/list", map[string]any{})
@@ -429,7 +429,7 @@
 		if front.Code() != 0 {
 			r.Miss("%s ended with code %d", front.Name, front.Code())
 		}
-		r.Proof.Restarts = append(r.Proof.Restarts, history.Restart{Door: front.Door, From: from.UnixNano(), Until: time.Now().UnixNano()})
+		r.Proof.Restarts = append(r.Proof.Restarts, history.Restart{Address: front.Door, From: from.UnixNano(), Until: time.Now().UnixNano()})
 		r.Hold(500 * time.Millisecond)
 		if err := front.Start(r.Folder); err != nil {
 			r.Miss("%v", err)
@@ -615,10 +615,10 @@
 	loaded := history.Load(folder, instances, f.History.Events())
 	for _, back := range f.Backs {
 		past := history.Load(folder, map[string]string{back.Name + ".gone": "gone"}, nil)
-		loaded.Ran = append(loaded.Ran, past.Ran...)
+		loaded.Executions = append(loaded.Executions, past.Executions...)
 	}
-	loaded.Puts, loaded.Restarts, loaded.Closings = evidence.Puts, evidence.Restarts, evidence.Closings
-	result.Faults = history.All(loaded)
+	loaded.AcceptedSets, loaded.Restarts, loaded.ClosedFaults = evidence.AcceptedSets, evidence.Restarts, evidence.ClosedFaults
+	result.Faults = history.Violations(loaded)
 	if scenario.Planted != "" {
 		_, isSeen := result.Faults[scenario.Planted]
 		result.Faults = map[string][]string{}
--- a/test/history/check.go
+++ b/test/history/history.go
@@ -16,11 +16,11 @@
 )
 
 // Put is a set that the fleet said it took, and when.
-type Put struct {
-	Sequence uint64
-	Told     int64
+type AcceptedSet struct {
+	Sequence       uint64
+	AcknowledgedAt int64
 	// Due is when a booked set was to take effect; 0 for one put at once.
-	Due int64
+	EffectiveAt int64
 }
 
 // Evidence is all that a run left behind.
@@ -29,46 +29,46 @@
 	// Logs holds, by database and instance, the log as it stands at the end.
 	Logs map[string]map[string][]standin.Entry
 	// Writer names, by database, the primary at the end.
-	Writer map[string]string
-	Ran    []standin.Ran
-	Puts   []Put
+	Writers      map[string]string
+	Executions   []standin.Ran
+	AcceptedSets []AcceptedSet
 	// Restarts are planned: door, from and until.
 	Restarts []Restart
 	// Faults that closed, with the level of service before.
-	Closings []Closing
+	ClosedFaults []ClosedFault
 	// Sent are the sets that operators sent, Told what they were told, Seen
 	// what nodes served under; End is when the run was over.
-	Sent []Sent
-	Told []Told
-	Seen []Seen
-	End  int64
+	SubmittedSets []SubmittedSet
+	SetAnswers    []SetAnswer
+	ServedSets    []ServedSet
+	End           int64
 	// Calm are spans in which no fault was there.
-	Calm []Span
+	QuietSpans []Span
 }
 
 // Span is a part of a run.
 type Span struct{ From, Until int64 }
 
 // Sent is a set that an operator sent. A repeat has the same id.
-type Sent struct {
-	ID       string
-	Content  string
-	IsBooked bool
-	Due      int64
-	At       int64
+type SubmittedSet struct {
+	ID          string
+	Content     string
+	Scheduled   bool
+	EffectiveAt int64
+	At          int64
 }
 
 // Told is what an operator was told: taken as a sequence (a booked one has
 // none yet), or refused.
-type Told struct {
-	ID        string
-	At        int64
-	Sequence  uint64
-	IsRefused bool
+type SetAnswer struct {
+	ID       string
+	At       int64
+	Sequence uint64
+	Refused  bool
 }
 
 // Seen is a set that a node served under.
-type Seen struct {
+type ServedSet struct {
 	Node     string
 	Sequence uint64
 	Content  string
@@ -77,12 +77,12 @@
 
 // Restart is a planned restart of a front.
 type Restart struct {
-	Door        string
+	Address     string
 	From, Until int64
 }
 
 // Closing is the end of a fault.
-type Closing struct {
+type ClosedFault struct {
 	Name string
 	// Before is the span in which service was measured before the fault.
 	BeforeFrom, BeforeUntil int64
@@ -90,7 +90,7 @@
 	At int64
 }
 
-func lines[T any](path string) []T {
+func readJSONLines[T any](path string) []T {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil
@@ -110,26 +110,26 @@
 
 // Load reads what the instances of a run left in their folders.
 func Load(folder string, instances map[string]string, events []standin.Event) Evidence {
-	evidence := Evidence{Events: events, Logs: map[string]map[string][]standin.Entry{}, Writer: map[string]string{}}
+	evidence := Evidence{Events: events, Logs: map[string]map[string][]standin.Entry{}, Writers: map[string]string{}}
 	for instance, database := range instances {
 		if evidence.Logs[database] == nil {
 			evidence.Logs[database] = map[string][]standin.Entry{}
 		}
-		evidence.Logs[database][instance] = lines[standin.Entry](filepath.Join(folder, instance, "log.jsonl"))
-		evidence.Ran = append(evidence.Ran, lines[standin.Ran](filepath.Join(folder, instance, "ran.jsonl"))...)
+		evidence.Logs[database][instance] = readJSONLines[standin.Entry](filepath.Join(folder, instance, "log.jsonl"))
+		evidence.Executions = append(evidence.Executions, readJSONLines[standin.Ran](filepath.Join(folder, instance, "ran.jsonl"))...)
 	}
 	for database, logs := range evidence.Logs {
 		for instance, entries := range logs {
-			best := logs[evidence.Writer[database]]
-			if evidence.Writer[database] == "" || isPast(last(entries), last(best)) {
-				evidence.Writer[database] = instance
+			best := logs[evidence.Writers[database]]
+			if evidence.Writers[database] == "" || isAfter(lastPosition(entries), lastPosition(best)) {
+				evidence.Writers[database] = instance
 			}
 		}
 	}
 	return evidence
 }
 
-func last(entries []standin.Entry) standin.Position {
+func lastPosition(entries []standin.Entry) standin.Position {
 	if len(entries) == 0 {
 		return standin.Position{}
 	}
@@ -137,7 +137,7 @@
 	return standin.Position{Term: end.Term, Index: end.Index}
 }
 
-func isPast(a, b standin.Position) bool {
+func isAfter(a, b standin.Position) bool {
 	return a.Term > b.Term || (a.Term == b.Term && a.Index > b.Index)
 }
 
@@ -150,24 +150,24 @@
 // Rules lists all of them.
 func Rules() []Rule {
 	return []Rule{
-		{"effect once per go", Once},
-		{"told not kept, yet kept", ToldNot},
-		{"confirmed commit lost", Lost},
-		{"read misses a confirmed commit", Fresh},
-		{"statement in another's transaction or settings", Isolation},
-		{"statement that no caller sent, or with its text changed", Texts},
-		{"old primary confirms after a promotion", OldPrimary},
-		{"binding change ignored or undone", Sequences},
-		{"broken set taken, or a taken one lost", Sets},
-		{"work reaches a leaving instance", Leaving},
-		{"planned restart cuts a request off", Cuts},
-		{"service stays down after a closing fault", Recovery},
-		{"a calm fleet refuses, or does not know", Calm},
+		{"effect once per go", DuplicateEffects},
+		{"told not kept, yet kept", RefusedButKept},
+		{"confirmed commit lost", LostCommits},
+		{"read misses a confirmed commit", StaleReads},
+		{"statement in another's transaction or settings", MixedSessions},
+		{"statement that no caller sent, or with its text changed", UnsentStatements},
+		{"old primary confirms after a promotion", OldPrimaryCommits},
+		{"binding change ignored or undone", IgnoredChanges},
+		{"broken set taken, or a taken one lost", InconsistentSets},
+		{"work reaches a leaving instance", WorkAfterLeaving},
+		{"planned restart cuts a request off", CutRequests},
+		{"service stays down after a closing fault", FailedRecoveries},
+		{"a calm fleet refuses, or does not know", QuietRefusals},
 	}
 }
 
 // All gives every violation, by rule.
-func All(evidence Evidence) map[string][]string {
+func Violations(evidence Evidence) map[string][]string {
 	found := map[string][]string{}
 	for _, rule := range Rules() {
 		if faults := rule.Check(evidence); len(faults) > 0 {
@@ -177,13 +177,13 @@
 	return found
 }
 
-func (e Evidence) final(database string) []standin.Entry {
-	return e.Logs[database][e.Writer[database]]
+func (e Evidence) finalLog(database string) []standin.Entry {
+	return e.Logs[database][e.Writers[database]]
 }
 
-func (e Evidence) effects(database string) map[string][]standin.Position {
+func (e Evidence) effectPositions(database string) map[string][]standin.Position {
 	places := map[string][]standin.Position{}
-	for _, entry := range e.final(database) {
+	for _, entry := range e.finalLog(database) {
 		for _, id := range entry.Gos {
 			places[id] = append(places[id], standin.Position{Term: entry.Term, Index: entry.Index})
 		}
@@ -192,10 +192,10 @@
 }
 
 // Once finds goes that took effect more than once.
-func Once(e Evidence) []string {
+func DuplicateEffects(e Evidence) []string {
 	var faults []string
 	for database := range e.Logs {
-		for id, places := range e.effects(database) {
+		for id, places := range e.effectPositions(database) {
 			if id != "" && len(places) > 1 {
 				faults = append(faults, fmt.Sprintf("%s: %s at %v", database, id, places))
 			}
@@ -204,18 +204,18 @@
 	return faults
 }
 
-func isLasting(event standin.Event) bool { return event.Kind == "write" || event.Kind == "commit" }
+func isCommitKind(event standin.Event) bool { return event.Kind == "write" || event.Kind == "commit" }
 
 // ToldNot finds goes whose caller was told last that nothing was kept, or
 // whose transaction was never committed, that took effect all the same.
-func ToldNot(e Evidence) []string {
+func RefusedButKept(e Evidence) []string {
 	var faults []string
 	for database := range e.Logs {
-		effects := e.effects(database)
+		effects := e.effectPositions(database)
 		for _, event := range e.Events {
-			isOurs := event.Database == database
-			isTold := (isLasting(event) && event.Outcome == "not_kept") || event.Kind == "rollback"
-			if !isOurs || !isTold {
+			sameDatabase := event.Database == database
+			refused := (isCommitKind(event) && event.Outcome == "not_kept") || event.Kind == "rollback"
+			if !sameDatabase || !refused {
 				continue
 			}
 			for _, id := range append([]string{event.Go}, event.Gos...) {
@@ -230,12 +230,12 @@
 
 // Lost finds goes told kept that the final log does not hold, or not where
 // it was said.
-func Lost(e Evidence) []string {
+func LostCommits(e Evidence) []string {
 	var faults []string
 	for database := range e.Logs {
-		effects := e.effects(database)
+		effects := e.effectPositions(database)
 		for _, event := range e.Events {
-			if event.Database != database || !isLasting(event) || event.Outcome != "kept" {
+			if event.Database != database || !isCommitKind(event) || event.Outcome != "kept" {
 				continue
 			}
 			for _, id := range append([]string{event.Go}, event.Gos...) {
@@ -250,12 +250,12 @@
 
 // Fresh finds reads that miss a commit confirmed before they began, past
 // what their binding allows, or a commit of the same caller.
-func Fresh(e Evidence) []string {
+func StaleReads(e Evidence) []string {
 	var faults []string
 	for database := range e.Logs {
 		var kept []standin.Event
 		for _, event := range e.Events {
-			if event.Database == database && isLasting(event) && event.Outcome == "kept" {
+			if event.Database == database && isCommitKind(event) && event.Outcome == "kept" {
 				kept = append(kept, event)
 			}
 		}
@@ -263,7 +263,7 @@
 		highs := make([]standin.Position, len(kept))
 		var high standin.Position
 		for at, event := range kept {
-			if isPast(event.Position, high) {
+			if isAfter(event.Position, high) {
 				high = event.Position
 			}
 			highs[at] = high
@@ -278,11 +278,11 @@
 			}
 			bound := event.Sent - int64(event.FreshMS)*int64(time.Millisecond)
 			at, _ := slices.BinarySearchFunc(kept, bound, func(one standin.Event, bound int64) int { return int(one.Got - bound) })
-			if at > 0 && isPast(highs[at-1], event.Upto) {
+			if at > 0 && isAfter(highs[at-1], event.Upto) {
 				faults = append(faults, fmt.Sprintf("%s: read by %s at %d (bound %d ms) saw %v, but %v was confirmed before", database, event.Caller, event.Sent, event.FreshMS, event.Upto, highs[at-1]))
 			}
 			for _, mine := range own[event.Caller] {
-				if mine.Got < event.Sent && isPast(mine.Position, event.Upto) {
+				if mine.Got < event.Sent && isAfter(mine.Position, event.Upto) {
 					faults = append(faults, fmt.Sprintf("%s: %s does not see its own write %s at %v, saw %v", database, event.Caller, mine.Go, mine.Position, event.Upto))
 				}
 			}
@@ -292,8 +292,8 @@
 }
 
 func ownerOf(text string) string {
-	_, rest, isOne := strings.Cut(text, " by ")
-	if !isOne {
+	_, rest, ok := strings.Cut(text, " by ")
+	if !ok {
 		return ""
 	}
 	name, _, _ := strings.Cut(rest, " ")
@@ -302,13 +302,13 @@
 
 // Isolation finds transactions that hold statements of more than one caller,
 // and statements that ran under settings of another's session.
-func Isolation(e Evidence) []string {
+func MixedSessions(e Evidence) []string {
 	var faults []string
 	owners := map[string]string{}
-	for _, ran := range e.Ran {
+	for _, ran := range e.Executions {
 		owner := ownerOf(ran.Text)
 		if ran.Turn != "" && ran.Act != "commit" {
-			if held, isHeld := owners[ran.Turn]; isHeld && held != owner {
+			if held, found := owners[ran.Turn]; found && held != owner {
 				faults = append(faults, fmt.Sprintf("transaction %s holds statements of %s and %s", ran.Turn, held, owner))
 			}
 			owners[ran.Turn] = owner
@@ -320,17 +320,17 @@
 			settingOf[event.Session] = event.Caller
 		}
 	}
-	for _, ran := range e.Ran {
+	for _, ran := range e.Executions {
 		if value, isSet := ran.Settings["app"]; isSet && ran.Act != "commit" && settingOf[value] != ownerOf(ran.Text) {
 			faults = append(faults, fmt.Sprintf("a statement of %s ran under the settings of %s", ownerOf(ran.Text), settingOf[value]))
 		}
 	}
 	for _, event := range e.Events {
-		isAnswered := (event.Kind == "read" && event.Outcome == "read") || (event.Kind == "inside" && event.Outcome == "done")
-		if isAnswered && event.RanText != "" && event.RanText != event.Text {
+		answered := (event.Kind == "read" && event.Outcome == "read") || (event.Kind == "inside" && event.Outcome == "done")
+		if answered && event.RanText != "" && event.RanText != event.Text {
 			faults = append(faults, fmt.Sprintf("%s asked for %q, and %q was run", event.Caller, event.Text, event.RanText))
 		}
-		if isAnswered && event.Settings["app"] != event.WantSet {
+		if answered && event.Settings["app"] != event.WantSet {
 			faults = append(faults, fmt.Sprintf("%s read under settings %q, its own are %q", event.Caller, event.Settings["app"], event.WantSet))
 		}
 	}
@@ -339,7 +339,7 @@
 
 // Texts finds statements that ran more often than callers sent them, or that
 // nobody sent.
-func Texts(e Evidence) []string {
+func UnsentStatements(e Evidence) []string {
 	var faults []string
 	sent := map[string]int{}
 	for _, event := range e.Events {
@@ -348,7 +348,7 @@
 		}
 	}
 	ran := map[string]int{}
-	for _, one := range e.Ran {
+	for _, one := range e.Executions {
 		if one.Act == "commit" || one.Act == "promote" {
 			continue
 		}
@@ -364,10 +364,10 @@
 
 // OldPrimary finds commits told kept in a term although they were sent, or
 // ran, after an instance had been promoted to a later term.
-func OldPrimary(e Evidence) []string {
+func OldPrimaryCommits(e Evidence) []string {
 	promoted := map[string]map[uint64]int64{}
 	ranAt := map[string]int64{}
-	for _, ran := range e.Ran {
+	for _, ran := range e.Executions {
 		if ran.Act == "promote" {
 			if promoted[ran.Database] == nil {
 				promoted[ran.Database] = map[uint64]int64{}
@@ -380,13 +380,13 @@
 	}
 	var faults []string
 	for _, event := range e.Events {
-		if !isLasting(event) || event.Outcome != "kept" {
+		if !isCommitKind(event) || event.Outcome != "kept" {
 			continue
 		}
 		for term, at := range promoted[event.Database] {
-			isLate := !event.IsAgain && event.Sent > at
-			isRunLate := ranAt[fmt.Sprint(event.Go, event.Position.Term)] > at
-			if term > event.Position.Term && (isLate || isRunLate) {
+			sentLate := !event.IsAgain && event.Sent > at
+			executedLate := ranAt[fmt.Sprint(event.Go, event.Position.Term)] > at
+			if term > event.Position.Term && (sentLate || executedLate) {
 				faults = append(faults, fmt.Sprintf("%s: %s kept in term %d after the promotion to term %d", event.Database, event.Go, event.Position.Term, term))
 			}
 		}
@@ -397,14 +397,14 @@
 // Sequences finds requests served under a set older than one that showed
 // effect a quarter second before, or than one taken 3 s before; sets that
 // took effect early; and sets that nobody was told of.
-func Sequences(e Evidence) []string {
+func IgnoredChanges(e Evidence) []string {
 	var faults []string
 	shown := map[uint64]int64{}
 	for _, event := range e.Events {
 		if event.Sequence == 0 || event.Outcome == "cut" {
 			continue
 		}
-		if at, isHeld := shown[event.Sequence]; !isHeld || event.Got < at {
+		if at, found := shown[event.Sequence]; !found || event.Got < at {
 			shown[event.Sequence] = event.Got
 		}
 	}
@@ -418,15 +418,15 @@
 			}
 		}
 	}
-	for _, put := range e.Puts {
-		since := max(put.Told, put.Due)
+	for _, put := range e.AcceptedSets {
+		since := max(put.AcknowledgedAt, put.EffectiveAt)
 		for _, event := range e.Events {
 			if event.Sequence != 0 && event.Sequence < put.Sequence && event.Sent > since+int64(3*time.Second) {
 				faults = append(faults, fmt.Sprintf("%s was served under sequence %d, %d ms after %d was due", event.Caller, event.Sequence, (event.Sent-since)/1e6, put.Sequence))
 			}
 		}
-		if at, isShown := shown[put.Sequence]; isShown && put.Due != 0 && at < put.Due {
-			faults = append(faults, fmt.Sprintf("sequence %d showed effect %d ms early", put.Sequence, (put.Due-at)/1e6))
+		if at, isShown := shown[put.Sequence]; isShown && put.EffectiveAt != 0 && at < put.EffectiveAt {
+			faults = append(faults, fmt.Sprintf("sequence %d showed effect %d ms early", put.Sequence, (put.EffectiveAt-at)/1e6))
 		}
 	}
 	return faults
@@ -436,58 +436,58 @@
 // that never came in force or were put elsewhere in the order, refused ones
 // that came in force, and booked ones that landed twice, out of order or
 // not at all.
-func Sets(e Evidence) []string {
+func InconsistentSets(e Evidence) []string {
 	var faults []string
 	miss := func(format string, parts ...any) { faults = append(faults, fmt.Sprintf(format, parts...)) }
 	byContent, contentOf, due := map[string]string{}, map[string]string{}, map[string]int64{}
-	for _, sent := range e.Sent {
+	for _, sent := range e.SubmittedSets {
 		byContent[sent.Content], contentOf[sent.ID] = sent.ID, sent.Content
-		if sent.IsBooked {
-			due[sent.ID] = sent.Due
+		if sent.Scheduled {
+			due[sent.ID] = sent.EffectiveAt
 		}
 	}
 	placeOf, heldAt := map[string]uint64{}, map[uint64]string{}
 	newest := uint64(0)
-	for _, seen := range e.Seen {
-		id, isSent := byContent[seen.Content]
-		if !isSent {
+	for _, seen := range e.ServedSets {
+		id, submitted := byContent[seen.Content]
+		if !submitted {
 			miss("%s served under %d, which nobody sent so: %s", seen.Node, seen.Sequence, seen.Content)
 			continue
 		}
-		if place, isHeld := placeOf[id]; isHeld && place != seen.Sequence {
+		if place, found := placeOf[id]; found && place != seen.Sequence {
 			miss("%s is in force as %d and as %d", id, place, seen.Sequence)
 		}
-		if other, isHeld := heldAt[seen.Sequence]; isHeld && other != id {
+		if other, found := heldAt[seen.Sequence]; found && other != id {
 			miss("%d is %s at one node and %s at another", seen.Sequence, other, id)
 		}
 		placeOf[id], heldAt[seen.Sequence] = seen.Sequence, id
 		newest = max(newest, seen.Sequence)
 	}
 	taken, refused := map[string]bool{}, map[string]bool{}
-	for _, told := range e.Told {
-		taken[told.ID] = taken[told.ID] || !told.IsRefused
-		refused[told.ID] = refused[told.ID] || told.IsRefused
-		place, isSeen := placeOf[told.ID]
-		_, isBooked := due[told.ID]
+	for _, told := range e.SetAnswers {
+		taken[told.ID] = taken[told.ID] || !told.Refused
+		refused[told.ID] = refused[told.ID] || told.Refused
+		place, observed := placeOf[told.ID]
+		_, scheduled := due[told.ID]
 		isDue := e.End > max(told.At, due[told.ID])+int64(4*time.Second)
-		if !told.IsRefused && isSeen && !isBooked && place != told.Sequence {
+		if !told.Refused && observed && !scheduled && place != told.Sequence {
 			miss("%s was taken as %d, in force as %d", told.ID, told.Sequence, place)
 		}
-		isLost := isDue && ((isBooked && !isSeen) || (!isBooked && newest < told.Sequence))
-		if !told.IsRefused && isLost {
+		lost := isDue && ((scheduled && !observed) || (!scheduled && newest < told.Sequence))
+		if !told.Refused && lost {
 			miss("%s was taken as %d, but is not in force (newest %d)", told.ID, told.Sequence, newest)
 		}
 	}
 	for id := range refused {
-		if place, isSeen := placeOf[id]; isSeen && !taken[id] {
+		if place, observed := placeOf[id]; observed && !taken[id] {
 			miss("%s was refused, yet is in force as %d", id, place)
 		}
 	}
 	for id, moment := range due {
 		for other, later := range due {
-			first, isFirst := placeOf[id]
-			second, isSecond := placeOf[other]
-			if isFirst && isSecond && moment < later && first > second && taken[id] && taken[other] && toldBefore(e, id, moment) {
+			first, firstKnown := placeOf[id]
+			second, secondKnown := placeOf[other]
+			if firstKnown && secondKnown && moment < later && first > second && taken[id] && taken[other] && acknowledgedBefore(e, id, moment) {
 				miss("%s, due first, landed as %d after %s as %d", id, first, other, second)
 			}
 		}
@@ -495,15 +495,15 @@
 	return faults
 }
 
-func toldBefore(e Evidence, id string, moment int64) bool {
-	return slices.ContainsFunc(e.Told, func(told Told) bool { return told.ID == id && told.At < moment })
+func acknowledgedBefore(e Evidence, id string, moment int64) bool {
+	return slices.ContainsFunc(e.SetAnswers, func(told SetAnswer) bool { return told.ID == id && told.At < moment })
 }
 
 // Leaving finds statements that ran at an instance 7 s and more after it
 // said that it was leaving.
-func Leaving(e Evidence) []string {
+func WorkAfterLeaving(e Evidence) []string {
 	var faults []string
-	for _, ran := range e.Ran {
+	for _, ran := range e.Executions {
 		if ran.Leaving != 0 && ran.At > ran.Leaving+int64(7*time.Second) {
 			faults = append(faults, fmt.Sprintf("%s ran %q %d ms after it said it was leaving", ran.Instance, ran.Text, (ran.At-ran.Leaving)/1e6))
 		}
@@ -513,14 +513,14 @@
 
 // ResetByRun is the error of a request whose caller's connection the run
 // itself reset.
-const ResetByRun = "reset by the run"
+const ErrorResetByRun = "reset by the run"
 
 // Cuts finds requests that a planned restart cut off although they had been
 // passed on: an instance ran them while the caller got no answer. A request
 // that met a door just closed was not passed on.
-func Cuts(e Evidence) []string {
+func CutRequests(e Evidence) []string {
 	ran := map[string][]int64{}
-	for _, one := range e.Ran {
+	for _, one := range e.Executions {
 		if one.Act == "promote" {
 			continue
 		}
@@ -529,13 +529,13 @@
 	var faults []string
 	for _, restart := range e.Restarts {
 		for _, event := range e.Events {
-			isThen := event.Got >= restart.From && event.Sent <= restart.Until
-			if event.Door != restart.Door || !isThen || event.Outcome != "cut" || event.Error == ResetByRun {
+			inSpan := event.Got >= restart.From && event.Sent <= restart.Until
+			if event.Door != restart.Address || !inSpan || event.Outcome != "cut" || event.Error == ErrorResetByRun {
 				continue
 			}
 			since := max(event.Sent, restart.From-int64(500*time.Millisecond))
-			isRun := slices.ContainsFunc(ran[event.Go+"\x00"+event.Text], func(at int64) bool { return at >= since && at <= event.Got })
-			if isRun {
+			executed := slices.ContainsFunc(ran[event.Go+"\x00"+event.Text], func(at int64) bool { return at >= since && at <= event.Got })
+			if executed {
 				faults = append(faults, fmt.Sprintf("%s of %s ran, but was cut off at %s: %s", event.Kind, event.Caller, event.Door, event.Error))
 			}
 		}
@@ -558,20 +558,20 @@
 	return float64(count) / (float64(until-from) / 1e9)
 }
 
-var classes = map[string]string{"read": "reads", "write": "writes", "commit": "transactions"}
+var workClasses = map[string]string{"read": "reads", "write": "writes", "commit": "transactions"}
 
-const recoveryWindow = int64(2500 * time.Millisecond)
+const recoveryWindowNanos = int64(2500 * time.Millisecond)
 
 // Recovery finds closing faults after which, for a database and a kind of
 // work, service in any window from 12 s on is below a quarter of its level
 // before.
-func Recovery(e Evidence) []string {
+func FailedRecoveries(e Evidence) []string {
 	served := map[string][]int64{}
 	end := int64(0)
 	for _, event := range e.Events {
-		class, isOne := classes[event.Kind]
+		class, ok := workClasses[event.Kind]
 		end = max(end, event.Got)
-		if isOne && isServed(event) {
+		if ok && isServed(event) {
 			key := event.Database + " " + class
 			served[key] = append(served[key], event.Got)
 		}
@@ -586,15 +586,15 @@
 		return total
 	}
 	var faults []string
-	for _, closing := range e.Closings {
+	for _, closing := range e.ClosedFaults {
 		for key, list := range served {
 			span := closing.BeforeUntil - closing.BeforeFrom
-			level := count(list, closing.BeforeFrom, closing.BeforeUntil) / float64(span) * float64(recoveryWindow)
+			level := count(list, closing.BeforeFrom, closing.BeforeUntil) / float64(span) * float64(recoveryWindowNanos)
 			if level < 12 {
 				continue
 			}
-			for from := closing.At + int64(12*time.Second); from == closing.At+int64(12*time.Second) || from+recoveryWindow <= end; from += recoveryWindow / 3 {
-				if after := count(list, from, from+recoveryWindow); after < level/4 {
+			for from := closing.At + int64(12*time.Second); from == closing.At+int64(12*time.Second) || from+recoveryWindowNanos <= end; from += recoveryWindowNanos / 3 {
+				if after := count(list, from, from+recoveryWindowNanos); after < level/4 {
 					faults = append(faults, fmt.Sprintf("%s: %s: %.0f in a window before, %.0f in the one that begins %d ms after", closing.Name, key, level, after, (from-closing.At)/1e6))
 					break
 				}
@@ -606,14 +606,14 @@
 
 // Calm finds requests refused, cut off or of unknown outcome although no
 // fault was there: safety by doing nothing is none.
-func Calm(e Evidence) []string {
+func QuietRefusals(e Evidence) []string {
 	var faults []string
-	for _, span := range e.Calm {
+	for _, span := range e.QuietSpans {
 		for _, event := range e.Events {
-			isThen := event.Sent >= span.From && event.Got < span.Until && event.Got > 0
-			isShort := event.DeadMS != 0 && event.DeadMS < 1000
-			isElsewhere := event.IsAgain || strings.HasPrefix(event.Error, "no such session here")
-			if !isThen || isShort || isElsewhere || event.Error == ResetByRun || event.Kind == "open" || isServed(event) || event.Outcome == "left" {
+			inSpan := event.Sent >= span.From && event.Got < span.Until && event.Got > 0
+			shortDeadline := event.DeadMS != 0 && event.DeadMS < 1000
+			sentElsewhere := event.IsAgain || strings.HasPrefix(event.Error, "no such session here")
+			if !inSpan || shortDeadline || sentElsewhere || event.Error == ErrorResetByRun || event.Kind == "open" || isServed(event) || event.Outcome == "left" {
 				continue
 			}
 			faults = append(faults, fmt.Sprintf("%s of %s: %s (%s) in a calm of the fleet", event.Kind, event.Caller, event.Outcome, event.Error))
--- a/test/modelcheck/search.go
+++ b/test/modelcheck/modelcheck.go
@@ -17,45 +17,45 @@
 )
 
 // Plant is a defect put on purpose around the machines.
-type Plant struct {
+type Defect struct {
 	// IsBlankVoting: a machine with a blank disk takes itself for founded.
-	IsBlankVoting bool
+	BlankDiskVotes bool
 	// IsUnsynced: what rests on votes does not wait for their file, which is
 	// synced with the next round.
-	IsUnsynced bool
+	VotesUnsynced bool
 	// IsHasty: the primary takes the backup's word for given.
-	IsHasty bool
+	AssumesBackupAck bool
 	// IsSameDisk: a machine that lost its disk and starts again takes itself for the
 	// voter that it was.
-	IsSameDisk bool
+	ReusesIncarnation bool
 	// IsOldVoter: a machine that starts again counts the voters that the fleet was
 	// founded with.
-	IsOldVoter bool
+	UsesBootstrapVoters bool
 }
 
 // Shape bounds a search.
-type Shape struct {
+type Config struct {
 	// Machines vote at first, Standbys have blank disks.
 	Machines, Standbys int
 	// Round is how long a round lasts, 100 ms where it is not given.
-	Round time.Duration
+	RoundDuration time.Duration
 	// Faults is how many things go other than by default, Wipes how many disks of
 	// all may be lost, Rounds how many rounds are played after the first fault may
 	// come, Writes how many writes are asked for.
-	Faults, Wipes, Rounds, Writes int
+	MaxFaults, MaxWipes, Rounds, Writes int
 	// Copies is how many disks, less those lost before, must hold what is
 	// acknowledged.
-	Copies int
+	RequiredReplicas int
 	// Only, where given, names the faults that may come.
-	Only []string
+	AllowedFaults []string
 	// At, where given, names the machines to which they come; messages may suffer
 	// anywhere.
-	At []string
+	FaultHosts []string
 	// IsSpaced lets faults come to machines only while the fleet is whole.
-	IsSpaced bool
-	Plant    Plant
+	FaultsWhenHealthyOnly bool
+	Defect                Defect
 	// Most, where given, ends the search after so many states.
-	Most int
+	MaxStates int
 }
 
 // Result is what a search met.
@@ -63,69 +63,69 @@
 	// States counts states that differ, Steps events played.
 	States, Steps int
 	// Epochs is the highest epoch reached, Acked the most writes acknowledged.
-	Epochs uint64
-	Acked  int
+	HighestEpoch uint64
+	AckedWrites  int
 	// IsCut says that the search ended at its count of states.
-	IsCut bool
+	Truncated bool
 	// Fault is the first rule broken, and Course how it came about.
-	Fault  string
-	Course []string
+	Violation string
+	Trace     []string
 }
 
 // course is how a world came about, each step after the one before.
-type course struct {
-	before *course
-	at     time.Duration
-	who    string
-	one    *message
-	what   string
+type traceStep struct {
+	previous *traceStep
+	at       time.Duration
+	host     string
+	message  *message
+	action   string
 }
 
-func (c *course) String() string {
-	text := fmt.Sprintf("%v %s", c.at-time.Hour, c.who)
-	if c.one != nil {
-		text += fmt.Sprintf("%T from %s to %s ", c.one.body, c.one.from, c.one.to)
+func (c *traceStep) String() string {
+	text := fmt.Sprintf("%v %s", c.at-time.Hour, c.host)
+	if c.message != nil {
+		text += fmt.Sprintf("%T from %s to %s ", c.message.body, c.message.from, c.message.to)
 	}
-	return text + c.what
+	return text + c.action
 }
 
 type world struct {
-	shape   *Shape
-	now     time.Duration
-	hosts   []*host
-	net     []message
-	late    []message
-	acked   []string
-	shown   []string
-	records map[uint64]consensus.Record
-	asked   string
-	writes  int
-	limit   int
-	faults  int
-	wipes   int
-	rounds  int
-	fault   string
-	course  *course
+	config    *Config
+	now       time.Duration
+	hosts     []*host
+	inFlight  []message
+	delayed   []message
+	acked     []string
+	published []string
+	records   map[uint64]consensus.Record
+	submitter string
+	writes    int
+	maxWrites int
+	faults    int
+	wipes     int
+	rounds    int
+	violation string
+	trace     *traceStep
 	// isVoid says that the course is no other than one played without it.
-	isVoid bool
+	redundant bool
 }
 
 func (w *world) clone() *world {
 	other := *w
 	other.hosts = slices.Clone(w.hosts)
-	other.net, other.late = slices.Clone(w.net), slices.Clone(w.late)
+	other.inFlight, other.delayed = slices.Clone(w.inFlight), slices.Clone(w.delayed)
 	return &other
 }
 
 // own gives a host that this world may change.
-func (w *world) own(at int) *host {
+func (w *world) mutableHost(at int) *host {
 	w.hosts[at] = w.hosts[at].clone()
 	return w.hosts[at]
 }
 
-func (w *world) miss(format string, parts ...any) {
-	if w.fault == "" {
-		w.fault = fmt.Sprintf(format, parts...)
+func (w *world) violate(format string, parts ...any) {
+	if w.violation == "" {
+		w.violation = fmt.Sprintf(format, parts...)
 	}
 }
 
@@ -141,49 +141,49 @@
 	return slices.IndexFunc(w.hosts, func(one *host) bool { return one.name == name })
 }
 
-func (w *world) post(one message) {
-	if at := w.find(one.to); at >= 0 && !w.hosts[at].isAlone && !w.hosts[w.find(one.from)].isAlone {
-		w.net = append(w.net, one)
+func (w *world) send(one message) {
+	if at := w.find(one.to); at >= 0 && !w.hosts[at].isolated && !w.hosts[w.find(one.from)].isolated {
+		w.inFlight = append(w.inFlight, one)
 	}
 }
 
 func (w *world) key() Key {
-	p := printer{now: w.now, data: make([]byte, 0, 2048)}
+	p := encoder{now: w.now, data: make([]byte, 0, 2048)}
 	for _, one := range w.hosts {
 		key := one.key(w.now)
 		p.data = append(p.data, key[:]...)
 	}
-	for _, list := range [][]message{w.net, w.late} {
+	for _, list := range [][]message{w.inFlight, w.delayed} {
 		p.number(uint64(len(list)))
 		for _, one := range list {
 			p.message(one)
 		}
 	}
 	p.value(w.acked)
-	p.value(w.shown)
+	p.value(w.published)
 	p.value(w.records)
-	p.text(w.asked)
+	p.text(w.submitter)
 	p.number(uint64(w.writes))
 	p.number(uint64(w.wipes))
 	return p.key()
 }
 
-func (w *world) founded(self string) consensus.Saved {
-	names := w.names()[:w.shape.Machines]
+func (w *world) bootstrapped(self string) consensus.PersistentState {
+	names := w.names()[:w.config.Machines]
 	var members []consensus.Member
 	for _, name := range names {
 		members = append(members, consensus.Member{Name: name})
 	}
 	record := consensus.Record{Epoch: 1, Primary: names[0], Backup: names[1], Voters: consensus.NewVoters(members...)}
-	return consensus.Saved{
-		Identity: &consensus.Identity{Cluster: "x", Self: self, Voters: names, IsFormed: true},
-		Ballots:  &consensus.Ballots{Sequence: 1, Decided: record},
-		Table:    store.New(),
+	return consensus.PersistentState{
+		Identity:   &consensus.Identity{Cluster: "x", Self: self, Voters: names, Formed: true},
+		VoterState: &consensus.VoterState{Sequence: 1, Decided: record},
+		Table:      store.New(),
 	}
 }
 
-func begin(shape *Shape) *world {
-	w := &world{shape: shape, now: time.Hour, limit: 1, records: map[uint64]consensus.Record{}}
+func newWorld(shape *Config) *world {
+	w := &world{config: shape, now: time.Hour, maxWrites: 1, records: map[uint64]consensus.Record{}}
 	for at := range shape.Machines + shape.Standbys {
 		w.hosts = append(w.hosts, &host{
 			name: fmt.Sprintf("c%d", at+1), promises: map[uint64]proposal.Number{}, accepts: map[uint64]proposal.Number{},
@@ -194,61 +194,61 @@
 			w.start(one)
 			continue
 		}
-		saved := w.founded(one.name)
-		w.records[1] = saved.Ballots.Decided
-		one.files = files{identity: store.Encode(*saved.Identity), ballots: saved.Ballots, table: store.Encode(*saved.Table)}
+		saved := w.bootstrapped(one.name)
+		w.records[1] = saved.VoterState.Decided
+		one.files = files{identity: store.Encode(*saved.Identity), voterState: saved.VoterState, table: store.Encode(*saved.Table)}
 		w.start(one)
 	}
 	for range 12 {
-		for len(w.net) > 0 {
+		for len(w.inFlight) > 0 {
 			w.deliver(0)
 		}
-		w.turn()
+		w.startRound()
 	}
-	for len(w.net) > 0 {
+	for len(w.inFlight) > 0 {
 		w.deliver(0)
 	}
-	w.course, w.limit = nil, 1+shape.Writes
+	w.trace, w.maxWrites = nil, 1+shape.Writes
 	return w
 }
 
 // deliver hands over one of the messages under way.
 func (w *world) deliver(at int) {
-	one := w.net[at]
-	w.net = slices.Delete(w.net, at, at+1)
-	h := w.own(w.find(one.to))
-	if !h.isUp || h.isAlone || w.hosts[w.find(one.from)].isAlone {
+	one := w.inFlight[at]
+	w.inFlight = slices.Delete(w.inFlight, at, at+1)
+	h := w.mutableHost(w.find(one.to))
+	if !h.running || h.isolated || w.hosts[w.find(one.from)].isolated {
 		return
 	}
-	if h.isFrozen {
+	if h.frozen {
 		h.inbox = append(h.inbox, one)
 		return
 	}
-	w.hear(h, one)
+	w.receive(h, one)
 }
 
-func (w *world) hear(h *host, one message) {
-	w.step(h, consensus.Heard{From: one.from, Body: one.body})
+func (w *world) receive(h *host, one message) {
+	w.step(h, consensus.Received{From: one.from, Body: one.body})
 }
 
 // turn plays the start of the next round.
-func (w *world) turn() {
-	w.now += w.shape.Round
+func (w *world) startRound() {
+	w.now += w.config.RoundDuration
 	w.rounds++
 	for at := range w.hosts {
-		if !w.hosts[at].isUp || w.hosts[at].isFrozen {
+		if !w.hosts[at].running || w.hosts[at].frozen {
 			continue
 		}
-		h := w.own(at)
-		if h.lagging != nil {
-			kept(h, h.lagging)
-			h.lagging = nil
+		h := w.mutableHost(at)
+		if h.delayedSave != nil {
+			persist(h, h.delayedSave)
+			h.delayedSave = nil
 		}
 		w.sync(h)
-		w.step(h, consensus.Tick{Wall: h.lives, Owed: h.gate.Owed(w.now)})
-		if w.now < h.primacy && w.asked == "" && w.writes < w.limit {
+		w.step(h, consensus.Tick{WallNanos: h.incarnation, SyncPending: h.gate.SyncPending(w.now)})
+		if w.now < h.leaseUntil && w.submitter == "" && w.writes < w.maxWrites {
 			w.writes++
-			w.asked = h.name
+			w.submitter = h.name
 			key := keyOf(uint64(w.writes))
 			w.step(h, consensus.Submit{Token: uint64(w.writes), Build: func(*store.Table) []store.Put {
 				return []store.Put{{Key: key, Data: []byte("x")}}
@@ -258,81 +258,81 @@
 }
 
 // check holds the rules that speak of a moment.
-func (w *world) check() {
+func (w *world) checkInvariants() {
 	leader := ""
 	for _, one := range w.hosts {
-		if !one.isUp || w.now >= one.primacy {
+		if !one.running || w.now >= one.leaseUntil {
 			continue
 		}
 		if leader != "" {
-			w.miss("%s and %s hold primacy at once", leader, one.name)
+			w.violate("%s and %s hold primacy at once", leader, one.name)
 		}
 		leader = one.name
-		for _, list := range [][]string{w.acked, w.shown} {
+		for _, list := range [][]string{w.acked, w.published} {
 			for _, key := range list {
-				if !slices.Contains(one.public, key) {
-					w.miss("%s serves without %s, which was acknowledged or shown", one.name, key)
+				if !slices.Contains(one.published, key) {
+					w.violate("%s serves without %s, which was acknowledged or shown", one.name, key)
 				}
 			}
 		}
-		for _, key := range one.public {
-			if !slices.Contains(w.shown, key) {
-				w.shown = append(slices.Clone(w.shown), key)
+		for _, key := range one.published {
+			if !slices.Contains(w.published, key) {
+				w.published = append(slices.Clone(w.published), key)
 			}
 		}
 	}
 }
 
-type bounds struct{ faults, wipes, rounds int }
+type budget struct{ faults, wipes, rounds int }
 
-func (b bounds) covers(other bounds) bool {
+func (b budget) covers(other budget) bool {
 	return b.faults >= other.faults && b.rounds >= other.rounds
 }
 
-func (w *world) left() bounds {
-	return bounds{faults: w.shape.Faults - w.faults, rounds: w.shape.Rounds - w.rounds}
+func (w *world) remaining() budget {
+	return budget{faults: w.config.MaxFaults - w.faults, rounds: w.config.Rounds - w.rounds}
 }
 
 // Run searches, and ends at the first rule broken. The same shape gives the same
 // result.
-func Run(shape Shape) Result {
-	shape.Round = cmp.Or(shape.Round, 100*time.Millisecond)
-	first := begin(&shape)
+func Run(shape Config) Result {
+	shape.RoundDuration = cmp.Or(shape.RoundDuration, 100*time.Millisecond)
+	first := newWorld(&shape)
 	first.rounds = 0
 	var result Result
-	met := map[Key]bounds{}
+	met := map[Key]budget{}
 	stack := []*world{first}
 	for len(stack) > 0 {
 		w := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		w.check()
+		w.checkInvariants()
 		result.Steps++
 		for number := range maps.Keys(w.records) {
-			result.Epochs = max(result.Epochs, number)
+			result.HighestEpoch = max(result.HighestEpoch, number)
 		}
-		result.Acked = max(result.Acked, len(w.acked))
-		if w.fault != "" {
-			result.Fault = w.fault
-			for at := w.course; at != nil; at = at.before {
-				result.Course = append(result.Course, at.String())
+		result.AckedWrites = max(result.AckedWrites, len(w.acked))
+		if w.violation != "" {
+			result.Violation = w.violation
+			for at := w.trace; at != nil; at = at.previous {
+				result.Trace = append(result.Trace, at.String())
 			}
-			slices.Reverse(result.Course)
+			slices.Reverse(result.Trace)
 			break
 		}
 		key := w.key()
 		known, isMet := met[key]
-		if isMet && known.covers(w.left()) {
+		if isMet && known.covers(w.remaining()) {
 			continue
 		}
-		met[key] = w.left()
-		if shape.Most > 0 && len(met) >= shape.Most {
-			result.IsCut = true
+		met[key] = w.remaining()
+		if shape.MaxStates > 0 && len(met) >= shape.MaxStates {
+			result.Truncated = true
 			break
 		}
-		if w.rounds >= shape.Rounds && len(w.net) == 0 {
+		if w.rounds >= shape.Rounds && len(w.inFlight) == 0 {
 			continue
 		}
-		stack = append(stack, w.next()...)
+		stack = append(stack, w.successors()...)
 	}
 	result.States = len(met)
 	return result
--- a/test/platforme2e/scenarios.go
+++ b/test/platforme2e/scenarios.go
@@ -175,7 +175,7 @@
 	}
 	for range 2 {
 		bound := time.NewTimer(20 * time.Second)
-		status, isOne := worker.Take(racing, bound.C)
+		status, isOne := worker.Receive(racing, bound.C)
 		bound.Stop()
 		if !isOne || status != http.StatusOK {
 			t.Miss("one of two racing versions was answered %d", status)
--- a/test/platforme2e/trial.go
+++ b/test/platforme2e/trial.go
@@ -30,7 +30,7 @@
 	History       *platformstandin.History
 	Notes, Faults []string
 
-	crew, load *worker.Crew
+	crew, load *worker.Group
 	folder     string
 	octet      int
 	version    uint64
@@ -95,8 +95,8 @@
 // Start starts stand-ins and programs, takes the first configuration and
 // waits until all nodes are ready.
 func Start(root, bin, folder string, services int) (*Trial, error) {
-	crew := worker.NewCrew()
-	t := &Trial{crew: crew, load: worker.NewCrew(), folder: folder, octet: 64 + os.Getpid()%150, History: platformstandin.NewHistory(crew)}
+	crew := worker.NewGroup()
+	t := &Trial{crew: crew, load: worker.NewGroup(), folder: folder, octet: 64 + os.Getpid()%150, History: platformstandin.NewHistory(crew)}
 	if err := t.plan(root, bin, services); err != nil {
 		t.Stop()
 		return nil, err
@@ -252,8 +252,8 @@
 // Served counts statements answered with success, of an act, sent since.
 func (t *Trial) Served(act string, since time.Duration) int {
 	count := 0
-	for _, one := range t.History.Copy().Asked {
-		if one.Act == act && one.Code == "" && !one.IsCut && one.Sent >= since {
+	for _, one := range t.History.Copy().Queries {
+		if one.Act == act && one.Code == "" && !one.Cut && one.Sent >= since {
 			count++
 		}
 	}
@@ -339,15 +339,15 @@
 	}
 	history := t.History.Copy()
 	history.End = t.crew.Now()
-	history.Logs = map[string][]linehistory.Kept{}
+	history.Logs = map[string][]linehistory.LogEntry{}
 	for _, service := range t.Services {
 		history.Logs[service.Name] = service.Log()
 	}
 	history.Bounds = linehistory.Bounds{Apply: 3 * time.Second, Drain: 7 * time.Second, Recover: 12 * time.Second, Slack: time.Second}
 	if scenario.IsCalm {
-		history.Calm = []linehistory.Span{{From: began, Until: history.End}}
+		history.QuietSpans = []linehistory.Span{{From: began, Until: history.End}}
 	}
-	result.Faults = linehistory.All(history)
+	result.Faults = linehistory.Violations(history)
 	for _, process := range append(slices.Clone(t.Fronts), t.Disks...) {
 		log, err := os.ReadFile(filepath.Join(folder, process.Name+".log"))
 		if err == nil && e2e.HasRace(string(log)) {
@@ -368,10 +368,10 @@
 }
 
 func (r *Result) measure(history linehistory.History) {
-	r.Asked, r.Ran = len(history.Asked), len(history.Ran)
+	r.Asked, r.Ran = len(history.Queries), len(history.Executions)
 	var took []time.Duration
-	for _, one := range history.Asked {
-		if one.IsCut {
+	for _, one := range history.Queries {
+		if one.Cut {
 			r.Cut++
 			continue
 		}
@@ -381,7 +381,7 @@
 		}
 		r.Good++
 		if one.Act != "" {
-			took = append(took, one.Got-one.Sent)
+			took = append(took, one.Answered-one.Sent)
 		}
 	}
 	slices.Sort(took)
--- a/test/platformstandin/client.go
+++ b/test/platformstandin/client.go
@@ -25,13 +25,13 @@
 
 // Clients runs sessions until its crew stops.
 type Clients struct {
-	crew     *worker.Crew
+	crew     *worker.Group
 	platform *Platform
 	history  *History
 }
 
 // NewClients makes one; the crew is theirs alone, so that they end first.
-func NewClients(crew *worker.Crew, platform *Platform, history *History) *Clients {
+func NewClients(crew *worker.Group, platform *Platform, history *History) *Clients {
 	return &Clients{crew: crew, platform: platform, history: history}
 }
 
@@ -103,9 +103,9 @@
 	line, err := c.reader.ReadString('\n')
 	if err != nil || !strings.HasPrefix(line, "READY I ") {
 		code := strings.Fields(strings.TrimPrefix(line, "ERROR ") + " -")[0]
-		asked := linehistory.Asked{Session: c.session, Host: c.mix.Host, Kind: c.mix.Kind, ID: c.session, Sent: c.now(), Got: c.now(), Code: code}
+		asked := linehistory.Query{Session: c.session, Host: c.mix.Host, Kind: c.mix.Kind, ID: c.session, Sent: c.now(), Answered: c.now(), Code: code}
 		if line != "" {
-			c.all.history.Note(func(h *linehistory.History) { h.Asked = append(h.Asked, asked) })
+			c.all.history.Note(func(h *linehistory.History) { h.Queries = append(h.Queries, asked) })
 		}
 		c.close(false)
 		return false
@@ -114,7 +114,7 @@
 }
 
 // ask sends one query and takes its answer.
-func (c *client) ask(asked linehistory.Asked, text string) linehistory.Asked {
+func (c *client) ask(asked linehistory.Query, text string) linehistory.Query {
 	c.count++
 	asked.ID = fmt.Sprintf("%s.%d", c.session, c.count)
 	asked.Session, asked.Host, asked.Kind, asked.Staleness = c.session, c.mix.Host, c.mix.Kind, c.mix.Staleness
@@ -139,24 +139,24 @@
 			break
 		}
 	}
-	asked.Got, asked.IsCut = c.now(), err != nil || !hasEnd
-	if asked.IsCut {
+	asked.Answered, asked.Cut = c.now(), err != nil || !hasEnd
+	if asked.Cut {
 		c.close(false)
 	}
-	c.all.history.Note(func(h *linehistory.History) { h.Asked = append(h.Asked, asked) })
+	c.all.history.Note(func(h *linehistory.History) { h.Queries = append(h.Queries, asked) })
 	return asked
 }
 
-var answers = map[string]func(asked *linehistory.Asked, tail string) bool{
-	"ROW":  func(asked *linehistory.Asked, tail string) bool { asked.Rows = append(asked.Rows, tail); return false },
-	"DONE": func(asked *linehistory.Asked, tail string) bool { asked.Stamp = tail; return true },
-	"ERROR": func(asked *linehistory.Asked, tail string) bool {
+var answers = map[string]func(asked *linehistory.Query, tail string) bool{
+	"ROW":  func(asked *linehistory.Query, tail string) bool { asked.Rows = append(asked.Rows, tail); return false },
+	"DONE": func(asked *linehistory.Query, tail string) bool { asked.Stamp = tail; return true },
+	"ERROR": func(asked *linehistory.Query, tail string) bool {
 		asked.Code, _, _ = strings.Cut(tail, " ")
 		return true
 	},
 }
 
-func isGood(asked linehistory.Asked) bool { return !asked.IsCut && asked.Code == "" }
+func isGood(asked linehistory.Query) bool { return !asked.Cut && asked.Code == "" }
 
 var promised = map[string]bool{"BUSY": true, "ABORTED": true, "LAGGING": true, "READONLY": true, "WRONGHOST": true, "FULL": true}
 
@@ -186,7 +186,7 @@
 func (c *client) dress() bool {
 	if c.values == nil && c.random.Float64() < 0.2 {
 		value := c.session
-		if got := c.ask(linehistory.Asked{}, "SET app "+value); !isGood(got) {
+		if got := c.ask(linehistory.Query{}, "SET app "+value); !isGood(got) {
 			c.close(true)
 			return false
 		}
@@ -194,7 +194,7 @@
 	}
 	if c.shape == "" && c.random.Float64() < 0.3 {
 		shape := "FETCH q" + fmt.Sprint(c.random.IntN(5))
-		if got := c.ask(linehistory.Asked{}, "PREPARE s1 "+shape); !isGood(got) {
+		if got := c.ask(linehistory.Query{}, "PREPARE s1 "+shape); !isGood(got) {
 			c.close(true)
 			return false
 		}
@@ -207,7 +207,7 @@
 
 // read says whether to try again.
 func (c *client) read() bool {
-	asked, text := linehistory.Asked{Act: linehistory.ActRead}, "FETCH "+c.thing()
+	asked, text := linehistory.Query{Act: linehistory.ActRead}, "FETCH "+c.thing()
 	if c.shape != "" && c.random.Float64() < 0.5 {
 		asked.Shape, asked.Rest = c.shape, " "+c.thing()
 		text = "RUN s1" + asked.Rest
@@ -217,7 +217,7 @@
 }
 
 func (c *client) write() bool {
-	got := c.ask(linehistory.Asked{Act: linehistory.ActWrite}, fmt.Sprintf("PUT %s %s.%d  é", c.thing(), c.session, c.count))
+	got := c.ask(linehistory.Query{Act: linehistory.ActWrite}, fmt.Sprintf("PUT %s %s.%d  é", c.thing(), c.session, c.count))
 	return promised[got.Code]
 }
 
@@ -226,33 +226,33 @@
 	began, turn := c.now(), fmt.Sprintf("%s.t%d", c.session, c.turns)
 	isReading := c.mix.Writes == 0
 	begin := map[bool]string{true: "BEGIN FETCH", false: "BEGIN"}[isReading]
-	if got := c.ask(linehistory.Asked{}, begin); !isGood(got) {
+	if got := c.ask(linehistory.Query{}, begin); !isGood(got) {
 		return true
 	}
 	for at := range 2 + c.random.IntN(3) {
-		asked := linehistory.Asked{Act: linehistory.ActRead, Turn: turn, Began: began, IsFirst: at == 0}
+		asked := linehistory.Query{Act: linehistory.ActRead, Transaction: turn, Began: began, First: at == 0}
 		text := "FETCH " + c.thing()
 		if !isReading && at > 0 {
 			asked.Act, text = linehistory.ActWrite, fmt.Sprintf("PUT %s %s.%d", c.thing(), c.session, c.count)
 		}
 		got := c.ask(asked, text)
-		if got.IsCut {
+		if got.Cut {
 			return true
 		}
 		if got.Code != "" {
-			c.ask(linehistory.Asked{}, "ROLLBACK")
+			c.ask(linehistory.Query{}, "ROLLBACK")
 			return promised[got.Code] || got.Code == "FAILED"
 		}
 		c.pause(5 * time.Millisecond)
 	}
 	if c.random.Float64() < 0.1 {
-		c.ask(linehistory.Asked{}, "ROLLBACK")
+		c.ask(linehistory.Query{}, "ROLLBACK")
 		return false
 	}
 	if c.random.Float64() < 0.02 {
 		c.close(false)
 		return false
 	}
-	got := c.ask(linehistory.Asked{Act: linehistory.ActCommit, Turn: turn, Began: began}, "COMMIT")
+	got := c.ask(linehistory.Query{Act: linehistory.ActCommit, Transaction: turn, Began: began}, "COMMIT")
 	return promised[got.Code]
 }
--- a/test/platformstandin/instance.go
+++ b/test/platformstandin/instance.go
@@ -243,7 +243,7 @@
 			i.beatOnce(body, isLeaving)
 		}
 		timer := time.NewTimer(beatEvery)
-		worker.Take(i.told, timer.C)
+		worker.Receive(i.told, timer.C)
 		timer.Stop()
 	}
 }
@@ -353,7 +353,7 @@
 	if position == (linehistory.Position{}) {
 		return "-"
 	}
-	return fmt.Sprintf("%d.%d", position.Term, position.Number)
+	return fmt.Sprintf("%d.%d", position.Term, position.Index)
 }
 
 var heard = map[string]func(c *session, tail string) bool{
@@ -389,7 +389,7 @@
 			at, after, _ := strings.Cut(rest, " ")
 			term, number, _ := strings.Cut(at, ".")
 			floor.Term, _ = strconv.ParseUint(term, 10, 64)
-			floor.Number, _ = strconv.ParseUint(number, 10, 64)
+			floor.Index, _ = strconv.ParseUint(number, 10, 64)
 			text = after
 		}
 		word, rest, _ := strings.Cut(text, " ")
@@ -542,7 +542,7 @@
 	if worker.Await(s.crew.Stopping(), time.Duration(slow*float64(s.Work))) {
 		return false
 	}
-	ran := linehistory.Ran{Instance: i.ID, Service: s.Name, Conn: c.name, ID: q.id, Act: act, Text: q.text, Shape: shape, Rest: tail, Values: maps.Clone(c.values)}
+	ran := linehistory.Execution{Instance: i.ID, Service: s.Name, Conn: c.name, ID: q.id, Act: act, Text: q.text, Shape: shape, Rest: tail, Values: maps.Clone(c.values)}
 	if shape != "" {
 		ran.Text = ""
 	}
@@ -562,9 +562,9 @@
 			word = "READONLY " + i.ID
 			return
 		}
-		ran.At, ran.Stamp, ran.Leaving = s.crew.Now(), s.stamp(i), i.leaving
+		ran.At, ran.Stamp, ran.LeavingAcknowledged = s.crew.Now(), s.stamp(i), i.leaving
 		if held != nil {
-			ran.Turn = held.number
+			ran.Transaction = held.number
 		}
 		if act == linehistory.ActRead {
 			ran.Rows = []string{thing + "=" + i.things[thing]}
@@ -579,9 +579,9 @@
 			if held != nil {
 				ids, things = append(held.ids, q.id), held.things
 			}
-			ran.Kept, wait = s.commit(i, ids, things)
+			ran.CommittedAt, wait = s.commit(i, ids, things)
 		}
-		ran.Log = i.shown()
+		ran.LogEnd = i.shown()
 		if act == linehistory.ActCommit {
 			c.turn = nil
 		}
@@ -589,7 +589,7 @@
 			i.lose--
 			isLost = true
 		}
-		s.history.Note(func(h *linehistory.History) { h.Ran = append(h.Ran, ran) })
+		s.history.Note(func(h *linehistory.History) { h.Executions = append(h.Executions, ran) })
 	})
 	if isCut {
 		return false
@@ -600,7 +600,7 @@
 	if wait != nil {
 		bound := time.NewTimer(2 * time.Second)
 		defer bound.Stop()
-		if _, isLate := worker.Take(bound.C, wait); isLate {
+		if _, isLate := worker.Receive(bound.C, wait); isLate {
 			return c.say("ERROR TIMEOUT", c.ready())
 		}
 	}
--- a/test/platformstandin/operator.go
+++ b/test/platformstandin/operator.go
@@ -21,7 +21,7 @@
 
 // Operator sends configurations to the nodes that serve it.
 type Operator struct {
-	crew     *worker.Crew
+	crew     *worker.Group
 	history  *History
 	doors    []string
 	services []*Service
@@ -29,7 +29,7 @@
 }
 
 // NewOperator makes one.
-func NewOperator(crew *worker.Crew, history *History, doors []string, services ...*Service) *Operator {
+func NewOperator(crew *worker.Group, history *History, doors []string, services ...*Service) *Operator {
 	return &Operator{
 		crew: crew, history: history, doors: doors, services: services,
 		client: &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
@@ -95,17 +95,17 @@
 	o.history.Note(func(h *linehistory.History) { at, h.Versions = len(h.Versions), append(h.Versions, sent) })
 	status, _ := o.call(http.MethodPost, "/config/replace", sent.Body, first, 15*time.Second)
 	if status == http.StatusOK {
-		o.history.Note(func(h *linehistory.History) { h.Versions[at].Acked = o.crew.Now() })
+		o.history.Note(func(h *linehistory.History) { h.Versions[at].AcknowledgedAt = o.crew.Now() })
 	}
 	return status
 }
 
 // Break sends what must not be taken.
 func (o *Operator) Break(version uint64, body string, first int) int {
-	sent := linehistory.Version{Number: version, Sent: o.crew.Now(), Body: body, IsInvalid: true}
+	sent := linehistory.Version{Number: version, Sent: o.crew.Now(), Body: body, Invalid: true}
 	status, _ := o.call(http.MethodPost, "/config/replace", body, first, 15*time.Second)
 	if status == http.StatusOK {
-		sent.Acked = o.crew.Now()
+		sent.AcknowledgedAt = o.crew.Now()
 	}
 	o.history.Note(func(h *linehistory.History) { h.Versions = append(h.Versions, sent) })
 	return status
--- a/test/platformstandin/platform.go
+++ b/test/platformstandin/platform.go
@@ -21,7 +21,7 @@
 // Platform is the stand-in that takes the promote call and looks which nodes
 // are ready.
 type Platform struct {
-	crew     *worker.Crew
+	crew     *worker.Group
 	services []*Service
 	mutex    sync.Mutex
 	fences   map[string]uint64
@@ -39,7 +39,7 @@
 }
 
 // NewPlatform makes one for services; it ends with the crew.
-func NewPlatform(crew *worker.Crew, services ...*Service) *Platform {
+func NewPlatform(crew *worker.Group, services ...*Service) *Platform {
 	return &Platform{crew: crew, services: services, fences: map[string]uint64{}, fronts: map[string]*front{}}
 }
 
--- a/test/platformstandin/service.go
+++ b/test/platformstandin/service.go
@@ -16,12 +16,12 @@
 // History gathers what the stand-ins see.
 type History struct {
 	mutex sync.Mutex
-	crew  *worker.Crew
+	crew  *worker.Group
 	held  linehistory.History
 }
 
 // NewHistory makes one whose clock is the crew's.
-func NewHistory(crew *worker.Crew) *History { return &History{crew: crew} }
+func NewHistory(crew *worker.Group) *History { return &History{crew: crew} }
 
 // Note changes the history.
 func (h *History) Note(act func(*linehistory.History)) {
@@ -35,7 +35,7 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	copied := h.held
-	copied.Ran, copied.Asked = slices.Clone(copied.Ran), slices.Clone(copied.Asked)
+	copied.Executions, copied.Queries = slices.Clone(copied.Executions), slices.Clone(copied.Queries)
 	copied.Versions, copied.Promotions = slices.Clone(copied.Versions), slices.Clone(copied.Promotions)
 	return copied
 }
@@ -61,7 +61,7 @@
 // Service is one primary with its replicas.
 type Service struct {
 	Shape
-	crew      *worker.Crew
+	crew      *worker.Group
 	history   *History
 	mutex     sync.Mutex
 	instances []*Instance
@@ -70,7 +70,7 @@
 }
 
 // NewService makes a service without instances.
-func NewService(crew *worker.Crew, history *History, shape Shape) *Service {
+func NewService(crew *worker.Group, history *History, shape Shape) *Service {
 	return &Service{Shape: shape, crew: crew, history: history}
 }
 
@@ -110,12 +110,12 @@
 }
 
 // Log gives the leader's log.
-func (s *Service) Log() []linehistory.Kept {
+func (s *Service) Log() []linehistory.LogEntry {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	var log []linehistory.Kept
+	var log []linehistory.LogEntry
 	for _, one := range s.leader.log {
-		log = append(log, linehistory.Kept{At: one.at, IDs: one.ids})
+		log = append(log, linehistory.LogEntry{Position: one.at, IDs: one.ids})
 	}
 	return log
 }
@@ -123,7 +123,7 @@
 // commit appends to a primary's log and sends it on; the channel is closed
 // once enough replicas have received it.
 func (s *Service) commit(primary *Instance, ids []string, things map[string]string) (linehistory.Position, chan struct{}) {
-	at := linehistory.Position{Term: primary.term, Number: primary.end().Number + 1}
+	at := linehistory.Position{Term: primary.term, Index: primary.end().Index + 1}
 	primary.log = append(primary.log, entry{at, ids, things})
 	primary.apply()
 	done := make(chan struct{})
--- a/test/simulation/admission.go
+++ b/test/simulation/admission.go
@@ -9,90 +9,90 @@
 
 // Load is an admission experiment: nodes that share one server.
 type Load struct {
-	Name    string
-	Weights []float64
-	Slots   int
-	Service time.Duration
+	Name        string
+	Weights     []float64
+	Slots       int
+	ServiceTime time.Duration
 	// Rate is statements a second over all nodes; the server does Slots /
 	// Service of them.
-	Rate float64
+	StatementsPerSecond float64
 	// Burst is how many arrive at once.
 	Burst int
 	// Slow is a part of the span in which the server is slower by a factor.
 	SlowFrom, SlowUntil time.Duration
-	SlowBy              float64
+	SlowFactor          float64
 	// Bimodal is the part of statements that take ten times as long.
-	Bimodal float64
-	Most    float64
-	Span    time.Duration
+	LongFraction float64
+	MaxWindow    float64
+	Duration     time.Duration
 	// IsOpen lets every statement through, as without admission.
-	IsOpen bool
-	Tuning func(*flowcontrol.Tuning)
+	Unlimited bool
+	Tuning    func(*flowcontrol.Parameters)
 }
 
 // Share is what one node got.
-type Share struct {
-	Weight  float64
-	Served  int
-	Window  float64
-	Cal     time.Duration
-	WaitP99 time.Duration
+type NodeShare struct {
+	Weight       float64
+	Served       int
+	Window       float64
+	Cal          time.Duration
+	QueueTimeP99 time.Duration
 }
 
 // Outcome is what an experiment showed.
-type Outcome struct {
+type AdmissionResult struct {
 	Name     string
 	Capacity float64
 	Served   float64
 	// Latency is at the server, Wait in the node's line.
-	Latency, LatencyP99 time.Duration
-	Wait, WaitP99       time.Duration
-	Shares              []Share
+	Latency, LatencyP99     time.Duration
+	QueueTime, QueueTimeP99 time.Duration
+	Shares                  []NodeShare
 	// Windows is the sum of all windows at the end of each period.
 	Windows []float64
 }
 
-type request struct {
-	came, sent time.Duration
-	isLong     bool
+type admissionStatement struct {
+	arrived, sent time.Duration
+	long          bool
 }
 
-type sharer struct {
-	window *flowcontrol.Window
-	line   []*request
-	waits  []time.Duration
-	served int
+type admissionNode struct {
+	window     *flowcontrol.Window
+	queue      []*admissionStatement
+	queueTimes []time.Duration
+	served     int
 }
 
 // Admit plays an experiment in virtual time.
-func Admit(seed uint64, load Load) Outcome {
-	w := newWorld(seed)
+func RunAdmission(seed uint64, load Load) AdmissionResult {
+	w := newSimulator(seed)
 	start := w.now
-	tuning := flowcontrol.Defaults()
-	tuning.Max = load.Most
+	tuning := flowcontrol.DefaultParameters()
+	tuning.MaxWindow = load.MaxWindow
 	if load.Tuning != nil {
 		load.Tuning(&tuning)
 	}
-	var nodes []*sharer
+	var nodes []*admissionNode
 	for _, weight := range load.Weights {
 		tuned := tuning
 		tuned.Beta = weight
-		nodes = append(nodes, &sharer{window: flowcontrol.New(tuned)})
+		nodes = append(nodes, &admissionNode{window: flowcontrol.NewWindow(tuned)})
 	}
-	outcome := Outcome{Name: load.Name, Capacity: float64(load.Slots) / load.Service.Seconds() / (1 + 9*load.Bimodal)}
+	outcome := AdmissionResult{Name: load.Name, Capacity: float64(load.Slots) / load.ServiceTime.Seconds() / (1 + 9*load.LongFraction)}
 	var latencies, waits []time.Duration
 	busy := 0
 	var queue []func()
-	var pump func(*sharer)
+	var pump func(*admissionNode)
 	serve := func(isLong bool, done func()) {
 		begin := func() {
 			busy++
-			span := time.Duration(float64(load.Service) * (0.6 + 0.8*w.random.Float64()))
+			span := time.Duration(float64(load.ServiceTime) * (0.6 + 0.8*w.random.Float64()))
 			if isLong {
 				span *= 10
 			}
-			if at := w.now - start; load.SlowBy > 0 && at >= load.SlowFrom && at < load.SlowUntil {
-				span = time.Duration(float64(span) * load.SlowBy)
+			if at := w.now - start; load.SlowFactor > 0 && at >= load.SlowFrom && at < load.SlowUntil {
+				span = time.Duration(float64(span) * load.SlowFactor)
 			}
 			w.after(span, func() {
 				busy--
@@ -110,28 +110,28 @@
 		}
 		queue = append(queue, begin)
 	}
-	pump = func(n *sharer) {
-		for len(n.line) > 0 && (load.IsOpen || n.window.HasRoom()) {
-			r := n.line[0]
-			n.line = n.line[1:]
-			n.window.Take()
+	pump = func(n *admissionNode) {
+		for len(n.queue) > 0 && (load.Unlimited || n.window.HasRoom()) {
+			r := n.queue[0]
+			n.queue = n.queue[1:]
+			n.window.Acquire()
 			r.sent = w.now
-			waits = append(waits, w.now-r.came)
-			n.waits = append(n.waits, w.now-r.came)
-			serve(r.isLong, func() {
-				n.window.Done(flowcontrol.Answered, w.now-r.sent)
+			waits = append(waits, w.now-r.arrived)
+			n.queueTimes = append(n.queueTimes, w.now-r.arrived)
+			serve(r.long, func() {
+				n.window.Release(flowcontrol.Completed, w.now-r.sent)
 				latencies = append(latencies, w.now-r.sent)
 				n.served++
 				pump(n)
 			})
 		}
 	}
-	every := time.Duration(float64(time.Second) * float64(max(load.Burst, 1)) * float64(len(nodes)) / load.Rate)
+	every := time.Duration(float64(time.Second) * float64(max(load.Burst, 1)) * float64(len(nodes)) / load.StatementsPerSecond)
 	for _, n := range nodes {
 		var arrive func()
 		arrive = func() {
 			for range max(load.Burst, 1) {
-				n.line = append(n.line, &request{came: w.now, isLong: w.chance(load.Bimodal)})
+				n.queue = append(n.queue, &admissionStatement{arrived: w.now, long: w.chance(load.LongFraction)})
 			}
 			pump(n)
 			w.after(time.Duration(w.random.ExpFloat64()*float64(every)), arrive)
@@ -147,29 +147,29 @@
 		if at := (w.now - start) % time.Second; at < 20*time.Millisecond {
 			sum := 0.0
 			for _, n := range nodes {
-				sum += n.window.Read().Window
+				sum += n.window.Reading().Size
 			}
 			outcome.Windows = append(outcome.Windows, sum)
 		}
 		w.after(20*time.Millisecond, tick)
 	}
 	tick()
-	w.runUntil(start + load.Span)
+	w.runUntil(start + load.Duration)
 	total := 0
 	for at, n := range nodes {
-		reading := n.window.Read()
+		reading := n.window.Reading()
 		total += n.served
-		outcome.Shares = append(outcome.Shares, Share{
-			Weight: load.Weights[at], Served: n.served, Window: reading.Window, Cal: reading.Cal, WaitP99: part(n.waits, 99),
+		outcome.Shares = append(outcome.Shares, NodeShare{
+			Weight: load.Weights[at], Served: n.served, Window: reading.Size, Cal: reading.AverageLatency, QueueTimeP99: percentile(n.queueTimes, 99),
 		})
 	}
-	outcome.Served = float64(total) / load.Span.Seconds()
-	outcome.Latency, outcome.LatencyP99 = part(latencies, 50), part(latencies, 99)
-	outcome.Wait, outcome.WaitP99 = part(waits, 50), part(waits, 99)
+	outcome.Served = float64(total) / load.Duration.Seconds()
+	outcome.Latency, outcome.LatencyP99 = percentile(latencies, 50), percentile(latencies, 99)
+	outcome.QueueTime, outcome.QueueTimeP99 = percentile(waits, 50), percentile(waits, 99)
 	return outcome
 }
 
-func part(spans []time.Duration, hundredth int) time.Duration {
+func percentile(spans []time.Duration, hundredth int) time.Duration {
 	if len(spans) == 0 {
 		return 0
 	}
@@ -178,7 +178,7 @@
 	return sorted[len(sorted)*hundredth/100]
 }
 
-func alike(count int) []float64 {
+func equalWeights(count int) []float64 {
 	weights := make([]float64, count)
 	for at := range weights {
 		weights[at] = 1
@@ -190,7 +190,7 @@
 func Loads() []Load {
 	const service = 6 * time.Millisecond
 	capacity := 10 / service.Seconds()
-	base := Load{Weights: alike(8), Slots: 10, Service: service, Most: 12, Span: 120 * time.Second}
+	base := Load{Weights: equalWeights(8), Slots: 10, ServiceTime: service, MaxWindow: 12, Duration: 120 * time.Second}
 	with := func(name string, change func(*Load)) Load {
 		load := base
 		load.Name = name
@@ -198,20 +198,20 @@
 		return load
 	}
 	return []Load{
-		with("a tenth of capacity", func(l *Load) { l.Rate = capacity / 10 }),
-		with("nine tenths", func(l *Load) { l.Rate = capacity * 0.9 }),
-		with("one and a half", func(l *Load) { l.Rate = capacity * 1.5 }),
-		with("one and a half, no admission", func(l *Load) { l.Rate = capacity * 1.5; l.IsOpen = true }),
-		with("bursts of 12, half", func(l *Load) { l.Rate = capacity / 2; l.Burst = 12 }),
-		with("bimodal, nine tenths", func(l *Load) { l.Bimodal = 0.05; l.Rate = capacity * 0.9 / 1.45 }),
-		with("weights 1 1 1 1 2 2 2 2, twice", func(l *Load) { l.Weights = []float64{1, 1, 1, 1, 2, 2, 2, 2}; l.Rate = capacity * 2 }),
+		with("a tenth of capacity", func(l *Load) { l.StatementsPerSecond = capacity / 10 }),
+		with("nine tenths", func(l *Load) { l.StatementsPerSecond = capacity * 0.9 }),
+		with("one and a half", func(l *Load) { l.StatementsPerSecond = capacity * 1.5 }),
+		with("one and a half, no admission", func(l *Load) { l.StatementsPerSecond = capacity * 1.5; l.Unlimited = true }),
+		with("bursts of 12, half", func(l *Load) { l.StatementsPerSecond = capacity / 2; l.Burst = 12 }),
+		with("bimodal, nine tenths", func(l *Load) { l.LongFraction = 0.05; l.StatementsPerSecond = capacity * 0.9 / 1.45 }),
+		with("weights 1 1 1 1 2 2 2 2, twice", func(l *Load) { l.Weights = []float64{1, 1, 1, 1, 2, 2, 2, 2}; l.StatementsPerSecond = capacity * 2 }),
 		with("weights 1 2 4, 50 slots, twice", func(l *Load) {
 			l.Weights = []float64{1, 2, 4}
-			l.Slots, l.Most, l.Rate = 50, 200, capacity*5*2
+			l.Slots, l.MaxWindow, l.StatementsPerSecond = 50, 200, capacity*5*2
 		}),
 		with("slow by 8 from 40 s to 60 s, half", func(l *Load) {
-			l.Rate = capacity / 2
-			l.SlowFrom, l.SlowUntil, l.SlowBy = 40*time.Second, 60*time.Second, 8
+			l.StatementsPerSecond = capacity / 2
+			l.SlowFrom, l.SlowUntil, l.SlowFactor = 40*time.Second, 60*time.Second, 8
 		}),
 	}
 }
--- a/test/simulation/admission_test.go
+++ b/test/simulation/admission_test.go
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func find(name string) Load {
+func findLoad(name string) Load {
 	for _, load := range Loads() {
 		if load.Name == name {
 			return load
@@ -18,7 +18,7 @@
 
 func TestAdmission(t *testing.T) {
 	Convey("Past saturation the server stays busy, its latency near the threshold, and what is over waits at the nodes", t, func() {
-		with, without := Admit(1, find("one and a half")), Admit(1, find("one and a half, no admission"))
+		with, without := RunAdmission(1, findLoad("one and a half")), RunAdmission(1, findLoad("one and a half, no admission"))
 		So(with.Served, ShouldBeGreaterThan, 0.95*with.Capacity)
 		So(with.Latency, ShouldBeLessThan, 60*time.Millisecond)
 		So(without.Latency, ShouldBeGreaterThan, 50*with.Latency)
@@ -27,16 +27,16 @@
 		}
 	})
 	Convey("Under contention windows come to be in proportion to weight", t, func() {
-		found := Admit(1, find("weights 1 1 1 1 2 2 2 2, twice"))
+		found := RunAdmission(1, findLoad("weights 1 1 1 1 2 2 2 2, twice"))
 		So(found.Shares[4].Window/found.Shares[0].Window, ShouldBeBetween, 1.7, 2.3)
 		So(float64(found.Shares[4].Served)/float64(found.Shares[0].Served), ShouldBeBetween, 1.4, 2.3)
 	})
 	Convey("Below saturation nothing waits to speak of, and bursts short of it wait little", t, func() {
-		So(Admit(1, find("nine tenths")).WaitP99, ShouldBeLessThan, 10*time.Millisecond)
-		So(Admit(1, find("bursts of 12, half")).WaitP99, ShouldBeLessThan, 100*time.Millisecond)
+		So(RunAdmission(1, findLoad("nine tenths")).QueueTimeP99, ShouldBeLessThan, 10*time.Millisecond)
+		So(RunAdmission(1, findLoad("bursts of 12, half")).QueueTimeP99, ShouldBeLessThan, 100*time.Millisecond)
 	})
 	Convey("A server turned slow has its windows cut, and they grow back when it is well", t, func() {
-		found := Admit(1, find("slow by 8 from 40 s to 60 s, half"))
+		found := RunAdmission(1, findLoad("slow by 8 from 40 s to 60 s, half"))
 		So(found.Windows[59], ShouldBeLessThan, 0.5*found.Windows[39])
 		So(found.Windows[len(found.Windows)-1], ShouldBeGreaterThan, 1.5*found.Windows[59])
 	})
--- a/test/simulation/control.go
+++ b/test/simulation/control.go
@@ -15,264 +15,266 @@
 	"tansyseam/internal/state/versionfile"
 )
 
-type control struct {
+type controlServer struct {
 	machine
-	fleet *fleet
-	disk  *disk
-	store *versionfile.Store
-	epoch *consensus.Machine
-	steer *distribution.Machine
-	duty  *singleton.Machine
-	heard map[string]distribution.Heard
-
-	gate    consensus.Gate
-	primacy time.Duration
-	answers map[uint64]func(consensus.Answer)
-	token   uint64
-	asks    map[uint64]func(distribution.News)
-	errands map[string]int
-	crashAt int
+	fleet         *fleet
+	disk          *disk
+	store         *versionfile.Store
+	consensus     *consensus.Machine
+	distributor   *distribution.Machine
+	singleton     *singleton.Machine
+	announcements map[string]distribution.Observation
+
+	gate             consensus.SyncGate
+	primacyUntil     time.Duration
+	pendingWrites    map[uint64]func(consensus.SubmitResult)
+	lastToken        uint64
+	pendingUpdates   map[uint64]func(distribution.Update)
+	lastAwaited      map[string]int
+	writesUntilCrash int
 	// isAdded says that the machine came to a fleet that was founded without it.
-	isAdded bool
+	joinedLater bool
 
-	holder *syncrepl.Holder
+	syncFailover *syncrepl.Observer
 }
 
-func (c *control) start() {
-	c.isUp, c.isFrozen, c.backlog = true, false, nil
-	c.gate, c.primacy = consensus.Gate{}, 0
-	c.answers = map[uint64]func(consensus.Answer){}
-	c.asks = map[uint64]func(distribution.News){}
-	c.heard = map[string]distribution.Heard{}
-	c.errands = map[string]int{}
-	c.holder = syncrepl.NewHolder(c.name)
+func (c *controlServer) start() {
+	c.running, c.frozen, c.deferred = true, false, nil
+	c.gate, c.primacyUntil = consensus.SyncGate{}, 0
+	c.pendingWrites = map[uint64]func(consensus.SubmitResult){}
+	c.pendingUpdates = map[uint64]func(distribution.Update){}
+	c.announcements = map[string]distribution.Observation{}
+	c.lastAwaited = map[string]int{}
+	c.syncFailover = syncrepl.NewObserver(c.name)
 	c.store = versionfile.NewStore(c.disk, 4)
-	saved, err := consensus.Load(c.store, func(kind string, passed int) { c.world.note("%s passed over %d %s", c.name, passed, kind) })
+	saved, err := consensus.Load(c.store, func(kind string, passed int) { c.simulator.record("%s passed over %d %s", c.name, passed, kind) })
 	if err != nil {
-		c.world.note("%s cannot read its disk: %v", c.name, err)
-		c.isUp = false
+		c.simulator.record("%s cannot read its disk: %v", c.name, err)
+		c.running = false
 		return
 	}
 	now := c.clock()
-	founding := consensus.Founding{Disks: c.fleet.shape.Controls, IsPaired: true}
-	if c.isAdded {
-		founding.Disks = 0
-	}
-	c.epoch = consensus.NewFounding(c.name, founding, consensus.DefaultTiming(), saved, now)
-	c.steer = distribution.New(c.name, lease.DefaultTiming(), c.epoch.Record(), c.epoch.Table(), now)
-	c.duty = singleton.New(c.name, now)
-	c.world.note("%s up", c.name)
-	c.do(time.Millisecond, c.beat)
-	c.do(5*time.Millisecond, c.duties)
+	founding := consensus.BootstrapConfig{ExactVoters: c.fleet.config.Controls, RequireBackup: true}
+	if c.joinedLater {
+		founding.ExactVoters = 0
+	}
+	c.consensus = consensus.NewWithBootstrap(c.name, founding, consensus.DefaultTiming(), saved, now)
+	c.distributor = distribution.New(c.name, lease.DefaultTiming(), c.consensus.Record(), c.consensus.CommittedTable(), now)
+	c.singleton = singleton.New(c.name, now)
+	c.simulator.record("%s up", c.name)
+	c.after(time.Millisecond, c.tick)
+	c.after(5*time.Millisecond, c.runSingletons)
 }
 
-func (c *control) isPrimary() bool { return c.clock() < c.primacy }
+func (c *controlServer) isPrimary() bool { return c.clock() < c.primacyUntil }
 
-func (c *control) wallNow() int64 { return c.epoch.Wall(c.clock()) }
+func (c *controlServer) wallNow() int64 { return c.consensus.WallNanos(c.clock()) }
 
-func (c *control) beat() {
+func (c *controlServer) tick() {
 	var names []string
 	for _, other := range c.fleet.controls {
 		names = append(names, other.name)
 	}
 	slices.Sort(names)
 	c.step(consensus.Peers{Names: names})
-	c.step(consensus.Tick{Wall: c.wall(), Owed: c.gate.Owed(c.clock())})
-	c.do(20*time.Millisecond, c.beat)
+	c.step(consensus.Tick{WallNanos: c.wallClock(), SyncPending: c.gate.SyncPending(c.clock())})
+	c.after(20*time.Millisecond, c.tick)
 }
 
-func (c *control) step(event any) { c.pass(c.gate.Pass(c.epoch.Step(event, c.clock()), c.clock())) }
+func (c *controlServer) step(event any) {
+	c.applyEffects(c.gate.Pass(c.consensus.Step(event, c.clock()), c.clock()))
+}
 
-func (c *control) pass(effects []consensus.Effect) {
+func (c *controlServer) applyEffects(effects []consensus.Effect) {
 	primacy := time.Duration(0)
-	if c.epoch.IsPrimary(c.clock()) {
-		primacy = c.epoch.Primacy()
+	if c.consensus.IsPrimary(c.clock()) {
+		primacy = c.consensus.LeaseUntil()
 	}
-	c.primacy = min(c.primacy, primacy)
-	c.duty.Elect(c.epoch.Electorate(), c.clock())
+	c.primacyUntil = min(c.primacyUntil, primacy)
+	c.singleton.SetVoters(c.consensus.Electorate(), c.clock())
 	for _, effect := range effects {
-		c.carry(effect)
+		c.applyEffect(effect)
 	}
-	if !c.gate.IsTurning() {
-		c.primacy = primacy
+	if !c.gate.IsEpochChangeBlocked() {
+		c.primacyUntil = primacy
 	}
-	c.keep()
+	c.startWrite()
 }
 
-func (c *control) keep() {
-	work, isDue := c.gate.Next(c.clock())
-	if !isDue {
+func (c *controlServer) startWrite() {
+	work, due := c.gate.Next(c.clock())
+	if !due {
 		return
 	}
-	if c.crashAt > 0 {
-		c.crashAt--
-		if c.crashAt == 0 {
-			c.fleet.bounce(&c.machine, c.start, c.world.between(200*time.Millisecond, 3*time.Second))
+	if c.writesUntilCrash > 0 {
+		c.writesUntilCrash--
+		if c.writesUntilCrash == 0 {
+			c.fleet.crashAndRestart(&c.machine, c.start, c.simulator.randomDuration(200*time.Millisecond, 3*time.Second))
 			return
 		}
 	}
-	c.do(c.disk.slow+c.world.between(300*time.Microsecond, 6*time.Millisecond), func() { c.kept(work) })
+	c.after(c.disk.writeDelay+c.simulator.randomDuration(300*time.Microsecond, 6*time.Millisecond), func() { c.finishWrite(work) })
 }
 
-func (c *control) kept(work consensus.Effect) {
-	if c.world.now < c.disk.hangs {
-		c.do(c.disk.hangs-c.world.now, func() { c.kept(work) })
+func (c *controlServer) finishWrite(work consensus.Effect) {
+	if c.simulator.now < c.disk.hangsUntil {
+		c.after(c.disk.hangsUntil-c.simulator.now, func() { c.finishWrite(work) })
 		return
 	}
 	err := c.write(work)
 	if err != nil {
-		c.world.note("%s is refused: %v", c.name, err)
+		c.simulator.record("%s is refused: %v", c.name, err)
 	}
-	c.pass(c.gate.Done(err == nil, c.clock()))
+	c.applyEffects(c.gate.Done(err == nil, c.clock()))
 }
 
-func (c *control) write(work consensus.Effect) error {
+func (c *controlServer) write(work consensus.Effect) error {
 	if save, isSave := work.(consensus.Save); isSave {
 		return c.store.Put(save.Kind, save.Sequence, save.Data)
 	}
-	for _, kind := range consensus.Kinds() {
-		if err := c.store.Clean(kind); err != nil {
+	for _, kind := range consensus.FileKinds() {
+		if err := c.store.RemoveCorrupt(kind); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *control) carry(effect consensus.Effect) {
-	if send, isOne := effect.(consensus.Send); isOne {
-		target := c.fleet.controlBy(send.To)
+func (c *controlServer) applyEffect(effect consensus.Effect) {
+	if send, ok := effect.(consensus.Send); ok {
+		target := c.fleet.findControl(send.To)
 		body, from := send.Body, c.name
-		c.world.send(&c.machine, &target.machine, func() {
-			target.step(consensus.Heard{From: from, Body: body})
+		c.simulator.send(&c.machine, &target.machine, func() {
+			target.step(consensus.Received{From: from, Body: body})
 		})
 		return
 	}
-	if answer, isOne := effect.(consensus.Answer); isOne {
-		done := c.answers[answer.Token]
-		delete(c.answers, answer.Token)
+	if answer, ok := effect.(consensus.SubmitResult); ok {
+		done := c.pendingWrites[answer.Token]
+		delete(c.pendingWrites, answer.Token)
 		if done != nil {
 			done(answer)
 		}
 		return
 	}
-	if wrote, isOne := effect.(consensus.Wrote); isOne {
-		c.steer.Wrote(wrote.Table)
-		c.fleet.took(c.name, c.steer.Doc().Sets)
-		c.flush()
+	if wrote, ok := effect.(consensus.TableCommitted); ok {
+		c.distributor.Publish(wrote.Table)
+		c.fleet.recordServedSets(c.name, c.distributor.Snapshot().Sets)
+		c.flushUpdates()
 		return
 	}
-	if turned, isOne := effect.(consensus.Turned); isOne {
-		c.world.note("%s epoch %d primary %s backup %s: %s", c.name, turned.Record.Epoch, turned.Record.Primary, turned.Record.Backup, turned.Why)
-		c.steer.Turn(turned.Record, turned.Table, c.clock())
+	if turned, ok := effect.(consensus.EpochChanged); ok {
+		c.simulator.record("%s epoch %d primary %s backup %s: %s", c.name, turned.Record.Epoch, turned.Record.Primary, turned.Record.Backup, turned.Reason)
+		c.distributor.EpochChanged(turned.Record, turned.Table, c.clock())
 	}
 }
 
-func (c *control) submit(build func(*store.Table) []store.Put, done func(consensus.Answer)) {
-	c.token++
-	token := c.token
-	c.answers[token] = done
+func (c *controlServer) submit(build func(*store.Table) []store.Put, done func(consensus.SubmitResult)) {
+	c.lastToken++
+	token := c.lastToken
+	c.pendingWrites[token] = done
 	c.step(consensus.Submit{Token: token, Build: build})
 }
 
-func (c *control) flush() {
-	c.steer.Trust(c.epoch.IsClockSure())
-	for _, reply := range c.steer.Flush(c.isPrimary(), c.wallNow(), c.clock()) {
-		answer := c.asks[reply.Token]
-		delete(c.asks, reply.Token)
-		answer(reply.News)
+func (c *controlServer) flushUpdates() {
+	c.distributor.SetClockTrusted(c.consensus.IsClockConfirmed())
+	for _, reply := range c.distributor.Flush(c.isPrimary(), c.wallNow(), c.clock()) {
+		answer := c.pendingUpdates[reply.Token]
+		delete(c.pendingUpdates, reply.Token)
+		answer(reply.Update)
 	}
 }
 
-func (c *control) onAskNews(ask distribution.AskNews, answer func(distribution.News)) {
+func (c *controlServer) onUpdateRequest(request distribution.UpdateRequest, answer func(distribution.Update)) {
 	if !c.isPrimary() {
-		answer(distribution.News{Record: c.epoch.Record()})
+		answer(distribution.Update{Record: c.consensus.Record()})
 		return
 	}
-	c.token++
-	c.asks[c.token] = answer
-	c.steer.Ask(ask, c.token, c.clock())
-	c.flush()
+	c.lastToken++
+	c.pendingUpdates[c.lastToken] = answer
+	c.distributor.HandleRequest(request, c.lastToken, c.clock())
+	c.flushUpdates()
 }
 
-func (c *control) move() {
+func (c *controlServer) submitDueWrites() {
 	if !c.isPrimary() {
 		return
 	}
-	for _, next := range []func(int64, time.Duration) (distribution.Write, bool){c.steer.Enroll, c.steer.Land, c.steer.Tidy} {
-		if write, isDue := next(c.wallNow(), c.clock()); isDue {
-			c.submit(write.Build, func(consensus.Answer) { write.Done() })
+	for _, next := range []func(int64, time.Duration) (distribution.Write, bool){c.distributor.RegisterNodes, c.distributor.NextActivation, c.distributor.NextCollection} {
+		if write, due := next(c.wallNow(), c.clock()); due {
+			c.submit(write.Build, func(consensus.SubmitResult) { write.Done() })
 		}
 	}
 }
 
-func (c *control) duties() {
-	c.do(singleton.Pace, c.duties)
-	c.flush()
-	c.move()
+func (c *controlServer) runSingletons() {
+	c.after(singleton.TickInterval, c.runSingletons)
+	c.flushUpdates()
+	c.submitDueWrites()
 	at := c.situation()
-	isSeeking, isLearning := c.duty.Due(at, c.clock())
+	isSeeking, isLearning := c.singleton.Due(at, c.clock())
 	if !isSeeking {
 		return
 	}
-	primary := c.fleet.controlBy(c.epoch.Record().Primary)
+	primary := c.fleet.findControl(c.consensus.Record().Primary)
 	if !isLearning || primary == nil {
-		c.seek(at)
+		c.pursueRoles(at)
 		return
 	}
 	if primary == c {
-		c.duty.Learn(c.databases())
-		c.seek(at)
+		c.singleton.SetDatabases(c.databases())
+		c.pursueRoles(at)
 		return
 	}
-	c.world.send(&c.machine, &primary.machine, func() {
+	c.simulator.send(&c.machine, &primary.machine, func() {
 		if !primary.isPrimary() {
 			return
 		}
 		databases, synced := primary.databases()
-		c.world.send(&primary.machine, &c.machine, func() { c.duty.Learn(databases, synced) })
+		c.simulator.send(&primary.machine, &c.machine, func() { c.singleton.SetDatabases(databases, synced) })
 	})
-	c.seek(at)
+	c.pursueRoles(at)
 }
 
-func (c *control) situation() singleton.Situation {
-	at := singleton.Situation{IsPrimary: c.isPrimary()}
-	for _, writer := range c.steer.Doc().Writers {
-		at.IsMoving = at.IsMoving || (writer.IsSynced && writer.Phase != model.PhaseOpen)
+func (c *controlServer) situation() singleton.NodeState {
+	at := singleton.NodeState{Primary: c.isPrimary()}
+	for _, writer := range c.distributor.Snapshot().Writers {
+		at.FailoverActive = at.FailoverActive || (writer.SyncReplication && writer.Phase != model.PhaseOpen)
 	}
 	return at
 }
 
 // databases names those that this machine knows of, and the synced ones.
-func (c *control) databases() (all, synced []string) {
-	heard := c.heardList()
-	all = c.steer.Databases(heard)
+func (c *controlServer) databases() (all, synced []string) {
+	heard := c.announcementList()
+	all = c.distributor.Databases(heard)
 	for _, database := range all {
-		if c.steer.IsSynced(database, heard) {
+		if c.distributor.UsesSyncReplication(database, heard) {
 			synced = append(synced, database)
 		}
 	}
 	return all, synced
 }
 
-func (c *control) seek(at singleton.Situation) {
-	for _, effect := range c.duty.Seek(at, c.clock()) {
-		if canvass, isCanvass := effect.(singleton.Canvass); isCanvass {
-			c.canvass(canvass)
+func (c *controlServer) pursueRoles(at singleton.NodeState) {
+	for _, effect := range c.singleton.Campaign(at, c.clock()) {
+		if canvass, isCanvass := effect.(singleton.RequestVotes); isCanvass {
+			c.requestVotes(canvass)
 		}
-		if attend, isAttend := effect.(singleton.Attend); isAttend && c.duty.Begin(attend.Database) {
-			c.attend(attend)
+		if attend, isAttend := effect.(singleton.Evaluate); isAttend && c.singleton.BeginEvaluation(attend.Database) {
+			c.requestEvidence(attend)
 		}
 	}
 }
 
-func (c *control) canvass(canvass singleton.Canvass) {
+func (c *controlServer) requestVotes(canvass singleton.RequestVotes) {
 	for _, name := range canvass.Voters {
-		voter := c.fleet.controlBy(name)
-		c.world.send(&c.machine, &voter.machine, func() {
-			vote := voter.duty.OnAsk(c.name, canvass.Ask, voter.clock())
-			c.world.send(&voter.machine, &c.machine, func() {
-				if c.duty.OnVote(voter.name, vote, c.clock()) {
-					c.world.note("%s won %s", c.name, vote.Duty)
+		voter := c.fleet.findControl(name)
+		c.simulator.send(&c.machine, &voter.machine, func() {
+			vote := voter.singleton.OnVoteRequest(c.name, canvass.Request, voter.clock())
+			c.simulator.send(&voter.machine, &c.machine, func() {
+				if c.singleton.OnVote(voter.name, vote, c.clock()) {
+					c.simulator.record("%s won %s", c.name, vote.Role)
 				}
 			})
 		})
@@ -281,51 +283,51 @@
 
 // hold waits for an answer about a database that is attended to, for a bound;
 // what it gives says whether the answer came in time.
-func (c *control) hold(database string, bound time.Duration) (isInTime func() bool) {
-	c.errands[database]++
-	number := c.errands[database]
+func (c *controlServer) awaitAnswer(database string, bound time.Duration) (isInTime func() bool) {
+	c.lastAwaited[database]++
+	number := c.lastAwaited[database]
 	isInTime = func() bool {
-		isSame := c.errands[database] == number
+		isSame := c.lastAwaited[database] == number
 		if isSame {
-			c.errands[database]++
+			c.lastAwaited[database]++
 		}
 		return isSame
 	}
-	c.do(bound, func() {
+	c.after(bound, func() {
 		if isInTime() {
-			c.duty.End(database)
+			c.singleton.EndEvaluation(database)
 		}
 	})
 	return isInTime
 }
 
 const (
-	caseBound   = 300 * time.Millisecond
-	recordBound = 2 * time.Second
+	evidenceTimeout = 300 * time.Millisecond
+	recordTimeout   = 2 * time.Second
 )
 
-func (c *control) attend(attend singleton.Attend) {
+func (c *controlServer) requestEvidence(attend singleton.Evaluate) {
 	database := attend.Database
-	primary := c.fleet.controlBy(c.epoch.Record().Primary)
+	primary := c.fleet.findControl(c.consensus.Record().Primary)
 	if primary == nil {
-		c.duty.End(database)
+		c.singleton.EndEvaluation(database)
 		return
 	}
-	isInTime := c.hold(database, caseBound)
-	c.world.send(&c.machine, &primary.machine, func() {
+	isInTime := c.awaitAnswer(database, evidenceTimeout)
+	c.simulator.send(&c.machine, &primary.machine, func() {
 		if !primary.isPrimary() {
 			return
 		}
-		heard := primary.heardList()
+		heard := primary.announcementList()
 		var decide func()
-		if attend.IsSynced {
-			at := primary.steer.Takeover(database, heard, primary.wallNow(), primary.clock())
-			decide = func() { c.decideTakeover(primary, at) }
+		if attend.Synced {
+			at := primary.distributor.SyncFailoverEvidence(database, heard, primary.wallNow(), primary.clock())
+			decide = func() { c.decideSyncFailover(primary, at) }
 		} else {
-			at := primary.steer.Case(database, heard, primary.wallNow(), primary.clock())
-			decide = func() { c.decide(primary, at) }
+			at := primary.distributor.AsyncFailoverEvidence(database, heard, primary.wallNow(), primary.clock())
+			decide = func() { c.decideAsyncFailover(primary, at) }
 		}
-		c.world.send(&primary.machine, &c.machine, func() {
+		c.simulator.send(&primary.machine, &c.machine, func() {
 			if isInTime() {
 				decide()
 			}
@@ -335,7 +337,7 @@
 
 // carryAll carries effects out in order; what follows a record waits until
 // that is kept.
-func (c *control) carryAll(primary *control, database string, before model.Writer, isKnown bool, effects []any, act func(any), recorded func(asyncrepl.Record)) {
+func (c *controlServer) applyFailover(primary *controlServer, database string, before model.WriterRole, known bool, effects []any, act func(any), recorded func(asyncrepl.Record)) {
 	for rank, effect := range effects {
 		record, isRecord := effect.(asyncrepl.Record)
 		if !isRecord {
@@ -343,71 +345,71 @@
 			continue
 		}
 		rest := effects[rank+1:]
-		c.record(primary, database, before, isKnown, record, func() {
+		c.recordDecision(primary, database, before, known, record, func() {
 			recorded(record)
-			c.carryAll(primary, database, before, isKnown, rest, act, recorded)
+			c.applyFailover(primary, database, before, known, rest, act, recorded)
 		})
 		return
 	}
-	c.duty.End(database)
+	c.singleton.EndEvaluation(database)
 }
 
-func (c *control) record(primary *control, database string, before model.Writer, isKnown bool, record asyncrepl.Record, then func()) {
-	ask := distribution.RecordCase{Before: before, IsKnown: isKnown, After: record.Writer, What: record.What, Evidence: record.Evidence, By: c.name}
-	isInTime := c.hold(database, recordBound)
-	c.world.send(&c.machine, &primary.machine, func() {
+func (c *controlServer) recordDecision(primary *controlServer, database string, before model.WriterRole, known bool, record asyncrepl.Record, then func()) {
+	request := distribution.WriterRoleChange{Previous: before, PreviousExists: known, Next: record.Writer, Action: record.Change, Evidence: record.Reason, RequestedBy: c.name}
+	isInTime := c.awaitAnswer(database, recordTimeout)
+	c.simulator.send(&c.machine, &primary.machine, func() {
 		if !primary.isPrimary() {
 			return
 		}
-		isTaken := false
+		accepted := false
 		primary.submit(func(held *store.Table) []store.Put {
-			puts := distribution.Record(held, ask, primary.wallNow())
-			isTaken = len(puts) > 0
+			puts := distribution.WriterRolePuts(held, request, primary.wallNow())
+			accepted = len(puts) > 0
 			return puts
-		}, func(done consensus.Answer) {
-			isKept := done.IsKept && isTaken
-			c.world.send(&primary.machine, &c.machine, func() {
+		}, func(done consensus.SubmitResult) {
+			isKept := done.Committed && accepted
+			c.simulator.send(&primary.machine, &c.machine, func() {
 				if !isInTime() {
 					return
 				}
 				if !isKept {
-					c.duty.End(database)
+					c.singleton.EndEvaluation(database)
 					return
 				}
-				c.world.note("%s records %s: %s (%s)", c.name, database, record.What, record.Evidence)
+				c.simulator.record("%s records %s: %s (%s)", c.name, database, record.Change, record.Reason)
 				then()
 			})
 		})
 	})
 }
 
-func (c *control) heardList() []distribution.Heard {
-	var list []distribution.Heard
+func (c *controlServer) announcementList() []distribution.Observation {
+	var list []distribution.Observation
 	for _, name := range c.fleet.instanceNames() {
-		if heard, isHeard := c.heard[name]; isHeard {
+		if heard, isHeard := c.announcements[name]; isHeard {
 			list = append(list, heard)
 		}
 	}
 	return list
 }
 
-func (c *control) decide(primary *control, at asyncrepl.Case) {
+func (c *controlServer) decideAsyncFailover(primary *controlServer, at asyncrepl.Evidence) {
 	effects := asyncrepl.Step(at, asyncrepl.DefaultTiming())
-	if c.fleet.plant.IsWorstReplica && len(effects) == 2 {
-		effects = c.worstOf(at, effects[0].(asyncrepl.Record))
+	if c.fleet.defects.PromoteWorstReplica && len(effects) == 2 {
+		effects = c.withWorstReplica(at, effects[0].(asyncrepl.Record))
 	}
-	c.carryAll(primary, at.Database, at.Writer, at.IsKnown, effects, func(effect any) {
-		if promote, isOne := effect.(asyncrepl.Promote); isOne {
+	c.applyFailover(primary, at.Database, at.Writer, at.Known, effects, func(effect any) {
+		if promote, ok := effect.(asyncrepl.Promote); ok {
 			c.fleet.platform.promote(c, promote)
 		}
 	}, func(asyncrepl.Record) {})
 }
 
-func (c *control) worstOf(at asyncrepl.Case, record asyncrepl.Record) []any {
-	worst := slices.MinFunc(at.Sights, func(a, b asyncrepl.Sight) int {
+func (c *controlServer) withWorstReplica(at asyncrepl.Evidence, record asyncrepl.Record) []any {
+	worst := slices.MinFunc(at.Observations, func(a, b asyncrepl.Observation) int {
 		isFirst := a.Instance.Name != at.Writer.Primary && (b.Instance.Name == at.Writer.Primary || a.Instance.Position.IsBefore(b.Instance.Position))
 		return map[bool]int{true: -1, false: 1}[isFirst]
 	}).Instance.Name
-	record.Writer.Intent = worst
+	record.Writer.Promoting = worst
 	return []any{record, asyncrepl.Promote{Database: at.Database, Instance: worst, Term: at.Writer.Term + 1}}
 }
--- a/test/simulation/takeover_test.go
+++ b/test/simulation/control_failover_test.go
@@ -10,25 +10,25 @@
 	"tansyseam/internal/coordination/consensus"
 )
 
-func TestTakeoverOfControl(t *testing.T) {
+func TestControlFailover(t *testing.T) {
 	onlyWithoutRace(t)
 	timing := consensus.DefaultTiming()
 	stalls := map[string]bool{"disk hangs": true, "disk refuses": true}
 	Convey("However control's primary is lost, another holds primacy soon, and never before the old one's has lapsed; soon after, a write is kept", t, func() {
-		for _, shape := range []Shape{Magnolia(), Chile()} {
-			for _, loss := range Losses() {
-				bound := timing.Primacy + timing.Renew
+		for _, shape := range []Config{SmallConfig(), LargeConfig()} {
+			for _, loss := range PrimaryLosses() {
+				bound := timing.PrimaryLease + timing.RenewInterval
 				if stalls[loss.Name] {
-					bound += timing.Reply
+					bound += timing.ReplyTimeout
 				}
-				primacy, kept, faults := MeasureTakeovers(500, 16, shape, loss, 8)
+				primacy, kept, faults := MeasureControlFailovers(500, 16, shape, loss, 8)
 				about := fmt.Sprintf("%d machines, %s: primacy %v, kept %v", shape.Controls, loss.Name, primacy, kept)
 				SoMsg(about, faults, ShouldEqual, 0)
-				SoMsg(about, Quantile(primacy, 0), ShouldBeGreaterThan, timing.Primacy*9/10-timing.Renew)
+				SoMsg(about, Quantile(primacy, 0), ShouldBeGreaterThan, timing.PrimaryLease*9/10-timing.RenewInterval)
 				SoMsg(about, Quantile(primacy, 0.5), ShouldBeBetween, 0, bound)
-				SoMsg(about, Quantile(primacy, 0.99), ShouldBeBetween, 0, bound+timing.Renew)
-				SoMsg(about, Quantile(kept, 0.5), ShouldBeBetween, 0, bound+timing.Renew)
-				SoMsg(about, Quantile(kept, 0.99), ShouldBeBetween, 0, bound+2*timing.Renew)
+				SoMsg(about, Quantile(primacy, 0.99), ShouldBeBetween, 0, bound+timing.RenewInterval)
+				SoMsg(about, Quantile(kept, 0.5), ShouldBeBetween, 0, bound+timing.RenewInterval)
+				SoMsg(about, Quantile(kept, 0.99), ShouldBeBetween, 0, bound+2*timing.RenewInterval)
 			}
 		}
 	})
--- a/test/simulation/disk.go
+++ b/test/simulation/disk.go
@@ -7,20 +7,20 @@
 )
 
 type disk struct {
-	files     map[string][]byte
-	isFailing bool
-	slow      time.Duration
-	hangs     time.Duration
-	writes    int
+	files      map[string][]byte
+	failing    bool
+	writeDelay time.Duration
+	hangsUntil time.Duration
+	writes     int
 }
 
 func newDisk() *disk { return &disk{files: map[string][]byte{}} }
 
-var errDisk = errors.New("no space left on device")
+var errDiskFull = errors.New("no space left on device")
 
 func (d *disk) Write(name string, data []byte) error {
-	if d.isFailing {
-		return errDisk
+	if d.failing {
+		return errDiskFull
 	}
 	d.writes++
 	d.files[name] = slices.Clone(data)
@@ -28,8 +28,8 @@
 }
 
 func (d *disk) Read(name string) ([]byte, error) {
-	data, isHeld := d.files[name]
-	if !isHeld {
+	data, found := d.files[name]
+	if !found {
 		return nil, errors.New("no such file")
 	}
 	return data, nil
@@ -57,4 +57,4 @@
 	}
 }
 
-func (d *disk) mend() { d.isFailing, d.slow, d.hangs = false, 0, 0 }
+func (d *disk) repair() { d.failing, d.writeDelay, d.hangsUntil = false, 0, 0 }
--- a/test/simulation/fleet.go
+++ b/test/simulation/fleet.go
@@ -15,33 +15,33 @@
 
 // Plant is a defect put on purpose into what surrounds the product's
 // machines, to show that the checks see it.
-type Plant struct {
+type Defects struct {
 	// IsLeaseless: every lease that a node hears is a hundred times longer.
-	IsLeaseless bool
+	OverlongLeases bool
 	// IsForgetful: other nodes' records of goes seem to be blank.
-	IsForgetful bool
+	BlankIdempotencyRecords bool
 	// IsLyingAhead: replicas seem to hold all that their primary holds.
-	IsLyingAhead bool
+	InflatedReplicaPositions bool
 	// IsLyingBehind: primaries seem to stand where they stood 4 s before.
-	IsLyingBehind bool
+	OutdatedPrimaryPositions bool
 	// IsWorstReplica: duties promote the replica that is furthest behind.
-	IsWorstReplica bool
+	PromoteWorstReplica bool
 	// IsResending: a request is sent again when its answer is lost.
-	IsResending bool
+	ResendUnanswered bool
 	// IsStubborn: nobody hears an instance say that it is leaving.
-	IsStubborn bool
+	IgnoreLeaving bool
 	// IsUnclean: instances call connections with state clean.
-	IsUnclean bool
+	DirtyConnections bool
 	// IsHasty: a planned stop does not wait for what was passed on.
-	IsHasty bool
+	AbruptStop bool
 	// IsTwisted: the control primary writes other bindings than it was sent.
-	IsTwisted bool
+	AlteredBindings bool
 	// IsReadAnywhere: a control machine answers reads also without primacy.
-	IsReadAnywhere bool
+	ReadWithoutPrimacy bool
 }
 
 // Shape is the size of a simulated fleet.
-type Shape struct {
+type Config struct {
 	Controls  int
 	Nodes     int
 	Databases int
@@ -49,79 +49,79 @@
 	// Connections and Slots are those of each instance.
 	Connections, Slots int
 	// Span is how long faults are brought about; Tail follows without any.
-	Span, Tail time.Duration
+	FaultDuration, RecoveryDuration time.Duration
 	// Only, where given, names the troubles that may come, and Longest is
 	// the longest that one lasts.
-	Only    []string
-	Longest time.Duration
+	AllowedFaults    []string
+	MaxFaultDuration time.Duration
 	// Calm is how long callers are served before the first fault.
-	Calm time.Duration
+	WarmUp time.Duration
 	// IsDiced: callers choose each act by dice, and go on in a transaction
 	// whose end was not carried out, as they did when some of the kept seeds
 	// were found. They else choose each tenth of their acts once in ten, in an
 	// order of chance, so that what is asked stays level, and leave.
-	IsDiced bool
+	IndependentDraws bool
 	// Script, where given, is played in place of random troubles.
 	Script func(*fleet)
 }
 
 // Magnolia is the simulated desk-booking fleet.
-func Magnolia() Shape {
-	return Shape{Controls: 3, Nodes: 5, Databases: 1, Callers: 24, Connections: 24, Slots: 4, Calm: 8 * time.Second, Span: 20 * time.Second, Tail: 18 * time.Second}
+func SmallConfig() Config {
+	return Config{Controls: 3, Nodes: 5, Databases: 1, Callers: 24, Connections: 24, Slots: 4, WarmUp: 8 * time.Second, FaultDuration: 20 * time.Second, RecoveryDuration: 18 * time.Second}
 }
 
 // Chile is the simulated portability fleet.
-func Chile() Shape {
-	return Shape{Controls: 5, Nodes: 4, Databases: 2, Callers: 24, Connections: 24, Slots: 4, Calm: 8 * time.Second, Span: 20 * time.Second, Tail: 18 * time.Second}
+func LargeConfig() Config {
+	return Config{Controls: 5, Nodes: 4, Databases: 2, Callers: 24, Connections: 24, Slots: 4, WarmUp: 8 * time.Second, FaultDuration: 20 * time.Second, RecoveryDuration: 18 * time.Second}
 }
 
 var zones = []string{"za", "zb", "zc"}
 
 type fleet struct {
-	world    *world
-	plant    Plant
-	shape    Shape
-	controls []*control
+	simulator *simulator
+	defects   Defects
+	config    Config
+	controls  []*controlServer
 	// gone are the control machines that were removed for good.
-	gone []*control
+	removedControls []*controlServer
 	// acknowledged is the newest sequence that an answer kept has told, reads counts
 	// the answers to reads of the newest set.
-	acknowledged uint64
-	reads        int
-	nodes        []*node
-	instances    []*instance
-	databases    []string
-	platform     *platform
-	events       []standin.Event
-	restarts     []history.Restart
-	sent         []history.Sent
-	seen         []history.Seen
-	told         []history.Told
-	calm         []history.Span
-	out          map[uint64]standin.Event
-	outs         uint64
-	puts         []history.Put
-	closings     []history.Closing
-	faults       []string
-	sequence     uint64
-	rush         float64
-	removed      map[string]bool
-	isSeen       map[string]bool
-	met          map[string]int
-	ambushes     int
+	acknowledgedSequence uint64
+	answeredReads        int
+	nodes                []*node
+	instances            []*instance
+	databases            []string
+	platform             *platform
+	events               []standin.Event
+	restarts             []history.Restart
+	submittedSets        []history.SubmittedSet
+	servedSets           []history.ServedSet
+	setAnswers           []history.SetAnswer
+	quietSpans           []history.Span
+	outstanding          map[uint64]standin.Event
+	lastRequest          uint64
+	acceptedSets         []history.AcceptedSet
+	closedFaults         []history.ClosedFault
+	violations           []string
+	newestSequence       uint64
+	loadFactor           float64
+	removedNodes         map[string]bool
+	knownServedSets      map[string]bool
+	faultPhases          map[string]int
+	followUpsLeft        int
 
-	isMirrored bool
-	moves      int
-	widest     float64
+	modelsWindows bool
+	windowUpdates int
+	maxWindow     float64
 
-	isReplacing bool
-	isMended    bool
+	replacingInstances bool
+	repaired           bool
 
-	lines *lines
+	lines *lineFleet
 }
 
-func (f *fleet) controlBy(name string) *control {
-	for _, one := range slices.Concat(f.controls, f.gone) {
+func (f *fleet) findControl(name string) *controlServer {
+	for _, one := range slices.Concat(f.controls, f.removedControls) {
 		if one.name == name {
 			return one
 		}
@@ -129,7 +129,7 @@
 	return nil
 }
 
-func (f *fleet) nodeBy(name string) *node {
+func (f *fleet) findNode(name string) *node {
 	at := slices.IndexFunc(f.nodes, func(n *node) bool { return n.name == name })
 	if at < 0 {
 		return nil
@@ -137,7 +137,7 @@
 	return f.nodes[at]
 }
 
-func (f *fleet) instanceBy(name string) *instance {
+func (f *fleet) findInstance(name string) *instance {
 	at := slices.IndexFunc(f.instances, func(x *instance) bool { return x.name == name })
 	if at < 0 {
 		return nil
@@ -145,40 +145,40 @@
 	return f.instances[at]
 }
 
-func (f *fleet) miss(format string, parts ...any) {
-	f.faults = append(f.faults, fmt.Sprintf(format, parts...))
+func (f *fleet) addViolation(format string, parts ...any) {
+	f.violations = append(f.violations, fmt.Sprintf(format, parts...))
 }
 
-func (f *fleet) bounce(m *machine, start func(), span time.Duration) {
-	if !m.isUp {
+func (f *fleet) crashAndRestart(m *machine, start func(), span time.Duration) {
+	if !m.running {
 		return
 	}
 	m.crash()
-	f.world.after(span, func() {
-		if !m.isUp {
+	f.simulator.after(span, func() {
+		if !m.running {
 			start()
 		}
 	})
 }
 
-func (f *fleet) machine(name string) machine {
-	w := f.world
-	return machine{world: w, name: name, drift: (w.random.Float64() - 0.5) * 0.004, skew: w.between(0, 20*time.Millisecond)}
+func (f *fleet) newMachine(name string) machine {
+	w := f.simulator
+	return machine{simulator: w, name: name, clockDrift: (w.random.Float64() - 0.5) * 0.004, wallClockSkew: w.randomDuration(0, 20*time.Millisecond)}
 }
 
 func (f *fleet) addNode() *node {
-	one := &node{machine: f.machine(fmt.Sprintf("d%d", len(f.nodes)+1)), fleet: f, beta: 1}
-	one.zone, one.crashed = zones[len(f.nodes)%len(zones)], one.onCrash
+	one := &node{machine: f.newMachine(fmt.Sprintf("d%d", len(f.nodes)+1)), fleet: f, weight: 1}
+	one.zone, one.crashHandler = zones[len(f.nodes)%len(zones)], one.onCrash
 	f.nodes = append(f.nodes, one)
 	return one
 }
 
-func newFleet(seed uint64, shape Shape, plant Plant) *fleet {
-	w := newWorld(seed)
-	f := &fleet{world: w, plant: plant, shape: shape, out: map[uint64]standin.Event{}, rush: 1, removed: map[string]bool{}, isSeen: map[string]bool{}, met: map[string]int{}, ambushes: 4}
-	make_ := f.machine
+func newFleet(seed uint64, shape Config, defects Defects) *fleet {
+	w := newSimulator(seed)
+	f := &fleet{simulator: w, defects: defects, config: shape, outstanding: map[uint64]standin.Event{}, loadFactor: 1, removedNodes: map[string]bool{}, knownServedSets: map[string]bool{}, faultPhases: map[string]int{}, followUpsLeft: 4}
+	make_ := f.newMachine
 	for at := range shape.Controls {
-		f.controls = append(f.controls, &control{machine: make_(fmt.Sprintf("c%d", at+1)), fleet: f, disk: newDisk()})
+		f.controls = append(f.controls, &controlServer{machine: make_(fmt.Sprintf("c%d", at+1)), fleet: f, disk: newDisk()})
 	}
 	for range shape.Nodes {
 		f.addNode()
@@ -190,11 +190,11 @@
 		for rank := range 3 {
 			name := fmt.Sprintf("%s-%c", database, 'a'+rank)
 			one := &instance{
-				machine: make_(name), fleet: f, database: database, role: model.RoleReplica, term: 1, birth: name + ".0",
-				upstream: primary, delay: 2 * time.Millisecond, service: 8 * time.Millisecond,
+				machine: make_(name), fleet: f, database: database, role: model.RoleReplica, term: 1, incarnationName: name + ".0",
+				upstream: primary, replicationDelay: 2 * time.Millisecond, serviceTime: 8 * time.Millisecond,
 			}
-			one.zone, one.isLying = zones[rank], plant.IsUnclean
-			one.crashed = one.onCrash
+			one.zone, one.claimsClean = zones[rank], defects.DirtyConnections
+			one.crashHandler = one.onCrash
 			if rank == 0 {
 				one.role, primary = model.RolePrimary, one
 			}
@@ -202,7 +202,7 @@
 		}
 	}
 	f.platform = &platform{machine: make_("platform"), fleet: f}
-	f.platform.isUp = true
+	f.platform.running = true
 	for _, one := range f.instances {
 		one.start()
 	}
@@ -215,21 +215,21 @@
 	return f
 }
 
-func bindings(databases []string, id string) []model.Binding {
+func newBindings(databases []string, id string) []model.Binding {
 	list := []model.Binding{{Name: "mark-" + id, Database: databases[0]}}
 	for _, database := range databases {
-		for _, bound := range bounds {
-			list = append(list, model.Binding{Name: bindingOf(database, bound), Database: database, Freshness: time.Duration(bound) * time.Millisecond})
+		for _, bound := range stalenessBoundsMS {
+			list = append(list, model.Binding{Name: bindingName(database, bound), Database: database, Freshness: time.Duration(bound) * time.Millisecond})
 		}
 	}
 	return list
 }
 
-var bounds = []int{0, 1500, 2500}
+var stalenessBoundsMS = []int{0, 1500, 2500}
 
-func bindingOf(database string, bound int) string { return fmt.Sprintf("%s-%d", database, bound) }
+func bindingName(database string, bound int) string { return fmt.Sprintf("%s-%d", database, bound) }
 
-func contentOf(bindings []model.Binding) string {
+func bindingsContent(bindings []model.Binding) string {
 	content := ""
 	for _, one := range bindings {
 		content += fmt.Sprintf("%s=%s/%d ", one.Name, one.Database, one.Freshness.Milliseconds())
@@ -237,147 +237,147 @@
 	return content
 }
 
-func (f *fleet) took(where string, sets []model.Set) {
+func (f *fleet) recordServedSets(where string, sets []model.BindingSet) {
 	for _, set := range sets {
-		content := contentOf(set.Bindings)
+		content := bindingsContent(set.Bindings)
 		key := fmt.Sprint(set.Sequence, content)
-		if !f.isSeen[key] {
-			f.isSeen[key] = true
-			f.seen = append(f.seen, history.Seen{Node: where, Sequence: set.Sequence, Content: content, At: int64(f.world.now)})
+		if !f.knownServedSets[key] {
+			f.knownServedSets[key] = true
+			f.servedSets = append(f.servedSets, history.ServedSet{Node: where, Sequence: set.Sequence, Content: content, At: int64(f.simulator.now)})
 		}
 	}
 }
 
-func (f *fleet) operate(id string, expected uint64, due int64) {
-	operator := &machine{world: f.world, name: "operator", isUp: true}
-	for _, disk := range f.controls {
-		if !disk.isUp || disk.isFrozen || !disk.isPrimary() {
+func (f *fleet) submitSet(id string, expected uint64, due int64) {
+	operator := &machine{simulator: f.simulator, name: "operator", running: true}
+	for _, control := range f.controls {
+		if !control.running || control.frozen || !control.isPrimary() {
 			continue
 		}
-		set := bindings(f.databases, id)
-		f.sent = append(f.sent, history.Sent{ID: id, Content: contentOf(set), Due: due - wallBase, IsBooked: due != 0, At: int64(f.world.now)})
-		f.world.send(operator, &disk.machine, func() { f.put(operator, disk, id, expected, due, set) })
+		set := newBindings(f.databases, id)
+		f.submittedSets = append(f.submittedSets, history.SubmittedSet{ID: id, Content: bindingsContent(set), EffectiveAt: due - wallClockEpoch, Scheduled: due != 0, At: int64(f.simulator.now)})
+		f.simulator.send(operator, &control.machine, func() { f.handleSet(operator, control, id, expected, due, set) })
 		return
 	}
 }
 
-func (f *fleet) put(operator *machine, disk *control, id string, expected uint64, due int64, set []model.Binding) {
-	if !disk.isPrimary() {
+func (f *fleet) handleSet(operator *machine, control *controlServer, id string, expected uint64, due int64, set []model.Binding) {
+	if !control.isPrimary() {
 		return
 	}
-	if f.plant.IsTwisted {
+	if f.defects.AlteredBindings {
 		set = set[:len(set)-1]
 	}
-	sequence, isConflict := uint64(0), false
-	disk.submit(func(held *store.Table) []store.Put {
-		if past, isPast := distribution.Past(held, id); isPast {
+	sequence, conflict := uint64(0), false
+	control.submit(func(held *store.Table) []store.Put {
+		if past, isPast := distribution.FindCallResult(held, id); isPast {
 			sequence = uint64(past.Status)
 			return nil
 		}
 		if due != 0 {
-			puts, _ := distribution.BookSet(held, id, due, set, disk.wallNow())
+			puts, _ := distribution.ScheduledChangePuts(held, id, due, set, control.wallNow())
 			if len(puts) == 0 {
-				isConflict = true
+				conflict = true
 				return nil
 			}
-			return distribution.Keep(held, id, distribution.Outcome{}, puts)
+			return distribution.RecordCallResult(held, id, distribution.CallResult{}, puts)
 		}
-		puts, newest := distribution.PutSet(held, expected, set, id, disk.wallNow())
+		puts, newest := distribution.BindingSetPuts(held, expected, set, id, control.wallNow())
 		if len(puts) == 0 {
-			isConflict, sequence = true, newest
+			conflict, sequence = true, newest
 			return nil
 		}
 		sequence = newest + 1
-		return distribution.Keep(held, id, distribution.Outcome{Status: int(sequence)}, puts)
-	}, func(done consensus.Answer) {
-		f.world.send(&disk.machine, operator, func() {
-			f.world.note("operator: %s on %d kept %v conflict %v sequence %d", id, expected, done.IsKept, isConflict, sequence)
-			f.sequence = max(f.sequence, sequence)
-			if done.IsKept {
-				f.acknowledged = max(f.acknowledged, sequence)
+		return distribution.RecordCallResult(held, id, distribution.CallResult{Status: int(sequence)}, puts)
+	}, func(done consensus.SubmitResult) {
+		f.simulator.send(&control.machine, operator, func() {
+			f.simulator.record("operator: %s on %d kept %v conflict %v sequence %d", id, expected, done.Committed, conflict, sequence)
+			f.newestSequence = max(f.newestSequence, sequence)
+			if done.Committed {
+				f.acknowledgedSequence = max(f.acknowledgedSequence, sequence)
 			}
-			told := history.Told{ID: id, At: int64(f.world.now), Sequence: sequence, IsRefused: isConflict}
-			if isConflict || (done.IsKept && (due != 0 || sequence > 0)) {
-				f.told = append(f.told, told)
+			told := history.SetAnswer{ID: id, At: int64(f.simulator.now), Sequence: sequence, Refused: conflict}
+			if conflict || (done.Committed && (due != 0 || sequence > 0)) {
+				f.setAnswers = append(f.setAnswers, told)
 			}
-			if done.IsKept && !isConflict && due == 0 && sequence > 0 {
-				f.puts = append(f.puts, history.Put{Sequence: sequence, Told: int64(f.world.now)})
+			if done.Committed && !conflict && due == 0 && sequence > 0 {
+				f.acceptedSets = append(f.acceptedSets, history.AcceptedSet{Sequence: sequence, AcknowledgedAt: int64(f.simulator.now)})
 			}
 		})
 	})
 }
 
-func (f *fleet) restarted(n *node, from time.Duration) {
-	f.restarts = append(f.restarts, history.Restart{Door: n.name, From: int64(from), Until: int64(f.world.now)})
+func (f *fleet) recordRestart(n *node, from time.Duration) {
+	f.restarts = append(f.restarts, history.Restart{Address: n.name, From: int64(from), Until: int64(f.simulator.now)})
 }
 
 // Result is what one simulated run showed.
 type Result struct {
-	Seed   uint64
-	Faults map[string][]string
-	Events int
-	Kept   int
-	Reads  int
-	Trace  string
-	Terms  uint64
-	Epochs uint64
+	Seed          uint64
+	Violations    map[string][]string
+	Events        int
+	Writes        int
+	Reads         int
+	HistoryDigest string
+	Terms         uint64
+	Epochs        uint64
 	// Met counts how often each trouble met each phase.
-	Met map[string]int
+	FaultPhases map[string]int
 }
 
 // Run simulates one seed. Log, where given, hears every line of the history.
-func Run(seed uint64, shape Shape, plant Plant, log func(string, ...any)) Result {
-	f := newFleet(seed, shape, plant)
+func Run(seed uint64, shape Config, defects Defects, log func(string, ...any)) Result {
+	f := newFleet(seed, shape, defects)
 	if log != nil {
-		f.world.log = log
+		f.simulator.log = log
 	}
-	w := f.world
+	w := f.simulator
 	start := w.now
 	w.runUntil(start + 1500*time.Millisecond)
 	for range 10 {
-		f.operate("first", 0, 0)
+		f.submitSet("first", 0, 0)
 		w.runUntil(w.now + 300*time.Millisecond)
 	}
 	w.runUntil(start + 5500*time.Millisecond)
 	f.startCallers(seed)
 	calm := w.now
-	w.runUntil(calm + shape.Calm)
+	w.runUntil(calm + shape.WarmUp)
 	before := w.now
 	if shape.Script != nil {
 		shape.Script(f)
 	} else {
-		f.trouble(w.now + shape.Span)
+		f.injectFaultsUntil(w.now + shape.FaultDuration)
 	}
-	f.operateAlong(w.now + shape.Span + 2*time.Second)
-	f.readAlong(w.now + shape.Span + 2*time.Second)
-	f.watchPrimacy(w.now + shape.Span + shape.Tail)
-	w.runUntil(w.now + shape.Span)
+	f.submitSetsUntil(w.now + shape.FaultDuration + 2*time.Second)
+	f.checkReadsUntil(w.now + shape.FaultDuration + 2*time.Second)
+	f.checkSinglePrimary(w.now + shape.FaultDuration + shape.RecoveryDuration)
+	w.runUntil(w.now + shape.FaultDuration)
 	if shape.Script == nil {
-		f.mend()
+		f.repairAll()
 	}
-	f.rest()
-	f.calm = append(f.calm, history.Span{From: int64(calm + 500*time.Millisecond), Until: int64(before)})
-	f.calm = append(f.calm, history.Span{From: int64(w.now + 12*time.Second), Until: int64(w.now + shape.Tail)})
-	f.closings = append(f.closings, history.Closing{
+	f.endFaultPhase()
+	f.quietSpans = append(f.quietSpans, history.Span{From: int64(calm + 500*time.Millisecond), Until: int64(before)})
+	f.quietSpans = append(f.quietSpans, history.Span{From: int64(w.now + 12*time.Second), Until: int64(w.now + shape.RecoveryDuration)})
+	f.closedFaults = append(f.closedFaults, history.ClosedFault{
 		Name: "all faults", BeforeFrom: int64(calm + 500*time.Millisecond), BeforeUntil: int64(before), At: int64(w.now),
 	})
-	w.runUntil(w.now + shape.Tail)
+	w.runUntil(w.now + shape.RecoveryDuration)
 	return f.result(seed)
 }
 
 func (f *fleet) result(seed uint64) Result {
 	evidence := history.Evidence{
-		Events: f.events, Logs: map[string]map[string][]standin.Entry{}, Writer: map[string]string{}, Puts: f.puts, Closings: f.closings,
-		Restarts: f.restarts, Sent: f.sent, Seen: f.seen, Told: f.told, End: int64(f.world.now), Calm: f.calm,
+		Events: f.events, Logs: map[string]map[string][]standin.Entry{}, Writers: map[string]string{}, AcceptedSets: f.acceptedSets, ClosedFaults: f.closedFaults,
+		Restarts: f.restarts, SubmittedSets: f.submittedSets, ServedSets: f.servedSets, SetAnswers: f.setAnswers, End: int64(f.simulator.now), QuietSpans: f.quietSpans,
 	}
-	for _, event := range f.out {
-		event.Outcome, event.Got = "cut", int64(f.world.now)
+	for _, event := range f.outstanding {
+		event.Outcome, event.Got = "cut", int64(f.simulator.now)
 		evidence.Events = append(evidence.Events, event)
 	}
-	result := Result{Seed: seed, Met: f.met}
+	result := Result{Seed: seed, FaultPhases: f.faultPhases}
 	var best *node
 	for _, one := range f.nodes {
-		if one.isUp && (best == nil || best.hall.Serve().Stamp().IsBefore(one.hall.Serve().Stamp())) {
+		if one.running && (best == nil || best.pool.Routing().Version().IsBefore(one.pool.Routing().Version())) {
 			best = one
 		}
 	}
@@ -386,31 +386,31 @@
 			evidence.Logs[one.database] = map[string][]standin.Entry{}
 		}
 		evidence.Logs[one.database][one.name] = one.entries
-		evidence.Ran = append(evidence.Ran, one.ran...)
-		if writer := best.hall.Serve().Writer(one.database); writer.Primary != "" {
-			evidence.Writer[one.database] = writer.Primary
+		evidence.Executions = append(evidence.Executions, one.executions...)
+		if writer := best.pool.Routing().WriterRole(one.database); writer.Primary != "" {
+			evidence.Writers[one.database] = writer.Primary
 			result.Terms = max(result.Terms, writer.Term)
 		}
 	}
 	for _, event := range f.events {
 		result.Events++
 		if event.Outcome == "kept" {
-			result.Kept++
+			result.Writes++
 		}
 		if event.Outcome == "read" {
 			result.Reads++
 		}
 	}
-	for _, disk := range f.controls {
-		if disk.epoch != nil {
-			result.Epochs = max(result.Epochs, disk.epoch.Record().Epoch)
+	for _, control := range f.controls {
+		if control.consensus != nil {
+			result.Epochs = max(result.Epochs, control.consensus.Record().Epoch)
 		}
 	}
-	result.Faults = history.All(evidence)
-	if len(f.faults) > 0 {
-		result.Faults["simulation"] = f.faults
+	result.Violations = history.Violations(evidence)
+	if len(f.violations) > 0 {
+		result.Violations["simulation"] = f.violations
 	}
-	result.Trace = fmt.Sprintf("%x", f.world.trace.Sum(nil))
+	result.HistoryDigest = fmt.Sprintf("%x", f.simulator.trace.Sum(nil))
 	return result
 }
 
@@ -421,7 +421,7 @@
 		names = append(names, one.name)
 	}
 	if f.lines != nil {
-		for _, one := range f.lines.servers {
+		for _, one := range f.lines.lineInstances {
 			names = append(names, one.name)
 		}
 	}
--- a/test/simulation/lines_control.go
+++ b/test/simulation/lines_control.go
@@ -9,92 +9,92 @@
 	"tansyseam/internal/state/model"
 )
 
-func (c *control) decideTakeover(primary *control, at syncrepl.Case) {
-	at.IsFenced = c.fleet.lines.size.IsFenced
-	at = c.holder.Show(at, c.clock())
+func (c *controlServer) decideSyncFailover(primary *controlServer, at syncrepl.Evidence) {
+	at.FencingEnforced = c.fleet.lines.lineConfig.FencesChecked
+	at = c.syncFailover.Augment(at, c.clock())
 	effects := syncrepl.Step(at, syncrepl.DefaultTiming())
-	if c.fleet.lines.defect.IsWorst {
-		effects = c.worstCalls(at, effects)
+	if c.fleet.lines.defects.PromoteWorstReplica {
+		effects = c.withWorstPromotion(at, effects)
 	}
-	c.carryAll(primary, at.Database, at.Writer, at.IsKnown, effects, func(effect any) { c.carryTakeover(primary, at, effect) }, c.holder.Recorded)
+	c.applyFailover(primary, at.Database, at.Writer, at.Known, effects, func(effect any) { c.applySyncFailover(primary, at, effect) }, c.syncFailover.RecordCommitted)
 }
 
-func (c *control) carryTakeover(primary *control, at syncrepl.Case, effect any) {
-	if ask, isAsk := effect.(syncrepl.Ask); isAsk {
-		c.order(at, ask.Instance, ask.Address, 0)
+func (c *controlServer) applySyncFailover(primary *controlServer, at syncrepl.Evidence, effect any) {
+	if request, isAsk := effect.(syncrepl.QueryStatus); isAsk {
+		c.sendOrder(at, request.Instance, request.Address, 0)
 	}
 	if down, isDown := effect.(syncrepl.StepDown); isDown {
-		c.order(at, down.Instance, down.Address, down.Term)
+		c.sendOrder(at, down.Instance, down.Address, down.Term)
 	}
-	if mark, isMark := effect.(syncrepl.Mark); isMark {
-		c.world.send(&c.machine, &primary.machine, func() {
+	if mark, isMark := effect.(syncrepl.ReportBound); isMark {
+		c.simulator.send(&c.machine, &primary.machine, func() {
 			if primary.isPrimary() {
-				primary.steer.Covers(mark)
+				primary.distributor.ConfirmCoverage(mark)
 			}
 		})
 	}
 	if call, isCall := effect.(syncrepl.Promote); isCall {
-		c.call(call)
+		c.callPlatform(call)
 	}
 }
 
-func (c *control) worstCalls(at syncrepl.Case, effects []any) []any {
+func (c *controlServer) withWorstPromotion(at syncrepl.Evidence, effects []any) []any {
 	for rank, effect := range effects {
-		if record, isRecord := effect.(asyncrepl.Record); isRecord && record.Writer.Phase == model.PhaseIntent {
-			record.Writer.Intent = c.worst(at)
+		if record, isRecord := effect.(asyncrepl.Record); isRecord && record.Writer.Phase == model.PhasePromoting {
+			record.Writer.Promoting = c.worstReplica(at)
 			effects[rank] = record
 		}
 		if call, isCall := effect.(syncrepl.Promote); isCall {
-			call.Instance = c.worst(at)
+			call.Instance = c.worstReplica(at)
 			effects[rank] = call
 		}
 	}
 	return effects
 }
 
-func (c *control) worst(at syncrepl.Case) string {
+func (c *controlServer) worstReplica(at syncrepl.Evidence) string {
 	name, least := "", model.Position{Term: 1 << 60}
-	for _, sight := range at.Sights {
-		seen := at.Seen[sight.Instance.Name]
-		if seen.IsAnswered && seen.Role == model.RoleReplica && seen.Position.IsBefore(least) {
-			name, least = sight.Instance.Name, seen.Position
+	for _, observation := range at.Observations {
+		seen := at.Probes[observation.Instance.Name]
+		if seen.Answered && seen.Role == model.RoleReplica && seen.Position.IsBefore(least) {
+			name, least = observation.Instance.Name, seen.Position
 		}
 	}
 	return name
 }
 
-const orderWait = 400 * time.Millisecond
+const orderTimeout = 400 * time.Millisecond
 
 // order asks an instance for its status, or orders it out of the writer role.
-func (c *control) order(at syncrepl.Case, instance, address string, term uint64) {
-	told := c.holder.Order(at, instance)
+func (c *controlServer) sendOrder(at syncrepl.Evidence, instance, address string, term uint64) {
+	told := c.syncFailover.BeginProbe(at, instance)
 	if told == nil {
 		return
 	}
-	isOver := false
-	over := func(seen syncrepl.Seen) {
-		if !isOver {
-			isOver = true
+	finished := false
+	over := func(seen syncrepl.ProbeResult) {
+		if !finished {
+			finished = true
 			told(seen, c.clock())
 		}
 	}
-	c.do(orderWait, func() { over(syncrepl.Seen{}) })
-	target := c.fleet.lines.hosts[address]
-	if !target.isUp && !target.isVanished {
-		c.do(3*time.Millisecond, func() { over(syncrepl.Seen{}) })
+	c.after(orderTimeout, func() { over(syncrepl.ProbeResult{}) })
+	target := c.fleet.lines.instancesByAddress[address]
+	if !target.running && !target.vanished {
+		c.after(3*time.Millisecond, func() { over(syncrepl.ProbeResult{}) })
 		return
 	}
-	c.world.send(&c.machine, &target.machine, func() {
+	c.simulator.send(&c.machine, &target.machine, func() {
 		if term > 0 && target.name == instance {
-			target.stepDown(term, c.fleet.lines.head(at.Database))
+			target.stepDown(term, c.fleet.lines.primaryOf(at.Database))
 		}
-		seen := syncrepl.Seen{IsAnswered: true, Role: target.role, Term: target.term, Position: target.position()}
+		seen := syncrepl.ProbeResult{Answered: true, Role: target.role, Term: target.term, Position: target.position()}
 		if target.name != instance {
-			seen = syncrepl.Seen{IsGone: true}
-		} else if len(target.line) > 12 || c.world.chance(0.05) {
-			seen = syncrepl.Seen{IsBusy: true}
+			seen = syncrepl.ProbeResult{Gone: true}
+		} else if len(target.queue) > 12 || c.simulator.chance(0.05) {
+			seen = syncrepl.ProbeResult{Busy: true}
 		}
-		c.world.send(&target.machine, &c.machine, func() { over(seen) })
+		c.simulator.send(&target.machine, &c.machine, func() { over(seen) })
 	})
 }
 
@@ -105,47 +105,47 @@
 )
 
 // call makes the platform's one call.
-func (c *control) call(call syncrepl.Promote) {
+func (c *controlServer) callPlatform(call syncrepl.Promote) {
 	l := c.fleet.lines
-	told := c.holder.Call(call, c.clock())
-	c.world.note("%s calls for %s to lead %s, fence %d", c.name, call.Instance, call.Database, call.Fence)
+	told := c.syncFailover.BeginPromote(call, c.clock())
+	c.simulator.record("%s calls for %s to lead %s, fence %d", c.name, call.Instance, call.Database, call.FencingToken)
 	carry := func() {
-		status := l.promote(call)
-		c.world.note("the platform answers %d for %s", status, call.Instance)
-		c.world.send(&l.platform.machine, &c.machine, func() { told(status, false) })
+		status := l.handlePromotion(call)
+		c.simulator.record("the platform answers %d for %s", status, call.Instance)
+		c.simulator.send(&l.platform.machine, &c.machine, func() { told(status, false) })
 	}
-	c.world.send(&c.machine, &l.platform.machine, func() {
-		if l.isCut {
+	c.simulator.send(&c.machine, &l.platform.machine, func() {
+		if l.platformCutOff {
 			return
 		}
-		l.platform.do(l.wait, carry)
-		if l.isDouble {
-			l.platform.do(l.wait+l.world.between(0, 2*time.Second), carry)
+		l.platform.after(l.platformDelay, carry)
+		if l.platformRepeats {
+			l.platform.after(l.platformDelay+l.simulator.randomDuration(0, 2*time.Second), carry)
 		}
 	})
 }
 
-func (l *lines) promote(call syncrepl.Promote) int {
-	if l.refusals > 0 {
-		l.refusals--
+func (l *lineFleet) handlePromotion(call syncrepl.Promote) int {
+	if l.platformRefusals > 0 {
+		l.platformRefusals--
 		return statusTooMany
 	}
-	if call.Fence < l.fences[call.Database] {
+	if call.FencingToken < l.fencingTokens[call.Database] {
 		return statusConflict
 	}
-	l.fences[call.Database] = call.Fence
-	at := slices.IndexFunc(l.servers, func(one *server) bool { return one.name == call.Instance })
-	if at < 0 || !l.servers[at].isUp || l.servers[at].isEnded {
+	l.fencingTokens[call.Database] = call.FencingToken
+	at := slices.IndexFunc(l.lineInstances, func(one *lineInstance) bool { return one.name == call.Instance })
+	if at < 0 || !l.lineInstances[at].running || l.lineInstances[at].ended {
 		return statusConflict
 	}
-	target := l.servers[at]
-	if target.role == model.RolePrimary && target.term == l.leaders[call.Database] {
+	target := l.lineInstances[at]
+	if target.role == model.RolePrimary && target.term == l.newestTerms[call.Database] {
 		return statusDone
 	}
-	l.platform.do(l.world.between(200*time.Millisecond, 700*time.Millisecond), func() {
-		isLeading := target.role == model.RolePrimary && target.term == l.leaders[call.Database]
-		if target.isUp && !target.isEnded && !isLeading {
-			target.enter(target.life, func() { target.lead(l.leaders[call.Database] + 1) })
+	l.platform.after(l.simulator.randomDuration(200*time.Millisecond, 700*time.Millisecond), func() {
+		isLeading := target.role == model.RolePrimary && target.term == l.newestTerms[call.Database]
+		if target.running && !target.ended && !isLeading {
+			target.runDuring(target.incarnation, func() { target.becomePrimary(l.newestTerms[call.Database] + 1) })
 		}
 	})
 	return statusDone
--- a/test/simulation/node.go
+++ b/test/simulation/node.go
@@ -13,372 +13,374 @@
 
 type node struct {
 	machine
-	fleet   *fleet
-	hall    *httppool.Machine
-	births  int
-	guess   int
-	misses  int
-	asked   uint64
-	conns   []*conn
-	counts  map[string]int64
-	remotes []*caller
-	isGone  bool
-	beta    float64
-	mirrors map[string]*mirror
+	fleet         *fleet
+	pool          *httppool.Machine
+	starts        int
+	controlIndex  int
+	missedAnswers int
+	lastRequest   uint64
+	connections   []*connection
+	counters      map[string]int64
+	callers       []*caller
+	stopping      bool
+	weight        float64
+	windowModels  map[string]*windowModel
 }
 
 func (n *node) start() {
-	if n.isUp {
+	if n.running {
 		return
 	}
-	n.isUp, n.isFrozen, n.backlog = true, false, nil
-	n.births++
-	n.counts = map[string]int64{}
-	place := httppool.Place{Name: n.name, Zone: n.zone, Birth: fmt.Sprint(n.births), Beta: 1}
-	n.hall = httppool.New(place, httppool.DefaultTiming(), func(name string, by int64) { n.counts[name] += by })
-	n.conns, n.mirrors = nil, map[string]*mirror{}
-	n.world.note("%s up", n.name)
-	n.do(time.Millisecond, n.ask)
-	n.do(20*time.Millisecond, n.beat)
+	n.running, n.frozen, n.deferred = true, false, nil
+	n.starts++
+	n.counters = map[string]int64{}
+	place := httppool.Node{Name: n.name, Zone: n.zone, Incarnation: fmt.Sprint(n.starts), Weight: 1}
+	n.pool = httppool.New(place, httppool.DefaultTiming(), func(name string, by int64) { n.counters[name] += by })
+	n.connections, n.windowModels = nil, map[string]*windowModel{}
+	n.simulator.record("%s up", n.name)
+	n.after(time.Millisecond, n.requestUpdate)
+	n.after(20*time.Millisecond, n.heartbeat)
 }
 
-func (n *node) onCrash(isVanished bool) {
-	for _, c := range n.conns {
-		c.nodeDied(isVanished)
+func (n *node) onCrash(vanished bool) {
+	for _, c := range n.connections {
+		c.onNodeCrash(vanished)
 	}
-	for _, one := range n.remotes {
-		one.homeDied(n, isVanished)
+	for _, one := range n.callers {
+		one.onNodeCrash(n, vanished)
 	}
-	n.remotes = nil
+	n.callers = nil
 }
 
 func (n *node) step(act func(now time.Duration)) {
 	act(n.clock())
-	for _, effect := range n.hall.Effects() {
-		carriers[reflect.TypeOf(effect)](n, effect)
+	for _, effect := range n.pool.Effects() {
+		effectHandlers[reflect.TypeOf(effect)](n, effect)
 	}
 }
 
-func (n *node) later(most time.Duration, act func(now time.Duration)) {
-	n.do(n.world.between(0, most), func() { n.step(act) })
+func (n *node) stepAfter(most time.Duration, act func(now time.Duration)) {
+	n.after(n.simulator.randomDuration(0, most), func() { n.step(act) })
 }
 
-var carriers map[reflect.Type]func(*node, httppool.Effect)
+var effectHandlers map[reflect.Type]func(*node, httppool.Effect)
 
-func on[T httppool.Effect](act func(*node, T)) {
-	carriers[reflect.TypeFor[T]()] = func(n *node, effect httppool.Effect) { act(n, effect.(T)) }
+func handleEffect[T httppool.Effect](act func(*node, T)) {
+	effectHandlers[reflect.TypeFor[T]()] = func(n *node, effect httppool.Effect) { act(n, effect.(T)) }
 }
 
 func init() {
-	carriers = map[reflect.Type]func(*node, httppool.Effect){}
-	on(func(_ *node, tell httppool.Tell) { tell.Job.Token.(func(httppool.Result))(tell.Result) })
-	on(func(n *node, admit httppool.Admit) {
-		n.later(200*time.Microsecond, func(now time.Duration) { n.hall.Join(admit.Job, now) })
+	effectHandlers = map[reflect.Type]func(*node, httppool.Effect){}
+	handleEffect(func(_ *node, tell httppool.Respond) { tell.Request.Token.(func(httppool.Result))(tell.Result) })
+	handleEffect(func(n *node, admit httppool.Enqueue) {
+		n.stepAfter(200*time.Microsecond, func(now time.Duration) { n.pool.Enqueue(admit.Request, now) })
 	})
-	on(func(n *node, forward httppool.Forward) {
-		if held := n.mirrorOf(forward.Job.Instance()); held != nil {
-			held.take()
+	handleEffect(func(n *node, forward httppool.Forward) {
+		if held := n.windowModelFor(forward.Request.Instance()); held != nil {
+			held.begin()
 		}
-		n.later(300*time.Microsecond, func(now time.Duration) { n.hall.Pass(forward.Job, now) })
+		n.stepAfter(300*time.Microsecond, func(now time.Duration) { n.pool.Forward(forward.Request, now) })
 	})
-	on(func(n *node, send httppool.Send) {
+	handleEffect(func(n *node, send httppool.Send) {
 		sent := n.clock()
-		n.do(n.world.between(0, 100*time.Microsecond), func() { n.send(send, sent) })
+		n.after(n.simulator.randomDuration(0, 100*time.Microsecond), func() { n.send(send, sent) })
 	})
-	on(func(n *node, open httppool.Open) { n.open(open) })
-	on(func(_ *node, shut httppool.Shut) {
-		if c, isOpen := shut.Wire.Link.(*conn); isOpen {
-			c.shut()
+	handleEffect(func(n *node, open httppool.OpenConn) { n.open(open) })
+	handleEffect(func(_ *node, shut httppool.CloseConn) {
+		if c, isOpen := shut.Conn.Transport.(*connection); isOpen {
+			c.close()
 		}
 	})
-	on(func(n *node, seek httppool.Seek) { n.seek(seek) })
-	on(func(n *node, watch httppool.Watch) { n.watch(n.fleet.instanceBy(watch.Instance)) })
-	on(func(n *node, _ httppool.Report) { n.do(20*time.Millisecond, n.tell) })
-	on(func(n *node, turned httppool.Turned) {
-		after := turned.Moved.After
+	handleEffect(func(n *node, seek httppool.Lookup) { n.lookUpRequest(seek) })
+	handleEffect(func(n *node, watch httppool.Watch) { n.watchInstance(n.fleet.findInstance(watch.Instance)) })
+	handleEffect(func(n *node, _ httppool.Report) { n.after(20*time.Millisecond, n.sendReport) })
+	handleEffect(func(n *node, turned httppool.WriterChanged) {
+		after := turned.Change.Current
 		if after.Phase != model.PhaseOpen {
-			n.fleet.ambush()
+			n.fleet.maybeInjectFollowUp()
 		}
-		n.world.note("%s holds %s: term %d %s at %s", n.name, turned.Moved.Database, after.Term, after.Phase, after.Primary)
+		n.simulator.record("%s holds %s: term %d %s at %s", n.name, turned.Change.Database, after.Term, after.Phase, after.Primary)
+	})
+	handleEffect(func(n *node, shown httppool.BindingsActivated) {
+		n.simulator.record("%s serves under %d", n.name, shown.Sequence)
 	})
-	on(func(n *node, shown httppool.Shown) { n.world.note("%s serves under %d", n.name, shown.Sequence) })
 }
 
 func (n *node) send(send httppool.Send, sent time.Duration) {
-	c := send.Wire.Link.(*conn)
-	isOver := false
-	c.request(send.Op, func(reply httppool.Reply, isBroken bool) {
-		if isOver {
+	c := send.Conn.Transport.(*connection)
+	finished := false
+	c.request(send.Op, func(reply httppool.Reply, broken bool) {
+		if finished {
 			return
 		}
-		isOver = true
-		isAgain := isBroken && n.fleet.plant.IsResending && !c.isReset
+		finished = true
+		isAgain := broken && n.fleet.defects.ResendUnanswered && !c.closed
 		if isAgain {
 			n.send(send, sent)
 			return
 		}
 		n.step(func(now time.Duration) {
-			n.hall.Answered(send.Job, reply, isBroken, now)
-			if held := n.mirrorOf(c.inst.name); held != nil {
-				held.done(now - sent)
+			n.pool.ReplyReceived(send.Request, reply, broken, now)
+			if held := n.windowModelFor(c.instance.name); held != nil {
+				held.finish(now - sent)
 			}
 		})
 	})
 }
 
-func (n *node) open(open httppool.Open) {
-	target := n.fleet.instanceBy(open.Address)
-	c := &conn{node: n, nodeLife: n.life, inst: target, wire: open.Wire}
-	isOver := false
+func (n *node) open(open httppool.OpenConn) {
+	target := n.fleet.findInstance(open.Address)
+	c := &connection{node: n, nodeIncarnation: n.incarnation, instance: target, wire: open.Conn}
+	finished := false
 	over := func(reply httppool.Reply, isOpen bool) {
-		if isOver {
+		if finished {
 			return
 		}
-		isOver = true
+		finished = true
 		if isOpen {
-			n.conns = append(n.conns, c)
+			n.connections = append(n.connections, c)
 		} else {
 			c.reset()
 		}
 		n.step(func(now time.Duration) {
-			open.Wire.Link = c
-			n.hall.Opened(open.Wire, reply, isOpen, now)
+			open.Conn.Transport = c
+			n.pool.ConnOpened(open.Conn, reply, isOpen, now)
 		})
 	}
-	n.do(1600*time.Millisecond, func() { over(httppool.Reply{}, false) })
-	n.world.send(&n.machine, &target.machine, func() {
+	n.after(1600*time.Millisecond, func() { over(httppool.Reply{}, false) })
+	n.simulator.send(&n.machine, &target.machine, func() {
 		c.accept()
-		c.request(httppool.Op{Act: httppool.ActOpen}, func(reply httppool.Reply, isBroken bool) { over(reply, !isBroken) })
+		c.request(httppool.Op{Kind: httppool.OpOpen}, func(reply httppool.Reply, broken bool) { over(reply, !broken) })
 	})
-	if !target.isUp && !target.isVanished {
-		n.do(2*time.Millisecond, func() { over(httppool.Reply{}, false) })
+	if !target.running && !target.vanished {
+		n.after(2*time.Millisecond, func() { over(httppool.Reply{}, false) })
 	}
 }
 
-func (n *node) ask() {
-	n.asked++
-	number, sent := n.asked, n.clock()
-	var ask distribution.AskNews
-	n.step(func(now time.Duration) { ask = n.hall.Ask(now) })
-	target := n.fleet.controls[n.guess%len(n.fleet.controls)]
-	n.do(600*time.Millisecond, func() {
-		if n.asked == number {
-			n.misses++
-			if n.misses%2 == 0 {
-				n.guess++
+func (n *node) requestUpdate() {
+	n.lastRequest++
+	number, sent := n.lastRequest, n.clock()
+	var request distribution.UpdateRequest
+	n.step(func(now time.Duration) { request = n.pool.UpdateRequest(now) })
+	target := n.fleet.controls[n.controlIndex%len(n.fleet.controls)]
+	n.after(600*time.Millisecond, func() {
+		if n.lastRequest == number {
+			n.missedAnswers++
+			if n.missedAnswers%2 == 0 {
+				n.controlIndex++
 			}
-			n.ask()
+			n.requestUpdate()
 		}
 	})
-	take := func(news distribution.News) {
-		if n.asked == number {
-			n.take(news, sent)
+	take := func(update distribution.Update) {
+		if n.lastRequest == number {
+			n.applyUpdate(update, sent)
 		}
 	}
-	if n.misses%2 == 1 {
-		peer := n.fleet.nodes[n.world.random.IntN(len(n.fleet.nodes))]
-		n.world.send(&n.machine, &peer.machine, func() {
-			n.world.send(&peer.machine, &target.machine, func() {
-				target.onAskNews(ask, func(news distribution.News) {
-					n.world.send(&target.machine, &peer.machine, func() {
-						n.world.send(&peer.machine, &n.machine, func() { take(news) })
+	if n.missedAnswers%2 == 1 {
+		peer := n.fleet.nodes[n.simulator.random.IntN(len(n.fleet.nodes))]
+		n.simulator.send(&n.machine, &peer.machine, func() {
+			n.simulator.send(&peer.machine, &target.machine, func() {
+				target.onUpdateRequest(request, func(update distribution.Update) {
+					n.simulator.send(&target.machine, &peer.machine, func() {
+						n.simulator.send(&peer.machine, &n.machine, func() { take(update) })
 					})
 				})
 			})
 		})
 		return
 	}
-	n.world.send(&n.machine, &target.machine, func() {
-		target.onAskNews(ask, func(news distribution.News) {
-			n.world.send(&target.machine, &n.machine, func() { take(news) })
+	n.simulator.send(&n.machine, &target.machine, func() {
+		target.onUpdateRequest(request, func(update distribution.Update) {
+			n.simulator.send(&target.machine, &n.machine, func() { take(update) })
 		})
 	})
 }
 
-func (n *node) take(news distribution.News, sent time.Duration) {
-	if !news.IsPrimary {
-		n.asked++
-		n.misses++
-		for at, disk := range n.fleet.controls {
-			if disk.name == news.Record.Primary && n.misses%4 != 3 {
-				n.guess = at
-			} else if n.misses%4 == 3 {
-				n.guess++
+func (n *node) applyUpdate(update distribution.Update, sent time.Duration) {
+	if !update.FromPrimary {
+		n.lastRequest++
+		n.missedAnswers++
+		for at, control := range n.fleet.controls {
+			if control.name == update.Record.Primary && n.missedAnswers%4 != 3 {
+				n.controlIndex = at
+			} else if n.missedAnswers%4 == 3 {
+				n.controlIndex++
 				break
 			}
 		}
-		n.do(30*time.Millisecond, n.ask)
+		n.after(30*time.Millisecond, n.requestUpdate)
 		return
 	}
-	n.misses = 0
-	if n.fleet.plant.IsLeaseless {
-		news.Lease *= 100
+	n.missedAnswers = 0
+	if n.fleet.defects.OverlongLeases {
+		update.LeaseDuration *= 100
 	}
-	if news.Doc != nil {
-		n.fleet.took(n.name, news.Doc.Sets)
+	if update.Snapshot != nil {
+		n.fleet.recordServedSets(n.name, update.Snapshot.Sets)
 	}
-	n.step(func(now time.Duration) { n.hall.Took(news, sent, now) })
-	n.ask()
+	n.step(func(now time.Duration) { n.pool.ApplyUpdate(update, sent, now) })
+	n.requestUpdate()
 }
 
-func (n *node) seen(info model.Instance) model.Instance {
-	if n.fleet.plant.IsStubborn {
-		info.IsLeaving = false
+func (n *node) distort(info model.Instance) model.Instance {
+	if n.fleet.defects.IgnoreLeaving {
+		info.Leaving = false
 	}
-	if n.fleet.plant.IsLyingAhead {
+	if n.fleet.defects.InflatedReplicaPositions {
 		for _, one := range n.fleet.instances {
-			if one.database == info.Database && one.birth != "" && info.Position.IsBefore(one.position()) {
+			if one.database == info.Database && one.incarnationName != "" && info.Position.IsBefore(one.position()) {
 				info.Position = one.position()
 			}
 		}
 	}
-	if n.fleet.plant.IsLyingBehind && info.Role == model.RolePrimary {
-		info.Position = n.fleet.instanceBy(info.Name).behind(4 * time.Second)
+	if n.fleet.defects.OutdatedPrimaryPositions && info.Role == model.RolePrimary {
+		info.Position = n.fleet.findInstance(info.Name).positionBefore(4 * time.Second)
 	}
 	return info
 }
 
-func (n *node) onInstance(info model.Instance) {
-	info = n.seen(info)
-	n.step(func(now time.Duration) { n.hall.Announced(info, now) })
+func (n *node) onAnnouncement(info model.Instance) {
+	info = n.distort(info)
+	n.step(func(now time.Duration) { n.pool.UpdateInstance(info, now) })
 }
 
-func (n *node) watch(target *instance) {
-	_, after, isOn := n.hall.Following(target.name, n.clock())
+func (n *node) watchInstance(target *instance) {
+	_, after, isOn := n.pool.WatchTarget(target.name, n.clock())
 	if !isOn {
 		return
 	}
-	isOver := false
+	finished := false
 	again := func() {
-		if !isOver {
-			isOver = true
-			n.watch(target)
+		if !finished {
+			finished = true
+			n.watchInstance(target)
 		}
 	}
-	sent, life := n.clock(), n.life
-	n.do(time.Second, again)
-	n.world.send(&n.machine, &target.machine, func() {
-		target.past(after, 80*time.Millisecond, func() {
+	sent, life := n.clock(), n.incarnation
+	n.after(time.Second, again)
+	n.simulator.send(&n.machine, &target.machine, func() {
+		target.awaitBeyond(after, 80*time.Millisecond, func() {
 			info := target.info()
-			n.world.send(&target.machine, &n.machine, func() {
-				if isOver || n.life != life {
+			n.simulator.send(&target.machine, &n.machine, func() {
+				if finished || n.incarnation != life {
 					return
 				}
-				info = n.seen(info)
-				reply := httppool.Reply{Birth: info.Birth, Role: info.Role, Term: info.Term, Position: info.Position, IsLeave: info.IsLeaving}
-				n.step(func(now time.Duration) { n.hall.Looked(target.name, reply, sent, now) })
+				info = n.distort(info)
+				reply := httppool.Reply{Incarnation: info.Incarnation, Role: info.Role, Term: info.Term, Position: info.Position, Leaving: info.Leaving}
+				n.step(func(now time.Duration) { n.pool.InstanceStatusReceived(target.name, reply, sent, now) })
 				again()
 			})
 		})
 	})
 }
 
-func (n *node) tell() {
-	told := n.hall.Told(n.clock())
-	target := n.fleet.controls[n.guess%len(n.fleet.controls)]
-	n.world.send(&n.machine, &target.machine, func() { target.steer.Gather(told, target.clock()) })
+func (n *node) sendReport() {
+	told := n.pool.Observations(n.clock())
+	target := n.fleet.controls[n.controlIndex%len(n.fleet.controls)]
+	n.simulator.send(&n.machine, &target.machine, func() { target.distributor.HandleReport(told, target.clock()) })
 }
 
-func (n *node) beat() {
-	n.do(20*time.Millisecond, n.beat)
+func (n *node) heartbeat() {
+	n.after(20*time.Millisecond, n.heartbeat)
 	count := 0
 	for _, one := range n.fleet.nodes {
-		if one.isUp {
+		if one.running {
 			count++
 		}
 	}
 	n.step(func(now time.Duration) {
-		n.hall.Beat(count, n.beta, now)
-		n.mirrorBeat(now)
+		n.pool.Tick(count, n.weight, now)
+		n.checkWindows(now)
 	})
 }
 
-func (n *node) seek(seek httppool.Seek) {
-	other := n.fleet.nodeBy(seek.Target)
-	isOver, life := false, n.life
-	over := func(answer idempotency.Answer, isAnswered bool) {
-		if isOver || n.life != life {
+func (n *node) lookUpRequest(seek httppool.Lookup) {
+	other := n.fleet.findNode(seek.Node)
+	finished, life := false, n.incarnation
+	over := func(answer idempotency.Status, answered bool) {
+		if finished || n.incarnation != life {
 			return
 		}
-		isOver = true
-		n.step(func(now time.Duration) { n.hall.Heard(seek.Job, seek.Target, answer, isAnswered, now) })
+		finished = true
+		n.step(func(now time.Duration) { n.pool.LookupDone(seek.Request, seek.Node, answer, answered, now) })
 	}
-	if n.fleet.plant.IsForgetful {
-		n.do(time.Millisecond, func() { over(idempotency.Answer{Standing: idempotency.Never}, true) })
+	if n.fleet.defects.BlankIdempotencyRecords {
+		n.after(time.Millisecond, func() { over(idempotency.Status{State: idempotency.StateUnseen}, true) })
 		return
 	}
 	if other == nil {
-		n.do(time.Millisecond, func() { over(idempotency.Answer{}, false) })
+		n.after(time.Millisecond, func() { over(idempotency.Status{}, false) })
 		return
 	}
-	n.do(800*time.Millisecond, func() { over(idempotency.Answer{}, false) })
-	ask := idempotency.Ask{Go: seek.Job.Go(), By: n.name}
-	n.world.send(&n.machine, &other.machine, func() {
-		answer := other.hall.OnAsk(ask, other.clock())
-		n.world.send(&other.machine, &n.machine, func() { over(answer, true) })
+	n.after(800*time.Millisecond, func() { over(idempotency.Status{}, false) })
+	request := idempotency.StatusRequest{RequestID: seek.Request.RequestID(), Requester: n.name}
+	n.simulator.send(&n.machine, &other.machine, func() {
+		answer := other.pool.HandleStatusRequest(request, other.clock())
+		n.simulator.send(&other.machine, &n.machine, func() { over(answer, true) })
 	})
 }
 
-func (n *node) enter(session string, op httppool.Op, bound time.Duration, told func(httppool.Result)) {
+func (n *node) execute(session string, op httppool.Op, bound time.Duration, told func(httppool.Result)) {
 	n.step(func(now time.Duration) {
-		j, refusal, isIn := n.hall.Enter(session, op, bound, told, now)
+		j, refusal, isIn := n.pool.Accept(session, op, bound, told, now)
 		if !isIn {
 			told(refusal)
 			return
 		}
-		n.do(j.Deadline()-now, func() {
-			n.step(func(now time.Duration) { n.hall.GiveUp(j, now) })
+		n.after(j.Deadline()-now, func() {
+			n.step(func(now time.Duration) { n.pool.Cancel(j, now) })
 		})
-		n.later(300*time.Microsecond, func(now time.Duration) { n.hall.Bind(j, now) })
+		n.stepAfter(300*time.Microsecond, func(now time.Duration) { n.pool.Bind(j, now) })
 	})
 }
 
-const finishBound = 5500 * time.Millisecond
+const stopTimeout = 5500 * time.Millisecond
 
 func (n *node) stop(span time.Duration) {
-	if !n.isUp || n.isFrozen || n.isGone {
+	if !n.running || n.frozen || n.stopping {
 		return
 	}
-	n.isGone = true
-	from, life, freezes := n.world.now, n.life, n.freezes
-	n.world.note("%s told to stop", n.name)
-	n.step(n.hall.Leave)
-	until := n.world.now + finishBound
+	n.stopping = true
+	from, life, freezes := n.simulator.now, n.incarnation, n.freezeCount
+	n.simulator.record("%s told to stop", n.name)
+	n.step(n.pool.Drain)
+	until := n.simulator.now + stopTimeout
 	end := func() {
-		n.step(func(time.Duration) { n.hall.Part() })
-		n.bequeath()
+		n.step(func(time.Duration) { n.pool.DisconnectSessions() })
+		n.handOverRecords()
 		linger := 700 * time.Millisecond
-		if n.fleet.plant.IsHasty {
+		if n.fleet.defects.AbruptStop {
 			linger = 0
 		}
-		n.do(linger, func() {
-			n.isGone = false
-			if n.freezes == freezes {
-				n.fleet.restarted(n, from)
+		n.after(linger, func() {
+			n.stopping = false
+			if n.freezeCount == freezes {
+				n.fleet.recordRestart(n, from)
 			}
-			n.fleet.bounce(&n.machine, n.start, span)
+			n.fleet.crashAndRestart(&n.machine, n.start, span)
 		})
 	}
 	var look func()
 	look = func() {
-		if n.hall.Busy() == 0 || n.fleet.plant.IsHasty || n.world.now >= until {
+		if n.pool.ActiveSessions() == 0 || n.fleet.defects.AbruptStop || n.simulator.now >= until {
 			end()
 			return
 		}
-		n.do(20*time.Millisecond, look)
+		n.after(20*time.Millisecond, look)
 	}
 	look()
-	n.world.after(finishBound+2*time.Second, func() {
-		if n.life != life {
-			n.isGone = false
+	n.simulator.after(stopTimeout+2*time.Second, func() {
+		if n.incarnation != life {
+			n.stopping = false
 		}
 	})
 }
 
-func (n *node) bequeath() {
+func (n *node) handOverRecords() {
 	var heir *node
 	for _, other := range n.fleet.nodes {
-		if other != n && other.isUp && !other.isGone {
+		if other != n && other.running && !other.stopping {
 			heir = other
 			break
 		}
@@ -386,15 +388,15 @@
 	if heir == nil {
 		return
 	}
-	left := n.hall.Goes().Leave(heir.name)
+	left := n.pool.RequestLog().Export(heir.name)
 	for _, other := range n.fleet.nodes {
 		if other == n {
 			continue
 		}
-		word := idempotency.Legacy{Node: left.Node, Birth: left.Birth, Heir: left.Heir}
+		word := idempotency.Handover{Node: left.Node, Incarnation: left.Incarnation, Successor: left.Successor}
 		if other == heir {
 			word = left
 		}
-		n.world.send(&n.machine, &other.machine, func() { other.hall.Inherit(word, other.clock()) })
+		n.simulator.send(&n.machine, &other.machine, func() { other.pool.ImportHandover(word, other.clock()) })
 	}
 }
