--- a/internal/app/admin/api_test.go
+++ b/internal/app/admin/api_test.go
@@ -28,7 +28,7 @@
 	}
 	count := func(string, int64) {}
 	httpPool := httppool.New(httppool.Node{Name: "d1", Weight: 1}, httppool.DefaultTiming(), count)
-	linePool := linepool.New(linepool.Identity{Name: "d1", Weight: 1}, linepool.DefaultConfig(), lease.DefaultTiming(), count)
+	linePool := linepool.New(linepool.Node{Name: "d1", Weight: 1}, linepool.DefaultTiming(), lease.DefaultTiming(), count)
 	apis := map[string]*API{
 		"hall": {Proxy: httpPool, SessionCount: httpPool.SessionCount, Describe: func(now time.Duration) (any, any) { return httpPool.Status(now) }},
 		"pool": {Proxy: linePool, SessionCount: linePool.Clients, Describe: func(now time.Duration) (any, any) { return linePool.Status(now) }},
--- a/internal/app/lineproxy/proxy.go
+++ b/internal/app/lineproxy/proxy.go
@@ -34,7 +34,7 @@
 	minDrain, maxDrain time.Duration
 
 	mutex     sync.Mutex
-	pool      *linepool.Pool
+	pool      *linepool.Machine
 	buffer    []byte
 	ready     bool
 	reporting bool
@@ -47,8 +47,8 @@
 // Open makes the program; Start begins to serve.
 func Open(node *node.Node, codec lineproto.Codec) (*Proxy, error) {
 	place := node.Config()
-	self := linepool.Identity{Name: place.Name, Zone: place.Zone, Incarnation: node.Self().Incarnation, Weight: place.Weight}
-	timing := linepool.DefaultConfig().Within(place.ShutdownGrace, place.InstanceDrain)
+	self := linepool.Node{Name: place.Name, Zone: place.Zone, Incarnation: node.Self().Incarnation, Weight: place.Weight}
+	timing := linepool.DefaultTiming().Within(place.ShutdownGrace, place.InstanceDrain)
 	p := &Proxy{
 		minDrain: timing.Linger + 200*time.Millisecond, maxDrain: timing.EndSessions + 200*time.Millisecond,
 		node: node, log: node.Log, codec: codec, name: place.Name,
@@ -172,7 +172,7 @@
 	if errors.Is(err, lineserver.ErrLineTooLong) {
 		c.proxy.node.Counters.Add("clients_too_long", 1)
 	}
-	c.proxy.withPool(func(now time.Duration) { c.proxy.pool.ClientDisconnected(c.client, now) })
+	c.proxy.withPool(func(now time.Duration) { c.proxy.pool.ClientLost(c.client, now) })
 }
 
 type instanceConn struct {
@@ -196,7 +196,7 @@
 
 // Ended tells that an instance's connection is over.
 func (b *instanceConn) OnClose(error) {
-	b.proxy.withPool(func(now time.Duration) { b.proxy.pool.ConnectionLost(b.conn, now) })
+	b.proxy.withPool(func(now time.Duration) { b.proxy.pool.ConnLost(b.conn, now) })
 }
 
 var effectHandlers map[reflect.Type]func(*Proxy, linepool.Effect)
@@ -211,7 +211,7 @@
 	handle(func(_ *Proxy, over linepool.CloseClient) { over.Client.Token.(*clientConn).conn.Close() })
 	handle((*Proxy).open)
 	handle((*Proxy).send)
-	handle(func(_ *Proxy, shut linepool.Disconnect) {
+	handle(func(_ *Proxy, shut linepool.CloseConn) {
 		if conn, ok := shut.Conn.Transport.(*lineserver.Conn); ok {
 			conn.Close()
 		}
@@ -221,7 +221,7 @@
 		after := turned.Change.Current
 		p.log.Info("writer role", "database", turned.Change.Database, "term", after.Term, "phase", after.Phase, "primary", after.Primary)
 	})
-	handle(func(p *Proxy, shown linepool.SetActivated) {
+	handle(func(p *Proxy, shown linepool.BindingsActivated) {
 		p.log.Info("bindings in force", "sequence", shown.Set.Sequence, "version", shown.Set.Version)
 	})
 }
@@ -252,7 +252,7 @@
 	say.Client.Token.(*clientConn).conn.Write(p.buffer)
 }
 
-func (p *Proxy) open(open linepool.Connect) {
+func (p *Proxy) open(open linepool.OpenConn) {
 	handler := &instanceConn{proxy: p, conn: open.Conn}
 	first := p.codec.Connect(nil, open.Database, p.name, open.Instance)
 	p.engine.Dial(open.Address, first, 800*time.Millisecond, handler, func(conn *lineserver.Conn) {
@@ -319,7 +319,7 @@
 		var told distribution.NodeReport
 		p.withPool(func(now time.Duration) {
 			p.reporting = false
-			told = p.pool.Report(now)
+			told = p.pool.Observations(now)
 		})
 		if address, _ := p.node.ControlPrimary(); address != "" {
 			p.node.Hub.Send(address, told)
--- a/internal/app/lineproxy/updates.go
+++ b/internal/app/lineproxy/updates.go
@@ -16,7 +16,7 @@
 		stranded := false
 		p.withPool(func(now time.Duration) {
 			if stranded = p.pool.HasStrandedCommits(now); !stranded {
-				ask = p.pool.NextUpdateRequest(now)
+				ask = p.pool.UpdateRequest(now)
 			}
 		})
 		if stranded {
--- a/internal/coordination/pool/linepool/answers.go
+++ b/internal/coordination/pool/linepool/answers.go
@@ -12,14 +12,14 @@
 )
 
 // Announced takes an instance as the control primary tells it.
-func (p *Pool) InstanceAnnounced(info model.Instance, now time.Duration) {
-	one := p.database(info.Database)
-	rank := p.backendNames.Intern(info.Name)
-	for len(p.backends) <= rank {
-		database, _ := p.databaseNames.Lookup(info.Database)
-		p.backends = append(p.backends, &backend{window: newWindow(p.windowParameters), databaseID: database, lastResponse: -time.Hour})
-	}
-	held := p.backends[rank]
+func (m *Machine) UpdateInstance(info model.Instance, now time.Duration) {
+	one := m.database(info.Database)
+	rank := m.instanceNames.Intern(info.Name)
+	for len(m.instances) <= rank {
+		database, _ := m.databaseNames.Lookup(info.Database)
+		m.instances = append(m.instances, &instance{window: newWindow(m.windowParameters), databaseID: database, lastResponse: -time.Hour})
+	}
+	held := m.instances[rank]
 	known := held.info
 	if info.Connections <= 1 {
 		info.Connections = known.Connections
@@ -29,36 +29,36 @@
 		held.window.Reset()
 	}
 	if known.Address != info.Address || info.Stopped {
-		p.closeIdle(held, now)
+		m.closeIdleConns(held, now)
 	}
 	if !info.Leaving && !info.Stopped {
 		held.drainingSince = 0
 	} else if held.drainingSince == 0 {
 		held.drainingSince = now
 		if known.Name == "" {
-			held.drainingSince = now - p.config.DrainWindow + p.config.LateDrainWindow
+			held.drainingSince = now - m.timing.DrainWindow + m.timing.LateDrainWindow
 		}
-		if !p.isPrimary(held) {
-			p.closeIdle(held, now)
+		if !m.isPrimary(held) {
+			m.closeIdleConns(held, now)
 		}
 	}
-	p.retuneWindow(held)
-	p.dispatch(one, now)
+	m.retuneWindow(held)
+	m.dispatch(one, now)
 }
 
 func newWindow(tuning flowcontrol.Parameters) *flowcontrol.Window {
 	return flowcontrol.NewWindow(tuning)
 }
 
-func (p *Pool) updateCapacities(set model.BindingSet) {
-	for _, held := range p.backends {
+func (m *Machine) updateCapacities(set model.BindingSet) {
+	for _, held := range m.instances {
 		told, isTold := set.Database(held.info.Database)
 		if !isTold || told.MaxConnections == held.info.Connections {
 			continue
 		}
 		changed := held.info.Connections <= 1
 		held.info.Connections = told.MaxConnections
-		p.retuneWindow(held)
+		m.retuneWindow(held)
 		if changed {
 			held.window.Reset()
 		}
@@ -66,11 +66,11 @@
 }
 
 // Ask gives the next ask for news.
-func (p *Pool) NextUpdateRequest(now time.Duration) distribution.UpdateRequest {
-	p.effectiveSet(now)
-	ask := p.routing.DeltaUpdateRequest(p.observations(now), now)
-	ask.ListVersion, ask.Incarnation = p.listVersion, p.identity.Incarnation
-	for _, one := range p.databases {
+func (m *Machine) UpdateRequest(now time.Duration) distribution.UpdateRequest {
+	m.effectiveSet(now)
+	ask := m.routing.DeltaUpdateRequest(m.observations(now), now)
+	ask.ListVersion, ask.Incarnation = m.listVersion, m.node.Incarnation
+	for _, one := range m.databases {
 		one.closeReported = one.writerClosedAt != 0
 	}
 	return ask
@@ -78,16 +78,16 @@
 
 // Told gives what is seen, for the control primary: the primaries, and the
 // instances in trouble, less what it has by earlier asks.
-func (p *Pool) Report(now time.Duration) distribution.NodeReport {
-	return p.routing.DeltaReport(p.observations(now), now)
+func (m *Machine) Observations(now time.Duration) distribution.NodeReport {
+	return m.routing.DeltaReport(m.observations(now), now)
 }
 
-func (p *Pool) observations(now time.Duration) distribution.NodeReport {
-	told := distribution.NodeReport{Node: p.identity.Name, HighWatermarks: map[string]model.Position{}}
-	for _, held := range p.backends {
-		one := p.databaseOf(held)
-		overdue := p.overdue(held, now)
-		writer := p.routing.WriterRole(one.name)
+func (m *Machine) observations(now time.Duration) distribution.NodeReport {
+	told := distribution.NodeReport{Node: m.node.Name, HighWatermarks: map[string]model.Position{}}
+	for _, held := range m.instances {
+		one := m.databaseOf(held)
+		overdue := m.overdue(held, now)
+		writer := m.routing.WriterRole(one.name)
 		isNamed := writer.Primary == held.info.Name || writer.Promoting == held.info.Name
 		if !isNamed && held.refusals == 0 && overdue < 300*time.Millisecond {
 			continue
@@ -98,7 +98,7 @@
 			Instance: seen, ResponseAge: now - held.lastResponse, RefusedConnections: held.refusals, OldestStatementAge: overdue,
 		})
 	}
-	for _, one := range p.databases {
+	for _, one := range m.databases {
 		if one.highWatermark != (model.Position{}) {
 			told.HighWatermarks[one.name] = one.highWatermark
 		}
@@ -108,7 +108,7 @@
 
 // overdue is the age of the oldest thing asked of an instance while nothing
 // was heard of it.
-func (p *Pool) overdue(held *backend, now time.Duration) time.Duration {
+func (m *Machine) overdue(held *instance, now time.Duration) time.Duration {
 	oldest := now
 	for _, conn := range held.conns {
 		if conn.attempt != nil {
@@ -125,21 +125,21 @@
 }
 
 // watch tells the control primary at once when a primary turns doubtful.
-func (p *Pool) reportSuspects(now time.Duration) {
-	for _, one := range p.databases {
-		_, target, open := p.writer(one)
+func (m *Machine) reportSuspects(now time.Duration) {
+	for _, one := range m.databases {
+		_, target, open := m.writer(one)
 		if !open {
 			continue
 		}
 		level := 0
 		for _, bound := range []time.Duration{300 * time.Millisecond, 610 * time.Millisecond} {
-			if p.overdue(target, now) > bound {
+			if m.overdue(target, now) > bound {
 				level++
 			}
 		}
 		level += min(target.refusals, 2) * 4
 		if level > target.reportedLevel {
-			p.emit(Report{})
+			m.emit(Report{})
 		}
 		target.reportedLevel = level
 	}
@@ -148,19 +148,19 @@
 // IsSettling says whether commits are out at a primary whose term is closing,
 // which may still be answered: the next ask, which tells that this node has
 // stopped there, waits for them a little.
-func (p *Pool) HasStrandedCommits(now time.Duration) bool {
-	for _, one := range p.databases {
-		head := p.backend(p.routing.WriterRole(one.name).Primary)
-		isAlive := head != nil && now-head.lastResponse < 2*p.config.ClosingGrace
-		if isAlive && one.writerClosedAt != 0 && now-one.writerClosedAt < p.config.ClosingGrace && len(p.strandedCommits(one)) > 0 {
+func (m *Machine) HasStrandedCommits(now time.Duration) bool {
+	for _, one := range m.databases {
+		head := m.instance(m.routing.WriterRole(one.name).Primary)
+		isAlive := head != nil && now-head.lastResponse < 2*m.timing.ClosingGrace
+		if isAlive && one.writerClosedAt != 0 && now-one.writerClosedAt < m.timing.ClosingGrace && len(m.strandedCommits(one)) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *Pool) strandedCommits(one *databaseState) []*Request {
-	writer, _, open := p.writer(one)
+func (m *Machine) strandedCommits(one *database) []*Request {
+	writer, _, open := m.writer(one)
 	var found []*Request
 	for _, request := range one.inFlight {
 		if request.mayPersist() && request.isSent() && (!open || request.term != writer.Term) {
@@ -171,36 +171,36 @@
 }
 
 // Took takes news that answers an ask sent at a moment.
-func (p *Pool) ApplyUpdate(update distribution.Update, sent, now time.Duration) {
+func (m *Machine) ApplyUpdate(update distribution.Update, sent, now time.Duration) {
 	if update.Snapshot != nil {
-		p.count("docs_taken", 1)
+		m.count("docs_taken", 1)
 	}
-	for _, change := range p.routing.ApplyUpdate(update, sent, now) {
-		p.emit(WriterChanged{Change: change})
-		p.onWriterChanged(p.database(change.Database), change, now)
+	for _, change := range m.routing.ApplyUpdate(update, sent, now) {
+		m.emit(WriterChanged{Change: change})
+		m.onWriterChanged(m.database(change.Database), change, now)
 	}
 	if update.FromPrimary {
-		for _, one := range p.databases {
-			writer := p.routing.WriterRole(one.name)
+		for _, one := range m.databases {
+			writer := m.routing.WriterRole(one.name)
 			if writer.Phase != model.PhaseOpen && writer.MinPosition != (model.Position{}) {
-				p.recordPosition(one, sent, writer.MinPosition, now)
+				m.recordPosition(one, sent, writer.MinPosition, now)
 			}
 		}
 	}
 	if update.Instances != nil {
-		p.listVersion = update.ListVersion
+		m.listVersion = update.ListVersion
 		for _, info := range update.Instances {
-			p.InstanceAnnounced(info, now)
+			m.UpdateInstance(info, now)
 		}
 	}
-	p.updateCapacities(p.routing.Snapshot().NewestSet())
-	p.effectiveSet(now)
-	p.admitConnecting(now)
-	p.dispatchAll(now)
+	m.updateCapacities(m.routing.Snapshot().NewestSet())
+	m.effectiveSet(now)
+	m.admitConnecting(now)
+	m.dispatchAll(now)
 }
 
-func (p *Pool) onWriterChanged(one *databaseState, change routing.WriterRoleChanged, now time.Duration) {
-	p.count("writer_moves", 1)
+func (m *Machine) onWriterChanged(one *database, change routing.WriterRoleChanged, now time.Duration) {
+	m.count("writer_moves", 1)
 	if change.Current.Phase == model.PhaseOpen {
 		one.writerClosedAt, one.closeReported = 0, false
 		if change.Previous.Term != change.Current.Term {
@@ -209,16 +209,16 @@
 	} else if one.writerClosedAt == 0 {
 		one.writerClosedAt = now
 	}
-	old := p.backend(change.Previous.Primary)
+	old := m.instance(change.Previous.Primary)
 	isFenced := change.Previous.Phase == model.PhaseOpen && old != nil && (change.Current.Phase != model.PhaseOpen || change.Current.Term != change.Previous.Term)
 	if !isFenced {
 		return
 	}
 	isOld := func(term uint64) bool { return change.Current.Phase != model.PhaseOpen || term != change.Current.Term }
 	for _, request := range slices.Clone(one.inFlight) {
-		isRead := request.phase == phaseInFlight && request.isRetryableRead() && request.primaryOnly && len(request.attempts) > 0
-		if isRead && isOld(request.term) && request.attempts[0].conn.backend == old {
-			p.requeue(request, now)
+		isRead := request.phase == phaseInFlight && request.isRetryableRead() && request.strict && len(request.attempts) > 0
+		if isRead && isOld(request.term) && request.attempts[0].conn.instance == old {
+			m.requeue(request, now)
 		}
 	}
 	for _, conn := range slices.Clone(old.conns) {
@@ -229,21 +229,21 @@
 		if request := owner.request; request != nil && request.commit && request.isSent() {
 			continue
 		}
-		p.loseTransaction(owner, now)
+		m.loseTransaction(owner, now)
 	}
-	p.closeIdle(old, now)
+	m.closeIdleConns(old, now)
 }
 
 // loseTurn gives up a transaction on the instance's side; the client is told
 // at its next word, or now where a statement is out.
-func (p *Pool) loseTransaction(c *Client, now time.Duration) {
+func (m *Machine) loseTransaction(c *Client, now time.Duration) {
 	held := c.transaction
 	if held == nil || held.lost {
 		return
 	}
 	request := c.request
 	if request != nil && request.isSent() && request.mayPersist() {
-		p.abortStranded(request, now)
+		m.abortStranded(request, now)
 		return
 	}
 	held.lost = true
@@ -251,31 +251,31 @@
 	held.conn = nil
 	if conn != nil {
 		conn.owner = nil
-		p.closeConn(conn, now)
+		m.closeConn(conn, now)
 	}
 	if request != nil && request.phase != phaseEnded {
-		p.abortTransaction(request, now)
+		m.abortTransaction(request, now)
 	}
 }
 
 // abortTurn ends a statement whose transaction is over and was not asked to
 // commit: nothing of it is kept.
-func (p *Pool) abortTransaction(request *Request, now time.Duration) {
+func (m *Machine) abortTransaction(request *Request, now time.Duration) {
 	c := request.client
-	p.finish(request)
-	p.endTransaction(c, now)
+	m.finish(request)
+	m.endTransaction(c, now)
 	c.state = lineproto.StateFailed
 	if request.commit {
 		c.state = lineproto.StateIdle
 	}
-	p.respondError(c, lineproto.CodeAborted, "the transaction was lost with its instance; nothing is kept", true)
-	p.handlePipelined(c, now)
+	m.respondError(c, lineproto.CodeAborted, "the transaction was lost with its instance; nothing is kept", true)
+	m.handlePipelined(c, now)
 }
 
 // close takes a statement out of every line.
-func (p *Pool) finish(request *Request) {
-	one := p.database(request.binding.Database)
-	p.dequeue(request)
+func (m *Machine) finish(request *Request) {
+	one := m.database(request.binding.Database)
+	m.dequeue(request)
 	remove(&one.inFlight, request)
 	remove(&one.unconfirmed, request)
 	request.phase = phaseEnded
@@ -288,21 +288,21 @@
 }
 
 // refuse ends a statement that was not passed on.
-func (p *Pool) reject(request *Request, code lineproto.Code, text string, now time.Duration) {
+func (m *Machine) reject(request *Request, code lineproto.Code, text string, now time.Duration) {
 	c := request.client
-	p.finish(request)
-	p.failTransactionOf(request, now)
-	p.respondError(c, code, text, true)
-	p.handlePipelined(c, now)
+	m.finish(request)
+	m.failTransactionOf(request, now)
+	m.respondError(c, code, text, true)
+	m.handlePipelined(c, now)
 }
 
 // settleState brings the client's state to that after a failed statement.
-func (p *Pool) failTransactionOf(request *Request, now time.Duration) {
+func (m *Machine) failTransactionOf(request *Request, now time.Duration) {
 	c := request.client
 	if request.transaction == nil {
 		return
 	}
-	p.endTransaction(c, now)
+	m.endTransaction(c, now)
 	c.state = lineproto.StateFailed
 	if request.commit {
 		c.state = lineproto.StateIdle
@@ -310,153 +310,153 @@
 }
 
 // forsake ends a statement whose client has gone.
-func (p *Pool) abandonRequest(request *Request, _ time.Duration) { p.finish(request) }
+func (m *Machine) abandonRequest(request *Request, _ time.Duration) { m.finish(request) }
 
 // again puts a read back in line; what is out of it is not waited for.
-func (p *Pool) requeue(request *Request, now time.Duration) {
-	one := p.database(request.binding.Database)
+func (m *Machine) requeue(request *Request, now time.Duration) {
+	one := m.database(request.binding.Database)
 	remove(&one.inFlight, request)
 	for _, held := range request.attempts {
 		held.abandoned = true
 	}
 	request.attempts, request.hedged = nil, false
 	request.retries++
-	if request.retries > p.config.MaxRetries {
-		p.reject(request, lineproto.CodeBusy, "no instance took it; come back in 200 ms", now)
+	if request.retries > m.timing.MaxRetries {
+		m.reject(request, lineproto.CodeBusy, "no instance took it; come back in 200 ms", now)
 		return
 	}
-	p.bind(request, now)
+	m.bind(request, now)
 }
 
 // pause puts a statement that an instance refused back in line; unless it
 // lagged, and another may not, it waits a little.
-func (p *Pool) requeueAfterRefusal(request *Request, code lineproto.Code, now time.Duration) {
+func (m *Machine) requeueAfterRefusal(request *Request, code lineproto.Code, now time.Duration) {
 	if code != lineproto.CodeLagging {
-		request.notBefore = now + time.Duration(request.retries+1)*p.config.RetryDelay
+		request.notBefore = now + time.Duration(request.retries+1)*m.timing.RetryDelay
 	}
-	p.requeue(request, now)
+	m.requeue(request, now)
 }
 
 // Came takes messages from an instance, in order.
-func (p *Pool) Received(conn *Conn, message lineproto.Message, now time.Duration) {
+func (m *Machine) Received(conn *Conn, message lineproto.Message, now time.Duration) {
 	if conn.state == connClosed {
 		return
 	}
-	held := conn.backend
+	held := conn.instance
 	if conn.state == connOpening {
-		p.onOpened(conn, message, now)
+		m.onOpened(conn, message, now)
 		return
 	}
 	held.lastResponse, held.refusals = now, 0
 	if len(conn.pending) == 0 {
-		p.count("answers_unasked", 1)
-		p.ConnectionLost(conn, now)
+		m.count("answers_unasked", 1)
+		m.ConnLost(conn, now)
 		return
 	}
 	first := conn.pending[0]
 	act, found := instanceMessageHandlers[message.Kind]
 	isPast := first.attempt != nil && first.attempt.hasResult && message.Kind != lineproto.KindReady
 	if !found || isPast {
-		p.count("answers_malformed", 1)
-		p.ConnectionLost(conn, now)
+		m.count("answers_malformed", 1)
+		m.ConnLost(conn, now)
 		return
 	}
-	act(p, conn, first, message, now)
+	act(m, conn, first, message, now)
 }
 
-var instanceMessageHandlers map[lineproto.Kind]func(*Pool, *Conn, pendingAnswer, lineproto.Message, time.Duration)
+var instanceMessageHandlers map[lineproto.Kind]func(*Machine, *Conn, pendingAnswer, lineproto.Message, time.Duration)
 
 func init() {
-	instanceMessageHandlers = map[lineproto.Kind]func(*Pool, *Conn, pendingAnswer, lineproto.Message, time.Duration){
-		lineproto.KindRow: func(_ *Pool, _ *Conn, first pendingAnswer, message lineproto.Message, _ time.Duration) {
+	instanceMessageHandlers = map[lineproto.Kind]func(*Machine, *Conn, pendingAnswer, lineproto.Message, time.Duration){
+		lineproto.KindRow: func(_ *Machine, _ *Conn, first pendingAnswer, message lineproto.Message, _ time.Duration) {
 			if first.attempt != nil {
 				first.attempt.rows = append(first.attempt.rows, message)
 			}
 		},
-		lineproto.KindDone:  (*Pool).onResult,
-		lineproto.KindError: (*Pool).onResult,
-		lineproto.KindReady: (*Pool).onReady,
+		lineproto.KindDone:  (*Machine).onResult,
+		lineproto.KindError: (*Machine).onResult,
+		lineproto.KindReady: (*Machine).onReady,
 	}
 }
 
-func (p *Pool) onResult(conn *Conn, first pendingAnswer, message lineproto.Message, _ time.Duration) {
+func (m *Machine) onResult(conn *Conn, first pendingAnswer, message lineproto.Message, _ time.Duration) {
 	if first.attempt != nil {
 		first.attempt.result, first.attempt.hasResult = message, true
 		return
 	}
 	if message.Kind == lineproto.KindError {
-		p.count("own_statements_failed", 1)
+		m.count("own_statements_failed", 1)
 		conn.dirty = true
 	}
 }
 
-func (p *Pool) onOpened(conn *Conn, message lineproto.Message, now time.Duration) {
-	held := conn.backend
+func (m *Machine) onOpened(conn *Conn, message lineproto.Message, now time.Duration) {
+	held := conn.instance
 	if message.Code == lineproto.CodeWrongInstance {
-		p.ConnectionLost(conn, now)
+		m.ConnLost(conn, now)
 		return
 	}
 	held.opening--
 	held.lastResponse, held.refusals = now, 0
 	if message.Kind != lineproto.KindReady {
-		p.count("connections_refused", 1)
-		p.backOff(held, now)
+		m.count("connections_refused", 1)
+		m.backOff(held, now)
 		conn.state = connIdle
-		p.closeConn(conn, now)
+		m.closeConn(conn, now)
 		return
 	}
-	p.count("connections_opened", 1)
+	m.count("connections_opened", 1)
 	held.backoff = 0
 	held.position = held.position.Max(message.Position)
 	conn.state = connBusy
-	p.release(conn, now)
-	p.dispatch(p.databaseOf(held), now)
+	m.release(conn, now)
+	m.dispatch(m.databaseOf(held), now)
 }
 
-func (p *Pool) backOff(held *backend, now time.Duration) {
-	held.backoff = min(max(2*held.backoff, p.config.InitialBackoff), p.config.MaxBackoff)
+func (m *Machine) backOff(held *instance, now time.Duration) {
+	held.backoff = min(max(2*held.backoff, m.timing.BackoffMin), m.timing.BackoffMax)
 	held.backoffUntil = now + held.backoff
 }
 
-func (p *Pool) onReady(conn *Conn, first pendingAnswer, message lineproto.Message, now time.Duration) {
-	held := conn.backend
+func (m *Machine) onReady(conn *Conn, first pendingAnswer, message lineproto.Message, now time.Duration) {
+	held := conn.instance
 	conn.pending = conn.pending[1:]
 	if held.position.IsBefore(message.Position) {
 		held.position = message.Position
 	}
 	if first.attempt == nil {
 		if len(conn.pending) == 0 && conn.attempt == nil {
-			p.releaseInState(conn, message.State, now)
-			p.dispatch(p.databaseOf(held), now)
+			m.releaseInState(conn, message.State, now)
+			m.dispatch(m.databaseOf(held), now)
 		}
 		return
 	}
 	l := first.attempt
 	if !l.hasResult {
-		p.count("answers_malformed", 1)
-		p.ConnectionLost(conn, now)
+		m.count("answers_malformed", 1)
+		m.ConnLost(conn, now)
 		return
 	}
 	if !l.statementSent {
-		p.onBeginAnswered(l, message, now)
+		m.onBeginAnswered(l, message, now)
 		return
 	}
 	conn.attempt = nil
-	p.learnPosition(l, message.Position, now)
-	p.recordOutcome(l, now)
-	p.complete(l, message, now)
-	p.dispatch(p.databaseOf(held), now)
+	m.learnPosition(l, message.Position, now)
+	m.recordOutcome(l, now)
+	m.complete(l, message, now)
+	m.dispatch(m.databaseOf(held), now)
 }
 
-func (p *Pool) learnPosition(l *attempt, position model.Position, now time.Duration) {
-	one := p.databaseOf(l.conn.backend)
-	writer, target, open := p.writer(one)
-	if open && target == l.conn.backend && l.request.term == writer.Term && p.routing.HasLease(now) && position != (model.Position{}) {
-		p.recordPosition(one, l.sentAt, position, now)
+func (m *Machine) learnPosition(l *attempt, position model.Position, now time.Duration) {
+	one := m.databaseOf(l.conn.instance)
+	writer, target, open := m.writer(one)
+	if open && target == l.conn.instance && l.request.term == writer.Term && m.routing.HasLease(now) && position != (model.Position{}) {
+		m.recordPosition(one, l.sentAt, position, now)
 	}
 }
 
-func (p *Pool) recordPosition(one *databaseState, at time.Duration, position model.Position, now time.Duration) {
+func (m *Machine) recordPosition(one *database, at time.Duration, position model.Position, now time.Duration) {
 	for len(one.samples) > 0 && (now-one.samples[0].takenAt > 8*time.Second) {
 		one.samples = one.samples[1:]
 	}
@@ -476,15 +476,15 @@
 	one.samples = append(one.samples, positionSample{takenAt: at, position: position})
 }
 
-func (p *Pool) recordOutcome(l *attempt, now time.Duration) {
+func (m *Machine) recordOutcome(l *attempt, now time.Duration) {
 	outcome := flowcontrol.Completed
 	isRefused := l.result.Kind == lineproto.KindError && (l.result.Code == lineproto.CodeBusy || l.result.Code == lineproto.CodeLagging || l.result.Code == lineproto.CodeReadOnly || l.result.Code == lineproto.CodeNotFound)
 	if isRefused {
 		outcome = flowcontrol.Rejected
 	}
-	l.conn.backend.window.Release(outcome, p.normalizedLatency(l.request, now-l.sentAt))
+	l.conn.instance.window.Release(outcome, m.normalizedLatency(l.request, now-l.sentAt))
 	if !isRefused {
-		l.conn.backend.health.Observe(l.isFailed(), now)
+		l.conn.instance.health.Observe(l.isFailed(), now)
 	}
 }
 
@@ -502,68 +502,68 @@
 }
 
 // sized brings a latency to the reference size of work.
-func (p *Pool) normalizedLatency(request *Request, latency time.Duration) time.Duration {
+func (m *Machine) normalizedLatency(request *Request, latency time.Duration) time.Duration {
 	if request.binding.LatencyTarget <= 0 {
 		return latency
 	}
-	return time.Duration(float64(latency) * float64(p.config.ReferenceTarget) / float64(request.binding.LatencyTarget))
+	return time.Duration(float64(latency) * float64(m.timing.ReferenceTarget) / float64(request.binding.LatencyTarget))
 }
 
-func (p *Pool) complete(l *attempt, ready lineproto.Message, now time.Duration) {
+func (m *Machine) complete(l *attempt, ready lineproto.Message, now time.Duration) {
 	request, conn := l.request, l.conn
 	isOurs := !l.abandoned && request.phase == phaseInFlight
 	if !isOurs {
 		if conn.owner != nil || ready.State != lineproto.StateIdle {
-			p.closeConn(conn, now)
+			m.closeConn(conn, now)
 			return
 		}
-		p.release(conn, now)
+		m.release(conn, now)
 		return
 	}
 	if request.transaction != nil {
-		p.completeInTransaction(l, ready, now)
+		m.completeInTransaction(l, ready, now)
 		return
 	}
-	p.releaseInState(conn, ready.State, now)
+	m.releaseInState(conn, ready.State, now)
 	if l.result.Kind == lineproto.KindError {
-		p.completeWithError(l, now)
+		m.completeWithError(l, now)
 		return
 	}
-	p.completeWithSuccess(l, ready, now)
+	m.completeWithSuccess(l, ready, now)
 }
 
 // onBegun takes the answer to the begin that goes before a transaction's
 // first statement, which follows only now: it must never run outside.
-func (p *Pool) onBeginAnswered(l *attempt, ready lineproto.Message, now time.Duration) {
+func (m *Machine) onBeginAnswered(l *attempt, ready lineproto.Message, now time.Duration) {
 	request, conn := l.request, l.conn
 	isGood := l.result.Kind == lineproto.KindDone && ready.State == lineproto.StateInTransaction
 	isOurs := !l.abandoned && request.phase == phaseInFlight
 	if isGood && isOurs {
 		l.hasResult, l.statementSent, l.rows, l.sentAt = false, true, nil, now
-		p.send(conn, l, []Command{p.statementCommand(request, conn, model.Position{})})
+		m.send(conn, l, []Command{m.statementCommand(request, conn, model.Position{})})
 		return
 	}
 	conn.attempt, conn.owner = nil, nil
-	conn.backend.window.Release(flowcontrol.Rejected, 0)
+	conn.instance.window.Release(flowcontrol.Rejected, 0)
 	if l.result.Code == lineproto.CodeLagging {
-		conn.backend.laggingUntil = now + p.config.LaggingPause
+		conn.instance.laggingUntil = now + m.timing.LaggingPause
 	}
-	p.count("begins_refused", 1)
-	p.releaseInState(conn, ready.State, now)
+	m.count("begins_refused", 1)
+	m.releaseInState(conn, ready.State, now)
 	if isOurs {
 		request.transaction.conn = nil
-		p.requeueAfterRefusal(request, l.result.Code, now)
+		m.requeueAfterRefusal(request, l.result.Code, now)
 	}
-	p.dispatch(p.databaseOf(conn.backend), now)
+	m.dispatch(m.databaseOf(conn.instance), now)
 }
 
-func (p *Pool) completeInTransaction(l *attempt, ready lineproto.Message, now time.Duration) {
+func (m *Machine) completeInTransaction(l *attempt, ready lineproto.Message, now time.Duration) {
 	request, conn, c := l.request, l.conn, l.request.client
 	isError := l.result.Kind == lineproto.KindError
 	if request.commit || ready.State == lineproto.StateIdle {
 		request.transaction.conn, conn.owner = nil, nil
 		conn.dirty = conn.dirty || (isError && conn.changed)
-		p.releaseInState(conn, ready.State, now)
+		m.releaseInState(conn, ready.State, now)
 		c.transaction, c.state = nil, lineproto.StateIdle
 	} else {
 		conn.state = connIdle
@@ -572,28 +572,28 @@
 			c.state = lineproto.StateFailed
 		}
 		if c.state == lineproto.StateFailed {
-			p.endTransaction(c, now)
+			m.endTransaction(c, now)
 		}
 	}
 	if isError {
-		p.completeWithError(l, now)
+		m.completeWithError(l, now)
 		return
 	}
-	p.completeWithSuccess(l, ready, now)
+	m.completeWithSuccess(l, ready, now)
 }
 
-func (p *Pool) completeWithError(l *attempt, now time.Duration) {
+func (m *Machine) completeWithError(l *attempt, now time.Duration) {
 	request := l.request
 	if l.result.Code == lineproto.CodeLagging {
-		l.conn.backend.laggingUntil = now + p.config.LaggingPause
+		l.conn.instance.laggingUntil = now + m.timing.LaggingPause
 	}
 	isUnknown := l.result.Code == lineproto.CodeNotFound
 	l.conn.dirty = l.conn.dirty || isUnknown
 	isRefused := l.result.Code == lineproto.CodeLagging || l.result.Code == lineproto.CodeBusy || l.result.Code == lineproto.CodeReadOnly
 	isFailed := request.isRetryableRead() && l.result.Code == lineproto.CodeFailed && request.failures+1 < request.maxAttempts()
 	if isFailed {
-		request.failures, request.avoid = request.failures+1, l.conn.backend
-		p.count("reads_failed_elsewhere", 1)
+		request.failures, request.avoid = request.failures+1, l.conn.instance
+		m.count("reads_failed_elsewhere", 1)
 	}
 	isAgain := (request.isRetryableRead() && isRefused) || (request.transaction == nil && isUnknown) || isFailed
 	if isAgain && l.hasOtherAttempt() {
@@ -601,53 +601,53 @@
 		return
 	}
 	if isAgain {
-		p.requeueAfterRefusal(request, l.result.Code, now)
+		m.requeueAfterRefusal(request, l.result.Code, now)
 		return
 	}
 	c := request.client
-	p.finish(request)
-	p.count("errors_passed", 1)
-	p.respond(c, lineproto.Message{Kind: lineproto.KindError, Payload: l.result.Payload, Code: l.result.Code}, p.readyMessage(c, model.Position{}))
-	p.handlePipelined(c, now)
+	m.finish(request)
+	m.count("errors_passed", 1)
+	m.respond(c, lineproto.Message{Kind: lineproto.KindError, Payload: l.result.Payload, Code: l.result.Code}, m.readyMessage(c, model.Position{}))
+	m.handlePipelined(c, now)
 }
 
-func (p *Pool) completeWithSuccess(l *attempt, ready lineproto.Message, now time.Duration) {
+func (m *Machine) completeWithSuccess(l *attempt, ready lineproto.Message, now time.Duration) {
 	request := l.request
 	request.answer = append(l.rows, l.result)
 	request.position = ready.Position
 	if request.mayPersist() {
-		one := p.database(request.binding.Database)
+		one := m.database(request.binding.Database)
 		remove(&one.inFlight, request)
 		request.phase = phaseUnconfirmed
 		one.unconfirmed = append(one.unconfirmed, request)
-		p.confirmCommits(one, now)
+		m.confirmCommits(one, now)
 		return
 	}
-	p.respondWithAnswer(request, now)
+	m.respondWithAnswer(request, now)
 }
 
-func (p *Pool) respondWithAnswer(request *Request, now time.Duration) {
+func (m *Machine) respondWithAnswer(request *Request, now time.Duration) {
 	c := request.client
-	p.finish(request)
-	p.count("answered", 1)
-	p.respond(c, append(request.answer, p.readyMessage(c, request.position))...)
-	p.handlePipelined(c, now)
+	m.finish(request)
+	m.count("answered", 1)
+	m.respond(c, append(request.answer, m.readyMessage(c, request.position))...)
+	m.handlePipelined(c, now)
 }
 
 // settleConfirms tells commits that ran, while the lease is held and the term
 // in which they ran is open, or is closing and the node has not yet told that
 // it knows: until then nothing else is promoted, and the positions that are
 // asked for after cover what is told now.
-func (p *Pool) confirmCommits(one *databaseState, now time.Duration) {
+func (m *Machine) confirmCommits(one *database, now time.Duration) {
 	for _, request := range slices.Clone(one.unconfirmed) {
-		writer := p.routing.WriterRole(one.name)
+		writer := m.routing.WriterRole(one.name)
 		isClosing := writer.Phase == model.PhaseClosing && !one.closeReported
 		isOver := writer.Term != request.term || (writer.Phase != model.PhaseOpen && !isClosing)
 		if isOver {
-			p.respondUnknown(request, "it ran on a primary that has since lost the writer role", now)
+			m.respondUnknown(request, "it ran on a primary that has since lost the writer role", now)
 			continue
 		}
-		if !p.routing.HasLease(now) {
+		if !m.routing.HasLease(now) {
 			continue
 		}
 		one.highWatermark = one.highWatermark.Max(request.position)
@@ -656,18 +656,18 @@
 		}
 		held := request.client.ownCommits[one.name]
 		request.client.ownCommits[one.name] = ownCommit{position: held.position.Max(request.position), at: now}
-		p.respondWithAnswer(request, now)
+		m.respondWithAnswer(request, now)
 	}
 }
 
-func (p *Pool) respondUnknown(request *Request, text string, now time.Duration) {
+func (m *Machine) respondUnknown(request *Request, text string, now time.Duration) {
 	c := request.client
-	p.finish(request)
+	m.finish(request)
 	if request.transaction != nil {
-		p.endTransaction(c, now)
+		m.endTransaction(c, now)
 		c.state = lineproto.StateIdle
 	}
-	p.count("unknown", 1)
-	p.respondError(c, lineproto.CodeUnknownOutcome, text, true)
-	p.handlePipelined(c, now)
+	m.count("unknown", 1)
+	m.respondError(c, lineproto.CodeUnknownOutcome, text, true)
+	m.handlePipelined(c, now)
 }
--- a/internal/coordination/pool/linepool/harness_test.go
+++ b/internal/coordination/pool/linepool/harness_test.go
@@ -19,12 +19,12 @@
 // rig plays one machine against scripted instances: a is the primary of
 // database x, b and c are its replicas, and y has the primary d alone.
 type harness struct {
-	*Pool
+	*Machine
 	now           time.Duration
 	counts        map[string]int64
 	responses     map[*Client][]string
 	closedClients map[*Client]bool
-	opens         []Connect
+	opens         []OpenConn
 	sends         []Send
 	closedConns   []*Conn
 	reports       int
@@ -39,7 +39,7 @@
 
 func newHarnessFor(name string, connections int) *harness {
 	r := &harness{now: time.Hour, counts: map[string]int64{}, responses: map[*Client][]string{}, closedClients: map[*Client]bool{}, logIndex: 100}
-	r.Pool = New(Identity{Name: name, Zone: "za", Incarnation: 1, Weight: 1}, DefaultConfig(), lease.DefaultTiming(), func(name string, by int64) { r.counts[name] += by })
+	r.Machine = New(Node{Name: name, Zone: "za", Incarnation: 1, Weight: 1}, DefaultTiming(), lease.DefaultTiming(), func(name string, by int64) { r.counts[name] += by })
 	for at, name := range []string{"a", "b", "c", "d"} {
 		database, role := "x", model.RoleReplica
 		if name == "d" {
@@ -135,12 +135,12 @@
 		}
 		r.sends = append(r.sends, send)
 	}
-	if shut, isOne := effect.(Disconnect); isOne {
+	if shut, isOne := effect.(CloseConn); isOne {
 		r.closedConns = append(r.closedConns, shut.Conn)
 		r.sends = slices.DeleteFunc(r.sends, func(send Send) bool { return send.Conn == shut.Conn })
-		r.opens = slices.DeleteFunc(r.opens, func(open Connect) bool { return open.Conn == shut.Conn })
+		r.opens = slices.DeleteFunc(r.opens, func(open OpenConn) bool { return open.Conn == shut.Conn })
 	}
-	if open, isOne := effect.(Connect); isOne {
+	if open, isOne := effect.(OpenConn); isOne {
 		r.opens = append(r.opens, open)
 	}
 	if _, isOne := effect.(Report); isOne {
@@ -148,13 +148,13 @@
 	}
 }
 
-func (r *harness) acceptConn(open Connect) {
-	r.opens = slices.DeleteFunc(r.opens, func(one Connect) bool { return one.Conn == open.Conn })
+func (r *harness) acceptConn(open OpenConn) {
+	r.opens = slices.DeleteFunc(r.opens, func(one OpenConn) bool { return one.Conn == open.Conn })
 	r.Received(open.Conn, r.readyIn(lineproto.StateIdle), r.now)
 }
 
 // welcomed lets an instance take a connection.
-func (r *harness) connAccepted(open Connect) {
+func (r *harness) connAccepted(open OpenConn) {
 	r.acceptConn(open)
 	r.applyEffects()
 }
@@ -275,7 +275,7 @@
 }
 
 func (r *harness) loseConn(conn *Conn) {
-	r.ConnectionLost(conn, r.now)
+	r.ConnLost(conn, r.now)
 	r.sends = slices.DeleteFunc(r.sends, func(send Send) bool { return send.Conn == conn })
 	r.applyEffects()
 }
@@ -299,7 +299,7 @@
 	return strings.Join(list, ", ")
 }
 
-func (send Send) target() string { return send.Conn.backend.info.Name }
+func (send Send) target() string { return send.Conn.instance.info.Name }
 
 func (send Send) minPosition() model.Position { return send.Commands[len(send.Commands)-1].MinPosition }
 
@@ -356,13 +356,13 @@
 }
 
 // sound checks what must hold of the machine after every event.
-func (p *Pool) invariantViolation() string {
-	legs := map[*backend]int{}
+func (m *Machine) invariantViolation() string {
+	legs := map[*instance]int{}
 	jobs := map[*Request]int{}
-	for _, held := range p.backends {
+	for _, held := range m.instances {
 		opening := 0
 		for _, conn := range held.conns {
-			if conn.state == connClosed || conn.backend != held {
+			if conn.state == connClosed || conn.instance != held {
 				return "a connection that is over is kept"
 			}
 			if conn.state == connOpening {
@@ -397,7 +397,7 @@
 			return fmt.Sprintf("%s counts %d out, has %d", held.info.Name, reading.InFlight, legs[held])
 		}
 	}
-	for _, one := range p.databases {
+	for _, one := range m.databases {
 		for _, list := range [][]*Request{one.transactionQueue, one.primaryQueue, one.readQueue} {
 			for _, request := range list {
 				jobs[request]++
@@ -419,7 +419,7 @@
 			}
 		}
 	}
-	for _, request := range p.awaitingLease {
+	for _, request := range m.awaitingLease {
 		if request.phase == phaseAwaitingLease {
 			jobs[request]++
 		}
@@ -432,7 +432,7 @@
 			return "a statement waits for a client that does not"
 		}
 	}
-	for c := range p.clients {
+	for c := range m.clients {
 		if c.request != nil && jobs[c.request] != 1 {
 			return "a client waits for a statement that is nowhere"
 		}
--- a/internal/coordination/pool/linepool/pool.go
+++ b/internal/coordination/pool/linepool/pool.go
@@ -20,7 +20,7 @@
 )
 
 // Timing holds the machine's bounds.
-type Config struct {
+type Timing struct {
 	// Timeout bounds a statement whose binding names none.
 	DefaultTimeout time.Duration
 	// Away is how long a statement waits where not room is wanting, but the
@@ -39,9 +39,9 @@
 	AbandonedTimeout time.Duration
 	// Inside is how long a transaction may rest where the manifest names
 	// nothing.
-	TransactionIdleTimeout time.Duration
+	IdleInTransaction time.Duration
 	// RestFirst and RestMost bound the rest after a connection was refused.
-	InitialBackoff, MaxBackoff time.Duration
+	BackoffMin, BackoffMax time.Duration
 	// Spare is how long a connection over the node's rights may rest.
 	SurplusIdle time.Duration
 	// Pause is how long a statement that was refused waits, for each time that
@@ -65,28 +65,28 @@
 	Linger, EndTransactions, EndSessions time.Duration
 	// Line and Clients bound a line and the node's clients, Inbox what a
 	// client may send ahead, Shapes what is prepared on one connection.
-	MaxQueueLength, MaxClients, MaxPipelined, MaxPrepared int
+	MaxQueue, MaxClients, MaxPipelined, MaxPrepared int
 	// Reference is the target at which a latency counts as it is: others are
 	// brought to it in proportion, as the size of the work.
 	ReferenceTarget time.Duration
 }
 
 // DefaultTiming gives the project's bounds.
-func DefaultConfig() Config {
-	return Config{
+func DefaultTiming() Timing {
+	return Timing{
 		DefaultTimeout: 5 * time.Second, UnavailableWait: 700 * time.Millisecond, QueueFraction: 0.45, ConnectWait: 1800 * time.Millisecond, OpenTimeout: 700 * time.Millisecond, ClosingGrace: 150 * time.Millisecond,
-		AbandonedTimeout: 10 * time.Second, TransactionIdleTimeout: 3 * time.Second, InitialBackoff: 40 * time.Millisecond, MaxBackoff: 400 * time.Millisecond,
+		AbandonedTimeout: 10 * time.Second, IdleInTransaction: 3 * time.Second, BackoffMin: 40 * time.Millisecond, BackoffMax: 400 * time.Millisecond,
 		SurplusIdle: 40 * time.Millisecond,
 		RetryDelay:  20 * time.Millisecond, MaxRetries: 8,
 		DrainWindow: 5 * time.Second, LateDrainWindow: 2 * time.Second, LaggingPause: 150 * time.Millisecond, ReplicationBound: 300 * time.Millisecond,
 		Linger: 2300 * time.Millisecond, EndTransactions: 2900 * time.Millisecond, EndSessions: 5400 * time.Millisecond,
-		MaxQueueLength: 4096, MaxClients: 3000, MaxPipelined: 16, MaxPrepared: 200, ReferenceTarget: 200 * time.Millisecond,
+		MaxQueue: 4096, MaxClients: 3000, MaxPipelined: 16, MaxPrepared: 200, ReferenceTarget: 200 * time.Millisecond,
 	}
 }
 
 // Within fits the bounds to a stop that is waited for as long as grace, and to
 // instances that serve on for drain after they were heard to leave.
-func (t Config) Within(grace, drain time.Duration) Config {
+func (t Timing) Within(grace, drain time.Duration) Timing {
 	t.EndTransactions, t.EndSessions = grace/2-100*time.Millisecond, grace-600*time.Millisecond
 	t.Linger = min(t.Linger, t.EndSessions-600*time.Millisecond)
 	t.DrainWindow = max(drain-2*time.Second, drain/2)
@@ -130,7 +130,7 @@
 	// Close ends a client's session.
 	CloseClient struct{ Client *Client }
 	// Open opens a connection to an instance.
-	Connect struct {
+	OpenConn struct {
 		Conn                        *Conn
 		Address, Database, Instance string
 	}
@@ -140,16 +140,16 @@
 		Commands []Command
 	}
 	// Shut closes a connection to an instance.
-	Disconnect struct{ Conn *Conn }
+	CloseConn struct{ Conn *Conn }
 	// Report tells the control primary what is seen, before the next ask.
 	Report struct{}
 	// Turned tells a writer role that moved, Shown a set come in force.
-	WriterChanged struct{ Change routing.WriterRoleChanged }
-	SetActivated  struct{ Set model.BindingSet }
+	WriterChanged     struct{ Change routing.WriterRoleChanged }
+	BindingsActivated struct{ Set model.BindingSet }
 )
 
 // Place is the node's own.
-type Identity struct {
+type Node struct {
 	Name, Zone  string
 	Incarnation int64
 	Weight      float64
@@ -217,7 +217,7 @@
 	binding     model.Binding
 	write       bool
 	commit      bool
-	primaryOnly bool
+	strict      bool
 	transaction *transaction
 	arrivedAt   time.Duration
 	deadline    time.Duration
@@ -227,7 +227,7 @@
 	retries     int
 	notBefore   time.Duration
 	// avoid is the instance that failed it last, failed how often one did.
-	avoid       *backend
+	avoid       *instance
 	failures    int
 	term        uint64
 	minPosition model.Position
@@ -283,7 +283,7 @@
 type Conn struct {
 	// Link belongs to whoever opened it.
 	Transport     any
-	backend       *backend
+	instance      *instance
 	state         connState
 	variables     map[string]string
 	prepared      map[string]string
@@ -303,7 +303,7 @@
 	attempt *attempt
 }
 
-type backend struct {
+type instance struct {
 	info          model.Instance
 	databaseID    int
 	quota         connquota.Quota
@@ -327,7 +327,7 @@
 	position model.Position
 }
 
-type databaseState struct {
+type database struct {
 	name             string
 	primaryQueue     []*Request
 	readQueue        []*Request
@@ -343,16 +343,16 @@
 }
 
 // Machine is one node's state. It does no I/O and has no clock.
-type Pool struct {
-	identity         Identity
-	config           Config
+type Machine struct {
+	node             Node
+	timing           Timing
 	windowParameters flowcontrol.Parameters
 	count            func(name string, by int64)
 	routing          *routing.Machine
 	databaseNames    *symbol.Table
-	databases        []*databaseState
-	backendNames     *symbol.Table
-	backends         []*backend
+	databases        []*database
+	instanceNames    *symbol.Table
+	instances        []*instance
 	clients          map[*Client]bool
 	awaitingLease    []*Request
 	connecting       []*Client
@@ -369,66 +369,66 @@
 
 // New makes a node that knows nothing yet; count hears of each counter that
 // rises.
-func New(place Identity, timing Config, leases lease.Timing, count func(string, int64)) *Pool {
-	p := &Pool{
-		identity: place, config: timing, windowParameters: flowcontrol.DefaultParameters(), count: count, routing: routing.New(place.Name, leases),
-		databaseNames: symbol.NewTable(), backendNames: symbol.NewTable(), clients: map[*Client]bool{},
+func New(place Node, timing Timing, leases lease.Timing, count func(string, int64)) *Machine {
+	m := &Machine{
+		node: place, timing: timing, windowParameters: flowcontrol.DefaultParameters(), count: count, routing: routing.New(place.Name, leases),
+		databaseNames: symbol.NewTable(), instanceNames: symbol.NewTable(), clients: map[*Client]bool{},
 	}
-	p.windowParameters.Beta = place.Weight
-	return p
+	m.windowParameters.Beta = place.Weight
+	return m
 }
 
 // Effects gives what the events since the last call caused.
-func (p *Pool) Effects() []Effect {
-	effects := p.effects
-	p.effects = nil
+func (m *Machine) Effects() []Effect {
+	effects := m.effects
+	m.effects = nil
 	return effects
 }
 
-func (p *Pool) emit(effect Effect) { p.effects = append(p.effects, effect) }
+func (m *Machine) emit(effect Effect) { m.effects = append(m.effects, effect) }
 
 // Serve gives what the node knows of leases, sets and writer roles, to be
 // read only.
-func (p *Pool) Routing() *routing.Machine { return p.routing }
+func (m *Machine) Routing() *routing.Machine { return m.routing }
 
-func (p *Pool) database(name string) *databaseState {
-	rank := p.databaseNames.Intern(name)
-	for len(p.databases) <= rank {
-		p.databases = append(p.databases, &databaseState{name: p.databaseNames.Name(len(p.databases))})
+func (m *Machine) database(name string) *database {
+	rank := m.databaseNames.Intern(name)
+	for len(m.databases) <= rank {
+		m.databases = append(m.databases, &database{name: m.databaseNames.Name(len(m.databases))})
 	}
-	return p.databases[rank]
+	return m.databases[rank]
 }
 
-func (p *Pool) databaseOf(held *backend) *databaseState { return p.databases[held.databaseID] }
+func (m *Machine) databaseOf(held *instance) *database { return m.databases[held.databaseID] }
 
-func (p *Pool) backend(name string) *backend {
-	rank, found := p.backendNames.Lookup(name)
+func (m *Machine) instance(name string) *instance {
+	rank, found := m.instanceNames.Lookup(name)
 	if !found {
 		return nil
 	}
-	return p.backends[rank]
+	return m.instances[rank]
 }
 
-func (p *Pool) writer(one *databaseState) (model.WriterRole, *backend, bool) {
-	writer := p.routing.WriterRole(one.name)
-	target := p.backend(writer.Primary)
+func (m *Machine) writer(one *database) (model.WriterRole, *instance, bool) {
+	writer := m.routing.WriterRole(one.name)
+	target := m.instance(writer.Primary)
 	return writer, target, writer.Phase == model.PhaseOpen && target != nil && !target.info.Stopped
 }
 
-func (p *Pool) isPrimary(held *backend) bool {
-	_, target, open := p.writer(p.databaseOf(held))
+func (m *Machine) isPrimary(held *instance) bool {
+	_, target, open := m.writer(m.databaseOf(held))
 	return open && target == held
 }
 
 // Ready says whether the node may be given sessions, and why not.
-func (p *Pool) Ready(now time.Duration) (bool, string) {
+func (m *Machine) Ready(now time.Duration) (bool, string) {
 	checks := []struct {
 		isBad bool
 		why   string
 	}{
-		{p.draining, "stopping"},
-		{!p.routing.HasLease(now), "no lease from the control primary"},
-		{p.effectiveSet(now).Sequence == 0, "no bindings in force"},
+		{m.draining, "stopping"},
+		{!m.routing.HasLease(now), "no lease from the control primary"},
+		{m.effectiveSet(now).Sequence == 0, "no bindings in force"},
 	}
 	for _, check := range checks {
 		if check.isBad {
@@ -439,65 +439,65 @@
 }
 
 // Effective gives the set in force.
-func (p *Pool) EffectiveSet(now time.Duration) model.BindingSet { return p.effectiveSet(now) }
+func (m *Machine) EffectiveSet(now time.Duration) model.BindingSet { return m.effectiveSet(now) }
 
-func (p *Pool) effectiveSet(now time.Duration) model.BindingSet {
-	current, changed := p.routing.ActiveSet(now)
+func (m *Machine) effectiveSet(now time.Duration) model.BindingSet {
+	current, changed := m.routing.ActiveSet(now)
 	if changed {
-		p.count("sets_shown", 1)
-		p.emit(SetActivated{Set: current})
+		m.count("sets_shown", 1)
+		m.emit(BindingsActivated{Set: current})
 	}
 	return current
 }
 
 // Beat is the regular clock event; live names the data-plane nodes that live,
 // beta is this node's weight.
-func (p *Pool) Tick(live []string, weight float64, now time.Duration) {
-	p.updatePeers(live, weight, now)
-	if !p.ticked || p.routing.HasLease(now) {
-		p.ticked, p.lastLeased = true, now
+func (m *Machine) Tick(live []string, weight float64, now time.Duration) {
+	m.updatePeers(live, weight, now)
+	if !m.ticked || m.routing.HasLease(now) {
+		m.ticked, m.lastLeased = true, now
 	}
-	for _, held := range p.backends {
+	for _, held := range m.instances {
 		held.window.Tick(now)
-		p.maintainConns(held, now)
+		m.maintainConns(held, now)
 	}
-	p.expireRequests(now)
-	p.hedgeReads(now)
-	p.closeIdleClients(now)
-	p.reportSuspects(now)
-	p.dispatchAll(now)
+	m.expireRequests(now)
+	m.hedgeReads(now)
+	m.closeIdleClients(now)
+	m.reportSuspects(now)
+	m.dispatchAll(now)
 }
 
 // isCutOff says whether the lease has been gone for so long that nothing new
 // waits for it.
-func (p *Pool) isIsolated(now time.Duration) bool {
-	return p.ticked && !p.routing.HasLease(now) && now-p.lastLeased > p.config.UnavailableWait
+func (m *Machine) isIsolated(now time.Duration) bool {
+	return m.ticked && !m.routing.HasLease(now) && now-m.lastLeased > m.timing.UnavailableWait
 }
 
-func (p *Pool) updatePeers(live []string, weight float64, now time.Duration) {
-	if changed := p.quotaNodes.Update(live, now); changed || weight != p.windowParameters.Beta {
-		p.windowParameters.Beta = weight
-		for _, held := range p.backends {
-			p.retuneWindow(held)
+func (m *Machine) updatePeers(live []string, weight float64, now time.Duration) {
+	if changed := m.quotaNodes.Update(live, now); changed || weight != m.windowParameters.Beta {
+		m.windowParameters.Beta = weight
+		for _, held := range m.instances {
+			m.retuneWindow(held)
 		}
 	}
 }
 
-func (p *Pool) retuneWindow(held *backend) {
-	held.quota = p.quotaNodes.Quota(p.identity.Name, held.info.Name, held.info.Connections)
-	held.window.Retune(p.windowParameters.Beta, float64(held.quota.MaxOpen))
+func (m *Machine) retuneWindow(held *instance) {
+	held.quota = m.quotaNodes.Quota(m.node.Name, held.info.Name, held.info.Connections)
+	held.window.Retune(m.windowParameters.Beta, float64(held.quota.MaxOpen))
 }
 
-func (p *Pool) dispatchAll(now time.Duration) {
-	p.resumeAwaitingLease(now)
-	for _, one := range p.databases {
-		p.confirmCommits(one, now)
-		p.dispatch(one, now)
+func (m *Machine) dispatchAll(now time.Duration) {
+	m.resumeAwaitingLease(now)
+	for _, one := range m.databases {
+		m.confirmCommits(one, now)
+		m.dispatch(one, now)
 	}
 }
 
 // Clients counts the sessions.
-func (p *Pool) Clients() int { return len(p.clients) }
+func (m *Machine) Clients() int { return len(m.clients) }
 
 // Backed is what the node shows of an instance.
 type InstanceStatus struct {
@@ -524,15 +524,15 @@
 }
 
 // Show gives what the node shows to operators.
-func (p *Pool) Status(now time.Duration) (instances []InstanceStatus, lines []QueueStatus) {
+func (m *Machine) Status(now time.Duration) (instances []InstanceStatus, lines []QueueStatus) {
 	instances, lines = []InstanceStatus{}, []QueueStatus{}
-	for _, held := range p.backends {
+	for _, held := range m.instances {
 		instances = append(instances, InstanceStatus{
 			Instance: held.info, AnsweredAgeMS: (now - held.lastResponse).Milliseconds(), Position: held.position, Window: held.window.Reading(),
 			Refusals: held.refusals, Connections: len(held.conns), Idle: len(held.idle), Quota: held.quota.MaxOpen, QuotaIdle: held.quota.MaxIdle,
 		})
 	}
-	for _, one := range p.databases {
+	for _, one := range m.databases {
 		lines = append(lines, QueueStatus{
 			Database: one.name, Transactions: len(one.transactionQueue), Writes: len(one.primaryQueue), Reads: len(one.readQueue), InFlight: len(one.inFlight),
 			Unconfirmed: len(one.unconfirmed), HighWatermark: one.highWatermark,
--- a/internal/coordination/pool/linepool/pool_test.go
+++ b/internal/coordination/pool/linepool/pool_test.go
@@ -302,7 +302,7 @@
 	Convey("Connections with too many shapes are reset", t, func() {
 		r := newHarness(1)
 		c := r.client("strict")
-		for at := range r.config.MaxPrepared + 1 {
+		for at := range r.timing.MaxPrepared + 1 {
 			r.query(c, prepare("p", "read "+time.Duration(at).String()))
 			r.query(c, runs("p", "1"))
 			r.answerSend(r.nextSend(), lineproto.StateIdle, ok("s"))
@@ -556,7 +556,7 @@
 			r.answerSend(send, lineproto.StateIdle, ok("k"))
 			So(r.lastResponse(c), ShouldEqual, "DONE k / READY I")
 			So(r.HasStrandedCommits(r.now), ShouldBeFalse)
-			So(r.NextUpdateRequest(r.now).HighWatermarks["x"], ShouldResemble, model.Position{Term: 3, Index: 150})
+			So(r.UpdateRequest(r.now).HighWatermarks["x"], ShouldResemble, model.Position{Term: 3, Index: 150})
 			So(r.invariantViolation(), ShouldEqual, "")
 		})
 		Convey("A "+way.name+" answered in a closing term after that word is unknown", t, func() {
@@ -564,7 +564,7 @@
 			c := r.client("strict")
 			send := way.ask(r, c)
 			r.setWriter(model.PhaseClosing, "a", 3)
-			r.NextUpdateRequest(r.now)
+			r.UpdateRequest(r.now)
 			r.answerSend(send, lineproto.StateIdle, ok("k"))
 			So(r.lastResponse(c), ShouldEqual, "ERROR UNKNOWN / READY I")
 			So(r.invariantViolation(), ShouldEqual, "")
@@ -581,7 +581,7 @@
 				r.answerSend(send, lineproto.StateIdle, ok("k"))
 				So(r.responseCount(c), ShouldEqual, before)
 			}
-			r.NextUpdateRequest(r.now)
+			r.UpdateRequest(r.now)
 			r.advance(time.Millisecond)
 			So(r.lastResponse(c), ShouldEqual, "ERROR UNKNOWN / READY I")
 		})
@@ -628,8 +628,8 @@
 		r.logIndex = 140
 		r.query(c, write("1"))
 		r.answerSend(r.nextSend(), lineproto.StateIdle, ok("w"))
-		So(r.NextUpdateRequest(r.now).HighWatermarks["x"], ShouldResemble, model.Position{Term: 3, Index: 140})
-		So(r.Report(r.now).HighWatermarks["x"], ShouldResemble, model.Position{Term: 3, Index: 140})
+		So(r.UpdateRequest(r.now).HighWatermarks["x"], ShouldResemble, model.Position{Term: 3, Index: 140})
+		So(r.Observations(r.now).HighWatermarks["x"], ShouldResemble, model.Position{Term: 3, Index: 140})
 	})
 }
 
@@ -920,7 +920,7 @@
 		}
 		So(goes(), ShouldEqual, "b")
 		for range 3 {
-			r.backend("b").health.Observe(true, r.now)
+			r.instance("b").health.Observe(true, r.now)
 		}
 		So(goes(), ShouldNotEqual, "b")
 		for range 16 {
@@ -972,7 +972,7 @@
 			}
 			r.advanceInTicks(50 * time.Millisecond)
 		}
-		told := r.Report(r.now).Reports
+		told := r.Observations(r.now).Reports
 		So(told[0].Instance.Name, ShouldEqual, "a")
 		So(told[0].RefusedConnections, ShouldBeGreaterThan, 1)
 		So(told[0].ResponseAge, ShouldBeGreaterThan, 500*time.Millisecond)
@@ -1035,7 +1035,7 @@
 	Convey("So is what waits for a lease", t, func() {
 		r := newHarness(20)
 		c := r.client("strict")
-		r.config.UnavailableWait = 2 * time.Second
+		r.timing.UnavailableWait = 2 * time.Second
 		r.advance(1700 * time.Millisecond)
 		r.query(c, write("1"))
 		r.advance(875 * time.Millisecond)
@@ -1081,7 +1081,7 @@
 		for range 2 {
 			r.query(r.client("strict"), read("x"))
 		}
-		So(r.backend("a").window.HasRoom(), ShouldBeFalse)
+		So(r.instance("a").window.HasRoom(), ShouldBeFalse)
 		r.query(c, commit())
 		for _, send := range r.sends {
 			So(formatCommands(send), ShouldNotEqual, "commit")
@@ -1126,7 +1126,7 @@
 	})
 }
 
-func TestClientDisconnected(t *testing.T) {
+func TestClientLost(t *testing.T) {
 	steps := []struct {
 		name string
 		asks []Query
@@ -1149,7 +1149,7 @@
 				r := newHarness(20)
 				if step.goes < 0 {
 					c := r.Accept(nil, r.now)
-					r.ClientDisconnected(c, r.now)
+					r.ClientLost(c, r.now)
 					r.Connect(c, "strict", r.now)
 					r.query(c, read("1"))
 					So(r.responseCount(c), ShouldEqual, 0)
@@ -1169,7 +1169,7 @@
 				before := r.responseCount(c)
 				out := r.sends
 				r.sends = nil
-				r.ClientDisconnected(c, r.now)
+				r.ClientLost(c, r.now)
 				r.applyEffects()
 				So(r.invariantViolation(), ShouldEqual, "")
 				for _, send := range out {
@@ -1187,7 +1187,7 @@
 				So(r.Clients(), ShouldEqual, 0)
 				So(r.sends, ShouldBeEmpty)
 				So(r.invariantViolation(), ShouldEqual, "")
-				for _, held := range r.backends {
+				for _, held := range r.instances {
 					So(held.window.Reading().InFlight, ShouldEqual, 0)
 					So(len(held.idle), ShouldEqual, len(held.conns))
 				}
@@ -1200,7 +1200,7 @@
 		r.query(c, write("1"))
 		r.advance(1700 * time.Millisecond)
 		r.answerSend(r.nextSend(), lineproto.StateIdle, ok("w"))
-		r.ClientDisconnected(c, r.now)
+		r.ClientLost(c, r.now)
 		r.applyEffects()
 		So(r.invariantViolation(), ShouldEqual, "")
 		r.advanceInTicks(100 * time.Millisecond)
@@ -1211,10 +1211,10 @@
 		c := r.client("strict")
 		r.query(c, read("1"))
 		send := r.nextSend()
-		r.ClientDisconnected(c, r.now)
+		r.ClientLost(c, r.now)
 		r.advanceInTicks(11 * time.Second)
 		So(send.Conn.IsClosed(), ShouldBeTrue)
-		So(r.backend("a").window.Reading().InFlight, ShouldEqual, 0)
+		So(r.instance("a").window.Reading().InFlight, ShouldEqual, 0)
 	})
 }
 
@@ -1232,7 +1232,7 @@
 		return r, c, first, second
 	}
 	zero := func(r *harness) {
-		for _, held := range r.backends {
+		for _, held := range r.instances {
 			So(held.window.Reading().InFlight, ShouldEqual, 0)
 		}
 		So(r.invariantViolation(), ShouldEqual, "")
@@ -1302,14 +1302,14 @@
 	Convey("The most that is out at an instance is its connections over the nodes and one", t, func() {
 		r := newHarness(20)
 		r.Tick(nodes(4), 1, r.now)
-		So(r.backend("a").window.Reading().MaxWindow, ShouldEqual, 4)
-		So(r.backend("a").quota, ShouldResemble, connquota.Quota{MaxIdle: 4, MaxOpen: 4})
+		So(r.instance("a").window.Reading().MaxWindow, ShouldEqual, 4)
+		So(r.instance("a").quota, ShouldResemble, connquota.Quota{MaxIdle: 4, MaxOpen: 4})
 		r.Tick(nodes(9), 1, r.now)
-		So(r.backend("a").window.Reading().MaxWindow, ShouldEqual, 2)
+		So(r.instance("a").window.Reading().MaxWindow, ShouldEqual, 2)
 		r.Tick(nodes(4), 1, r.now+30*time.Second)
-		So(r.backend("a").window.Reading().MaxWindow, ShouldEqual, 2)
+		So(r.instance("a").window.Reading().MaxWindow, ShouldEqual, 2)
 		r.Tick(nodes(4), 1, r.now+100*time.Second)
-		So(r.backend("a").window.Reading().MaxWindow, ShouldEqual, 4)
+		So(r.instance("a").window.Reading().MaxWindow, ShouldEqual, 4)
 	})
 	Convey("Over the window statements wait in line, in the order of their priority, and go as answers come", t, func() {
 		r := newHarness(20)
@@ -1323,7 +1323,7 @@
 		}
 		r.query(urgent, read("now"))
 		So(len(r.sends), ShouldEqual, 2)
-		So(r.backend("a").window.Reading().InFlight, ShouldEqual, 2)
+		So(r.instance("a").window.Reading().InFlight, ShouldEqual, 2)
 		r.answerSend(r.nextSend(), lineproto.StateIdle, ok("s"))
 		So(len(r.sends), ShouldEqual, 2)
 		So(formatCommands(r.sends[1]), ShouldEqual, "read now")
@@ -1333,11 +1333,11 @@
 		for _, c := range append(clients, urgent) {
 			So(r.lastResponse(c), ShouldEqual, "DONE s / READY I")
 		}
-		So(r.backend("a").window.Reading().InFlight, ShouldEqual, 0)
+		So(r.instance("a").window.Reading().InFlight, ShouldEqual, 0)
 	})
 	Convey("A line that is full refuses with a promise", t, func() {
 		r := newHarness(1)
-		r.config.MaxQueueLength = 2
+		r.timing.MaxQueue = 2
 		var last *Client
 		for range 4 {
 			last = r.client("strict")
@@ -1356,7 +1356,7 @@
 				r.answerSend(r.nextSend(), lineproto.StateInTransaction, ok("-"))
 			}
 		}
-		So(len(r.backend("a").conns), ShouldEqual, 4)
+		So(len(r.instance("a").conns), ShouldEqual, 4)
 		So(r.invariantViolation(), ShouldEqual, "")
 	})
 	Convey("The lines of two databases do not wait for each other", t, func() {
@@ -1383,7 +1383,7 @@
 			So(send.target(), ShouldEqual, "a")
 			r.answerSend(send, lineproto.StateIdle, ok("s"))
 		}
-		So(len(r.backend("b").conns)+len(r.backend("c").conns), ShouldEqual, 0)
+		So(len(r.instance("b").conns)+len(r.instance("c").conns), ShouldEqual, 0)
 	})
 	Convey("A primary that leaves is sent what needs it, on the connections that it has, until its term closes", t, func() {
 		r := newHarness(20)
@@ -1400,13 +1400,13 @@
 			r.answerSend(send, lineproto.StateIdle, ok("w"))
 		}
 		r.setWriter(model.PhaseClosing, "a", 3)
-		So(len(r.backend("a").conns), ShouldEqual, 0)
+		So(len(r.instance("a").conns), ShouldEqual, 0)
 	})
 	Convey("A primary that was leaving when the node first heard of it is sent what needs it for a shorter while", t, func() {
 		r := newHarness(20)
 		late := newHarness(20)
 		late.registry[0].Leaving = true
-		late.Pool = New(Identity{Name: "d2", Zone: "za", Incarnation: 1, Weight: 1}, DefaultConfig(), lease.DefaultTiming(), func(string, int64) {})
+		late.Machine = New(Node{Name: "d2", Zone: "za", Incarnation: 1, Weight: 1}, DefaultTiming(), lease.DefaultTiming(), func(string, int64) {})
 		late.update(1600 * time.Millisecond)
 		c := late.client("strict")
 		late.query(c, write("1"))
@@ -1442,7 +1442,7 @@
 		}
 		r.query(inside, commit())
 		So(r.lastResponse(inside), ShouldEqual, "ERROR ABORTED / READY I")
-		So(len(r.backend("a").conns), ShouldEqual, 0)
+		So(len(r.instance("a").conns), ShouldEqual, 0)
 	})
 	Convey("What is out there is answered, and its connection is not lent on", t, func() {
 		r := newHarness(20)
@@ -1617,7 +1617,7 @@
 	Convey("Too much sent ahead ends the session", t, func() {
 		r := newHarness(20)
 		c := r.client("strict")
-		for range r.config.MaxPipelined + 2 {
+		for range r.timing.MaxPipelined + 2 {
 			r.query(c, read("1"))
 		}
 		So(r.lastResponse(c), ShouldEqual, "ERROR TOOLONG")
@@ -1626,7 +1626,7 @@
 	})
 	Convey("Only so many sessions are taken", t, func() {
 		r := newHarness(20)
-		r.config.MaxClients = 1
+		r.timing.MaxClients = 1
 		So(r.client("strict"), ShouldNotBeNil)
 		So(r.Accept(nil, r.now), ShouldBeNil)
 	})
@@ -1713,17 +1713,17 @@
 		So(r.reports, ShouldEqual, 1)
 		r.advanceInTicks(50 * time.Millisecond)
 		So(r.reports, ShouldEqual, 2)
-		report := r.Report(r.now).Reports[0]
+		report := r.Observations(r.now).Reports[0]
 		So(report.OldestStatementAge, ShouldBeGreaterThan, 600*time.Millisecond)
 		So(report.ResponseAge, ShouldBeGreaterThan, 600*time.Millisecond)
 	})
 	Convey("The instance that is to be promoted is told of, so that a new control primary can ask at its address", t, func() {
 		r := newHarness(20)
-		So(len(r.Report(r.now).Reports), ShouldEqual, 2)
+		So(len(r.Observations(r.now).Reports), ShouldEqual, 2)
 		r.doc.Writers["x"] = model.WriterRole{Database: "x", Term: 3, Primary: "a", Promoting: "b", Phase: model.PhasePromoting, SyncReplication: true}
 		r.update(1600 * time.Millisecond)
 		names := []string{}
-		for _, report := range r.Report(r.now).Reports {
+		for _, report := range r.Observations(r.now).Reports {
 			names = append(names, report.Instance.Name+" "+report.Instance.Address)
 		}
 		So(names, ShouldResemble, []string{"a a:1", "b b:1", "d d:1"})
@@ -1735,11 +1735,11 @@
 		r.loseConn(r.opens[0].Conn)
 		r.advance(time.Millisecond)
 		So(r.reports, ShouldEqual, 1)
-		So(r.Report(r.now).Reports[0].RefusedConnections, ShouldEqual, 1)
+		So(r.Observations(r.now).Reports[0].RefusedConnections, ShouldEqual, 1)
 	})
 	Convey("An ask tells the roll that the node has, its birth and the set it shows", t, func() {
 		r := newHarness(20)
-		ask := r.NextUpdateRequest(r.now)
+		ask := r.UpdateRequest(r.now)
 		So(ask.ListVersion, ShouldResemble, distribution.ListVersion{Tenure: "t", Number: 1})
 		So(ask.Incarnation, ShouldEqual, 1)
 		So(ask.ActiveSequence, ShouldEqual, 1)
--- a/internal/coordination/pool/linepool/queues.go
+++ b/internal/coordination/pool/linepool/queues.go
@@ -10,35 +10,35 @@
 	"tansyseam/internal/state/model"
 )
 
-func (p *Pool) submit(request *Request, now time.Duration) {
+func (m *Machine) submit(request *Request, now time.Duration) {
 	request.client.request, request.arrivedAt = request, now
-	request.deadline = now + p.config.DefaultTimeout
-	p.bind(request, now)
+	request.deadline = now + m.timing.DefaultTimeout
+	m.bind(request, now)
 }
 
 // bind finds the binding in force; one inside a transaction keeps that of its
 // begin. Without a lease it waits.
-func (p *Pool) bind(request *Request, now time.Duration) {
+func (m *Machine) bind(request *Request, now time.Duration) {
 	isStarted := request.transaction != nil && request.transaction.conn != nil
-	if !p.routing.HasLease(now) && !(isStarted && request.transaction.readOnly) {
-		if binding, found := p.effectiveSet(now).Binding(request.client.binding); found && binding.Timeout > 0 {
+	if !m.routing.HasLease(now) && !(isStarted && request.transaction.readOnly) {
+		if binding, found := m.effectiveSet(now).Binding(request.client.binding); found && binding.Timeout > 0 {
 			request.deadline = request.arrivedAt + binding.Timeout
 		}
-		if p.isIsolated(now) {
-			p.count("refused_cut_off", 1)
-			p.reject(request, lineproto.CodeBusy, "not served now; come back in 500 ms", now)
+		if m.isIsolated(now) {
+			m.count("refused_cut_off", 1)
+			m.reject(request, lineproto.CodeBusy, "not served now; come back in 500 ms", now)
 			return
 		}
 		request.phase = phaseAwaitingLease
-		p.awaitingLease = append(p.awaitingLease, request)
+		m.awaitingLease = append(m.awaitingLease, request)
 		return
 	}
 	if isStarted {
 		request.binding = request.transaction.binding
 	} else {
-		binding, found := p.effectiveSet(now).Binding(request.client.binding)
+		binding, found := m.effectiveSet(now).Binding(request.client.binding)
 		if !found {
-			p.reject(request, lineproto.CodeUnknownDatabase, request.client.binding, now)
+			m.reject(request, lineproto.CodeUnknownDatabase, request.client.binding, now)
 			return
 		}
 		request.binding = binding
@@ -50,51 +50,51 @@
 		request.deadline = request.arrivedAt + request.binding.Timeout
 	}
 	if now >= request.deadline {
-		p.count("timeouts", 1)
-		p.timeOutQueued(request, now)
+		m.count("timeouts", 1)
+		m.timeOutQueued(request, now)
 		return
 	}
 	isReading := !request.write && !request.commit
 	if request.transaction != nil {
 		isReading = request.transaction.readOnly
 	}
-	request.primaryOnly = !isReading || request.binding.Freshness == 0
-	p.enqueue(request, now)
+	request.strict = !isReading || request.binding.Freshness == 0
+	m.enqueue(request, now)
 }
 
-func (p *Pool) resumeAwaitingLease(now time.Duration) {
-	if len(p.awaitingLease) == 0 {
+func (m *Machine) resumeAwaitingLease(now time.Duration) {
+	if len(m.awaitingLease) == 0 {
 		return
 	}
-	waiting := p.awaitingLease
-	p.awaitingLease = nil
+	waiting := m.awaitingLease
+	m.awaitingLease = nil
 	for _, request := range waiting {
 		if request.phase == phaseAwaitingLease {
-			p.bind(request, now)
+			m.bind(request, now)
 		}
 	}
 }
 
-func (p *Pool) enqueue(request *Request, now time.Duration) {
-	one := p.database(request.binding.Database)
+func (m *Machine) enqueue(request *Request, now time.Duration) {
+	one := m.database(request.binding.Database)
 	request.phase = phaseQueued
-	list := p.queueOf(one, request)
-	if len(*list) >= p.config.MaxQueueLength {
-		p.reject(request, lineproto.CodeBusy, "the line is full; come back in 500 ms", now)
+	list := m.queueOf(one, request)
+	if len(*list) >= m.timing.MaxQueue {
+		m.reject(request, lineproto.CodeBusy, "the line is full; come back in 500 ms", now)
 		return
 	}
 	*list = append(*list, request)
 	for at := len(*list) - 1; at > 0 && (*list)[at-1].binding.Priority > request.binding.Priority; at-- {
 		(*list)[at], (*list)[at-1] = (*list)[at-1], (*list)[at]
 	}
-	p.dispatch(one, now)
+	m.dispatch(one, now)
 }
 
-func (p *Pool) queueOf(one *databaseState, request *Request) *[]*Request {
+func (m *Machine) queueOf(one *database, request *Request) *[]*Request {
 	if request.transaction != nil && request.transaction.conn != nil {
 		return &one.transactionQueue
 	}
-	if request.primaryOnly {
+	if request.strict {
 		return &one.primaryQueue
 	}
 	return &one.readQueue
@@ -106,22 +106,22 @@
 	}
 }
 
-func (p *Pool) dequeue(request *Request) {
-	one := p.database(request.binding.Database)
+func (m *Machine) dequeue(request *Request) {
+	one := m.database(request.binding.Database)
 	for _, list := range []*[]*Request{&one.transactionQueue, &one.primaryQueue, &one.readQueue} {
 		remove(list, request)
 	}
 }
 
-func (p *Pool) dispatch(one *databaseState, now time.Duration) {
+func (m *Machine) dispatch(one *database, now time.Duration) {
 	if len(one.transactionQueue) > 0 {
-		p.dispatchTransactions(one, now)
+		m.dispatchTransactions(one, now)
 	}
-	if len(one.primaryQueue) > 0 && p.routing.HasLease(now) {
-		p.dispatchPrimary(one, now)
+	if len(one.primaryQueue) > 0 && m.routing.HasLease(now) {
+		m.dispatchPrimary(one, now)
 	}
-	if len(one.readQueue) > 0 && p.routing.HasLease(now) {
-		p.dispatchReads(one, now)
+	if len(one.readQueue) > 0 && m.routing.HasLease(now) {
+		m.dispatchReads(one, now)
 	}
 }
 
@@ -131,29 +131,29 @@
 	return request.phase == phaseQueued && now >= request.notBefore && now < request.deadline
 }
 
-func (p *Pool) dispatchTransactions(one *databaseState, now time.Duration) {
+func (m *Machine) dispatchTransactions(one *database, now time.Duration) {
 	for _, request := range slices.Clone(one.transactionQueue) {
 		if request.phase != phaseQueued {
 			continue
 		}
 		conn := request.transaction.conn
 		if conn == nil || request.transaction.lost {
-			p.dequeue(request)
-			p.abortTransaction(request, now)
+			m.dequeue(request)
+			m.abortTransaction(request, now)
 			continue
 		}
-		writer, _, open := p.writer(one)
-		isFenced := !request.transaction.readOnly && (!open || writer.Term != conn.term || !p.routing.HasLease(now))
-		if !isFenced && request.isReady(now) && conn.backend.window.HasRoom() {
+		writer, _, open := m.writer(one)
+		isFenced := !request.transaction.readOnly && (!open || writer.Term != conn.term || !m.routing.HasLease(now))
+		if !isFenced && request.isReady(now) && conn.instance.window.HasRoom() {
 			request.term = conn.term
-			p.forward(request, conn, now)
+			m.forward(request, conn, now)
 		}
 	}
 }
 
-func (p *Pool) dispatchPrimary(one *databaseState, now time.Duration) {
-	writer, target, open := p.writer(one)
-	if !open || !p.routing.MayWrite(one.name, writer.Term, now) || p.isDrainOver(target, now) {
+func (m *Machine) dispatchPrimary(one *database, now time.Duration) {
+	writer, target, open := m.writer(one)
+	if !open || !m.routing.MayWrite(one.name, writer.Term, now) || m.isDrainOver(target, now) {
 		return
 	}
 	for _, request := range slices.Clone(one.primaryQueue) {
@@ -163,17 +163,17 @@
 		if !request.isReady(now) {
 			continue
 		}
-		conn := p.takeIdle(target, request.client)
+		conn := m.takeIdle(target, request.client)
 		if conn == nil {
-			p.connect(target, len(one.primaryQueue), now)
+			m.openConns(target, len(one.primaryQueue), now)
 			return
 		}
 		request.term, request.minPosition = writer.Term, model.Position{}
-		p.forward(request, conn, now)
+		m.forward(request, conn, now)
 	}
 }
 
-func (p *Pool) dispatchReads(one *databaseState, now time.Duration) {
+func (m *Machine) dispatchReads(one *database, now time.Duration) {
 	misses := 0
 	for _, request := range slices.Clone(one.readQueue) {
 		if misses > 8 {
@@ -182,29 +182,29 @@
 		if !request.isReady(now) {
 			continue
 		}
-		target, floor := p.selectBackend(one, request, request.avoid, now)
+		target, floor := m.selectInstance(one, request, request.avoid, now)
 		if target == nil && request.avoid != nil {
-			target, floor = p.selectBackend(one, request, nil, now)
+			target, floor = m.selectInstance(one, request, nil, now)
 		}
 		var conn *Conn
 		if target != nil {
-			conn = p.takeIdle(target, request.client)
+			conn = m.takeIdle(target, request.client)
 		}
 		if conn == nil {
 			misses++
 			if target != nil {
-				p.connect(target, len(one.readQueue), now)
+				m.openConns(target, len(one.readQueue), now)
 			}
 			continue
 		}
-		request.term, request.minPosition = p.routing.WriterRole(one.name).Term, floor
-		p.forward(request, conn, now)
+		request.term, request.minPosition = m.routing.WriterRole(one.name).Term, floor
+		m.forward(request, conn, now)
 	}
 }
 
 // floorOf gives a position that covers all that a read must see: whatever was
 // told kept before the bound, and the session's own commits.
-func (p *Pool) minPositionFor(one *databaseState, request *Request) (floor model.Position, found bool) {
+func (m *Machine) minPositionFor(one *database, request *Request) (floor model.Position, found bool) {
 	least := request.arrivedAt - request.binding.Freshness + freshnessMargin
 	for _, seen := range one.samples {
 		if seen.takenAt >= least {
@@ -220,15 +220,15 @@
 
 const freshnessMargin = 100 * time.Millisecond
 
-func (p *Pool) selectBackend(one *databaseState, request *Request, not *backend, now time.Duration) (*backend, model.Position) {
+func (m *Machine) selectInstance(one *database, request *Request, not *instance, now time.Duration) (*instance, model.Position) {
 	var choices []balancer.Candidate
-	var targets []*backend
-	floor, found := p.minPositionFor(one, request)
+	var targets []*instance
+	floor, found := m.minPositionFor(one, request)
 	own := request.client.ownCommits[one.name]
-	isFresh := !request.binding.ReadYourWrites || now-own.at > p.config.ReplicationBound
-	writer, primary, open := p.writer(one)
-	for _, held := range p.backends {
-		isOff := p.databases[held.databaseID] != one || held.drainingSince != 0 || held.info.Stopped || held == not
+	isFresh := !request.binding.ReadYourWrites || now-own.at > m.timing.ReplicationBound
+	writer, primary, open := m.writer(one)
+	for _, held := range m.instances {
+		isOff := m.databases[held.databaseID] != one || held.drainingSince != 0 || held.info.Stopped || held == not
 		if isOff {
 			continue
 		}
@@ -236,8 +236,8 @@
 		reading := held.window.Reading()
 		isRead := found && !isHead && held.info.Role != model.RolePrimary && now >= held.laggingUntil && (isFresh || !held.position.IsBefore(floor))
 		choices = append(choices, balancer.Candidate{
-			HasCapacity: held.window.HasRoom() && (len(held.idle) > 0 || p.canConnect(held, now)), SameZone: held.info.Zone == p.identity.Zone,
-			FreshEnough: isRead || (isHead && open && p.routing.MayWrite(one.name, writer.Term, now)),
+			HasCapacity: held.window.HasRoom() && (len(held.idle) > 0 || m.canOpen(held, now)), SameZone: held.info.Zone == m.node.Zone,
+			FreshEnough: isRead || (isHead && open && m.routing.MayWrite(one.name, writer.Term, now)),
 			Utilization: float64(reading.InFlight+reading.Abandoned) / max(reading.Size, 1), Latency: reading.AverageLatency,
 			CostFactor: held.health.CostFactor(now),
 		})
@@ -253,22 +253,22 @@
 	return targets[best], floor
 }
 
-func (p *Pool) canConnect(held *backend, now time.Duration) bool {
+func (m *Machine) canOpen(held *instance, now time.Duration) bool {
 	return len(held.conns) < held.quota.MaxOpen && now >= held.backoffUntil && held.info.Address != ""
 }
 
-func (p *Pool) connect(target *backend, waiting int, now time.Duration) {
+func (m *Machine) openConns(target *instance, waiting int, now time.Duration) {
 	want := min(waiting, max(target.window.Available(), 1))
-	for target.opening < want && p.canConnect(target, now) {
-		conn := &Conn{backend: target, state: connOpening, openedAt: now}
+	for target.opening < want && m.canOpen(target, now) {
+		conn := &Conn{instance: target, state: connOpening, openedAt: now}
 		target.opening++
 		target.conns = append(target.conns, conn)
-		p.emit(Connect{Conn: conn, Address: target.info.Address, Database: target.info.Database, Instance: target.info.Name})
+		m.emit(OpenConn{Conn: conn, Address: target.info.Address, Database: target.info.Database, Instance: target.info.Name})
 	}
 }
 
 // spare gives an idle connection, best one that has the client's values.
-func (p *Pool) takeIdle(target *backend, c *Client) *Conn {
+func (m *Machine) takeIdle(target *instance, c *Client) *Conn {
 	best := -1
 	for at := len(target.idle) - 1; at >= 0; at-- {
 		lacks := sessionMismatch(target.idle[at], c)
@@ -308,13 +308,13 @@
 }
 
 // pass sends a statement to an instance, with what must go before it.
-func (p *Pool) forward(request *Request, conn *Conn, now time.Duration) {
-	p.dequeue(request)
-	one := p.database(request.binding.Database)
+func (m *Machine) forward(request *Request, conn *Conn, now time.Duration) {
+	m.dequeue(request)
+	one := m.database(request.binding.Database)
 	var outs []Command
 	isTurn := request.transaction != nil
 	isFirst := isTurn && request.transaction.conn == nil
-	outs = p.sessionCommands(conn, request.client, request.transaction != nil && !isFirst)
+	outs = m.sessionCommands(conn, request.client, request.transaction != nil && !isFirst)
 	if request.query.Statement.Action == lineproto.ActionExecute {
 		if _, found := conn.prepared[request.prepared.text]; !found {
 			conn.preparedCount++
@@ -341,21 +341,21 @@
 		if isTurn {
 			floor = model.Position{}
 		}
-		outs = append(outs, p.statementCommand(request, conn, floor))
+		outs = append(outs, m.statementCommand(request, conn, floor))
 	}
 	if isTurn && request.write {
 		request.transaction.hasWrites = true
 	}
 	request.attempts = append(request.attempts, held)
 	request.phase = phaseInFlight
-	conn.backend.window.Acquire()
+	conn.instance.window.Acquire()
 	one.inFlight = append(one.inFlight, request)
-	p.count("passed_on", 1)
-	p.count("waited_us", (now - request.arrivedAt).Microseconds())
-	p.send(conn, held, outs)
+	m.count("passed_on", 1)
+	m.count("waited_us", (now - request.arrivedAt).Microseconds())
+	m.send(conn, held, outs)
 }
 
-func (p *Pool) statementCommand(request *Request, conn *Conn, floor model.Position) Command {
+func (m *Machine) statementCommand(request *Request, conn *Conn, floor model.Position) Command {
 	if request.query.Statement.Action == lineproto.ActionExecute {
 		return Command{Kind: CommandExecute, ID: request.query.ID, Name: conn.prepared[request.prepared.text], Value: request.query.Statement.Arguments, MinPosition: floor}
 	}
@@ -364,9 +364,9 @@
 
 // dress gives what brings a connection to the client's values; inside a
 // transaction nothing is reset, since values only grow there.
-func (p *Pool) sessionCommands(conn *Conn, c *Client, inTransaction bool) []Command {
+func (m *Machine) sessionCommands(conn *Conn, c *Client, inTransaction bool) []Command {
 	var outs []Command
-	isOver := conn.dirty || len(conn.prepared) > p.config.MaxPrepared
+	isOver := conn.dirty || len(conn.prepared) > m.timing.MaxPrepared
 	for name := range conn.variables {
 		_, found := c.variables[name]
 		isOver = isOver || !found
@@ -374,7 +374,7 @@
 	if isOver && !inTransaction {
 		outs = append(outs, Command{Kind: CommandReset})
 		conn.variables, conn.prepared, conn.dirty, conn.changed = nil, nil, false, false
-		p.count("connections_reset", 1)
+		m.count("connections_reset", 1)
 	}
 	for _, name := range sortedKeys(c.variables) {
 		if value, found := conn.variables[name]; !found || value != c.variables[name] {
@@ -401,7 +401,7 @@
 	return names
 }
 
-func (p *Pool) send(conn *Conn, held *attempt, outs []Command) {
+func (m *Machine) send(conn *Conn, held *attempt, outs []Command) {
 	for at, out := range outs {
 		one := pendingAnswer{kind: out.Kind}
 		if at == len(outs)-1 {
@@ -410,40 +410,40 @@
 		conn.pending = append(conn.pending, one)
 	}
 	if conn.state == connIdle && held == nil {
-		if at := slices.Index(conn.backend.idle, conn); at >= 0 {
-			conn.backend.idle = slices.Delete(conn.backend.idle, at, at+1)
+		if at := slices.Index(conn.instance.idle, conn); at >= 0 {
+			conn.instance.idle = slices.Delete(conn.instance.idle, at, at+1)
 		}
 	}
 	conn.state, conn.attempt = connBusy, held
-	p.emit(Send{Conn: conn, Commands: outs})
+	m.emit(Send{Conn: conn, Commands: outs})
 }
 
 // twins sends a read that got no answer for long to a second instance.
-func (p *Pool) hedgeReads(now time.Duration) {
-	if !p.routing.HasLease(now) {
+func (m *Machine) hedgeReads(now time.Duration) {
+	if !m.routing.HasLease(now) {
 		return
 	}
-	for _, one := range p.databases {
+	for _, one := range m.databases {
 		for _, request := range slices.Clone(one.inFlight) {
-			if !request.isRetryableRead() || request.hedged || request.primaryOnly || len(request.attempts) == 0 || now-request.attempts[0].sentAt < p.hedgeDelay(request) {
+			if !request.isRetryableRead() || request.hedged || request.strict || len(request.attempts) == 0 || now-request.attempts[0].sentAt < m.hedgeDelay(request) {
 				continue
 			}
-			target, floor := p.selectBackend(one, request, request.attempts[0].conn.backend, now)
+			target, floor := m.selectInstance(one, request, request.attempts[0].conn.instance, now)
 			if target == nil {
 				continue
 			}
-			if conn := p.takeIdle(target, request.client); conn != nil {
-				request.attempts[0].conn.backend.health.Observe(true, now)
+			if conn := m.takeIdle(target, request.client); conn != nil {
+				request.attempts[0].conn.instance.health.Observe(true, now)
 				request.hedged, request.minPosition = true, floor
 				remove(&one.inFlight, request)
-				p.count("reads_twinned", 1)
-				p.forward(request, conn, now)
+				m.count("reads_twinned", 1)
+				m.forward(request, conn, now)
 			}
 		}
 	}
 }
 
-func (p *Pool) hedgeDelay(request *Request) time.Duration {
+func (m *Machine) hedgeDelay(request *Request) time.Duration {
 	if request.binding.LatencyTarget > 0 {
 		return request.binding.LatencyTarget * 45 / 100
 	}
--- a/internal/coordination/pool/linepool/random_test.go
+++ b/internal/coordination/pool/linepool/random_test.go
@@ -427,7 +427,7 @@
 		for _, message := range messages {
 			s.Received(h.conn, message, s.now)
 		}
-		s.ConnectionLost(h.conn, s.now)
+		s.ConnLost(h.conn, s.now)
 		return
 	}
 	for _, message := range messages {
@@ -438,7 +438,7 @@
 func (s *simulation) disconnectClient() {
 	if p := s.randomClient(); p != nil && s.chance(0.3) {
 		p.closed = true
-		s.ClientDisconnected(p.client, s.now)
+		s.ClientLost(p.client, s.now)
 	}
 }
 
@@ -470,7 +470,7 @@
 		{0.03, s.connectClient}, {0.3, s.sendQuery}, {0.45, s.advanceServer}, {0.02, s.disconnectClient}, {0.01, s.changeFleet},
 		{0.01, func() {
 			if len(s.servers) > 0 {
-				s.ConnectionLost(s.servers[s.random.IntN(len(s.servers))].conn, s.now)
+				s.ConnLost(s.servers[s.random.IntN(len(s.servers))].conn, s.now)
 			}
 		}},
 		{0.1, func() { s.advance(time.Duration(s.random.IntN(30)) * time.Millisecond) }},
@@ -511,7 +511,7 @@
 			return fmt.Sprintf("%s was never answered", p.pending[0].query.ID)
 		}
 	}
-	for _, held := range s.backends {
+	for _, held := range s.instances {
 		if open := held.window.Reading().InFlight; open != 0 {
 			return fmt.Sprintf("%s still counts %d out", held.info.Name, open)
 		}
--- a/internal/coordination/pool/linepool/scarce_test.go
+++ b/internal/coordination/pool/linepool/scarce_test.go
@@ -168,7 +168,7 @@
 		c.opened++
 		if len(c.conns) >= c.bound {
 			c.refused++
-			node.opens = slices.DeleteFunc(node.opens, func(one Connect) bool { return one.Conn == open.Conn })
+			node.opens = slices.DeleteFunc(node.opens, func(one OpenConn) bool { return one.Conn == open.Conn })
 			node.receive(open.Conn, bad(lineproto.CodeTooManyConnections))
 			continue
 		}
@@ -195,7 +195,7 @@
 		}
 		one.answerAt, one.node.now = 0, c.now
 		if len(one.queue) == 0 {
-			one.node.connAccepted(Connect{Conn: one.conn})
+			one.node.connAccepted(OpenConn{Conn: one.conn})
 			continue
 		}
 		queue := one.queue
@@ -216,7 +216,7 @@
 	count := 0
 	for _, node := range c.nodes {
 		if !node.down {
-			count += len(node.backend("a").idle)
+			count += len(node.instance("a").idle)
 		}
 	}
 	return count
--- a/test/simulation/lines_client.go
+++ b/test/simulation/lines_client.go
@@ -165,7 +165,7 @@
 		p.sendToNode(func() {
 			delete(home.clients, client)
 			delete(home.openQueries, client)
-			home.pool.ClientDisconnected(client, home.clock())
+			home.pool.ClientLost(client, home.clock())
 		})
 	}
 	p.node, p.session, p.opened = nil, nil, false
--- a/test/simulation/lines_node.go
+++ b/test/simulation/lines_node.go
@@ -17,7 +17,7 @@
 type lineNode struct {
 	machine
 	fleet         *lineFleet
-	pool          *linepool.Pool
+	pool          *linepool.Machine
 	starts        int64
 	controlIndex  int
 	missedAnswers int
@@ -43,8 +43,8 @@
 	n.starts++
 	n.startedAt = n.simulator.now
 	n.counters, n.windowModels = map[string]int64{}, map[string]*windowModel{}
-	place := linepool.Identity{Name: n.name, Zone: n.zone, Incarnation: n.starts, Weight: 1}
-	n.pool = linepool.New(place, linepool.DefaultConfig(), lease.DefaultTiming(), func(name string, by int64) { n.counters[name] += by })
+	place := linepool.Node{Name: n.name, Zone: n.zone, Incarnation: n.starts, Weight: 1}
+	n.pool = linepool.New(place, linepool.DefaultTiming(), lease.DefaultTiming(), func(name string, by int64) { n.counters[name] += by })
 	n.links, n.clients, n.openQueries = nil, map[*linepool.Client]*lineClient{}, map[*linepool.Client]int{}
 	n.simulator.record("%s up", n.name)
 	if !n.fleet.defects.NoUpdatesAfterRestart || n.starts == 1 {
@@ -89,7 +89,7 @@
 	handleLineEffect((*lineNode).sendToClient)
 	handleLineEffect(func(n *lineNode, over linepool.CloseClient) {
 		p := n.clients[over.Client]
-		isCut := n.openQueries[over.Client] > 0 && n.stopping && n.simulator.now-n.stoppingSince < linepool.DefaultConfig().EndSessions-100*time.Millisecond
+		isCut := n.openQueries[over.Client] > 0 && n.stopping && n.simulator.now-n.stoppingSince < linepool.DefaultTiming().EndSessions-100*time.Millisecond
 		if isCut {
 			n.fleet.addRuleViolation(RuleLost, "%s, which stops as planned, ends a session with a question open", n.name)
 		}
@@ -101,7 +101,7 @@
 	})
 	handleLineEffect((*lineNode).openConnection)
 	handleLineEffect((*lineNode).sendToInstance)
-	handleLineEffect(func(n *lineNode, shut linepool.Disconnect) {
+	handleLineEffect(func(n *lineNode, shut linepool.CloseConn) {
 		link, isOpen := shut.Conn.Transport.(*lineConnection)
 		if isOpen {
 			n.modelClose(link)
@@ -130,7 +130,7 @@
 			n.fleet.maybeInjectLineFollowUp()
 		}
 	})
-	handleLineEffect(func(n *lineNode, shown linepool.SetActivated) {
+	handleLineEffect(func(n *lineNode, shown linepool.BindingsActivated) {
 		n.simulator.record("%s serves under version %d", n.name, shown.Set.Version)
 	})
 }
@@ -163,7 +163,7 @@
 	p.deliverMessages(n, say.Client, messages)
 }
 
-func (n *lineNode) openConnection(open linepool.Connect) {
+func (n *lineNode) openConnection(open linepool.OpenConn) {
 	link := &lineConnection{node: n, nodeIncarnation: n.incarnation, instance: n.fleet.instancesByAddress[open.Address], poolConnection: open.Conn}
 	link.instanceIncarnation = link.instance.incarnation
 	open.Conn.Transport = link
@@ -270,7 +270,7 @@
 	k.sendToNode(func() {
 		k.closed = true
 		k.node.links = slices.DeleteFunc(k.node.links, func(other *lineConnection) bool { return other == k })
-		k.node.step(func(now time.Duration) { k.node.pool.ConnectionLost(k.poolConnection, now) })
+		k.node.step(func(now time.Duration) { k.node.pool.ConnLost(k.poolConnection, now) })
 	})
 }
 
@@ -328,7 +328,7 @@
 	n.lastRequest++
 	number, sent := n.lastRequest, n.clock()
 	var request distribution.UpdateRequest
-	n.step(func(now time.Duration) { request = n.pool.NextUpdateRequest(now) })
+	n.step(func(now time.Duration) { request = n.pool.UpdateRequest(now) })
 	target := n.fleet.controls[n.controlIndex%len(n.fleet.controls)]
 	n.after(900*time.Millisecond, func() {
 		if n.lastRequest == number {
@@ -391,7 +391,7 @@
 
 func (n *lineNode) sendReport() {
 	n.reportPending = false
-	told := n.pool.Report(n.clock())
+	told := n.pool.Observations(n.clock())
 	target := n.fleet.controls[n.controlIndex%len(n.fleet.controls)]
 	n.simulator.send(&n.machine, &target.machine, func() { target.distributor.HandleReport(told, target.clock()) })
 }
