--- a/internal/coordination/idempotency/machine.go
+++ b/internal/coordination/idempotency/machine.go
@@ -60,7 +60,7 @@
 // DefaultTiming gives the project's bounds.
 func DefaultTiming() Timing { return Timing{Retention: 3 * time.Minute, MaxRecords: 100000} }
 
-type record struct {
+type requestRecord struct {
 	Status
 	updatedAt time.Duration
 	waiters   []any
@@ -72,9 +72,9 @@
 	closed        bool
 }
 
-type predecessor struct {
+type predecessorRecord struct {
 	successor string
-	records   map[string]*record
+	records   map[string]*requestRecord
 	sessions  map[string]*sessionRecord
 }
 
@@ -83,10 +83,10 @@
 	self             string
 	incarnation      string
 	timing           Timing
-	records          map[string]*record
+	records          map[string]*requestRecord
 	recordOrder      []string
 	sessions         map[string]*sessionRecord
-	predecessors     map[string]*predecessor
+	predecessors     map[string]*predecessorRecord
 	predecessorOrder []string
 	lastSweep        time.Duration
 }
@@ -94,8 +94,8 @@
 // New makes the record of a node that starts.
 func New(self, incarnation string, timing Timing) *Machine {
 	return &Machine{
-		self: self, incarnation: incarnation, timing: timing, records: map[string]*record{}, sessions: map[string]*sessionRecord{},
-		predecessors: map[string]*predecessor{},
+		self: self, incarnation: incarnation, timing: timing, records: map[string]*requestRecord{}, sessions: map[string]*sessionRecord{},
+		predecessors: map[string]*predecessorRecord{},
 	}
 }
 
@@ -151,7 +151,7 @@
 }
 
 func (m *Machine) insert(id, standing, to string, now time.Duration) {
-	m.records[id] = &record{Status: Status{State: standing, Owner: to}, updatedAt: now}
+	m.records[id] = &requestRecord{Status: Status{State: standing, Owner: to}, updatedAt: now}
 	m.recordOrder = append(m.recordOrder, id)
 	for len(m.recordOrder) > m.timing.MaxRecords || (len(m.recordOrder) > 0 && m.isExpired(m.recordOrder[0], now)) {
 		oldest := m.recordOrder[0]
@@ -218,7 +218,7 @@
 	return Decision{Kind: Lookup, Node: owner}
 }
 
-func (m *Machine) join(held *record, token any) Decision {
+func (m *Machine) join(held *requestRecord, token any) Decision {
 	if held.State == StateTransferred {
 		return Decision{Kind: Lookup, Node: held.Owner}
 	}
@@ -292,7 +292,7 @@
 	if !isUnseen(left.sessions, ask.RequestID) {
 		return Status{State: StateUnknown}
 	}
-	left.records[ask.RequestID] = &record{Status: Status{State: StateTransferred, Owner: ask.Requester}, updatedAt: now}
+	left.records[ask.RequestID] = &requestRecord{Status: Status{State: StateTransferred, Owner: ask.Requester}, updatedAt: now}
 	return Status{State: StateUnseen}
 }
 
@@ -327,9 +327,9 @@
 
 // Inherit takes another node's record, or word of who has it.
 func (m *Machine) Import(left Handover, now time.Duration) {
-	held := &predecessor{successor: left.Successor, records: map[string]*record{}, sessions: map[string]*sessionRecord{}}
+	held := &predecessorRecord{successor: left.Successor, records: map[string]*requestRecord{}, sessions: map[string]*sessionRecord{}}
 	for id, answer := range left.Requests {
-		held.records[id] = &record{Status: answer, updatedAt: now}
+		held.records[id] = &requestRecord{Status: answer, updatedAt: now}
 	}
 	for session, pruned := range left.Sessions {
 		held.sessions[session] = &sessionRecord{highestPruned: pruned}
--- a/internal/coordination/pool/httppool/connections.go
+++ b/internal/coordination/pool/httppool/connections.go
@@ -19,7 +19,7 @@
 	m.emit(CloseConn{Conn: conn})
 }
 
-func (m *Machine) closeIdleConns(held *instance) {
+func (m *Machine) closeIdleConns(held *instanceState) {
 	for _, conn := range held.idle {
 		m.closeConn(conn)
 	}
@@ -177,7 +177,7 @@
 	m.respond(request, Result{Outcome: OutcomeNotCommitted, Error: "the instance's session ended before its answer came", RetryAfter: 200 * time.Millisecond}, now)
 }
 
-func (m *Machine) handleReply(request *Request, one *database, reply Reply, now time.Duration) {
+func (m *Machine) handleReply(request *Request, one *databaseState, reply Reply, now time.Duration) {
 	request.phase = phaseDone
 	name := request.instance.observation.Instance.Name
 	if reply.Rejected || reply.Failed {
@@ -207,7 +207,7 @@
 	m.respond(request, result, now)
 }
 
-func (m *Machine) confirmCommits(one *database, now time.Duration) {
+func (m *Machine) confirmCommits(one *databaseState, now time.Duration) {
 	if len(one.unconfirmed) == 0 {
 		return
 	}
@@ -252,7 +252,7 @@
 	m.respond(request, result, now)
 }
 
-func (m *Machine) abandonAll(held *instance, now time.Duration) {
+func (m *Machine) abandonAll(held *instanceState, now time.Duration) {
 	for _, request := range slices.Clone(held.inFlight) {
 		if request.phase == phaseInFlight {
 			m.abandon(request, now)
@@ -278,7 +278,7 @@
 	}
 }
 
-func (m *Machine) reapAbandoned(held *instance, now time.Duration) {
+func (m *Machine) reapAbandoned(held *instanceState, now time.Duration) {
 	for _, request := range slices.Clone(held.abandoned) {
 		if now-request.sentAt > m.timing.AbandonedTimeout {
 			m.releaseAbandoned(request)
--- a/internal/coordination/pool/httppool/dispatch.go
+++ b/internal/coordination/pool/httppool/dispatch.go
@@ -90,14 +90,14 @@
 	m.database(request.databaseName).queueOf(request).removed()
 }
 
-func (m *Machine) dispatch(one *database, now time.Duration) {
+func (m *Machine) dispatch(one *databaseState, now time.Duration) {
 	if m.routing.HasLease(now) {
 		m.dispatchWrites(one, now)
 		m.dispatchReads(one, now)
 	}
 }
 
-func (m *Machine) dispatchWrites(one *database, now time.Duration) {
+func (m *Machine) dispatchWrites(one *databaseState, now time.Duration) {
 	writer := m.routing.WriterRole(one.name)
 	if one.transactions.length+one.writes.length == 0 || writer.Phase != model.PhaseOpen {
 		return
@@ -106,7 +106,7 @@
 	if target == nil || target.observation.Instance.Incarnation != writer.PrimaryIncarnation {
 		return
 	}
-	for _, waiting := range []*queue{&one.transactions, &one.writes} {
+	for _, waiting := range []*requestQueue{&one.transactions, &one.writes} {
 		for request := waiting.front(); request != nil; request = waiting.front() {
 			if !target.window.HasRoom() {
 				return
@@ -120,7 +120,7 @@
 	}
 }
 
-func (m *Machine) dispatchReads(one *database, now time.Duration) {
+func (m *Machine) dispatchReads(one *databaseState, now time.Duration) {
 	if one.reads.length == 0 {
 		return
 	}
@@ -140,13 +140,13 @@
 	one.reads.front()
 }
 
-func (m *Machine) canOpen(held *instance, now time.Duration) bool {
+func (m *Machine) canOpen(held *instanceState, now time.Duration) bool {
 	return held.connections < m.connectionShare(held) && now >= held.backoffUntil && held.leavingAt == 0
 }
 
-func (m *Machine) selectInstance(one *database, request *Request, now time.Duration) *instance {
+func (m *Machine) selectInstance(one *databaseState, request *Request, now time.Duration) *instanceState {
 	var candidates []balancer.Candidate
-	var targets []*instance
+	var targets []*instanceState
 	for _, held := range m.instances {
 		if m.databases[held.databaseID] != one || held.leavingAt != 0 {
 			continue
@@ -170,14 +170,14 @@
 	return instanceAt(targets, balancer.Pick(candidates))
 }
 
-func instanceAt(targets []*instance, rank int) *instance {
+func instanceAt(targets []*instanceState, rank int) *instanceState {
 	if rank < 0 {
 		return nil
 	}
 	return targets[rank]
 }
 
-func (m *Machine) openConns(target *instance, waiting int, now time.Duration) {
+func (m *Machine) openConns(target *instanceState, waiting int, now time.Duration) {
 	want := min(waiting, target.window.Available())
 	for target.opening < want && m.canOpen(target, now) {
 		target.opening++
@@ -186,7 +186,7 @@
 	}
 }
 
-func (m *Machine) reclaimIdle(target *instance, request *Request, now time.Duration) {
+func (m *Machine) reclaimIdle(target *instanceState, request *Request, now time.Duration) {
 	exhausted := target.connections >= m.connectionShare(target) && target.opening == 0 && now-request.arrivedAt > m.timing.ReclaimAfter
 	if !exhausted {
 		return
@@ -208,7 +208,7 @@
 	}
 }
 
-func (m *Machine) assign(request *Request, target *instance, term uint64, now time.Duration) bool {
+func (m *Machine) assign(request *Request, target *instanceState, term uint64, now time.Duration) bool {
 	held := request.session
 	conn := held.pinnedConn
 	if request.pinned && (conn == nil || conn.instance != target || held.stateLost) {
--- a/internal/coordination/pool/httppool/pool.go
+++ b/internal/coordination/pool/httppool/pool.go
@@ -203,7 +203,7 @@
 	lookupCount      int
 	lookupNode       string
 	conn             *Conn
-	instance         *instance
+	instance         *instanceState
 	term             uint64
 	sentAt           time.Duration
 	executedAt       time.Duration
@@ -232,29 +232,29 @@
 
 func (request *Request) isRead() bool { return request.op.Kind == OpRun && !request.op.Write }
 
-type queue struct {
+type requestQueue struct {
 	requests []*Request
 	length   int
 }
 
-func (q *queue) pushBack(request *Request) {
+func (q *requestQueue) pushBack(request *Request) {
 	q.requests = append(q.requests, request)
 	q.length++
 }
 
-func (q *queue) pushFront(request *Request) {
+func (q *requestQueue) pushFront(request *Request) {
 	q.requests = append([]*Request{request}, q.requests...)
 	q.length++
 }
 
-func (q *queue) removed() {
+func (q *requestQueue) removed() {
 	q.length--
 	if len(q.requests) > 64 && q.length < len(q.requests)/2 {
 		q.compact()
 	}
 }
 
-func (q *queue) compact() {
+func (q *requestQueue) compact() {
 	kept := make([]*Request, 0, q.length)
 	for _, request := range q.requests {
 		if request.phase == phaseQueued {
@@ -264,7 +264,7 @@
 	q.requests = kept
 }
 
-func (q *queue) front() *Request {
+func (q *requestQueue) front() *Request {
 	for len(q.requests) > 0 && q.requests[0].phase != phaseQueued {
 		q.requests = q.requests[1:]
 	}
@@ -274,15 +274,15 @@
 	return q.requests[0]
 }
 
-type database struct {
+type databaseState struct {
 	name         string
-	transactions queue
-	writes       queue
-	reads        queue
+	transactions requestQueue
+	writes       requestQueue
+	reads        requestQueue
 	unconfirmed  []*Request
 }
 
-func (one *database) queueOf(request *Request) *queue {
+func (one *databaseState) queueOf(request *Request) *requestQueue {
 	if request.pinned {
 		return &one.transactions
 	}
@@ -292,7 +292,7 @@
 	return &one.reads
 }
 
-type instance struct {
+type instanceState struct {
 	observation    *routing.Observation
 	databaseID     int
 	window         *flowcontrol.Window
@@ -312,7 +312,7 @@
 type Conn struct {
 	// Link belongs to whoever opened it.
 	Transport   any
-	instance    *instance
+	instance    *instanceState
 	term        uint64
 	incarnation string
 	closed      bool
@@ -349,9 +349,9 @@
 	routing           *routing.Machine
 	requestLog        *idempotency.Machine
 	databaseNames     *symbol.Table
-	databases         []*database
+	databases         []*databaseState
 	instanceNames     *symbol.Table
-	instances         []*instance
+	instances         []*instanceState
 	sessions          map[string]*clientSession
 	sessionOrder      []*clientSession
 	sessionsByAddress map[string][]*clientSession
@@ -396,17 +396,17 @@
 // Goes gives the node's record of goes.
 func (m *Machine) RequestLog() *idempotency.Machine { return m.requestLog }
 
-func (m *Machine) database(name string) *database {
+func (m *Machine) database(name string) *databaseState {
 	rank := m.databaseNames.Intern(name)
 	for len(m.databases) <= rank {
-		m.databases = append(m.databases, &database{name: m.databaseNames.Name(len(m.databases))})
+		m.databases = append(m.databases, &databaseState{name: m.databaseNames.Name(len(m.databases))})
 	}
 	return m.databases[rank]
 }
 
-func (m *Machine) databaseOf(held *instance) *database { return m.databases[held.databaseID] }
+func (m *Machine) databaseOf(held *instanceState) *databaseState { return m.databases[held.databaseID] }
 
-func (m *Machine) instance(name string) *instance {
+func (m *Machine) instance(name string) *instanceState {
 	rank, found := m.instanceNames.Lookup(name)
 	if !found {
 		return nil
@@ -420,7 +420,7 @@
 	rank := m.instanceNames.Intern(info.Name)
 	for len(m.instances) <= rank {
 		database, _ := m.databaseNames.Lookup(info.Database)
-		m.instances = append(m.instances, &instance{window: flowcontrol.NewWindow(m.windowParameters), databaseID: database, observation: m.routing.Observation(info.Name)})
+		m.instances = append(m.instances, &instanceState{window: flowcontrol.NewWindow(m.windowParameters), databaseID: database, observation: m.routing.Observation(info.Name)})
 	}
 	held := m.instances[rank]
 	previous := held.observation.Instance
@@ -448,7 +448,7 @@
 	m.dispatch(one, now)
 }
 
-func (m *Machine) markLeaving(held *instance, now time.Duration) {
+func (m *Machine) markLeaving(held *instanceState, now time.Duration) {
 	if held.leavingAt == 0 {
 		held.leavingAt = now
 		m.closeIdleConns(held)
@@ -559,11 +559,11 @@
 	}
 }
 
-func (m *Machine) connectionShare(held *instance) int {
+func (m *Machine) connectionShare(held *instanceState) int {
 	return max(held.observation.Instance.Connections/(m.peers.Max+1), 1)
 }
 
-func (m *Machine) retuneWindow(held *instance) {
+func (m *Machine) retuneWindow(held *instanceState) {
 	held.window.Retune(m.windowParameters.Beta, float64(m.connectionShare(held)))
 }
 
--- a/internal/coordination/pool/httppool/sessions.go
+++ b/internal/coordination/pool/httppool/sessions.go
@@ -185,7 +185,7 @@
 		m.Cancel(request, now)
 	}
 	for _, one := range m.databases {
-		for _, waiting := range []*queue{&one.transactions, &one.writes, &one.reads} {
+		for _, waiting := range []*requestQueue{&one.transactions, &one.writes, &one.reads} {
 			for _, request := range slices.Clone(waiting.requests) {
 				if request.phase == phaseQueued && !request.session.inTransaction {
 					m.dequeue(request)
