--- a/internal/app/httpproxy/drain.go
+++ b/internal/app/httpproxy/drain.go
@@ -21,10 +21,10 @@
 	for until := p.now() + finishTimeout; p.now() < until && p.activeSessions() > 0; {
 		pause()
 	}
-	left := 0
-	p.apply(func(time.Duration) { left = p.pool.DisconnectSessions() })
+	remaining := 0
+	p.apply(func(time.Duration) { remaining = p.pool.DisconnectSessions() })
 	p.handOver()
-	p.log.Info("stopped", "sessions", left, "unfinished", p.activeSessions())
+	p.log.Info("stopped", "sessions", remaining, "unfinished", p.activeSessions())
 	worker.Await(make(chan struct{}), lingerTimeout)
 }
 
@@ -49,14 +49,14 @@
 		return
 	}
 	p.mutex.Lock()
-	left := p.pool.RequestLog().Export(heirs[0])
+	handover := p.pool.RequestLog().Export(heirs[0])
 	p.mutex.Unlock()
 	for _, node := range others {
-		if node.Name != left.Successor {
-			p.node.Hub.Send(node.RPCAddress, idempotency.Handover{Node: left.Node, Incarnation: left.Incarnation, Successor: left.Successor})
+		if node.Name != handover.Successor {
+			p.node.Hub.Send(node.RPCAddress, idempotency.Handover{Node: handover.Node, Incarnation: handover.Incarnation, Successor: handover.Successor})
 			continue
 		}
-		if _, err := p.node.Hub.Call(node.RPCAddress, left, 800*time.Millisecond); err != nil {
+		if _, err := p.node.Hub.Call(node.RPCAddress, handover, 800*time.Millisecond); err != nil {
 			p.log.Warn("record of goes not left", "heir", node.Name, "error", err)
 		}
 	}
--- a/internal/app/httpproxy/effects.go
+++ b/internal/app/httpproxy/effects.go
@@ -98,14 +98,14 @@
 func (p *Proxy) lookup(seek httppool.Lookup) {
 	request := idempotency.StatusRequest{RequestID: seek.Request.RequestID(), Requester: p.node.Config().Name}
 	p.node.Counters.Add("goes_asked", 1)
-	var answer idempotency.Status
+	var status idempotency.Status
 	answered := false
 	if node, found := p.node.FindNode(seek.Node); found {
 		reply, err := p.node.Hub.Call(node.RPCAddress, request, 800*time.Millisecond)
-		answer, answered = reply.(idempotency.Status)
+		status, answered = reply.(idempotency.Status)
 		answered = answered && err == nil
 	}
-	p.apply(func(now time.Duration) { p.pool.LookupDone(seek.Request, seek.Node, answer, answered, now) })
+	p.apply(func(now time.Duration) { p.pool.LookupDone(seek.Request, seek.Node, status, answered, now) })
 }
 
 func pause() { worker.Await(make(chan struct{}), 20*time.Millisecond) }
--- a/internal/app/httpproxy/handlers.go
+++ b/internal/app/httpproxy/handlers.go
@@ -146,8 +146,8 @@
 }
 
 func (p *Proxy) awaitResult(request *httppool.Request, done <-chan httppool.Result) httppool.Result {
-	left := request.Deadline() - p.now()
-	if !p.bindStage.Submit(request, left) {
+	remaining := request.Deadline() - p.now()
+	if !p.bindStage.Submit(request, remaining) {
 		p.cancel(request)
 	}
 	timer := time.NewTimer(request.Deadline() - p.now())
--- a/internal/app/httpproxy/proxy.go
+++ b/internal/app/httpproxy/proxy.go
@@ -72,8 +72,8 @@
 	node.HandleMessage(host, func(_ string, request idempotency.StatusRequest, answer func(any)) {
 		p.apply(func(now time.Duration) { answer(p.pool.HandleStatusRequest(request, now)) })
 	})
-	node.HandleMessage(host, func(_ string, left idempotency.Handover, answer func(any)) {
-		p.apply(func(now time.Duration) { p.pool.ImportHandover(left, now) })
+	node.HandleMessage(host, func(_ string, handover idempotency.Handover, answer func(any)) {
+		p.apply(func(now time.Duration) { p.pool.ImportHandover(handover, now) })
 		answer(idempotency.HandoverAck{})
 	})
 	p.adminPages().Register()
@@ -134,10 +134,10 @@
 		pause()
 		p.mutex.Lock()
 		p.reportScheduled = false
-		result := p.pool.Observations(p.now())
+		observations := p.pool.Observations(p.now())
 		p.mutex.Unlock()
 		if address, _ := p.node.ControlPrimary(); address != "" {
-			p.node.Hub.Send(address, result)
+			p.node.Hub.Send(address, observations)
 		}
 	})
 }
--- a/internal/coordination/flowcontrol/peer_counter.go
+++ b/internal/coordination/flowcontrol/peer_counter.go
@@ -18,11 +18,11 @@
 // changed.
 func (p *PeerCounter) Observe(count int, now time.Duration) bool {
 	kept := p.recent[:0]
-	most := max(count, 1)
-	for _, one := range p.recent {
-		if now-one.at < time.Minute {
-			kept = append(kept, one)
-			most = max(most, one.count)
+	highest := max(count, 1)
+	for _, sample := range p.recent {
+		if now-sample.at < time.Minute {
+			kept = append(kept, sample)
+			highest = max(highest, sample.count)
 		}
 	}
 	if len(kept) == 0 || kept[len(kept)-1].count != count {
@@ -31,7 +31,7 @@
 		kept[len(kept)-1].at = now
 	}
 	p.recent = kept
-	changed := most != p.Max
-	p.Max = most
+	changed := highest != p.Max
+	p.Max = highest
 	return changed
 }
--- a/internal/coordination/flowcontrol/window.go
+++ b/internal/coordination/flowcontrol/window.go
@@ -67,9 +67,9 @@
 }
 
 // Retune takes a changed weight or cap; the window is kept under the cap.
-func (w *Window) Retune(beta, most float64) {
+func (w *Window) Retune(beta, maxWindow float64) {
 	w.parameters.Beta = beta
-	w.parameters.MaxWindow = math.Max(most, w.parameters.MinWindow)
+	w.parameters.MaxWindow = math.Max(maxWindow, w.parameters.MinWindow)
 	w.size = math.Min(w.size, w.parameters.MaxWindow)
 }
 
@@ -143,11 +143,11 @@
 	if w.sampleCount == 0 {
 		return false
 	}
-	latest := w.latencySum / float64(w.sampleCount)
+	periodLatency := w.latencySum / float64(w.sampleCount)
 	if w.averageLatency == 0 {
-		w.averageLatency = latest
+		w.averageLatency = periodLatency
 	} else {
-		w.averageLatency = (1-w.parameters.Alpha)*latest + w.parameters.Alpha*w.averageLatency
+		w.averageLatency = (1-w.parameters.Alpha)*periodLatency + w.parameters.Alpha*w.averageLatency
 	}
 	next := (1-w.parameters.Gamma)*w.size + w.parameters.Gamma*(float64(w.parameters.LatencyThreshold)/w.averageLatency*w.size+w.parameters.Beta)
 	if next > w.size && !w.wasFull {
--- a/internal/coordination/flowcontrol/window_test.go
+++ b/internal/coordination/flowcontrol/window_test.go
@@ -8,9 +8,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func tuned(beta, most float64) Parameters {
+func tuned(beta, maxWindow float64) Parameters {
 	tuning := DefaultParameters()
-	tuning.Beta, tuning.MaxWindow = beta, most
+	tuning.Beta, tuning.MaxWindow = beta, maxWindow
 	return tuning
 }
 
--- a/internal/coordination/idempotency/machine.go
+++ b/internal/coordination/idempotency/machine.go
@@ -105,12 +105,12 @@
 }
 
 // Open notes a session.
-func (m *Machine) OpenSession(session string) { m.sessions[session] = &sessionRecord{} }
+func (m *Machine) OpenSession(sessionID string) { m.sessions[sessionID] = &sessionRecord{} }
 
 // Close notes that a session is closed; its goes are kept for a while.
-func (m *Machine) CloseSession(session string, now time.Duration) {
-	if held, found := m.sessions[session]; found {
-		held.closed, held.closedAt = true, now
+func (m *Machine) CloseSession(sessionID string, now time.Duration) {
+	if session, found := m.sessions[sessionID]; found {
+		session.closed, session.closedAt = true, now
 	}
 }
 
@@ -120,14 +120,14 @@
 		return
 	}
 	m.lastSweep = now
-	for id, held := range m.sessions {
-		if held.closed && now-held.closedAt > m.timing.Retention {
+	for id, session := range m.sessions {
+		if session.closed && now-session.closedAt > m.timing.Retention {
 			delete(m.sessions, id)
 		}
 	}
 }
 
-func parseRequestID(id string) (session string, count uint64, valid bool) {
+func parseRequestID(id string) (sessionID string, count uint64, valid bool) {
 	at := strings.LastIndexByte(id, '.')
 	if at <= 0 {
 		return "", 0, false
@@ -136,8 +136,8 @@
 	return id[:at], count, err == nil
 }
 
-func parseSessionID(session string) (node, incarnation string) {
-	parts := strings.Split(session, "~")
+func parseSessionID(sessionID string) (node, incarnation string) {
+	parts := strings.Split(sessionID, "~")
 	if len(parts) != 3 {
 		return "", ""
 	}
@@ -145,28 +145,28 @@
 }
 
 func isUnseen(scopes map[string]*sessionRecord, id string) bool {
-	session, count, _ := parseRequestID(id)
-	held, found := scopes[session]
-	return found && count > held.highestPruned
+	sessionID, count, _ := parseRequestID(id)
+	session, found := scopes[sessionID]
+	return found && count > session.highestPruned
 }
 
-func (m *Machine) insert(id, standing, to string, now time.Duration) {
-	m.records[id] = &requestRecord{Status: Status{State: standing, Owner: to}, updatedAt: now}
+func (m *Machine) insert(id, state, to string, now time.Duration) {
+	m.records[id] = &requestRecord{Status: Status{State: state, Owner: to}, updatedAt: now}
 	m.recordOrder = append(m.recordOrder, id)
 	for len(m.recordOrder) > m.timing.MaxRecords || (len(m.recordOrder) > 0 && m.isExpired(m.recordOrder[0], now)) {
 		oldest := m.recordOrder[0]
 		m.recordOrder = m.recordOrder[1:]
 		delete(m.records, oldest)
-		session, count, _ := parseRequestID(oldest)
-		if held, found := m.sessions[session]; found {
-			held.highestPruned = max(held.highestPruned, count)
+		sessionID, count, _ := parseRequestID(oldest)
+		if session, found := m.sessions[sessionID]; found {
+			session.highestPruned = max(session.highestPruned, count)
 		}
 	}
 }
 
 func (m *Machine) isExpired(id string, now time.Duration) bool {
-	held, found := m.records[id]
-	return !found || (held.State != StateInFlight && now-held.updatedAt > m.timing.Retention)
+	record, found := m.records[id]
+	return !found || (record.State != StateInFlight && now-record.updatedAt > m.timing.Retention)
 }
 
 // Kinds of decision.
@@ -194,14 +194,14 @@
 
 // Decide takes a go. The token is joined to its first where that is out.
 func (m *Machine) Decide(id string, token any, now time.Duration) Decision {
-	session, _, valid := parseRequestID(id)
+	sessionID, _, valid := parseRequestID(id)
 	if !valid {
 		return Decision{Kind: Invalid}
 	}
-	if held, found := m.records[id]; found {
-		return m.join(held, token)
+	if record, found := m.records[id]; found {
+		return m.join(record, token)
 	}
-	owner, incarnation := parseSessionID(session)
+	owner, incarnation := parseSessionID(sessionID)
 	if owner == m.self && incarnation == m.incarnation {
 		if !isUnseen(m.sessions, id) {
 			return unknownDecision
@@ -209,8 +209,8 @@
 		m.insert(id, StateInFlight, "", now)
 		return Decision{Kind: Execute}
 	}
-	if left, found := m.predecessors[owner+"~"+incarnation]; found {
-		return Decision{Kind: Lookup, Node: left.successor}
+	if predecessor, found := m.predecessors[owner+"~"+incarnation]; found {
+		return Decision{Kind: Lookup, Node: predecessor.successor}
 	}
 	if owner == m.self || owner == "" {
 		return unknownDecision
@@ -218,29 +218,29 @@
 	return Decision{Kind: Lookup, Node: owner}
 }
 
-func (m *Machine) join(held *requestRecord, token any) Decision {
-	if held.State == StateTransferred {
-		return Decision{Kind: Lookup, Node: held.Owner}
+func (m *Machine) join(record *requestRecord, token any) Decision {
+	if record.State == StateTransferred {
+		return Decision{Kind: Lookup, Node: record.Owner}
 	}
-	if held.State == StateInFlight {
-		held.waiters = append(held.waiters, token)
+	if record.State == StateInFlight {
+		record.waiters = append(record.waiters, token)
 		return Decision{Kind: Wait}
 	}
-	return Decision{Kind: Reply, Status: held.Status}
+	return Decision{Kind: Reply, Status: record.Status}
 }
 
 // BirthOf gives the birth of the node that gave out a go's session.
 func IncarnationOf(id string) string {
-	session, _, _ := parseRequestID(id)
-	_, incarnation := parseSessionID(session)
+	sessionID, _, _ := parseRequestID(id)
+	_, incarnation := parseSessionID(sessionID)
 	return incarnation
 }
 
 // IsFirst says whether a go was surely never made before: only then may a
 // node that does not pass it on say that nothing was kept.
 func (m *Machine) IsUnseen(id string) bool {
-	session, _, valid := parseRequestID(id)
-	owner, incarnation := parseSessionID(session)
+	sessionID, _, valid := parseRequestID(id)
+	owner, incarnation := parseSessionID(sessionID)
 	_, found := m.records[id]
 	return valid && !found && owner == m.self && incarnation == m.incarnation && isUnseen(m.sessions, id)
 }
@@ -252,90 +252,90 @@
 }
 
 // Heard goes on with what the node that was asked told.
-func (m *Machine) DecideFromPeer(id string, token any, answer Status, now time.Duration) Decision {
-	owned := answer.State == StateUnseen || (answer.State == StateTransferred && answer.Owner == m.self)
+func (m *Machine) DecideFromPeer(id string, token any, status Status, now time.Duration) Decision {
+	owned := status.State == StateUnseen || (status.State == StateTransferred && status.Owner == m.self)
 	if owned {
-		if held, found := m.records[id]; found && held.State != StateTransferred {
-			return m.join(held, token)
+		if record, found := m.records[id]; found && record.State != StateTransferred {
+			return m.join(record, token)
 		}
 		m.insert(id, StateInFlight, "", now)
 		return Decision{Kind: Execute}
 	}
-	if answer.State == StateTransferred {
-		return Decision{Kind: Lookup, Node: answer.Owner}
+	if status.State == StateTransferred {
+		return Decision{Kind: Lookup, Node: status.Owner}
 	}
-	return Decision{Kind: Reply, Status: answer}
+	return Decision{Kind: Reply, Status: status}
 }
 
 // OnAsk answers another node that was brought a go. Where the go surely
 // never came, it is given up to the asker for good.
-func (m *Machine) HandleStatusRequest(ask StatusRequest, now time.Duration) Status {
-	if held, found := m.records[ask.RequestID]; found {
-		return held.Status
+func (m *Machine) HandleStatusRequest(request StatusRequest, now time.Duration) Status {
+	if record, found := m.records[request.RequestID]; found {
+		return record.Status
 	}
-	session, _, _ := parseRequestID(ask.RequestID)
-	owner, incarnation := parseSessionID(session)
+	sessionID, _, _ := parseRequestID(request.RequestID)
+	owner, incarnation := parseSessionID(sessionID)
 	if owner == m.self && incarnation == m.incarnation {
-		if !isUnseen(m.sessions, ask.RequestID) {
+		if !isUnseen(m.sessions, request.RequestID) {
 			return Status{State: StateUnknown}
 		}
-		m.insert(ask.RequestID, StateTransferred, ask.Requester, now)
+		m.insert(request.RequestID, StateTransferred, request.Requester, now)
 		return Status{State: StateUnseen}
 	}
-	left, found := m.predecessors[owner+"~"+incarnation]
-	if !found || left.successor != m.self {
+	predecessor, found := m.predecessors[owner+"~"+incarnation]
+	if !found || predecessor.successor != m.self {
 		return Status{State: StateUnknown}
 	}
-	if held, found := left.records[ask.RequestID]; found {
-		return held.Status
+	if record, found := predecessor.records[request.RequestID]; found {
+		return record.Status
 	}
-	if !isUnseen(left.sessions, ask.RequestID) {
+	if !isUnseen(predecessor.sessions, request.RequestID) {
 		return Status{State: StateUnknown}
 	}
-	left.records[ask.RequestID] = &requestRecord{Status: Status{State: StateTransferred, Owner: ask.Requester}, updatedAt: now}
+	predecessor.records[request.RequestID] = &requestRecord{Status: Status{State: StateTransferred, Owner: request.Requester}, updatedAt: now}
 	return Status{State: StateUnseen}
 }
 
 // Settle notes what became of a go and gives the tokens that joined it. A
 // standing shown by proof is never changed; unknown may still be settled.
-func (m *Machine) Complete(id, standing string, rows []byte, position model.Position, now time.Duration) ([]any, Status) {
-	held, found := m.records[id]
-	if !found || held.State == StateCommitted || held.State == StateNotCommitted {
+func (m *Machine) Complete(id, state string, rows []byte, position model.Position, now time.Duration) ([]any, Status) {
+	record, found := m.records[id]
+	if !found || record.State == StateCommitted || record.State == StateNotCommitted {
 		return nil, Status{}
 	}
-	held.Status, held.updatedAt = Status{State: standing, Rows: rows, Position: position}, now
-	joined := held.waiters
-	held.waiters = nil
-	return joined, held.Status
+	record.Status, record.updatedAt = Status{State: state, Rows: rows, Position: position}, now
+	waiters := record.waiters
+	record.waiters = nil
+	return waiters, record.Status
 }
 
 // Leave gives the record for an heir. What is still out is unknown.
 func (m *Machine) Export(heir string) Handover {
-	left := Handover{Node: m.self, Incarnation: m.incarnation, Successor: heir, Requests: map[string]Status{}, Sessions: map[string]uint64{}}
-	for id, held := range m.records {
-		answer := held.Status
-		if answer.State == StateInFlight {
-			answer.State = StateUnknown
+	handover := Handover{Node: m.self, Incarnation: m.incarnation, Successor: heir, Requests: map[string]Status{}, Sessions: map[string]uint64{}}
+	for id, record := range m.records {
+		status := record.Status
+		if status.State == StateInFlight {
+			status.State = StateUnknown
 		}
-		left.Requests[id] = answer
+		handover.Requests[id] = status
 	}
-	for session, held := range m.sessions {
-		left.Sessions[session] = held.highestPruned
+	for sessionID, session := range m.sessions {
+		handover.Sessions[sessionID] = session.highestPruned
 	}
-	return left
+	return handover
 }
 
 // Inherit takes another node's record, or word of who has it.
-func (m *Machine) Import(left Handover, now time.Duration) {
-	held := &predecessorRecord{successor: left.Successor, records: map[string]*requestRecord{}, sessions: map[string]*sessionRecord{}}
-	for id, answer := range left.Requests {
-		held.records[id] = &requestRecord{Status: answer, updatedAt: now}
+func (m *Machine) Import(handover Handover, now time.Duration) {
+	predecessor := &predecessorRecord{successor: handover.Successor, records: map[string]*requestRecord{}, sessions: map[string]*sessionRecord{}}
+	for id, status := range handover.Requests {
+		predecessor.records[id] = &requestRecord{Status: status, updatedAt: now}
 	}
-	for session, pruned := range left.Sessions {
-		held.sessions[session] = &sessionRecord{highestPruned: pruned}
+	for sessionID, highestPruned := range handover.Sessions {
+		predecessor.sessions[sessionID] = &sessionRecord{highestPruned: highestPruned}
 	}
-	key := left.Node + "~" + left.Incarnation
-	m.predecessors[key] = held
+	key := handover.Node + "~" + handover.Incarnation
+	m.predecessors[key] = predecessor
 	m.predecessorOrder = append(m.predecessorOrder, key)
 	if len(m.predecessorOrder) > 64 {
 		delete(m.predecessors, m.predecessorOrder[0])
--- a/internal/coordination/pool/httppool/connections.go
+++ b/internal/coordination/pool/httppool/connections.go
@@ -19,68 +19,68 @@
 	m.emit(CloseConn{Conn: conn})
 }
 
-func (m *Machine) closeIdleConns(held *instanceState) {
-	for _, conn := range held.idle {
+func (m *Machine) closeIdleConns(instance *instanceState) {
+	for _, conn := range instance.idle {
 		m.closeConn(conn)
 	}
-	held.idle = nil
+	instance.idle = nil
 }
 
 // Opened takes a connection that was to be opened; isOpen is false where the
 // instance could not be reached, and reply then says nothing.
 func (m *Machine) ConnOpened(conn *Conn, reply Reply, connected bool, now time.Duration) {
-	held := conn.instance
-	held.opening--
-	sameIncarnation := reply.Incarnation == held.observation.Instance.Incarnation
+	instance := conn.instance
+	instance.opening--
+	sameIncarnation := reply.Incarnation == instance.observation.Instance.Incarnation
 	if connected && !sameIncarnation {
 		m.count("sessions_to_reborn", 1)
 	}
-	one := m.databaseOf(held)
+	database := m.databaseOf(instance)
 	if !connected || !sameIncarnation || reply.Rejected || reply.Failed {
 		m.closeConn(conn)
 		m.count("sessions_refused", 1)
-		held.backoff = min(max(2*held.backoff, m.timing.BackoffMin), m.timing.BackoffMax)
-		held.backoffUntil = now + held.backoff
-		m.dispatch(one, now)
+		instance.backoff = min(max(2*instance.backoff, m.timing.BackoffMin), m.timing.BackoffMax)
+		instance.backoffUntil = now + instance.backoff
+		m.dispatch(database, now)
 		return
 	}
 	m.count("sessions_opened", 1)
-	held.observation.LastResponse, held.backoff = now, 0
-	conn.incarnation, conn.term = reply.Incarnation, m.routing.WriterRole(one.name).Term
+	instance.observation.LastResponse, instance.backoff = now, 0
+	conn.incarnation, conn.term = reply.Incarnation, m.routing.WriterRole(database.name).Term
 	m.releaseConn(conn)
-	m.dispatch(one, now)
+	m.dispatch(database, now)
 }
 
 func (m *Machine) releaseConn(conn *Conn) {
-	held := conn.instance
-	writer := m.routing.WriterRole(m.databaseOf(held).name)
-	primary := writer.Primary == held.observation.Instance.Name
+	instance := conn.instance
+	writer := m.routing.WriterRole(m.databaseOf(instance).name)
+	primary := writer.Primary == instance.observation.Instance.Name
 	stale := primary && (writer.Phase != model.PhaseOpen || conn.term != writer.Term)
-	restarted := conn.incarnation != held.observation.Instance.Incarnation
+	restarted := conn.incarnation != instance.observation.Instance.Incarnation
 	if conn.closed {
 		return
 	}
-	if conn.broken || held.leavingAt != 0 || stale || restarted || held.connections > m.connectionShare(held) {
+	if conn.broken || instance.leavingAt != 0 || stale || restarted || instance.connections > m.connectionShare(instance) {
 		m.closeConn(conn)
 		return
 	}
-	held.idle = append(held.idle, conn)
+	instance.idle = append(instance.idle, conn)
 }
 
 // Lost tells that a connection has ended. Where a statement is out on it,
 // Answered tells the rest.
 func (m *Machine) ConnLost(conn *Conn, now time.Duration) {
 	conn.broken = true
-	held := conn.instance
-	rank := slices.Index(held.idle, conn)
+	instance := conn.instance
+	rank := slices.Index(instance.idle, conn)
 	if rank >= 0 {
-		held.idle = slices.Delete(held.idle, rank, rank+1)
+		instance.idle = slices.Delete(instance.idle, rank, rank+1)
 		m.closeConn(conn)
 	}
-	for _, owner := range held.pinnedSessions {
-		if owner.pinnedConn == conn {
-			if !owner.busy {
-				m.discardPinned(owner)
+	for _, session := range instance.pinnedSessions {
+		if session.pinnedConn == conn {
+			if !session.busy {
+				m.discardPinned(session)
 			}
 			return
 		}
@@ -90,19 +90,19 @@
 // Answered takes the end of a request that was sent: its answer, or that
 // the connection broke or made no sense.
 func (m *Machine) ReplyReceived(request *Request, reply Reply, broken bool, now time.Duration) {
-	one := m.database(request.databaseName)
+	database := m.database(request.databaseName)
 	if broken {
 		m.onConnBroken(request, now)
-		m.dispatch(one, now)
+		m.dispatch(database, now)
 		return
 	}
 	request.instance.observation.LastResponse = now
 	m.recordLatency(request, reply, now)
 	m.returnConn(request, reply)
 	if request.phase == phaseInFlight {
-		m.handleReply(request, one, reply, now)
+		m.handleReply(request, database, reply, now)
 	}
-	m.dispatch(one, now)
+	m.dispatch(database, now)
 }
 
 func (m *Machine) releaseAbandoned(request *Request) bool {
@@ -128,15 +128,15 @@
 }
 
 func (m *Machine) returnConn(request *Request, reply Reply) {
-	conn, owner := request.conn, request.session
-	if owner.pinnedConn == conn {
-		owner.inTransaction = reply.InTransaction
-		if owner.stateLost || owner.closed {
-			m.discardPinned(owner)
+	conn, session := request.conn, request.session
+	if session.pinnedConn == conn {
+		session.inTransaction = reply.InTransaction
+		if session.stateLost || session.closed {
+			m.discardPinned(session)
 			return
 		}
 		if reply.Clean {
-			m.unpin(owner)
+			m.unpin(session)
 			m.releaseConn(conn)
 		}
 		return
@@ -146,9 +146,9 @@
 		return
 	}
 	keepsState := request.op.Kind == OpBegin || request.op.Kind == OpSet || request.op.Kind == OpPrepare
-	if keepsState && !request.responded && !owner.closed && owner.pinnedConn == nil && !conn.closed {
-		m.pin(owner, conn)
-		owner.inTransaction = reply.InTransaction
+	if keepsState && !request.responded && !session.closed && session.pinnedConn == nil && !conn.closed {
+		m.pin(session, conn)
+		session.inTransaction = reply.InTransaction
 		return
 	}
 	m.closeConn(conn)
@@ -177,7 +177,7 @@
 	m.respond(request, Result{Outcome: OutcomeNotCommitted, Error: "the instance's session ended before its answer came", RetryAfter: 200 * time.Millisecond}, now)
 }
 
-func (m *Machine) handleReply(request *Request, one *databaseState, reply Reply, now time.Duration) {
+func (m *Machine) handleReply(request *Request, database *databaseState, reply Reply, now time.Duration) {
 	request.phase = phaseDone
 	name := request.instance.observation.Instance.Name
 	if reply.Rejected || reply.Failed {
@@ -191,8 +191,8 @@
 	}
 	if request.op.Kind == OpCommit || (request.op.Kind == OpRun && request.op.Write && !reply.InTransaction) {
 		request.phase, request.executedAt, request.position, request.rows = phaseUnconfirmed, now, reply.Position, reply.Rows
-		one.unconfirmed = append(one.unconfirmed, request)
-		m.confirmCommits(one, now)
+		database.unconfirmed = append(database.unconfirmed, request)
+		m.confirmCommits(database, now)
 		return
 	}
 	if request.isRead() && reply.Position.IsBefore(request.assignedPosition) {
@@ -207,12 +207,12 @@
 	m.respond(request, result, now)
 }
 
-func (m *Machine) confirmCommits(one *databaseState, now time.Duration) {
-	if len(one.unconfirmed) == 0 {
+func (m *Machine) confirmCommits(database *databaseState, now time.Duration) {
+	if len(database.unconfirmed) == 0 {
 		return
 	}
 	var kept []*Request
-	for _, request := range one.unconfirmed {
+	for _, request := range database.unconfirmed {
 		verdict := m.routing.CommitVerdict(request.databaseName, request.term, request.position, now)
 		if verdict == routing.VerdictNone {
 			kept = append(kept, request)
@@ -229,7 +229,7 @@
 			routing.VerdictUnknown: {Outcome: OutcomeUnknown, Error: "it ran on a primary that has since lost the writer role", RetryAfter: time.Second},
 		}[verdict], now)
 	}
-	one.unconfirmed = kept
+	database.unconfirmed = kept
 }
 
 func (m *Machine) abandon(request *Request, now time.Duration) {
@@ -252,8 +252,8 @@
 	m.respond(request, result, now)
 }
 
-func (m *Machine) abandonAll(held *instanceState, now time.Duration) {
-	for _, request := range slices.Clone(held.inFlight) {
+func (m *Machine) abandonAll(instance *instanceState, now time.Duration) {
+	for _, request := range slices.Clone(instance.inFlight) {
 		if request.phase == phaseInFlight {
 			m.abandon(request, now)
 			m.closeConn(request.conn)
@@ -270,16 +270,16 @@
 	}
 	m.closeIdleConns(old)
 	m.abandonAll(old, now)
-	for _, held := range slices.Clone(old.pinnedSessions) {
-		held.stateLost = true
-		if !held.busy {
-			m.discardPinned(held)
+	for _, session := range slices.Clone(old.pinnedSessions) {
+		session.stateLost = true
+		if !session.busy {
+			m.discardPinned(session)
 		}
 	}
 }
 
-func (m *Machine) reapAbandoned(held *instanceState, now time.Duration) {
-	for _, request := range slices.Clone(held.abandoned) {
+func (m *Machine) reapAbandoned(instance *instanceState, now time.Duration) {
+	for _, request := range slices.Clone(instance.abandoned) {
 		if now-request.sentAt > m.timing.AbandonedTimeout {
 			m.releaseAbandoned(request)
 			if request.session.pinnedConn == request.conn {
@@ -288,13 +288,13 @@
 			m.closeConn(request.conn)
 		}
 	}
-	if held.leavingAt == 0 || now-held.leavingAt <= m.timing.LeaveGrace {
+	if instance.leavingAt == 0 || now-instance.leavingAt <= m.timing.LeaveGrace {
 		return
 	}
-	m.abandonAll(held, now)
-	for _, owner := range slices.Clone(held.pinnedSessions) {
-		if !owner.busy {
-			m.discardPinned(owner)
+	m.abandonAll(instance, now)
+	for _, session := range slices.Clone(instance.pinnedSessions) {
+		if !session.busy {
+			m.discardPinned(session)
 		}
 	}
 }
--- a/internal/coordination/pool/httppool/dispatch.go
+++ b/internal/coordination/pool/httppool/dispatch.go
@@ -29,17 +29,17 @@
 		return
 	}
 	request.databaseName, request.freshness, request.bindingSequence = binding.Database, binding.Freshness, set.Sequence
-	held := request.session
-	if held.pinnedConn != nil && m.databaseOf(held.pinnedConn.instance).name != request.databaseName {
-		held.stateLost = true
+	session := request.session
+	if session.pinnedConn != nil && m.databaseOf(session.pinnedConn.instance).name != request.databaseName {
+		session.stateLost = true
 		m.respond(request, Result{Outcome: OutcomeNotCommitted, Error: "the binding moved to another database; the session's state is closed", SessionClosed: true}, now)
 		return
 	}
-	request.minPosition = held.minPositions[request.databaseName]
-	request.pinned = held.pinnedConn != nil
+	request.minPosition = session.minPositions[request.databaseName]
+	request.pinned = session.pinnedConn != nil
 	request.strict = !request.isRead() || request.freshness == 0 || request.pinned
 	endsTransaction := request.op.Kind == OpCommit || request.op.Kind == OpRollback
-	if (endsTransaction && !held.inTransaction && request.op.Kind != OpCommit) || (held.inTransaction && request.op.Kind == OpBegin) {
+	if (endsTransaction && !session.inTransaction && request.op.Kind != OpCommit) || (session.inTransaction && request.op.Kind == OpBegin) {
 		m.respond(request, noTransactionResult, now)
 		return
 	}
@@ -73,16 +73,16 @@
 		m.recordOutcome(request.op.RequestID, idempotency.StateNotCommitted, nil, model.Position{}, now)
 		return
 	}
-	one := m.database(request.databaseName)
-	waiting := one.queueOf(request)
-	if waiting.length >= m.timing.MaxQueue {
+	database := m.database(request.databaseName)
+	queue := database.queueOf(request)
+	if queue.length >= m.timing.MaxQueue {
 		m.recordOutcome(request.op.RequestID, idempotency.StateNotCommitted, nil, model.Position{}, now)
 		m.respond(request, Result{Outcome: OutcomeNotCommitted, Error: "the line is full", RetryAfter: m.retryAfter(request, now)}, now)
 		return
 	}
 	request.phase = phaseQueued
-	waiting.pushBack(request)
-	m.dispatch(one, now)
+	queue.pushBack(request)
+	m.dispatch(database, now)
 }
 
 func (m *Machine) dequeue(request *Request) {
@@ -90,82 +90,82 @@
 	m.database(request.databaseName).queueOf(request).removed()
 }
 
-func (m *Machine) dispatch(one *databaseState, now time.Duration) {
+func (m *Machine) dispatch(database *databaseState, now time.Duration) {
 	if m.routing.HasLease(now) {
-		m.dispatchWrites(one, now)
-		m.dispatchReads(one, now)
+		m.dispatchWrites(database, now)
+		m.dispatchReads(database, now)
 	}
 }
 
-func (m *Machine) dispatchWrites(one *databaseState, now time.Duration) {
-	writer := m.routing.WriterRole(one.name)
-	if one.transactions.length+one.writes.length == 0 || writer.Phase != model.PhaseOpen {
+func (m *Machine) dispatchWrites(database *databaseState, now time.Duration) {
+	writer := m.routing.WriterRole(database.name)
+	if database.transactions.length+database.writes.length == 0 || writer.Phase != model.PhaseOpen {
 		return
 	}
 	target := m.instance(writer.Primary)
 	if target == nil || target.observation.Instance.Incarnation != writer.PrimaryIncarnation {
 		return
 	}
-	for _, waiting := range []*requestQueue{&one.transactions, &one.writes} {
-		for request := waiting.front(); request != nil; request = waiting.front() {
+	for _, queue := range []*requestQueue{&database.transactions, &database.writes} {
+		for request := queue.front(); request != nil; request = queue.front() {
 			if !target.window.HasRoom() {
 				return
 			}
 			if !m.assign(request, target, writer.Term, now) {
 				m.reclaimIdle(target, request, now)
-				m.openConns(target, waiting.length, now)
+				m.openConns(target, queue.length, now)
 				break
 			}
 		}
 	}
 }
 
-func (m *Machine) dispatchReads(one *databaseState, now time.Duration) {
-	if one.reads.length == 0 {
+func (m *Machine) dispatchReads(database *databaseState, now time.Duration) {
+	if database.reads.length == 0 {
 		return
 	}
 	misses := 0
-	for _, request := range one.reads.requests {
+	for _, request := range database.reads.requests {
 		if misses > 8 {
 			break
 		}
 		if request.phase != phaseQueued {
 			continue
 		}
-		target := m.selectInstance(one, request, now)
-		if target == nil || !m.assign(request, target, m.routing.WriterRole(one.name).Term, now) {
+		target := m.selectInstance(database, request, now)
+		if target == nil || !m.assign(request, target, m.routing.WriterRole(database.name).Term, now) {
 			misses++
 		}
 	}
-	one.reads.front()
+	database.reads.front()
 }
 
-func (m *Machine) canOpen(held *instanceState, now time.Duration) bool {
-	return held.connections < m.connectionShare(held) && now >= held.backoffUntil && held.leavingAt == 0
+func (m *Machine) canOpen(instance *instanceState, now time.Duration) bool {
+	return instance.connections < m.connectionShare(instance) && now >= instance.backoffUntil && instance.leavingAt == 0
 }
 
-func (m *Machine) selectInstance(one *databaseState, request *Request, now time.Duration) *instanceState {
+func (m *Machine) selectInstance(database *databaseState, request *Request, now time.Duration) *instanceState {
 	var candidates []balancer.Candidate
 	var targets []*instanceState
-	for _, held := range m.instances {
-		if m.databases[held.databaseID] != one || held.leavingAt != 0 {
+	for _, instance := range m.instances {
+		if m.databases[instance.databaseID] != database || instance.leavingAt != 0 {
 			continue
 		}
-		reading := held.window.Reading()
+		reading := instance.window.Reading()
 		candidates = append(candidates, balancer.Candidate{
-			HasCapacity: held.window.HasRoom() && (len(held.idle) > 0 || m.canOpen(held, now)), SameZone: held.observation.Instance.Zone == m.node.Zone,
-			FreshEnough: m.routing.MayRead(held.observation.Instance.Name, request.arrivedAt, request.freshness, request.minPosition, now),
+			HasCapacity: instance.window.HasRoom() && (len(instance.idle) > 0 || m.canOpen(instance, now)), SameZone: instance.observation.Instance.Zone == m.node.Zone,
+			FreshEnough: m.routing.MayRead(instance.observation.Instance.Name, request.arrivedAt, request.freshness, request.minPosition, now),
 			Utilization: float64(reading.InFlight+reading.Abandoned) / max(reading.Size, 1), Latency: reading.AverageLatency,
 		})
-		targets = append(targets, held)
+		targets = append(targets, instance)
 	}
 	best := balancer.Pick(candidates)
 	if best < 0 || len(targets[best].idle) > 0 {
 		return instanceAt(targets, best)
 	}
-	m.openConns(targets[best], one.reads.length, now)
-	for rank, held := range targets {
-		candidates[rank].HasCapacity = candidates[rank].HasCapacity && len(held.idle) > 0
+	m.openConns(targets[best], database.reads.length, now)
+	for rank, instance := range targets {
+		candidates[rank].HasCapacity = candidates[rank].HasCapacity && len(instance.idle) > 0
 	}
 	return instanceAt(targets, balancer.Pick(candidates))
 }
@@ -192,14 +192,14 @@
 		return
 	}
 	var oldest *clientSession
-	for _, held := range target.pinnedSessions {
-		least := m.timing.ReclaimMinIdle
+	for _, session := range target.pinnedSessions {
+		minIdle := m.timing.ReclaimMinIdle
 		if now-request.arrivedAt > m.timing.ReclaimMinIdle {
-			least = m.timing.ReclaimAfter
+			minIdle = m.timing.ReclaimAfter
 		}
-		idle := !held.busy && !held.inTransaction && now-held.lastUsed > least
-		if idle && (oldest == nil || held.lastUsed < oldest.lastUsed) {
-			oldest = held
+		idle := !session.busy && !session.inTransaction && now-session.lastUsed > minIdle
+		if idle && (oldest == nil || session.lastUsed < oldest.lastUsed) {
+			oldest = session
 		}
 	}
 	if oldest != nil {
@@ -209,10 +209,10 @@
 }
 
 func (m *Machine) assign(request *Request, target *instanceState, term uint64, now time.Duration) bool {
-	held := request.session
-	conn := held.pinnedConn
-	if request.pinned && (conn == nil || conn.instance != target || held.stateLost) {
-		m.discardPinned(held)
+	session := request.session
+	conn := session.pinnedConn
+	if request.pinned && (conn == nil || conn.instance != target || session.stateLost) {
+		m.discardPinned(session)
 		m.dequeue(request)
 		m.recordOutcome(request.op.RequestID, idempotency.StateNotCommitted, nil, model.Position{}, now)
 		m.respond(request, Result{Outcome: OutcomeNotCommitted, Error: "the session's state was lost with its instance", SessionClosed: true}, now)
@@ -283,6 +283,6 @@
 }
 
 func (m *Machine) removeInFlight(request *Request) {
-	is := func(other *Request) bool { return other == request }
-	request.instance.inFlight = slices.DeleteFunc(request.instance.inFlight, is)
+	isRequest := func(other *Request) bool { return other == request }
+	request.instance.inFlight = slices.DeleteFunc(request.instance.inFlight, isRequest)
 }
--- a/internal/coordination/pool/httppool/outcome.go
+++ b/internal/coordination/pool/httppool/outcome.go
@@ -17,19 +17,19 @@
 	if result.Error != "" && result.RetryAfter == 0 && result.Cause == "" {
 		result.RetryAfter = time.Second
 	}
-	held := request.session
+	session := request.session
 	if result.Outcome == OutcomeCommitted {
-		held.minPositions[request.databaseName] = held.minPositions[request.databaseName].Max(result.Position)
+		session.minPositions[request.databaseName] = session.minPositions[request.databaseName].Max(result.Position)
 	}
-	held.busy, held.lastUsed = false, now
-	if held.closed || held.stateLost {
-		m.discardPinned(held)
+	session.busy, session.lastUsed = false, now
+	if session.closed || session.stateLost {
+		m.discardPinned(session)
 	}
-	result.SessionClosed = result.SessionClosed || held.closed
+	result.SessionClosed = result.SessionClosed || session.closed
 	if result.SessionClosed {
-		m.endSession(held, now)
+		m.endSession(session, now)
 	}
-	result.BindingSequence, result.MinPositions = request.bindingSequence, maps.Clone(held.minPositions)
+	result.BindingSequence, result.MinPositions = request.bindingSequence, maps.Clone(session.minPositions)
 	m.count("outcome_"+result.Outcome, 1)
 	m.emit(Respond{Request: request, Result: result})
 }
@@ -100,35 +100,35 @@
 }
 
 func (m *Machine) retryAfter(request *Request, now time.Duration) time.Duration {
-	one := m.database(request.databaseName)
+	database := m.database(request.databaseName)
 	spread := m.jitter(30 * time.Millisecond)
 	if m.routing.WriterRole(request.databaseName).Phase != model.PhaseOpen || !m.routing.HasLease(now) {
 		return 800*time.Millisecond + spread
 	}
-	ahead := one.reads.length + one.writes.length + one.transactions.length
+	ahead := database.reads.length + database.writes.length + database.transactions.length
 	room, cal := 0, time.Duration(0)
-	for _, held := range m.instances {
-		if m.databaseOf(held) == one {
-			room += held.window.Size()
-			cal = max(cal, held.window.Reading().AverageLatency)
+	for _, instance := range m.instances {
+		if m.databaseOf(instance) == database {
+			room += instance.window.Size()
+			cal = max(cal, instance.window.Reading().AverageLatency)
 		}
 	}
 	return min(100*time.Millisecond+spread+time.Duration(ahead+1)*cal/time.Duration(max(room, 1)), 5*time.Second)
 }
 
-func (m *Machine) recordOutcome(id, standing string, rows []byte, position model.Position, now time.Duration) {
-	joined, answer := m.requestLog.Complete(id, standing, rows, position, now)
-	for _, token := range joined {
-		m.respond(token.(*Request), resultFromStatus(answer), now)
+func (m *Machine) recordOutcome(id, state string, rows []byte, position model.Position, now time.Duration) {
+	waiters, status := m.requestLog.Complete(id, state, rows, position, now)
+	for _, token := range waiters {
+		m.respond(token.(*Request), resultFromStatus(status), now)
 	}
 }
 
-func resultFromStatus(answer idempotency.Status) Result {
+func resultFromStatus(status idempotency.Status) Result {
 	results := map[string]Result{
-		idempotency.StateCommitted:    {Outcome: OutcomeCommitted, Rows: answer.Rows, Position: answer.Position},
+		idempotency.StateCommitted:    {Outcome: OutcomeCommitted, Rows: status.Rows, Position: status.Position},
 		idempotency.StateNotCommitted: {Outcome: OutcomeNotCommitted, Error: "this go ended before with nothing kept", RetryAfter: time.Second},
 	}
-	if found, ok := results[answer.State]; ok {
+	if found, ok := results[status.State]; ok {
 		return found
 	}
 	return Result{Outcome: OutcomeUnknown, Error: "what became of this go is not known", RetryAfter: time.Second}
@@ -187,7 +187,7 @@
 }
 
 // Heard takes another node's answer on a go; false where there was none.
-func (m *Machine) LookupDone(request *Request, target string, answer idempotency.Status, answered bool, now time.Duration) {
+func (m *Machine) LookupDone(request *Request, target string, status idempotency.Status, answered bool, now time.Duration) {
 	m.lookupsInFlight[target]--
 	for next := m.queuedLookups[target]; len(next) > 0 && m.lookupsInFlight[target] < m.timing.MaxLookups; next = m.queuedLookups[target] {
 		m.queuedLookups[target] = next[1:]
@@ -206,15 +206,15 @@
 		m.respond(request, Result{Outcome: OutcomeUnknown, Error: "the node that had this go cannot be asked", RetryAfter: time.Second}, now)
 		return
 	}
-	m.applyLookup(request, answer, now)
+	m.applyLookup(request, status, now)
 }
 
-func (m *Machine) applyLookup(request *Request, answer idempotency.Status, now time.Duration) {
-	if answer.State == idempotency.StateInFlight {
+func (m *Machine) applyLookup(request *Request, status idempotency.Status, now time.Duration) {
+	if status.State == idempotency.StateInFlight {
 		m.pendingPolls = append(m.pendingPolls, pendingPoll{request, now + pollInterval})
 		return
 	}
-	m.applyDecision(request, m.requestLog.DecideFromPeer(request.op.RequestID, request, answer, now), now)
+	m.applyDecision(request, m.requestLog.DecideFromPeer(request.op.RequestID, request, status, now), now)
 }
 
 const pollInterval = 40 * time.Millisecond
@@ -227,33 +227,33 @@
 func (m *Machine) retryPolls(now time.Duration) {
 	waiting := m.pendingPolls
 	m.pendingPolls = nil
-	for _, one := range waiting {
-		if one.at > now && !one.request.responded {
-			m.pendingPolls = append(m.pendingPolls, one)
+	for _, poll := range waiting {
+		if poll.at > now && !poll.request.responded {
+			m.pendingPolls = append(m.pendingPolls, poll)
 			continue
 		}
-		if !one.request.responded {
-			m.lookup(one.request, now)
+		if !poll.request.responded {
+			m.lookup(poll.request, now)
 		}
 	}
 }
 
 // OnAsk answers another node that was brought a go of ours.
-func (m *Machine) HandleStatusRequest(ask idempotency.StatusRequest, now time.Duration) idempotency.Status {
-	return m.requestLog.HandleStatusRequest(ask, now)
+func (m *Machine) HandleStatusRequest(request idempotency.StatusRequest, now time.Duration) idempotency.Status {
+	return m.requestLog.HandleStatusRequest(request, now)
 }
 
 // Inherit takes a stopping node's record of goes.
-func (m *Machine) ImportHandover(left idempotency.Handover, now time.Duration) {
-	m.requestLog.Import(left, now)
+func (m *Machine) ImportHandover(handover idempotency.Handover, now time.Duration) {
+	m.requestLog.Import(handover, now)
 	m.count("legacies_taken", 1)
 }
 
 // Window gives what a window shows, for an instance that was met.
-func (m *Machine) WindowReading(instance string) (flowcontrol.Reading, bool) {
-	held := m.instance(instance)
-	if held == nil {
+func (m *Machine) WindowReading(instanceName string) (flowcontrol.Reading, bool) {
+	instance := m.instance(instanceName)
+	if instance == nil {
 		return flowcontrol.Reading{}, false
 	}
-	return held.window.Reading(), true
+	return instance.window.Reading(), true
 }
--- a/internal/coordination/pool/httppool/pool.go
+++ b/internal/coordination/pool/httppool/pool.go
@@ -282,14 +282,14 @@
 	unconfirmed  []*Request
 }
 
-func (one *databaseState) queueOf(request *Request) *requestQueue {
+func (d *databaseState) queueOf(request *Request) *requestQueue {
 	if request.pinned {
-		return &one.transactions
+		return &d.transactions
 	}
 	if request.strict {
-		return &one.writes
+		return &d.writes
 	}
-	return &one.reads
+	return &d.reads
 }
 
 type instanceState struct {
@@ -404,7 +404,9 @@
 	return m.databases[rank]
 }
 
-func (m *Machine) databaseOf(held *instanceState) *databaseState { return m.databases[held.databaseID] }
+func (m *Machine) databaseOf(instance *instanceState) *databaseState {
+	return m.databases[instance.databaseID]
+}
 
 func (m *Machine) instance(name string) *instanceState {
 	rank, found := m.instanceNames.Lookup(name)
@@ -415,71 +417,71 @@
 }
 
 // Announced takes an instance's announcement.
-func (m *Machine) UpdateInstance(info model.Instance, now time.Duration) {
-	one := m.database(info.Database)
-	rank := m.instanceNames.Intern(info.Name)
+func (m *Machine) UpdateInstance(announced model.Instance, now time.Duration) {
+	database := m.database(announced.Database)
+	rank := m.instanceNames.Intern(announced.Name)
 	for len(m.instances) <= rank {
-		database, _ := m.databaseNames.Lookup(info.Database)
-		m.instances = append(m.instances, &instanceState{window: flowcontrol.NewWindow(m.windowParameters), databaseID: database, observation: m.routing.Observation(info.Name)})
+		databaseID, _ := m.databaseNames.Lookup(announced.Database)
+		m.instances = append(m.instances, &instanceState{window: flowcontrol.NewWindow(m.windowParameters), databaseID: databaseID, observation: m.routing.Observation(announced.Name)})
 	}
-	held := m.instances[rank]
-	previous := held.observation.Instance
-	returned := previous.Name != "" && (previous.Role != info.Role || previous.Incarnation != info.Incarnation || now-held.observation.LastAnnouncement > 5*time.Second || (previous.Leaving && !info.Leaving))
-	addressChanged := previous.Address != info.Address || previous.Incarnation != info.Incarnation
+	instance := m.instances[rank]
+	previous := instance.observation.Instance
+	returned := previous.Name != "" && (previous.Role != announced.Role || previous.Incarnation != announced.Incarnation || now-instance.observation.LastAnnouncement > 5*time.Second || (previous.Leaving && !announced.Leaving))
+	addressChanged := previous.Address != announced.Address || previous.Incarnation != announced.Incarnation
 	if returned {
-		held.window.Reset()
-		held.backoff, held.backoffUntil = 0, 0
+		instance.window.Reset()
+		instance.backoff, instance.backoffUntil = 0, 0
 	}
 	if addressChanged {
-		m.closeIdleConns(held)
+		m.closeIdleConns(instance)
 	}
-	m.routing.HandleAnnouncement(info, now)
-	if info.Leaving {
-		m.markLeaving(held, now)
+	m.routing.HandleAnnouncement(announced, now)
+	if announced.Leaving {
+		m.markLeaving(instance, now)
 	} else {
-		held.leavingAt = 0
+		instance.leavingAt = 0
 	}
-	m.retuneWindow(held)
-	if !held.watched {
-		held.watched = true
-		m.emit(Watch{Instance: info.Name})
+	m.retuneWindow(instance)
+	if !instance.watched {
+		instance.watched = true
+		m.emit(Watch{Instance: announced.Name})
 	}
-	m.confirmCommits(one, now)
-	m.dispatch(one, now)
+	m.confirmCommits(database, now)
+	m.dispatch(database, now)
 }
 
-func (m *Machine) markLeaving(held *instanceState, now time.Duration) {
-	if held.leavingAt == 0 {
-		held.leavingAt = now
-		m.closeIdleConns(held)
+func (m *Machine) markLeaving(instance *instanceState, now time.Duration) {
+	if instance.leavingAt == 0 {
+		instance.leavingAt = now
+		m.closeIdleConns(instance)
 	}
 }
 
 // Looked takes an instance's answer on where it stands, asked at a moment.
 func (m *Machine) InstanceStatusReceived(name string, reply Reply, sent, now time.Duration) {
-	held := m.instance(name)
-	seen := held.observation.Instance
-	seen.Incarnation, seen.Role, seen.Term, seen.Position, seen.Leaving = reply.Incarnation, reply.Role, reply.Term, reply.Position, reply.Leaving
-	if m.routing.HandlePosition(name, seen, sent, now) {
+	instance := m.instance(name)
+	reported := instance.observation.Instance
+	reported.Incarnation, reported.Role, reported.Term, reported.Position, reported.Leaving = reply.Incarnation, reply.Role, reply.Term, reply.Position, reply.Leaving
+	if m.routing.HandlePosition(name, reported, sent, now) {
 		m.emit(Report{})
 	}
 	if reply.Leaving {
-		m.markLeaving(held, now)
+		m.markLeaving(instance, now)
 	}
-	m.confirmCommits(m.databaseOf(held), now)
-	m.dispatch(m.databaseOf(held), now)
+	m.confirmCommits(m.databaseOf(instance), now)
+	m.dispatch(m.databaseOf(instance), now)
 }
 
 // Following says where an instance is to be looked at next, from which
 // position on, and false once it has long been silent and is followed no
 // more.
 func (m *Machine) WatchTarget(name string, now time.Duration) (address string, after model.Position, active bool) {
-	held := m.instance(name)
-	if now-held.observation.LastAnnouncement > time.Minute {
-		held.watched = false
+	instance := m.instance(name)
+	if now-instance.observation.LastAnnouncement > time.Minute {
+		instance.watched = false
 		return "", model.Position{}, false
 	}
-	return held.observation.Instance.Address, held.observation.Position, true
+	return instance.observation.Instance.Address, instance.observation.Position, true
 }
 
 // Ask gives the next ask for news.
@@ -495,9 +497,9 @@
 
 func (m *Machine) replicaLags(now time.Duration) map[string]time.Duration {
 	lags := map[string]time.Duration{}
-	for _, one := range m.databases {
-		for _, request := range one.unconfirmed {
-			for _, name := range m.routing.LaggingReplicas(one.name, request.position) {
+	for _, database := range m.databases {
+		for _, request := range database.unconfirmed {
+			for _, name := range m.routing.LaggingReplicas(database.name, request.position) {
 				lags[name] = max(lags[name], now-request.executedAt)
 			}
 		}
@@ -522,9 +524,9 @@
 
 func (m *Machine) dispatchAll(now time.Duration) {
 	m.resumeAwaitingLease(now)
-	for _, one := range m.databases {
-		m.confirmCommits(one, now)
-		m.dispatch(one, now)
+	for _, database := range m.databases {
+		m.confirmCommits(database, now)
+		m.dispatch(database, now)
 	}
 }
 
@@ -541,9 +543,9 @@
 // that live, beta this node's weight.
 func (m *Machine) Tick(count int, beta float64, now time.Duration) {
 	m.updatePeers(count, beta, now)
-	for _, held := range m.instances {
-		held.window.Tick(now)
-		m.reapAbandoned(held, now)
+	for _, instance := range m.instances {
+		instance.window.Tick(now)
+		m.reapAbandoned(instance, now)
 	}
 	m.expireSessions(now)
 	m.retryPolls(now)
@@ -553,18 +555,18 @@
 func (m *Machine) updatePeers(count int, beta float64, now time.Duration) {
 	if changed := m.peers.Observe(count, now); changed || beta != m.windowParameters.Beta {
 		m.windowParameters.Beta = beta
-		for _, held := range m.instances {
-			m.retuneWindow(held)
+		for _, instance := range m.instances {
+			m.retuneWindow(instance)
 		}
 	}
 }
 
-func (m *Machine) connectionShare(held *instanceState) int {
-	return max(held.observation.Instance.Connections/(m.peers.Max+1), 1)
+func (m *Machine) connectionShare(instance *instanceState) int {
+	return max(instance.observation.Instance.Connections/(m.peers.Max+1), 1)
 }
 
-func (m *Machine) retuneWindow(held *instanceState) {
-	held.window.Retune(m.windowParameters.Beta, float64(m.connectionShare(held)))
+func (m *Machine) retuneWindow(instance *instanceState) {
+	instance.window.Retune(m.windowParameters.Beta, float64(m.connectionShare(instance)))
 }
 
 // Ready says whether the node may be given consumers, and why not.
@@ -615,17 +617,17 @@
 // Show gives what the node shows to operators.
 func (m *Machine) Status(now time.Duration) (instances []InstanceStatus, lines []QueueStatus) {
 	instances, lines = []InstanceStatus{}, []QueueStatus{}
-	for _, held := range m.instances {
+	for _, instance := range m.instances {
 		instances = append(instances, InstanceStatus{
-			Instance: held.observation.Instance, AnnouncedAgeMS: (now - held.observation.LastAnnouncement).Milliseconds(), AnsweredAgeMS: (now - held.observation.LastResponse).Milliseconds(),
-			Position: held.observation.Position, StalenessMS: (now - m.routing.FreshUntil(held.observation.Instance.Name, now)).Milliseconds(),
-			Window: held.window.Reading(), Connections: held.connections, Idle: len(held.idle), Pinned: len(held.pinnedSessions), Share: m.connectionShare(held),
+			Instance: instance.observation.Instance, AnnouncedAgeMS: (now - instance.observation.LastAnnouncement).Milliseconds(), AnsweredAgeMS: (now - instance.observation.LastResponse).Milliseconds(),
+			Position: instance.observation.Position, StalenessMS: (now - m.routing.FreshUntil(instance.observation.Instance.Name, now)).Milliseconds(),
+			Window: instance.window.Reading(), Connections: instance.connections, Idle: len(instance.idle), Pinned: len(instance.pinnedSessions), Share: m.connectionShare(instance),
 		})
 	}
-	for _, one := range m.databases {
+	for _, database := range m.databases {
 		lines = append(lines, QueueStatus{
-			Database: one.name, Transactions: one.transactions.length, Writes: one.writes.length, Reads: one.reads.length, Unconfirmed: len(one.unconfirmed),
-			HighWatermark: m.routing.HighWatermark(one.name),
+			Database: database.name, Transactions: database.transactions.length, Writes: database.writes.length, Reads: database.reads.length, Unconfirmed: len(database.unconfirmed),
+			HighWatermark: m.routing.HighWatermark(database.name),
 		})
 	}
 	return instances, lines
--- a/internal/coordination/pool/httppool/pool_test.go
+++ b/internal/coordination/pool/httppool/pool_test.go
@@ -111,16 +111,16 @@
 	return opened.ID
 }
 
-func (h *harness) accept(session, token string, op Op, bound time.Duration) *Request {
-	request, refusal, accepted := h.Accept(session, op, bound, token, h.now)
+func (h *harness) accept(sessionID, token string, op Op, timeout time.Duration) *Request {
+	request, refusal, accepted := h.Accept(sessionID, op, timeout, token, h.now)
 	if !accepted {
 		h.results[token] = refusal
 	}
 	return request
 }
 
-func (h *harness) submit(session, token string, op Op) *Request {
-	request := h.accept(session, token, op, time.Second)
+func (h *harness) submit(sessionID, token string, op Op) *Request {
+	request := h.accept(sessionID, token, op, time.Second)
 	if request != nil {
 		h.Bind(request, h.now)
 		h.applyEffects()
@@ -150,66 +150,68 @@
 			outcome string
 			reach   func(*harness, string, string) *Request
 		}{
-			{"entered", OutcomeNotCommitted, func(h *harness, session, id string) *Request { return h.accept(session, "t", write(id), time.Second) }},
-			{"without a lease", OutcomeNotCommitted, func(h *harness, session, id string) *Request {
+			{"entered", OutcomeNotCommitted, func(h *harness, sessionID, id string) *Request {
+				return h.accept(sessionID, "t", write(id), time.Second)
+			}},
+			{"without a lease", OutcomeNotCommitted, func(h *harness, sessionID, id string) *Request {
 				h.phase = ""
 				h.advance(2 * time.Second)
-				return h.submit(session, "t", write(id))
+				return h.submit(sessionID, "t", write(id))
 			}},
-			{"asking another node", OutcomeUnknown, func(h *harness, session, _ string) *Request { return h.submit(session, "t", write("d2~1~1.1")) }},
-			{"joined to its first", OutcomeUnknown, func(h *harness, session, id string) *Request {
+			{"asking another node", OutcomeUnknown, func(h *harness, sessionID, _ string) *Request { return h.submit(sessionID, "t", write("d2~1~1.1")) }},
+			{"joined to its first", OutcomeUnknown, func(h *harness, sessionID, id string) *Request {
 				h.submit(h.openSession("x", "other"), "first", write(id))
-				return h.submit(session, "t", write(id))
+				return h.submit(sessionID, "t", write(id))
 			}},
-			{"in line", OutcomeNotCommitted, func(h *harness, session, id string) *Request {
+			{"in line", OutcomeNotCommitted, func(h *harness, sessionID, id string) *Request {
 				h.phase = model.PhaseClosing
 				h.update()
-				return h.submit(session, "t", write(id))
+				return h.submit(sessionID, "t", write(id))
 			}},
-			{"out", OutcomeUnknown, func(h *harness, session, id string) *Request { return h.submit(session, "t", write(id)) }},
-			{"not yet shown safe", OutcomeUnknown, func(h *harness, session, id string) *Request {
-				request := h.submit(session, "t", write(id))
+			{"out", OutcomeUnknown, func(h *harness, sessionID, id string) *Request { return h.submit(sessionID, "t", write(id)) }},
+			{"not yet shown safe", OutcomeUnknown, func(h *harness, sessionID, id string) *Request {
+				request := h.submit(sessionID, "t", write(id))
 				h.reply(Reply{Clean: true, Position: model.Position{Term: 1, Index: 9}})
 				return request
 			}},
-			{"a read that is out", OutcomeNotCommitted, func(h *harness, session, _ string) *Request {
-				return h.submit(session, "t", Op{Kind: OpRun, Text: "r"})
+			{"a read that is out", OutcomeNotCommitted, func(h *harness, sessionID, _ string) *Request {
+				return h.submit(sessionID, "t", Op{Kind: OpRun, Text: "r"})
 			}},
 		}
 		for _, one := range phases {
 			h := newHarness(8)
-			session := h.openSession("x", "a")
-			request := one.reach(h, session, session+".1")
+			sessionID := h.openSession("x", "a")
+			request := one.reach(h, sessionID, sessionID+".1")
 			_, responded := h.results["t"]
 			SoMsg(one.name, responded, ShouldBeFalse)
 			h.cancel(request)
 			result := h.results["t"]
 			SoMsg(one.name, result.Outcome, ShouldEqual, one.outcome)
 			SoMsg(one.name, result.RetryAfter, ShouldBeGreaterThan, 0)
-			_, _, accepted := h.Accept(session, write(session+".2"), 0, "next", h.now)
+			_, _, accepted := h.Accept(sessionID, write(sessionID+".2"), 0, "next", h.now)
 			SoMsg(one.name+": the session goes on", accepted, ShouldBeTrue)
 		}
 	})
 	Convey("A go whose request was given up before it was bound is new to its repeat", t, func() {
 		h := newHarness(8)
-		session := h.openSession("x", "a")
-		request := h.accept(session, "t", write(session+".1"), time.Second)
+		sessionID := h.openSession("x", "a")
+		request := h.accept(sessionID, "t", write(sessionID+".1"), time.Second)
 		h.cancel(request)
 		h.Bind(request, h.now)
 		h.applyEffects()
 		So(h.sent, ShouldBeEmpty)
-		h.submit(session, "again", write(session+".1"))
+		h.submit(sessionID, "again", write(sessionID+".1"))
 		So(len(h.sent), ShouldEqual, 1)
 	})
 	Convey("One given up on its way to the line ends its go, and is not sent", t, func() {
 		h := newHarness(8)
-		session := h.openSession("x", "a")
-		request := h.accept(session, "t", write(session+".1"), time.Second)
+		sessionID := h.openSession("x", "a")
+		request := h.accept(sessionID, "t", write(sessionID+".1"), time.Second)
 		h.Bind(request, h.now)
 		h.Cancel(request, h.now)
 		h.applyEffects()
 		So(h.sent, ShouldBeEmpty)
-		h.submit(session, "again", write(session+".1"))
+		h.submit(sessionID, "again", write(sessionID+".1"))
 		So(h.results["again"].Outcome, ShouldEqual, OutcomeNotCommitted)
 	})
 }
@@ -219,13 +221,13 @@
 		h := newHarness(8)
 		h.slow["x0"] = true
 		for at := range 50 {
-			session := h.openSession("x", fmt.Sprint("x", at))
-			h.submit(session, fmt.Sprint("x", at), write(session+".1"))
+			sessionID := h.openSession("x", fmt.Sprint("x", at))
+			h.submit(sessionID, fmt.Sprint("x", at), write(sessionID+".1"))
 		}
 		So(h.sent, ShouldBeEmpty)
 		So(len(h.opens), ShouldBeBetween, 0, 5)
-		session := h.openSession("y", "y")
-		h.submit(session, "y", write(session+".1"))
+		sessionID := h.openSession("y", "y")
+		h.submit(sessionID, "y", write(sessionID+".1"))
 		So(len(h.sent), ShouldEqual, 1)
 	})
 	Convey("Repeats to a node that does not answer are bounded, wait in order, and hold no others", t, func() {
@@ -244,8 +246,8 @@
 	})
 	Convey("A statement is not sent once its term is closed between its line and its instance", t, func() {
 		h := newHarness(8)
-		session := h.openSession("x", "a")
-		request := h.accept(session, "t", write(session+".1"), time.Second)
+		sessionID := h.openSession("x", "a")
+		request := h.accept(sessionID, "t", write(sessionID+".1"), time.Second)
 		h.Bind(request, h.now)
 		h.Enqueue(request, h.now)
 		effects := h.Effects()
@@ -268,15 +270,15 @@
 }
 
 func TestStateOfSessions(t *testing.T) {
-	hold := func(h *harness, session, token string, op Op, inTransaction bool) {
-		h.submit(session, token, op)
+	hold := func(h *harness, sessionID, token string, op Op, inTransaction bool) {
+		h.submit(sessionID, token, op)
 		h.reply(Reply{InTransaction: inTransaction})
 	}
 	Convey("A connection with state is its consumer's alone, and is shut when the consumer goes, in or between statements", t, func() {
 		h := newHarness(8)
-		session := h.openSession("x", "a")
-		hold(h, session, "set", Op{Kind: OpSet, Name: "app", Value: "v"}, false)
-		h.submit(session, "read", Op{Kind: OpRun, Text: "r"})
+		sessionID := h.openSession("x", "a")
+		hold(h, sessionID, "set", Op{Kind: OpSet, Name: "app", Value: "v"}, false)
+		h.submit(sessionID, "read", Op{Kind: OpRun, Text: "r"})
 		mine := h.sent[0].Conn
 		other := h.openSession("x", "b")
 		h.submit(other, "other", write(other+".1"))
@@ -292,8 +294,8 @@
 	})
 	Convey("One left with state by a statement that should leave none is shut, not reused", t, func() {
 		h := newHarness(8)
-		session := h.openSession("x", "a")
-		h.submit(session, "w", write(session+".1"))
+		sessionID := h.openSession("x", "a")
+		h.submit(sessionID, "w", write(sessionID+".1"))
 		conn := h.sent[0].Conn
 		h.reply(Reply{Clean: false, Position: model.Position{Term: 1, Index: 1}})
 		So(slices.Contains(h.closedConns, conn), ShouldBeTrue)
--- a/internal/coordination/pool/httppool/sessions.go
+++ b/internal/coordination/pool/httppool/sessions.go
@@ -23,9 +23,9 @@
 }
 
 // Open lets a consumer in; false gives the refusal.
-func (m *Machine) OpenSession(binding, remote string, marks map[string]model.Position, now time.Duration) (OpenedSession, Result, bool) {
-	if ready, why := m.Ready(now); !ready {
-		return OpenedSession{}, reject(CauseNotReady, 500*time.Millisecond+m.jitter(50*time.Millisecond), "not ready: %s", why), false
+func (m *Machine) OpenSession(binding, remote string, minPositions map[string]model.Position, now time.Duration) (OpenedSession, Result, bool) {
+	if ready, reason := m.Ready(now); !ready {
+		return OpenedSession{}, reject(CauseNotReady, 500*time.Millisecond+m.jitter(50*time.Millisecond), "not ready: %s", reason), false
 	}
 	if len(m.sessions) >= m.timing.MaxSessions {
 		return OpenedSession{}, reject(CauseNotReady, time.Second, "this node has as many sessions as it takes"), false
@@ -35,18 +35,18 @@
 		return OpenedSession{}, reject(CauseNoBinding, 0, "no binding %q in sequence %d", binding, set.Sequence), false
 	}
 	m.lastSessionNumber++
-	made := &clientSession{id: m.requestLog.SessionID(m.lastSessionNumber), binding: binding, remoteAddress: remote, minPositions: map[string]model.Position{}, lastUsed: now}
-	for database, position := range marks {
+	session := &clientSession{id: m.requestLog.SessionID(m.lastSessionNumber), binding: binding, remoteAddress: remote, minPositions: map[string]model.Position{}, lastUsed: now}
+	for database, position := range minPositions {
 		if _, found := m.databaseNames.Lookup(database); found {
-			made.minPositions[database] = position
+			session.minPositions[database] = position
 		}
 	}
-	m.sessions[made.id] = made
-	m.sessionOrder = append(m.sessionOrder, made)
-	m.sessionsByAddress[remote] = append(m.sessionsByAddress[remote], made)
-	m.requestLog.OpenSession(made.id)
+	m.sessions[session.id] = session
+	m.sessionOrder = append(m.sessionOrder, session)
+	m.sessionsByAddress[remote] = append(m.sessionsByAddress[remote], session)
+	m.requestLog.OpenSession(session.id)
 	m.count("consumers_opened", 1)
-	return OpenedSession{ID: made.id, BindingSequence: set.Sequence, MinPositions: maps.Clone(made.minPositions)}, Result{}, true
+	return OpenedSession{ID: session.id, BindingSequence: set.Sequence, MinPositions: maps.Clone(session.minPositions)}, Result{}, true
 }
 
 func (m *Machine) jitter(step time.Duration) time.Duration {
@@ -55,97 +55,97 @@
 }
 
 // Close lets a consumer go and gives its marks.
-func (m *Machine) CloseSession(session string, now time.Duration) (map[string]model.Position, bool) {
-	held, found := m.sessions[session]
+func (m *Machine) CloseSession(sessionID string, now time.Duration) (map[string]model.Position, bool) {
+	session, found := m.sessions[sessionID]
 	if !found {
 		return nil, false
 	}
-	m.endSession(held, now)
-	return maps.Clone(held.minPositions), true
+	m.endSession(session, now)
+	return maps.Clone(session.minPositions), true
 }
 
 // Gone tells that a consumer's connection ended.
 func (m *Machine) ClientLost(remote string, now time.Duration) {
-	for _, held := range slices.Clone(m.sessionsByAddress[remote]) {
+	for _, session := range slices.Clone(m.sessionsByAddress[remote]) {
 		m.count("consumers_gone", 1)
-		m.endSession(held, now)
+		m.endSession(session, now)
 	}
 }
 
-func (m *Machine) endSession(held *clientSession, now time.Duration) {
-	held.closed = true
-	if !held.busy {
-		m.discardPinned(held)
+func (m *Machine) endSession(session *clientSession, now time.Duration) {
+	session.closed = true
+	if !session.busy {
+		m.discardPinned(session)
 	}
-	m.removeSession(held, now)
+	m.removeSession(session, now)
 }
 
-func (m *Machine) removeSession(held *clientSession, now time.Duration) {
-	if m.sessions[held.id] != held {
+func (m *Machine) removeSession(session *clientSession, now time.Duration) {
+	if m.sessions[session.id] != session {
 		return
 	}
-	m.requestLog.CloseSession(held.id, now)
-	delete(m.sessions, held.id)
-	left := slices.DeleteFunc(m.sessionsByAddress[held.remoteAddress], func(one *clientSession) bool { return one == held })
-	m.sessionsByAddress[held.remoteAddress] = left
-	if len(left) == 0 {
-		delete(m.sessionsByAddress, held.remoteAddress)
+	m.requestLog.CloseSession(session.id, now)
+	delete(m.sessions, session.id)
+	remaining := slices.DeleteFunc(m.sessionsByAddress[session.remoteAddress], func(other *clientSession) bool { return other == session })
+	m.sessionsByAddress[session.remoteAddress] = remaining
+	if len(remaining) == 0 {
+		delete(m.sessionsByAddress, session.remoteAddress)
 	}
 }
 
-func (m *Machine) pin(held *clientSession, conn *Conn) {
-	held.pinnedConn = conn
-	conn.instance.pinnedSessions = append(conn.instance.pinnedSessions, held)
+func (m *Machine) pin(session *clientSession, conn *Conn) {
+	session.pinnedConn = conn
+	conn.instance.pinnedSessions = append(conn.instance.pinnedSessions, session)
 }
 
-func (m *Machine) unpin(held *clientSession) {
-	home := held.pinnedConn.instance
-	home.pinnedSessions = slices.DeleteFunc(home.pinnedSessions, func(one *clientSession) bool { return one == held })
-	held.pinnedConn, held.inTransaction, held.stateLost = nil, false, false
+func (m *Machine) unpin(session *clientSession) {
+	instance := session.pinnedConn.instance
+	instance.pinnedSessions = slices.DeleteFunc(instance.pinnedSessions, func(other *clientSession) bool { return other == session })
+	session.pinnedConn, session.inTransaction, session.stateLost = nil, false, false
 }
 
-func (m *Machine) discardPinned(held *clientSession) {
-	if held.pinnedConn == nil {
+func (m *Machine) discardPinned(session *clientSession) {
+	if session.pinnedConn == nil {
 		return
 	}
-	conn := held.pinnedConn
-	m.unpin(held)
+	conn := session.pinnedConn
+	m.unpin(session)
 	m.closeConn(conn)
-	held.closed = true
+	session.closed = true
 	m.count("sessions_lost", 1)
 }
 
 // Enter takes a request from a consumer. Where it is taken, Bind is next;
 // false gives the refusal.
-func (m *Machine) Accept(session string, op Op, bound time.Duration, token any, now time.Duration) (*Request, Result, bool) {
-	held, found := m.sessions[session]
-	if !found || held.closed {
+func (m *Machine) Accept(sessionID string, op Op, timeout time.Duration, token any, now time.Duration) (*Request, Result, bool) {
+	session, found := m.sessions[sessionID]
+	if !found || session.closed {
 		m.count("sessions_unknown", 1)
 		return nil, reject(CauseNoSession, 0, "no such session here: open one and come back"), false
 	}
-	if held.busy {
+	if session.busy {
 		return nil, reject(CauseSessionBusy, 0, "the session has a request out"), false
 	}
-	if bound == 0 {
-		bound = m.timing.DefaultDeadline
+	if timeout == 0 {
+		timeout = m.timing.DefaultDeadline
 	}
-	request := &Request{Token: token, op: op, session: held, arrivedAt: now, deadline: now + bound, strict: true, inTransaction: held.inTransaction}
-	if m.draining && !held.inTransaction {
+	request := &Request{Token: token, op: op, session: session, arrivedAt: now, deadline: now + timeout, strict: true, inTransaction: session.inTransaction}
+	if m.draining && !session.inTransaction {
 		result := drainingResult
 		result.Outcome = m.unsentOutcome(request)
-		m.endSession(held, now)
-		result.MinPositions = maps.Clone(held.minPositions)
+		m.endSession(session, now)
+		result.MinPositions = maps.Clone(session.minPositions)
 		return nil, result, false
 	}
 	if m.routing.HasLease(now) {
 		set := m.effectiveSet(now)
-		binding, bindingFound := set.Binding(held.binding)
+		binding, bindingFound := set.Binding(session.binding)
 		if !bindingFound {
-			return nil, reject(CauseNoBinding, 0, "no binding %q in sequence %d", held.binding, set.Sequence), false
+			return nil, reject(CauseNoBinding, 0, "no binding %q in sequence %d", session.binding, set.Sequence), false
 		}
 		request.databaseName, request.freshness = binding.Database, binding.Freshness
 	}
-	held.busy, held.lastUsed = true, now
+	session.busy, session.lastUsed = true, now
 	return request, Result{}, true
 }
 
@@ -158,19 +158,19 @@
 	m.lastSweep = now
 	m.requestLog.ExpireSessions(now)
 	kept := m.sessionOrder[:0]
-	for _, held := range m.sessionOrder {
-		stuck := held.inTransaction && !held.busy && now-held.lastUsed > m.timing.IdleInTransaction
+	for _, session := range m.sessionOrder {
+		stuck := session.inTransaction && !session.busy && now-session.lastUsed > m.timing.IdleInTransaction
 		if stuck {
 			m.count("transactions_abandoned", 1)
-			m.discardPinned(held)
+			m.discardPinned(session)
 		}
-		expired := !held.busy && now-held.lastUsed > m.timing.SessionIdleTimeout
-		if expired || (held.closed && !held.busy && now-held.lastUsed > time.Minute) {
-			m.discardPinned(held)
-			m.removeSession(held, now)
+		expired := !session.busy && now-session.lastUsed > m.timing.SessionIdleTimeout
+		if expired || (session.closed && !session.busy && now-session.lastUsed > time.Minute) {
+			m.discardPinned(session)
+			m.removeSession(session, now)
 		}
-		if m.sessions[held.id] == held {
-			kept = append(kept, held)
+		if m.sessions[session.id] == session {
+			kept = append(kept, session)
 		}
 	}
 	clear(m.sessionOrder[len(kept):])
@@ -184,9 +184,9 @@
 	for _, request := range m.awaitingLease {
 		m.Cancel(request, now)
 	}
-	for _, one := range m.databases {
-		for _, waiting := range []*requestQueue{&one.transactions, &one.writes, &one.reads} {
-			for _, request := range slices.Clone(waiting.requests) {
+	for _, database := range m.databases {
+		for _, queue := range []*requestQueue{&database.transactions, &database.writes, &database.reads} {
+			for _, request := range slices.Clone(queue.requests) {
 				if request.phase == phaseQueued && !request.session.inTransaction {
 					m.dequeue(request)
 					m.recordOutcome(request.op.RequestID, idempotency.StateNotCommitted, nil, model.Position{}, now)
@@ -200,8 +200,8 @@
 // Busy counts the consumers with a request out or a transaction open.
 func (m *Machine) ActiveSessions() int {
 	count := 0
-	for _, held := range m.sessionOrder {
-		if m.sessions[held.id] == held && (held.busy || held.inTransaction) {
+	for _, session := range m.sessionOrder {
+		if m.sessions[session.id] == session && (session.busy || session.inTransaction) {
 			count++
 		}
 	}
@@ -210,8 +210,8 @@
 
 // Part shuts every connection that a consumer holds.
 func (m *Machine) DisconnectSessions() int {
-	for _, held := range m.sessionOrder {
-		m.discardPinned(held)
+	for _, session := range m.sessionOrder {
+		m.discardPinned(session)
 	}
 	return len(m.sessions)
 }
