--- a/internal/app/control/singletons.go
+++ b/internal/app/control/singletons.go
@@ -6,6 +6,7 @@
 
 	"tansyseam/internal/coordination/consensus"
 	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/coordination/failover"
 	"tansyseam/internal/coordination/failover/asyncrepl"
 	"tansyseam/internal/coordination/membership"
 	"tansyseam/internal/coordination/proposal"
@@ -158,7 +159,7 @@
 		return
 	}
 	for _, effect := range asyncrepl.Step(answer.Evidence, asyncrepl.DefaultTiming()) {
-		if record, ok := effect.(asyncrepl.Record); ok {
+		if record, ok := effect.(failover.Record); ok {
 			if !s.recordDecision(answer.Evidence.Writer, answer.Evidence.Known, record) {
 				return
 			}
@@ -170,7 +171,7 @@
 	}
 }
 
-func (s *Server) recordDecision(before model.WriterRole, known bool, record asyncrepl.Record) bool {
+func (s *Server) recordDecision(before model.WriterRole, known bool, record failover.Record) bool {
 	ask := distribution.WriterRoleChange{
 		Previous: before, PreviousExists: known, Next: record.Writer, Action: record.Change,
 		Evidence: record.Reason, RequestedBy: s.node.Config().Name,
--- a/internal/app/control/syncfailover.go
+++ b/internal/app/control/syncfailover.go
@@ -6,7 +6,7 @@
 	"github.com/juju/errors"
 
 	"tansyseam/internal/app/config"
-	"tansyseam/internal/coordination/failover/asyncrepl"
+	"tansyseam/internal/coordination/failover"
 	"tansyseam/internal/coordination/failover/syncrepl"
 	"tansyseam/internal/protocol/message"
 	"tansyseam/internal/state/lineproto"
@@ -101,7 +101,7 @@
 	at := s.evidence.Augment(answer.SyncedEvidence, s.node.Now())
 	s.mutex.Unlock()
 	for _, effect := range syncrepl.Step(at, syncrepl.DefaultTiming()) {
-		if record, ok := effect.(asyncrepl.Record); ok {
+		if record, ok := effect.(failover.Record); ok {
 			if !s.recordDecision(at.Writer, at.Known, record) {
 				return
 			}
--- /dev/null
+++ b/internal/coordination/failover/asyncrepl/promotion.go
@@ -0,0 +1,134 @@
+package asyncrepl
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"tansyseam/internal/coordination/failover"
+	"tansyseam/internal/state/model"
+)
+
+// onClosed chooses the most advanced candidate, or reopens the term under a
+// primary that returned where there is no candidate.
+func onClosed(evidence Evidence, timing Timing) []any {
+	candidates := evidence.promotable(timing)
+	if len(candidates) == 0 && primaryReturned(evidence, timing) {
+		reason := evidence.Writer.Primary + " is back with all that was confirmed, and nothing was promoted"
+		return []any{failover.ReopenTerm(evidence.Writer, evidence.WallNanos, reason)}
+	}
+	if len(candidates) == 0 {
+		return failover.RecordReason(evidence.Writer, "term is closed, and no replica that can be heard is shown to hold every confirmed commit: nothing is promoted")
+	}
+	best := slices.MaxFunc(candidates, func(a, b Observation) int {
+		return failover.ComparePositions(a.Instance.Position, b.Instance.Position)
+	}).Instance
+	writer := model.CloneWriterRole(evidence.Writer)
+	writer.Phase = model.PhasePromoting
+	writer.Promoting = best.Name
+	writer.LastTransitionAt = evidence.WallNanos
+	writer.PromoteCalls = 1
+	confirmed := evidence.Writer.HighWatermark
+	reason := fmt.Sprintf("%s at %d/%d, confirmed up to %d/%d", best.Name, best.Position.Term, best.Position.Index, confirmed.Term, confirmed.Index)
+	return []any{
+		failover.Record{Writer: writer, Change: "promotion intended", Reason: reason},
+		promoteCall(evidence, best),
+	}
+}
+
+func promoteCall(evidence Evidence, instance model.Instance) Promote {
+	return Promote{Database: evidence.Database, Instance: instance.Name, Address: instance.Address, Term: evidence.Writer.Term + 1}
+}
+
+// primaryReturned says whether the old primary is back in its role and term with
+// all confirmed commits.
+func primaryReturned(evidence Evidence, timing Timing) bool {
+	old, known := evidence.observation(evidence.Writer.Primary)
+	if !known || old.ContactAge > timing.SilenceTimeout || old.Instance.Leaving {
+		return false
+	}
+	leading := old.Instance.Role == model.RolePrimary && old.Instance.Term == evidence.Writer.Term
+	keptData := old.Instance.Incarnation == evidence.Writer.PrimaryIncarnation && !old.Instance.Position.IsBefore(evidence.Writer.HighWatermark)
+	return leading && keptData
+}
+
+// onPromoting learns the outcome of the promote call from what the chosen
+// instance announces. No other instance is called while the outcome is unknown.
+func onPromoting(evidence Evidence, timing Timing) []any {
+	observed, known := evidence.observation(evidence.Writer.Promoting)
+	instance := observed.Instance
+	waited := time.Duration(evidence.WallNanos - evidence.Writer.LastTransitionAt)
+	reported := known && observed.PositionAge < min(waited, timing.SilenceTimeout)
+	if reported && lostCommits(evidence, instance) {
+		return []any{abandonPromotion(evidence, instance)}
+	}
+	promoted := known && instance.Role == model.RolePrimary && instance.Term > evidence.Writer.Term
+	if promoted && observed.ContactAge <= timing.SilenceTimeout {
+		return openNewTerm(evidence, instance, timing)
+	}
+	stillReplica := known && instance.Role == model.RoleReplica && observed.ContactAge < timing.MaxContactAge
+	if stillReplica && waited > timing.PromoteRetryInterval {
+		return retryPromotion(evidence, instance)
+	}
+	if !stillReplica && waited > 2*timing.PromoteRetryInterval {
+		return failover.RecordReason(evidence.Writer, "promotion of "+evidence.Writer.Promoting+" is in doubt until it is heard again: no other is promoted")
+	}
+	return nil
+}
+
+func lostCommits(evidence Evidence, instance model.Instance) bool {
+	return instance.Incarnation != evidence.Writer.Candidates[evidence.Writer.Promoting] || instance.Position.IsBefore(evidence.Writer.HighWatermark)
+}
+
+// abandonPromotion returns to the closed phase. It skips the term that the call
+// may have opened, so that the term is never opened by a second instance.
+func abandonPromotion(evidence Evidence, instance model.Instance) failover.Record {
+	writer := model.CloneWriterRole(evidence.Writer)
+	delete(writer.Candidates, evidence.Writer.Promoting)
+	writer.Phase = model.PhaseClosed
+	writer.Promoting = ""
+	writer.PromoteCalls = 0
+	writer.LastTransitionAt = evidence.WallNanos
+	writer.Term = max(writer.Term+1, instance.Term)
+	confirmed := evidence.Writer.HighWatermark
+	reason := fmt.Sprintf("%s came back without what was confirmed: at %d/%d as %s, confirmed up to %d/%d",
+		instance.Name, instance.Position.Term, instance.Position.Index, instance.Incarnation, confirmed.Term, confirmed.Index)
+	return failover.Record{Writer: writer, Change: "intent given up, its term passed over", Reason: reason}
+}
+
+func openNewTerm(evidence Evidence, primary model.Instance, timing Timing) []any {
+	replicas := map[string]string{}
+	for _, other := range evidence.responsive(timing) {
+		if other.Instance.Name != primary.Name && other.Instance.Role == model.RoleReplica && !other.Instance.Leaving {
+			replicas[other.Instance.Name] = other.Instance.Incarnation
+		}
+	}
+	if len(replicas) == 0 {
+		return failover.RecordReason(evidence.Writer, "promoted, but no replica can be heard: commits could not be made safe")
+	}
+	writer := model.WriterRole{
+		Database:           evidence.Database,
+		Term:               primary.Term,
+		PreviousTerm:       evidence.Writer.Term,
+		Primary:            primary.Name,
+		PrimaryIncarnation: primary.Incarnation,
+		Phase:              model.PhaseOpen,
+		LastTransitionAt:   evidence.WallNanos,
+		HighWatermark:      primary.Position,
+		TermStart:          primary.Position,
+		RequiredReplicas:   replicas,
+		Candidates:         maps.Clone(replicas),
+	}
+	return []any{failover.Record{Writer: writer, Change: "new term open", Reason: announcesPrimary(primary)}}
+}
+
+func retryPromotion(evidence Evidence, instance model.Instance) []any {
+	writer := model.CloneWriterRole(evidence.Writer)
+	writer.PromoteCalls++
+	writer.LastTransitionAt = evidence.WallNanos
+	return []any{
+		failover.Record{Writer: writer, Change: "promote call made again", Reason: instance.Name + " still announces itself a replica"},
+		promoteCall(evidence, instance),
+	}
+}
--- a/internal/coordination/failover/asyncrepl/step_test.go
+++ b/internal/coordination/failover/asyncrepl/step_test.go
@@ -6,6 +6,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
+	"tansyseam/internal/coordination/failover"
 	"tansyseam/internal/state/model"
 )
 
@@ -37,7 +38,7 @@
 	if len(effects) == 0 {
 		return model.WriterRole{}
 	}
-	return effects[0].(Record).Writer
+	return effects[0].(failover.Record).Writer
 }
 
 func TestSuspicion(t *testing.T) {
@@ -93,7 +94,7 @@
 	Convey("The furthest candidate is chosen, the intent is written first, and one call is made", t, func() {
 		effects := Step(closed(), DefaultTiming())
 		So(len(effects), ShouldEqual, 2)
-		So(effects[0].(Record).Writer.Promoting, ShouldEqual, "b")
+		So(effects[0].(failover.Record).Writer.Promoting, ShouldEqual, "b")
 		So(effects[1].(Promote), ShouldResemble, Promote{Database: "db", Instance: "b", Term: 2})
 	})
 	Convey("One that is behind what was confirmed, reborn, unheard or no candidate is never chosen", t, func() {
@@ -166,7 +167,7 @@
 			evidence.Observations[1].Instance.Incarnation = "b-2"
 			given := Step(evidence, DefaultTiming())
 			So(len(given), ShouldEqual, 1)
-			evidence.Writer = given[0].(Record).Writer
+			evidence.Writer = given[0].(failover.Record).Writer
 			So(evidence.Writer.Phase, ShouldEqual, model.PhaseClosed)
 			So(evidence.Writer.Candidates, ShouldResemble, map[string]string{"c": "c-1"})
 			effects := Step(evidence, DefaultTiming())
--- a/internal/coordination/failover/syncrepl/observer.go
+++ b/internal/coordination/failover/syncrepl/observer.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"tansyseam/internal/coordination/failover/asyncrepl"
+	"tansyseam/internal/coordination/failover"
 	"tansyseam/internal/state/model"
 )
 
@@ -100,7 +100,7 @@
 
 // Recorded takes in that a record which the holder asked for is kept; what
 // Step gave after it is carried out then.
-func (h *Observer) RecordCommitted(record asyncrepl.Record) {
+func (h *Observer) RecordCommitted(record failover.Record) {
 	h.history(record.Writer.Database).enterEpisode(newEpisode(record.Writer))
 }
 
--- a/internal/coordination/failover/syncrepl/step.go
+++ b/internal/coordination/failover/syncrepl/step.go
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"tansyseam/internal/coordination/failover/asyncrepl"
+	"tansyseam/internal/coordination/failover"
 	"tansyseam/internal/state/model"
 	"tansyseam/internal/state/store"
 )
@@ -98,7 +98,7 @@
 func (c Evidence) IsBoundComplete() bool { return c.CoveredSequence >= c.GapSequence }
 
 // Record is an effect: write this in place of the case's record.
-type Record = asyncrepl.Record
+type Record = failover.Record
 
 // Promote is an effect: make the platform's one call.
 type Promote struct {
--- a/test/simulation/control.go
+++ b/test/simulation/control.go
@@ -6,6 +6,7 @@
 
 	"tansyseam/internal/coordination/consensus"
 	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/coordination/failover"
 	"tansyseam/internal/coordination/failover/asyncrepl"
 	"tansyseam/internal/coordination/failover/syncrepl"
 	"tansyseam/internal/coordination/lease"
@@ -337,9 +338,9 @@
 
 // carryAll carries effects out in order; what follows a record waits until
 // that is kept.
-func (c *controlServer) applyFailover(primary *controlServer, database string, before model.WriterRole, known bool, effects []any, act func(any), recorded func(asyncrepl.Record)) {
+func (c *controlServer) applyFailover(primary *controlServer, database string, before model.WriterRole, known bool, effects []any, act func(any), recorded func(failover.Record)) {
 	for rank, effect := range effects {
-		record, isRecord := effect.(asyncrepl.Record)
+		record, isRecord := effect.(failover.Record)
 		if !isRecord {
 			act(effect)
 			continue
@@ -354,7 +355,7 @@
 	c.singleton.EndEvaluation(database)
 }
 
-func (c *controlServer) recordDecision(primary *controlServer, database string, before model.WriterRole, known bool, record asyncrepl.Record, then func()) {
+func (c *controlServer) recordDecision(primary *controlServer, database string, before model.WriterRole, known bool, record failover.Record, then func()) {
 	request := distribution.WriterRoleChange{Previous: before, PreviousExists: known, Next: record.Writer, Action: record.Change, Evidence: record.Reason, RequestedBy: c.name}
 	isInTime := c.awaitAnswer(database, recordTimeout)
 	c.simulator.send(&c.machine, &primary.machine, func() {
@@ -396,16 +397,16 @@
 func (c *controlServer) decideAsyncFailover(primary *controlServer, at asyncrepl.Evidence) {
 	effects := asyncrepl.Step(at, asyncrepl.DefaultTiming())
 	if c.fleet.defects.PromoteWorstReplica && len(effects) == 2 {
-		effects = c.withWorstReplica(at, effects[0].(asyncrepl.Record))
+		effects = c.withWorstReplica(at, effects[0].(failover.Record))
 	}
 	c.applyFailover(primary, at.Database, at.Writer, at.Known, effects, func(effect any) {
 		if promote, ok := effect.(asyncrepl.Promote); ok {
 			c.fleet.platform.promote(c, promote)
 		}
-	}, func(asyncrepl.Record) {})
+	}, func(failover.Record) {})
 }
 
-func (c *controlServer) withWorstReplica(at asyncrepl.Evidence, record asyncrepl.Record) []any {
+func (c *controlServer) withWorstReplica(at asyncrepl.Evidence, record failover.Record) []any {
 	worst := slices.MinFunc(at.Observations, func(a, b asyncrepl.Observation) int {
 		isFirst := a.Instance.Name != at.Writer.Primary && (b.Instance.Name == at.Writer.Primary || a.Instance.Position.IsBefore(b.Instance.Position))
 		return map[bool]int{true: -1, false: 1}[isFirst]
--- a/test/simulation/lines_control.go
+++ b/test/simulation/lines_control.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"tansyseam/internal/coordination/failover/asyncrepl"
+	"tansyseam/internal/coordination/failover"
 	"tansyseam/internal/coordination/failover/syncrepl"
 	"tansyseam/internal/state/model"
 )
@@ -40,7 +40,7 @@
 
 func (c *controlServer) withWorstPromotion(at syncrepl.Evidence, effects []any) []any {
 	for rank, effect := range effects {
-		if record, isRecord := effect.(asyncrepl.Record); isRecord && record.Writer.Phase == model.PhasePromoting {
+		if record, isRecord := effect.(failover.Record); isRecord && record.Writer.Phase == model.PhasePromoting {
 			record.Writer.Promoting = c.worstReplica(at)
 			effects[rank] = record
 		}
