--- a/internal/coordination/consensus/load.go
+++ b/internal/coordination/consensus/load.go
@@ -29,7 +29,7 @@
 		}},
 	}
 	for _, load := range loads {
-		sequence, data, skipped, err := files.Latest(load.kind)
+		latest, skipped, err := files.Latest(load.kind)
 		if skipped > 0 {
 			onSkipped(load.kind, skipped)
 			saved.Corrupted = true
@@ -40,7 +40,7 @@
 		if err != nil {
 			return saved, errors.Trace(err)
 		}
-		if err := load.take(sequence, data); err != nil {
+		if err := load.take(latest.Sequence, latest.Data); err != nil {
 			return saved, errors.Trace(err)
 		}
 	}
--- /dev/null
+++ b/internal/state/store/table.go
@@ -0,0 +1,82 @@
+// Package store holds the replicated control state: a table of keyed records, each
+// with the version of its last write.
+//
+// A Table is a plain value without locks; replicas are compared by digests over key
+// ranges, so that only ranges that differ need to be sent (anti-entropy). Records are
+// stored as gob; codec.go says which names are encoded.
+package store
+
+import (
+	"maps"
+	"slices"
+	"strings"
+)
+
+// Version orders the states of the table: by epoch first, then by sequence. The zero
+// Version is older than any write.
+type Version struct {
+	// Epoch is the epoch of the primary that made the write.
+	Epoch uint64
+	// Sequence counts the writes over all epochs.
+	Sequence uint64
+}
+
+// IsBefore says whether v is older than other.
+func (v Version) IsBefore(other Version) bool {
+	return v.Epoch < other.Epoch || (v.Epoch == other.Epoch && v.Sequence < other.Sequence)
+}
+
+// Record is one value with the version of its last write.
+type Record struct {
+	Version Version
+	// Data is the encoded value. It is shared between copies and never changed.
+	Data []byte
+}
+
+// Table is one replica of the control state.
+type Table struct {
+	// Version is that of the last write applied.
+	Version Version
+	Records map[string]Record
+}
+
+// Put sets one key, or removes it.
+type Put struct {
+	Key string
+	// Data is the new value; it is ignored where Deleted is set.
+	Data []byte
+	// Deleted removes the key.
+	Deleted bool
+}
+
+// New makes an empty table.
+func New() *Table { return &Table{Records: map[string]Record{}} }
+
+// Clone copies the table. The bytes of the records are shared.
+func (t *Table) Clone() *Table {
+	return &Table{Version: t.Version, Records: maps.Clone(t.Records)}
+}
+
+// Apply makes one write of several puts, in order, under a new version.
+func (t *Table) Apply(version Version, puts []Put) {
+	t.Version = version
+	for _, put := range puts {
+		if put.Deleted {
+			delete(t.Records, put.Key)
+			continue
+		}
+		t.Records[put.Key] = Record{Version: version, Data: put.Data}
+	}
+}
+
+// Keys lists the keys that begin with prefix, sorted.
+func (t *Table) Keys(prefix string) []string {
+	var keys []string
+	for key := range t.Records {
+		if strings.HasPrefix(key, prefix) {
+			keys = append(keys, key)
+		}
+	}
+	slices.Sort(keys)
+	return keys
+}
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/table_test.go
@@ -8,19 +8,19 @@
 )
 
 func TestRepairByDigests(t *testing.T) {
-	Convey("A copy is mended from the newer by the ranges that are unlike, and only those", t, func() {
+	Convey("A replica is repaired from a newer one by the ranges that differ, and only those", t, func() {
 		newer := New()
-		for at := range 300 {
-			newer.Apply(Version{Epoch: 1, Sequence: uint64(at + 1)}, []Put{{Key: fmt.Sprintf("k/%d", at), Data: EncodePlain(at)}})
+		for number := range 300 {
+			newer.Apply(Version{Epoch: 1, Sequence: uint64(number + 1)}, []Put{{Key: fmt.Sprintf("k/%d", number), Data: EncodePlain(number)}})
 		}
 		older := newer.Clone()
 		newer.Apply(Version{Epoch: 2, Sequence: 301}, []Put{{Key: "k/7", Data: EncodePlain(-7)}, {Key: "k/8", Deleted: true}})
 		older.Apply(Version{Epoch: 1, Sequence: 301}, []Put{{Key: "k/stray", Data: EncodePlain(1)}})
 		ranges := DifferingRanges(older.Digests(), newer.Digests())
 		So(len(ranges), ShouldBeBetween, 0, 4)
-		cut := newer.RecordsInRanges(ranges)
-		So(len(cut), ShouldBeLessThan, 100)
-		older.ReplaceRanges(newer.Version, ranges, cut)
+		records := newer.RecordsInRanges(ranges)
+		So(len(records), ShouldBeLessThan, 100)
+		older.ReplaceRanges(newer.Version, ranges, records)
 		So(DifferingRanges(older.Digests(), newer.Digests()), ShouldBeEmpty)
 		So(older.Version, ShouldResemble, newer.Version)
 		value, found := GetPlain[int](older, "k/7")
@@ -30,9 +30,9 @@
 		So(found, ShouldBeFalse)
 	})
 	Convey("A record of another shape is no value", t, func() {
-		held := New()
-		held.Apply(Version{Epoch: 1, Sequence: 1}, []Put{{Key: "x", Data: []byte("garbage")}})
-		_, found := GetPlain[int](held, "x")
+		table := New()
+		table.Apply(Version{Epoch: 1, Sequence: 1}, []Put{{Key: "x", Data: []byte("garbage")}})
+		_, found := GetPlain[int](table, "x")
 		So(found, ShouldBeFalse)
 	})
 }
--- /dev/null
+++ b/internal/state/versionfile/format.go
@@ -0,0 +1,79 @@
+package versionfile
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/binary"
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// A version file holds, with numbers in big-endian order: the magic bytes, the kind
+// (16-bit length and text), the sequence (64 bits), the data (32-bit length and
+// bytes), and the SHA-256 checksum of all that.
+var magic = []byte("seamv001")
+
+const (
+	kindLengthSize = 2
+	sequenceSize   = 8
+	dataLengthSize = 4
+	minFileSize    = 8 + kindLengthSize + sequenceSize + dataLengthSize + sha256.Size
+
+	versionSuffix = ".v"
+)
+
+// fileName gives the name of a version's file, in which sequences sort as text.
+func fileName(kind string, sequence uint64) string {
+	return fmt.Sprintf("%s-%020d%s", kind, sequence, versionSuffix)
+}
+
+// parseFileName gives the sequence of a file that is a version of kind.
+func parseFileName(kind, name string) (uint64, bool) {
+	rest, isKind := strings.CutPrefix(name, kind+"-")
+	digits, isVersion := strings.CutSuffix(rest, versionSuffix)
+	if !isKind || !isVersion {
+		return 0, false
+	}
+	sequence, err := strconv.ParseUint(digits, 10, 64)
+	return sequence, err == nil
+}
+
+// encodeVersion gives the content of a version's file.
+func encodeVersion(kind string, sequence uint64, data []byte) []byte {
+	content := bytes.Clone(magic)
+	content = binary.BigEndian.AppendUint16(content, uint16(len(kind)))
+	content = append(content, kind...)
+	content = binary.BigEndian.AppendUint64(content, sequence)
+	content = binary.BigEndian.AppendUint32(content, uint32(len(data)))
+	content = append(content, data...)
+	checksum := sha256.Sum256(content)
+	return append(content, checksum[:]...)
+}
+
+// decodeVersion gives the data in a version's file, or false where the content is
+// damaged or is another version's.
+func decodeVersion(content []byte, kind string, sequence uint64) ([]byte, bool) {
+	if len(content) < minFileSize || !bytes.HasPrefix(content, magic) {
+		return nil, false
+	}
+	body, checksum := content[:len(content)-sha256.Size], content[len(content)-sha256.Size:]
+	expected := sha256.Sum256(body)
+	if !bytes.Equal(checksum, expected[:]) {
+		return nil, false
+	}
+	rest := body[len(magic):]
+	kindLength := int(binary.BigEndian.Uint16(rest))
+	rest = rest[kindLengthSize:]
+	if len(rest) < kindLength+sequenceSize+dataLengthSize || string(rest[:kindLength]) != kind {
+		return nil, false
+	}
+	rest = rest[kindLength:]
+	if binary.BigEndian.Uint64(rest) != sequence {
+		return nil, false
+	}
+	rest = rest[sequenceSize:]
+	dataLength := int(binary.BigEndian.Uint32(rest))
+	data := rest[dataLengthSize:]
+	return data, dataLength == len(data)
+}
--- a/internal/state/versionfile/versionfile_test.go
+++ b/internal/state/versionfile/store_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestVersions(t *testing.T) {
-	Convey("Given a data folder", t, func() {
+	Convey("Given a data directory", t, func() {
 		path := t.TempDir()
 		directory, err := OpenDirectory(path)
 		So(err, ShouldBeNil)
@@ -20,10 +20,10 @@
 			for sequence := uint64(1); sequence <= 9; sequence++ {
 				So(store.Put("table", sequence, []byte{byte(sequence)}), ShouldBeNil)
 			}
-			sequence, data, skipped, err := store.Latest("table")
+			latest, skipped, err := store.Latest("table")
 			So(err, ShouldBeNil)
-			So(sequence, ShouldEqual, 9)
-			So(data, ShouldResemble, []byte{9})
+			So(latest.Sequence, ShouldEqual, 9)
+			So(latest.Data, ShouldResemble, []byte{9})
 			So(skipped, ShouldEqual, 0)
 			names, _ := directory.Names()
 			So(len(names), ShouldEqual, 3)
@@ -37,20 +37,20 @@
 			for sequence, data := range bad {
 				So(os.WriteFile(filepath.Join(path, fileName("table", sequence)), data, 0o600), ShouldBeNil)
 			}
-			sequence, data, skipped, err := store.Latest("table")
+			latest, skipped, err := store.Latest("table")
 			So(err, ShouldBeNil)
-			So(sequence, ShouldEqual, 1)
-			So(string(data), ShouldEqual, "good")
+			So(latest.Sequence, ShouldEqual, 1)
+			So(string(latest.Data), ShouldEqual, "good")
 			So(skipped, ShouldEqual, len(bad))
 			So(store.RemoveCorrupt("table"), ShouldBeNil)
-			_, _, skipped, _ = store.Latest("table")
+			_, skipped, _ = store.Latest("table")
 			So(skipped, ShouldEqual, 0)
 		})
-		Convey("A file left half written aside is cleared, and is no version", func() {
+		Convey("A temporary file left half written is cleared, and is no version", func() {
 			So(os.WriteFile(filepath.Join(path, fileName("table", 7)+".aside"), []byte("half"), 0o600), ShouldBeNil)
 			_, err := OpenDirectory(path)
 			So(err, ShouldBeNil)
-			_, _, _, err = store.Latest("table")
+			_, _, err = store.Latest("table")
 			So(errors.Is(err, ErrNotFound), ShouldBeTrue)
 			names, _ := directory.Names()
 			So(names, ShouldBeEmpty)
