--- a/internal/app/control/operations.go
+++ b/internal/app/control/operations.go
@@ -32,26 +32,30 @@
 		s.node.HandleCall(path, func(_ *fastjson.Value, raw []byte, _ *http.Request) (int, any) { return s.node.ForwardCall(path, raw) })
 	}
 	s.node.HandleCall("/v1/fleet", func(*fastjson.Value, []byte, *http.Request) (int, any) { return http.StatusOK, s.stateReport("fleet") })
-	s.node.HandleCall("/v1/vitals", func(*fastjson.Value, []byte, *http.Request) (int, any) {
-		ready, why := s.ready()
-		s.mutex.Lock()
-		defer s.mutex.Unlock()
-		return http.StatusOK, map[string]any{
-			"node": s.node.Config().Name, "is_ready": ready, "why": why, "epoch": s.distributor.Record().Epoch,
-			"primary": s.distributor.Record().Primary, "backup": s.distributor.Record().Backup, "sequence": s.appliedStamp.Sequence,
-		}
-	})
-	s.node.HandleCall("/v1/ready", func(*fastjson.Value, []byte, *http.Request) (int, any) {
-		ready, why := s.ready()
-		status := http.StatusOK
-		if !ready {
-			status = http.StatusServiceUnavailable
-		}
-		return status, map[string]any{"ready": ready, "why": why}
-	})
+	s.node.HandleCall("/v1/vitals", func(*fastjson.Value, []byte, *http.Request) (int, any) { return s.health() })
+	s.node.HandleCall("/v1/ready", func(*fastjson.Value, []byte, *http.Request) (int, any) { return s.ready() })
+}
+
+func (s *Server) health() (int, any) {
+	ready, why := s.readiness()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return http.StatusOK, map[string]any{
+		"node": s.node.Config().Name, "is_ready": ready, "why": why, "epoch": s.distributor.Record().Epoch,
+		"primary": s.distributor.Record().Primary, "backup": s.distributor.Record().Backup, "sequence": s.appliedStamp.Sequence,
+	}
+}
+
+func (s *Server) ready() (int, any) {
+	ready, why := s.readiness()
+	status := http.StatusOK
+	if !ready {
+		status = http.StatusServiceUnavailable
+	}
+	return status, map[string]any{"ready": ready, "why": why}
 }
 
-func (s *Server) ready() (bool, string) {
+func (s *Server) readiness() (bool, string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.voters) == 0 && s.distributor.Record().Primary == "" {
--- /dev/null
+++ b/test/golden/golden.go
@@ -0,0 +1,41 @@
+// Package golden compares output with files that were recorded from an earlier
+// build, byte by byte. Run a package's tests with -update to record the files
+// anew; do so only where a change of the output is intended.
+package golden
+
+import (
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "record the golden files anew")
+
+// Check fails the test unless output equals testdata/name, byte by byte.
+func Check(t *testing.T, name string, output []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		record(t, path, output)
+		return
+	}
+	recorded, err := os.ReadFile(path)
+	if err != nil {
+		t.Errorf("no golden file: %v", err)
+		return
+	}
+	if string(recorded) != string(output) {
+		t.Errorf("%s differs\nrecorded: %s\n     now: %s", path, recorded, output)
+	}
+}
+
+func record(t *testing.T, path string, output []byte) {
+	t.Helper()
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, output, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
