--- a/internal/app/admin/api.go
+++ b/internal/app/admin/api.go
@@ -1,5 +1,7 @@
-// Package admin answers the calls by which the two kinds of data plane show
-// what they know: readiness, sets, vitals and the node's part of the fleet.
+// Package admin answers the calls by which operators, orchestrators and the
+// command-line client read what a node knows: its readiness and health, the
+// binding sets, and its view of the cluster. API serves those calls on a data
+// plane; the forms of the answers are shared with the control plane.
 package admin
 
 import (
@@ -10,64 +12,120 @@
 
 	"github.com/valyala/fastjson"
 
-	"tansyseam/internal/app/control"
 	"tansyseam/internal/app/node"
 	"tansyseam/internal/coordination/routing"
 	"tansyseam/internal/protocol/message"
 	"tansyseam/internal/state/model"
 )
 
-// Machine is what both kinds of data plane have.
+// Paths of the calls that every node answers, fixed by the schema.
+const (
+	PathReady           = "/v1/ready"
+	PathHealth          = "/v1/vitals"
+	PathFleet           = "/v1/fleet"
+	PathPutBindings     = "/v1/bindings/put"
+	PathListBindings    = "/v1/bindings/list"
+	PathScheduleChange  = "/v1/changes/book"
+	PathListChanges     = "/v1/changes/list"
+	PathReplaceManifest = "/v1/manifest/replace"
+	PathFetchManifest   = "/v1/manifest/fetch"
+)
+
+// QueryFleet is the one query that operators' calls make; it is repeated in
+// the answer.
+const QueryFleet = "fleet"
+
+// Proxy is what both kinds of data plane offer for their answers.
 type Proxy interface {
 	Routing() *routing.Machine
+	// EffectiveSet gives the binding set in force.
 	EffectiveSet(now time.Duration) model.BindingSet
+	// Ready says whether requests are served, and why not.
 	Ready(now time.Duration) (ready bool, why string)
 }
 
-// Plane is a data plane that is shown. The functions are called under Lock.
+// API serves the calls of a data plane. Its functions are called with Locker
+// held; now is the time since the node's start.
 type API struct {
 	Node   *node.Node
 	Locker sync.Locker
 	Proxy  Proxy
-	// Sessions counts the sessions, Queues gives the depths of the lines.
+	// SessionCount gives the number of open sessions.
 	SessionCount func() int
-	QueueDepths  func(now time.Duration) map[string]int
-	// Show gives the instances and lines as operators see them.
-	Describe func(now time.Duration) (instances, lines any)
+	// QueueDepths gives the number of waiting requests by queue.
+	QueueDepths func(now time.Duration) map[string]int
+	// Describe gives two lists that are written as JSON: the instances, and
+	// the queues of each database. Their elements differ with the kind of
+	// data plane.
+	Describe func(now time.Duration) (instances, queues any)
 }
 
-// Register answers the calls at the node's door and the shell's queries.
+// Health is a data plane's answer to a health check.
+type Health struct {
+	Epoch uint64 `json:"epoch"`
+	Ready bool   `json:"is_ready"`
+	// LeaseMillis is how long the node may still serve, in ms.
+	LeaseMillis int64          `json:"lease_ms"`
+	Node        string         `json:"node"`
+	Queues      map[string]int `json:"queues"`
+	Sequence    uint64         `json:"sequence"`
+	Sessions    int            `json:"sessions"`
+	Reason      string         `json:"why"`
+}
+
+// Report is a data plane's view of itself and of the cluster.
+type Report struct {
+	Instances   any          `json:"instances"`
+	Ready       bool         `json:"is_ready"`
+	Kind        string       `json:"kind"`
+	LeaseMillis int64        `json:"lease_ms"`
+	Queues      any          `json:"lines"`
+	Node        string       `json:"node"`
+	Nodes       []NodeStatus `json:"nodes"`
+	Sessions    int          `json:"sessions"`
+	BindingSets BindingSets  `json:"sets"`
+	Version     Version      `json:"stamp"`
+	Weight      float64      `json:"weight"`
+	Query       string       `json:"what"`
+	Reason      string       `json:"why"`
+	Writers     []WriterRole `json:"writers"`
+}
+
+// Register serves the calls at the node's HTTP address, and the queries that
+// other nodes send.
 func (a *API) Register() {
-	for _, path := range []string{"/v1/bindings/put", "/v1/changes/book", "/v1/changes/list"} {
+	for _, path := range []string{PathPutBindings, PathScheduleChange, PathListChanges} {
 		a.Node.HandleCall(path, func(_ *fastjson.Value, raw []byte, _ *http.Request) (int, any) { return a.Node.ForwardCall(path, raw) })
 	}
-	calls := map[string]func() (int, any){
-		"/v1/bindings/list": a.listBindings, "/v1/vitals": a.health, "/v1/ready": a.ready,
-		"/v1/fleet": func() (int, any) { return http.StatusOK, a.stateReport("fleet") },
-	}
-	for path, act := range calls {
-		a.Node.HandleCall(path, func(*fastjson.Value, []byte, *http.Request) (int, any) { return act() })
-	}
+	a.handle(PathListBindings, a.listBindings)
+	a.handle(PathHealth, a.health)
+	a.handle(PathReady, a.ready)
+	a.handle(PathFleet, a.fleet)
 	node.HandleMessage(a.Node, func(_ string, query message.QueryRequest, answer func(any)) {
-		answer(message.QueryResponse{Body: a.stateReport(query.What)})
+		answer(message.QueryResponse{Body: a.report(query.What)})
 	})
 }
 
+// handle serves a call that takes no arguments.
+func (a *API) handle(path string, call func() (status int, answer any)) {
+	a.Node.HandleCall(path, func(*fastjson.Value, []byte, *http.Request) (int, any) { return call() })
+}
+
 func (a *API) listBindings() (int, any) {
 	a.Locker.Lock()
 	defer a.Locker.Unlock()
-	return http.StatusOK, control.BindingSets(a.Node.Config().Name, a.Proxy.Routing().Snapshot(), a.Proxy.EffectiveSet(a.Node.Now()))
+	return http.StatusOK, a.bindingSets(a.Node.Now())
+}
+
+func (a *API) bindingSets(now time.Duration) BindingSets {
+	return NewBindingSets(a.Node.Config().Name, a.Proxy.Routing().Snapshot(), a.Proxy.EffectiveSet(now))
 }
 
 func (a *API) ready() (int, any) {
 	a.Locker.Lock()
 	ready, why := a.Proxy.Ready(a.Node.Now())
 	a.Locker.Unlock()
-	status := http.StatusOK
-	if !ready {
-		status = http.StatusServiceUnavailable
-	}
-	return status, map[string]any{"ready": ready, "why": why}
+	return NewReadiness(ready, why)
 }
 
 func (a *API) health() (int, any) {
@@ -75,25 +133,34 @@
 	defer a.Locker.Unlock()
 	now, router := a.Node.Now(), a.Proxy.Routing()
 	ready, why := a.Proxy.Ready(now)
-	return http.StatusOK, map[string]any{
-		"node": a.Node.Config().Name, "is_ready": ready, "why": why, "lease_ms": router.LeaseRemaining(now).Milliseconds(),
-		"epoch": router.Epoch(), "sequence": a.Proxy.EffectiveSet(now).Sequence, "sessions": a.SessionCount(), "queues": a.QueueDepths(now),
+	return http.StatusOK, Health{
+		Epoch: router.Epoch(), Ready: ready, LeaseMillis: router.LeaseRemaining(now).Milliseconds(), Node: a.Node.Config().Name,
+		Queues: a.QueueDepths(now), Sequence: a.Proxy.EffectiveSet(now).Sequence, Sessions: a.SessionCount(), Reason: why,
 	}
 }
 
-func (a *API) stateReport(what string) []byte {
+func (a *API) fleet() (int, any) { return http.StatusOK, a.report(QueryFleet) }
+
+// report gives the answer to a query, as JSON.
+func (a *API) report(query string) []byte {
+	report := a.localReport(query)
+	report.Nodes = NewNodeStatuses(a.Node)
+	// A report holds nothing that JSON cannot write.
+	data, _ := json.Marshal(report)
+	return data
+}
+
+// localReport gives the report without the nodes, which the node guards by a
+// lock of its own.
+func (a *API) localReport(query string) Report {
 	a.Locker.Lock()
+	defer a.Locker.Unlock()
 	now, router, cfg := a.Node.Now(), a.Proxy.Routing(), a.Node.Config()
-	instances, lines := a.Describe(now)
+	instances, queues := a.Describe(now)
 	ready, why := a.Proxy.Ready(now)
-	body := map[string]any{
-		"node": cfg.Name, "kind": model.KindProxy, "what": what, "instances": instances, "lines": lines,
-		"writers": control.Writers(router.Snapshot()), "is_ready": ready, "why": why, "lease_ms": router.LeaseRemaining(now).Milliseconds(),
-		"stamp": map[string]any{"epoch": router.Version().Epoch, "sequence": router.Version().Sequence},
-		"sets":  control.BindingSets(cfg.Name, router.Snapshot(), a.Proxy.EffectiveSet(now)), "sessions": a.SessionCount(), "weight": cfg.Weight,
+	return Report{
+		Instances: instances, Ready: ready, Kind: model.KindProxy, LeaseMillis: router.LeaseRemaining(now).Milliseconds(),
+		Queues: queues, Node: cfg.Name, Sessions: a.SessionCount(), BindingSets: a.bindingSets(now), Version: NewVersion(router.Version()),
+		Weight: cfg.Weight, Query: query, Reason: why, Writers: NewWriterRoles(router.Snapshot()),
 	}
-	a.Locker.Unlock()
-	body["nodes"] = control.NodeViews(a.Node)
-	data, _ := json.Marshal(body)
-	return data
 }
--- a/internal/app/admin/api_test.go
+++ b/internal/app/admin/api_test.go
@@ -67,7 +67,7 @@
 				status, answer := endpoint()
 				checkGolden(t, fmt.Sprintf("%s-%s-%d", kind, name, status), answer)
 			}
-			checkGolden(t, kind+"-fleet", api.stateReport("fleet"))
+			checkGolden(t, kind+"-fleet", api.report(QueryFleet))
 			api.QueueDepths = func(time.Duration) map[string]int { return nil }
 			_, answer := api.health()
 			checkGolden(t, kind+"-vitals-no-queues", answer)
@@ -75,6 +75,29 @@
 	})
 }
 
+func TestGoldenSnapshot(t *testing.T) {
+	Convey("Binding sets and writer roles are written with the bytes that were recorded", t, func() {
+		binding := model.Binding{Name: "b", Database: "db", Freshness: 1500 * time.Millisecond, Priority: 2, MaxAttempts: 3}
+		snapshot := model.Snapshot{
+			Sets: []model.BindingSet{{Sequence: 4, Bindings: []model.Binding{binding}, EffectiveAt: 9_000_000, Version: 3}, {Sequence: 5}},
+			Writers: map[string]model.WriterRole{
+				"db": {
+					Database: "db", Term: 3, Primary: "i-1", PrimaryIncarnation: "x", Phase: model.PhasePromoting,
+					RequiredReplicas: map[string]string{"i-2": "y"}, Candidates: map[string]string{"i-2": "y", "i-3": "z"},
+					Excluded: map[string]int64{"i-4": 5}, Promoting: "i-2", HighWatermark: model.Position{Term: 3, Index: 8},
+					TermStart: model.Position{Term: 2, Index: 7}, PreviousTerm: 2, Reason: "waits", LastTransitionAt: 11, PromoteCalls: 6,
+					SyncReplication: true, MinPosition: model.Position{Term: 3, Index: 9}, Promoter: "c1", FencingToken: 12,
+				},
+				"bare": {Database: "bare"},
+			},
+		}
+		checkGolden(t, "sets", NewBindingSets("c1", snapshot, snapshot.Sets[0]))
+		checkGolden(t, "sets-none", NewBindingSets("c1", model.Snapshot{}, model.BindingSet{}))
+		checkGolden(t, "writers", NewWriterRoles(snapshot))
+		checkGolden(t, "writers-none", NewWriterRoles(model.Snapshot{}))
+	})
+}
+
 func TestAPI(t *testing.T) {
 	apis := newAPIs(t)
 	Convey("Both kinds of data plane show the same, and one without a lease is unready and says why", t, func() {
@@ -84,15 +107,13 @@
 			api.Register()
 			status, answer := api.ready()
 			So(status, ShouldEqual, http.StatusServiceUnavailable)
-			So(answer, ShouldResemble, map[string]any{"ready": false, "why": "no lease from the control primary"})
+			So(answer, ShouldResemble, Readiness{Reason: "no lease from the control primary"})
 			status, answer = api.health()
 			So(status, ShouldEqual, http.StatusOK)
-			health := answer.(map[string]any)
-			So(health["queues"], ShouldResemble, map[string]int{"line": 3})
-			So(slices.Sorted(maps.Keys(health)), ShouldResemble, []string{"epoch", "is_ready", "lease_ms", "node", "queues", "sequence", "sessions", "why"})
+			So(answer, ShouldResemble, Health{Node: "d1", Queues: map[string]int{"line": 3}, Reason: "no lease from the control primary"})
 			status, _ = api.listBindings()
 			So(status, ShouldEqual, http.StatusOK)
-			report := fastjson.MustParseBytes(api.stateReport("fleet"))
+			report := fastjson.MustParseBytes(api.report(QueryFleet))
 			So(string(report.GetStringBytes("what")), ShouldEqual, "fleet")
 			So(report.GetFloat64("weight"), ShouldEqual, 2.5)
 			for _, name := range []string{"instances", "lines", "nodes", "sets", "stamp", "writers"} {
--- a/internal/app/control/golden_test.go
+++ b/internal/app/control/golden_test.go
@@ -11,6 +11,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
+	"tansyseam/internal/app/admin"
 	"tansyseam/internal/coordination/distribution"
 	"tansyseam/internal/protocol/message"
 	"tansyseam/internal/state/model"
@@ -81,7 +82,7 @@
 func TestGoldenAnswers(t *testing.T) {
 	Convey("Every answer of the control plane has the bytes that were recorded", t, func() {
 		b := newHarness(t, t.TempDir())
-		checkGolden(t, "fleet-unformed", b.stateReport("fleet"))
+		checkGolden(t, "fleet-unformed", b.report(admin.QueryFleet))
 		b.checkEndpoint(t, "ready", b.ready)
 		b.checkEndpoint(t, "vitals-unready", b.health)
 		b.checkCall(t, "bindings-list-empty", "/v1/bindings/list", "")
@@ -107,7 +108,7 @@
 		b.checkCall(t, "changes-book-other-call", "/v1/changes/book", fmt.Sprintf(`{"id":"one","at_ms":%d,%s}`, at, set))
 		b.checkCall(t, "changes-list", "/v1/changes/list", "")
 		b.checkCall(t, "manifest-replace", "/v1/manifest/replace", manifestOf(7, 1000))
-		b.checkCall(t, "manifest-replace-conflict", "/v1/manifest/replace", strings.ReplaceAll(manifestOf(7, 1000), rawManifest(7), rawManifest(70)))
+		b.checkCall(t, "manifest-replace-conflict", "/v1/manifest/replace", strings.ReplaceAll(manifestOf(7, 1000), rawManifestBody(7), rawManifestBody(70)))
 		b.checkCall(t, "manifest-replace-broken", "/v1/manifest/replace", manifestOf(8, 0))
 		b.checkCall(t, "manifest-fetch", "/v1/manifest/fetch", "")
 		b.checkCall(t, "bindings-list", "/v1/bindings/list", "")
@@ -118,7 +119,7 @@
 		b.singletons.SetDatabases([]string{"db"}, nil)
 		b.singletons.Campaign(b.situation(), b.node.Now())
 		b.mutex.Unlock()
-		checkGolden(t, "fleet", b.stateReport("fleet"))
+		checkGolden(t, "fleet", b.report(admin.QueryFleet))
 	})
 }
 
@@ -127,7 +128,7 @@
 		b := newHarness(t, t.TempDir())
 		b.runPending()
 		So(b.grantLease("d1"), ShouldBeTrue)
-		checkGolden(t, "fleet-leases", b.stateReport("fleet"))
+		checkGolden(t, "fleet-leases", b.report(admin.QueryFleet))
 	})
 }
 
@@ -141,26 +142,3 @@
 		checkGolden(t, "manifest-fetch-without-raw", result.Body)
 	})
 }
-
-func TestGoldenSnapshot(t *testing.T) {
-	Convey("Binding sets and writer roles are written with the bytes that were recorded", t, func() {
-		binding := model.Binding{Name: "b", Database: "db", Freshness: 1500 * time.Millisecond, Priority: 2, MaxAttempts: 3}
-		snapshot := model.Snapshot{
-			Sets: []model.BindingSet{{Sequence: 4, Bindings: []model.Binding{binding}, EffectiveAt: 9_000_000, Version: 3}, {Sequence: 5}},
-			Writers: map[string]model.WriterRole{
-				"db": {
-					Database: "db", Term: 3, Primary: "i-1", PrimaryIncarnation: "x", Phase: model.PhasePromoting,
-					RequiredReplicas: map[string]string{"i-2": "y"}, Candidates: map[string]string{"i-2": "y", "i-3": "z"},
-					Excluded: map[string]int64{"i-4": 5}, Promoting: "i-2", HighWatermark: model.Position{Term: 3, Index: 8},
-					TermStart: model.Position{Term: 2, Index: 7}, PreviousTerm: 2, Reason: "waits", LastTransitionAt: 11, PromoteCalls: 6,
-					SyncReplication: true, MinPosition: model.Position{Term: 3, Index: 9}, Promoter: "c1", FencingToken: 12,
-				},
-				"bare": {Database: "bare"},
-			},
-		}
-		checkGolden(t, "sets", BindingSets("c1", snapshot, snapshot.Sets[0]))
-		checkGolden(t, "sets-none", BindingSets("c1", model.Snapshot{}, model.BindingSet{}))
-		checkGolden(t, "writers", Writers(snapshot))
-		checkGolden(t, "writers-none", Writers(model.Snapshot{}))
-	})
-}
--- a/internal/app/control/manifests.go
+++ b/internal/app/control/manifests.go
@@ -71,7 +71,7 @@
 			s.node.Counters.Add("manifests_taken", 1)
 			s.logger.Info("manifest taken", "version", set.Version, "bindings", len(set.Bindings), "databases", len(set.Databases))
 		}
-		answer(operateReply(http.StatusOK, map[string]any{"version": set.Version}))
+		answer(operateReply(http.StatusOK, manifestVersion{Version: set.Version}))
 	})
 }
 
@@ -85,7 +85,7 @@
 		return
 	}
 	if len(packed) == 0 {
-		answer(operateReply(http.StatusOK, bindings.EncodeManifest(set)))
+		answer(operateReply(http.StatusOK, bindings.NewManifest(set)))
 		return
 	}
 	raw, err := decompress(packed)
@@ -93,5 +93,5 @@
 		answer(operateReply(http.StatusInternalServerError, node.NewErrorResponse("the manifest's bytes cannot be read")))
 		return
 	}
-	answer(operateReply(http.StatusOK, map[string]any{"version": set.Version, "raw": base64.StdEncoding.EncodeToString(raw)}))
+	answer(operateReply(http.StatusOK, rawManifest{Raw: base64.StdEncoding.EncodeToString(raw), Version: set.Version}))
 }
--- a/internal/app/control/operations.go
+++ b/internal/app/control/operations.go
@@ -1,7 +1,6 @@
 package control
 
 import (
-	"encoding/json"
 	"fmt"
 	"net"
 	"net/http"
@@ -11,10 +10,10 @@
 
 	"github.com/valyala/fastjson"
 
+	"tansyseam/internal/app/admin"
 	"tansyseam/internal/app/node"
 	"tansyseam/internal/coordination/consensus"
 	"tansyseam/internal/coordination/distribution"
-	"tansyseam/internal/coordination/membership"
 	"tansyseam/internal/protocol/bindings"
 	"tansyseam/internal/protocol/message"
 	"tansyseam/internal/state/model"
@@ -31,7 +30,9 @@
 	for _, path := range passes {
 		s.node.HandleCall(path, func(_ *fastjson.Value, raw []byte, _ *http.Request) (int, any) { return s.node.ForwardCall(path, raw) })
 	}
-	s.node.HandleCall("/v1/fleet", func(*fastjson.Value, []byte, *http.Request) (int, any) { return http.StatusOK, s.stateReport("fleet") })
+	s.node.HandleCall("/v1/fleet", func(*fastjson.Value, []byte, *http.Request) (int, any) {
+		return http.StatusOK, s.report(admin.QueryFleet)
+	})
 	s.node.HandleCall("/v1/vitals", func(*fastjson.Value, []byte, *http.Request) (int, any) { return s.health() })
 	s.node.HandleCall("/v1/ready", func(*fastjson.Value, []byte, *http.Request) (int, any) { return s.ready() })
 }
@@ -40,20 +41,14 @@
 	ready, why := s.readiness()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return http.StatusOK, map[string]any{
-		"node": s.node.Config().Name, "is_ready": ready, "why": why, "epoch": s.distributor.Record().Epoch,
-		"primary": s.distributor.Record().Primary, "backup": s.distributor.Record().Backup, "sequence": s.appliedStamp.Sequence,
+	record := s.distributor.Record()
+	return http.StatusOK, healthAnswer{
+		Backup: record.Backup, Epoch: record.Epoch, Ready: ready, Node: s.node.Config().Name, Primary: record.Primary,
+		Sequence: s.appliedStamp.Sequence, Reason: why,
 	}
 }
 
-func (s *Server) ready() (int, any) {
-	ready, why := s.readiness()
-	status := http.StatusOK
-	if !ready {
-		status = http.StatusServiceUnavailable
-	}
-	return status, map[string]any{"ready": ready, "why": why}
-}
+func (s *Server) ready() (int, any) { return admin.NewReadiness(s.readiness()) }
 
 func (s *Server) readiness() (bool, string) {
 	s.mutex.Lock()
@@ -94,8 +89,7 @@
 }
 
 func operateReply(status int, body any) message.OperatorCallResult {
-	data, _ := json.Marshal(body)
-	return message.OperatorCallResult{Status: status, Body: data}
+	return message.OperatorCallResult{Status: status, Body: encode(body)}
 }
 
 type mutation func(stateTable *store.Table, wallTime int64) (status int, body any, puts []store.Put)
@@ -160,7 +154,7 @@
 		if len(puts) == 0 {
 			return http.StatusConflict, conflictRefusal(fmt.Sprintf("sequence %d was expected, %d is current", expected, newest), newest), nil
 		}
-		return http.StatusOK, map[string]any{"sequence": newest + 1}, puts
+		return http.StatusOK, putBindingsAnswer{Sequence: newest + 1}, puts
 	}, answer)
 }
 
@@ -181,106 +175,28 @@
 			text := fmt.Sprintf("sequence %d, due at %d, is on its way already: book for that moment or later", way.Sequence, way.NotBefore/int64(time.Millisecond))
 			return http.StatusConflict, conflictRefusal(text, way.Sequence), nil
 		}
-		return http.StatusOK, map[string]any{"id": id, "at_ms": at / int64(time.Millisecond)}, puts
+		return http.StatusOK, scheduleChangeAnswer{EffectiveAtMillis: at / int64(time.Millisecond), ID: id}, puts
 	}, answer)
 }
 
-func bindingViews(bindingList []model.Binding) []map[string]any {
-	list := []map[string]any{}
-	for _, binding := range bindingList {
-		list = append(list, map[string]any{
-			"name": binding.Name, "database": binding.Database, "freshness_ms": binding.Freshness.Milliseconds(),
-		})
-	}
-	return list
-}
-
 func (s *Server) listChanges(_ *fastjson.Value, _ string, _ []byte, answer func(any)) {
 	s.mutex.Lock()
 	stateTable := s.distributor.State()
 	s.mutex.Unlock()
-	list := []map[string]any{}
+	changes := []scheduledChange{}
 	for _, key := range stateTable.Keys(model.PrefixScheduledChange) {
-		if booking, found := store.Get(stateTable, key, model.ScheduledChangeFrom); found {
-			list = append(list, map[string]any{
-				"id": booking.ID, "at_ms": booking.EffectiveAt / int64(time.Millisecond), "bindings": bindingViews(booking.Bindings),
+		if change, found := store.Get(stateTable, key, model.ScheduledChangeFrom); found {
+			changes = append(changes, scheduledChange{
+				EffectiveAtMillis: change.EffectiveAt / int64(time.Millisecond), Bindings: admin.NewBindings(change.Bindings), ID: change.ID,
 			})
 		}
 	}
-	answer(operateReply(http.StatusOK, map[string]any{"changes": list}))
+	answer(operateReply(http.StatusOK, listChangesAnswer{Changes: changes}))
 }
 
 func (s *Server) listBindings(_ *fastjson.Value, _ string, _ []byte, answer func(any)) {
 	s.mutex.Lock()
 	snapshot, wallTime := s.distributor.Snapshot(), s.wallNow()
 	s.mutex.Unlock()
-	answer(operateReply(http.StatusOK, BindingSets(s.node.Config().Name, snapshot, snapshot.ActiveSet(wallTime))))
-}
-
-// ListOf writes the binding sets that a node knows.
-func BindingSets(node string, snapshot model.Snapshot, current model.BindingSet) map[string]any {
-	taken := []map[string]any{}
-	for _, set := range snapshot.Sets {
-		taken = append(taken, map[string]any{
-			"sequence": set.Sequence, "bindings": bindingViews(set.Bindings), "moment_ms": set.EffectiveAt / int64(time.Millisecond),
-		})
-	}
-	return map[string]any{"node": node, "sequence": current.Sequence, "bindings": bindingViews(current.Bindings), "taken": taken}
-}
-
-// NodesOf writes what a node knows of the others.
-func NodeViews(node *node.Node) []map[string]any {
-	list := []map[string]any{}
-	for _, other := range node.Nodes("", membership.StatusLive, membership.StatusDead, membership.StatusLeft) {
-		standing, silence := node.Status(other.Name)
-		list = append(list, map[string]any{
-			"node": other.Name, "kind": other.Kind, "zone": other.Zone, "link": other.RPCAddress, "door": other.HTTPAddress,
-			"standing": standing, "silent_ms": silence.Milliseconds(), "weight": other.Weight, "version": other.Version,
-		})
-	}
-	return list
-}
-
-// WritersOf writes the writer roles.
-func Writers(snapshot model.Snapshot) []model.WriterRole {
-	list := []model.WriterRole{}
-	for _, writer := range snapshot.Writers {
-		list = append(list, writer)
-	}
-	slices.SortFunc(list, func(a, b model.WriterRole) int { return strings.Compare(a.Database, b.Database) })
-	return list
-}
-
-func (s *Server) stateReport(what string) []byte {
-	now := s.node.Now()
-	instances := []map[string]any{}
-	for _, observed := range s.node.Instances(5 * time.Minute) {
-		instances = append(instances, map[string]any{
-			"instance": observed.Instance, "heard_ms": (now - observed.AnnouncedAt).Milliseconds(),
-		})
-	}
-	s.mutex.Lock()
-	entries := []model.AuditEntry{}
-	state, snapshot, record := s.distributor.State(), s.distributor.Snapshot(), s.distributor.Record()
-	for _, key := range state.Keys(model.PrefixAuditEntry) {
-		if entry, found := store.Get(state, key, model.AuditEntryFrom); found {
-			entries = append(entries, entry)
-		}
-	}
-	stateTable := []map[string]any{}
-	for name, stamp := range s.distributor.LeasedNodes(now) {
-		stateTable = append(stateTable, map[string]any{"node": name, "epoch": stamp.Epoch, "sequence": stamp.Sequence, "shows": s.distributor.ActiveSequence(name)})
-	}
-	body := map[string]any{
-		"node": s.node.Config().Name, "kind": model.KindControl, "what": what,
-		"instances": instances, "writers": Writers(snapshot),
-		"epoch":   map[string]any{"epoch": record.Epoch, "primary": record.Primary, "backup": record.Backup},
-		"primacy": now < s.primaryUntil, "stamp": map[string]any{"epoch": s.appliedStamp.Epoch, "sequence": s.appliedStamp.Sequence},
-		"leases": stateTable, "duties": s.singletons.Roles(now), "entries": entries, "voters": s.voters,
-		"sets": BindingSets(s.node.Config().Name, snapshot, snapshot.ActiveSet(s.wallNow())),
-	}
-	s.mutex.Unlock()
-	body["nodes"] = NodeViews(s.node)
-	data, _ := json.Marshal(body)
-	return data
+	answer(operateReply(http.StatusOK, admin.NewBindingSets(s.node.Config().Name, snapshot, snapshot.ActiveSet(wallTime))))
 }
--- a/internal/app/control/server.go
+++ b/internal/app/control/server.go
@@ -159,7 +159,7 @@
 	})
 	node.HandleMessage(s.node, func(_ string, call message.OperatorCall, answer func(any)) { s.onOperate(call, answer) })
 	node.HandleMessage(s.node, func(_ string, query message.QueryRequest, answer func(any)) {
-		answer(message.QueryResponse{Body: s.stateReport(query.What)})
+		answer(message.QueryResponse{Body: s.report(query.What)})
 	})
 }
 
--- a/internal/app/control/server_test.go
+++ b/internal/app/control/server_test.go
@@ -96,12 +96,12 @@
 	return model.Instance{Name: name, Database: "db", Address: "10.0.0.1:80", Zone: "z", Role: role, SyncReplication: true, AnnouncementNumber: calls, Slots: 5}
 }
 
-func rawManifest(version int) string {
+func rawManifestBody(version int) string {
 	return base64.StdEncoding.EncodeToString([]byte(fmt.Sprintf("as sent %d", version)))
 }
 
 func manifestOf(version int, timeout int) string {
-	raw := rawManifest(version)
+	raw := rawManifestBody(version)
 	return fmt.Sprintf(`{"version":%d,"bindings":[{"name":"b","database":"db","timeout_ms":%d}],"databases":[{"name":"db","connections":80,"synced":1}],"raw":%q}`, version, timeout, raw)
 }
 
@@ -124,7 +124,7 @@
 			So(status, ShouldEqual, http.StatusOK)
 			status, _ = b.operate("/v1/manifest/replace", manifestOf(6, 2000))
 			So(status, ShouldEqual, http.StatusOK)
-			status, _ = b.operate("/v1/manifest/replace", strings.ReplaceAll(manifestOf(7, 1000), rawManifest(7), rawManifest(70)))
+			status, _ = b.operate("/v1/manifest/replace", strings.ReplaceAll(manifestOf(7, 1000), rawManifestBody(7), rawManifestBody(70)))
 			So(status, ShouldEqual, http.StatusConflict)
 		}
 		status, _ = b.operate("/v1/manifest/replace", `{"version":`)
--- a/internal/protocol/bindings/bindings.go
+++ b/internal/protocol/bindings/bindings.go
@@ -1,5 +1,9 @@
-// Package bindings reads and checks operators' binding sets as fastjson
-// values.
+// Package bindings reads and checks what operators send to change the bindings
+// of the cluster: binding sets in the product's own form or as routes of the
+// Kubernetes Gateway API, changes scheduled for later, and manifests. The shape
+// of a body was checked against the schema before; the checks here need to know
+// the databases, the clock, or several fields at once. Each reader gives all
+// violations at once, so that operators can mend them in one go.
 package bindings
 
 import (
@@ -12,52 +16,65 @@
 	"tansyseam/internal/state/model"
 )
 
-// Longest is the furthest ahead that a change may be booked.
+// MaxScheduleAhead is the furthest ahead that a change may be scheduled.
 const MaxScheduleAhead = 366 * 24 * time.Hour
 
-// Bindings reads a set whose shape was checked, in either form, and gives
-// every reason why it cannot be taken.
+// MinFreshness is the least staleness of a replica that can be promised; a
+// freshness of 0 means reads from the primary only.
+const MinFreshness = 50 * time.Millisecond
+
+// bindingPaths are the formats of the JSON paths at which a binding's fields
+// stand in a body; each takes the binding's index.
+type bindingPaths struct{ name, database, freshness string }
+
+var (
+	plainPaths = bindingPaths{"/bindings/%d/name", "/bindings/%d/database", "/bindings/%d/freshness_ms"}
+	routePaths = bindingPaths{
+		"/routes/%d/metadata/name", "/routes/%d/spec/rules/0/backendRefs/0/name",
+		"/routes/%d/metadata/annotations/" + FreshnessAnnotation,
+	}
+)
+
+// Parse reads a binding set in either form, and gives every violation that
+// keeps it from being accepted. The function knows tells whether a database
+// exists.
 func Parse(value *fastjson.Value, knows func(database string) bool) ([]model.Binding, []schema.Violation) {
 	if value.Exists("routes") {
 		bindings, violations := ParseRoutes(value)
-		return bindings, append(violations, validate(bindings, knows, "/routes/%d/metadata/name", "/routes/%d/spec/rules/0/backendRefs/0/name", "/routes/%d/metadata/annotations/"+FreshnessAnnotation)...)
+		return bindings, append(violations, validate(bindings, knows, routePaths)...)
 	}
 	var bindings []model.Binding
 	for _, item := range value.GetArray("bindings") {
 		bindings = append(bindings, model.Binding{
-			Name:      string(item.GetStringBytes("name")),
-			Database:  string(item.GetStringBytes("database")),
-			Freshness: time.Duration(item.GetInt64("freshness_ms")) * time.Millisecond,
+			Name: text(item, "name"), Database: text(item, "database"), Freshness: milliseconds(item, "freshness_ms"),
 		})
 	}
-	return bindings, validate(bindings, knows, "/bindings/%d/name", "/bindings/%d/database", "/bindings/%d/freshness_ms")
+	return bindings, validate(bindings, knows, plainPaths)
 }
 
-func validate(bindings []model.Binding, knows func(string) bool, namePath, databasePath, freshnessPath string) []schema.Violation {
+func validate(bindings []model.Binding, knows func(string) bool, paths bindingPaths) []schema.Violation {
 	var violations []schema.Violation
-	seen := map[string]int{}
-	for at, binding := range bindings {
-		if first, duplicate := seen[binding.Name]; duplicate && binding.Name != "" {
-			violations = append(violations, schema.Violation{
-				Path: fmt.Sprintf(namePath, at), Reason: fmt.Sprintf("name %q stands already at %s", binding.Name, fmt.Sprintf(namePath, first)),
-			})
+	addViolation := func(path, format string, arguments ...any) {
+		violations = append(violations, schema.Violation{Path: path, Reason: fmt.Sprintf(format, arguments...)})
+	}
+	indexByName := map[string]int{}
+	for index, binding := range bindings {
+		if first, duplicate := indexByName[binding.Name]; duplicate && binding.Name != "" {
+			addViolation(fmt.Sprintf(paths.name, index), "name %q stands already at %s", binding.Name, fmt.Sprintf(paths.name, first))
 		}
-		seen[binding.Name] = at
+		indexByName[binding.Name] = index
 		if binding.Database != "" && !knows(binding.Database) {
-			violations = append(violations, schema.Violation{
-				Path: fmt.Sprintf(databasePath, at), Reason: fmt.Sprintf("unknown database %q", binding.Database),
-			})
+			addViolation(fmt.Sprintf(paths.database, index), "unknown database %q", binding.Database)
 		}
-		if binding.Freshness > 0 && binding.Freshness < 50*time.Millisecond {
-			violations = append(violations, schema.Violation{
-				Path: fmt.Sprintf(freshnessPath, at), Reason: "no replica can be held this fresh: 0 (strict), or 50 and more",
-			})
+		if binding.Freshness > 0 && binding.Freshness < MinFreshness {
+			addViolation(fmt.Sprintf(paths.freshness, index), "no replica can be held this fresh: 0 (strict), or 50 and more")
 		}
 	}
 	return violations
 }
 
-// Moment reads a booked moment and checks it against the clock.
+// ParseScheduledTime reads the wall time, in ns since 1970, for which a change
+// is scheduled, and checks it against the current wall time in ns.
 func ParseScheduledTime(value *fastjson.Value, wallTime int64) (int64, []schema.Violation) {
 	at := value.GetInt64("at_ms") * int64(time.Millisecond)
 	if at < wallTime {
@@ -68,16 +85,3 @@
 	}
 	return at, nil
 }
-
-// Put writes a set's bindings as JSON.
-func EncodeBindings(arena *fastjson.Arena, bindings []model.Binding) *fastjson.Value {
-	list := arena.NewArray()
-	for at, binding := range bindings {
-		item := arena.NewObject()
-		item.Set("name", arena.NewString(binding.Name))
-		item.Set("database", arena.NewString(binding.Database))
-		item.Set("freshness_ms", arena.NewNumberInt(int(binding.Freshness/time.Millisecond)))
-		list.SetArrayItem(at, item)
-	}
-	return list
-}
--- a/internal/protocol/bindings/golden_test.go
+++ b/internal/protocol/bindings/golden_test.go
@@ -13,7 +13,7 @@
 func TestGoldenManifest(t *testing.T) {
 	Convey("A manifest in the product's own form has the bytes that were recorded", t, func() {
 		write := func(set model.BindingSet) string {
-			data, err := json.Marshal(EncodeManifest(set))
+			data, err := json.Marshal(NewManifest(set))
 			So(err, ShouldBeNil)
 			return string(data)
 		}
--- a/internal/protocol/bindings/versioned_manifest_test.go
+++ b/internal/protocol/bindings/manifest_test.go
@@ -34,7 +34,7 @@
 			Databases: []model.Database{{Name: "db", MaxConnections: 80, MinSyncReplicas: 1}},
 			Limits:    model.Limits{MaxMessageBytes: 262144, IdleTimeout: 15 * time.Second, TransactionIdleTimeout: 3 * time.Second},
 		})
-		data, _ := json.Marshal(EncodeManifest(set))
+		data, _ := json.Marshal(NewManifest(set))
 		So(validator.ValidateAnswer("/v1/manifest/fetch", data, false), ShouldBeEmpty)
 		again, _, violations := ParseManifest(fastjson.MustParseBytes(data))
 		So(violations, ShouldBeEmpty)
