--- a/internal/coordination/pool/linepool/answers.go
+++ b/internal/coordination/pool/linepool/answers.go
@@ -13,37 +13,37 @@
 
 // Announced takes an instance as the control primary tells it.
 func (m *Machine) UpdateInstance(info model.Instance, now time.Duration) {
-	one := m.database(info.Database)
+	database := m.database(info.Database)
 	rank := m.instanceNames.Intern(info.Name)
 	for len(m.instances) <= rank {
 		database, _ := m.databaseNames.Lookup(info.Database)
-		m.instances = append(m.instances, &instance{window: newWindow(m.windowParameters), databaseID: database, lastResponse: -time.Hour})
+		m.instances = append(m.instances, &instanceState{window: newWindow(m.windowParameters), databaseID: database, lastResponse: -time.Hour})
 	}
-	held := m.instances[rank]
-	known := held.info
+	instance := m.instances[rank]
+	known := instance.info
 	if info.Connections <= 1 {
 		info.Connections = known.Connections
 	}
-	held.info = info
+	instance.info = info
 	if known.Name != "" && (known.Role != info.Role || (known.Leaving && !info.Leaving)) {
-		held.window.Reset()
+		instance.window.Reset()
 	}
 	if known.Address != info.Address || info.Stopped {
-		m.closeIdleConns(held, now)
+		m.closeIdleConns(instance, now)
 	}
 	if !info.Leaving && !info.Stopped {
-		held.drainingSince = 0
-	} else if held.drainingSince == 0 {
-		held.drainingSince = now
+		instance.drainingSince = 0
+	} else if instance.drainingSince == 0 {
+		instance.drainingSince = now
 		if known.Name == "" {
-			held.drainingSince = now - m.timing.DrainWindow + m.timing.LateDrainWindow
+			instance.drainingSince = now - m.timing.DrainWindow + m.timing.LateDrainWindow
 		}
-		if !m.isPrimary(held) {
-			m.closeIdleConns(held, now)
+		if !m.isPrimary(instance) {
+			m.closeIdleConns(instance, now)
 		}
 	}
-	m.retuneWindow(held)
-	m.dispatch(one, now)
+	m.retuneWindow(instance)
+	m.dispatch(database, now)
 }
 
 func newWindow(tuning flowcontrol.Parameters) *flowcontrol.Window {
@@ -51,16 +51,16 @@
 }
 
 func (m *Machine) updateCapacities(set model.BindingSet) {
-	for _, held := range m.instances {
-		told, isTold := set.Database(held.info.Database)
-		if !isTold || told.MaxConnections == held.info.Connections {
+	for _, instance := range m.instances {
+		told, isTold := set.Database(instance.info.Database)
+		if !isTold || told.MaxConnections == instance.info.Connections {
 			continue
 		}
-		changed := held.info.Connections <= 1
-		held.info.Connections = told.MaxConnections
-		m.retuneWindow(held)
+		changed := instance.info.Connections <= 1
+		instance.info.Connections = told.MaxConnections
+		m.retuneWindow(instance)
 		if changed {
-			held.window.Reset()
+			instance.window.Reset()
 		}
 	}
 }
@@ -70,8 +70,8 @@
 	m.effectiveSet(now)
 	ask := m.routing.DeltaUpdateRequest(m.observations(now), now)
 	ask.ListVersion, ask.Incarnation = m.listVersion, m.node.Incarnation
-	for _, one := range m.databases {
-		one.closeReported = one.writerClosedAt != 0
+	for _, database := range m.databases {
+		database.closeReported = database.writerClosedAt != 0
 	}
 	return ask
 }
@@ -84,23 +84,23 @@
 
 func (m *Machine) observations(now time.Duration) distribution.NodeReport {
 	told := distribution.NodeReport{Node: m.node.Name, HighWatermarks: map[string]model.Position{}}
-	for _, held := range m.instances {
-		one := m.databaseOf(held)
-		overdue := m.overdue(held, now)
-		writer := m.routing.WriterRole(one.name)
-		isNamed := writer.Primary == held.info.Name || writer.Promoting == held.info.Name
-		if !isNamed && held.refusals == 0 && overdue < 300*time.Millisecond {
+	for _, instance := range m.instances {
+		database := m.databaseOf(instance)
+		overdue := m.overdue(instance, now)
+		writer := m.routing.WriterRole(database.name)
+		isNamed := writer.Primary == instance.info.Name || writer.Promoting == instance.info.Name
+		if !isNamed && instance.refusals == 0 && overdue < 300*time.Millisecond {
 			continue
 		}
-		seen := held.info
-		seen.Position = held.position
+		seen := instance.info
+		seen.Position = instance.position
 		told.Reports = append(told.Reports, distribution.InstanceReport{
-			Instance: seen, ResponseAge: now - held.lastResponse, RefusedConnections: held.refusals, OldestStatementAge: overdue,
+			Instance: seen, ResponseAge: now - instance.lastResponse, RefusedConnections: instance.refusals, OldestStatementAge: overdue,
 		})
 	}
-	for _, one := range m.databases {
-		if one.highWatermark != (model.Position{}) {
-			told.HighWatermarks[one.name] = one.highWatermark
+	for _, database := range m.databases {
+		if database.highWatermark != (model.Position{}) {
+			told.HighWatermarks[database.name] = database.highWatermark
 		}
 	}
 	return told
@@ -108,9 +108,9 @@
 
 // overdue is the age of the oldest thing asked of an instance while nothing
 // was heard of it.
-func (m *Machine) overdue(held *instance, now time.Duration) time.Duration {
+func (m *Machine) overdue(instance *instanceState, now time.Duration) time.Duration {
 	oldest := now
-	for _, conn := range held.conns {
+	for _, conn := range instance.conns {
 		if conn.attempt != nil {
 			oldest = min(oldest, conn.attempt.sentAt)
 		}
@@ -121,13 +121,13 @@
 	if oldest == now {
 		return 0
 	}
-	return now - max(oldest, held.lastResponse)
+	return now - max(oldest, instance.lastResponse)
 }
 
 // watch tells the control primary at once when a primary turns doubtful.
 func (m *Machine) reportSuspects(now time.Duration) {
-	for _, one := range m.databases {
-		_, target, open := m.writer(one)
+	for _, database := range m.databases {
+		_, target, open := m.writer(database)
 		if !open {
 			continue
 		}
@@ -149,20 +149,20 @@
 // which may still be answered: the next ask, which tells that this node has
 // stopped there, waits for them a little.
 func (m *Machine) HasStrandedCommits(now time.Duration) bool {
-	for _, one := range m.databases {
-		head := m.instance(m.routing.WriterRole(one.name).Primary)
+	for _, database := range m.databases {
+		head := m.instance(m.routing.WriterRole(database.name).Primary)
 		isAlive := head != nil && now-head.lastResponse < 2*m.timing.ClosingGrace
-		if isAlive && one.writerClosedAt != 0 && now-one.writerClosedAt < m.timing.ClosingGrace && len(m.strandedCommits(one)) > 0 {
+		if isAlive && database.writerClosedAt != 0 && now-database.writerClosedAt < m.timing.ClosingGrace && len(m.strandedCommits(database)) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func (m *Machine) strandedCommits(one *database) []*Request {
-	writer, _, open := m.writer(one)
+func (m *Machine) strandedCommits(database *databaseState) []*Request {
+	writer, _, open := m.writer(database)
 	var found []*Request
-	for _, request := range one.inFlight {
+	for _, request := range database.inFlight {
 		if request.mayPersist() && request.isSent() && (!open || request.term != writer.Term) {
 			found = append(found, request)
 		}
@@ -180,10 +180,10 @@
 		m.onWriterChanged(m.database(change.Database), change, now)
 	}
 	if update.FromPrimary {
-		for _, one := range m.databases {
-			writer := m.routing.WriterRole(one.name)
+		for _, database := range m.databases {
+			writer := m.routing.WriterRole(database.name)
 			if writer.Phase != model.PhaseOpen && writer.MinPosition != (model.Position{}) {
-				m.recordPosition(one, sent, writer.MinPosition, now)
+				m.recordPosition(database, sent, writer.MinPosition, now)
 			}
 		}
 	}
@@ -199,15 +199,15 @@
 	m.dispatchAll(now)
 }
 
-func (m *Machine) onWriterChanged(one *database, change routing.WriterRoleChanged, now time.Duration) {
+func (m *Machine) onWriterChanged(database *databaseState, change routing.WriterRoleChanged, now time.Duration) {
 	m.count("writer_moves", 1)
 	if change.Current.Phase == model.PhaseOpen {
-		one.writerClosedAt, one.closeReported = 0, false
+		database.writerClosedAt, database.closeReported = 0, false
 		if change.Previous.Term != change.Current.Term {
-			one.samples = nil
+			database.samples = nil
 		}
-	} else if one.writerClosedAt == 0 {
-		one.writerClosedAt = now
+	} else if database.writerClosedAt == 0 {
+		database.writerClosedAt = now
 	}
 	old := m.instance(change.Previous.Primary)
 	isFenced := change.Previous.Phase == model.PhaseOpen && old != nil && (change.Current.Phase != model.PhaseOpen || change.Current.Term != change.Previous.Term)
@@ -215,7 +215,7 @@
 		return
 	}
 	isOld := func(term uint64) bool { return change.Current.Phase != model.PhaseOpen || term != change.Current.Term }
-	for _, request := range slices.Clone(one.inFlight) {
+	for _, request := range slices.Clone(database.inFlight) {
 		isRead := request.phase == phaseInFlight && request.isRetryableRead() && request.strict && len(request.attempts) > 0
 		if isRead && isOld(request.term) && request.attempts[0].conn.instance == old {
 			m.requeue(request, now)
@@ -236,19 +236,19 @@
 
 // loseTurn gives up a transaction on the instance's side; the client is told
 // at its next word, or now where a statement is out.
-func (m *Machine) loseTransaction(c *Client, now time.Duration) {
-	held := c.transaction
-	if held == nil || held.lost {
+func (m *Machine) loseTransaction(client *Client, now time.Duration) {
+	transaction := client.transaction
+	if transaction == nil || transaction.lost {
 		return
 	}
-	request := c.request
+	request := client.request
 	if request != nil && request.isSent() && request.mayPersist() {
 		m.abortStranded(request, now)
 		return
 	}
-	held.lost = true
-	conn := held.conn
-	held.conn = nil
+	transaction.lost = true
+	conn := transaction.conn
+	transaction.conn = nil
 	if conn != nil {
 		conn.owner = nil
 		m.closeConn(conn, now)
@@ -261,26 +261,26 @@
 // abortTurn ends a statement whose transaction is over and was not asked to
 // commit: nothing of it is kept.
 func (m *Machine) abortTransaction(request *Request, now time.Duration) {
-	c := request.client
+	client := request.client
 	m.finish(request)
-	m.endTransaction(c, now)
-	c.state = lineproto.StateFailed
+	m.endTransaction(client, now)
+	client.state = lineproto.StateFailed
 	if request.commit {
-		c.state = lineproto.StateIdle
+		client.state = lineproto.StateIdle
 	}
-	m.respondError(c, lineproto.CodeAborted, "the transaction was lost with its instance; nothing is kept", true)
-	m.handlePipelined(c, now)
+	m.respondError(client, lineproto.CodeAborted, "the transaction was lost with its instance; nothing is kept", true)
+	m.handlePipelined(client, now)
 }
 
 // close takes a statement out of every line.
 func (m *Machine) finish(request *Request) {
-	one := m.database(request.binding.Database)
+	database := m.database(request.binding.Database)
 	m.dequeue(request)
-	remove(&one.inFlight, request)
-	remove(&one.unconfirmed, request)
+	remove(&database.inFlight, request)
+	remove(&database.unconfirmed, request)
 	request.phase = phaseEnded
-	for _, held := range request.attempts {
-		held.abandoned = true
+	for _, attempt := range request.attempts {
+		attempt.abandoned = true
 	}
 	if request.client.request == request {
 		request.client.request = nil
@@ -289,23 +289,23 @@
 
 // refuse ends a statement that was not passed on.
 func (m *Machine) reject(request *Request, code lineproto.Code, text string, now time.Duration) {
-	c := request.client
+	client := request.client
 	m.finish(request)
 	m.failTransactionOf(request, now)
-	m.respondError(c, code, text, true)
-	m.handlePipelined(c, now)
+	m.respondError(client, code, text, true)
+	m.handlePipelined(client, now)
 }
 
 // settleState brings the client's state to that after a failed statement.
 func (m *Machine) failTransactionOf(request *Request, now time.Duration) {
-	c := request.client
+	client := request.client
 	if request.transaction == nil {
 		return
 	}
-	m.endTransaction(c, now)
-	c.state = lineproto.StateFailed
+	m.endTransaction(client, now)
+	client.state = lineproto.StateFailed
 	if request.commit {
-		c.state = lineproto.StateIdle
+		client.state = lineproto.StateIdle
 	}
 }
 
@@ -314,10 +314,10 @@
 
 // again puts a read back in line; what is out of it is not waited for.
 func (m *Machine) requeue(request *Request, now time.Duration) {
-	one := m.database(request.binding.Database)
-	remove(&one.inFlight, request)
-	for _, held := range request.attempts {
-		held.abandoned = true
+	database := m.database(request.binding.Database)
+	remove(&database.inFlight, request)
+	for _, attempt := range request.attempts {
+		attempt.abandoned = true
 	}
 	request.attempts, request.hedged = nil, false
 	request.retries++
@@ -342,12 +342,12 @@
 	if conn.state == connClosed {
 		return
 	}
-	held := conn.instance
+	instance := conn.instance
 	if conn.state == connOpening {
 		m.onOpened(conn, message, now)
 		return
 	}
-	held.lastResponse, held.refusals = now, 0
+	instance.lastResponse, instance.refusals = now, 0
 	if len(conn.pending) == 0 {
 		m.count("answers_unasked", 1)
 		m.ConnLost(conn, now)
@@ -391,100 +391,100 @@
 }
 
 func (m *Machine) onOpened(conn *Conn, message lineproto.Message, now time.Duration) {
-	held := conn.instance
+	instance := conn.instance
 	if message.Code == lineproto.CodeWrongInstance {
 		m.ConnLost(conn, now)
 		return
 	}
-	held.opening--
-	held.lastResponse, held.refusals = now, 0
+	instance.opening--
+	instance.lastResponse, instance.refusals = now, 0
 	if message.Kind != lineproto.KindReady {
 		m.count("connections_refused", 1)
-		m.backOff(held, now)
+		m.backOff(instance, now)
 		conn.state = connIdle
 		m.closeConn(conn, now)
 		return
 	}
 	m.count("connections_opened", 1)
-	held.backoff = 0
-	held.position = held.position.Max(message.Position)
+	instance.backoff = 0
+	instance.position = instance.position.Max(message.Position)
 	conn.state = connBusy
 	m.release(conn, now)
-	m.dispatch(m.databaseOf(held), now)
+	m.dispatch(m.databaseOf(instance), now)
 }
 
-func (m *Machine) backOff(held *instance, now time.Duration) {
-	held.backoff = min(max(2*held.backoff, m.timing.BackoffMin), m.timing.BackoffMax)
-	held.backoffUntil = now + held.backoff
+func (m *Machine) backOff(instance *instanceState, now time.Duration) {
+	instance.backoff = min(max(2*instance.backoff, m.timing.BackoffMin), m.timing.BackoffMax)
+	instance.backoffUntil = now + instance.backoff
 }
 
 func (m *Machine) onReady(conn *Conn, first pendingAnswer, message lineproto.Message, now time.Duration) {
-	held := conn.instance
+	instance := conn.instance
 	conn.pending = conn.pending[1:]
-	if held.position.IsBefore(message.Position) {
-		held.position = message.Position
+	if instance.position.IsBefore(message.Position) {
+		instance.position = message.Position
 	}
 	if first.attempt == nil {
 		if len(conn.pending) == 0 && conn.attempt == nil {
 			m.releaseInState(conn, message.State, now)
-			m.dispatch(m.databaseOf(held), now)
+			m.dispatch(m.databaseOf(instance), now)
 		}
 		return
 	}
-	l := first.attempt
-	if !l.hasResult {
+	attempt := first.attempt
+	if !attempt.hasResult {
 		m.count("answers_malformed", 1)
 		m.ConnLost(conn, now)
 		return
 	}
-	if !l.statementSent {
-		m.onBeginAnswered(l, message, now)
+	if !attempt.statementSent {
+		m.onBeginAnswered(attempt, message, now)
 		return
 	}
 	conn.attempt = nil
-	m.learnPosition(l, message.Position, now)
-	m.recordOutcome(l, now)
-	m.complete(l, message, now)
-	m.dispatch(m.databaseOf(held), now)
+	m.learnPosition(attempt, message.Position, now)
+	m.recordOutcome(attempt, now)
+	m.complete(attempt, message, now)
+	m.dispatch(m.databaseOf(instance), now)
 }
 
-func (m *Machine) learnPosition(l *attempt, position model.Position, now time.Duration) {
-	one := m.databaseOf(l.conn.instance)
-	writer, target, open := m.writer(one)
-	if open && target == l.conn.instance && l.request.term == writer.Term && m.routing.HasLease(now) && position != (model.Position{}) {
-		m.recordPosition(one, l.sentAt, position, now)
+func (m *Machine) learnPosition(attempt *requestAttempt, position model.Position, now time.Duration) {
+	database := m.databaseOf(attempt.conn.instance)
+	writer, target, open := m.writer(database)
+	if open && target == attempt.conn.instance && attempt.request.term == writer.Term && m.routing.HasLease(now) && position != (model.Position{}) {
+		m.recordPosition(database, attempt.sentAt, position, now)
 	}
 }
 
-func (m *Machine) recordPosition(one *database, at time.Duration, position model.Position, now time.Duration) {
-	for len(one.samples) > 0 && (now-one.samples[0].takenAt > 8*time.Second) {
-		one.samples = one.samples[1:]
+func (m *Machine) recordPosition(database *databaseState, at time.Duration, position model.Position, now time.Duration) {
+	for len(database.samples) > 0 && (now-database.samples[0].takenAt > 8*time.Second) {
+		database.samples = database.samples[1:]
 	}
-	if count := len(one.samples); count > 0 {
-		last := one.samples[count-1]
+	if count := len(database.samples); count > 0 {
+		last := database.samples[count-1]
 		if at <= last.takenAt {
 			return
 		}
 		if position.IsBefore(last.position) {
 			position = last.position
 		}
-		if count > 1 && at-one.samples[count-2].takenAt < 20*time.Millisecond {
-			one.samples[count-1] = positionSample{takenAt: at, position: position}
+		if count > 1 && at-database.samples[count-2].takenAt < 20*time.Millisecond {
+			database.samples[count-1] = positionSample{takenAt: at, position: position}
 			return
 		}
 	}
-	one.samples = append(one.samples, positionSample{takenAt: at, position: position})
+	database.samples = append(database.samples, positionSample{takenAt: at, position: position})
 }
 
-func (m *Machine) recordOutcome(l *attempt, now time.Duration) {
+func (m *Machine) recordOutcome(attempt *requestAttempt, now time.Duration) {
 	outcome := flowcontrol.Completed
-	isRefused := l.result.Kind == lineproto.KindError && (l.result.Code == lineproto.CodeBusy || l.result.Code == lineproto.CodeLagging || l.result.Code == lineproto.CodeReadOnly || l.result.Code == lineproto.CodeNotFound)
+	isRefused := attempt.result.Kind == lineproto.KindError && (attempt.result.Code == lineproto.CodeBusy || attempt.result.Code == lineproto.CodeLagging || attempt.result.Code == lineproto.CodeReadOnly || attempt.result.Code == lineproto.CodeNotFound)
 	if isRefused {
 		outcome = flowcontrol.Rejected
 	}
-	l.conn.instance.window.Release(outcome, m.normalizedLatency(l.request, now-l.sentAt))
+	attempt.conn.instance.window.Release(outcome, m.normalizedLatency(attempt.request, now-attempt.sentAt))
 	if !isRefused {
-		l.conn.instance.health.Observe(l.isFailed(), now)
+		attempt.conn.instance.health.Observe(attempt.isFailed(), now)
 	}
 }
 
@@ -497,8 +497,8 @@
 }
 
 // isFailed says whether the instance ran the statement and failed it.
-func (l *attempt) isFailed() bool {
-	return l.result.Kind == lineproto.KindError && (l.result.Code == lineproto.CodeFailed || l.result.Code == lineproto.CodeTimeout)
+func (attempt *requestAttempt) isFailed() bool {
+	return attempt.result.Kind == lineproto.KindError && (attempt.result.Code == lineproto.CodeFailed || attempt.result.Code == lineproto.CodeTimeout)
 }
 
 // sized brings a latency to the reference size of work.
@@ -509,9 +509,9 @@
 	return time.Duration(float64(latency) * float64(m.timing.ReferenceTarget) / float64(request.binding.LatencyTarget))
 }
 
-func (m *Machine) complete(l *attempt, ready lineproto.Message, now time.Duration) {
-	request, conn := l.request, l.conn
-	isOurs := !l.abandoned && request.phase == phaseInFlight
+func (m *Machine) complete(attempt *requestAttempt, ready lineproto.Message, now time.Duration) {
+	request, conn := attempt.request, attempt.conn
+	isOurs := !attempt.abandoned && request.phase == phaseInFlight
 	if !isOurs {
 		if conn.owner != nil || ready.State != lineproto.StateIdle {
 			m.closeConn(conn, now)
@@ -521,127 +521,127 @@
 		return
 	}
 	if request.transaction != nil {
-		m.completeInTransaction(l, ready, now)
+		m.completeInTransaction(attempt, ready, now)
 		return
 	}
 	m.releaseInState(conn, ready.State, now)
-	if l.result.Kind == lineproto.KindError {
-		m.completeWithError(l, now)
+	if attempt.result.Kind == lineproto.KindError {
+		m.completeWithError(attempt, now)
 		return
 	}
-	m.completeWithSuccess(l, ready, now)
+	m.completeWithSuccess(attempt, ready, now)
 }
 
 // onBegun takes the answer to the begin that goes before a transaction's
 // first statement, which follows only now: it must never run outside.
-func (m *Machine) onBeginAnswered(l *attempt, ready lineproto.Message, now time.Duration) {
-	request, conn := l.request, l.conn
-	isGood := l.result.Kind == lineproto.KindDone && ready.State == lineproto.StateInTransaction
-	isOurs := !l.abandoned && request.phase == phaseInFlight
+func (m *Machine) onBeginAnswered(attempt *requestAttempt, ready lineproto.Message, now time.Duration) {
+	request, conn := attempt.request, attempt.conn
+	isGood := attempt.result.Kind == lineproto.KindDone && ready.State == lineproto.StateInTransaction
+	isOurs := !attempt.abandoned && request.phase == phaseInFlight
 	if isGood && isOurs {
-		l.hasResult, l.statementSent, l.rows, l.sentAt = false, true, nil, now
-		m.send(conn, l, []Command{m.statementCommand(request, conn, model.Position{})})
+		attempt.hasResult, attempt.statementSent, attempt.rows, attempt.sentAt = false, true, nil, now
+		m.send(conn, attempt, []Command{m.statementCommand(request, conn, model.Position{})})
 		return
 	}
 	conn.attempt, conn.owner = nil, nil
 	conn.instance.window.Release(flowcontrol.Rejected, 0)
-	if l.result.Code == lineproto.CodeLagging {
+	if attempt.result.Code == lineproto.CodeLagging {
 		conn.instance.laggingUntil = now + m.timing.LaggingPause
 	}
 	m.count("begins_refused", 1)
 	m.releaseInState(conn, ready.State, now)
 	if isOurs {
 		request.transaction.conn = nil
-		m.requeueAfterRefusal(request, l.result.Code, now)
+		m.requeueAfterRefusal(request, attempt.result.Code, now)
 	}
 	m.dispatch(m.databaseOf(conn.instance), now)
 }
 
-func (m *Machine) completeInTransaction(l *attempt, ready lineproto.Message, now time.Duration) {
-	request, conn, c := l.request, l.conn, l.request.client
-	isError := l.result.Kind == lineproto.KindError
+func (m *Machine) completeInTransaction(attempt *requestAttempt, ready lineproto.Message, now time.Duration) {
+	request, conn, client := attempt.request, attempt.conn, attempt.request.client
+	isError := attempt.result.Kind == lineproto.KindError
 	if request.commit || ready.State == lineproto.StateIdle {
 		request.transaction.conn, conn.owner = nil, nil
 		conn.dirty = conn.dirty || (isError && conn.changed)
 		m.releaseInState(conn, ready.State, now)
-		c.transaction, c.state = nil, lineproto.StateIdle
+		client.transaction, client.state = nil, lineproto.StateIdle
 	} else {
 		conn.state = connIdle
-		c.state = ready.State
-		if isError && l.result.Code.GuaranteesNoEffect() {
-			c.state = lineproto.StateFailed
+		client.state = ready.State
+		if isError && attempt.result.Code.GuaranteesNoEffect() {
+			client.state = lineproto.StateFailed
 		}
-		if c.state == lineproto.StateFailed {
-			m.endTransaction(c, now)
+		if client.state == lineproto.StateFailed {
+			m.endTransaction(client, now)
 		}
 	}
 	if isError {
-		m.completeWithError(l, now)
+		m.completeWithError(attempt, now)
 		return
 	}
-	m.completeWithSuccess(l, ready, now)
+	m.completeWithSuccess(attempt, ready, now)
 }
 
-func (m *Machine) completeWithError(l *attempt, now time.Duration) {
-	request := l.request
-	if l.result.Code == lineproto.CodeLagging {
-		l.conn.instance.laggingUntil = now + m.timing.LaggingPause
+func (m *Machine) completeWithError(attempt *requestAttempt, now time.Duration) {
+	request := attempt.request
+	if attempt.result.Code == lineproto.CodeLagging {
+		attempt.conn.instance.laggingUntil = now + m.timing.LaggingPause
 	}
-	isUnknown := l.result.Code == lineproto.CodeNotFound
-	l.conn.dirty = l.conn.dirty || isUnknown
-	isRefused := l.result.Code == lineproto.CodeLagging || l.result.Code == lineproto.CodeBusy || l.result.Code == lineproto.CodeReadOnly
-	isFailed := request.isRetryableRead() && l.result.Code == lineproto.CodeFailed && request.failures+1 < request.maxAttempts()
+	isUnknown := attempt.result.Code == lineproto.CodeNotFound
+	attempt.conn.dirty = attempt.conn.dirty || isUnknown
+	isRefused := attempt.result.Code == lineproto.CodeLagging || attempt.result.Code == lineproto.CodeBusy || attempt.result.Code == lineproto.CodeReadOnly
+	isFailed := request.isRetryableRead() && attempt.result.Code == lineproto.CodeFailed && request.failures+1 < request.maxAttempts()
 	if isFailed {
-		request.failures, request.avoid = request.failures+1, l.conn.instance
+		request.failures, request.avoid = request.failures+1, attempt.conn.instance
 		m.count("reads_failed_elsewhere", 1)
 	}
 	isAgain := (request.isRetryableRead() && isRefused) || (request.transaction == nil && isUnknown) || isFailed
-	if isAgain && l.hasOtherAttempt() {
-		l.abandoned = true
+	if isAgain && attempt.hasOtherAttempt() {
+		attempt.abandoned = true
 		return
 	}
 	if isAgain {
-		m.requeueAfterRefusal(request, l.result.Code, now)
+		m.requeueAfterRefusal(request, attempt.result.Code, now)
 		return
 	}
-	c := request.client
+	client := request.client
 	m.finish(request)
 	m.count("errors_passed", 1)
-	m.respond(c, lineproto.Message{Kind: lineproto.KindError, Payload: l.result.Payload, Code: l.result.Code}, m.readyMessage(c, model.Position{}))
-	m.handlePipelined(c, now)
+	m.respond(client, lineproto.Message{Kind: lineproto.KindError, Payload: attempt.result.Payload, Code: attempt.result.Code}, m.readyMessage(client, model.Position{}))
+	m.handlePipelined(client, now)
 }
 
-func (m *Machine) completeWithSuccess(l *attempt, ready lineproto.Message, now time.Duration) {
-	request := l.request
-	request.answer = append(l.rows, l.result)
+func (m *Machine) completeWithSuccess(attempt *requestAttempt, ready lineproto.Message, now time.Duration) {
+	request := attempt.request
+	request.answer = append(attempt.rows, attempt.result)
 	request.position = ready.Position
 	if request.mayPersist() {
-		one := m.database(request.binding.Database)
-		remove(&one.inFlight, request)
+		database := m.database(request.binding.Database)
+		remove(&database.inFlight, request)
 		request.phase = phaseUnconfirmed
-		one.unconfirmed = append(one.unconfirmed, request)
-		m.confirmCommits(one, now)
+		database.unconfirmed = append(database.unconfirmed, request)
+		m.confirmCommits(database, now)
 		return
 	}
 	m.respondWithAnswer(request, now)
 }
 
 func (m *Machine) respondWithAnswer(request *Request, now time.Duration) {
-	c := request.client
+	client := request.client
 	m.finish(request)
 	m.count("answered", 1)
-	m.respond(c, append(request.answer, m.readyMessage(c, request.position))...)
-	m.handlePipelined(c, now)
+	m.respond(client, append(request.answer, m.readyMessage(client, request.position))...)
+	m.handlePipelined(client, now)
 }
 
 // settleConfirms tells commits that ran, while the lease is held and the term
 // in which they ran is open, or is closing and the node has not yet told that
 // it knows: until then nothing else is promoted, and the positions that are
 // asked for after cover what is told now.
-func (m *Machine) confirmCommits(one *database, now time.Duration) {
-	for _, request := range slices.Clone(one.unconfirmed) {
-		writer := m.routing.WriterRole(one.name)
-		isClosing := writer.Phase == model.PhaseClosing && !one.closeReported
+func (m *Machine) confirmCommits(database *databaseState, now time.Duration) {
+	for _, request := range slices.Clone(database.unconfirmed) {
+		writer := m.routing.WriterRole(database.name)
+		isClosing := writer.Phase == model.PhaseClosing && !database.closeReported
 		isOver := writer.Term != request.term || (writer.Phase != model.PhaseOpen && !isClosing)
 		if isOver {
 			m.respondUnknown(request, "it ran on a primary that has since lost the writer role", now)
@@ -650,24 +650,24 @@
 		if !m.routing.HasLease(now) {
 			continue
 		}
-		one.highWatermark = one.highWatermark.Max(request.position)
+		database.highWatermark = database.highWatermark.Max(request.position)
 		if request.client.ownCommits == nil {
 			request.client.ownCommits = map[string]ownCommit{}
 		}
-		held := request.client.ownCommits[one.name]
-		request.client.ownCommits[one.name] = ownCommit{position: held.position.Max(request.position), at: now}
+		held := request.client.ownCommits[database.name]
+		request.client.ownCommits[database.name] = ownCommit{position: held.position.Max(request.position), at: now}
 		m.respondWithAnswer(request, now)
 	}
 }
 
 func (m *Machine) respondUnknown(request *Request, text string, now time.Duration) {
-	c := request.client
+	client := request.client
 	m.finish(request)
 	if request.transaction != nil {
-		m.endTransaction(c, now)
-		c.state = lineproto.StateIdle
+		m.endTransaction(client, now)
+		client.state = lineproto.StateIdle
 	}
 	m.count("unknown", 1)
-	m.respondError(c, lineproto.CodeUnknownOutcome, text, true)
-	m.handlePipelined(c, now)
+	m.respondError(client, lineproto.CodeUnknownOutcome, text, true)
+	m.handlePipelined(client, now)
 }
--- a/internal/coordination/pool/linepool/clients.go
+++ b/internal/coordination/pool/linepool/clients.go
@@ -17,44 +17,44 @@
 		return nil
 	}
 	m.clientSerial++
-	made := &Client{Token: token, state: lineproto.StateIdle, serial: m.clientSerial, lastUsed: now}
-	m.clients[made] = true
+	client := &Client{Token: token, state: lineproto.StateIdle, serial: m.clientSerial, lastUsed: now}
+	m.clients[client] = true
 	m.count("clients_met", 1)
-	return made
+	return client
 }
 
 // Gone tells that a client's session ended.
-func (m *Machine) ClientLost(c *Client, now time.Duration) {
-	if c.closed {
+func (m *Machine) ClientLost(client *Client, now time.Duration) {
+	if client.closed {
 		return
 	}
-	c.closed = true
-	delete(m.clients, c)
-	c.pipelined = nil
-	if request := c.request; request != nil {
+	client.closed = true
+	delete(m.clients, client)
+	client.pipelined = nil
+	if request := client.request; request != nil {
 		m.abandonRequest(request, now)
 	}
-	m.endTransaction(c, now)
+	m.endTransaction(client, now)
 }
 
-func (m *Machine) closeClient(c *Client, now time.Duration) {
-	if !c.closed {
-		m.emit(CloseClient{Client: c})
-		m.ClientLost(c, now)
+func (m *Machine) closeClient(client *Client, now time.Duration) {
+	if !client.closed {
+		m.emit(CloseClient{Client: client})
+		m.ClientLost(client, now)
 	}
 }
 
 // Connect takes a client's connect.
-func (m *Machine) Connect(c *Client, name string, now time.Duration) {
-	if c.closed {
+func (m *Machine) Connect(client *Client, name string, now time.Duration) {
+	if client.closed {
 		return
 	}
-	if c.connected || c.binding != "" {
-		m.ProtocolError(c, lineproto.CodeMalformed, "connected already", now)
+	if client.connected || client.binding != "" {
+		m.ProtocolError(client, lineproto.CodeMalformed, "connected already", now)
 		return
 	}
-	c.binding, c.lastUsed = name, now
-	m.connecting = append(m.connecting, c)
+	client.binding, client.lastUsed = name, now
+	m.connecting = append(m.connecting, client)
 	m.admitConnecting(now)
 }
 
@@ -65,125 +65,125 @@
 	leased := m.routing.HasLease(now)
 	set := m.effectiveSet(now)
 	var kept []*Client
-	for _, c := range m.connecting {
-		if c.closed {
+	for _, client := range m.connecting {
+		if client.closed {
 			continue
 		}
 		if !leased || set.Sequence == 0 {
-			if now-c.lastUsed < m.timing.ConnectWait && !m.isIsolated(now) {
-				kept = append(kept, c)
+			if now-client.lastUsed < m.timing.ConnectWait && !m.isIsolated(now) {
+				kept = append(kept, client)
 				continue
 			}
 			m.count("clients_not_welcomed", 1)
-			m.respondError(c, lineproto.CodeBusy, "not served now; come back in 500 ms", false)
-			m.closeClient(c, now)
+			m.respondError(client, lineproto.CodeBusy, "not served now; come back in 500 ms", false)
+			m.closeClient(client, now)
 			continue
 		}
-		if _, found := set.Binding(c.binding); !found {
-			m.respondError(c, lineproto.CodeUnknownDatabase, c.binding, false)
-			m.closeClient(c, now)
+		if _, found := set.Binding(client.binding); !found {
+			m.respondError(client, lineproto.CodeUnknownDatabase, client.binding, false)
+			m.closeClient(client, now)
 			continue
 		}
-		c.connected = true
-		m.respond(c, lineproto.Message{Kind: lineproto.KindReady, State: c.state})
+		client.connected = true
+		m.respond(client, lineproto.Message{Kind: lineproto.KindReady, State: client.state})
 	}
 	m.connecting = kept
 }
 
 // Bad takes a message that makes no sense; it is answered and the session
 // ends.
-func (m *Machine) ProtocolError(c *Client, code lineproto.Code, text string, now time.Duration) {
-	if c.closed {
+func (m *Machine) ProtocolError(client *Client, code lineproto.Code, text string, now time.Duration) {
+	if client.closed {
 		return
 	}
 	m.count("clients_malformed", 1)
-	m.respondError(c, code, text, false)
-	m.closeClient(c, now)
+	m.respondError(client, code, text, false)
+	m.closeClient(client, now)
 }
 
 // Query takes a client's query.
-func (m *Machine) Query(c *Client, query Query, now time.Duration) {
-	if c.closed {
+func (m *Machine) Query(client *Client, query Query, now time.Duration) {
+	if client.closed {
 		return
 	}
-	if !c.connected {
-		m.ProtocolError(c, lineproto.CodeMalformed, "not connected", now)
+	if !client.connected {
+		m.ProtocolError(client, lineproto.CodeMalformed, "not connected", now)
 		return
 	}
-	if c.request != nil {
-		if len(c.pipelined) >= m.timing.MaxPipelined {
-			m.ProtocolError(c, lineproto.CodeTooMuchInput, "too much sent ahead", now)
+	if client.request != nil {
+		if len(client.pipelined) >= m.timing.MaxPipelined {
+			m.ProtocolError(client, lineproto.CodeTooMuchInput, "too much sent ahead", now)
 			return
 		}
-		c.pipelined = append(c.pipelined, query)
+		client.pipelined = append(client.pipelined, query)
 		return
 	}
-	c.lastUsed = now
-	m.handleQuery(c, query, now)
+	client.lastUsed = now
+	m.handleQuery(client, query, now)
 }
 
-func (m *Machine) handlePipelined(c *Client, now time.Duration) {
-	c.lastUsed = now
-	for len(c.pipelined) > 0 && c.request == nil && !c.closed {
-		query := c.pipelined[0]
-		c.pipelined = c.pipelined[1:]
-		m.handleQuery(c, query, now)
+func (m *Machine) handlePipelined(client *Client, now time.Duration) {
+	client.lastUsed = now
+	for len(client.pipelined) > 0 && client.request == nil && !client.closed {
+		query := client.pipelined[0]
+		client.pipelined = client.pipelined[1:]
+		m.handleQuery(client, query, now)
 	}
 }
 
-func (m *Machine) respond(c *Client, messages ...lineproto.Message) {
-	if !c.closed {
-		m.emit(Respond{Client: c, Messages: messages})
+func (m *Machine) respond(client *Client, messages ...lineproto.Message) {
+	if !client.closed {
+		m.emit(Respond{Client: client, Messages: messages})
 	}
 }
 
-func (m *Machine) readyMessage(c *Client, position model.Position) lineproto.Message {
-	return lineproto.Message{Kind: lineproto.KindReady, State: c.state, Position: position}
+func (m *Machine) readyMessage(client *Client, position model.Position) lineproto.Message {
+	return lineproto.Message{Kind: lineproto.KindReady, State: client.state, Position: position}
 }
 
-func (m *Machine) respondError(c *Client, code lineproto.Code, text string, withReady bool) {
+func (m *Machine) respondError(client *Client, code lineproto.Code, text string, withReady bool) {
 	messages := []lineproto.Message{{Kind: lineproto.KindError, Code: code, Text: text}}
 	if withReady {
-		messages = append(messages, m.readyMessage(c, model.Position{}))
+		messages = append(messages, m.readyMessage(client, model.Position{}))
 	}
-	m.respond(c, messages...)
+	m.respond(client, messages...)
 }
 
-func (m *Machine) respondDone(c *Client) {
-	m.respond(c, lineproto.Message{Kind: lineproto.KindDone, Payload: "-"}, m.readyMessage(c, model.Position{}))
+func (m *Machine) respondDone(client *Client) {
+	m.respond(client, lineproto.Message{Kind: lineproto.KindDone, Payload: "-"}, m.readyMessage(client, model.Position{}))
 }
 
-type queryHandler func(m *Machine, c *Client, query Query, now time.Duration)
+type queryHandler func(m *Machine, client *Client, query Query, now time.Duration)
 
 var queryHandlers map[lineproto.Action]queryHandler
 
 func init() {
 	queryHandlers = map[lineproto.Action]queryHandler{
-		lineproto.ActionBegin:         func(m *Machine, c *Client, _ Query, now time.Duration) { m.begin(c, false, now) },
-		lineproto.ActionBeginReadOnly: func(m *Machine, c *Client, _ Query, now time.Duration) { m.begin(c, true, now) },
+		lineproto.ActionBegin:         func(m *Machine, client *Client, _ Query, now time.Duration) { m.begin(client, false, now) },
+		lineproto.ActionBeginReadOnly: func(m *Machine, client *Client, _ Query, now time.Duration) { m.begin(client, true, now) },
 		lineproto.ActionCommit:        (*Machine).commit,
-		lineproto.ActionRollback:      func(m *Machine, c *Client, _ Query, now time.Duration) { m.rollback(c, now) },
-		lineproto.ActionSet: func(m *Machine, c *Client, query Query, _ time.Duration) {
-			if c.variables == nil {
-				c.variables = map[string]string{}
+		lineproto.ActionRollback:      func(m *Machine, client *Client, _ Query, now time.Duration) { m.rollback(client, now) },
+		lineproto.ActionSet: func(m *Machine, client *Client, query Query, _ time.Duration) {
+			if client.variables == nil {
+				client.variables = map[string]string{}
 			}
-			c.variables[query.Statement.Name] = query.Statement.Value
-			m.respondDone(c)
+			client.variables[query.Statement.Name] = query.Statement.Value
+			m.respondDone(client)
 		},
-		lineproto.ActionPrepare: func(m *Machine, c *Client, query Query, _ time.Duration) {
-			if c.prepared == nil {
-				c.prepared = map[string]preparedStatement{}
+		lineproto.ActionPrepare: func(m *Machine, client *Client, query Query, _ time.Duration) {
+			if client.prepared == nil {
+				client.prepared = map[string]preparedStatement{}
 			}
-			c.prepared[query.Statement.Name] = preparedStatement{text: query.Statement.PreparedText, write: query.Statement.Write}
-			m.respondDone(c)
+			client.prepared[query.Statement.Name] = preparedStatement{text: query.Statement.PreparedText, write: query.Statement.Write}
+			m.respondDone(client)
 		},
-		lineproto.ActionDeallocate: func(m *Machine, c *Client, query Query, _ time.Duration) {
-			if _, found := c.prepared[query.Statement.Name]; !found {
-				m.respondError(c, lineproto.CodeNotFound, query.Statement.Name, true)
+		lineproto.ActionDeallocate: func(m *Machine, client *Client, query Query, _ time.Duration) {
+			if _, found := client.prepared[query.Statement.Name]; !found {
+				m.respondError(client, lineproto.CodeNotFound, query.Statement.Name, true)
 				return
 			}
-			delete(c.prepared, query.Statement.Name)
-			m.respondDone(c)
+			delete(client.prepared, query.Statement.Name)
+			m.respondDone(client)
 		},
 		lineproto.ActionRead:    (*Machine).statement,
 		lineproto.ActionWrite:   (*Machine).statement,
@@ -191,44 +191,44 @@
 	}
 }
 
-func (m *Machine) handleQuery(c *Client, query Query, now time.Duration) {
+func (m *Machine) handleQuery(client *Client, query Query, now time.Duration) {
 	act, found := queryHandlers[query.Statement.Action]
 	isEnd := query.Statement.Action == lineproto.ActionCommit || query.Statement.Action == lineproto.ActionRollback
-	if !found || (c.state == lineproto.StateFailed && !isEnd) {
-		if c.state == lineproto.StateInTransaction {
-			m.failTransaction(c, now)
+	if !found || (client.state == lineproto.StateFailed && !isEnd) {
+		if client.state == lineproto.StateInTransaction {
+			m.failTransaction(client, now)
 		}
-		m.respondError(c, lineproto.CodeMalformed, "not taken in this state", true)
+		m.respondError(client, lineproto.CodeMalformed, "not taken in this state", true)
 		return
 	}
-	act(m, c, query, now)
+	act(m, client, query, now)
 }
 
-func (m *Machine) begin(c *Client, isRead bool, now time.Duration) {
-	if c.state != lineproto.StateIdle {
-		m.failTransaction(c, now)
-		m.respondError(c, lineproto.CodeMalformed, "inside a transaction already", true)
+func (m *Machine) begin(client *Client, isRead bool, now time.Duration) {
+	if client.state != lineproto.StateIdle {
+		m.failTransaction(client, now)
+		m.respondError(client, lineproto.CodeMalformed, "inside a transaction already", true)
 		return
 	}
-	c.state, c.transaction = lineproto.StateInTransaction, &transaction{readOnly: isRead}
-	m.respondDone(c)
+	client.state, client.transaction = lineproto.StateInTransaction, &transactionState{readOnly: isRead}
+	m.respondDone(client)
 }
 
-func (m *Machine) failTransaction(c *Client, now time.Duration) {
-	m.endTransaction(c, now)
-	c.state = lineproto.StateFailed
+func (m *Machine) failTransaction(client *Client, now time.Duration) {
+	m.endTransaction(client, now)
+	client.state = lineproto.StateFailed
 }
 
 // endTurn gives up a client's transaction where it has one: what an instance
 // holds of it is rolled back.
-func (m *Machine) endTransaction(c *Client, now time.Duration) {
-	held := c.transaction
-	c.transaction = nil
-	if held == nil || held.conn == nil {
+func (m *Machine) endTransaction(client *Client, now time.Duration) {
+	transaction := client.transaction
+	client.transaction = nil
+	if transaction == nil || transaction.conn == nil {
 		return
 	}
-	conn := held.conn
-	held.conn = nil
+	conn := transaction.conn
+	transaction.conn = nil
 	conn.owner = nil
 	if conn.state != connIdle || conn.attempt != nil {
 		m.closeConn(conn, now)
@@ -238,46 +238,46 @@
 	m.send(conn, nil, []Command{{Kind: CommandRollback}})
 }
 
-func (m *Machine) rollback(c *Client, now time.Duration) {
-	if c.state == lineproto.StateIdle {
-		m.respondError(c, lineproto.CodeMalformed, "no transaction", true)
+func (m *Machine) rollback(client *Client, now time.Duration) {
+	if client.state == lineproto.StateIdle {
+		m.respondError(client, lineproto.CodeMalformed, "no transaction", true)
 		return
 	}
-	m.endTransaction(c, now)
-	c.state = lineproto.StateIdle
-	m.respondDone(c)
+	m.endTransaction(client, now)
+	client.state = lineproto.StateIdle
+	m.respondDone(client)
 }
 
-func (m *Machine) commit(c *Client, query Query, now time.Duration) {
-	if c.state == lineproto.StateIdle {
-		m.respondError(c, lineproto.CodeMalformed, "no transaction", true)
+func (m *Machine) commit(client *Client, query Query, now time.Duration) {
+	if client.state == lineproto.StateIdle {
+		m.respondError(client, lineproto.CodeMalformed, "no transaction", true)
 		return
 	}
-	if c.state == lineproto.StateFailed || c.transaction.lost {
-		m.endTransaction(c, now)
-		c.state = lineproto.StateIdle
-		m.respondError(c, lineproto.CodeAborted, "the transaction had failed; nothing is kept", true)
+	if client.state == lineproto.StateFailed || client.transaction.lost {
+		m.endTransaction(client, now)
+		client.state = lineproto.StateIdle
+		m.respondError(client, lineproto.CodeAborted, "the transaction had failed; nothing is kept", true)
 		return
 	}
-	m.submit(&Request{client: c, query: query, commit: true, transaction: c.transaction}, now)
+	m.submit(&Request{client: client, query: query, commit: true, transaction: client.transaction}, now)
 }
 
-func (m *Machine) statement(c *Client, query Query, now time.Duration) {
-	request := &Request{client: c, query: query, write: query.Statement.Action == lineproto.ActionWrite, transaction: c.transaction}
+func (m *Machine) statement(client *Client, query Query, now time.Duration) {
+	request := &Request{client: client, query: query, write: query.Statement.Action == lineproto.ActionWrite, transaction: client.transaction}
 	if query.Statement.Action == lineproto.ActionExecute {
-		held, found := c.prepared[query.Statement.Name]
+		held, found := client.prepared[query.Statement.Name]
 		if !found {
-			if c.transaction != nil {
-				m.failTransaction(c, now)
+			if client.transaction != nil {
+				m.failTransaction(client, now)
 			}
-			m.respondError(c, lineproto.CodeNotFound, query.Statement.Name, true)
+			m.respondError(client, lineproto.CodeNotFound, query.Statement.Name, true)
 			return
 		}
 		request.prepared, request.write = held, held.write
 	}
-	if c.transaction != nil && c.transaction.lost {
-		m.failTransaction(c, now)
-		m.respondError(c, lineproto.CodeAborted, "the transaction was lost with its instance; nothing is kept", true)
+	if client.transaction != nil && client.transaction.lost {
+		m.failTransaction(client, now)
+		m.respondError(client, lineproto.CodeAborted, "the transaction was lost with its instance; nothing is kept", true)
 		return
 	}
 	m.submit(request, now)
@@ -298,22 +298,22 @@
 	}
 	m.lastIdleCheck = now
 	inside := m.idleInTransactionLimit(now)
-	for _, c := range m.clientsBySerial() {
-		isResting := c.transaction != nil && c.request == nil && now-c.lastUsed > inside
-		if isResting && !c.transaction.lost {
+	for _, client := range m.clientsBySerial() {
+		isResting := client.transaction != nil && client.request == nil && now-client.lastUsed > inside
+		if isResting && !client.transaction.lost {
 			m.count("transactions_rested_out", 1)
-			m.loseTransaction(c, now)
+			m.loseTransaction(client, now)
 		}
 	}
 	past := now - m.drainStarted
 	if !m.draining || past < m.timing.Linger {
 		return
 	}
-	for _, c := range m.clientsBySerial() {
-		isIdle := c.state == lineproto.StateIdle && c.request == nil && len(c.pipelined) == 0
-		isOut := past > m.timing.EndTransactions && c.request == nil
+	for _, client := range m.clientsBySerial() {
+		isIdle := client.state == lineproto.StateIdle && client.request == nil && len(client.pipelined) == 0
+		isOut := past > m.timing.EndTransactions && client.request == nil
 		if isIdle || isOut || past > m.timing.EndSessions {
-			m.closeClient(c, now)
+			m.closeClient(client, now)
 		}
 	}
 }
@@ -327,8 +327,8 @@
 
 func (m *Machine) clientsBySerial() []*Client {
 	list := make([]*Client, 0, len(m.clients))
-	for c := range m.clients {
-		list = append(list, c)
+	for client := range m.clients {
+		list = append(list, client)
 	}
 	slices.SortFunc(list, func(a, b *Client) int { return cmp.Compare(a.serial, b.serial) })
 	return list
@@ -338,4 +338,4 @@
 func (m *Machine) IsDrained() bool { return len(m.clients) == 0 }
 
 // Bye takes a client's good-bye.
-func (m *Machine) Terminate(c *Client, now time.Duration) { m.closeClient(c, now) }
+func (m *Machine) Terminate(client *Client, now time.Duration) { m.closeClient(client, now) }
--- a/internal/coordination/pool/linepool/connections.go
+++ b/internal/coordination/pool/linepool/connections.go
@@ -8,25 +8,25 @@
 	"tansyseam/internal/state/lineproto"
 )
 
-func (m *Machine) closeIdleConns(held *instance, now time.Duration) {
-	for _, conn := range slices.Clone(held.idle) {
+func (m *Machine) closeIdleConns(instance *instanceState, now time.Duration) {
+	for _, conn := range slices.Clone(instance.idle) {
 		m.closeConn(conn, now)
 	}
 }
 
 // recycle makes a connection idle, unless it should not go on.
 func (m *Machine) release(conn *Conn, now time.Duration) {
-	held := conn.instance
+	instance := conn.instance
 	if conn.state == connClosed {
 		return
 	}
 	conn.state, conn.attempt = connIdle, nil
-	if (held.drainingSince != 0 && !m.isPrimary(held)) || held.info.Stopped || len(held.conns) > held.quota.MaxOpen {
+	if (instance.drainingSince != 0 && !m.isPrimary(instance)) || instance.info.Stopped || len(instance.conns) > instance.quota.MaxOpen {
 		m.closeConn(conn, now)
 		return
 	}
 	conn.changed, conn.idleSince = false, now
-	held.idle = append(held.idle, conn)
+	instance.idle = append(instance.idle, conn)
 }
 
 func (m *Machine) releaseInState(conn *Conn, state byte, now time.Duration) {
@@ -44,21 +44,21 @@
 	}
 	m.removeConn(conn)
 	m.emit(CloseConn{Conn: conn})
-	if l := conn.attempt; l != nil {
+	if attempt := conn.attempt; attempt != nil {
 		conn.attempt = nil
-		conn.instance.window.Release(flowcontrol.Lost, m.normalizedLatency(l.request, now-l.sentAt))
+		conn.instance.window.Release(flowcontrol.Lost, m.normalizedLatency(attempt.request, now-attempt.sentAt))
 	}
 }
 
 func (m *Machine) removeConn(conn *Conn) {
-	held := conn.instance
+	instance := conn.instance
 	if conn.state == connOpening {
-		held.opening--
+		instance.opening--
 	}
 	conn.state = connClosed
 	same := func(other *Conn) bool { return other == conn }
-	held.conns = slices.DeleteFunc(held.conns, same)
-	held.idle = slices.DeleteFunc(held.idle, same)
+	instance.conns = slices.DeleteFunc(instance.conns, same)
+	instance.idle = slices.DeleteFunc(instance.idle, same)
 }
 
 // Lost tells that a connection has ended by itself, or makes no sense.
@@ -66,46 +66,46 @@
 	if conn.state == connClosed {
 		return
 	}
-	held := conn.instance
+	instance := conn.instance
 	isOpening := conn.state == connOpening
 	if isOpening {
-		held.refusals++
+		instance.refusals++
 		m.count("connections_refused", 1)
-		m.backOff(held, now)
+		m.backOff(instance, now)
 	}
 	m.removeConn(conn)
 	m.emit(CloseConn{Conn: conn})
-	l := conn.attempt
+	attempt := conn.attempt
 	conn.attempt = nil
-	if l != nil {
-		held.window.Release(flowcontrol.Lost, m.normalizedLatency(l.request, now-l.sentAt))
-		held.health.Observe(true, now)
+	if attempt != nil {
+		instance.window.Release(flowcontrol.Lost, m.normalizedLatency(attempt.request, now-attempt.sentAt))
+		instance.health.Observe(true, now)
 	}
 	owner := conn.owner
 	conn.owner = nil
-	if l != nil && !l.abandoned && l.request.phase == phaseInFlight {
+	if attempt != nil && !attempt.abandoned && attempt.request.phase == phaseInFlight {
 		m.count("statements_cut", 1)
-		m.onAttemptLost(l, now)
+		m.onAttemptLost(attempt, now)
 	} else if owner != nil && owner.transaction != nil && owner.transaction.conn == conn {
 		owner.transaction.conn = nil
 		m.loseTransaction(owner, now)
 	}
 	if !isOpening {
-		held.backoffUntil = max(held.backoffUntil, now)
+		instance.backoffUntil = max(instance.backoffUntil, now)
 	}
-	m.dispatch(m.databaseOf(held), now)
+	m.dispatch(m.databaseOf(instance), now)
 }
 
-func (m *Machine) onAttemptLost(l *attempt, now time.Duration) {
-	request := l.request
-	if request.mayPersist() && l.statementSent {
+func (m *Machine) onAttemptLost(attempt *requestAttempt, now time.Duration) {
+	request := attempt.request
+	if request.mayPersist() && attempt.statementSent {
 		if request.transaction != nil {
 			request.transaction.conn = nil
 		}
 		m.respondUnknown(request, "the instance's connection ended before its answer came", now)
 		return
 	}
-	if request.transaction != nil && !l.statementSent {
+	if request.transaction != nil && !attempt.statementSent {
 		request.transaction.conn = nil
 		m.requeue(request, now)
 		return
@@ -115,18 +115,18 @@
 		m.abortTransaction(request, now)
 		return
 	}
-	if l.hasOtherAttempt() {
-		l.abandoned = true
+	if attempt.hasOtherAttempt() {
+		attempt.abandoned = true
 		return
 	}
-	request.avoid = l.conn.instance
+	request.avoid = attempt.conn.instance
 	m.requeue(request, now)
 }
 
 // hasTwin says whether the statement is out at another instance too.
-func (l *attempt) hasOtherAttempt() bool {
-	return slices.ContainsFunc(l.request.attempts, func(other *attempt) bool {
-		return other != l && !other.abandoned && other.conn.state == connBusy
+func (attempt *requestAttempt) hasOtherAttempt() bool {
+	return slices.ContainsFunc(attempt.request.attempts, func(other *requestAttempt) bool {
+		return other != attempt && !other.abandoned && other.conn.state == connBusy
 	})
 }
 
@@ -137,18 +137,18 @@
 			m.timeOut(request, now)
 		}
 	}
-	for _, one := range m.databases {
-		for _, list := range []*[]*Request{&one.transactionQueue, &one.primaryQueue, &one.readQueue, &one.inFlight, &one.unconfirmed} {
+	for _, database := range m.databases {
+		for _, list := range []*[]*Request{&database.transactionQueue, &database.primaryQueue, &database.readQueue, &database.inFlight, &database.unconfirmed} {
 			for _, request := range slices.Clone(*list) {
-				isAway := request.phase == phaseQueued && now >= request.arrivedAt+m.timing.UnavailableWait && m.isTargetUnavailable(one, request, now)
+				isAway := request.phase == phaseQueued && now >= request.arrivedAt+m.timing.UnavailableWait && m.isTargetUnavailable(database, request, now)
 				isLong := request.phase == phaseQueued && now >= m.queueDeadline(request)
 				if request.phase != phaseEnded && (now >= request.deadline || isAway || isLong) {
 					m.timeOut(request, now)
 				}
 			}
 		}
-		if one.writerClosedAt != 0 && now-one.writerClosedAt >= m.timing.ClosingGrace {
-			for _, request := range m.strandedCommits(one) {
+		if database.writerClosedAt != 0 && now-database.writerClosedAt >= m.timing.ClosingGrace {
+			for _, request := range m.strandedCommits(database) {
 				m.abortStranded(request, now)
 			}
 		}
@@ -157,11 +157,11 @@
 
 // cut ends a commit that is out at a primary that is one no more.
 func (m *Machine) abortStranded(request *Request, now time.Duration) {
-	for _, held := range request.attempts {
-		if held.conn.state == connBusy && held.conn.attempt == held {
-			held.abandoned = true
-			held.conn.owner = nil
-			m.closeConn(held.conn, now)
+	for _, attempt := range request.attempts {
+		if attempt.conn.state == connBusy && attempt.conn.attempt == attempt {
+			attempt.abandoned = true
+			attempt.conn.owner = nil
+			m.closeConn(attempt.conn, now)
 		}
 	}
 	if request.transaction != nil {
@@ -182,8 +182,8 @@
 
 // isAway says whether what a statement in line waits for is not there at all:
 // the lease, or the writer role.
-func (m *Machine) isTargetUnavailable(one *database, request *Request, now time.Duration) bool {
-	_, _, open := m.writer(one)
+func (m *Machine) isTargetUnavailable(database *databaseState, request *Request, now time.Duration) bool {
+	_, _, open := m.writer(database)
 	return !m.routing.HasLease(now) || (request.strict && !open)
 }
 
@@ -215,8 +215,8 @@
 
 func (m *Machine) timeOutInFlight(request *Request, now time.Duration) {
 	if request.mayPersist() && request.isSent() {
-		for _, held := range request.attempts {
-			m.abandon(held, now)
+		for _, attempt := range request.attempts {
+			m.abandon(attempt, now)
 		}
 		if request.transaction != nil {
 			request.transaction.conn = nil
@@ -224,8 +224,8 @@
 		m.respondUnknown(request, "no answer from the instance in time", now)
 		return
 	}
-	for _, held := range request.attempts {
-		m.abandon(held, now)
+	for _, attempt := range request.attempts {
+		m.abandon(attempt, now)
 	}
 	if request.transaction != nil {
 		request.transaction.conn, request.transaction.lost = nil, true
@@ -236,17 +236,17 @@
 }
 
 // abandon closes the connection of a statement that nobody waits for.
-func (m *Machine) abandon(held *attempt, now time.Duration) {
-	held.abandoned = true
-	if held.conn.state == connBusy && held.conn.attempt == held {
-		held.conn.owner = nil
-		m.closeConn(held.conn, now)
+func (m *Machine) abandon(attempt *requestAttempt, now time.Duration) {
+	attempt.abandoned = true
+	if attempt.conn.state == connBusy && attempt.conn.attempt == attempt {
+		attempt.conn.owner = nil
+		m.closeConn(attempt.conn, now)
 	}
 }
 
 // tend looks after an instance's connections.
-func (m *Machine) maintainConns(held *instance, now time.Duration) {
-	for _, conn := range slices.Clone(held.conns) {
+func (m *Machine) maintainConns(instance *instanceState, now time.Duration) {
+	for _, conn := range slices.Clone(instance.conns) {
 		isStuck := conn.state == connOpening && now-conn.openedAt > m.timing.OpenTimeout
 		isDead := conn.state == connBusy && conn.attempt != nil && conn.attempt.abandoned && now-conn.attempt.sentAt > m.timing.AbandonedTimeout
 		if isStuck {
@@ -256,12 +256,12 @@
 			m.closeConn(conn, now)
 		}
 	}
-	m.closeSurplusConns(held, now)
-	if !m.isDrainOver(held, now) {
+	m.closeSurplusConns(instance, now)
+	if !m.isDrainOver(instance, now) {
 		return
 	}
-	m.closeIdleConns(held, now)
-	for _, conn := range slices.Clone(held.conns) {
+	m.closeIdleConns(instance, now)
+	for _, conn := range slices.Clone(instance.conns) {
 		if conn.owner != nil {
 			m.loseTransaction(conn.owner, now)
 		}
@@ -269,12 +269,12 @@
 }
 
 // giveBack closes what rests over the node's rights.
-func (m *Machine) closeSurplusConns(held *instance, now time.Duration) {
-	if !held.quota.IsScarce() {
+func (m *Machine) closeSurplusConns(instance *instanceState, now time.Duration) {
+	if !instance.quota.IsScarce() {
 		return
 	}
-	for _, conn := range slices.Clone(held.idle) {
-		if len(held.conns) > held.quota.MaxIdle && now-conn.idleSince >= m.timing.SurplusIdle {
+	for _, conn := range slices.Clone(instance.idle) {
+		if len(instance.conns) > instance.quota.MaxIdle && now-conn.idleSince >= m.timing.SurplusIdle {
 			m.count("connections_given_back", 1)
 			m.closeConn(conn, now)
 		}
@@ -283,8 +283,8 @@
 
 // isSpent says whether an instance has been leaving for so long that nothing
 // more is sent there.
-func (m *Machine) isDrainOver(held *instance, now time.Duration) bool {
-	return held.drainingSince != 0 && now-held.drainingSince >= m.timing.DrainWindow
+func (m *Machine) isDrainOver(instance *instanceState, now time.Duration) bool {
+	return instance.drainingSince != 0 && now-instance.drainingSince >= m.timing.DrainWindow
 }
 
 // IsOver says whether the machine has given the connection up.
--- a/internal/coordination/pool/linepool/harness_test.go
+++ b/internal/coordination/pool/linepool/harness_test.go
@@ -205,26 +205,26 @@
 }
 
 func (r *harness) client(name string) *Client {
-	c := r.Accept(nil, r.now)
-	r.Connect(c, name, r.now)
+	client := r.Accept(nil, r.now)
+	r.Connect(client, name, r.now)
 	r.applyEffects()
-	return c
+	return client
 }
 
-func (r *harness) query(c *Client, query Query) {
-	r.Query(c, query, r.now)
+func (r *harness) query(client *Client, query Query) {
+	r.Query(client, query, r.now)
 	r.applyEffects()
 }
 
 // heard gives the last answer to a client.
-func (r *harness) lastResponse(c *Client) string {
-	if len(r.responses[c]) == 0 {
+func (r *harness) lastResponse(client *Client) string {
+	if len(r.responses[client]) == 0 {
 		return ""
 	}
-	return r.responses[c][len(r.responses[c])-1]
+	return r.responses[client][len(r.responses[client])-1]
 }
 
-func (r *harness) responseCount(c *Client) int { return len(r.responses[c]) }
+func (r *harness) responseCount(client *Client) int { return len(r.responses[client]) }
 
 // next takes the oldest write to an instance that is not answered.
 func (r *harness) nextSend() Send {
@@ -348,34 +348,34 @@
 
 // sampled lets the node learn the primary's position by a read there.
 func (r *harness) samplePosition() {
-	c := r.client("strict")
-	r.query(c, read("sample"))
+	client := r.client("strict")
+	r.query(client, read("sample"))
 	r.answerSend(r.nextSend(), lineproto.StateIdle, ok("s"))
-	r.Terminate(c, r.now)
+	r.Terminate(client, r.now)
 	r.applyEffects()
 }
 
 // sound checks what must hold of the machine after every event.
 func (m *Machine) invariantViolation() string {
-	legs := map[*instance]int{}
+	legs := map[*instanceState]int{}
 	jobs := map[*Request]int{}
-	for _, held := range m.instances {
+	for _, instance := range m.instances {
 		opening := 0
-		for _, conn := range held.conns {
-			if conn.state == connClosed || conn.instance != held {
+		for _, conn := range instance.conns {
+			if conn.state == connClosed || conn.instance != instance {
 				return "a connection that is over is kept"
 			}
 			if conn.state == connOpening {
 				opening++
 			}
 			if conn.attempt != nil {
-				legs[held]++
+				legs[instance]++
 			}
 			isLent := conn.owner != nil && (conn.owner.transaction == nil || conn.owner.transaction.conn != conn)
 			if isLent {
 				return "a connection's owner does not hold it"
 			}
-			isLost := conn.state == connIdle && conn.owner == nil && !slices.Contains(held.idle, conn)
+			isLost := conn.state == connIdle && conn.owner == nil && !slices.Contains(instance.idle, conn)
 			if isLost {
 				return "an idle connection is in no list"
 			}
@@ -384,21 +384,21 @@
 				return "a busy connection waits for nothing"
 			}
 		}
-		for at, conn := range held.idle {
-			isBad := conn.state != connIdle || conn.owner != nil || conn.attempt != nil || !slices.Contains(held.conns, conn) || slices.Contains(held.idle[:at], conn)
+		for at, conn := range instance.idle {
+			isBad := conn.state != connIdle || conn.owner != nil || conn.attempt != nil || !slices.Contains(instance.conns, conn) || slices.Contains(instance.idle[:at], conn)
 			if isBad {
 				return "the list of idle connections is wrong"
 			}
 		}
-		if opening != held.opening {
-			return fmt.Sprintf("%s counts %d openings, has %d", held.info.Name, held.opening, opening)
+		if opening != instance.opening {
+			return fmt.Sprintf("%s counts %d openings, has %d", instance.info.Name, instance.opening, opening)
 		}
-		if reading := held.window.Reading(); reading.InFlight != legs[held] {
-			return fmt.Sprintf("%s counts %d out, has %d", held.info.Name, reading.InFlight, legs[held])
+		if reading := instance.window.Reading(); reading.InFlight != legs[instance] {
+			return fmt.Sprintf("%s counts %d out, has %d", instance.info.Name, reading.InFlight, legs[instance])
 		}
 	}
-	for _, one := range m.databases {
-		for _, list := range [][]*Request{one.transactionQueue, one.primaryQueue, one.readQueue} {
+	for _, database := range m.databases {
+		for _, list := range [][]*Request{database.transactionQueue, database.primaryQueue, database.readQueue} {
 			for _, request := range list {
 				jobs[request]++
 				if request.phase != phaseQueued {
@@ -406,13 +406,13 @@
 				}
 			}
 		}
-		for _, request := range one.inFlight {
+		for _, request := range database.inFlight {
 			jobs[request]++
 			if request.phase != phaseInFlight || len(request.attempts) == 0 {
 				return "what is out is in another phase"
 			}
 		}
-		for _, request := range one.unconfirmed {
+		for _, request := range database.unconfirmed {
 			jobs[request]++
 			if request.phase != phaseUnconfirmed {
 				return "what is to be confirmed is in another phase"
@@ -432,15 +432,15 @@
 			return "a statement waits for a client that does not"
 		}
 	}
-	for c := range m.clients {
-		if c.request != nil && jobs[c.request] != 1 {
+	for client := range m.clients {
+		if client.request != nil && jobs[client.request] != 1 {
 			return "a client waits for a statement that is nowhere"
 		}
-		isTurned := (c.state == lineproto.StateInTransaction) != (c.transaction != nil)
-		if isTurned && c.request == nil {
-			return fmt.Sprintf("a client in state %c, transaction %v", c.state, c.transaction != nil)
+		isTurned := (client.state == lineproto.StateInTransaction) != (client.transaction != nil)
+		if isTurned && client.request == nil {
+			return fmt.Sprintf("a client in state %c, transaction %v", client.state, client.transaction != nil)
 		}
-		if c.transaction != nil && c.transaction.conn != nil && (c.transaction.conn.owner != c || c.transaction.conn.state == connClosed) {
+		if client.transaction != nil && client.transaction.conn != nil && (client.transaction.conn.owner != client || client.transaction.conn.state == connClosed) {
 			return "a transaction's connection is not its own"
 		}
 	}
--- a/internal/coordination/pool/linepool/pool.go
+++ b/internal/coordination/pool/linepool/pool.go
@@ -169,7 +169,7 @@
 	prepared    map[string]preparedStatement
 	ownCommits  map[string]ownCommit
 	state       byte
-	transaction *transaction
+	transaction *transactionState
 	request     *Request
 	pipelined   []Query
 	serial      uint64
@@ -184,7 +184,7 @@
 	at       time.Duration
 }
 
-type transaction struct {
+type transactionState struct {
 	binding  model.Binding
 	readOnly bool
 	lost     bool
@@ -218,16 +218,16 @@
 	write       bool
 	commit      bool
 	strict      bool
-	transaction *transaction
+	transaction *transactionState
 	arrivedAt   time.Duration
 	deadline    time.Duration
 	phase       phase
-	attempts    []*attempt
+	attempts    []*requestAttempt
 	hedged      bool
 	retries     int
 	notBefore   time.Duration
 	// avoid is the instance that failed it last, failed how often one did.
-	avoid       *instance
+	avoid       *instanceState
 	failures    int
 	term        uint64
 	minPosition model.Position
@@ -245,8 +245,8 @@
 	if request.phase != phaseInFlight {
 		return request.phase == phaseUnconfirmed
 	}
-	for _, held := range request.attempts {
-		if held.statementSent {
+	for _, attempt := range request.attempts {
+		if attempt.statementSent {
 			return true
 		}
 	}
@@ -257,7 +257,7 @@
 	return !request.write && !request.commit && request.transaction == nil
 }
 
-type attempt struct {
+type requestAttempt struct {
 	request   *Request
 	conn      *Conn
 	sentAt    time.Duration
@@ -283,7 +283,7 @@
 type Conn struct {
 	// Link belongs to whoever opened it.
 	Transport     any
-	instance      *instance
+	instance      *instanceState
 	state         connState
 	variables     map[string]string
 	prepared      map[string]string
@@ -291,7 +291,7 @@
 	dirty         bool
 	changed       bool
 	owner         *Client
-	attempt       *attempt
+	attempt       *requestAttempt
 	pending       []pendingAnswer
 	openedAt      time.Duration
 	idleSince     time.Duration
@@ -300,10 +300,10 @@
 
 type pendingAnswer struct {
 	kind    CommandKind
-	attempt *attempt
+	attempt *requestAttempt
 }
 
-type instance struct {
+type instanceState struct {
 	info          model.Instance
 	databaseID    int
 	quota         connquota.Quota
@@ -327,7 +327,7 @@
 	position model.Position
 }
 
-type database struct {
+type databaseState struct {
 	name             string
 	primaryQueue     []*Request
 	readQueue        []*Request
@@ -350,9 +350,9 @@
 	count            func(name string, by int64)
 	routing          *routing.Machine
 	databaseNames    *symbol.Table
-	databases        []*database
+	databases        []*databaseState
 	instanceNames    *symbol.Table
-	instances        []*instance
+	instances        []*instanceState
 	clients          map[*Client]bool
 	awaitingLease    []*Request
 	connecting       []*Client
@@ -391,17 +391,19 @@
 // read only.
 func (m *Machine) Routing() *routing.Machine { return m.routing }
 
-func (m *Machine) database(name string) *database {
+func (m *Machine) database(name string) *databaseState {
 	rank := m.databaseNames.Intern(name)
 	for len(m.databases) <= rank {
-		m.databases = append(m.databases, &database{name: m.databaseNames.Name(len(m.databases))})
+		m.databases = append(m.databases, &databaseState{name: m.databaseNames.Name(len(m.databases))})
 	}
 	return m.databases[rank]
 }
 
-func (m *Machine) databaseOf(held *instance) *database { return m.databases[held.databaseID] }
+func (m *Machine) databaseOf(instance *instanceState) *databaseState {
+	return m.databases[instance.databaseID]
+}
 
-func (m *Machine) instance(name string) *instance {
+func (m *Machine) instance(name string) *instanceState {
 	rank, found := m.instanceNames.Lookup(name)
 	if !found {
 		return nil
@@ -409,15 +411,15 @@
 	return m.instances[rank]
 }
 
-func (m *Machine) writer(one *database) (model.WriterRole, *instance, bool) {
-	writer := m.routing.WriterRole(one.name)
+func (m *Machine) writer(database *databaseState) (model.WriterRole, *instanceState, bool) {
+	writer := m.routing.WriterRole(database.name)
 	target := m.instance(writer.Primary)
 	return writer, target, writer.Phase == model.PhaseOpen && target != nil && !target.info.Stopped
 }
 
-func (m *Machine) isPrimary(held *instance) bool {
-	_, target, open := m.writer(m.databaseOf(held))
-	return open && target == held
+func (m *Machine) isPrimary(instance *instanceState) bool {
+	_, target, open := m.writer(m.databaseOf(instance))
+	return open && target == instance
 }
 
 // Ready says whether the node may be given sessions, and why not.
@@ -457,9 +459,9 @@
 	if !m.ticked || m.routing.HasLease(now) {
 		m.ticked, m.lastLeased = true, now
 	}
-	for _, held := range m.instances {
-		held.window.Tick(now)
-		m.maintainConns(held, now)
+	for _, instance := range m.instances {
+		instance.window.Tick(now)
+		m.maintainConns(instance, now)
 	}
 	m.expireRequests(now)
 	m.hedgeReads(now)
@@ -477,22 +479,22 @@
 func (m *Machine) updatePeers(live []string, weight float64, now time.Duration) {
 	if changed := m.quotaNodes.Update(live, now); changed || weight != m.windowParameters.Beta {
 		m.windowParameters.Beta = weight
-		for _, held := range m.instances {
-			m.retuneWindow(held)
+		for _, instance := range m.instances {
+			m.retuneWindow(instance)
 		}
 	}
 }
 
-func (m *Machine) retuneWindow(held *instance) {
-	held.quota = m.quotaNodes.Quota(m.node.Name, held.info.Name, held.info.Connections)
-	held.window.Retune(m.windowParameters.Beta, float64(held.quota.MaxOpen))
+func (m *Machine) retuneWindow(instance *instanceState) {
+	instance.quota = m.quotaNodes.Quota(m.node.Name, instance.info.Name, instance.info.Connections)
+	instance.window.Retune(m.windowParameters.Beta, float64(instance.quota.MaxOpen))
 }
 
 func (m *Machine) dispatchAll(now time.Duration) {
 	m.resumeAwaitingLease(now)
-	for _, one := range m.databases {
-		m.confirmCommits(one, now)
-		m.dispatch(one, now)
+	for _, database := range m.databases {
+		m.confirmCommits(database, now)
+		m.dispatch(database, now)
 	}
 }
 
@@ -526,16 +528,16 @@
 // Show gives what the node shows to operators.
 func (m *Machine) Status(now time.Duration) (instances []InstanceStatus, lines []QueueStatus) {
 	instances, lines = []InstanceStatus{}, []QueueStatus{}
-	for _, held := range m.instances {
+	for _, instance := range m.instances {
 		instances = append(instances, InstanceStatus{
-			Instance: held.info, AnsweredAgeMS: (now - held.lastResponse).Milliseconds(), Position: held.position, Window: held.window.Reading(),
-			Refusals: held.refusals, Connections: len(held.conns), Idle: len(held.idle), Quota: held.quota.MaxOpen, QuotaIdle: held.quota.MaxIdle,
+			Instance: instance.info, AnsweredAgeMS: (now - instance.lastResponse).Milliseconds(), Position: instance.position, Window: instance.window.Reading(),
+			Refusals: instance.refusals, Connections: len(instance.conns), Idle: len(instance.idle), Quota: instance.quota.MaxOpen, QuotaIdle: instance.quota.MaxIdle,
 		})
 	}
-	for _, one := range m.databases {
+	for _, database := range m.databases {
 		lines = append(lines, QueueStatus{
-			Database: one.name, Transactions: len(one.transactionQueue), Writes: len(one.primaryQueue), Reads: len(one.readQueue), InFlight: len(one.inFlight),
-			Unconfirmed: len(one.unconfirmed), HighWatermark: one.highWatermark,
+			Database: database.name, Transactions: len(database.transactionQueue), Writes: len(database.primaryQueue), Reads: len(database.readQueue), InFlight: len(database.inFlight),
+			Unconfirmed: len(database.unconfirmed), HighWatermark: database.highWatermark,
 		})
 	}
 	return instances, lines
--- a/internal/coordination/pool/linepool/queues.go
+++ b/internal/coordination/pool/linepool/queues.go
@@ -76,9 +76,9 @@
 }
 
 func (m *Machine) enqueue(request *Request, now time.Duration) {
-	one := m.database(request.binding.Database)
+	database := m.database(request.binding.Database)
 	request.phase = phaseQueued
-	list := m.queueOf(one, request)
+	list := m.queueOf(database, request)
 	if len(*list) >= m.timing.MaxQueue {
 		m.reject(request, lineproto.CodeBusy, "the line is full; come back in 500 ms", now)
 		return
@@ -87,17 +87,17 @@
 	for at := len(*list) - 1; at > 0 && (*list)[at-1].binding.Priority > request.binding.Priority; at-- {
 		(*list)[at], (*list)[at-1] = (*list)[at-1], (*list)[at]
 	}
-	m.dispatch(one, now)
+	m.dispatch(database, now)
 }
 
-func (m *Machine) queueOf(one *database, request *Request) *[]*Request {
+func (m *Machine) queueOf(database *databaseState, request *Request) *[]*Request {
 	if request.transaction != nil && request.transaction.conn != nil {
-		return &one.transactionQueue
+		return &database.transactionQueue
 	}
 	if request.strict {
-		return &one.primaryQueue
+		return &database.primaryQueue
 	}
-	return &one.readQueue
+	return &database.readQueue
 }
 
 func remove(list *[]*Request, request *Request) {
@@ -107,21 +107,21 @@
 }
 
 func (m *Machine) dequeue(request *Request) {
-	one := m.database(request.binding.Database)
-	for _, list := range []*[]*Request{&one.transactionQueue, &one.primaryQueue, &one.readQueue} {
+	database := m.database(request.binding.Database)
+	for _, list := range []*[]*Request{&database.transactionQueue, &database.primaryQueue, &database.readQueue} {
 		remove(list, request)
 	}
 }
 
-func (m *Machine) dispatch(one *database, now time.Duration) {
-	if len(one.transactionQueue) > 0 {
-		m.dispatchTransactions(one, now)
+func (m *Machine) dispatch(database *databaseState, now time.Duration) {
+	if len(database.transactionQueue) > 0 {
+		m.dispatchTransactions(database, now)
 	}
-	if len(one.primaryQueue) > 0 && m.routing.HasLease(now) {
-		m.dispatchPrimary(one, now)
+	if len(database.primaryQueue) > 0 && m.routing.HasLease(now) {
+		m.dispatchPrimary(database, now)
 	}
-	if len(one.readQueue) > 0 && m.routing.HasLease(now) {
-		m.dispatchReads(one, now)
+	if len(database.readQueue) > 0 && m.routing.HasLease(now) {
+		m.dispatchReads(database, now)
 	}
 }
 
@@ -131,8 +131,8 @@
 	return request.phase == phaseQueued && now >= request.notBefore && now < request.deadline
 }
 
-func (m *Machine) dispatchTransactions(one *database, now time.Duration) {
-	for _, request := range slices.Clone(one.transactionQueue) {
+func (m *Machine) dispatchTransactions(database *databaseState, now time.Duration) {
+	for _, request := range slices.Clone(database.transactionQueue) {
 		if request.phase != phaseQueued {
 			continue
 		}
@@ -142,7 +142,7 @@
 			m.abortTransaction(request, now)
 			continue
 		}
-		writer, _, open := m.writer(one)
+		writer, _, open := m.writer(database)
 		isFenced := !request.transaction.readOnly && (!open || writer.Term != conn.term || !m.routing.HasLease(now))
 		if !isFenced && request.isReady(now) && conn.instance.window.HasRoom() {
 			request.term = conn.term
@@ -151,12 +151,12 @@
 	}
 }
 
-func (m *Machine) dispatchPrimary(one *database, now time.Duration) {
-	writer, target, open := m.writer(one)
-	if !open || !m.routing.MayWrite(one.name, writer.Term, now) || m.isDrainOver(target, now) {
+func (m *Machine) dispatchPrimary(database *databaseState, now time.Duration) {
+	writer, target, open := m.writer(database)
+	if !open || !m.routing.MayWrite(database.name, writer.Term, now) || m.isDrainOver(target, now) {
 		return
 	}
-	for _, request := range slices.Clone(one.primaryQueue) {
+	for _, request := range slices.Clone(database.primaryQueue) {
 		if !target.window.HasRoom() {
 			return
 		}
@@ -165,7 +165,7 @@
 		}
 		conn := m.takeIdle(target, request.client)
 		if conn == nil {
-			m.openConns(target, len(one.primaryQueue), now)
+			m.openConns(target, len(database.primaryQueue), now)
 			return
 		}
 		request.term, request.minPosition = writer.Term, model.Position{}
@@ -173,18 +173,18 @@
 	}
 }
 
-func (m *Machine) dispatchReads(one *database, now time.Duration) {
+func (m *Machine) dispatchReads(database *databaseState, now time.Duration) {
 	misses := 0
-	for _, request := range slices.Clone(one.readQueue) {
+	for _, request := range slices.Clone(database.readQueue) {
 		if misses > 8 {
 			return
 		}
 		if !request.isReady(now) {
 			continue
 		}
-		target, floor := m.selectInstance(one, request, request.avoid, now)
+		target, floor := m.selectInstance(database, request, request.avoid, now)
 		if target == nil && request.avoid != nil {
-			target, floor = m.selectInstance(one, request, nil, now)
+			target, floor = m.selectInstance(database, request, nil, now)
 		}
 		var conn *Conn
 		if target != nil {
@@ -193,26 +193,26 @@
 		if conn == nil {
 			misses++
 			if target != nil {
-				m.openConns(target, len(one.readQueue), now)
+				m.openConns(target, len(database.readQueue), now)
 			}
 			continue
 		}
-		request.term, request.minPosition = m.routing.WriterRole(one.name).Term, floor
+		request.term, request.minPosition = m.routing.WriterRole(database.name).Term, floor
 		m.forward(request, conn, now)
 	}
 }
 
 // floorOf gives a position that covers all that a read must see: whatever was
 // told kept before the bound, and the session's own commits.
-func (m *Machine) minPositionFor(one *database, request *Request) (floor model.Position, found bool) {
+func (m *Machine) minPositionFor(database *databaseState, request *Request) (floor model.Position, found bool) {
 	least := request.arrivedAt - request.binding.Freshness + freshnessMargin
-	for _, seen := range one.samples {
+	for _, seen := range database.samples {
 		if seen.takenAt >= least {
 			floor, found = seen.position, true
 			break
 		}
 	}
-	if own := request.client.ownCommits[one.name]; request.binding.ReadYourWrites {
+	if own := request.client.ownCommits[database.name]; request.binding.ReadYourWrites {
 		floor = floor.Max(own.position)
 	}
 	return floor, found
@@ -220,28 +220,28 @@
 
 const freshnessMargin = 100 * time.Millisecond
 
-func (m *Machine) selectInstance(one *database, request *Request, not *instance, now time.Duration) (*instance, model.Position) {
+func (m *Machine) selectInstance(database *databaseState, request *Request, not *instanceState, now time.Duration) (*instanceState, model.Position) {
 	var choices []balancer.Candidate
-	var targets []*instance
-	floor, found := m.minPositionFor(one, request)
-	own := request.client.ownCommits[one.name]
+	var targets []*instanceState
+	floor, found := m.minPositionFor(database, request)
+	own := request.client.ownCommits[database.name]
 	isFresh := !request.binding.ReadYourWrites || now-own.at > m.timing.ReplicationBound
-	writer, primary, open := m.writer(one)
-	for _, held := range m.instances {
-		isOff := m.databases[held.databaseID] != one || held.drainingSince != 0 || held.info.Stopped || held == not
+	writer, primary, open := m.writer(database)
+	for _, instance := range m.instances {
+		isOff := m.databases[instance.databaseID] != database || instance.drainingSince != 0 || instance.info.Stopped || instance == not
 		if isOff {
 			continue
 		}
-		isHead := held == primary
-		reading := held.window.Reading()
-		isRead := found && !isHead && held.info.Role != model.RolePrimary && now >= held.laggingUntil && (isFresh || !held.position.IsBefore(floor))
+		isHead := instance == primary
+		reading := instance.window.Reading()
+		isRead := found && !isHead && instance.info.Role != model.RolePrimary && now >= instance.laggingUntil && (isFresh || !instance.position.IsBefore(floor))
 		choices = append(choices, balancer.Candidate{
-			HasCapacity: held.window.HasRoom() && (len(held.idle) > 0 || m.canOpen(held, now)), SameZone: held.info.Zone == m.node.Zone,
-			FreshEnough: isRead || (isHead && open && m.routing.MayWrite(one.name, writer.Term, now)),
+			HasCapacity: instance.window.HasRoom() && (len(instance.idle) > 0 || m.canOpen(instance, now)), SameZone: instance.info.Zone == m.node.Zone,
+			FreshEnough: isRead || (isHead && open && m.routing.MayWrite(database.name, writer.Term, now)),
 			Utilization: float64(reading.InFlight+reading.Abandoned) / max(reading.Size, 1), Latency: reading.AverageLatency,
-			CostFactor: held.health.CostFactor(now),
+			CostFactor: instance.health.CostFactor(now),
 		})
-		targets = append(targets, held)
+		targets = append(targets, instance)
 	}
 	best := balancer.Pick(choices)
 	if best < 0 {
@@ -253,11 +253,11 @@
 	return targets[best], floor
 }
 
-func (m *Machine) canOpen(held *instance, now time.Duration) bool {
-	return len(held.conns) < held.quota.MaxOpen && now >= held.backoffUntil && held.info.Address != ""
+func (m *Machine) canOpen(instance *instanceState, now time.Duration) bool {
+	return len(instance.conns) < instance.quota.MaxOpen && now >= instance.backoffUntil && instance.info.Address != ""
 }
 
-func (m *Machine) openConns(target *instance, waiting int, now time.Duration) {
+func (m *Machine) openConns(target *instanceState, waiting int, now time.Duration) {
 	want := min(waiting, max(target.window.Available(), 1))
 	for target.opening < want && m.canOpen(target, now) {
 		conn := &Conn{instance: target, state: connOpening, openedAt: now}
@@ -268,11 +268,11 @@
 }
 
 // spare gives an idle connection, best one that has the client's values.
-func (m *Machine) takeIdle(target *instance, c *Client) *Conn {
+func (m *Machine) takeIdle(target *instanceState, client *Client) *Conn {
 	best := -1
 	for at := len(target.idle) - 1; at >= 0; at-- {
-		lacks := sessionMismatch(target.idle[at], c)
-		if best < 0 || lacks < sessionMismatch(target.idle[best], c) {
+		lacks := sessionMismatch(target.idle[at], client)
+		if best < 0 || lacks < sessionMismatch(target.idle[best], client) {
 			best = at
 		}
 		if lacks == 0 {
@@ -287,13 +287,13 @@
 	return conn
 }
 
-func sessionMismatch(conn *Conn, c *Client) int {
+func sessionMismatch(conn *Conn, client *Client) int {
 	lacks := 0
 	if conn.dirty {
 		return 3
 	}
 	for name, value := range conn.variables {
-		held, found := c.variables[name]
+		held, found := client.variables[name]
 		if !found {
 			return 2
 		}
@@ -301,7 +301,7 @@
 			lacks = 1
 		}
 	}
-	if len(c.variables) > len(conn.variables) {
+	if len(client.variables) > len(conn.variables) {
 		lacks = 1
 	}
 	return lacks
@@ -310,7 +310,7 @@
 // pass sends a statement to an instance, with what must go before it.
 func (m *Machine) forward(request *Request, conn *Conn, now time.Duration) {
 	m.dequeue(request)
-	one := m.database(request.binding.Database)
+	database := m.database(request.binding.Database)
 	var outs []Command
 	isTurn := request.transaction != nil
 	isFirst := isTurn && request.transaction.conn == nil
@@ -327,7 +327,7 @@
 			conn.changed = true
 		}
 	}
-	held := &attempt{request: request, conn: conn, sentAt: now, statementSent: !isFirst}
+	attempt := &requestAttempt{request: request, conn: conn, sentAt: now, statementSent: !isFirst}
 	if isFirst {
 		kind := CommandBegin
 		if request.transaction.readOnly {
@@ -346,13 +346,13 @@
 	if isTurn && request.write {
 		request.transaction.hasWrites = true
 	}
-	request.attempts = append(request.attempts, held)
+	request.attempts = append(request.attempts, attempt)
 	request.phase = phaseInFlight
 	conn.instance.window.Acquire()
-	one.inFlight = append(one.inFlight, request)
+	database.inFlight = append(database.inFlight, request)
 	m.count("passed_on", 1)
 	m.count("waited_us", (now - request.arrivedAt).Microseconds())
-	m.send(conn, held, outs)
+	m.send(conn, attempt, outs)
 }
 
 func (m *Machine) statementCommand(request *Request, conn *Conn, floor model.Position) Command {
@@ -364,11 +364,11 @@
 
 // dress gives what brings a connection to the client's values; inside a
 // transaction nothing is reset, since values only grow there.
-func (m *Machine) sessionCommands(conn *Conn, c *Client, inTransaction bool) []Command {
+func (m *Machine) sessionCommands(conn *Conn, client *Client, inTransaction bool) []Command {
 	var outs []Command
 	isOver := conn.dirty || len(conn.prepared) > m.timing.MaxPrepared
 	for name := range conn.variables {
-		_, found := c.variables[name]
+		_, found := client.variables[name]
 		isOver = isOver || !found
 	}
 	if isOver && !inTransaction {
@@ -376,13 +376,13 @@
 		conn.variables, conn.prepared, conn.dirty, conn.changed = nil, nil, false, false
 		m.count("connections_reset", 1)
 	}
-	for _, name := range sortedKeys(c.variables) {
-		if value, found := conn.variables[name]; !found || value != c.variables[name] {
+	for _, name := range sortedKeys(client.variables) {
+		if value, found := conn.variables[name]; !found || value != client.variables[name] {
 			if conn.variables == nil {
 				conn.variables = map[string]string{}
 			}
-			conn.variables[name] = c.variables[name]
-			outs = append(outs, Command{Kind: CommandSet, Name: name, Value: c.variables[name]})
+			conn.variables[name] = client.variables[name]
+			outs = append(outs, Command{Kind: CommandSet, Name: name, Value: client.variables[name]})
 			conn.changed = true
 		}
 	}
@@ -401,20 +401,20 @@
 	return names
 }
 
-func (m *Machine) send(conn *Conn, held *attempt, outs []Command) {
+func (m *Machine) send(conn *Conn, attempt *requestAttempt, outs []Command) {
 	for at, out := range outs {
 		one := pendingAnswer{kind: out.Kind}
 		if at == len(outs)-1 {
-			one.attempt = held
+			one.attempt = attempt
 		}
 		conn.pending = append(conn.pending, one)
 	}
-	if conn.state == connIdle && held == nil {
+	if conn.state == connIdle && attempt == nil {
 		if at := slices.Index(conn.instance.idle, conn); at >= 0 {
 			conn.instance.idle = slices.Delete(conn.instance.idle, at, at+1)
 		}
 	}
-	conn.state, conn.attempt = connBusy, held
+	conn.state, conn.attempt = connBusy, attempt
 	m.emit(Send{Conn: conn, Commands: outs})
 }
 
@@ -423,19 +423,19 @@
 	if !m.routing.HasLease(now) {
 		return
 	}
-	for _, one := range m.databases {
-		for _, request := range slices.Clone(one.inFlight) {
+	for _, database := range m.databases {
+		for _, request := range slices.Clone(database.inFlight) {
 			if !request.isRetryableRead() || request.hedged || request.strict || len(request.attempts) == 0 || now-request.attempts[0].sentAt < m.hedgeDelay(request) {
 				continue
 			}
-			target, floor := m.selectInstance(one, request, request.attempts[0].conn.instance, now)
+			target, floor := m.selectInstance(database, request, request.attempts[0].conn.instance, now)
 			if target == nil {
 				continue
 			}
 			if conn := m.takeIdle(target, request.client); conn != nil {
 				request.attempts[0].conn.instance.health.Observe(true, now)
 				request.hedged, request.minPosition = true, floor
-				remove(&one.inFlight, request)
+				remove(&database.inFlight, request)
 				m.count("reads_twinned", 1)
 				m.forward(request, conn, now)
 			}
--- a/internal/coordination/pool/linepool/random_test.go
+++ b/internal/coordination/pool/linepool/random_test.go
@@ -386,9 +386,9 @@
 		return
 	}
 	names := []string{"strict", "stale", "own", "urgent", "other"}
-	c := s.Accept(nil, s.now)
-	s.simulatedClients = append(s.simulatedClients, &simulatedClient{client: c, state: lineproto.StateIdle, variables: map[string]string{}, prepared: map[string]string{}})
-	s.Connect(c, names[s.random.IntN(len(names))], s.now)
+	client := s.Accept(nil, s.now)
+	s.simulatedClients = append(s.simulatedClients, &simulatedClient{client: client, state: lineproto.StateIdle, variables: map[string]string{}, prepared: map[string]string{}})
+	s.Connect(client, names[s.random.IntN(len(names))], s.now)
 }
 
 func (s *simulation) sendQuery() {
@@ -511,14 +511,14 @@
 			return fmt.Sprintf("%s was never answered", p.pending[0].query.ID)
 		}
 	}
-	for _, held := range s.instances {
-		if open := held.window.Reading().InFlight; open != 0 {
-			return fmt.Sprintf("%s still counts %d out", held.info.Name, open)
+	for _, instance := range s.instances {
+		if open := instance.window.Reading().InFlight; open != 0 {
+			return fmt.Sprintf("%s still counts %d out", instance.info.Name, open)
 		}
 	}
-	for _, one := range s.databases {
-		if len(one.transactionQueue)+len(one.primaryQueue)+len(one.readQueue)+len(one.inFlight)+len(one.unconfirmed) > 0 {
-			return one.name + " has a line that is not empty"
+	for _, database := range s.databases {
+		if len(database.transactionQueue)+len(database.primaryQueue)+len(database.readQueue)+len(database.inFlight)+len(database.unconfirmed) > 0 {
+			return database.name + " has a line that is not empty"
 		}
 	}
 	return ""
