--- /dev/null
+++ b/test/history/commits.go
@@ -0,0 +1,125 @@
+package history
+
+import (
+	"slices"
+
+	"tansyseam/test/standin"
+)
+
+// DuplicateEffects finds requests that took effect more than once.
+func DuplicateEffects(e Evidence) []string {
+	var found violations
+	for database := range e.Logs {
+		for id, positions := range e.effectPositions(database) {
+			if id != "" && len(positions) > 1 {
+				found.add("%s: %s at %v", database, id, positions)
+			}
+		}
+	}
+	return found
+}
+
+// RefusedButKept finds requests that took effect although the last answer to
+// their caller was that they had not, or although their transaction was never
+// committed.
+func RefusedButKept(e Evidence) []string {
+	var found violations
+	for database := range e.Logs {
+		effects := e.effectPositions(database)
+		for _, event := range e.Events {
+			refused := (isCommitKind(event) && event.Outcome == OutcomeNotKept) || event.Kind == KindRollback
+			if event.Database != database || !refused {
+				continue
+			}
+			for _, id := range requestIDs(event) {
+				if positions := effects[id]; id != "" && len(positions) > 0 {
+					found.add("%s: %s told %s (%s), kept at %v", database, id, event.Outcome, event.Error, positions)
+				}
+			}
+		}
+	}
+	return found
+}
+
+// LostCommits finds requests acknowledged as committed that the final log
+// lacks, or has at another position than was acknowledged.
+func LostCommits(e Evidence) []string {
+	var found violations
+	for database := range e.Logs {
+		effects := e.effectPositions(database)
+		for _, event := range e.acknowledgedCommits(database) {
+			for _, id := range requestIDs(event) {
+				if !slices.Contains(effects[id], event.Position) {
+					found.add("%s: %s told kept at %v, found at %v", database, id, event.Position, effects[id])
+				}
+			}
+		}
+	}
+	return found
+}
+
+// acknowledgedCommits gives the requests whose callers were told that they
+// are committed, in the order of the events.
+func (e Evidence) acknowledgedCommits(database string) []standin.Event {
+	var commits []standin.Event
+	for _, event := range e.Events {
+		if event.Database == database && isCommitKind(event) && event.Outcome == OutcomeKept {
+			commits = append(commits, event)
+		}
+	}
+	return commits
+}
+
+// requestInTerm names a request that ran in a term.
+type requestInTerm struct {
+	id   string
+	term uint64
+}
+
+// OldPrimaryCommits finds commits that were acknowledged in a term although
+// they were sent, or ran, after an instance had been promoted to a later one.
+func OldPrimaryCommits(e Evidence) []string {
+	promoted := e.promotionTimes()
+	lastRun := e.lastRunTimes()
+	var found violations
+	for _, event := range e.Events {
+		if !isCommitKind(event) || event.Outcome != OutcomeKept {
+			continue
+		}
+		for term, at := range promoted[event.Database] {
+			sentLate := !event.IsAgain && event.Sent > at
+			executedLate := lastRun[requestInTerm{event.Go, event.Position.Term}] > at
+			if term > event.Position.Term && (sentLate || executedLate) {
+				found.add("%s: %s kept in term %d after the promotion to term %d", event.Database, event.Go, event.Position.Term, term)
+			}
+		}
+	}
+	return found
+}
+
+// promotionTimes gives, by database and term, when an instance was promoted.
+func (e Evidence) promotionTimes() map[string]map[uint64]int64 {
+	promoted := map[string]map[uint64]int64{}
+	for _, execution := range e.Executions {
+		if execution.Act != actPromote {
+			continue
+		}
+		if promoted[execution.Database] == nil {
+			promoted[execution.Database] = map[uint64]int64{}
+		}
+		promoted[execution.Database][execution.Term] = execution.At
+	}
+	return promoted
+}
+
+func (e Evidence) lastRunTimes() map[requestInTerm]int64 {
+	lastRun := map[requestInTerm]int64{}
+	for _, execution := range e.Executions {
+		if execution.Act == actPromote || execution.Go == "" {
+			continue
+		}
+		key := requestInTerm{execution.Go, execution.Term}
+		lastRun[key] = max(lastRun[key], execution.At)
+	}
+	return lastRun
+}
--- /dev/null
+++ b/test/history/sessions.go
@@ -0,0 +1,104 @@
+package history
+
+import (
+	"strings"
+
+	"tansyseam/test/standin"
+)
+
+// sessionSetting is the setting by which callers mark their sessions.
+const sessionSetting = "app"
+
+// MixedSessions finds transactions that hold statements of more than one
+// caller, statements that ran under another session's settings, and answers
+// that belong to another statement.
+func MixedSessions(e Evidence) []string {
+	var found violations
+	e.checkTransactionOwners(&found)
+	e.checkExecutionSettings(&found)
+	for _, event := range e.Events {
+		checkOwnAnswer(event, &found)
+	}
+	return found
+}
+
+func (e Evidence) checkTransactionOwners(found *violations) {
+	owners := map[string]string{}
+	for _, execution := range e.Executions {
+		if execution.Turn == "" || execution.Act == actCommit {
+			continue
+		}
+		caller := callerOf(execution.Text)
+		if owner, ok := owners[execution.Turn]; ok && owner != caller {
+			found.add("transaction %s holds statements of %s and %s", execution.Turn, owner, caller)
+		}
+		owners[execution.Turn] = caller
+	}
+}
+
+func (e Evidence) checkExecutionSettings(found *violations) {
+	callerOfSession := map[string]string{}
+	for _, event := range e.Events {
+		if event.Kind == KindSet {
+			callerOfSession[event.Session] = event.Caller
+		}
+	}
+	for _, execution := range e.Executions {
+		session, ok := execution.Settings[sessionSetting]
+		caller := callerOf(execution.Text)
+		if ok && execution.Act != actCommit && callerOfSession[session] != caller {
+			found.add("a statement of %s ran under the settings of %s", caller, callerOfSession[session])
+		}
+	}
+}
+
+func checkOwnAnswer(event standin.Event, found *violations) {
+	readOutside := event.Kind == KindRead && event.Outcome == OutcomeRead
+	ranInside := event.Kind == KindInside && event.Outcome == OutcomeDone
+	if !readOutside && !ranInside {
+		return
+	}
+	if event.RanText != "" && event.RanText != event.Text {
+		found.add("%s asked for %q, and %q was run", event.Caller, event.Text, event.RanText)
+	}
+	if event.Settings[sessionSetting] != event.WantSet {
+		found.add("%s read under settings %q, its own are %q", event.Caller, event.Settings[sessionSetting], event.WantSet)
+	}
+}
+
+// callerOf gives the caller that is named in a statement's text.
+func callerOf(text string) string {
+	_, rest, ok := strings.Cut(text, " by ")
+	if !ok {
+		return ""
+	}
+	name, _, _ := strings.Cut(rest, " ")
+	return name
+}
+
+// statement is what a caller sends and an instance runs.
+type statement struct{ requestID, text string }
+
+// UnsentStatements finds statements that ran more often than callers sent
+// them, or that no caller sent.
+func UnsentStatements(e Evidence) []string {
+	sent := map[statement]int{}
+	for _, event := range e.Events {
+		if event.Text != "" {
+			sent[statement{event.Go, event.Text}]++
+		}
+	}
+	executed := map[statement]int{}
+	for _, execution := range e.Executions {
+		if execution.Act != actCommit && execution.Act != actPromote {
+			executed[statement{execution.Go, execution.Text}]++
+		}
+	}
+	var found violations
+	for sought, count := range executed {
+		if count > sent[sought] {
+			found.add("%q ran %d times, sent %d times", sought.requestID+" "+sought.text, count, sent[sought])
+		}
+	}
+	return found
+}
--- /dev/null
+++ b/test/history/sets.go
@@ -0,0 +1,166 @@
+package history
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// downgradeTolerance is how long after a set has shown effect an older
+	// one may still be served under.
+	downgradeTolerance = int64(250 * time.Millisecond)
+	// changeTimeout is how long after its acknowledgement a set may be
+	// without effect.
+	changeTimeout = int64(3 * time.Second)
+	// setTimeout is how long before the end of a run a set must have been
+	// acknowledged and due for its absence to count.
+	setTimeout = int64(4 * time.Second)
+)
+
+// IgnoredChanges finds requests that were served under an older set although
+// a newer one had shown effect or was acknowledged long enough before, and
+// sets that took effect early.
+func IgnoredChanges(e Evidence) []string {
+	var found violations
+	firstServed := e.firstServedTimes()
+	for _, event := range e.Events {
+		if event.Sequence == 0 {
+			continue
+		}
+		for sequence, at := range firstServed {
+			if sequence > event.Sequence && event.Sent > at+downgradeTolerance {
+				found.add("%s was served under sequence %d, %d ms after %d had shown effect", event.Caller, event.Sequence, milliseconds(event.Sent-at), sequence)
+			}
+		}
+	}
+	for _, accepted := range e.AcceptedSets {
+		since := max(accepted.AcknowledgedAt, accepted.EffectiveAt)
+		for _, event := range e.Events {
+			if event.Sequence != 0 && event.Sequence < accepted.Sequence && event.Sent > since+changeTimeout {
+				found.add("%s was served under sequence %d, %d ms after %d was due", event.Caller, event.Sequence, milliseconds(event.Sent-since), accepted.Sequence)
+			}
+		}
+		at, served := firstServed[accepted.Sequence]
+		if served && accepted.EffectiveAt != 0 && at < accepted.EffectiveAt {
+			found.add("sequence %d showed effect %d ms early", accepted.Sequence, milliseconds(accepted.EffectiveAt-at))
+		}
+	}
+	return found
+}
+
+// firstServedTimes gives, by sequence, when the first answer under that set
+// was received.
+func (e Evidence) firstServedTimes() map[uint64]int64 {
+	first := map[uint64]int64{}
+	for _, event := range e.Events {
+		if event.Sequence == 0 || event.Outcome == OutcomeCut {
+			continue
+		}
+		if at, ok := first[event.Sequence]; !ok || event.Got < at {
+			first[event.Sequence] = event.Got
+		}
+	}
+	return first
+}
+
+// setChecker follows the sets of a run by the ID under which operators sent
+// them.
+type setChecker struct {
+	evidence    Evidence
+	idByContent map[string]string
+	// effectiveAt has the scheduled sets only.
+	effectiveAt map[string]int64
+	// sequences and idBySequence have the sets that were served.
+	sequences      map[string]uint64
+	idBySequence   map[uint64]string
+	newestSequence uint64
+	accepted       map[string]bool
+	refused        map[string]bool
+	found          violations
+}
+
+// InconsistentSets finds sets that were served but not sent just so, accepted
+// ones that were never served or got another sequence than was acknowledged,
+// refused ones that were served, and scheduled ones that took effect twice,
+// out of order or not at all.
+func InconsistentSets(e Evidence) []string {
+	checker := &setChecker{
+		evidence: e, idByContent: map[string]string{}, effectiveAt: map[string]int64{}, sequences: map[string]uint64{},
+		idBySequence: map[uint64]string{}, accepted: map[string]bool{}, refused: map[string]bool{},
+	}
+	for _, submitted := range e.SubmittedSets {
+		checker.idByContent[submitted.Content] = submitted.ID
+		if submitted.Scheduled {
+			checker.effectiveAt[submitted.ID] = submitted.EffectiveAt
+		}
+	}
+	for _, served := range e.ServedSets {
+		checker.checkServed(served)
+	}
+	for _, answer := range e.SetAnswers {
+		checker.checkAnswer(answer)
+	}
+	checker.checkRefused()
+	checker.checkScheduledOrder()
+	return checker.found
+}
+
+func (c *setChecker) checkServed(served ServedSet) {
+	id, submitted := c.idByContent[served.Content]
+	if !submitted {
+		c.found.add("%s served under %d, which nobody sent so: %s", served.Node, served.Sequence, served.Content)
+		return
+	}
+	if sequence, ok := c.sequences[id]; ok && sequence != served.Sequence {
+		c.found.add("%s is in force as %d and as %d", id, sequence, served.Sequence)
+	}
+	if other, ok := c.idBySequence[served.Sequence]; ok && other != id {
+		c.found.add("%d is %s at one node and %s at another", served.Sequence, other, id)
+	}
+	c.sequences[id], c.idBySequence[served.Sequence] = served.Sequence, id
+	c.newestSequence = max(c.newestSequence, served.Sequence)
+}
+
+func (c *setChecker) checkAnswer(answer SetAnswer) {
+	if answer.Refused {
+		c.refused[answer.ID] = true
+		return
+	}
+	c.accepted[answer.ID] = true
+	sequence, served := c.sequences[answer.ID]
+	effectiveAt, scheduled := c.effectiveAt[answer.ID]
+	if served && !scheduled && sequence != answer.Sequence {
+		c.found.add("%s was taken as %d, in force as %d", answer.ID, answer.Sequence, sequence)
+	}
+	due := c.evidence.End > max(answer.At, effectiveAt)+setTimeout
+	missing := (scheduled && !served) || (!scheduled && c.newestSequence < answer.Sequence)
+	if due && missing {
+		c.found.add("%s was taken as %d, but is not in force (newest %d)", answer.ID, answer.Sequence, c.newestSequence)
+	}
+}
+
+func (c *setChecker) checkRefused() {
+	for id := range c.refused {
+		if sequence, served := c.sequences[id]; served && !c.accepted[id] {
+			c.found.add("%s was refused, yet is in force as %d", id, sequence)
+		}
+	}
+}
+
+func (c *setChecker) checkScheduledOrder() {
+	for id, effectiveAt := range c.effectiveAt {
+		for other, later := range c.effectiveAt {
+			first, firstServed := c.sequences[id]
+			second, secondServed := c.sequences[other]
+			bothInForce := firstServed && secondServed && c.accepted[id] && c.accepted[other]
+			if bothInForce && effectiveAt < later && first > second && c.acceptedBefore(id, effectiveAt) {
+				c.found.add("%s, due first, landed as %d after %s as %d", id, first, other, second)
+			}
+		}
+	}
+}
+
+// acceptedBefore reports whether an answer about the set came before a time.
+func (c *setChecker) acceptedBefore(id string, at int64) bool {
+	return slices.ContainsFunc(c.evidence.SetAnswers, func(answer SetAnswer) bool { return answer.ID == id && answer.At < at })
+}
