--- /dev/null
+++ b/test/linehistory/commits.go
@@ -0,0 +1,97 @@
+package linehistory
+
+import (
+	"cmp"
+	"slices"
+)
+
+// DuplicateWrites finds writes that took effect twice.
+func DuplicateWrites(h History) []string {
+	var found violations
+	for service, log := range h.Logs {
+		positions := map[string]Position{}
+		for _, entry := range log {
+			for _, id := range entry.IDs {
+				if earlier, duplicate := positions[id]; duplicate {
+					found.add("%s keeps %s at %v and at %v", service, id, earlier, entry.Position)
+				}
+				positions[id] = entry.Position
+			}
+		}
+	}
+	return found
+}
+
+// RefusedButKept finds writes that took effect although their client, or that
+// of their transaction, was promised that they have none.
+func RefusedButKept(h History) []string {
+	refusals := map[string]string{}
+	for _, query := range h.Queries {
+		if slices.Contains(noEffectCodes, query.Code) {
+			refusals[query.unit()] = query.Code
+		}
+	}
+	var found violations
+	committed := h.committedPositions()
+	for _, query := range h.Queries {
+		code, refused := refusals[query.unit()]
+		if position, kept := committed[query.ID]; refused && kept {
+			found.add("%s was promised away by %s, yet is kept at %v", query.ID, code, position)
+		}
+	}
+	return found
+}
+
+// unit names what takes effect as one: the transaction, or the query alone.
+func (q Query) unit() string { return cmp.Or(q.Transaction, q.ID) }
+
+// OldPrimaryCommits finds commits that were acknowledged to their clients
+// although another instance had been promoted before.
+func OldPrimaryCommits(h History) []string {
+	var found violations
+	queries := h.queriesByID()
+	for _, execution := range h.Executions {
+		if execution.CommittedAt == (Position{}) || !queries[execution.ID].succeeded() {
+			continue
+		}
+		for _, promotion := range h.Promotions {
+			if promotion.supersedes(execution) {
+				found.add("%s was kept at %s %v after %s was promoted, and told", execution.ID, execution.Instance, execution.At-promotion.At, promotion.Instance)
+			}
+		}
+	}
+	return found
+}
+
+// supersedes reports whether a commit was executed after the promotion, by an
+// instance that was primary in an earlier term.
+func (p Promotion) supersedes(commit Execution) bool {
+	elsewhere := p.Service == commit.Service && p.Instance != commit.Instance
+	return elsewhere && commit.At > p.At && commit.CommittedAt.Term < p.Term
+}
+
+// LostCommits finds acknowledged commits that the log lacks. In quiet spans
+// it also finds sessions that were cut with a statement pending that an
+// instance had executed, or that had been pending for long.
+func LostCommits(h History) []string {
+	var found violations
+	committed, queries := h.committedPositions(), h.queriesByID()
+	executed := map[string]bool{}
+	for _, execution := range h.Executions {
+		query := queries[execution.ID]
+		executed[execution.ID] = true
+		acknowledged := execution.CommittedAt != (Position{}) && query.succeeded() && query.Stamp == execution.Stamp
+		if _, kept := committed[execution.ID]; acknowledged && !kept {
+			found.add("%s was told kept by %s at %v, and is not in the log", execution.ID, execution.Instance, execution.CommittedAt)
+		}
+	}
+	for _, query := range h.Queries {
+		pending := query.Answered - query.Sent
+		for _, span := range h.QuietSpans {
+			if query.Cut && span.contains(query.Sent) && (executed[query.ID] || pending > h.Bounds.Slack) {
+				found.add("%s (%q) was cut off %v after it was sent, with no trouble", query.ID, query.Text, pending)
+			}
+		}
+	}
+	return found
+}
--- /dev/null
+++ b/test/linehistory/statements.go
@@ -0,0 +1,117 @@
+package linehistory
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+)
+
+// Unrequested finds executed statements that no client sent, or not just so,
+// and commits of transactions whose client did not ask for the commit.
+func Unrequested(h History) []string {
+	var found violations
+	queries := h.queriesByID()
+	for _, execution := range h.Executions {
+		query, known := queries[execution.ID]
+		same := known && execution.Act == query.Act && execution.Text == query.Text && execution.Shape == query.Shape && execution.Rest == query.Rest
+		if !same {
+			found.add("%s ran %s %q %q %q as %s, of which a client sent %q", execution.Instance, execution.Act, execution.Text, execution.Shape, execution.Rest, execution.ID, query.Text)
+		}
+	}
+	for service, log := range h.Logs {
+		for _, entry := range log {
+			for _, id := range entry.IDs {
+				if transaction := queries[id].Transaction; transaction != "" && !holdsCommit(entry, transaction, queries) {
+					found.add("%s keeps %s of transaction %s, whose client sent no such commit", service, id, transaction)
+				}
+			}
+		}
+	}
+	return found
+}
+
+func holdsCommit(entry LogEntry, transaction string, queries map[string]Query) bool {
+	return slices.ContainsFunc(entry.IDs, func(id string) bool {
+		return queries[id].Act == ActCommit && queries[id].Transaction == transaction
+	})
+}
+
+// answerKey names one execution of a query by the stamp of its answer.
+type answerKey struct{ id, stamp string }
+
+// MixedAnswers finds successes without the stamp of an execution of the
+// query, or with other rows than that execution gave.
+func MixedAnswers(h History) []string {
+	executions := map[answerKey]Execution{}
+	for _, execution := range h.Executions {
+		executions[answerKey{execution.ID, execution.Stamp}] = execution
+	}
+	var found violations
+	for _, query := range h.Queries {
+		if query.Act == "" || !query.succeeded() {
+			continue
+		}
+		execution, executed := executions[answerKey{query.ID, query.Stamp}]
+		if !executed || !slices.Equal(execution.Rows, query.Rows) {
+			found.add("%s was told %q with %q, run with %q", query.ID, query.Stamp, query.Rows, execution.Rows)
+		}
+	}
+	return found
+}
+
+// sessionChecker follows which client's transaction runs in which transaction
+// of a connection.
+type sessionChecker struct {
+	// places gives, by a client's transaction, where it runs, owners the
+	// other way round.
+	places map[string]string
+	owners map[string]string
+	found  violations
+}
+
+// WrongSession finds statements that ran in the wrong transaction, on the
+// wrong connection, or under other settings or prepared shapes than their
+// client's.
+func WrongSession(h History) []string {
+	queries := h.queriesByID()
+	checker := &sessionChecker{places: map[string]string{}, owners: map[string]string{}}
+	for _, execution := range h.Executions {
+		if query, known := queries[execution.ID]; known {
+			checker.checkTransaction(execution, query)
+			checker.checkState(execution, query)
+		}
+	}
+	for _, query := range h.Queries {
+		if query.Shape != "" && query.Code == codeNotFound {
+			checker.found.add("%s: its prepared name is unknown", query.ID)
+		}
+	}
+	return checker.found
+}
+
+func (c *sessionChecker) checkTransaction(execution Execution, query Query) {
+	ranInside, sentInside := execution.Transaction != 0, query.Transaction != ""
+	if ranInside != sentInside {
+		c.found.add("%s of transaction %q ran in the connection's transaction %d", execution.ID, query.Transaction, execution.Transaction)
+	}
+	if !ranInside || !sentInside {
+		return
+	}
+	place := fmt.Sprint(execution.Instance, " ", execution.Conn, " ", execution.Transaction)
+	if first, ok := c.places[query.Transaction]; ok && first != place {
+		c.found.add("%s of transaction %s ran at %s, its first at %s", execution.ID, query.Transaction, place, first)
+	}
+	if owner, ok := c.owners[place]; ok && owner != query.Transaction {
+		c.found.add("%s of transaction %s ran in that of %s", execution.ID, query.Transaction, owner)
+	}
+	c.places[query.Transaction], c.owners[place] = place, query.Transaction
+}
+
+func (c *sessionChecker) checkState(execution Execution, query Query) {
+	if !maps.Equal(execution.Values, query.Values) {
+		c.found.add("%s ran under %v, its client has %v", execution.ID, execution.Values, query.Values)
+	}
+	if execution.Shape != query.Shape {
+		c.found.add("%s ran shape %q, its client prepared %q", execution.ID, execution.Shape, query.Shape)
+	}
+}
