--- a/test/cmd/simulate/digests.go
+++ b/test/cmd/simulate/digests.go
@@ -3,38 +3,24 @@
 import (
 	"fmt"
 	"os"
-	"sync"
 
 	"tansyseam/test/simulation"
 )
 
-// digests prints the digest of the history of each seed, in the order of the
-// seeds. Two builds that decide alike print the same.
-func digests(from, count uint64, mode, shapeName string, jobs int) int {
-	digest, err := simulation.DigestOf(mode, shapeName)
+// printDigests prints the digest of the history of each seed, in the order of
+// the seeds. Two builds that decide alike print the same.
+func printDigests(o options) int {
+	digest, err := simulation.DigestOf(o.mode, o.shape)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return 2
+		return exitUsage
 	}
-	found := make([]string, count)
-	places := make(chan uint64)
-	var group sync.WaitGroup
-	for range jobs {
-		group.Add(1)
-		go func() {
-			defer group.Done()
-			for place := range places {
-				found[place] = digest(from + place)
-			}
-		}()
+	digests := make([]string, o.count)
+	for result := range playSeeds(o.from, o.count, o.jobs, digest) {
+		digests[result.seed-o.from] = result.value
 	}
-	for place := range count {
-		places <- place
-	}
-	close(places)
-	group.Wait()
-	for place, one := range found {
-		fmt.Println(mode, shapeName, from+uint64(place), one)
+	for index, digest := range digests {
+		fmt.Println(o.mode, o.shape, o.from+uint64(index), digest)
 	}
 	return 0
 }
--- /dev/null
+++ b/test/cmd/simulate/measurements.go
@@ -0,0 +1,55 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"tansyseam/test/simulation"
+)
+
+// printAdmission plays the admission experiments, and prints one row each.
+func printAdmission(seed uint64) {
+	fmt.Println("| load | capacity/s | served/s | latency p50, p99 ms | wait p50, p99 ms | windows at the end, by node | served, by node |")
+	fmt.Println("|---|---|---|---|---|---|---|")
+	for _, load := range simulation.Loads() {
+		result := simulation.RunAdmission(seed, load)
+		windows, served := []string{}, []string{}
+		for _, share := range result.Shares {
+			windows = append(windows, fmt.Sprintf("%.1f", share.Window))
+			served = append(served, fmt.Sprint(share.Served))
+		}
+		fmt.Printf("| %s | %.0f | %.0f | %s, %s | %s, %s | %s | %s |\n", result.Name, result.Capacity, result.Served,
+			tenthsOfMilliseconds(result.Latency), tenthsOfMilliseconds(result.LatencyP99),
+			tenthsOfMilliseconds(result.QueueTime), tenthsOfMilliseconds(result.QueueTimeP99),
+			strings.Join(windows, " "), strings.Join(served, " "))
+	}
+}
+
+// printControlFailover loses the control primary in each way, and prints how
+// long the failover takes.
+func printControlFailover(from, count uint64, config simulation.Config, jobs int) int {
+	fmt.Println("| control machines | primary lost by | another has primacy: least, p50, p99, most ms | a write is kept: p50, p99, most ms | faults |")
+	fmt.Println("|---|---|---|---|---|")
+	broken := 0
+	for _, loss := range simulation.PrimaryLosses() {
+		primacy, writes, violations := simulation.MeasureControlFailovers(from, count, config, loss, jobs)
+		fmt.Printf("| %d | %s | %s | %s | %d |\n", config.Controls, loss.Name, quantiles(primacy, 0, 0.5, 0.99, 1), quantiles(writes, 0.5, 0.99, 1), violations)
+		broken += violations
+	}
+	return exitCode(broken)
+}
+
+func quantiles(spans []time.Duration, parts ...float64) string {
+	var texts []string
+	for _, part := range parts {
+		texts = append(texts, fmt.Sprintf("%.0f", milliseconds(simulation.Quantile(spans, part))))
+	}
+	return strings.Join(texts, ", ")
+}
+
+func tenthsOfMilliseconds(span time.Duration) string {
+	return fmt.Sprintf("%.1f", milliseconds(span))
+}
+
+func milliseconds(span time.Duration) float64 { return span.Seconds() * 1000 }
