--- a/internal/app/control/manifests.go
+++ b/internal/app/control/manifests.go
@@ -13,7 +13,7 @@
 
 	"tansyseam/internal/app/node"
 	"tansyseam/internal/coordination/consensus"
-	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/coordination/rollout"
 	"tansyseam/internal/protocol/bindings"
 	"tansyseam/internal/state/store"
 )
@@ -45,14 +45,14 @@
 		answer(operateReply(http.StatusBadRequest, node.NewErrorResponse("the manifest is broken; nothing of it was taken", violations...)))
 		return
 	}
-	sent := distribution.Manifest{Version: set.Version, Set: set, Compressed: compress(raw), Digest: distribution.DigestOf(set, raw), Source: "manifest"}
+	sent := rollout.Manifest{Version: set.Version, Set: set, Compressed: compress(raw), Digest: rollout.DigestOf(set, raw), Source: "manifest"}
 	changed, conflicting := false, false
 	s.submit(func(stateTable *store.Table) []store.Put {
 		s.mutex.Lock()
 		wallTime := s.wallNow()
 		s.mutex.Unlock()
 		var puts []store.Put
-		puts, conflicting = distribution.ManifestPuts(stateTable, sent, wallTime)
+		puts, conflicting = rollout.AcceptManifest(stateTable, sent, wallTime)
 		changed = len(puts) > 0
 		return puts
 	}, func(done consensus.SubmitResult) {
@@ -79,7 +79,7 @@
 	s.mutex.Lock()
 	stateTable := s.distributor.State()
 	s.mutex.Unlock()
-	set, packed, found := distribution.NewestManifest(stateTable)
+	set, packed, found := rollout.NewestManifest(stateTable)
 	if !found {
 		answer(operateReply(http.StatusNotFound, node.NewErrorResponse("no manifest was taken")))
 		return
--- a/internal/app/control/operations.go
+++ b/internal/app/control/operations.go
@@ -12,8 +12,9 @@
 
 	"tansyseam/internal/app/admin"
 	"tansyseam/internal/app/node"
+	"tansyseam/internal/coordination/callresult"
 	"tansyseam/internal/coordination/consensus"
-	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/coordination/rollout"
 	"tansyseam/internal/protocol/bindings"
 	"tansyseam/internal/protocol/message"
 	"tansyseam/internal/state/model"
@@ -101,7 +102,7 @@
 	s.mutex.Unlock()
 	var reply message.OperatorCallResult
 	s.submit(func(stateTable *store.Table) []store.Put {
-		if past, found := distribution.FindCallResult(stateTable, id); found {
+		if past, found := callresult.Find(stateTable, id); found {
 			reply = message.OperatorCallResult{Status: past.Status, Body: past.Body}
 			if past.Path != path {
 				reply = operateReply(http.StatusConflict, node.NewErrorResponse("the id was used for another call"))
@@ -113,7 +114,7 @@
 		if len(puts) == 0 {
 			return nil
 		}
-		return distribution.RecordCallResult(stateTable, id, distribution.CallResult{Status: reply.Status, Body: reply.Body, Path: path}, puts)
+		return callresult.Record(stateTable, id, callresult.Result{Status: reply.Status, Body: reply.Body, Path: path}, puts)
 	}, func(done consensus.SubmitResult) {
 		if !done.Committed {
 			word := "not_kept"
@@ -150,7 +151,7 @@
 	}
 	expected := value.GetUint64("expected")
 	s.applyOnce(value, path, func(stateTable *store.Table, wallTime int64) (int, any, []store.Put) {
-		puts, newest := distribution.BindingSetPuts(stateTable, expected, set, "call "+string(value.GetStringBytes("id")), wallTime)
+		puts, newest := rollout.AcceptBindings(stateTable, expected, set, "call "+string(value.GetStringBytes("id")), wallTime)
 		if len(puts) == 0 {
 			return http.StatusConflict, conflictRefusal(fmt.Sprintf("sequence %d was expected, %d is current", expected, newest), newest), nil
 		}
@@ -170,7 +171,7 @@
 		if len(violations) > 0 {
 			return http.StatusUnprocessableEntity, node.NewErrorResponse("the change is broken; nothing of it was taken", violations...), nil
 		}
-		puts, way := distribution.ScheduledChangePuts(stateTable, id, at, set, wallTime)
+		puts, way := rollout.Schedule(stateTable, id, at, set, wallTime)
 		if len(puts) == 0 {
 			text := fmt.Sprintf("sequence %d, due at %d, is on its way already: book for that moment or later", way.Sequence, way.NotBefore/int64(time.Millisecond))
 			return http.StatusConflict, conflictRefusal(text, way.Sequence), nil
--- a/internal/app/control/server.go
+++ b/internal/app/control/server.go
@@ -14,6 +14,7 @@
 
 	"tansyseam/internal/app/config"
 	"tansyseam/internal/app/node"
+	"tansyseam/internal/coordination/audit"
 	"tansyseam/internal/coordination/consensus"
 	"tansyseam/internal/coordination/distribution"
 	"tansyseam/internal/coordination/failover/syncrepl"
@@ -335,7 +336,7 @@
 	wallTime := s.wallNow()
 	s.mutex.Unlock()
 	s.submit(func(stateTable *store.Table) []store.Put {
-		return distribution.AuditPuts(stateTable, wallTime, subject, what, evidence)
+		return audit.Puts(stateTable, model.AuditEntry{At: wallTime, Subject: subject, Action: what, Evidence: evidence})
 	}, nil)
 }
 
--- /dev/null
+++ b/internal/coordination/distribution/activation.go
@@ -0,0 +1,165 @@
+package distribution
+
+import (
+	"slices"
+	"time"
+
+	"tansyseam/internal/coordination/rollout"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
+)
+
+// effectiveAtOnce is an effective time that has passed by any clock.
+const effectiveAtOnce = 1
+
+// NextActivation returns the next write that brings a set closer to its effect, if one
+// is due: a scheduled change is accepted shortly before its time, an effective time
+// that lies too far ahead is brought forward, and a set that every leased node has
+// applied gets its effective time.
+func (m *Machine) NextActivation(wall int64, now time.Duration) (Write, bool) {
+	if m.activating {
+		return Write{}, false
+	}
+	m.ensureTenure(wall)
+	build := m.buildActivation(wall, now)
+	if build == nil {
+		return Write{}, false
+	}
+	m.activating = true
+	return Write{Build: build, Done: func() {
+		m.activating = false
+		m.grantor.Unfreeze()
+	}}, true
+}
+
+// buildActivation returns nil if nothing is due.
+func (m *Machine) buildActivation(wall int64, now time.Duration) func(*store.Table) []store.Put {
+	if _, due := rollout.NextScheduled(m.state, wall); due {
+		return func(state *store.Table) []store.Put { return rollout.AcceptScheduled(state, wall) }
+	}
+	if overdue := m.overdueSets(wall); len(overdue) > 0 && m.mayActivate(overdue, now) {
+		return func(state *store.Table) []store.Put { return rollout.ReplaceSets(state, overdue) }
+	}
+	if !m.snapshot.HasPendingSet() || !m.grantor.AllAcknowledged(m.setVersion(m.snapshot.NewestSet()), now) {
+		return nil
+	}
+	effectiveAt := wall + int64(m.freezeLeases(now)-now)
+	seen, tenure := m.snapshot.Version, m.tenure
+	return func(state *store.Table) []store.Put {
+		return rollout.AssignEffectiveTimes(state, seen, effectiveAt, wall, tenure)
+	}
+}
+
+// freezeLeases bounds the leases by the earliest time at which the pending sets may
+// take effect, and returns it: after the last lease that was granted without knowing
+// it, except for the very first set, which replaces no other.
+func (m *Machine) freezeLeases(now time.Duration) time.Duration {
+	earliest := m.grantor.LatestExpiry(now) + m.timing.ActivationMargin
+	m.grantor.Freeze(earliest)
+	if m.snapshot.Sets[0].EffectiveAt == 0 {
+		return now + m.timing.ActivationMargin
+	}
+	return earliest
+}
+
+func (m *Machine) setVersion(set model.BindingSet) store.Version {
+	return m.state.Records[model.BindingSetKey(set.Sequence)].Version
+}
+
+// overdueSets returns, with an effective time that has passed, the sets whose own lies
+// ahead although it should not: a node has activated the set already, or an earlier
+// tenure assigned the time by a clock that was set wrong.
+func (m *Machine) overdueSets(wall int64) []model.BindingSet {
+	var overdue []model.BindingSet
+	for _, set := range m.snapshot.Sets {
+		if set.EffectiveAt <= wall {
+			continue
+		}
+		isWrong := set.ScheduledBy != m.tenure && wall >= set.NotBefore && !m.trustsEffectiveTime(set, wall)
+		if set.Sequence <= m.highestActive || isWrong {
+			set.EffectiveAt = effectiveAtOnce
+			overdue = append(overdue, set)
+		}
+	}
+	return overdue
+}
+
+// mayActivate says whether overdue sets may take effect at once: a node has activated
+// them already, or no lease of an earlier tenure is left, under which a node that has
+// not heard of the change would serve by the set before.
+func (m *Machine) mayActivate(overdue []model.BindingSet, now time.Duration) bool {
+	isInactive := func(set model.BindingSet) bool { return set.Sequence > m.highestActive }
+	return !slices.ContainsFunc(overdue, isInactive) || now >= m.grantor.StartedAt()+m.timing.LeaseDuration
+}
+
+// trustsEffectiveTime says whether an effective time assigned by an earlier tenure is
+// plausible: it is not further ahead than times are assigned, and then every node with
+// a lease past it knows it.
+func (m *Machine) trustsEffectiveTime(set model.BindingSet, wall int64) bool {
+	return m.clockTrusted && time.Duration(set.EffectiveAt-wall) < m.timing.LeaseDuration+m.timing.ActivationMargin
+}
+
+// maxLease returns the longest lease that may be granted beside sets that have yet to
+// take effect: a node whose lease lapses before need not be waited for.
+func (m *Machine) maxLease(wall int64) time.Duration {
+	if len(m.overdueSets(wall)) > 0 {
+		return 0
+	}
+	longest := m.timing.LeaseDuration
+	for _, set := range m.snapshot.Sets {
+		isPending := set.EffectiveAt == 0
+		isAhead := set.EffectiveAt > wall
+		if !isPending && !isAhead {
+			continue
+		}
+		if !m.clockTrusted && m.isInherited(set) {
+			return 0
+		}
+		longest = min(longest, remaining(max(set.AcceptedAt, set.NotBefore), m.timing.PreviousSetLimit(), wall))
+		if isPending {
+			longest = min(longest, remaining(set.AcceptedAt, m.timing.PendingSetLimit(), wall))
+		}
+	}
+	return longest
+}
+
+// isInherited says whether a set's effective time, or the set itself if it has none
+// yet, is of an earlier tenure.
+func (m *Machine) isInherited(set model.BindingSet) bool {
+	if set.EffectiveAt != 0 {
+		return set.ScheduledBy != m.tenure
+	}
+	return !m.inheritedVersion.IsBefore(m.setVersion(set))
+}
+
+// remaining returns what is left at a time of a span that started at another.
+func remaining(startedAt int64, span time.Duration, wall int64) time.Duration {
+	return max(time.Duration(startedAt-wall)+span, 0)
+}
+
+// NextCollection returns the write that deletes the sets that every leased node has
+// replaced by later ones, if there are any.
+func (m *Machine) NextCollection(wall int64, now time.Duration) (Write, bool) {
+	if m.collecting || now <= m.grantor.StartedAt()+m.timing.LeaseDuration {
+		return Write{}, false
+	}
+	lowest := m.snapshot.ActiveSet(wall).Sequence
+	if !m.hasSetBelow(lowest) {
+		return Write{}, false
+	}
+	for node := range m.grantor.LeasedNodes(now) {
+		lowest = min(lowest, m.activeSequences[node])
+	}
+	if !m.hasSetBelow(lowest) {
+		return Write{}, false
+	}
+	m.collecting = true
+	return Write{
+		Build: func(state *store.Table) []store.Put { return rollout.DeleteObsolete(state, lowest) },
+		Done:  func() { m.collecting = false },
+	}, true
+}
+
+func (m *Machine) hasSetBelow(sequence uint64) bool {
+	return len(m.snapshot.Sets) > 0 && m.snapshot.Sets[0].Sequence < sequence
+}
--- /dev/null
+++ b/internal/coordination/distribution/asyncfailover.go
@@ -0,0 +1,97 @@
+package distribution
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"tansyseam/internal/coordination/failover/asyncrepl"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
+)
+
+// acknowledgedRole is a writer role that every leased node has applied.
+type acknowledgedRole struct {
+	version store.Version
+	since   time.Duration
+	// primaryPosition is the first position that the primary reported after that.
+	primaryPosition model.Position
+	hasPosition     bool
+}
+
+// AsyncFailoverEvidence returns the evidence on a database with asynchronous
+// replication.
+func (m *Machine) AsyncFailoverEvidence(database string, observations []Observation, wall int64, now time.Duration) asyncrepl.Evidence {
+	role, known := m.writerRole(database)
+	evidence := asyncrepl.Evidence{
+		Database:    database,
+		Writer:      role,
+		Known:       known,
+		WallNanos:   wall,
+		GatheredFor: now - m.grantor.StartedAt(),
+	}
+	for node, receivedAt := range m.reports.lastReceived {
+		if now-receivedAt < reportWindow && m.grantor.HasLease(node, now) {
+			evidence.ReportingNodes++
+		}
+	}
+	for _, observation := range observations {
+		if observation.Instance.Database == database {
+			evidence.Observations = append(evidence.Observations, m.asyncObservation(observation, now))
+		}
+	}
+	m.markRoleAcknowledged(&evidence, now)
+	return evidence
+}
+
+// asyncObservation joins this node's own observation of an instance with the reports
+// of the leased nodes. The instance is as the newest of them has it.
+func (m *Machine) asyncObservation(own Observation, now time.Duration) asyncrepl.Observation {
+	joined := asyncrepl.Observation{Instance: own.Instance, ContactAge: now - own.ObservedAt, PositionAge: neverObserved}
+	newest := joined.ContactAge
+	reports := m.reports.byInstance[own.Instance.Name]
+	for _, node := range slices.Sorted(maps.Keys(reports)) {
+		report, age := reports[node].report, now-reports[node].receivedAt
+		if age > reportWindow || !m.grantor.HasLease(node, now) {
+			continue
+		}
+		joined.ReportingNodes++
+		contactAge := min(report.AnnouncementAge, report.ResponseAge) + age
+		joined.ContactAge = min(joined.ContactAge, contactAge)
+		if contactAge > asyncrepl.DefaultTiming().SilenceTimeout {
+			joined.SilentNodes++
+		}
+		instanceAge := age + min(report.AnnouncementAge, max(report.PositionAge, report.ResponseAge))
+		if instanceAge < newest {
+			newest, joined.Instance, joined.PositionAge = instanceAge, report.Instance, report.PositionAge+age
+		}
+		joined.CommitWait = max(joined.CommitWait, report.MaxCommitWait)
+	}
+	return joined
+}
+
+// markRoleAcknowledged adds since when every leased node has applied the writer role,
+// and the first position of the primary known since then.
+func (m *Machine) markRoleAcknowledged(evidence *asyncrepl.Evidence, now time.Duration) {
+	database := evidence.Database
+	record, found := m.state.Records[model.PrefixWriterRole+database]
+	if !found || !m.grantor.AllAcknowledged(record.Version, now) {
+		delete(m.acknowledgedRoles, database)
+		return
+	}
+	acknowledged, found := m.acknowledgedRoles[database]
+	if !found || acknowledged.version != record.Version {
+		acknowledged = acknowledgedRole{version: record.Version, since: now}
+	}
+	settledFor := now - acknowledged.since
+	if !acknowledged.hasPosition {
+		for _, observation := range evidence.Observations {
+			if observation.Instance.Name == evidence.Writer.Primary && observation.ContactAge < settledFor {
+				acknowledged.primaryPosition, acknowledged.hasPosition = observation.Instance.Position, true
+			}
+		}
+	}
+	m.acknowledgedRoles[database] = acknowledged
+	evidence.Settled, evidence.SettledFor = true, settledFor
+	evidence.PrimaryPosition, evidence.HasPrimaryPosition = acknowledged.primaryPosition, acknowledged.hasPosition
+}
--- /dev/null
+++ b/internal/coordination/distribution/instances.go
@@ -0,0 +1,100 @@
+package distribution
+
+import (
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"tansyseam/internal/state/model"
+)
+
+// maxObservationAge is how long before a tenure an instance may have been observed to
+// be listed in it: nodes may have learned newer facts from the tenure before.
+const maxObservationAge = time.Second
+
+// Observation is an instance as this control node itself observed it.
+type Observation struct {
+	Instance   model.Instance
+	ObservedAt time.Duration
+}
+
+// instanceList is the versioned list of the instances with synchronous replication.
+type instanceList struct {
+	entries map[string]listedInstance
+	// number rises whenever an instance appears or changes.
+	number uint64
+}
+
+type listedInstance struct {
+	instance model.Instance
+	// changeNumber is the number of the list with which it last changed.
+	changeNumber uint64
+}
+
+func newInstanceList() instanceList { return instanceList{entries: map[string]listedInstance{}} }
+
+// listEntry clears the fields that change all the time and are not listed.
+func listEntry(instance model.Instance) model.Instance {
+	instance.Position, instance.Term, instance.AnnouncementNumber, instance.Incarnation = model.Position{}, 0, 0, ""
+	return instance
+}
+
+func (l *instanceList) register(instance model.Instance) bool {
+	entry := listEntry(instance)
+	if !entry.SyncReplication || l.entries[entry.Name].instance == entry {
+		return false
+	}
+	l.number++
+	l.entries[entry.Name] = listedInstance{instance: entry, changeNumber: l.number}
+	return true
+}
+
+// since returns the instances that changed after a number, by name.
+func (l *instanceList) since(number uint64) []model.Instance {
+	var changed []model.Instance
+	for _, listed := range l.entries {
+		if listed.changeNumber > number {
+			changed = append(changed, listed.instance)
+		}
+	}
+	slices.SortFunc(changed, func(a, b model.Instance) int { return strings.Compare(a.Name, b.Name) })
+	return changed
+}
+
+// UpdateInstances replaces the list by the instances as this node observed them,
+// except those observed too long before the tenure. It returns true if an instance
+// appeared or changed in more than its position.
+func (m *Machine) UpdateInstances(observations []Observation) bool {
+	present, changed := map[string]bool{}, false
+	for _, observation := range observations {
+		if observation.ObservedAt < m.grantor.StartedAt()-maxObservationAge {
+			continue
+		}
+		present[observation.Instance.Name] = true
+		changed = m.RegisterInstance(observation.Instance) || changed
+	}
+	maps.DeleteFunc(m.instances.entries, func(name string, _ listedInstance) bool { return !present[name] })
+	return changed
+}
+
+// RegisterInstance adds one instance to the list, and returns true if that changes it.
+func (m *Machine) RegisterInstance(instance model.Instance) bool {
+	return m.instances.register(instance)
+}
+
+func (m *Machine) listVersion(wall int64) ListVersion {
+	return ListVersion{Tenure: m.ensureTenure(wall), Number: m.instances.number}
+}
+
+// knownNumber returns the number of this tenure's list that a node has, 0 for none.
+func (m *Machine) knownNumber(version ListVersion) uint64 {
+	if version.Tenure != m.tenure {
+		return 0
+	}
+	return version.Number
+}
+
+func (m *Machine) hasInstanceUpdate(request UpdateRequest, wall int64) bool {
+	return request.Kind == model.KindProxy && m.instances.number > 0 && request.ListVersion != m.listVersion(wall)
+}
--- /dev/null
+++ b/internal/coordination/distribution/nodes.go
@@ -0,0 +1,104 @@
+package distribution
+
+import (
+	"slices"
+	"time"
+
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
+)
+
+// nodeRetention is how long a node stays registered after its lease lapsed.
+const nodeRetention = 2 * time.Minute
+
+func (m *Machine) registeredNodes() []string {
+	var names []string
+	for _, key := range m.state.Keys(model.PrefixNode) {
+		names = append(names, key[len(model.PrefixNode):])
+	}
+	return names
+}
+
+func (m *Machine) isRegistered(node string) bool {
+	_, found := m.state.Records[model.PrefixNode+node]
+	return found
+}
+
+// RegisterNodes returns the write that registers the nodes with a pending request,
+// and removes those whose lease lapsed long ago. A node gets a lease only once it is
+// registered, so that the next primary knows who may hold one.
+func (m *Machine) RegisterNodes(wall int64, now time.Duration) (Write, bool) {
+	var puts []store.Put
+	var names []string
+	add := func(node string, put store.Put) {
+		m.registering[node] = true
+		names = append(names, node)
+		puts = append(puts, put)
+	}
+	for _, pending := range m.pending {
+		node := pending.request.Node
+		if pending.request.Kind == model.KindProxy && !m.isRegistered(node) && !m.registering[node] {
+			add(node, store.Put{Key: model.PrefixNode + node, Data: store.EncodePlain(wall)})
+		}
+	}
+	for _, node := range m.grantor.LapsedNodes(now, nodeRetention) {
+		if m.isRegistered(node) && !m.registering[node] {
+			add(node, store.Put{Key: model.PrefixNode + node, Deleted: true})
+		}
+	}
+	if len(puts) == 0 {
+		return Write{}, false
+	}
+	return Write{
+		Build: func(*store.Table) []store.Put { return puts },
+		Done:  func() { m.finishRegistration(names) },
+	}, true
+}
+
+func (m *Machine) finishRegistration(names []string) {
+	for _, node := range names {
+		delete(m.registering, node)
+		if !m.isRegistered(node) {
+			m.removeNode(node)
+		}
+	}
+}
+
+func (m *Machine) removeNode(node string) {
+	m.grantor.Remove(node)
+	m.reports.removeNode(node)
+	delete(m.complete, node)
+	delete(m.activeSequences, node)
+	delete(m.incarnations, node)
+}
+
+// nodeIncarnations are the runs of one node's process, as its requests tell.
+type nodeIncarnations struct {
+	current int64
+	// lastRequest is the highest request number of the current run.
+	lastRequest uint64
+	past        []int64
+}
+
+// isDelayed notes the run of the process that a request is from. It returns true if
+// the request is of an earlier run, or was overtaken by another of the same run.
+func (m *Machine) isDelayed(request UpdateRequest) bool {
+	if request.Incarnation == 0 {
+		return false
+	}
+	known := m.incarnations[request.Node]
+	if slices.Contains(known.past, request.Incarnation) {
+		return true
+	}
+	if known.current != request.Incarnation {
+		if known.current != 0 {
+			m.coverage.gapSequence++
+			known.past = append(known.past, known.current)
+		}
+		known.current, known.lastRequest = request.Incarnation, 0
+	}
+	overtaken := request.RequestNumber < known.lastRequest
+	known.lastRequest = max(known.lastRequest, request.RequestNumber)
+	m.incarnations[request.Node] = known
+	return overtaken
+}
--- /dev/null
+++ b/internal/coordination/distribution/writerrole.go
@@ -0,0 +1,50 @@
+package distribution
+
+import (
+	"tansyseam/internal/coordination/audit"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
+)
+
+// WriterRolePuts returns the puts that carry out a change of a writer role. It returns
+// none if the stored role is no longer the one that the change was decided on.
+func WriterRolePuts(state *store.Table, change WriterRoleChange, wall int64) []store.Put {
+	key := model.PrefixWriterRole + change.Next.Database
+	stored, exists := store.Get(state, key, model.WriterRoleFrom)
+	if exists != change.PreviousExists || !isSameDecision(stored, change.Previous) {
+		return nil
+	}
+	puts := []store.Put{{Key: key, Data: store.Encode(change.Next)}}
+	return append(puts, audit.Puts(state, model.AuditEntry{
+		At:       wall,
+		Subject:  "database " + change.Next.Database,
+		Action:   change.Action,
+		Evidence: change.Evidence + " (duty held by " + change.RequestedBy + ")",
+	})...)
+}
+
+// isSameDecision compares what failover decisions rest on. The high watermark and the
+// reason may differ, since they change without a decision.
+func isSameDecision(stored, previous model.WriterRole) bool {
+	return stored.Term == previous.Term &&
+		stored.Phase == previous.Phase &&
+		stored.Promoting == previous.Promoting &&
+		stored.PromoteCalls == previous.PromoteCalls &&
+		stored.FencingToken == previous.FencingToken &&
+		(!stored.SyncReplication || stored.LastTransitionAt == previous.LastTransitionAt) &&
+		sameReplicas(stored.RequiredReplicas, previous.RequiredReplicas) &&
+		sameReplicas(stored.Candidates, previous.Candidates)
+}
+
+// sameReplicas compares replicas by name and incarnation.
+func sameReplicas(a, b map[string]string) bool {
+	if len(a) != len(b) {
+		return false
+	}
+	for name, incarnation := range a {
+		if b[name] != incarnation {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/coordination/rollout/manifest.go
@@ -0,0 +1,67 @@
+package rollout
+
+import (
+	"fmt"
+
+	"tansyseam/internal/coordination/audit"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
+)
+
+// Manifest is a complete configuration that an operator sent under a version.
+type Manifest struct {
+	Version uint64
+	Set     model.BindingSet
+	// Compressed is the text as it was sent, compressed; empty if it is not kept.
+	Compressed []byte
+	// Digest identifies the content, see DigestOf.
+	Digest Digest
+	// Source names the call that brought it.
+	Source string
+}
+
+// ManifestKey is the key of the text of the manifest that became a sequence.
+func ManifestKey(sequence uint64) string {
+	return fmt.Sprintf("%s%012d", model.PrefixManifest, sequence)
+}
+
+// AcceptManifest returns the puts that accept a manifest. It returns none if the
+// current version is not below the manifest's own; conflict then says whether
+// another content was accepted under the manifest's version.
+func AcceptManifest(state *store.Table, sent Manifest, wall int64) (puts []store.Put, conflict bool) {
+	newest := model.ReadSnapshot(state).NewestSet()
+	if newest.Version >= sent.Version {
+		return nil, differsFromAccepted(state, sent.Version, sent.Digest)
+	}
+	set := sent.Set
+	set.Version, set.AcceptedAt, set.Source = sent.Version, wall, sent.Source
+	set = successor(newest, set)
+	puts = []store.Put{setPut(set)}
+	if len(sent.Compressed) > 0 {
+		puts = append(puts, store.Put{Key: ManifestKey(set.Sequence), Data: sent.Compressed})
+	}
+	puts = append(puts, versionPuts(state, set.Sequence, acceptedVersion{Version: sent.Version, Digest: sent.Digest})...)
+	return append(puts, audit.Puts(state, model.AuditEntry{
+		At:       wall,
+		Subject:  auditSubject,
+		Action:   fmt.Sprintf("version %d taken as sequence %d", sent.Version, set.Sequence),
+		Evidence: sent.Source,
+	})...), false
+}
+
+// NewestManifest returns the set that the newest manifest became, and its
+// compressed text, which is nil if it was not kept. It returns false if there is no
+// manifest.
+func NewestManifest(state *store.Table) (model.BindingSet, []byte, bool) {
+	var newest model.BindingSet
+	for _, set := range model.ReadSnapshot(state).Sets {
+		if set.Version > newest.Version {
+			newest = set
+		}
+	}
+	keys := state.Keys(model.PrefixManifest)
+	if newest.Version == 0 || len(keys) == 0 {
+		return newest, nil, newest.Version > 0
+	}
+	return newest, state.Records[keys[len(keys)-1]].Data, true
+}
--- /dev/null
+++ b/internal/coordination/rollout/versions.go
@@ -0,0 +1,77 @@
+package rollout
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"slices"
+
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
+)
+
+// MinRetainedVersions is for how many manifests, at least, the content accepted
+// under their versions stays known.
+const MinRetainedVersions = 1024
+
+// Accepted versions are stored many to a record, so that few keys are needed.
+const (
+	versionsPerRecord  = 64
+	maxVersionsRecords = MinRetainedVersions/versionsPerRecord + 1
+)
+
+const digestLength = 16
+
+// Digest identifies the content of a manifest.
+type Digest [digestLength]byte
+
+// DigestOf returns the digest of a manifest: of its text as it was sent or, if that
+// is not known, of the set that it became.
+func DigestOf(set model.BindingSet, text []byte) Digest {
+	if len(text) == 0 {
+		text = store.Encode(model.BindingSet{Bindings: set.Bindings, Databases: set.Databases, Limits: set.Limits})
+	}
+	sum := sha256.Sum256(text)
+	return Digest(sum[:digestLength])
+}
+
+// acceptedVersion is the digest of the manifest accepted under a version. It is
+// stored by the names of its fields, which must therefore not change.
+type acceptedVersion struct {
+	Version uint64
+	Digest  Digest
+}
+
+func versionsKey(block uint64) string {
+	return fmt.Sprintf("%s%012d", model.PrefixManifestVersions, block)
+}
+
+// versionPuts returns the puts that store an accepted version, by the sequence that
+// its manifest became, and delete the oldest ones.
+func versionPuts(state *store.Table, sequence uint64, accepted acceptedVersion) []store.Put {
+	key := versionsKey(sequence / versionsPerRecord)
+	list, _ := store.GetPlain[[]acceptedVersion](state, key)
+	puts := []store.Put{{Key: key, Data: store.EncodePlain(append(slices.Clone(list), accepted))}}
+	keys := state.Keys(model.PrefixManifestVersions)
+	records := len(keys)
+	if len(list) == 0 {
+		records++
+	}
+	for index := 0; index+maxVersionsRecords < records; index++ {
+		puts = append(puts, store.Put{Key: keys[index], Deleted: true})
+	}
+	return puts
+}
+
+// differsFromAccepted says whether another content is known to have been accepted
+// under a version.
+func differsFromAccepted(state *store.Table, version uint64, digest Digest) bool {
+	for _, key := range slices.Backward(state.Keys(model.PrefixManifestVersions)) {
+		list, _ := store.GetPlain[[]acceptedVersion](state, key)
+		for _, accepted := range list {
+			if accepted.Version == version {
+				return accepted.Digest != digest
+			}
+		}
+	}
+	return false
+}
