--- a/internal/app/httpproxy/drain.go
+++ b/internal/app/httpproxy/drain.go
@@ -7,25 +7,35 @@
 	"tansyseam/internal/coordination/membership"
 	"tansyseam/internal/coordination/rendezvous"
 	"tansyseam/internal/state/model"
-	"tansyseam/internal/transport/worker"
 )
 
-const lingerTimeout = 700 * time.Millisecond
+const (
+	// drainTimeout bounds how long requests and transactions that are under way
+	// are waited for.
+	drainTimeout      = 5500 * time.Millisecond
+	drainPollInterval = 20 * time.Millisecond
 
-// Drain makes the node unready, ends what waits in line with a word on
-// coming back, finishes what was passed on, and closes the sessions.
+	handoverTimeout = 800 * time.Millisecond
+
+	// lingerTimeout is how long the node still answers other nodes after all.
+	lingerTimeout = 700 * time.Millisecond
+)
+
+// Drain makes the node unready, rejects what is queued with a time to retry
+// after, waits for what was forwarded, closes the sessions and hands the
+// records of request ids over to another node.
 func (p *Proxy) Drain() {
-	p.log.Info("stopping: no new work")
+	p.log.Info("draining: no new work is accepted")
 	p.node.Leave()
 	p.apply(p.pool.Drain)
-	for until := p.now() + finishTimeout; p.now() < until && p.activeSessions() > 0; {
-		pause()
+	for until := p.now() + drainTimeout; p.now() < until && p.activeSessions() > 0; {
+		sleep(drainPollInterval)
 	}
-	remaining := 0
-	p.apply(func(time.Duration) { remaining = p.pool.DisconnectSessions() })
+	sessions := 0
+	p.apply(func(time.Duration) { sessions = p.pool.DisconnectSessions() })
 	p.handOver()
-	p.log.Info("stopped", "sessions", remaining, "unfinished", p.activeSessions())
-	worker.Await(make(chan struct{}), lingerTimeout)
+	p.log.Info("drained", "sessions", sessions, "unfinished", p.activeSessions())
+	sleep(lingerTimeout)
 }
 
 func (p *Proxy) activeSessions() int {
@@ -34,30 +44,32 @@
 	return p.pool.ActiveSessions()
 }
 
+// handOver gives the records of request ids to one other proxy and tells the
+// rest which one that is.
 func (p *Proxy) handOver() {
 	self := p.node.Self()
-	var others []model.Node
+	var peers []model.Node
 	var names []string
-	for _, node := range p.node.Nodes(model.KindProxy, membership.StatusLive) {
-		if node.Name != self.Name {
-			others = append(others, node)
-			names = append(names, node.Name)
+	for _, peer := range p.node.Nodes(model.KindProxy, membership.StatusLive) {
+		if peer.Name != self.Name {
+			peers = append(peers, peer)
+			names = append(names, peer.Name)
 		}
 	}
-	heirs := rendezvous.Select(names, self.Name, 1)
-	if len(heirs) == 0 {
+	successors := rendezvous.Select(names, self.Name, 1)
+	if len(successors) == 0 {
 		return
 	}
 	p.mutex.Lock()
-	handover := p.pool.RequestLog().Export(heirs[0])
+	handover := p.pool.RequestLog().Export(successors[0])
 	p.mutex.Unlock()
-	for _, node := range others {
-		if node.Name != handover.Successor {
-			p.node.Hub.Send(node.RPCAddress, idempotency.Handover{Node: handover.Node, Incarnation: handover.Incarnation, Successor: handover.Successor})
+	for _, peer := range peers {
+		if peer.Name != handover.Successor {
+			p.node.Hub.Send(peer.RPCAddress, idempotency.Handover{Node: handover.Node, Incarnation: handover.Incarnation, Successor: handover.Successor})
 			continue
 		}
-		if _, err := p.node.Hub.Call(node.RPCAddress, handover, 800*time.Millisecond); err != nil {
-			p.log.Warn("record of goes not left", "heir", node.Name, "error", err)
+		if _, err := p.node.Hub.Call(peer.RPCAddress, handover, handoverTimeout); err != nil {
+			p.log.Warn("request records not handed over", "successor", peer.Name, "error", err)
 		}
 	}
 }
--- a/internal/app/httpproxy/proxy.go
+++ b/internal/app/httpproxy/proxy.go
@@ -1,7 +1,12 @@
-// Package httpproxy is the data plane's program: it joins the machine of package
-// hall to doors, links and instances. A request goes from the door through
-// the stages bind, admit, select, forward and answer, joined by bounded
-// queues. Lock order: Plane.mutex, then the node's, then a session's.
+// Package httpproxy is the data plane for clients that use the product's own
+// HTTP API. It joins the pure machine of package httppool to HTTP handlers,
+// links to other nodes and connections to database instances.
+//
+// A request passes through stages, joined by bounded queues: bind, admit,
+// forward and answer. Each stage hands one event to the machine and carries out
+// the effects that the machine returns.
+//
+// Lock order: Proxy.mutex, then the node's, then a connection's.
 package httpproxy
 
 import (
@@ -13,8 +18,8 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/juju/errors"
 
+	"tansyseam/internal/app/admin"
 	"tansyseam/internal/app/node"
-	"tansyseam/internal/coordination/distribution"
 	"tansyseam/internal/coordination/idempotency"
 	"tansyseam/internal/coordination/pool/httppool"
 	"tansyseam/internal/protocol/backend"
@@ -23,12 +28,19 @@
 	"tansyseam/internal/transport/worker"
 )
 
-const (
-	statusWaitMS  = 80
-	finishTimeout = 5500 * time.Millisecond
+const tickInterval = 20 * time.Millisecond
+
+// stageSize bounds a stage: requests in its queue, and its workers.
+type stageSize struct{ queue, workers int }
+
+var (
+	bindSize    = stageSize{queue: 512, workers: 8}
+	enqueueSize = stageSize{queue: 512, workers: 2}
+	forwardSize = stageSize{queue: 4096, workers: 8}
+	replySize   = stageSize{queue: 8192, workers: 4}
 )
 
-// Plane is the program's state.
+// Proxy is the program's state.
 type Proxy struct {
 	node   *node.Node
 	log    hclog.Logger
@@ -46,52 +58,81 @@
 	replyStage   *worker.Pool[*instanceReply]
 }
 
-// Open makes the program; Start begins to serve.
+// New makes the proxy and registers its handlers at the node; Start begins to
+// serve. It fails where the node's RPC address is none to dial from.
 func New(host *node.Node) (*Proxy, error) {
-	place := host.Config()
-	ip, _, _ := net.SplitHostPort(place.RPCAddress)
-	client, err := httpserver.NewClient(ip, host.Workers)
+	cfg := host.Config()
+	localIP, _, _ := net.SplitHostPort(cfg.RPCAddress)
+	client, err := httpserver.NewClient(localIP, host.Workers)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	self := httppool.Node{Name: place.Name, Zone: place.Zone, Incarnation: fmt.Sprintf("%x", host.Self().Incarnation), Weight: place.Weight}
+	self := httppool.Node{Name: cfg.Name, Zone: cfg.Zone, Incarnation: fmt.Sprintf("%x", host.Self().Incarnation), Weight: cfg.Weight}
 	p := &Proxy{
-		node: host, log: host.Log, client: client, codec: backend.NewJSONCodec(), pool: httppool.New(self, httppool.DefaultTiming(), host.Counters.Add),
+		node: host, log: host.Log, client: client, codec: backend.NewJSONCodec(),
+		pool: httppool.New(self, httppool.DefaultTiming(), host.Counters.Add),
 	}
-	p.bindStage = worker.NewPool(host.Workers, "bind", 512, 8, p.eventHandler((*httppool.Machine).Bind))
-	p.enqueueStage = worker.NewPool(host.Workers, "admit", 512, 2, p.eventHandler((*httppool.Machine).Enqueue))
-	p.forwardStage = worker.NewPool(host.Workers, "forward", 4096, 8, p.eventHandler((*httppool.Machine).Forward))
-	p.replyStage = worker.NewPool(host.Workers, "answer", 8192, 4, p.handleReply)
-	host.OnInstance(func(info model.Instance) {
-		p.apply(func(now time.Duration) { p.pool.UpdateInstance(info, now) })
+	p.startStages()
+	p.registerEvents()
+	p.adminAPI().Register()
+	p.registerHandlers()
+	return p, nil
+}
+
+func (p *Proxy) startStages() {
+	workers := p.node.Workers
+	p.bindStage = worker.NewPool(workers, "bind", bindSize.queue, bindSize.workers, p.requestHandler((*httppool.Machine).Bind))
+	p.enqueueStage = worker.NewPool(workers, "admit", enqueueSize.queue, enqueueSize.workers, p.requestHandler((*httppool.Machine).Enqueue))
+	p.forwardStage = worker.NewPool(workers, "forward", forwardSize.queue, forwardSize.workers, p.requestHandler((*httppool.Machine).Forward))
+	p.replyStage = worker.NewPool(workers, "answer", replySize.queue, replySize.workers, p.handleReply)
+}
+
+// registerEvents has the node pass on what concerns the pool.
+func (p *Proxy) registerEvents() {
+	p.node.OnInstance(func(instance model.Instance) {
+		p.apply(func(now time.Duration) { p.pool.UpdateInstance(instance, now) })
 	})
-	host.OnDisconnect(func(remote string) {
-		p.apply(func(now time.Duration) { p.pool.ClientLost(remote, now) })
+	p.node.OnDisconnect(func(remoteAddress string) {
+		p.apply(func(now time.Duration) { p.pool.ClientLost(remoteAddress, now) })
 	})
-	host.ForwardUpdateRequests(500 * time.Millisecond)
-	node.HandleMessage(host, func(_ string, request idempotency.StatusRequest, answer func(any)) {
+	p.node.ForwardUpdateRequests(forwardTimeout)
+	node.HandleMessage(p.node, func(_ string, request idempotency.StatusRequest, answer func(any)) {
 		p.apply(func(now time.Duration) { answer(p.pool.HandleStatusRequest(request, now)) })
 	})
-	node.HandleMessage(host, func(_ string, handover idempotency.Handover, answer func(any)) {
+	node.HandleMessage(p.node, func(_ string, handover idempotency.Handover, answer func(any)) {
 		p.apply(func(now time.Duration) { p.pool.ImportHandover(handover, now) })
 		answer(idempotency.HandoverAck{})
 	})
-	p.adminPages().Register()
-	p.registerHandlers()
-	return p, nil
 }
 
-// Start begins to ask for news and to serve.
+func (p *Proxy) adminAPI() *admin.API {
+	return &admin.API{
+		Node: p.node, Locker: &p.mutex, Proxy: p.pool, SessionCount: p.pool.SessionCount,
+		QueueDepths: func(time.Duration) map[string]int {
+			return map[string]int{
+				p.bindStage.Name:    p.bindStage.QueueLength(),
+				p.enqueueStage.Name: p.enqueueStage.QueueLength(),
+				p.forwardStage.Name: p.forwardStage.QueueLength(),
+				p.replyStage.Name:   p.replyStage.QueueLength(),
+			}
+		},
+		Describe: func(now time.Duration) (any, any) { return p.pool.Status(now) },
+	}
+}
+
+// Start begins to ask for updates and to serve.
 func (p *Proxy) Start() {
 	p.node.Workers.Go(p.pollUpdates)
-	p.node.Workers.Loop(nil, 20*time.Millisecond, p.tick)
+	p.node.Workers.Loop(nil, tickInterval, p.tick)
 }
 
 func (p *Proxy) now() time.Duration { return p.node.Now() }
 
-func (p *Proxy) apply(act func(now time.Duration)) {
+// apply hands one event to the pool and carries out its effects, in order and
+// without the lock.
+func (p *Proxy) apply(event func(now time.Duration)) {
 	p.mutex.Lock()
-	act(p.now())
+	event(p.now())
 	effects := p.pool.Effects()
 	p.mutex.Unlock()
 	for _, effect := range effects {
@@ -99,59 +140,25 @@
 	}
 }
 
-func (p *Proxy) eventHandler(event func(*httppool.Machine, *httppool.Request, time.Duration)) func(*httppool.Request) {
+func (p *Proxy) requestHandler(event func(*httppool.Machine, *httppool.Request, time.Duration)) func(*httppool.Request) {
 	return func(request *httppool.Request) {
 		p.apply(func(now time.Duration) { event(p.pool, request, now) })
 	}
 }
 
 func (p *Proxy) cancel(request *httppool.Request) {
-	p.eventHandler((*httppool.Machine).Cancel)(request)
+	p.requestHandler((*httppool.Machine).Cancel)(request)
 }
 
 func (p *Proxy) tick() {
-	count, beta := p.node.CountLive(model.KindProxy), p.node.Config().Weight
+	liveProxies, weight := p.node.CountLive(model.KindProxy), p.node.Config().Weight
 	p.apply(func(now time.Duration) {
-		p.pool.Tick(count, beta, now)
-		ready, why := p.pool.Ready(now)
+		p.pool.Tick(liveProxies, weight, now)
+		ready, reason := p.pool.Ready(now)
 		if ready != p.wasReady {
 			p.wasReady = ready
 			p.node.Counters.Add("ready_turns", 1)
-			p.log.Info("ready", "is", ready, "why", why)
-		}
-	})
-}
-
-func (p *Proxy) sendReport() {
-	p.mutex.Lock()
-	scheduled := p.reportScheduled
-	p.reportScheduled = true
-	p.mutex.Unlock()
-	if scheduled {
-		return
-	}
-	p.node.Workers.Go(func() {
-		pause()
-		p.mutex.Lock()
-		p.reportScheduled = false
-		observations := p.pool.Observations(p.now())
-		p.mutex.Unlock()
-		if address, _ := p.node.ControlPrimary(); address != "" {
-			p.node.Hub.Send(address, observations)
+			p.log.Info("readiness changed", "ready", ready, "reason", reason)
 		}
 	})
 }
-
-func (p *Proxy) pollUpdates() {
-	seeker := &node.PrimarySearch{}
-	for !p.node.Workers.IsStopping() {
-		var request distribution.UpdateRequest
-		p.apply(func(now time.Duration) { request = p.pool.UpdateRequest(now) })
-		sent := p.now()
-		if update, ok := p.node.RequestUpdate(request, seeker, 600*time.Millisecond); ok {
-			p.apply(func(now time.Duration) { p.pool.ApplyUpdate(update, sent, now) })
-			continue
-		}
-		worker.Await(make(chan struct{}), 30*time.Millisecond)
-	}
-}
