--- a/internal/coordination/flowcontrol/peer_counter.go
+++ b/internal/coordination/flowcontrol/peer_counter.go
@@ -2,25 +2,30 @@
 
 import "time"
 
-// Peers is how many nodes share an instance: the most that lived in the last
-// minute, so that one that comes back finds its share free.
+// peerMemory is how long a node that was seen still counts, so that one that
+// restarts finds its share free.
+const peerMemory = time.Minute
+
+// PeerCounter counts the nodes that share an instance: the most that were alive
+// at one time within the last minute. Max is 1 where a node knows of no other.
 type PeerCounter struct {
 	Max    int
 	recent []peerSample
 }
 
+// peerSample is a count of live nodes and when it was last observed.
 type peerSample struct {
 	at    time.Duration
 	count int
 }
 
-// Note takes the number of nodes that live now, and says whether the most has
-// changed.
+// Observe takes the number of nodes that are alive now, and says whether Max
+// has changed.
 func (p *PeerCounter) Observe(count int, now time.Duration) bool {
 	kept := p.recent[:0]
 	highest := max(count, 1)
 	for _, sample := range p.recent {
-		if now-sample.at < time.Minute {
+		if now-sample.at < peerMemory {
 			kept = append(kept, sample)
 			highest = max(highest, sample.count)
 		}
--- a/internal/coordination/flowcontrol/window.go
+++ b/internal/coordination/flowcontrol/window.go
@@ -1,6 +1,3 @@
-// Package flowcontrol sizes, for one instance, the window of statements that this
-// node keeps outstanding there, from the node's own latencies alone, after
-// "Towards Distributed Storage Resource Management using Flow Control".
 package flowcontrol
 
 import (
@@ -8,129 +5,126 @@
 	"time"
 )
 
-// Tuning holds the project's defaults of the paper's parameters.
-type Parameters struct {
-	Alpha  float64
-	Gamma  float64
-	Period time.Duration
-	// Beta is the weight-based growth of this node.
-	Beta float64
-	// Start is the window of an instance just met or met again.
-	InitialWindow float64
-	// Floor keeps one statement going, so that latencies go on being seen.
-	MinWindow float64
-	// Max is w_max.
-	MaxWindow float64
-	// Threshold is LAT_threshold, one for the whole system.
-	LatencyThreshold time.Duration
-}
-
-// Defaults gives the project's starting values.
-func DefaultParameters() Parameters {
-	return Parameters{
-		Alpha: 0.9, Gamma: 0.2, Period: time.Second, Beta: 1,
-		InitialWindow: 2, MinWindow: 1, MaxWindow: 8, LatencyThreshold: 30 * time.Millisecond,
-	}
-}
-
-// Outcome says what a statement's end means to the window.
+// Outcome says what the end of a statement tells about the instance's latency.
 type Outcome int
 
 // Outcomes of a statement.
 const (
-	// Answered statements count their latency.
+	// Completed statements were run: their latency is observed.
 	Completed Outcome = iota
-	// Refused ones came back at once without work: no latency.
+	// Rejected ones came back at once without work: no latency is observed.
 	Rejected
-	// Lost ones never returned: their age counts as latency.
+	// Lost ones never came back: their age is observed, as the threshold at
+	// least, since a loss must not look fast.
 	Lost
 )
 
-// Window is the machine for one instance. It has no clock of its own.
+// roundingTolerance keeps a window that the arithmetic left a hair below a
+// whole number from being rounded down by one.
+const roundingTolerance = 1e-9
+
+// Window bounds the statements that one node keeps in flight at one instance.
+// It has no clock of its own and isn't safe for concurrent use.
 type Window struct {
-	parameters     Parameters
-	averageLatency float64
+	parameters Parameters
+
+	// size is w(t); averageLatency is CAL(t) in nanoseconds, 0 before the first
+	// observation.
 	size           float64
-	inFlight       int
-	abandoned      int
-	periodStart    time.Duration
-	started        bool
-	sampleCount    int
-	latencySum     float64
-	wasFull        bool
-	totalSamples   uint64
+	averageLatency float64
+
+	// inFlight counts statements that are waited for, abandoned those that no
+	// one waits for but the instance may still be working on.
+	inFlight  int
+	abandoned int
+
+	started      bool
+	periodStart  time.Duration
+	sampleCount  int
+	latencySum   float64
+	totalSamples uint64
+
+	// wasFull says that the window was full at some time in this period.
+	wasFull bool
 }
 
-// New makes the machine for an instance newly met.
-func NewWindow(tuning Parameters) *Window {
-	return &Window{parameters: tuning, size: math.Min(tuning.InitialWindow, tuning.MaxWindow)}
+// NewWindow makes the window of an instance newly met.
+func NewWindow(parameters Parameters) *Window {
+	w := &Window{parameters: parameters}
+	w.size = w.initialSize()
+	return w
 }
 
-// Retune takes a changed weight or cap; the window is kept under the cap.
+func (w *Window) initialSize() float64 {
+	return math.Min(w.parameters.InitialWindow, w.parameters.MaxWindow)
+}
+
+// Retune takes a changed weight or w_max; a window above w_max shrinks at once.
 func (w *Window) Retune(beta, maxWindow float64) {
 	w.parameters.Beta = beta
 	w.parameters.MaxWindow = math.Max(maxWindow, w.parameters.MinWindow)
 	w.size = math.Min(w.size, w.parameters.MaxWindow)
 }
 
-// Restart puts the window back to its start value, for an instance that
-// came back or changed role. Statements still out keep their slots.
+// Reset puts the window back to its initial size and forgets the latencies,
+// for an instance that came back or changed role. Statements in flight keep
+// their slots.
 func (w *Window) Reset() {
-	w.size = math.Min(w.parameters.InitialWindow, w.parameters.MaxWindow)
+	w.size = w.initialSize()
 	w.averageLatency, w.sampleCount, w.latencySum = 0, 0, 0
 }
 
-// HasRoom says whether one more statement may go out.
+// HasRoom says whether one more statement may be sent.
 func (w *Window) HasRoom() bool { return w.inFlight+w.abandoned < w.Size() }
 
-// Room is how many more may go out.
+// Available is how many more statements may be sent.
 func (w *Window) Available() int { return max(w.Size()-w.inFlight-w.abandoned, 0) }
 
-// Size is the whole number of statements that may be out.
+// Size is how many statements may be in flight: w(t) rounded down, MinWindow at
+// least.
 func (w *Window) Size() int {
-	return int(math.Max(w.parameters.MinWindow, math.Floor(w.size+1e-9)))
+	return int(math.Max(w.parameters.MinWindow, math.Floor(w.size+roundingTolerance)))
 }
 
-// Take counts a statement as out.
+// Acquire takes a slot for a statement that is sent.
 func (w *Window) Acquire() {
 	w.inFlight++
 	w.wasFull = w.wasFull || !w.HasRoom()
 }
 
-// Done counts a statement as ended after a latency.
+// Release gives back the slot of a statement that ended after a latency.
 func (w *Window) Release(outcome Outcome, latency time.Duration) {
 	w.inFlight = max(w.inFlight-1, 0)
-	latencyRecorders[outcome](w, latency)
+	latencyObservers[outcome](w, latency)
 }
 
-// Abandon turns a statement that nobody waits for into a ghost: it keeps its
-// slot, since the instance may still be working on it, until Lay.
+// Abandon is for a statement that is given up on: its age counts as a lost
+// one's, and it keeps its slot until ReleaseAbandoned, since the instance may
+// still be working on it.
 func (w *Window) Abandon(age time.Duration) {
 	w.inFlight = max(w.inFlight-1, 0)
 	w.abandoned++
-	latencyRecorders[Lost](w, age)
+	latencyObservers[Lost](w, age)
 }
 
-// Lay ends a ghost: the instance ended it or its session there is shut.
+// ReleaseAbandoned gives back the slot of an abandoned statement: the instance
+// has answered it, or its connection is closed.
 func (w *Window) ReleaseAbandoned() { w.abandoned = max(w.abandoned-1, 0) }
 
-var latencyRecorders = map[Outcome]func(*Window, time.Duration){
-	Completed: func(w *Window, latency time.Duration) { w.observe(latency) },
+var latencyObservers = map[Outcome]func(*Window, time.Duration){
+	Completed: (*Window).observe,
 	Rejected:  func(*Window, time.Duration) {},
 	Lost:      func(w *Window, age time.Duration) { w.observe(max(age, w.parameters.LatencyThreshold)) },
 }
 
 func (w *Window) observe(latency time.Duration) {
-	value := float64(latency)
 	w.sampleCount++
-	w.latencySum += value
+	w.latencySum += float64(latency)
 	w.totalSamples++
 }
 
-// Tick moves the window when a period has ended. Within a period the
-// latencies are averaged; l of the paper is that average. A period without
-// samples leaves CAL as it was. Growth is held back where the window was
-// not used, since an unused window's latency says nothing of a larger one.
+// Tick makes one step of the control law when a period has ended, and says
+// whether it did. A period without observations leaves CAL and w as they were.
 func (w *Window) Tick(now time.Duration) bool {
 	if !w.started {
 		w.periodStart, w.started = now, true
@@ -143,37 +137,59 @@
 	if w.sampleCount == 0 {
 		return false
 	}
+	w.updateAverageLatency()
+	w.updateSize()
+	w.sampleCount, w.latencySum, w.wasFull = 0, 0, !w.HasRoom()
+	return true
+}
+
+// updateAverageLatency is CAL(t) = (1-alpha) l + alpha CAL(t-1), where l is the
+// mean latency of the period.
+func (w *Window) updateAverageLatency() {
 	periodLatency := w.latencySum / float64(w.sampleCount)
 	if w.averageLatency == 0 {
 		w.averageLatency = periodLatency
-	} else {
-		w.averageLatency = (1-w.parameters.Alpha)*periodLatency + w.parameters.Alpha*w.averageLatency
+		return
 	}
-	next := (1-w.parameters.Gamma)*w.size + w.parameters.Gamma*(float64(w.parameters.LatencyThreshold)/w.averageLatency*w.size+w.parameters.Beta)
+	w.averageLatency = (1-w.parameters.Alpha)*periodLatency + w.parameters.Alpha*w.averageLatency
+}
+
+// updateSize is w(t+1) = (1-gamma) w(t) + gamma (LAT_threshold/CAL(t) w(t) + beta).
+// A window that was never full in the period doesn't grow, since its latency
+// says nothing about a larger one.
+func (w *Window) updateSize() {
+	target := float64(w.parameters.LatencyThreshold)/w.averageLatency*w.size + w.parameters.Beta
+	next := (1-w.parameters.Gamma)*w.size + w.parameters.Gamma*target
 	if next > w.size && !w.wasFull {
 		next = w.size
 	}
 	w.size = math.Min(math.Max(next, w.parameters.MinWindow), w.parameters.MaxWindow)
-	w.sampleCount, w.latencySum, w.wasFull = 0, 0, !w.HasRoom()
-	return true
 }
 
-// Reading is what the window shows to operators.
+// Reading is what a window shows to operators, under the names of the API.
 type Reading struct {
+	// Size is w(t), not rounded, AverageLatency is CAL(t).
 	Size             float64       `json:"window"`
 	AverageLatency   time.Duration `json:"cal_ns"`
 	LatencyThreshold time.Duration `json:"threshold_ns"`
 	InFlight         int           `json:"open"`
 	Abandoned        int           `json:"ghosts"`
-	TotalSamples     uint64        `json:"seen"`
-	Beta             float64       `json:"beta"`
-	MaxWindow        float64       `json:"max"`
+	// TotalSamples counts the latencies observed since the window was made.
+	TotalSamples uint64  `json:"seen"`
+	Beta         float64 `json:"beta"`
+	MaxWindow    float64 `json:"max"`
 }
 
-// Read gives the present reading.
+// Reading gives the present state.
 func (w *Window) Reading() Reading {
 	return Reading{
-		Size: w.size, AverageLatency: time.Duration(w.averageLatency), LatencyThreshold: w.parameters.LatencyThreshold, InFlight: w.inFlight,
-		Abandoned: w.abandoned, TotalSamples: w.totalSamples, Beta: w.parameters.Beta, MaxWindow: w.parameters.MaxWindow,
+		Size:             w.size,
+		AverageLatency:   time.Duration(w.averageLatency),
+		LatencyThreshold: w.parameters.LatencyThreshold,
+		InFlight:         w.inFlight,
+		Abandoned:        w.abandoned,
+		TotalSamples:     w.totalSamples,
+		Beta:             w.parameters.Beta,
+		MaxWindow:        w.parameters.MaxWindow,
 	}
 }
--- a/internal/coordination/flowcontrol/window_test.go
+++ b/internal/coordination/flowcontrol/window_test.go
@@ -8,13 +8,13 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func tuned(beta, maxWindow float64) Parameters {
-	tuning := DefaultParameters()
-	tuning.Beta, tuning.MaxWindow = beta, maxWindow
-	return tuning
+func parametersOf(beta, maxWindow float64) Parameters {
+	parameters := DefaultParameters()
+	parameters.Beta, parameters.MaxWindow = beta, maxWindow
+	return parameters
 }
 
-func period(w *Window, now *time.Duration, latency time.Duration) {
+func runPeriod(w *Window, now *time.Duration, latency time.Duration) {
 	size := w.Size()
 	for range size {
 		w.Acquire()
@@ -28,27 +28,27 @@
 
 func TestEquations(t *testing.T) {
 	Convey("CAL and w follow the paper's two equations", t, func() {
-		w, now := NewWindow(tuned(1, 100)), time.Duration(0)
+		w, now := NewWindow(parametersOf(1, 100)), time.Duration(0)
 		w.Tick(now)
-		period(w, &now, 60*time.Millisecond)
+		runPeriod(w, &now, 60*time.Millisecond)
 		So(float64(w.Reading().AverageLatency), ShouldAlmostEqual, float64(60*time.Millisecond), 1)
 		So(w.Reading().Size, ShouldAlmostEqual, 0.8*2+0.2*(30.0/60*2+1), 1e-6)
 		before := w.Reading().Size
-		period(w, &now, 10*time.Millisecond)
+		runPeriod(w, &now, 10*time.Millisecond)
 		cal := 0.1*10 + 0.9*60.0
 		So(float64(w.Reading().AverageLatency)/1e6, ShouldAlmostEqual, cal, 1e-6)
 		So(w.Reading().Size, ShouldAlmostEqual, 0.8*before+0.2*(30/cal*before+1), 1e-6)
 	})
 	Convey("Above the threshold the window shrinks by a factor, down to the floor; below it grows, up to the cap", t, func() {
-		w, now := NewWindow(tuned(1, 8)), time.Duration(0)
+		w, now := NewWindow(parametersOf(1, 8)), time.Duration(0)
 		w.Tick(now)
 		for range 60 {
-			period(w, &now, 5*time.Millisecond)
+			runPeriod(w, &now, 5*time.Millisecond)
 		}
 		So(w.Reading().Size, ShouldEqual, 8)
 		before := w.Reading().Size
 		for range 40 {
-			period(w, &now, 400*time.Millisecond)
+			runPeriod(w, &now, 400*time.Millisecond)
 			So(w.Reading().Size, ShouldBeLessThanOrEqualTo, before)
 			before = w.Reading().Size
 		}
@@ -58,7 +58,7 @@
 		betas := []float64{1, 2, 4}
 		var windows []*Window
 		for _, beta := range betas {
-			windows = append(windows, NewWindow(tuned(beta, 1000)))
+			windows = append(windows, NewWindow(parametersOf(beta, 1000)))
 		}
 		now := time.Duration(0)
 		for _, w := range windows {
@@ -89,8 +89,8 @@
 }
 
 func TestSlots(t *testing.T) {
-	Convey("A statement given up on keeps its slot until it is laid, and its age counts as latency", t, func() {
-		w, now := NewWindow(tuned(1, 8)), time.Duration(0)
+	Convey("A statement given up on keeps its slot until it is released, and its age counts as latency", t, func() {
+		w, now := NewWindow(parametersOf(1, 8)), time.Duration(0)
 		w.Tick(now)
 		w.Acquire()
 		w.Acquire()
@@ -105,7 +105,7 @@
 		So(w.Reading().AverageLatency, ShouldBeGreaterThan, time.Second)
 	})
 	Convey("A refusal, which is no work, counts no latency; a lost statement counts at least the threshold", t, func() {
-		w := NewWindow(tuned(1, 8))
+		w := NewWindow(parametersOf(1, 8))
 		w.Tick(0)
 		w.Acquire()
 		w.Release(Rejected, time.Hour)
@@ -117,7 +117,7 @@
 		So(w.Reading().AverageLatency, ShouldEqual, w.Reading().LatencyThreshold)
 	})
 	Convey("A window that was not used does not grow, and a lower cap binds at once", t, func() {
-		w, now := NewWindow(tuned(1, 8)), time.Duration(0)
+		w, now := NewWindow(parametersOf(1, 8)), time.Duration(0)
 		w.Tick(now)
 		w.Acquire()
 		w.Release(Completed, time.Millisecond)
