--- /dev/null
+++ b/internal/coordination/idempotency/id.go
@@ -0,0 +1,47 @@
+package idempotency
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+const (
+	sessionIDSeparator = "~"
+	requestIDSeparator = '.'
+)
+
+// nodeID is one incarnation of a node.
+type nodeID struct{ name, incarnation string }
+
+func (n nodeID) sessionID(number uint64) string {
+	return fmt.Sprintf("%s~%s~%d", n.name, n.incarnation, number)
+}
+
+// ownerOf gives the node that opened a session, and the zero nodeID where the
+// id has not the form of one.
+func ownerOf(sessionID string) nodeID {
+	parts := strings.Split(sessionID, sessionIDSeparator)
+	if len(parts) != 3 {
+		return nodeID{}
+	}
+	return nodeID{name: parts[0], incarnation: parts[1]}
+}
+
+// parseRequestID splits a request id into that of its session and its number
+// there.
+func parseRequestID(id string) (sessionID string, number uint64, valid bool) {
+	at := strings.LastIndexByte(id, requestIDSeparator)
+	if at <= 0 {
+		return "", 0, false
+	}
+	number, err := strconv.ParseUint(id[at+1:], 10, 64)
+	return id[:at], number, err == nil
+}
+
+// IncarnationOf gives the incarnation of the node that opened the session of a
+// request id, empty where the id has not the form of one.
+func IncarnationOf(requestID string) string {
+	sessionID, _, _ := parseRequestID(requestID)
+	return ownerOf(sessionID).incarnation
+}
--- a/internal/coordination/idempotency/machine_test.go
+++ b/internal/coordination/idempotency/machine_test.go
@@ -9,7 +9,7 @@
 	"tansyseam/internal/state/model"
 )
 
-func TestGoes(t *testing.T) {
+func TestRetries(t *testing.T) {
 	const now = time.Hour
 	newNode := func(name, incarnation string) (*Machine, string) {
 		m := New(name, incarnation, Timing{Retention: time.Minute, MaxRecords: 3})
@@ -17,7 +17,7 @@
 		m.OpenSession(sessionID)
 		return m, sessionID
 	}
-	Convey("A first go runs; its repeat here waits and is told the same end", t, func() {
+	Convey("A first attempt is executed; a retry here waits and is answered by the same outcome", t, func() {
 		a, sessionID := newNode("a", "1")
 		So(a.Decide(sessionID+".1", "first", now).Kind, ShouldEqual, Execute)
 		So(a.Decide(sessionID+".1", "again", now).Kind, ShouldEqual, Wait)
@@ -28,7 +28,7 @@
 		a.Complete(sessionID+".1", StateUnknown, nil, model.Position{}, now)
 		So(a.Decide(sessionID+".1", "late", now).Status.State, ShouldEqual, StateCommitted)
 	})
-	Convey("A go that never came is given up to one asker; it runs there alone", t, func() {
+	Convey("A request that was never seen is transferred to one node that asks, and executed there alone", t, func() {
 		a, sessionID := newNode("a", "1")
 		b, _ := newNode("b", "2")
 		c, _ := newNode("c", "3")
@@ -38,7 +38,7 @@
 		So(c.DecideFromPeer(id, "c", a.HandleStatusRequest(StatusRequest{RequestID: id, Requester: "c"}, now), now), ShouldResemble, Decision{Kind: Lookup, Node: "b"})
 		So(a.Decide(id, "the first arrives late", now), ShouldResemble, Decision{Kind: Lookup, Node: "b"})
 	})
-	Convey("What was forgotten is unknown, never run again", t, func() {
+	Convey("What was pruned is unknown, and never executed again", t, func() {
 		a, sessionID := newNode("a", "1")
 		for _, count := range []string{".1", ".2", ".3", ".4"} {
 			a.Decide(sessionID+count, nil, now)
@@ -51,14 +51,14 @@
 		a.ExpireSessions(now + 2*time.Minute)
 		So(a.HandleStatusRequest(StatusRequest{RequestID: sessionID + ".9", Requester: "b"}, now).State, ShouldEqual, StateUnknown)
 	})
-	Convey("A node born again knows nothing of its past life", t, func() {
-		old, sessionID := newNode("a", "1")
-		old.Decide(sessionID+".1", nil, now)
-		reborn, _ := newNode("a", "2")
-		So(reborn.Decide(sessionID+".1", nil, now).Status.State, ShouldEqual, StateUnknown)
-		So(reborn.HandleStatusRequest(StatusRequest{RequestID: sessionID + ".1", Requester: "b"}, now).State, ShouldEqual, StateUnknown)
+	Convey("A restarted node knows nothing of its earlier incarnation", t, func() {
+		earlier, sessionID := newNode("a", "1")
+		earlier.Decide(sessionID+".1", nil, now)
+		restarted, _ := newNode("a", "2")
+		So(restarted.Decide(sessionID+".1", nil, now).Status.State, ShouldEqual, StateUnknown)
+		So(restarted.HandleStatusRequest(StatusRequest{RequestID: sessionID + ".1", Requester: "b"}, now).State, ShouldEqual, StateUnknown)
 	})
-	Convey("The heir of a node that stopped in good order answers for it", t, func() {
+	Convey("The successor of a node that shut down answers for it", t, func() {
 		a, sessionID := newNode("a", "1")
 		a.Decide(sessionID+".1", nil, now)
 		a.Complete(sessionID+".1", StateCommitted, nil, model.Position{Index: 9}, now)
--- /dev/null
+++ b/internal/coordination/idempotency/records.go
@@ -0,0 +1,51 @@
+package idempotency
+
+import "time"
+
+// requestRecord is the status of a request id with the retries that wait for
+// it.
+type requestRecord struct {
+	Status
+	updatedAt time.Duration
+	waiters   []any
+}
+
+// sessionRecord tells ids of a session that were never seen from those whose
+// record was pruned.
+type sessionRecord struct {
+	highestPruned uint64
+	closed        bool
+	closedAt      time.Duration
+}
+
+// isUnseen says whether a request id, of which there is no record, was surely
+// never seen: its session is known and no later number of it was pruned.
+func isUnseen(sessions map[string]*sessionRecord, requestID string) bool {
+	sessionID, number, _ := parseRequestID(requestID)
+	session, found := sessions[sessionID]
+	return found && number > session.highestPruned
+}
+
+func (m *Machine) insert(requestID, state, owner string, now time.Duration) {
+	m.records[requestID] = &requestRecord{Status: Status{State: state, Owner: owner}, updatedAt: now}
+	m.recordOrder = append(m.recordOrder, requestID)
+	m.prune(now)
+}
+
+// prune forgets the oldest records, those over the bound and those expired.
+func (m *Machine) prune(now time.Duration) {
+	for len(m.recordOrder) > m.timing.MaxRecords || (len(m.recordOrder) > 0 && m.isExpired(m.recordOrder[0], now)) {
+		oldest := m.recordOrder[0]
+		m.recordOrder = m.recordOrder[1:]
+		delete(m.records, oldest)
+		sessionID, number, _ := parseRequestID(oldest)
+		if session, found := m.sessions[sessionID]; found {
+			session.highestPruned = max(session.highestPruned, number)
+		}
+	}
+}
+
+func (m *Machine) isExpired(requestID string, now time.Duration) bool {
+	record, found := m.records[requestID]
+	return !found || (record.State != StateInFlight && now-record.updatedAt > m.timing.Retention)
+}
--- a/internal/coordination/pool/httppool/outcome.go
+++ b/internal/coordination/pool/httppool/outcome.go
@@ -134,10 +134,10 @@
 	return Result{Outcome: OutcomeUnknown, Error: "what became of this go is not known", RetryAfter: time.Second}
 }
 
-var decisionHandlers map[string]func(*Machine, *Request, idempotency.Decision, time.Duration)
+var decisionHandlers map[idempotency.DecisionKind]func(*Machine, *Request, idempotency.Decision, time.Duration)
 
 func init() {
-	decisionHandlers = map[string]func(*Machine, *Request, idempotency.Decision, time.Duration){
+	decisionHandlers = map[idempotency.DecisionKind]func(*Machine, *Request, idempotency.Decision, time.Duration){
 		idempotency.Execute: func(m *Machine, request *Request, _ idempotency.Decision, now time.Duration) {
 			if request.op.Kind == OpCommit && !request.session.inTransaction {
 				m.recordOutcome(request.op.RequestID, idempotency.StateNotCommitted, nil, model.Position{}, now)
@@ -169,7 +169,7 @@
 }
 
 func (m *Machine) applyDecision(request *Request, decision idempotency.Decision, now time.Duration) {
-	m.count("goes_"+decision.Kind, 1)
+	m.count("goes_"+string(decision.Kind), 1)
 	decisionHandlers[decision.Kind](m, request, decision, now)
 }
 
