--- a/internal/app/httpproxy/drain.go
+++ b/internal/app/httpproxy/drain.go
@@ -25,7 +25,7 @@
 // after, waits for what was forwarded, closes the sessions and hands the
 // records of request ids over to another node.
 func (p *Proxy) Drain() {
-	p.log.Info("draining: no new work is accepted")
+	p.log.Info("shutting down: no new work is accepted")
 	p.node.Leave()
 	p.apply(p.pool.Drain)
 	for until := p.now() + drainTimeout; p.now() < until && p.activeSessions() > 0; {
@@ -34,7 +34,7 @@
 	sessions := 0
 	p.apply(func(time.Duration) { sessions = p.pool.DisconnectSessions() })
 	p.handOver()
-	p.log.Info("drained", "sessions", sessions, "unfinished", p.activeSessions())
+	p.log.Info("shut down", "sessions", sessions, "unfinished", p.activeSessions())
 	sleep(lingerTimeout)
 }
 
