--- /dev/null
+++ b/internal/coordination/membership/heartbeat.go
@@ -0,0 +1,128 @@
+package membership
+
+import (
+	"slices"
+	"strings"
+	"time"
+)
+
+// heartbeatRound sends the messages of one heartbeat interval, at most one to
+// each address.
+type heartbeatRound struct {
+	machine   *Machine
+	now       time.Duration
+	contacted map[string]bool
+}
+
+// header holds the flags of a message.
+type header struct {
+	subscribe bool
+	reply     bool
+}
+
+func (r *heartbeatRound) send(address string, to *peer, header header) {
+	if address == "" || r.contacted[address] {
+		return
+	}
+	r.contacted[address] = true
+	gossip := r.machine.newGossip(to, r.now)
+	gossip.Subscribe, gossip.Reply = header.subscribe, header.reply
+	if to != nil {
+		to.lastSent = r.now
+	}
+	r.machine.effects = append(r.machine.effects, Send{Address: address, Gossip: gossip})
+}
+
+func (m *Machine) onTick(now time.Duration) {
+	if now-m.lastHeartbeat < m.timing.heartbeatTolerance() {
+		return
+	}
+	m.lastHeartbeat = now
+	m.self.Heartbeat++
+	m.sendHeartbeats(now)
+	m.suspect(now)
+	m.declareDead(now)
+}
+
+func (m *Machine) sendHeartbeats(now time.Duration) {
+	round := heartbeatRound{machine: m, now: now, contacted: map[string]bool{m.self.RPCAddress: true}}
+	for _, name := range m.Watched() {
+		if other := m.peers[name]; m.shouldRequestHeartbeat(other, now) {
+			other.lastRequested = now
+			round.send(other.node.RPCAddress, other, header{subscribe: true})
+		}
+	}
+	if dead := m.nextDead(); dead != nil {
+		round.send(dead.node.RPCAddress, dead, header{})
+	}
+	for _, seed := range m.seedsDue(now) {
+		round.send(seed, m.liveAt(seed), header{})
+	}
+	for _, other := range m.subscribers(now) {
+		round.send(other.node.RPCAddress, other, header{reply: true})
+	}
+}
+
+// shouldRequestHeartbeat says whether a message is due to a watched node: when
+// the subscription needs renewal, when heartbeats are missing, and when there
+// is something to tell.
+func (m *Machine) shouldRequestHeartbeat(other *peer, now time.Duration) bool {
+	m.refreshDigests()
+	changed := m.gossipUntil > now && other.digest != m.digests.total
+	hasUpdates := m.selfGossipUntil > now || changed || len(m.suspicions) > 0
+	missing := now-other.lastContact >= missedHeartbeats*m.timing.HeartbeatInterval
+	expiring := now-other.lastRequested >= m.timing.SubscriptionInterval
+	return hasUpdates || !other.knowsSelf || missing || expiring
+}
+
+// subscribers returns the live nodes that subscribe to this node's heartbeats
+// and are due one, sorted by name.
+func (m *Machine) subscribers(now time.Duration) []*peer {
+	var due []*peer
+	for _, other := range m.peers {
+		subscribed := other.subscribedUntil > now && other.status == StatusLive
+		if subscribed && now-other.lastSent >= m.timing.heartbeatTolerance() {
+			due = append(due, other)
+		}
+	}
+	slices.SortFunc(due, func(a, b *peer) int { return strings.Compare(a.node.Name, b.node.Name) })
+	return due
+}
+
+// seedsDue returns the addresses of the seeds to contact: all while few nodes
+// are live or a seed is missing, else one at each seed interval in turn.
+func (m *Machine) seedsDue(now time.Duration) []string {
+	missing := slices.ContainsFunc(m.seeds, func(seed string) bool {
+		return seed != m.self.RPCAddress && m.liveAt(seed) == nil
+	})
+	if m.countAllLive() < enoughLiveNodes || (missing && m.self.Heartbeat%missingSeedHeartbeats == 0) {
+		return m.seeds
+	}
+	if m.seedContacts == 0 {
+		// The digest spreads the nodes' contacts over the interval.
+		offset := time.Duration(digestOf(m.self) % uint64(m.timing.SeedInterval))
+		m.lastSeedContact, m.seedContacts = now-offset, 1
+	}
+	if len(m.seeds) == 0 || now < m.lastSeedContact+m.timing.SeedInterval {
+		return nil
+	}
+	m.lastSeedContact = now
+	m.seedContacts++
+	return m.seeds[m.seedContacts%len(m.seeds):][:1]
+}
+
+// nextDead returns one of the dead nodes, each in turn, or nil: after a
+// partition into halves one of them has to contact the other.
+func (m *Machine) nextDead() *peer {
+	var names []string
+	for name, other := range m.peers {
+		if other.status == StatusDead {
+			names = append(names, name)
+		}
+	}
+	if len(names) == 0 {
+		return nil
+	}
+	slices.Sort(names)
+	return m.peers[names[int(m.self.Heartbeat)%len(names)]]
+}
--- a/internal/coordination/membership/machine_test.go
+++ b/internal/coordination/membership/machine_test.go
@@ -11,6 +11,7 @@
 	"tansyseam/internal/state/model"
 )
 
+// cluster runs machines whose messages arrive at once, on a clock of its own.
 type cluster struct {
 	machines     map[string]*Machine
 	names        []string
@@ -43,12 +44,12 @@
 
 func (t *cluster) deliver(from string, effects []any) {
 	for _, effect := range effects {
-		send, isSend := effect.(Send)
-		if isSend {
+		send, ok := effect.(Send)
+		if ok {
 			t.messagesSent++
 			t.entriesSent += len(send.Gossip.Nodes)
 		}
-		if !isSend || t.stopped[send.Address] || t.blocked(from, send.Address) {
+		if !ok || t.stopped[send.Address] || t.blocked(from, send.Address) {
 			continue
 		}
 		if target, known := t.machines[send.Address]; known {
@@ -67,6 +68,7 @@
 	}
 }
 
+// countHolding returns how many running nodes hold a node to have a status.
 func (t *cluster) countHolding(name, status string) int {
 	count := 0
 	for _, other := range t.names {
@@ -78,7 +80,7 @@
 }
 
 func TestMembership(t *testing.T) {
-	Convey("Nodes find each other from three seeds, and each is watched by a few", t, func() {
+	Convey("Nodes discover each other from three seeds, and each has a few watchers", t, func() {
 		cluster := newCluster(14)
 		cluster.advance(4 * time.Second)
 		watchers := 0
@@ -89,7 +91,7 @@
 		So(watchers, ShouldEqual, 14*WatchersPerNode)
 		So(cluster.machines["n03"].CountLive(model.KindProxy), ShouldEqual, 14)
 		So(cluster.machines["n03"].CountLive(model.KindControl), ShouldEqual, 0)
-		Convey("A node that vanishes is held dead by all, and live again when it returns", func() {
+		Convey("A node that fails is declared dead by all, and is live again when it restarts", func() {
 			cluster.stopped["n07"] = true
 			cluster.advance(6 * time.Second)
 			So(cluster.countHolding("n07", StatusDead), ShouldEqual, 13)
@@ -99,7 +101,7 @@
 			cluster.advance(4 * time.Second)
 			So(cluster.countHolding("n07", StatusLive), ShouldEqual, 13)
 		})
-		Convey("One watcher that hears nothing of a node does not make it dead", func() {
+		Convey("The suspicion of a single watcher does not make a node dead", func() {
 			var watcher string
 			for _, name := range cluster.names {
 				for _, watched := range cluster.machines[name].Watched() {
@@ -114,7 +116,7 @@
 			cluster.advance(8 * time.Second)
 			So(cluster.countHolding("n07", StatusLive), ShouldEqual, 13)
 		})
-		Convey("A node that says goodbye is left, not dead; one that joins is met by all", func() {
+		Convey("A node that shuts down has left, and is not dead; one that joins is discovered by all", func() {
 			cluster.machines["n05"].Leave()
 			cluster.advance(time.Second)
 			So(cluster.countHolding("n05", StatusLeft), ShouldEqual, 13)
@@ -123,36 +125,36 @@
 			So(cluster.countHolding("n99", StatusLive), ShouldBeGreaterThanOrEqualTo, 13)
 		})
 	})
-	Convey("At rest the cost of a node does not grow with the number of nodes, and no node is told of others", t, func() {
+	Convey("Without changes the messages of a node do not grow with the number of nodes, and carry no entries", t, func() {
 		for _, count := range []int{8, 40} {
 			cluster := newCluster(count)
 			cluster.advance(8 * time.Second)
 			cluster.messagesSent, cluster.entriesSent = 0, 0
 			cluster.advance(5 * time.Second)
 			So(cluster.entriesSent, ShouldEqual, 0)
-			SoMsg("a beat to each watcher, and a question with its answer each eight beats", cluster.messagesSent, ShouldBeLessThan, count*(5*1000/350+1)*WatchersPerNode*3/2)
+			SoMsg("a heartbeat to each watcher, and a subscription with its answer at each eighth", cluster.messagesSent, ShouldBeLessThan, count*(5*1000/350+1)*WatchersPerNode*3/2)
 		}
 	})
-	Convey("Nodes that start at once are told of each other a few times, not in each message while they are new", t, func() {
+	Convey("Nodes that start together receive each other's entries a few times, not in each message of the gossip period", t, func() {
 		cluster := newCluster(40)
 		cluster.advance(4 * time.Second)
 		for _, name := range cluster.names {
 			So(cluster.countHolding(name, StatusLive), ShouldEqual, 39)
 		}
-		SoMsg("entries told to each node of each other", cluster.entriesSent/(40*39), ShouldBeLessThan, 12)
+		SoMsg("entries sent to each node of each other", cluster.entriesSent/(40*39), ShouldBeLessThan, 12)
 	})
-	Convey("A seed that lives is asked seldom, one that does not at every eighth beat", t, func() {
+	Convey("A live seed is contacted seldom, a missing one at every eighth heartbeat", t, func() {
 		cluster := newCluster(40)
 		cluster.advance(10 * time.Second)
-		asked := func(seed string) int {
+		countContacts := func(seed string) int {
 			count := 0
 			for _, name := range cluster.names {
 				if name != seed && !slices.Contains(cluster.machines[name].Watched(), seed) {
 					cluster.machines[name].effects = nil
 					cluster.machines[name].onTick(cluster.now + DefaultTiming().HeartbeatInterval)
 					for _, effect := range cluster.machines[name].effects {
-						send, isSend := effect.(Send)
-						if isSend && send.Address == seed && !send.Gossip.Reply {
+						send, ok := effect.(Send)
+						if ok && send.Address == seed && !send.Gossip.Reply {
 							count++
 						}
 					}
@@ -162,12 +164,12 @@
 		}
 		all := 0
 		for range 16 {
-			all += asked("n01")
+			all += countContacts("n01")
 			cluster.advance(DefaultTiming().HeartbeatInterval)
 		}
 		So(all, ShouldBeLessThan, 40)
 	})
-	Convey("A node that was cut off while others came and went is mended by digests, long after that was news", t, func() {
+	Convey("A node that was partitioned while others joined and left is repaired by digests, after the gossip period", t, func() {
 		cluster := newCluster(14)
 		cluster.advance(4 * time.Second)
 		cluster.blocked = func(from, to string) bool { return (from == "n07") != (to == "n07") }
@@ -182,14 +184,14 @@
 		So(cluster.machines["n07"].Status("n05"), ShouldEqual, StatusLeft)
 		So(cluster.countHolding("n07", StatusLive), ShouldEqual, 14)
 	})
-	Convey("A word of one watcher that was wrong is refuted by the node's own next beats", t, func() {
+	Convey("A wrong suspicion is refuted by the next heartbeats of the node", t, func() {
 		cluster := newCluster(14)
 		cluster.advance(4 * time.Second)
 		for _, name := range cluster.names {
 			if name != "n07" {
-				beat := cluster.machines["n07"].Self().Heartbeat
+				heartbeat := cluster.machines["n07"].Self().Heartbeat
 				cluster.machines[name].Step(GossipReceived{Gossip: Gossip{
-					From: cluster.machines["n01"].Self(), Suspicions: []Suspicion{{Node: "n07", Reporter: "n01", Heartbeat: beat, Incarnation: cluster.machines["n07"].Self().Incarnation}},
+					From: cluster.machines["n01"].Self(), Suspicions: []Suspicion{{Node: "n07", Reporter: "n01", Heartbeat: heartbeat, Incarnation: cluster.machines["n07"].Self().Incarnation}},
 				}}, cluster.now)
 			}
 		}
@@ -198,21 +200,21 @@
 			So(len(cluster.machines[name].suspicions), ShouldEqual, 0)
 		}
 	})
-	Convey("The fellows of a node are of its kind: watched ones where there are any, else all that live", t, func() {
+	Convey("The peers of a node are of its kind: the watched ones if there are any, else all live ones", t, func() {
 		control := []string{"n00", "n01", "n02", "n03", "n04"}
 		cluster := newCluster(11)
 		cluster.setKind(model.KindControl, control...)
 		cluster.advance(4 * time.Second)
 		for _, name := range cluster.names {
-			one := cluster.machines[name]
-			watched, peers := one.Watched(), one.Peers()
+			machine := cluster.machines[name]
+			watched, peers := machine.Watched(), machine.Peers()
 			So(len(peers), ShouldBeGreaterThan, 0)
 			for _, peer := range peers {
-				So(peer.Kind, ShouldEqual, one.Self().Kind)
+				So(peer.Kind, ShouldEqual, machine.Self().Kind)
 				So(peer.Name, ShouldNotEqual, name)
 			}
-			isAlike := func(other string) bool { return slices.Contains(control, other) == slices.Contains(control, name) }
-			count := len(slices.DeleteFunc(slices.Clone(watched), func(other string) bool { return !isAlike(other) }))
+			sameKind := func(other string) bool { return slices.Contains(control, other) == slices.Contains(control, name) }
+			count := len(slices.DeleteFunc(slices.Clone(watched), func(other string) bool { return !sameKind(other) }))
 			if count == 0 {
 				count = len(control) - 1
 				if !slices.Contains(control, name) {
@@ -226,11 +228,11 @@
 		lone.advance(4 * time.Second)
 		So(lone.machines["n00"].Peers(), ShouldBeEmpty)
 	})
-	Convey("Two halves that held each other dead find one another soon after the cut between them is over", t, func() {
+	Convey("Two halves that declared each other dead rejoin soon after the partition has healed", t, func() {
 		cluster := newCluster(14)
 		cluster.advance(4 * time.Second)
-		half := func(name string) bool { return name < "n07" }
-		cluster.blocked = func(from, to string) bool { return half(from) != half(to) }
+		firstHalf := func(name string) bool { return name < "n07" }
+		cluster.blocked = func(from, to string) bool { return firstHalf(from) != firstHalf(to) }
 		cluster.advance(8 * time.Second)
 		So(cluster.countHolding("n01", StatusDead), ShouldEqual, 7)
 		So(cluster.countHolding("n09", StatusDead), ShouldEqual, 7)
