--- a/cmd/tansyseam-control/main.go
+++ b/cmd/tansyseam-control/main.go
@@ -21,8 +21,8 @@
 	"": func(*node.Node) adapterSet { return adapterSet{start: func() error { return nil }} },
 	config.ModePlatform: func(node *node.Node) adapterSet {
 		node.Translate = platform.Translate
-		orders := control.NewCommandClient(node.Workers, platform.Codec(), node.Config().Name)
-		return adapterSet{adapters: &control.Adapters{SendCommand: orders.Send, Promote: control.NewPromoter(node, platform.Promote)}, start: orders.Start}
+		commands := control.NewCommandClient(node.Workers, platform.Codec(), node.Config().Name)
+		return adapterSet{adapters: &control.Adapters{SendCommand: commands.Send, Promote: control.NewPromoter(node, platform.Promote)}, start: commands.Start}
 	},
 }
 
--- a/internal/app/admin/api_test.go
+++ b/internal/app/admin/api_test.go
@@ -1,7 +1,6 @@
 package admin
 
 import (
-	"encoding/json"
 	"fmt"
 	"maps"
 	"net/http"
@@ -51,13 +50,7 @@
 
 func checkGolden(t *testing.T, name string, answer any) {
 	t.Helper()
-	data, encoded := answer.([]byte)
-	if !encoded {
-		var err error
-		data, err = json.Marshal(answer)
-		So(err, ShouldBeNil)
-	}
-	golden.Check(t, name+".json", append(data, '\n'))
+	golden.Check(t, name+".json", golden.JSON(t, answer))
 }
 
 func TestGoldenAnswers(t *testing.T) {
--- a/internal/app/control/answers.go
+++ b/internal/app/control/answers.go
@@ -120,7 +120,7 @@
 	return report{
 		Singletons: s.singletons.Roles(now), Audit: auditEntries(s.distributor.State()), Epoch: newEpochRecord(s.distributor.Record()),
 		Kind: model.KindControl, Leases: s.leases(now), Node: self, Primary: now < s.primaryUntil,
-		Sets:    admin.NewBindingSets(self, snapshot, snapshot.ActiveSet(s.wallNow())),
+		Sets:    admin.NewBindingSets(self, snapshot, snapshot.ActiveSet(s.wallTimeLocked())),
 		Version: admin.NewVersion(s.appliedStamp), Voters: s.voters, Writers: admin.NewWriterRoles(snapshot),
 	}
 }
--- /dev/null
+++ b/internal/app/control/asyncfailover.go
@@ -0,0 +1,45 @@
+package control
+
+import (
+	"tansyseam/internal/coordination/failover"
+	"tansyseam/internal/coordination/failover/asyncrepl"
+	"tansyseam/internal/protocol/promotion"
+)
+
+// decideAsyncFailover decides on a database whose commits the proxies confirm,
+// and carries the decision out.
+func (s *Server) decideAsyncFailover(database string) {
+	response, ok := s.requestEvidence(database)
+	if !ok || response.Evidence.Database != database {
+		return
+	}
+	evidence := response.Evidence
+	for _, effect := range asyncrepl.Step(evidence, asyncrepl.DefaultTiming()) {
+		if decision, ok := effect.(failover.Record); ok {
+			if !s.recordDecision(evidence.Writer, evidence.Known, decision) {
+				return
+			}
+			continue
+		}
+		if promote, ok := effect.(asyncrepl.Promote); ok {
+			s.node.Workers.Go(func() { s.promoteAsync(promote) })
+		}
+	}
+}
+
+// promoteAsync makes the promote call. Its response is logged only: whether the
+// instance was promoted is learned from the instance.
+func (s *Server) promoteAsync(call asyncrepl.Promote) {
+	s.node.Counters.Add("promote_calls", 1)
+	conn, err := s.platform.dial(s.node.Config())
+	if err != nil {
+		s.node.Counters.Add("promote_calls_not_sent", 1)
+		s.logger.Warn("platform not reached", "database", call.Database, "error", err)
+		return
+	}
+	defer conn.Close()
+	path, body := promotion.NewRequest(call.Database, call.Instance, call.Term)
+	response := conn.Post(path, body, promoteTimeout)
+	s.logger.Info("promote call made", "database", call.Database, "instance", call.Instance,
+		"status", response.Status, "error", response.Err)
+}
--- a/internal/app/control/disk_fault_test.go
+++ b/internal/app/control/disk_fault_test.go
@@ -10,10 +10,11 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/juju/errors"
 
-	"tansyseam/internal/app/config"
+	"tansyseam/internal/app/admin"
 	"tansyseam/internal/app/node"
 	"tansyseam/internal/coordination/consensus"
 	"tansyseam/internal/protocol/message"
+	"tansyseam/internal/state/model"
 	"tansyseam/internal/state/versionfile"
 )
 
@@ -32,28 +33,20 @@
 }
 
 func newServerOnFaultyDisk(t *testing.T) (*Server, *faultyDisk) {
-	cfg := config.Config{Name: "c1", Zone: "z", RPCAddress: "127.0.0.1:1", HTTPAddress: "127.0.0.1:2", AdvertiseHTTPAddress: "127.0.0.1:2", ControlNodes: 1, DataDir: t.TempDir(), Mode: "platform", ActivationBound: 3 * time.Second}
-	node, err := node.New("seamc", cfg, hclog.NewNullLogger())
+	cfg := testConfig(t.TempDir())
+	node, err := node.New(model.KindControl, cfg, hclog.NewNullLogger())
 	So(err, ShouldBeNil)
 	disk := &faultyDisk{Directory: versionfile.Directory(cfg.DataDir)}
-	made, err := OpenOn(node, cfg, disk, nil)
+	server, err := OpenOn(node, cfg, disk, nil)
 	So(err, ShouldBeNil)
-	return made, disk
-}
-
-func (s *Server) runPending() {
-	for range 3 {
-		s.tick()
-		for len(s.tasks) > 0 {
-			(<-s.tasks)()
-		}
-	}
+	return server, disk
 }
 
 func (s *Server) replaceManifestAsync(version int) *message.OperatorCallResult {
-	answered := &message.OperatorCallResult{}
-	s.onOperate(message.OperatorCall{Path: "/v1/manifest/replace", Body: []byte(manifestOf(version, 1000))}, func(answer any) { *answered = answer.(message.OperatorCallResult) })
-	return answered
+	result := &message.OperatorCallResult{}
+	call := message.OperatorCall{Path: admin.PathReplaceManifest, Body: []byte(manifestOf(version, 1000))}
+	s.onOperatorCall(call, func(reply any) { *result = reply.(message.OperatorCallResult) })
+	return result
 }
 
 func TestFailingDiskWrites(t *testing.T) {
@@ -71,9 +64,9 @@
 		s.startDiskWrite(s.node.Now() + consensus.SyncRetryDelay)
 		s.runPending()
 		So(answered.Status, ShouldEqual, http.StatusOK)
-		again, err := OpenOn(s.node, s.node.Config(), disk, nil)
+		reopened, err := OpenOn(s.node, s.node.Config(), disk, nil)
 		So(err, ShouldBeNil)
-		So(again.consensus.ReplicaTable().Version, ShouldResemble, s.consensus.ReplicaTable().Version)
+		So(reopened.consensus.ReplicaTable().Version, ShouldResemble, s.consensus.ReplicaTable().Version)
 	})
 }
 
@@ -82,7 +75,7 @@
 		s, _ := newServerOnFaultyDisk(t)
 		s.runPending()
 		var work []func()
-		s.runOnDisk = func(one func()) { work = append(work, one) }
+		s.runOnDisk = func(write func()) { work = append(work, write) }
 		first := s.replaceManifestAsync(7)
 		s.runPending()
 		So(len(work), ShouldEqual, 1)
--- /dev/null
+++ b/internal/app/control/elections.go
@@ -0,0 +1,134 @@
+package control
+
+import (
+	"time"
+
+	"tansyseam/internal/coordination/proposal"
+	"tansyseam/internal/coordination/singleton"
+	"tansyseam/internal/state/model"
+)
+
+// voteTimeout bounds a request for a vote.
+const voteTimeout = 300 * time.Millisecond
+
+// runSingletons does the work that is due from time to time: that of the
+// control primary, and the elections of the singleton roles, one a database,
+// whose leader decides on failovers.
+func (s *Server) runSingletons() {
+	s.flushUpdates()
+	s.runMaintenance()
+	s.announcePrimacy()
+	s.sweepRegistry()
+	s.runElections()
+}
+
+func (s *Server) runElections() {
+	s.mutex.Lock()
+	state := s.electionState()
+	campaign, refresh := s.singletons.Due(state, s.node.Now())
+	s.mutex.Unlock()
+	if !campaign {
+		return
+	}
+	if refresh {
+		s.refreshDatabases()
+	}
+	s.mutex.Lock()
+	effects := s.singletons.Campaign(state, s.node.Now())
+	s.mutex.Unlock()
+	for _, effect := range effects {
+		s.executeElectionEffect(effect)
+	}
+}
+
+// electionState gives what elections depend on; the caller holds the mutex.
+func (s *Server) electionState() singleton.NodeState {
+	state := singleton.NodeState{Primary: s.isPrimaryAt(s.node.Now())}
+	for _, writer := range s.distributor.Snapshot().Writers {
+		if writer.SyncReplication && writer.Phase != model.PhaseOpen {
+			state.FailoverActive = true
+		}
+	}
+	return state
+}
+
+func (s *Server) refreshDatabases() {
+	response, ok := s.requestEvidence("")
+	if !ok {
+		return
+	}
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.singletons.SetDatabases(response.Databases, response.SyncedDatabases)
+}
+
+func (s *Server) executeElectionEffect(effect any) {
+	if request, ok := effect.(singleton.RequestVotes); ok {
+		s.requestVotes(request)
+	}
+	if evaluate, ok := effect.(singleton.Evaluate); ok {
+		s.evaluate(evaluate)
+	}
+}
+
+func (s *Server) requestVotes(request singleton.RequestVotes) {
+	self := s.node.Config().Name
+	for _, name := range request.Voters {
+		if name == self {
+			s.onVote(self, s.voteFor(self, request.Request))
+			continue
+		}
+		if voter, known := s.node.FindNode(name); known {
+			s.node.Workers.Go(func() { s.requestVote(voter, request.Request) })
+		}
+	}
+}
+
+func (s *Server) requestVote(voter model.Node, request proposal.VoteRequest) {
+	reply, err := s.node.Hub.Call(voter.RPCAddress, request, voteTimeout)
+	if vote, ok := reply.(proposal.Vote); err == nil && ok {
+		s.onVote(voter.Name, vote)
+	}
+}
+
+// voteFor gives this node's vote.
+func (s *Server) voteFor(candidate string, request proposal.VoteRequest) proposal.Vote {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.singletons.OnVoteRequest(candidate, request, s.node.Now())
+}
+
+func (s *Server) onVote(voter string, vote proposal.Vote) {
+	s.mutex.Lock()
+	won := s.singletons.OnVote(voter, vote, s.node.Now())
+	s.mutex.Unlock()
+	if won {
+		s.node.Counters.Add("duties_won", 1)
+		s.logger.Info("singleton role won", "role", vote.Role)
+	}
+}
+
+// evaluate decides on a database's failover as the leader of its role.
+func (s *Server) evaluate(evaluate singleton.Evaluate) {
+	decide := s.decideAsyncFailover
+	if evaluate.Synced {
+		decide = s.decideSyncFailover
+	}
+	s.node.Workers.Go(func() { s.runExclusive(evaluate.Database, decide) })
+}
+
+// runExclusive evaluates a database unless an evaluation of it is under way.
+func (s *Server) runExclusive(database string, evaluate func(database string)) {
+	s.mutex.Lock()
+	began := s.singletons.BeginEvaluation(database)
+	s.mutex.Unlock()
+	if !began {
+		return
+	}
+	defer func() {
+		s.mutex.Lock()
+		defer s.mutex.Unlock()
+		s.singletons.EndEvaluation(database)
+	}()
+	evaluate(database)
+}
--- /dev/null
+++ b/internal/app/control/endpoints.go
@@ -0,0 +1,49 @@
+package control
+
+import (
+	"net/http"
+
+	"github.com/valyala/fastjson"
+
+	"tansyseam/internal/app/admin"
+)
+
+// registerEndpoints serves the calls at the node's HTTP address. Operators'
+// calls are forwarded to the control primary, this node or another.
+func (s *Server) registerEndpoints() {
+	for path := range operations {
+		s.node.HandleCall(path, func(_ *fastjson.Value, raw []byte, _ *http.Request) (int, any) { return s.node.ForwardCall(path, raw) })
+	}
+	s.handle(admin.PathFleet, func() (int, any) { return http.StatusOK, s.report(admin.QueryFleet) })
+	s.handle(admin.PathHealth, s.health)
+	s.handle(admin.PathReady, s.ready)
+}
+
+// handle serves a call that takes no arguments.
+func (s *Server) handle(path string, call func() (status int, answer any)) {
+	s.node.HandleCall(path, func(*fastjson.Value, []byte, *http.Request) (int, any) { return call() })
+}
+
+func (s *Server) ready() (int, any) { return admin.NewReadiness(s.readiness()) }
+
+func (s *Server) health() (int, any) {
+	ready, reason := s.readiness()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	record := s.distributor.Record()
+	return http.StatusOK, healthAnswer{
+		Backup: record.Backup, Epoch: record.Epoch, Ready: ready, Node: s.node.Config().Name, Primary: record.Primary,
+		Sequence: s.appliedStamp.Sequence, Reason: reason,
+	}
+}
+
+// readiness says whether this node takes part in the control plane, and why
+// not.
+func (s *Server) readiness() (ready bool, reason string) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if len(s.voters) == 0 && s.distributor.Record().Primary == "" {
+		return false, "the fleet is not formed, or this machine does not know where it stands"
+	}
+	return true, ""
+}
--- /dev/null
+++ b/internal/app/control/evidence_test.go
@@ -0,0 +1,34 @@
+package control
+
+import (
+	"fmt"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/internal/protocol/message"
+	"tansyseam/internal/state/model"
+)
+
+func TestEvidenceSizeIndependentOfDatabases(t *testing.T) {
+	Convey("A case carries no list of the databases, and takes as much from memory however many there are", t, func() {
+		taken := func(databases int) float64 {
+			h := newHarness(t, t.TempDir())
+			h.runPending()
+			for number := range databases {
+				for _, name := range []string{"a", "b", "c"} {
+					one := announced(fmt.Sprintf("i-%s-%d", name, number), model.RoleReplica, 1)
+					one.Database = fmt.Sprintf("db%d", number)
+					h.node.Announce(one)
+				}
+			}
+			answer := h.onEvidenceRequest(message.EvidenceRequest{Database: "db1"})
+			So(len(answer.SyncedEvidence.Observations), ShouldEqual, 3)
+			So(answer.Databases, ShouldBeEmpty)
+			So(answer.SyncedDatabases, ShouldBeEmpty)
+			So(len(h.onEvidenceRequest(message.EvidenceRequest{}).SyncedDatabases), ShouldEqual, databases)
+			return testing.AllocsPerRun(20, func() { h.onEvidenceRequest(message.EvidenceRequest{Database: "db1"}) })
+		}
+		So(taken(40), ShouldAlmostEqual, taken(4), 2)
+	})
+}
--- /dev/null
+++ b/internal/app/control/instances_test.go
@@ -0,0 +1,32 @@
+package control
+
+import (
+	"net/http"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/internal/state/model"
+)
+
+func TestAnnouncementsAtControl(t *testing.T) {
+	Convey("The control primary takes a synced instance's announcement; a late one changes nothing; a machine that reaches no primary refuses", t, func() {
+		h := newHarness(t, t.TempDir())
+		status, _ := h.node.Announce(announced("i-1", model.RoleReplica, 4))
+		So(status, ShouldEqual, http.StatusServiceUnavailable)
+		So(h.node.Instances(time.Minute), ShouldBeEmpty)
+		h.runPending()
+		status, answer := h.node.Announce(announced("i-1", model.RoleReplica, 4))
+		So(status, ShouldEqual, http.StatusOK)
+		So(answer.(map[string]any)["door"], ShouldEqual, "127.0.0.1:2")
+		SoMsg("the doors of all nodes, which a synced instance does not ask for", answer.(map[string]any)["nodes"], ShouldBeEmpty)
+		late := announced("i-1", model.RolePrimary, 4)
+		status, _ = h.node.Announce(late)
+		So(status, ShouldEqual, http.StatusOK)
+		So(h.node.Instances(time.Minute)[0].Instance.Role, ShouldEqual, model.RoleReplica)
+		late.AnnouncementNumber = 5
+		h.node.Announce(late)
+		So(h.node.Instances(time.Minute)[0].Instance.Role, ShouldEqual, model.RolePrimary)
+	})
+}
--- a/internal/app/control/operations.go
+++ b/internal/app/control/operations.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"net/http"
 	"slices"
 	"strings"
@@ -17,187 +16,190 @@
 	"tansyseam/internal/coordination/rollout"
 	"tansyseam/internal/protocol/bindings"
 	"tansyseam/internal/protocol/message"
+	"tansyseam/internal/protocol/schema"
 	"tansyseam/internal/state/model"
 	"tansyseam/internal/state/store"
 )
 
-func hostOf(address string) string {
-	host, _, _ := net.SplitHostPort(address)
-	return host
-}
-
-func (s *Server) registerEndpoints() {
-	passes := []string{"/v1/bindings/put", "/v1/changes/book", "/v1/changes/list", "/v1/bindings/list", "/v1/manifest/replace", "/v1/manifest/fetch"}
-	for _, path := range passes {
-		s.node.HandleCall(path, func(_ *fastjson.Value, raw []byte, _ *http.Request) (int, any) { return s.node.ForwardCall(path, raw) })
-	}
-	s.node.HandleCall("/v1/fleet", func(*fastjson.Value, []byte, *http.Request) (int, any) {
-		return http.StatusOK, s.report(admin.QueryFleet)
-	})
-	s.node.HandleCall("/v1/vitals", func(*fastjson.Value, []byte, *http.Request) (int, any) { return s.health() })
-	s.node.HandleCall("/v1/ready", func(*fastjson.Value, []byte, *http.Request) (int, any) { return s.ready() })
-}
-
-func (s *Server) health() (int, any) {
-	ready, why := s.readiness()
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	record := s.distributor.Record()
-	return http.StatusOK, healthAnswer{
-		Backup: record.Backup, Epoch: record.Epoch, Ready: ready, Node: s.node.Config().Name, Primary: record.Primary,
-		Sequence: s.appliedStamp.Sequence, Reason: why,
-	}
-}
-
-func (s *Server) ready() (int, any) { return admin.NewReadiness(s.readiness()) }
+const (
+	// callRetryMillis is when a call whose primary changed may be sent again.
+	callRetryMillis = 1000
+	// Outcomes of a call that was not acknowledged.
+	outcomeNotCommitted = "not_kept"
+	outcomeUnknown      = "unknown"
+)
 
-func (s *Server) readiness() (bool, string) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if len(s.voters) == 0 && s.distributor.Record().Primary == "" {
-		return false, "the fleet is not formed, or this machine does not know where it stands"
-	}
-	return true, ""
+// operatorCall is a call that the control primary carries out.
+type operatorCall struct {
+	path  string
+	value *fastjson.Value
+	// reply is called once with the result.
+	reply func(message.OperatorCallResult)
 }
 
-type operation func(s *Server, value *fastjson.Value, path string, raw []byte, answer func(any))
-
-var operations = map[string]operation{
-	"/v1/bindings/put":  (*Server).putBindings,
-	"/v1/changes/book":  (*Server).scheduleChange,
-	"/v1/changes/list":  (*Server).listChanges,
-	"/v1/bindings/list": (*Server).listBindings,
-
-	"/v1/manifest/replace": (*Server).replaceManifest,
-	"/v1/manifest/fetch":   (*Server).fetchManifest,
+func (c operatorCall) id() string { return string(c.value.GetStringBytes("id")) }
+
+// operations holds what is done with each operators' call. All of them are
+// forwarded to the control primary.
+var operations = map[string]func(*Server, operatorCall){
+	admin.PathPutBindings:     (*Server).putBindings,
+	admin.PathListBindings:    (*Server).listBindings,
+	admin.PathScheduleChange:  (*Server).scheduleChange,
+	admin.PathListChanges:     (*Server).listChanges,
+	admin.PathReplaceManifest: (*Server).replaceManifest,
+	admin.PathFetchManifest:   (*Server).fetchManifest,
 }
 
-func (s *Server) onOperate(call message.OperatorCall, answer func(any)) {
+// onOperatorCall carries out an operators' call as the control primary; any
+// other node names the primary.
+func (s *Server) onOperatorCall(call message.OperatorCall, reply func(any)) {
 	s.mutex.Lock()
-	elsewhere, primary := s.node.Now() >= s.primaryUntil, s.distributor.Record().Primary
+	isPrimary, primary := s.isPrimaryAt(s.node.Now()), s.distributor.Record().Primary
 	s.mutex.Unlock()
-	if elsewhere {
-		answer(message.OperatorCallResult{NotPrimary: true, Primary: primary})
+	if !isPrimary {
+		reply(message.OperatorCallResult{NotPrimary: true, Primary: primary})
 		return
 	}
 	value, violations := s.node.Schemas.ValidateRequest(call.Path, call.Body)
-	act, known := operations[call.Path]
+	operate, known := operations[call.Path]
 	if len(violations) > 0 || !known {
-		answer(operateReply(http.StatusBadRequest, node.NewErrorResponse("call refused", violations...)))
+		reply(rejected(http.StatusBadRequest, "call refused", violations...))
 		return
 	}
-	act(s, value, call.Path, call.Body, answer)
+	operate(s, operatorCall{path: call.Path, value: value, reply: func(result message.OperatorCallResult) { reply(result) }})
 }
 
-func operateReply(status int, body any) message.OperatorCallResult {
-	return message.OperatorCallResult{Status: status, Body: encode(body)}
+func newCallResult(status int, answer any) message.OperatorCallResult {
+	return message.OperatorCallResult{Status: status, Body: encode(answer)}
 }
 
-type mutation func(stateTable *store.Table, wallTime int64) (status int, body any, puts []store.Put)
+// rejected is the result of a call that changed nothing.
+func rejected(status int, reason string, violations ...schema.Violation) message.OperatorCallResult {
+	return newCallResult(status, node.NewErrorResponse(reason, violations...))
+}
 
-func (s *Server) applyOnce(value *fastjson.Value, path string, act mutation, answer func(any)) {
-	id := string(value.GetStringBytes("id"))
-	s.mutex.Lock()
-	wallTime := s.wallNow()
-	s.mutex.Unlock()
-	var reply message.OperatorCallResult
-	s.submit(func(stateTable *store.Table) []store.Put {
-		if past, found := callresult.Find(stateTable, id); found {
-			reply = message.OperatorCallResult{Status: past.Status, Body: past.Body}
-			if past.Path != path {
-				reply = operateReply(http.StatusConflict, node.NewErrorResponse("the id was used for another call"))
-			}
+// conflicting is the result of a call that contradicts a binding set which was
+// accepted before.
+func conflicting(reason string, sequence uint64) message.OperatorCallResult {
+	response := node.NewErrorResponse(reason)
+	response.Sequence = &sequence
+	return newCallResult(http.StatusConflict, response)
+}
+
+// unacknowledged is the result of a call during which the control primary
+// changed; it may be sent again with the same id.
+func unacknowledged(outcome string, retryMillis int64) message.OperatorCallResult {
+	response := node.NewErrorResponse("the control primary changed under the call")
+	response.Outcome, response.RetryAfterMillis = outcome, retryMillis
+	return newCallResult(http.StatusServiceUnavailable, response)
+}
+
+// mutation makes the writes of a call from the state as it is then; a call that
+// is rejected makes none.
+type mutation func(state *store.Table, wallTime int64) (message.OperatorCallResult, []store.Put)
+
+// applyOnce carries out a call whose id makes it idempotent: a repeated call
+// gets the result of the first.
+func (s *Server) applyOnce(call operatorCall, mutate mutation) {
+	wallTime := s.wallTime()
+	var result message.OperatorCallResult
+	s.submit(func(state *store.Table) []store.Put {
+		if recorded, found := callresult.Find(state, call.id()); found {
+			result = repeatedResult(call, recorded)
 			return nil
 		}
-		status, body, puts := act(stateTable, wallTime)
-		reply = operateReply(status, body)
+		var puts []store.Put
+		result, puts = mutate(state, wallTime)
 		if len(puts) == 0 {
 			return nil
 		}
-		return callresult.Record(stateTable, id, callresult.Result{Status: reply.Status, Body: reply.Body, Path: path}, puts)
-	}, func(done consensus.SubmitResult) {
-		if !done.Committed {
-			word := "not_kept"
-			if done.OutcomeUnknown {
-				word = "unknown"
-			}
-			refusal := node.NewErrorResponse("the control primary changed under the call")
-			refusal.Outcome, refusal.RetryAfterMillis = word, 1000
-			reply = operateReply(http.StatusServiceUnavailable, refusal)
+		recorded := callresult.Result{Status: result.Status, Body: result.Body, Path: call.path}
+		return callresult.Record(state, call.id(), recorded, puts)
+	}, func(submitted consensus.SubmitResult) {
+		if !submitted.Committed {
+			result = unacknowledged(outcomeOf(submitted), callRetryMillis)
 		}
-		s.node.Counters.Add("operate_"+strings.ReplaceAll(strings.TrimPrefix(path, "/v1/"), "/", "_"), 1)
-		answer(reply)
+		s.node.Counters.Add("operate_"+strings.ReplaceAll(strings.TrimPrefix(call.path, "/v1/"), "/", "_"), 1)
+		call.reply(result)
 	})
 }
 
+func repeatedResult(call operatorCall, recorded callresult.Result) message.OperatorCallResult {
+	if recorded.Path != call.path {
+		return rejected(http.StatusConflict, "the id was used for another call")
+	}
+	return message.OperatorCallResult{Status: recorded.Status, Body: recorded.Body}
+}
+
+func outcomeOf(submitted consensus.SubmitResult) string {
+	if submitted.OutcomeUnknown {
+		return outcomeUnknown
+	}
+	return outcomeNotCommitted
+}
+
 func (s *Server) knowsDatabase(database string) bool {
-	observed := s.observations()
+	observations := s.observations()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return slices.Contains(s.distributor.Databases(observed), database)
+	return slices.Contains(s.distributor.Databases(observations), database)
 }
 
-func conflictRefusal(text string, sequence uint64) node.ErrorResponse {
-	refusal := node.NewErrorResponse(text)
-	refusal.Sequence = &sequence
-	return refusal
-}
-
-func (s *Server) putBindings(value *fastjson.Value, path string, _ []byte, answer func(any)) {
-	set, violations := bindings.Parse(value, s.knowsDatabase)
+func (s *Server) putBindings(call operatorCall) {
+	set, violations := bindings.Parse(call.value, s.knowsDatabase)
 	if len(violations) > 0 {
-		answer(operateReply(http.StatusUnprocessableEntity, node.NewErrorResponse("the set is broken; nothing of it was taken", violations...)))
+		call.reply(rejected(http.StatusUnprocessableEntity, "the set is broken; nothing of it was taken", violations...))
 		return
 	}
-	expected := value.GetUint64("expected")
-	s.applyOnce(value, path, func(stateTable *store.Table, wallTime int64) (int, any, []store.Put) {
-		puts, newest := rollout.AcceptBindings(stateTable, expected, set, "call "+string(value.GetStringBytes("id")), wallTime)
+	expected := call.value.GetUint64("expected")
+	s.applyOnce(call, func(state *store.Table, wallTime int64) (message.OperatorCallResult, []store.Put) {
+		puts, current := rollout.AcceptBindings(state, expected, set, "call "+call.id(), wallTime)
 		if len(puts) == 0 {
-			return http.StatusConflict, conflictRefusal(fmt.Sprintf("sequence %d was expected, %d is current", expected, newest), newest), nil
+			return conflicting(fmt.Sprintf("sequence %d was expected, %d is current", expected, current), current), nil
 		}
-		return http.StatusOK, putBindingsAnswer{Sequence: newest + 1}, puts
-	}, answer)
+		return newCallResult(http.StatusOK, putBindingsAnswer{Sequence: current + 1}), puts
+	})
 }
 
-func (s *Server) scheduleChange(value *fastjson.Value, path string, _ []byte, answer func(any)) {
-	s.mutex.Lock()
-	wallTime := s.wallNow()
-	s.mutex.Unlock()
-	set, violations := bindings.Parse(value, s.knowsDatabase)
-	at, timeViolations := bindings.ParseScheduledTime(value, wallTime)
+func (s *Server) scheduleChange(call operatorCall) {
+	set, violations := bindings.Parse(call.value, s.knowsDatabase)
+	at, timeViolations := bindings.ParseScheduledTime(call.value, s.wallTime())
 	violations = append(violations, timeViolations...)
-	id := string(value.GetStringBytes("id"))
-	s.applyOnce(value, path, func(stateTable *store.Table, wallTime int64) (int, any, []store.Put) {
+	s.applyOnce(call, func(state *store.Table, wallTime int64) (message.OperatorCallResult, []store.Put) {
 		if len(violations) > 0 {
-			return http.StatusUnprocessableEntity, node.NewErrorResponse("the change is broken; nothing of it was taken", violations...), nil
+			return rejected(http.StatusUnprocessableEntity, "the change is broken; nothing of it was taken", violations...), nil
 		}
-		puts, way := rollout.Schedule(stateTable, id, at, set, wallTime)
+		puts, pending := rollout.Schedule(state, call.id(), at, set, wallTime)
 		if len(puts) == 0 {
-			text := fmt.Sprintf("sequence %d, due at %d, is on its way already: book for that moment or later", way.Sequence, way.NotBefore/int64(time.Millisecond))
-			return http.StatusConflict, conflictRefusal(text, way.Sequence), nil
+			reason := fmt.Sprintf("sequence %d, due at %d, is on its way already: book for that moment or later",
+				pending.Sequence, millis(pending.NotBefore))
+			return conflicting(reason, pending.Sequence), nil
 		}
-		return http.StatusOK, scheduleChangeAnswer{EffectiveAtMillis: at / int64(time.Millisecond), ID: id}, puts
-	}, answer)
+		return newCallResult(http.StatusOK, scheduleChangeAnswer{EffectiveAtMillis: millis(at), ID: call.id()}), puts
+	})
 }
 
-func (s *Server) listChanges(_ *fastjson.Value, _ string, _ []byte, answer func(any)) {
+func (s *Server) listChanges(call operatorCall) {
 	s.mutex.Lock()
-	stateTable := s.distributor.State()
+	state := s.distributor.State()
 	s.mutex.Unlock()
 	changes := []scheduledChange{}
-	for _, key := range stateTable.Keys(model.PrefixScheduledChange) {
-		if change, found := store.Get(stateTable, key, model.ScheduledChangeFrom); found {
+	for _, key := range state.Keys(model.PrefixScheduledChange) {
+		if change, found := store.Get(state, key, model.ScheduledChangeFrom); found {
 			changes = append(changes, scheduledChange{
-				EffectiveAtMillis: change.EffectiveAt / int64(time.Millisecond), Bindings: admin.NewBindings(change.Bindings), ID: change.ID,
+				EffectiveAtMillis: millis(change.EffectiveAt), Bindings: admin.NewBindings(change.Bindings), ID: change.ID,
 			})
 		}
 	}
-	answer(operateReply(http.StatusOK, listChangesAnswer{Changes: changes}))
+	call.reply(newCallResult(http.StatusOK, listChangesAnswer{Changes: changes}))
 }
 
-func (s *Server) listBindings(_ *fastjson.Value, _ string, _ []byte, answer func(any)) {
+func (s *Server) listBindings(call operatorCall) {
 	s.mutex.Lock()
-	snapshot, wallTime := s.distributor.Snapshot(), s.wallNow()
+	snapshot, wallTime := s.distributor.Snapshot(), s.wallTimeLocked()
 	s.mutex.Unlock()
-	answer(operateReply(http.StatusOK, admin.NewBindingSets(s.node.Config().Name, snapshot, snapshot.ActiveSet(wallTime))))
+	call.reply(newCallResult(http.StatusOK, admin.NewBindingSets(s.node.Config().Name, snapshot, snapshot.ActiveSet(wallTime))))
 }
+
+// millis gives a wall time in ns as one in ms.
+func millis(wallTime int64) int64 { return wallTime / int64(time.Millisecond) }
--- a/internal/app/control/syncfailover.go
+++ b/internal/app/control/syncfailover.go
@@ -5,128 +5,60 @@
 
 	"github.com/juju/errors"
 
-	"tansyseam/internal/app/config"
 	"tansyseam/internal/coordination/failover"
 	"tansyseam/internal/coordination/failover/syncrepl"
-	"tansyseam/internal/protocol/message"
+	"tansyseam/internal/protocol/adapter"
 	"tansyseam/internal/state/lineproto"
-	"tansyseam/internal/state/model"
 )
 
-// Reply is what an instance answered to an order.
-type CommandReply struct {
-	Role     string
-	Term     uint64
-	Position model.Position
-	// IsBusy says that it lives and gave no row, IsGone that no instance of
-	// that name is at the address; Err that nothing was answered.
-	Busy bool
-	Gone bool
-	Err  error
-}
-
-// Seams is how synced instances and their platform are spoken to.
-type Adapters struct {
-	// Order gives an instance one of the stream package's orders.
-	SendCommand func(address, database, instance, order string, term uint64, timeout time.Duration) CommandReply
-	// Promote makes the platform's one call and gives the status answered;
-	// ErrUnsent says that it did not leave this machine.
-	Promote func(cfg config.Config, database, instance, holder string, fence uint64) (status int, err error)
-}
-
-const (
-	announceTimeout = 800 * time.Millisecond
-	commandTimeout  = 400 * time.Millisecond
-)
-
-func (s *Server) onSyncAnnouncement(instance model.Instance) (string, bool) {
-	if taken := s.acceptAnnouncement(instance); taken.Accepted {
-		return taken.HTTPAddress, true
-	}
-	address, _ := s.node.ControlPrimary()
-	if address == "" || address == s.node.Self().RPCAddress {
-		return "", false
-	}
-	reply, err := s.node.Hub.Call(address, message.InstanceAnnouncement{Instance: instance}, announceTimeout)
-	taken, ok := reply.(message.AnnouncementResult)
-	if err != nil || !ok || !taken.Accepted {
-		s.node.Counters.Add("announcements_not_passed", 1)
-		return "", false
-	}
-	s.node.RecordAnnouncement(instance)
-	return taken.HTTPAddress, true
-}
-
-func (s *Server) acceptAnnouncement(instance model.Instance) message.AnnouncementResult {
-	if !s.isPrimary() || !s.node.RecordAnnouncement(instance) {
-		return message.AnnouncementResult{}
-	}
-	s.registerInstance(instance.Name)
-	return message.AnnouncementResult{Accepted: true, HTTPAddress: s.node.Self().HTTPAddress}
-}
-
-func (s *Server) registerInstance(name string) {
-	observed, _ := s.node.Instance(name)
-	s.mutex.Lock()
-	changed := s.distributor.RegisterInstance(observed.Instance)
-	s.mutex.Unlock()
-	if changed {
-		s.flushUpdates()
-	}
-}
-
-func (s *Server) refreshRegistry() {
-	observed := s.observations()
-	s.mutex.Lock()
-	changed := s.distributor.UpdateInstances(observed)
-	s.mutex.Unlock()
-	if changed {
-		s.flushUpdates()
-	}
-}
-
-func (s *Server) confirmPosition(mark syncrepl.ReportBound) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.distributor.ConfirmCoverage(mark)
-}
+// commandTimeout bounds the wait for an instance's reply to a command.
+const commandTimeout = 400 * time.Millisecond
 
+// decideSyncFailover decides on a database whose instances replicate
+// synchronously, and carries the decision out.
 func (s *Server) decideSyncFailover(database string) {
-	answer, ok := s.requestEvidence(database)
-	if !ok || answer.SyncedEvidence.Database != database {
+	response, ok := s.requestEvidence(database)
+	if !ok || response.SyncedEvidence.Database != database {
 		return
 	}
-	answer.SyncedEvidence.FencingEnforced = s.node.Config().PlatformChecksFences
-	s.mutex.Lock()
-	at := s.evidence.Augment(answer.SyncedEvidence, s.node.Now())
-	s.mutex.Unlock()
-	for _, effect := range syncrepl.Step(at, syncrepl.DefaultTiming()) {
-		if record, ok := effect.(failover.Record); ok {
-			if !s.recordDecision(at.Writer, at.Known, record) {
-				return
-			}
-			s.mutex.Lock()
-			s.evidence.RecordCommitted(record)
-			s.mutex.Unlock()
+	evidence := s.augment(response.SyncedEvidence)
+	for _, effect := range syncrepl.Step(evidence, syncrepl.DefaultTiming()) {
+		decision, ok := effect.(failover.Record)
+		if !ok {
+			s.executeSyncEffect(evidence, effect)
 			continue
 		}
-		s.executeSyncEffect(at, effect)
+		if !s.recordDecision(evidence.Writer, evidence.Known, decision) {
+			return
+		}
+		s.mutex.Lock()
+		s.evidence.RecordCommitted(decision)
+		s.mutex.Unlock()
 	}
 }
 
-func (s *Server) executeSyncEffect(at syncrepl.Evidence, effect any) {
-	if ask, ok := effect.(syncrepl.QueryStatus); ok {
-		s.sendCommand(at, ask.Instance, ask.Address, lineproto.AdminStatus, 0)
+// augment adds what this node itself has learned from the instances and the
+// platform.
+func (s *Server) augment(evidence syncrepl.Evidence) syncrepl.Evidence {
+	evidence.FencingEnforced = s.node.Config().PlatformChecksFences
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.evidence.Augment(evidence, s.node.Now())
+}
+
+func (s *Server) executeSyncEffect(evidence syncrepl.Evidence, effect any) {
+	if query, ok := effect.(syncrepl.QueryStatus); ok {
+		s.sendCommand(evidence, Command{Address: query.Address, Instance: query.Instance, Name: lineproto.AdminStatus})
 		return
 	}
-	if down, ok := effect.(syncrepl.StepDown); ok {
-		s.logger.Info("order to step down", "database", at.Database, "instance", down.Instance, "term", down.Term)
+	if stepDown, ok := effect.(syncrepl.StepDown); ok {
+		s.logger.Info("step-down command sent", "database", evidence.Database, "instance", stepDown.Instance, "term", stepDown.Term)
 		s.node.Counters.Add("step_down_orders", 1)
-		s.sendCommand(at, down.Instance, down.Address, lineproto.AdminStepDown, down.Term)
+		s.sendCommand(evidence, Command{Address: stepDown.Address, Instance: stepDown.Instance, Name: lineproto.AdminStepDown, Term: stepDown.Term})
 		return
 	}
-	if mark, ok := effect.(syncrepl.ReportBound); ok {
-		s.reportPosition(mark)
+	if bound, ok := effect.(syncrepl.ReportBound); ok {
+		s.reportBound(bound)
 		return
 	}
 	if call, ok := effect.(syncrepl.Promote); ok {
@@ -134,38 +66,55 @@
 	}
 }
 
-func (s *Server) reportPosition(mark syncrepl.ReportBound) {
+// reportBound gives the control primary a position that covers every commit
+// that was acknowledged to a client.
+func (s *Server) reportBound(bound syncrepl.ReportBound) {
 	if s.isPrimary() {
-		s.confirmPosition(mark)
+		s.confirmCoverage(bound)
 		return
 	}
 	if address, _ := s.node.ControlPrimary(); address != "" {
-		s.node.Hub.Send(address, mark)
+		s.node.Hub.Send(address, bound)
 	}
 }
 
-func (s *Server) sendCommand(at syncrepl.Evidence, instance, address, order string, term uint64) {
+func (s *Server) confirmCoverage(bound syncrepl.ReportBound) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.distributor.ConfirmCoverage(bound)
+}
+
+// sendCommand sends a command in the background, unless one to the same
+// instance awaits its reply.
+func (s *Server) sendCommand(evidence syncrepl.Evidence, command Command) {
 	if s.adapters.SendCommand == nil {
 		return
 	}
 	s.mutex.Lock()
-	report := s.evidence.BeginProbe(at, instance)
+	report := s.evidence.BeginProbe(evidence, command.Instance)
 	s.mutex.Unlock()
 	if report == nil {
 		return
 	}
+	command.Database, command.Timeout = evidence.Database, commandTimeout
 	s.node.Counters.Add("orders", 1)
 	s.node.Workers.Go(func() {
-		reply := s.adapters.SendCommand(address, at.Database, instance, order, term, commandTimeout)
+		reply := s.adapters.SendCommand(command)
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
-		report(syncrepl.ProbeResult{
-			Answered: reply.Err == nil && !reply.Busy && !reply.Gone, Busy: reply.Busy, Gone: reply.Gone,
-			Role: reply.Role, Term: reply.Term, Position: reply.Position,
-		}, s.node.Now())
+		report(newProbeResult(reply), s.node.Now())
 	})
 }
 
+func newProbeResult(reply CommandReply) syncrepl.ProbeResult {
+	return syncrepl.ProbeResult{
+		Answered: reply.Err == nil && !reply.Busy && !reply.Gone, Busy: reply.Busy, Gone: reply.Gone,
+		Role: reply.Role, Term: reply.Term, Position: reply.Position,
+	}
+}
+
+// promoteSync makes the promote call in the background. The status of a call
+// whose response was not read is 0, for unknown.
 func (s *Server) promoteSync(call syncrepl.Promote) {
 	if s.adapters.Promote == nil {
 		return
@@ -175,13 +124,16 @@
 	report := s.evidence.BeginPromote(call, s.node.Now())
 	s.mutex.Unlock()
 	s.node.Workers.Go(func() {
-		status, err := s.adapters.Promote(s.node.Config(), call.Database, call.Instance, call.LeaseHolder, call.FencingToken)
-		s.logger.Info("promote call made", "database", call.Database, "instance", call.Instance, "fence", call.FencingToken, "status", status, "error", err)
-		s.mutex.Lock()
-		defer s.mutex.Unlock()
+		status, err := s.adapters.Promote(s.node.Config(), adapter.Promotion{
+			Database: call.Database, Instance: call.Instance, LeaseHolder: call.LeaseHolder, FencingToken: call.FencingToken,
+		})
+		s.logger.Info("promote call made", "database", call.Database, "instance", call.Instance,
+			"fencing_token", call.FencingToken, "status", status, "error", err)
 		if err != nil {
 			status = 0
 		}
+		s.mutex.Lock()
+		defer s.mutex.Unlock()
 		report(status, errors.Is(err, ErrNotSent))
 	})
 }
--- a/test/golden/golden.go
+++ b/test/golden/golden.go
@@ -4,6 +4,8 @@
 package golden
 
 import (
+	"bytes"
+	"encoding/json"
 	"flag"
 	"os"
 	"path/filepath"
@@ -30,6 +32,21 @@
 	}
 }
 
+// JSON gives an answer as it is sent, with a newline behind it; bytes are taken
+// to be encoded already.
+func JSON(t *testing.T, answer any) []byte {
+	t.Helper()
+	data, encoded := answer.([]byte)
+	if !encoded {
+		var err error
+		data, err = json.Marshal(answer)
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return append(bytes.Clone(data), '\n')
+}
+
 func record(t *testing.T, path string, output []byte) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
