--- /dev/null
+++ b/internal/coordination/routing/machine.go
@@ -0,0 +1,72 @@
+package routing
+
+import (
+	"time"
+
+	"tansyseam/internal/coordination/lease"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
+)
+
+// Machine is the state machine of one node.
+type Machine struct {
+	self     string
+	lease    *lease.Lease
+	snapshot model.Snapshot
+	// activeSequence is the sequence of the active binding set; it never falls.
+	activeSequence uint64
+	// activationTimes are when the sets take effect by this node's clock, by sequence.
+	activationTimes map[uint64]time.Duration
+	observations    map[string]*Observation
+	// samples are positions of the databases' primaries, in the order of the queries.
+	samples map[string][]primarySample
+	// highWatermarks are the furthest positions confirmed by this node, by database.
+	highWatermarks map[string]model.Position
+	requestCount   uint64
+	reporter       Reporter
+}
+
+// New returns a node's machine before its first update.
+func New(self string, timing lease.Timing) *Machine {
+	return &Machine{
+		self:            self,
+		lease:           lease.NewLease(timing),
+		activationTimes: map[uint64]time.Duration{},
+		observations:    map[string]*Observation{},
+		samples:         map[string][]primarySample{},
+		highWatermarks:  map[string]model.Position{},
+	}
+}
+
+// HasLease says whether the node may serve.
+func (m *Machine) HasLease(now time.Duration) bool { return m.lease.IsValid(now) }
+
+// LeaseRemaining returns how long the lease still lasts.
+func (m *Machine) LeaseRemaining(now time.Duration) time.Duration { return m.lease.Remaining(now) }
+
+// Epoch returns the highest epoch that granted a lease.
+func (m *Machine) Epoch() uint64 { return m.lease.Epoch() }
+
+// Version returns the version of the snapshot.
+func (m *Machine) Version() store.Version { return m.snapshot.Version }
+
+// Snapshot returns the snapshot that the node has applied.
+func (m *Machine) Snapshot() model.Snapshot { return m.snapshot }
+
+// WriterRole returns a database's writer role.
+func (m *Machine) WriterRole(database string) model.WriterRole { return m.snapshot.Writers[database] }
+
+// ActiveSet returns the active binding set, and whether it has become active since the
+// last call.
+func (m *Machine) ActiveSet(now time.Duration) (model.BindingSet, bool) {
+	var active model.BindingSet
+	for _, set := range m.snapshot.Sets {
+		activation, scheduled := m.activationTimes[set.Sequence]
+		if (scheduled && activation <= now) || set.Sequence <= m.activeSequence {
+			active = set
+		}
+	}
+	changed := active.Sequence > m.activeSequence
+	m.activeSequence = max(m.activeSequence, active.Sequence)
+	return active, changed
+}
--- a/internal/coordination/routing/reporter.go
+++ b/internal/coordination/routing/reporter.go
@@ -8,19 +8,22 @@
 	"tansyseam/internal/state/model"
 )
 
-// Teller leaves out of what a node tells what the control primary has by
-// earlier asks of the same run.
+// Reporter reduces a node's reports to what the control primary does not have by
+// earlier requests. The primary's tenure that has them is the baseline.
 type Reporter struct {
-	// known is the tenure that has what held and highs list, 0 for none; out
-	// and rose are what an ask that is not answered yet adds to them.
+	// baselineTenure is the number of the tenure that has what acknowledged and
+	// acknowledgedWatermarks list; 0 for none.
 	baselineTenure         uint64
 	acknowledged           map[string]reportedState
 	acknowledgedWatermarks map[string]model.Position
-	inFlight               bool
-	pendingReports         map[string]reportedState
-	pendingWatermarks      map[string]model.Position
+	// inFlight says that a request has not been answered yet, and the pending fields
+	// are what it reports.
+	inFlight          bool
+	pendingReports    map[string]reportedState
+	pendingWatermarks map[string]model.Position
 }
 
+// reportedState is an instance as it was reported.
 type reportedState struct {
 	instance   model.Instance
 	answeredAt time.Duration
@@ -28,73 +31,92 @@
 }
 
 func reportedStateOf(report distribution.InstanceReport, now time.Duration) reportedState {
-	return reportedState{instance: report.Instance, answeredAt: now - report.ResponseAge, faulty: report.RefusedConnections > 0 || report.OldestStatementAge > 0}
+	return reportedState{
+		instance:   report.Instance,
+		answeredAt: now - report.ResponseAge,
+		faulty:     report.RefusedConnections > 0 || report.OldestStatementAge > 0,
+	}
 }
 
-func (t *Reporter) resetBaseline() {
-	t.baselineTenure, t.acknowledged, t.acknowledgedWatermarks = 0, map[string]reportedState{}, map[string]model.Position{}
+// hasNewsSince says whether a state tells anything that an earlier one does not. A
+// fault is always reported again, also when it has ended.
+func (s reportedState) hasNewsSince(earlier reportedState) bool {
+	return s.instance != earlier.instance || s.answeredAt > earlier.answeredAt || s.faulty || earlier.faulty
 }
 
-// Ask gives what the next ask must tell. Where the one before was not
-// answered, that is all.
-func (t *Reporter) NextReport(all distribution.NodeReport, now time.Duration) distribution.NodeReport {
-	if t.inFlight || t.baselineTenure == 0 {
-		t.resetBaseline()
+// NextReport returns the report for the next request. If the request before was not
+// answered, it is unknown what the primary has, and the report is complete.
+func (r *Reporter) NextReport(complete distribution.NodeReport, now time.Duration) distribution.NodeReport {
+	if r.inFlight || r.baselineTenure == 0 {
+		r.resetBaseline()
 	}
-	t.inFlight, t.pendingReports, t.pendingWatermarks = true, map[string]reportedState{}, map[string]model.Position{}
-	for _, report := range all.Reports {
-		t.pendingReports[report.Instance.Name] = reportedStateOf(report, now)
+	r.inFlight = true
+	r.pendingReports = map[string]reportedState{}
+	for _, report := range complete.Reports {
+		r.pendingReports[report.Instance.Name] = reportedStateOf(report, now)
 	}
-	maps.Copy(t.pendingWatermarks, all.HighWatermarks)
-	return t.Delta(all, now)
+	r.pendingWatermarks = maps.Clone(complete.HighWatermarks)
+	return r.Delta(complete, now)
 }
 
-// Brief gives what is to be told beside the asks; it may be lost, so nothing
-// rests on it.
-func (t *Reporter) Delta(all distribution.NodeReport, now time.Duration) distribution.NodeReport {
-	brief := distribution.NodeReport{Node: all.Node, BaselineTenure: t.baselineTenure, HighWatermarks: map[string]model.Position{}}
-	for _, report := range all.Reports {
-		if observation, found := t.acknowledged[report.Instance.Name]; found {
-			fresh := reportedStateOf(report, now)
-			if fresh.instance == observation.instance && fresh.answeredAt <= observation.answeredAt && !fresh.faulty && !observation.faulty {
+// Delta returns the report for a message beside the requests. It may be lost, so later
+// reports do not build on it.
+func (r *Reporter) Delta(complete distribution.NodeReport, now time.Duration) distribution.NodeReport {
+	delta := distribution.NodeReport{
+		Node:           complete.Node,
+		BaselineTenure: r.baselineTenure,
+		HighWatermarks: map[string]model.Position{},
+	}
+	for _, report := range complete.Reports {
+		if earlier, found := r.acknowledged[report.Instance.Name]; found {
+			if !reportedStateOf(report, now).hasNewsSince(earlier) {
 				continue
 			}
-			report.Instance = instanceDelta(observation.instance, report.Instance)
+			report.Instance = abbreviate(report.Instance, earlier.instance)
 		}
-		brief.Reports = append(brief.Reports, report)
+		delta.Reports = append(delta.Reports, report)
 	}
-	for name, high := range all.HighWatermarks {
-		if t.acknowledgedWatermarks[name].IsBefore(high) {
-			brief.HighWatermarks[name] = high
+	for database, position := range complete.HighWatermarks {
+		if r.acknowledgedWatermarks[database].IsBefore(position) {
+			delta.HighWatermarks[database] = position
 		}
 	}
-	return brief
+	return delta
 }
 
-func instanceDelta(previous, instance model.Instance) model.Instance {
-	changes := instance.Position
-	instance.Position = previous.Position
-	if instance != previous || (changes == model.Position{} && previous.Position != changes) {
-		instance.Position = changes
+// abbreviate reduces an instance to its name and, if it changed, the position, as long
+// as nothing else has changed. A position that was reset to zero cannot be abbreviated.
+func abbreviate(instance, earlier model.Instance) model.Instance {
+	moved := instance
+	moved.Position = earlier.Position
+	wasReset := instance.Position == model.Position{} && earlier.Position != model.Position{}
+	if moved != earlier || wasReset {
 		return instance
 	}
 	brief := model.Instance{Name: instance.Name}
-	if changes != previous.Position {
-		brief.Position = changes
+	if instance.Position != earlier.Position {
+		brief.Position = instance.Position
 	}
 	return brief
 }
 
-// Took takes the answer to the last ask. A tenure that has not what the ask
-// left out says so by its own number.
-func (t *Reporter) Acknowledge(tenure uint64) {
-	sameTenure := t.baselineTenure == 0 || t.baselineTenure == tenure
-	if !t.inFlight || tenure == 0 || !sameTenure {
-		t.inFlight = false
-		t.resetBaseline()
+// Acknowledge handles the answer to the last request, from a tenure. A tenure that
+// lacks what the request left out answers with its own number.
+func (r *Reporter) Acknowledge(tenure uint64) {
+	isBaseline := r.baselineTenure == 0 || r.baselineTenure == tenure
+	hasReport := r.inFlight && tenure != 0 && isBaseline
+	r.inFlight = false
+	if !hasReport {
+		r.resetBaseline()
 		return
 	}
-	t.inFlight, t.baselineTenure = false, tenure
-	maps.Copy(t.acknowledged, t.pendingReports)
-	maps.Copy(t.acknowledgedWatermarks, t.pendingWatermarks)
+	r.baselineTenure = tenure
+	maps.Copy(r.acknowledged, r.pendingReports)
+	maps.Copy(r.acknowledgedWatermarks, r.pendingWatermarks)
+}
+
+func (r *Reporter) resetBaseline() {
+	r.baselineTenure = 0
+	r.acknowledged = map[string]reportedState{}
+	r.acknowledgedWatermarks = map[string]model.Position{}
 }
--- /dev/null
+++ b/internal/coordination/routing/updates.go
@@ -0,0 +1,137 @@
+package routing
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/coordination/lease"
+	"tansyseam/internal/state/model"
+)
+
+// WriterRoleChanged is an effect: a writer role's term or phase has changed.
+type WriterRoleChanged struct {
+	Database string
+	Previous model.WriterRole
+	Current  model.WriterRole
+}
+
+// UpdateRequest returns the node's next request, with a complete report. CommitWaits
+// says how long the oldest commit here has been waiting for each replica.
+func (m *Machine) UpdateRequest(now time.Duration, commitWaits map[string]time.Duration) distribution.UpdateRequest {
+	return m.newRequest(m.Report(now, commitWaits), now)
+}
+
+// DeltaUpdateRequest returns the next request of a node that observes the instances
+// itself. It leaves out what the control primary has by earlier requests.
+func (m *Machine) DeltaUpdateRequest(report distribution.NodeReport, now time.Duration) distribution.UpdateRequest {
+	return m.newRequest(m.reporter.NextReport(report, now), now)
+}
+
+// DeltaReport leaves the same out of a report that is sent beside the requests.
+func (m *Machine) DeltaReport(report distribution.NodeReport, now time.Duration) distribution.NodeReport {
+	return m.reporter.Delta(report, now)
+}
+
+func (m *Machine) newRequest(report distribution.NodeReport, now time.Duration) distribution.UpdateRequest {
+	active, _ := m.ActiveSet(now)
+	m.requestCount++
+	return distribution.UpdateRequest{
+		Node:           m.self,
+		Kind:           model.KindProxy,
+		Version:        m.snapshot.Version,
+		Reports:        report.Reports,
+		HighWatermarks: report.HighWatermarks,
+		BaselineTenure: report.BaselineTenure,
+		ActiveSequence: active.Sequence,
+		RequestNumber:  m.requestCount,
+		AcceptsDelta:   true,
+		WithoutLease:   m.lease.ConfirmExpired(now),
+	}
+}
+
+// Report returns the node's complete report, with the instances by name. CommitWaits
+// says how long the oldest commit here has been waiting for each replica.
+func (m *Machine) Report(now time.Duration, commitWaits map[string]time.Duration) distribution.NodeReport {
+	report := distribution.NodeReport{Node: m.self, HighWatermarks: map[string]model.Position{}}
+	for _, name := range slices.Sorted(maps.Keys(m.observations)) {
+		observation := m.observations[name]
+		if observation.Instance.Name == "" {
+			continue
+		}
+		report.Reports = append(report.Reports, distribution.InstanceReport{
+			Instance:        observation.Instance,
+			AnnouncementAge: now - observation.LastAnnouncement,
+			ResponseAge:     now - observation.LastResponse,
+			PositionAge:     now - observation.LastPositionQuery,
+			MaxCommitWait:   commitWaits[name],
+		})
+	}
+	maps.Copy(report.HighWatermarks, m.highWatermarks)
+	return report
+}
+
+// ApplyUpdate handles the update that answers a request sent at a time. What it forbids
+// applies at once, and the next request tells the primary so. A delta on another version
+// than the node's brings neither a snapshot nor a lease, since that is valid only with
+// the newest snapshot.
+func (m *Machine) ApplyUpdate(update distribution.Update, sentAt, now time.Duration) []WriterRoleChanged {
+	var changes []WriterRoleChanged
+	m.reporter.Acknowledge(update.Tenure)
+	if update.Snapshot != nil && m.snapshot.Version.IsBefore(update.Snapshot.Version) {
+		complete, ok := m.snapshot.Apply(*update.Snapshot)
+		if !ok {
+			return nil
+		}
+		changes = m.applySnapshot(complete)
+	}
+	m.lease.Accept(lease.Grant{
+		Epoch:       update.Record.Epoch,
+		Primary:     update.Record.Primary,
+		Duration:    update.LeaseDuration,
+		PrimaryTime: update.PrimaryTime,
+		QueuedFor:   update.QueuedFor,
+	}, sentAt, now)
+	m.updateActivationTimes(now)
+	m.ActiveSet(now)
+	return changes
+}
+
+func (m *Machine) applySnapshot(snapshot model.Snapshot) []WriterRoleChanged {
+	previous := m.snapshot.Writers
+	m.snapshot = snapshot
+	var changes []WriterRoleChanged
+	for _, database := range slices.Sorted(maps.Keys(snapshot.Writers)) {
+		before, after := previous[database], snapshot.Writers[database]
+		if before.Term == after.Term && before.Phase == after.Phase {
+			continue
+		}
+		if before.Term != after.Term {
+			delete(m.samples, database)
+		}
+		changes = append(changes, WriterRoleChanged{Database: database, Previous: before, Current: after})
+	}
+	return changes
+}
+
+// updateActivationTimes converts the sets' effective times to this node's clock. A newer
+// estimate of the primary's time can only make the activation of a set earlier.
+func (m *Machine) updateActivationTimes(now time.Duration) {
+	if m.lease.ClockError(now) > lease.MaxClockError {
+		return
+	}
+	offset := m.lease.PrimaryTime(0)
+	updated := map[uint64]time.Duration{}
+	for _, set := range m.snapshot.Sets {
+		if set.EffectiveAt == 0 {
+			continue
+		}
+		activation := max(time.Duration(set.EffectiveAt-offset), 0)
+		if known, found := m.activationTimes[set.Sequence]; found {
+			activation = min(activation, known)
+		}
+		updated[set.Sequence] = activation
+	}
+	m.activationTimes = updated
+}
--- a/internal/coordination/schedule/schedule.go
+++ b/internal/coordination/schedule/schedule.go
@@ -1,4 +1,6 @@
-// Package schedule lands timed changes: exactly once, in order, none early.
+// Package schedule orders changes of the bindings in time: each scheduled change is
+// accepted once, and sets take effect in the order of their sequences, none before its
+// time.
 package schedule
 
 import (
@@ -9,12 +11,13 @@
 	"tansyseam/internal/state/model"
 )
 
-// Lead is how long before its moment a booked set is carried to the nodes.
+// LeadTime is how long before its effective time a scheduled change is accepted, so
+// that it is distributed to all nodes in time.
 const LeadTime = 1800 * time.Millisecond
 
-// Next gives the booking to be taken now, if one is near enough. A booking
-// whose moment has passed is taken at once; order is by moment, then by the
-// order of booking.
+// NextDue returns the scheduled change that is to be accepted now, if one is due. Order
+// is by effective time, then by the order in which changes were scheduled; a change
+// whose time has passed is due at once. The Unix time wall is in nanoseconds.
 func NextDue(changes []model.ScheduledChange, wall int64) (model.ScheduledChange, bool) {
 	if len(changes) == 0 {
 		return model.ScheduledChange{}, false
@@ -25,9 +28,10 @@
 	return first, first.EffectiveAt-int64(LeadTime) <= wall
 }
 
-// Moment picks the common moment of the pending sets: after the last lease
-// that may lack the news, and none before its own due time. A set never
-// comes before one of lower sequence.
+// AssignEffectiveTimes returns the pending sets with the effective time that each gets:
+// not before earliest, which is after the last lease that may lack the set, not before
+// its own NotBefore, and not before that of a set with a lower sequence. Sets are given
+// by sequence; times are Unix times in nanoseconds.
 func AssignEffectiveTimes(sets []model.BindingSet, earliest int64) []model.BindingSet {
 	var assigned []model.BindingSet
 	latest := int64(0)
--- /dev/null
+++ b/internal/state/model/doc.go
@@ -0,0 +1,7 @@
+// Package model holds the types that the programs share: the cluster's nodes, the
+// databases' instances and writer roles, and the binding sets that an operator
+// configures.
+//
+// Times of type int64 are Unix times in nanoseconds by the control primary's clock.
+// Types that are stored or sent have an encoded form, see package encoded.
+package model
--- a/internal/state/model/encoding.go
+++ b/internal/state/model/encoding.go
@@ -5,7 +5,7 @@
 	"tansyseam/internal/state/store"
 )
 
-// Encoded gives the form that is stored and sent.
+// Encoded returns the form that is stored and sent.
 func (i Instance) Encoded() encoded.Instance {
 	return encoded.Instance{
 		Name:        i.Name,
@@ -25,7 +25,7 @@
 	}
 }
 
-// InstanceFrom reads the form that is stored and sent.
+// InstanceFrom converts the form that is stored and sent.
 func InstanceFrom(e encoded.Instance) Instance {
 	return Instance{
 		Name:               e.Name,
@@ -45,7 +45,7 @@
 	}
 }
 
-// Encoded gives the form that is stored and sent.
+// Encoded returns the form that is stored and sent.
 func (s Snapshot) Encoded() encoded.Doc {
 	return encoded.Doc{
 		Stamp:   encoded.Stamp(s.Version),
@@ -56,7 +56,7 @@
 	}
 }
 
-// SnapshotFrom reads the form that is stored and sent.
+// SnapshotFrom converts the form that is stored and sent.
 func SnapshotFrom(e encoded.Doc) Snapshot {
 	return Snapshot{
 		Version:       store.Version(e.Stamp),
@@ -67,23 +67,23 @@
 	}
 }
 
-// Encoded gives the form that is stored and sent.
-func (b BindingSet) Encoded() encoded.Set {
+// Encoded returns the form that is stored and sent.
+func (s BindingSet) Encoded() encoded.Set {
 	return encoded.Set{
-		Sequence:  b.Sequence,
-		Bindings:  encoded.Slice(b.Bindings, Binding.Encoded),
-		Moment:    b.EffectiveAt,
-		Due:       b.NotBefore,
-		Taken:     b.AcceptedAt,
-		By:        b.ScheduledBy,
-		Source:    b.Source,
-		Version:   b.Version,
-		Databases: encoded.Slice(b.Databases, Database.Encoded),
-		Limits:    b.Limits.Encoded(),
+		Sequence:  s.Sequence,
+		Bindings:  encoded.Slice(s.Bindings, Binding.Encoded),
+		Moment:    s.EffectiveAt,
+		Due:       s.NotBefore,
+		Taken:     s.AcceptedAt,
+		By:        s.ScheduledBy,
+		Source:    s.Source,
+		Version:   s.Version,
+		Databases: encoded.Slice(s.Databases, Database.Encoded),
+		Limits:    s.Limits.Encoded(),
 	}
 }
 
-// BindingSetFrom reads the form that is stored and sent.
+// BindingSetFrom converts the form that is stored and sent.
 func BindingSetFrom(e encoded.Set) BindingSet {
 	return BindingSet{
 		Sequence:    e.Sequence,
@@ -99,7 +99,7 @@
 	}
 }
 
-// Encoded gives the form that is stored and sent.
+// Encoded returns the form that is stored and sent.
 func (b Binding) Encoded() encoded.Binding {
 	return encoded.Binding{
 		Name:      b.Name,
@@ -113,7 +113,7 @@
 	}
 }
 
-// BindingFrom reads the form that is stored and sent.
+// BindingFrom converts the form that is stored and sent.
 func BindingFrom(e encoded.Binding) Binding {
 	return Binding{
 		Name:           e.Name,
@@ -127,7 +127,7 @@
 	}
 }
 
-// Encoded gives the form that is stored and sent.
+// Encoded returns the form that is stored and sent.
 func (d Database) Encoded() encoded.Database {
 	return encoded.Database{
 		Name:        d.Name,
@@ -136,7 +136,7 @@
 	}
 }
 
-// DatabaseFrom reads the form that is stored and sent.
+// DatabaseFrom converts the form that is stored and sent.
 func DatabaseFrom(e encoded.Database) Database {
 	return Database{
 		Name:            e.Name,
@@ -145,7 +145,7 @@
 	}
 }
 
-// Encoded gives the form that is stored and sent.
+// Encoded returns the form that is stored and sent.
 func (l Limits) Encoded() encoded.Limits {
 	return encoded.Limits{
 		Message: l.MaxMessageBytes,
@@ -154,7 +154,7 @@
 	}
 }
 
-// LimitsFrom reads the form that is stored and sent.
+// LimitsFrom converts the form that is stored and sent.
 func LimitsFrom(e encoded.Limits) Limits {
 	return Limits{
 		MaxMessageBytes:        e.Message,
@@ -163,7 +163,7 @@
 	}
 }
 
-// Encoded gives the form that is stored and sent.
+// Encoded returns the form that is stored and sent.
 func (w WriterRole) Encoded() encoded.Writer {
 	return encoded.Writer{
 		Database:   w.Database,
@@ -188,7 +188,7 @@
 	}
 }
 
-// WriterRoleFrom reads the form that is stored and sent.
+// WriterRoleFrom converts the form that is stored and sent.
 func WriterRoleFrom(e encoded.Writer) WriterRole {
 	return WriterRole{
 		Database:           e.Database,
@@ -213,7 +213,7 @@
 	}
 }
 
-// Encoded gives the form that is stored and sent.
+// Encoded returns the form that is stored and sent.
 func (n Node) Encoded() encoded.Node {
 	return encoded.Node{
 		Name:    n.Name,
@@ -229,7 +229,7 @@
 	}
 }
 
-// NodeFrom reads the form that is stored and sent.
+// NodeFrom converts the form that is stored and sent.
 func NodeFrom(e encoded.Node) Node {
 	return Node{
 		Name:        e.Name,
@@ -245,7 +245,7 @@
 	}
 }
 
-// Encoded gives the form that is stored and sent.
+// Encoded returns the form that is stored and sent.
 func (s ScheduledChange) Encoded() encoded.Booking {
 	return encoded.Booking{
 		ID:       s.ID,
@@ -255,7 +255,7 @@
 	}
 }
 
-// ScheduledChangeFrom reads the form that is stored and sent.
+// ScheduledChangeFrom converts the form that is stored and sent.
 func ScheduledChangeFrom(e encoded.Booking) ScheduledChange {
 	return ScheduledChange{
 		ID:          e.ID,
@@ -265,7 +265,7 @@
 	}
 }
 
-// Encoded gives the form that is stored and sent.
+// Encoded returns the form that is stored and sent.
 func (a AuditEntry) Encoded() encoded.Entry {
 	return encoded.Entry{
 		Order:    a.Sequence,
@@ -276,7 +276,7 @@
 	}
 }
 
-// AuditEntryFrom reads the form that is stored and sent.
+// AuditEntryFrom converts the form that is stored and sent.
 func AuditEntryFrom(e encoded.Entry) AuditEntry {
 	return AuditEntry{
 		Sequence: e.Order,
--- /dev/null
+++ b/internal/state/model/position.go
@@ -0,0 +1,21 @@
+package model
+
+// Position is a position in a database's log: the term of the primary that wrote
+// there, then the index.
+type Position struct {
+	Term  uint64 `json:"term"`
+	Index uint64 `json:"index"`
+}
+
+// IsBefore says whether p lies before other.
+func (p Position) IsBefore(other Position) bool {
+	return p.Term < other.Term || (p.Term == other.Term && p.Index < other.Index)
+}
+
+// Max returns the later of two positions.
+func (p Position) Max(other Position) Position {
+	if p.IsBefore(other) {
+		return other
+	}
+	return p
+}
--- /dev/null
+++ b/internal/state/model/snapshot.go
@@ -0,0 +1,157 @@
+package model
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"tansyseam/internal/state/store"
+)
+
+// Snapshot is the part of the control state that nodes get, or a delta of it.
+type Snapshot struct {
+	// Version is that of the last write that changed the snapshot.
+	Version store.Version
+	// Sets are sorted by sequence.
+	Sets    []BindingSet
+	Writers map[string]WriterRole
+	// BaseVersion is set in a delta: Sets and Writers are then only those written after
+	// that version, and FirstSequence is the lowest sequence that is left.
+	BaseVersion   store.Version
+	FirstSequence uint64
+}
+
+// ReadSnapshot reads the snapshot from the control state.
+func ReadSnapshot(state *store.Table) Snapshot {
+	snapshot, _ := RefreshSnapshot(state, Snapshot{}, nil)
+	return snapshot
+}
+
+// RefreshSnapshot reads the snapshot from the control state, and takes from a previous
+// one, which was read from previousState, what was not written since. It returns also
+// how many records it has decoded.
+func RefreshSnapshot(state *store.Table, previous Snapshot, previousState *store.Table) (Snapshot, int) {
+	reader := snapshotReader{state: state, previousState: previousState}
+	snapshot := Snapshot{Sets: reader.sets(previous.Sets), Writers: reader.writers(previous.Writers)}
+	snapshot.Version = reader.newest
+	return snapshot, reader.decoded
+}
+
+// snapshotReader reads the records of a snapshot that were written since another.
+type snapshotReader struct {
+	state         *store.Table
+	previousState *store.Table
+	newest        store.Version
+	decoded       int
+}
+
+// isUnchanged notes a record's version, and says whether it is the previous one.
+func (r *snapshotReader) isUnchanged(key string) bool {
+	version := r.state.Records[key].Version
+	if r.newest.IsBefore(version) {
+		r.newest = version
+	}
+	return r.previousState != nil && r.previousState.Records[key].Version == version
+}
+
+func (r *snapshotReader) sets(previous []BindingSet) []BindingSet {
+	var sets []BindingSet
+	for _, key := range r.state.Keys(PrefixBindingSet) {
+		index := slices.IndexFunc(previous, func(set BindingSet) bool { return BindingSetKey(set.Sequence) == key })
+		if r.isUnchanged(key) && index >= 0 {
+			sets = append(sets, previous[index])
+			continue
+		}
+		r.decoded++
+		if set, found := store.Get(r.state, key, BindingSetFrom); found {
+			sets = append(sets, set)
+		}
+	}
+	slices.SortFunc(sets, compareSequences)
+	return sets
+}
+
+func (r *snapshotReader) writers(previous map[string]WriterRole) map[string]WriterRole {
+	writers := map[string]WriterRole{}
+	for _, key := range r.state.Keys(PrefixWriterRole) {
+		known, found := previous[key[len(PrefixWriterRole):]]
+		if r.isUnchanged(key) && found {
+			writers[known.Database] = known
+			continue
+		}
+		r.decoded++
+		if role, found := store.Get(r.state, key, WriterRoleFrom); found {
+			writers[role.Database] = role
+		}
+	}
+	return writers
+}
+
+// DeltaSince returns what was written after a version, by the state that the snapshot
+// was read from.
+func (s Snapshot) DeltaSince(version store.Version, state *store.Table) Snapshot {
+	delta := Snapshot{Version: s.Version, BaseVersion: version, Writers: map[string]WriterRole{}}
+	if len(s.Sets) > 0 {
+		delta.FirstSequence = s.Sets[0].Sequence
+	}
+	for _, set := range s.Sets {
+		if version.IsBefore(state.Records[BindingSetKey(set.Sequence)].Version) {
+			delta.Sets = append(delta.Sets, set)
+		}
+	}
+	for database, role := range s.Writers {
+		if version.IsBefore(state.Records[PrefixWriterRole+database].Version) {
+			delta.Writers[database] = role
+		}
+	}
+	return delta
+}
+
+// Apply returns the complete snapshot that results from a delta. It returns false if
+// the delta is based on another version. An update that is no delta replaces the
+// snapshot.
+func (s Snapshot) Apply(update Snapshot) (Snapshot, bool) {
+	if update.BaseVersion == (store.Version{}) {
+		return update, true
+	}
+	if update.BaseVersion != s.Version {
+		return s, false
+	}
+	complete := Snapshot{Version: update.Version, Writers: maps.Clone(s.Writers)}
+	for _, set := range s.Sets {
+		isReplaced := slices.ContainsFunc(update.Sets, func(newer BindingSet) bool { return newer.Sequence == set.Sequence })
+		if set.Sequence >= update.FirstSequence && !isReplaced {
+			complete.Sets = append(complete.Sets, set)
+		}
+	}
+	complete.Sets = append(complete.Sets, update.Sets...)
+	slices.SortFunc(complete.Sets, compareSequences)
+	maps.Copy(complete.Writers, update.Writers)
+	return complete, true
+}
+
+func compareSequences(a, b BindingSet) int { return cmp.Compare(a.Sequence, b.Sequence) }
+
+// ActiveSet returns the set in effect at a time of the primary's clock.
+func (s Snapshot) ActiveSet(wall int64) BindingSet {
+	var active BindingSet
+	for _, set := range s.Sets {
+		if set.EffectiveAt != 0 && set.EffectiveAt <= wall {
+			active = set
+		}
+	}
+	return active
+}
+
+// NewestSet returns the last set that was accepted, in effect or not.
+func (s Snapshot) NewestSet() BindingSet {
+	if len(s.Sets) == 0 {
+		return BindingSet{}
+	}
+	return s.Sets[len(s.Sets)-1]
+}
+
+// HasPendingSet says whether the newest set has no effective time yet.
+func (s Snapshot) HasPendingSet() bool {
+	return len(s.Sets) > 0 && s.NewestSet().EffectiveAt == 0
+}
