--- /dev/null
+++ b/internal/coordination/pool/linepool/answer.go
@@ -0,0 +1,247 @@
+package linepool
+
+import (
+	"time"
+
+	"tansyseam/internal/coordination/flowcontrol"
+	"tansyseam/internal/state/lineproto"
+	"tansyseam/internal/state/model"
+)
+
+// Received takes a message from an instance. Messages come in the order in
+// which the instance sent them; a connection whose messages make no sense is
+// closed.
+func (m *Machine) Received(conn *Conn, message lineproto.Message, now time.Duration) {
+	if conn.state == connClosed {
+		return
+	}
+	if conn.state == connOpening {
+		m.onOpened(conn, message, now)
+		return
+	}
+	conn.instance.lastResponse, conn.instance.refusals = now, 0
+	if len(conn.pending) == 0 {
+		m.Count("answers_unasked", 1)
+		m.ConnLost(conn, now)
+		return
+	}
+	attempt := conn.pending[0]
+	handler, found := instanceMessageHandlers[message.Kind]
+	afterResult := attempt != nil && attempt.hasResult && message.Kind != lineproto.KindReady
+	if !found || afterResult {
+		m.closeMalformed(conn, now)
+		return
+	}
+	handler(m, conn, attempt, message, now)
+}
+
+func (m *Machine) closeMalformed(conn *Conn, now time.Duration) {
+	m.Count("answers_malformed", 1)
+	m.ConnLost(conn, now)
+}
+
+// instanceMessageHandler takes a message that belongs to an attempt, or to a
+// command of the node's own, for which attempt is nil.
+type instanceMessageHandler func(m *Machine, conn *Conn, attempt *requestAttempt, message lineproto.Message, now time.Duration)
+
+var instanceMessageHandlers = map[lineproto.Kind]instanceMessageHandler{
+	lineproto.KindRow:   (*Machine).onRow,
+	lineproto.KindDone:  (*Machine).onResult,
+	lineproto.KindError: (*Machine).onResult,
+	lineproto.KindReady: (*Machine).onReady,
+}
+
+func (m *Machine) onRow(_ *Conn, attempt *requestAttempt, message lineproto.Message, _ time.Duration) {
+	if attempt != nil {
+		attempt.rows = append(attempt.rows, message)
+	}
+}
+
+func (m *Machine) onResult(conn *Conn, attempt *requestAttempt, message lineproto.Message, _ time.Duration) {
+	if attempt != nil {
+		attempt.result, attempt.hasResult = message, true
+		return
+	}
+	if message.Kind == lineproto.KindError {
+		m.Count("own_statements_failed", 1)
+		conn.dirty = true
+	}
+}
+
+func (m *Machine) onReady(conn *Conn, attempt *requestAttempt, message lineproto.Message, now time.Duration) {
+	instance := conn.instance
+	conn.pending = conn.pending[1:]
+	instance.position = instance.position.Max(message.Position)
+	if attempt == nil {
+		if len(conn.pending) == 0 && conn.attempt == nil {
+			m.releaseInState(conn, message.State, now)
+			m.dispatch(instance.database, now)
+		}
+		return
+	}
+	if !attempt.hasResult {
+		m.closeMalformed(conn, now)
+		return
+	}
+	if !attempt.statementSent {
+		m.onBeginAnswered(attempt, message, now)
+		return
+	}
+	conn.attempt = nil
+	m.learnPosition(attempt, message.Position, now)
+	m.recordOutcome(attempt, now)
+	m.complete(attempt, message, now)
+	m.dispatch(instance.database, now)
+}
+
+// onBeginAnswered takes the answer to the begin that goes before a
+// transaction's first statement, which is sent only now.
+func (m *Machine) onBeginAnswered(attempt *requestAttempt, ready lineproto.Message, now time.Duration) {
+	request, conn := attempt.request, attempt.conn
+	began := attempt.result.Kind == lineproto.KindDone && ready.State == lineproto.StateInTransaction
+	current := attempt.isCurrent()
+	if began && current {
+		attempt.hasResult, attempt.statementSent = false, true
+		attempt.rows, attempt.sentAt = nil, now
+		m.send(conn, attempt, []Command{statementCommand(request, conn, model.Position{})})
+		return
+	}
+	conn.attempt, conn.owner = nil, nil
+	conn.instance.window.Release(flowcontrol.Rejected, 0)
+	m.noteLagging(attempt, now)
+	m.Count("begins_refused", 1)
+	m.releaseInState(conn, ready.State, now)
+	if current {
+		request.transaction.conn = nil
+		m.requeueAfterRefusal(request, attempt.result.Code, now)
+	}
+	m.dispatch(conn.instance.database, now)
+}
+
+// noteLagging skips a replica for a while that has refused as lagging.
+func (m *Machine) noteLagging(attempt *requestAttempt, now time.Duration) {
+	if attempt.result.Code == lineproto.CodeLagging {
+		attempt.conn.instance.laggingUntil = now + m.timing.LaggingPause
+	}
+}
+
+// recordOutcome takes an answer into the instance's window and health.
+func (m *Machine) recordOutcome(attempt *requestAttempt, now time.Duration) {
+	instance := attempt.conn.instance
+	rejected := attempt.isError(lineproto.CodeBusy, lineproto.CodeLagging, lineproto.CodeReadOnly, lineproto.CodeNotFound)
+	outcome := flowcontrol.Completed
+	if rejected {
+		outcome = flowcontrol.Rejected
+	}
+	instance.window.Release(outcome, m.normalizedLatency(attempt.request, now-attempt.sentAt))
+	if !rejected {
+		failed := attempt.isError(lineproto.CodeFailed, lineproto.CodeTimeout)
+		instance.health.Observe(failed, now)
+	}
+}
+
+// complete takes the whole answer to a statement.
+func (m *Machine) complete(attempt *requestAttempt, ready lineproto.Message, now time.Duration) {
+	conn := attempt.conn
+	if !attempt.isCurrent() {
+		if conn.owner != nil || ready.State != lineproto.StateIdle {
+			m.closeConn(conn, now)
+			return
+		}
+		m.release(conn, now)
+		return
+	}
+	if attempt.request.transaction != nil {
+		m.completeInTransaction(attempt, ready, now)
+	} else {
+		m.releaseInState(conn, ready.State, now)
+	}
+	if attempt.result.Kind == lineproto.KindError {
+		m.completeWithError(attempt, now)
+		return
+	}
+	m.completeWithSuccess(attempt, ready, now)
+}
+
+// completeInTransaction brings the connection and the client to the state in
+// which a transaction's statement has left them.
+func (m *Machine) completeInTransaction(attempt *requestAttempt, ready lineproto.Message, now time.Duration) {
+	request, conn, client := attempt.request, attempt.conn, attempt.request.client
+	failed := attempt.isError()
+	if request.commit || ready.State == lineproto.StateIdle {
+		request.transaction.conn, conn.owner = nil, nil
+		conn.dirty = conn.dirty || (failed && conn.changed)
+		m.releaseInState(conn, ready.State, now)
+		client.transaction, client.state = nil, lineproto.StateIdle
+		return
+	}
+	conn.state = connIdle
+	client.state = ready.State
+	if failed && attempt.result.Code.GuaranteesNoEffect() {
+		client.state = lineproto.StateFailed
+	}
+	if client.state == lineproto.StateFailed {
+		m.endTransaction(client, now)
+	}
+}
+
+func (m *Machine) completeWithError(attempt *requestAttempt, now time.Duration) {
+	request, code := attempt.request, attempt.result.Code
+	m.noteLagging(attempt, now)
+	if code == lineproto.CodeNotFound {
+		attempt.conn.dirty = true
+	}
+	if m.shouldRetry(attempt) {
+		if attempt.hasOtherAttempt() {
+			attempt.abandoned = true
+			return
+		}
+		m.requeueAfterRefusal(request, code, now)
+		return
+	}
+	client := request.client
+	m.finish(request)
+	m.Count("errors_passed", 1)
+	failure := lineproto.Message{Kind: lineproto.KindError, Payload: attempt.result.Payload, Code: code}
+	m.respond(client, failure, readyMessage(client, model.Position{}))
+	m.handlePipelined(client, now)
+}
+
+// shouldRetry reports whether a request whose attempt ended with an error is
+// sent again, and notes a failed attempt for the choice of the next instance.
+func (m *Machine) shouldRetry(attempt *requestAttempt) bool {
+	request := attempt.request
+	if request.isRetryableRead() && attempt.isError(lineproto.CodeFailed) && request.failures+1 < request.maxAttempts() {
+		request.failures++
+		request.avoid = attempt.conn.instance
+		m.Count("reads_failed_elsewhere", 1)
+		return true
+	}
+	rejected := attempt.isError(lineproto.CodeLagging, lineproto.CodeBusy, lineproto.CodeReadOnly)
+	notPrepared := attempt.isError(lineproto.CodeNotFound)
+	return (request.isRetryableRead() && rejected) || (request.transaction == nil && notPrepared)
+}
+
+// requeueAfterRefusal queues a request that an instance refused, to be sent
+// after a pause; a lagging replica causes none, since another may be fresh.
+func (m *Machine) requeueAfterRefusal(request *Request, code lineproto.Code, now time.Duration) {
+	if code != lineproto.CodeLagging {
+		request.notBefore = now + time.Duration(request.retries+1)*m.timing.RetryDelay
+	}
+	m.requeue(request, now)
+}
+
+func (m *Machine) completeWithSuccess(attempt *requestAttempt, ready lineproto.Message, now time.Duration) {
+	request := attempt.request
+	request.answer = append(attempt.rows, attempt.result)
+	request.position = ready.Position
+	if !request.mayPersist() {
+		m.respondWithAnswer(request, now)
+		return
+	}
+	database := m.database(request.binding.Database)
+	database.inFlight.remove(request)
+	request.phase = phaseUnconfirmed
+	database.unconfirmed = append(database.unconfirmed, request)
+	m.confirmCommits(database, now)
+}
--- /dev/null
+++ b/internal/coordination/pool/linepool/client.go
@@ -0,0 +1,185 @@
+package linepool
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"tansyseam/internal/state/lineproto"
+	"tansyseam/internal/state/model"
+)
+
+// Client is one client session.
+type Client struct {
+	// Token belongs to the caller of Accept; the machine does not use it.
+	Token any
+	// binding is the name that the client gave at its connect.
+	binding string
+	// variables and prepared are the session state that connections are
+	// brought to before the client's statements run on them.
+	variables map[string]string
+	prepared  map[string]preparedStatement
+	// ownCommits has the client's last confirmed commit for each database.
+	ownCommits  map[string]ownCommit
+	state       byte
+	transaction *transactionState
+	// request is the statement that is being served, if any; pipelined are
+	// those that the client sent ahead.
+	request   *Request
+	pipelined []Query
+	// serial orders clients by their arrival.
+	serial    uint64
+	lastUsed  time.Duration
+	connected bool
+	closed    bool
+}
+
+type preparedStatement struct {
+	text  string
+	write bool
+}
+
+type ownCommit struct {
+	position model.Position
+	at       time.Duration
+}
+
+// Accept adds a client session that has been opened. It returns nil if the
+// node has as many as it takes.
+func (m *Machine) Accept(token any, now time.Duration) *Client {
+	if len(m.clients) >= m.timing.MaxClients {
+		m.Count("clients_refused", 1)
+		return nil
+	}
+	m.clientSerial++
+	client := &Client{Token: token, state: lineproto.StateIdle, serial: m.clientSerial, lastUsed: now}
+	m.clients[client] = true
+	m.Count("clients_met", 1)
+	return client
+}
+
+// Clients returns the number of client sessions.
+func (m *Machine) Clients() int { return len(m.clients) }
+
+// ClientLost removes a client whose connection has ended.
+func (m *Machine) ClientLost(client *Client, now time.Duration) {
+	if client.closed {
+		return
+	}
+	client.closed = true
+	delete(m.clients, client)
+	client.pipelined = nil
+	if client.request != nil {
+		m.finish(client.request)
+	}
+	m.endTransaction(client, now)
+}
+
+// Terminate ends the session of a client that has asked for it.
+func (m *Machine) Terminate(client *Client, now time.Duration) { m.closeClient(client, now) }
+
+// ProtocolError answers a message that makes no sense and closes the session.
+func (m *Machine) ProtocolError(client *Client, code lineproto.Code, text string, now time.Duration) {
+	if client.closed {
+		return
+	}
+	m.Count("clients_malformed", 1)
+	m.closeWithError(client, clientError{code, text}, now)
+}
+
+func (m *Machine) protocolError(client *Client, err clientError, now time.Duration) {
+	m.ProtocolError(client, err.code, err.text, now)
+}
+
+func (m *Machine) closeWithError(client *Client, err clientError, now time.Duration) {
+	m.respond(client, err.message())
+	m.closeClient(client, now)
+}
+
+func (m *Machine) closeClient(client *Client, now time.Duration) {
+	if !client.closed {
+		m.Emit(CloseClient{Client: client})
+		m.ClientLost(client, now)
+	}
+}
+
+// Connect takes a client's connect, which names the binding that it is to use.
+// It is answered once the node has a lease and bindings.
+func (m *Machine) Connect(client *Client, binding string, now time.Duration) {
+	if client.closed {
+		return
+	}
+	if client.connected || client.binding != "" {
+		m.protocolError(client, errAlreadyConnected, now)
+		return
+	}
+	client.binding, client.lastUsed = binding, now
+	m.connecting = append(m.connecting, client)
+	m.admitConnecting(now)
+}
+
+// admitConnecting answers the connects that can be answered now.
+func (m *Machine) admitConnecting(now time.Duration) {
+	if len(m.connecting) == 0 {
+		return
+	}
+	leased := m.Routing().HasLease(now)
+	set := m.EffectiveSet(now)
+	var waiting []*Client
+	for _, client := range m.connecting {
+		if client.closed {
+			continue
+		}
+		if leased && set.Sequence != 0 {
+			m.answerConnect(client, set, now)
+			continue
+		}
+		if now-client.lastUsed < m.timing.ConnectWait && !m.isIsolated(now) {
+			waiting = append(waiting, client)
+			continue
+		}
+		m.Count("clients_not_welcomed", 1)
+		m.closeWithError(client, errNotServed, now)
+	}
+	m.connecting = waiting
+}
+
+func (m *Machine) answerConnect(client *Client, set model.BindingSet, now time.Duration) {
+	if _, found := set.Binding(client.binding); !found {
+		m.closeWithError(client, errUnknownBinding(client.binding), now)
+		return
+	}
+	client.connected = true
+	m.respond(client, lineproto.Message{Kind: lineproto.KindReady, State: client.state})
+}
+
+func (m *Machine) respond(client *Client, messages ...lineproto.Message) {
+	if !client.closed {
+		m.Emit(Respond{Client: client, Messages: messages})
+	}
+}
+
+// respondError sends an error that leaves the session open.
+func (m *Machine) respondError(client *Client, err clientError) {
+	m.respond(client, err.message(), readyMessage(client, model.Position{}))
+}
+
+// respondDone answers a statement that the node has carried out by itself.
+func (m *Machine) respondDone(client *Client) {
+	m.respond(client, lineproto.Message{Kind: lineproto.KindDone, Payload: "-"}, readyMessage(client, model.Position{}))
+}
+
+func readyMessage(client *Client, position model.Position) lineproto.Message {
+	return lineproto.Message{Kind: lineproto.KindReady, State: client.state, Position: position}
+}
+
+// clientsBySerial returns the clients in the order of their arrival, so that
+// what is done for all of them does not depend on the order of a map.
+func (m *Machine) clientsBySerial() []*Client {
+	clients := make([]*Client, 0, len(m.clients))
+	for client := range m.clients {
+		clients = append(clients, client)
+	}
+	slices.SortFunc(clients, func(a, b *Client) int { return cmp.Compare(a.serial, b.serial) })
+	return clients
+}
--- /dev/null
+++ b/internal/coordination/pool/linepool/conn.go
@@ -0,0 +1,262 @@
+package linepool
+
+import (
+	"slices"
+	"time"
+
+	"tansyseam/internal/coordination/flowcontrol"
+	"tansyseam/internal/state/lineproto"
+)
+
+type connState int
+
+const (
+	// connOpening: the handshake is not over.
+	connOpening connState = iota
+	// connIdle: nothing is pending on it.
+	connIdle
+	// connBusy: answers are pending.
+	connBusy
+	// connClosed: it has been given up.
+	connClosed
+)
+
+// Conn is one connection to an instance.
+type Conn struct {
+	// Transport belongs to the program that carries out OpenConn; the machine
+	// does not use it.
+	Transport any
+	instance  *instanceState
+	state     connState
+	// variables and prepared are the session state at the instance; prepared
+	// maps a statement's text to the name under which it is prepared.
+	variables     map[string]string
+	prepared      map[string]string
+	preparedCount int
+	// dirty says that the session state is not known and has to be reset.
+	dirty bool
+	// changed says that session state was changed since the connection was
+	// taken, or since the transaction began: a rollback may undo it.
+	changed bool
+	// owner is the client whose transaction is open on it, if any.
+	owner   *Client
+	attempt *requestAttempt
+	// pending has an entry for each answer that is to come, in order: the
+	// attempt that it belongs to, or nil for a command of the node's own.
+	pending   []*requestAttempt
+	openedAt  time.Duration
+	idleSince time.Duration
+	// term is the writer term in which the open transaction began.
+	term uint64
+}
+
+// IsClosed reports whether the machine has given the connection up.
+func (c *Conn) IsClosed() bool { return c.state == connClosed }
+
+func (m *Machine) canOpen(instance *instanceState, now time.Duration) bool {
+	return len(instance.conns) < instance.quota.MaxOpen && instance.backoff.Over(now) && instance.info.Address != ""
+}
+
+// openConns opens connections to an instance for the statements that wait, as
+// far as its window and the node's quota allow.
+func (m *Machine) openConns(instance *instanceState, waiting int, now time.Duration) {
+	wanted := min(waiting, max(instance.window.Available(), 1))
+	for instance.opening < wanted && m.canOpen(instance, now) {
+		conn := &Conn{instance: instance, state: connOpening, openedAt: now}
+		instance.opening++
+		instance.conns = append(instance.conns, conn)
+		m.Emit(OpenConn{Conn: conn, Address: instance.info.Address, Database: instance.info.Database, Instance: instance.info.Name})
+	}
+}
+
+// onOpened takes the first message on a connection, which ends its handshake.
+func (m *Machine) onOpened(conn *Conn, message lineproto.Message, now time.Duration) {
+	instance := conn.instance
+	if message.Code == lineproto.CodeWrongInstance {
+		m.ConnLost(conn, now)
+		return
+	}
+	instance.opening--
+	instance.lastResponse, instance.refusals = now, 0
+	if message.Kind != lineproto.KindReady {
+		m.Count("connections_refused", 1)
+		m.backOff(instance, now)
+		conn.state = connIdle
+		m.closeConn(conn, now)
+		return
+	}
+	m.Count("connections_opened", 1)
+	instance.backoff.Succeed()
+	instance.position = instance.position.Max(message.Position)
+	conn.state = connBusy
+	m.release(conn, now)
+	m.dispatch(instance.database, now)
+}
+
+func (m *Machine) backOff(instance *instanceState, now time.Duration) {
+	instance.backoff.Fail(m.timing.BackoffMin, m.timing.BackoffMax, now)
+}
+
+// releaseInState makes a connection idle if its session is outside of a
+// transaction, and closes it otherwise.
+func (m *Machine) releaseInState(conn *Conn, state byte, now time.Duration) {
+	if state != lineproto.StateIdle {
+		m.closeConn(conn, now)
+		return
+	}
+	m.release(conn, now)
+}
+
+// release makes a connection idle, or closes it if the instance is draining or
+// the node has more than its quota.
+func (m *Machine) release(conn *Conn, now time.Duration) {
+	if conn.state == connClosed {
+		return
+	}
+	instance := conn.instance
+	conn.state, conn.attempt = connIdle, nil
+	draining := instance.drainingSince != 0 && !m.isPrimary(instance)
+	if draining || instance.info.Stopped || len(instance.conns) > instance.quota.MaxOpen {
+		m.closeConn(conn, now)
+		return
+	}
+	conn.changed, conn.idleSince = false, now
+	instance.idle = append(instance.idle, conn)
+}
+
+func (m *Machine) closeIdleConns(instance *instanceState, now time.Duration) {
+	for _, conn := range slices.Clone(instance.idle) {
+		m.closeConn(conn, now)
+	}
+}
+
+// closeConn closes a connection. An attempt that is in flight on it counts as
+// lost in the window; the caller sees to its request.
+func (m *Machine) closeConn(conn *Conn, now time.Duration) {
+	if conn.state == connClosed {
+		return
+	}
+	m.removeConn(conn)
+	if attempt := conn.attempt; attempt != nil {
+		conn.attempt = nil
+		m.releaseLost(attempt, now)
+	}
+}
+
+func (m *Machine) removeConn(conn *Conn) {
+	instance := conn.instance
+	if conn.state == connOpening {
+		instance.opening--
+	}
+	conn.state = connClosed
+	isConn := func(other *Conn) bool { return other == conn }
+	instance.conns = slices.DeleteFunc(instance.conns, isConn)
+	instance.idle = slices.DeleteFunc(instance.idle, isConn)
+	m.Emit(CloseConn{Conn: conn})
+}
+
+func (m *Machine) releaseLost(attempt *requestAttempt, now time.Duration) {
+	latency := m.normalizedLatency(attempt.request, now-attempt.sentAt)
+	attempt.conn.instance.window.Release(flowcontrol.Lost, latency)
+}
+
+// ConnLost takes a connection that has ended by itself, could not be opened,
+// or carries what makes no sense.
+func (m *Machine) ConnLost(conn *Conn, now time.Duration) {
+	if conn.state == connClosed {
+		return
+	}
+	instance := conn.instance
+	if conn.state == connOpening {
+		instance.refusals++
+		m.Count("connections_refused", 1)
+		m.backOff(instance, now)
+	}
+	m.removeConn(conn)
+	attempt, owner := conn.attempt, conn.owner
+	conn.attempt, conn.owner = nil, nil
+	if attempt != nil {
+		m.releaseLost(attempt, now)
+		instance.health.Observe(true, now)
+	}
+	if attempt != nil && attempt.isCurrent() {
+		m.Count("statements_cut", 1)
+		m.onAttemptLost(attempt, now)
+	} else if owner != nil && owner.transaction != nil && owner.transaction.conn == conn {
+		owner.transaction.conn = nil
+		m.loseTransaction(owner, now)
+	}
+	m.dispatch(instance.database, now)
+}
+
+// onAttemptLost goes on with a request whose connection ended before the
+// answer came.
+func (m *Machine) onAttemptLost(attempt *requestAttempt, now time.Duration) {
+	request := attempt.request
+	if request.transaction != nil {
+		request.transaction.conn = nil
+	}
+	if request.mayPersist() && attempt.statementSent {
+		m.respondUnknown(request, errConnectionEnded, now)
+		return
+	}
+	if request.transaction != nil && !attempt.statementSent {
+		m.requeue(request, now)
+		return
+	}
+	if request.transaction != nil {
+		request.transaction.lost = true
+		m.abortTransaction(request, now)
+		return
+	}
+	if attempt.hasOtherAttempt() {
+		attempt.abandoned = true
+		return
+	}
+	request.avoid = attempt.conn.instance
+	m.requeue(request, now)
+}
+
+// maintainConns closes the connections of an instance that have timed out, are
+// surplus, or belong to one whose drain is over.
+func (m *Machine) maintainConns(instance *instanceState, now time.Duration) {
+	for _, conn := range slices.Clone(instance.conns) {
+		if conn.state == connOpening && now-conn.openedAt > m.timing.OpenTimeout {
+			m.ConnLost(conn, now)
+		}
+		attempt := conn.attempt
+		abandoned := conn.state == connBusy && attempt != nil && attempt.abandoned
+		if abandoned && now-attempt.sentAt > m.timing.AbandonedTimeout {
+			m.closeConn(conn, now)
+		}
+	}
+	m.closeSurplusConns(instance, now)
+	if m.isDrainOver(instance, now) {
+		m.leaveInstance(instance, now)
+	}
+}
+
+// leaveInstance gives up the connections to an instance whose drain is over,
+// with the transactions on them.
+func (m *Machine) leaveInstance(instance *instanceState, now time.Duration) {
+	m.closeIdleConns(instance, now)
+	for _, conn := range slices.Clone(instance.conns) {
+		if conn.owner != nil {
+			m.loseTransaction(conn.owner, now)
+		}
+	}
+}
+
+// closeSurplusConns closes idle connections beyond the node's quota, so that
+// other nodes can have them.
+func (m *Machine) closeSurplusConns(instance *instanceState, now time.Duration) {
+	if !instance.quota.IsScarce() {
+		return
+	}
+	for _, conn := range slices.Clone(instance.idle) {
+		if len(instance.conns) > instance.quota.MaxIdle && now-conn.idleSince >= m.timing.SurplusIdle {
+			m.Count("connections_given_back", 1)
+			m.closeConn(conn, now)
+		}
+	}
+}
--- /dev/null
+++ b/internal/coordination/pool/linepool/dispatch.go
@@ -0,0 +1,217 @@
+package linepool
+
+import (
+	"slices"
+	"time"
+
+	"tansyseam/internal/coordination/balancer"
+	"tansyseam/internal/coordination/pool"
+	"tansyseam/internal/state/model"
+)
+
+const (
+	// maxDispatchMisses bounds the queued reads for which an instance is sought
+	// in vain in one round.
+	maxDispatchMisses = 8
+	// hedgeDelayPercent is the part of a binding's latency target after which a
+	// read is sent to a second instance, defaultHedgeDelay the time where the
+	// binding has no target.
+	hedgeDelayPercent = 45
+	defaultHedgeDelay = time.Second
+)
+
+// dispatchAll serves every queue, as after a change that may concern them all.
+func (m *Machine) dispatchAll(now time.Duration) {
+	m.resumeAwaitingLease(now)
+	for _, database := range m.databases.All() {
+		m.confirmCommits(database, now)
+		m.dispatch(database, now)
+	}
+}
+
+// dispatch sends what can be sent of a database's queues.
+func (m *Machine) dispatch(database *databaseState, now time.Duration) {
+	if len(database.transactionQueue) > 0 {
+		m.dispatchTransactions(database, now)
+	}
+	if len(database.primaryQueue) > 0 && m.Routing().HasLease(now) {
+		m.dispatchPrimary(database, now)
+	}
+	if len(database.readQueue) > 0 && m.Routing().HasLease(now) {
+		m.dispatchReads(database, now)
+	}
+}
+
+func (m *Machine) dispatchTransactions(database *databaseState, now time.Duration) {
+	for _, request := range slices.Clone(database.transactionQueue) {
+		if request.phase != phaseQueued {
+			continue
+		}
+		conn := request.transaction.conn
+		if conn == nil || request.transaction.lost {
+			database.dequeue(request)
+			m.abortTransaction(request, now)
+			continue
+		}
+		if m.mayContinue(database, request, now) && request.isReady(now) && conn.instance.window.HasRoom() {
+			request.term = conn.term
+			m.forward(request, conn, now)
+		}
+	}
+}
+
+// mayContinue reports whether the next statement of a transaction may be sent:
+// one that may write needs the lease, and the term in which it began.
+func (m *Machine) mayContinue(database *databaseState, request *Request, now time.Duration) bool {
+	if request.transaction.readOnly {
+		return true
+	}
+	writer, _, open := m.writer(database)
+	return open && writer.Term == request.transaction.conn.term && m.Routing().HasLease(now)
+}
+
+func (m *Machine) dispatchPrimary(database *databaseState, now time.Duration) {
+	writer, primary, open := m.writer(database)
+	if !open || !m.Routing().MayWrite(database.name, writer.Term, now) || m.isDrainOver(primary, now) {
+		return
+	}
+	for _, request := range slices.Clone(database.primaryQueue) {
+		if !primary.window.HasRoom() {
+			return
+		}
+		if !request.isReady(now) {
+			continue
+		}
+		conn := primary.takeIdle(request.client)
+		if conn == nil {
+			m.openConns(primary, len(database.primaryQueue), now)
+			return
+		}
+		request.term, request.minPosition = writer.Term, model.Position{}
+		m.forward(request, conn, now)
+	}
+}
+
+func (m *Machine) dispatchReads(database *databaseState, now time.Duration) {
+	misses := 0
+	for _, request := range slices.Clone(database.readQueue) {
+		if misses > maxDispatchMisses {
+			return
+		}
+		if request.isReady(now) && !m.dispatchRead(database, request, now) {
+			misses++
+		}
+	}
+}
+
+// dispatchRead sends a read to the instance that suits it best, and returns
+// false if there is none now or no connection to it is idle.
+func (m *Machine) dispatchRead(database *databaseState, request *Request, now time.Duration) bool {
+	instance, minPosition := m.selectInstance(database, request, request.avoid, now)
+	if instance == nil && request.avoid != nil {
+		instance, minPosition = m.selectInstance(database, request, nil, now)
+	}
+	if instance == nil {
+		return false
+	}
+	conn := instance.takeIdle(request.client)
+	if conn == nil {
+		m.openConns(instance, len(database.readQueue), now)
+		return false
+	}
+	request.term = m.Routing().WriterRole(database.name).Term
+	request.minPosition = minPosition
+	m.forward(request, conn, now)
+	return true
+}
+
+// selectInstance returns the best instance for a read, other than excluded,
+// and the position that it must have reached. It returns nil if none suits.
+func (m *Machine) selectInstance(database *databaseState, request *Request, excluded *instanceState, now time.Duration) (*instanceState, model.Position) {
+	var candidates []balancer.Candidate
+	var instances []*instanceState
+	minPosition, known := m.minPositionFor(database, request)
+	writer, primary, open := m.writer(database)
+	primaryFresh := open && m.Routing().MayWrite(database.name, writer.Term, now)
+	for _, instance := range m.instances.All() {
+		unusable := instance.database != database || instance.drainingSince != 0 || instance.info.Stopped || instance == excluded
+		if unusable {
+			continue
+		}
+		freshEnough := instance == primary && primaryFresh
+		if instance != primary && known {
+			freshEnough = m.isReplicaFresh(instance, database, request, minPosition, now)
+		}
+		hasConn := len(instance.idle) > 0 || m.canOpen(instance, now)
+		candidate := pool.Candidate(instance.window, hasConn, instance.info.Zone == m.node.Zone, freshEnough)
+		candidate.CostFactor = instance.health.CostFactor(now)
+		candidates = append(candidates, candidate)
+		instances = append(instances, instance)
+	}
+	best := balancer.Pick(candidates)
+	if best < 0 {
+		return nil, model.Position{}
+	}
+	if instances[best] == primary {
+		minPosition = model.Position{}
+	}
+	return instances[best], minPosition
+}
+
+// isReplicaFresh reports whether a replica is worth asking for a read. The
+// replica itself refuses what it has not reached yet; a session's own commit
+// that is too recent for most replicas is sent only to one that is known to
+// have it.
+func (m *Machine) isReplicaFresh(instance *instanceState, database *databaseState, request *Request, minPosition model.Position, now time.Duration) bool {
+	if instance.info.Role == model.RolePrimary || now < instance.laggingUntil {
+		return false
+	}
+	replicated := !request.binding.ReadYourWrites || now-request.client.ownCommits[database.name].at > m.timing.ReplicationBound
+	return replicated || !instance.position.IsBefore(minPosition)
+}
+
+// hedgeReads sends reads that have had no answer for long to a second
+// instance.
+func (m *Machine) hedgeReads(now time.Duration) {
+	if !m.Routing().HasLease(now) {
+		return
+	}
+	for _, database := range m.databases.All() {
+		for _, request := range slices.Clone(database.inFlight) {
+			if request.shouldHedge(now) {
+				m.hedge(database, request, now)
+			}
+		}
+	}
+}
+
+func (request *Request) shouldHedge(now time.Duration) bool {
+	if !request.isRetryableRead() || request.hedged || request.strict || len(request.attempts) == 0 {
+		return false
+	}
+	return now-request.attempts[0].sentAt >= request.hedgeDelay()
+}
+
+func (request *Request) hedgeDelay() time.Duration {
+	if request.binding.LatencyTarget > 0 {
+		return request.binding.LatencyTarget * hedgeDelayPercent / 100
+	}
+	return defaultHedgeDelay
+}
+
+func (m *Machine) hedge(database *databaseState, request *Request, now time.Duration) {
+	slow := request.attempts[0].conn.instance
+	instance, minPosition := m.selectInstance(database, request, slow, now)
+	if instance == nil {
+		return
+	}
+	conn := instance.takeIdle(request.client)
+	if conn == nil {
+		return
+	}
+	slow.health.Observe(true, now)
+	request.hedged, request.minPosition = true, minPosition
+	database.inFlight.remove(request)
+	m.Count("reads_twinned", 1)
+	m.forward(request, conn, now)
+}
--- /dev/null
+++ b/internal/coordination/pool/linepool/drain.go
@@ -0,0 +1,70 @@
+package linepool
+
+import (
+	"time"
+
+	"tansyseam/internal/state/lineproto"
+)
+
+// idleCheckInterval is how often clients are searched for transactions that
+// have been idle for too long.
+const idleCheckInterval = 200 * time.Millisecond
+
+// Drain makes the node unready. It serves on for Timing.Linger; then sessions
+// are closed as they become idle.
+func (m *Machine) Drain(now time.Duration) {
+	if !m.Draining() {
+		m.StartDraining()
+		m.drainStarted = now
+	}
+}
+
+// IsDrained reports whether no client session is left.
+func (m *Machine) IsDrained() bool { return len(m.clients) == 0 }
+
+// closeIdleClients ends transactions that have been idle for too long and,
+// while the node drains, sessions.
+func (m *Machine) closeIdleClients(now time.Duration) {
+	m.admitConnecting(now)
+	due := now-m.lastIdleCheck > idleCheckInterval
+	if !due && !m.Draining() {
+		return
+	}
+	m.lastIdleCheck = now
+	m.abortIdleTransactions(now)
+	if m.Draining() {
+		m.closeDrainedClients(now)
+	}
+}
+
+func (m *Machine) abortIdleTransactions(now time.Duration) {
+	limit := m.idleInTransactionLimit(now)
+	for _, client := range m.clientsBySerial() {
+		idle := client.transaction != nil && client.request == nil && now-client.lastUsed > limit
+		if idle && !client.transaction.lost {
+			m.Count("transactions_rested_out", 1)
+			m.loseTransaction(client, now)
+		}
+	}
+}
+
+func (m *Machine) idleInTransactionLimit(now time.Duration) time.Duration {
+	if limit := m.EffectiveSet(now).Limits.TransactionIdleTimeout; limit > 0 {
+		return limit
+	}
+	return m.timing.IdleInTransaction
+}
+
+func (m *Machine) closeDrainedClients(now time.Duration) {
+	elapsed := now - m.drainStarted
+	if elapsed < m.timing.Linger {
+		return
+	}
+	for _, client := range m.clientsBySerial() {
+		idle := client.request == nil && client.state == lineproto.StateIdle && len(client.pipelined) == 0
+		idleInTransaction := client.request == nil && elapsed > m.timing.EndTransactions
+		if idle || idleInTransaction || elapsed > m.timing.EndSessions {
+			m.closeClient(client, now)
+		}
+	}
+}
--- /dev/null
+++ b/internal/coordination/pool/linepool/forward.go
@@ -0,0 +1,67 @@
+package linepool
+
+import (
+	"slices"
+	"time"
+
+	"tansyseam/internal/state/model"
+)
+
+// forward sends a request on a connection, behind what brings the connection
+// to the client's session state. The first statement of a transaction is sent
+// only when the instance has answered the begin: it must never run outside.
+func (m *Machine) forward(request *Request, conn *Conn, now time.Duration) {
+	database := m.database(request.binding.Database)
+	database.dequeue(request)
+	transaction := request.transaction
+	begins := transaction != nil && transaction.conn == nil
+	commands := m.sessionCommands(conn, request.client, transaction != nil && !begins)
+	commands = append(commands, prepareCommands(request, conn)...)
+	if begins {
+		commands = append(commands, beginCommand(request))
+		conn.changed = false
+		transaction.conn, conn.owner, conn.term = conn, request.client, request.term
+	} else {
+		commands = append(commands, statementCommand(request, conn, request.statementMinPosition()))
+	}
+	if transaction != nil && request.write {
+		transaction.hasWrites = true
+	}
+	attempt := &requestAttempt{request: request, conn: conn, sentAt: now, statementSent: !begins}
+	request.attempts = append(request.attempts, attempt)
+	request.phase = phaseInFlight
+	conn.instance.window.Acquire()
+	database.inFlight = append(database.inFlight, request)
+	m.Count("passed_on", 1)
+	m.Count("waited_us", (now - request.arrivedAt).Microseconds())
+	m.send(conn, attempt, commands)
+}
+
+// statementMinPosition is what the instance must have reached to run the
+// statement. In a transaction the begin has asked for it already.
+func (request *Request) statementMinPosition() model.Position {
+	if request.transaction != nil {
+		return model.Position{}
+	}
+	return request.minPosition
+}
+
+// send sends commands on a connection. The answer to the last one belongs to
+// the attempt; nil stands for commands of the node's own.
+func (m *Machine) send(conn *Conn, attempt *requestAttempt, commands []Command) {
+	for range len(commands) - 1 {
+		conn.pending = append(conn.pending, nil)
+	}
+	conn.pending = append(conn.pending, attempt)
+	if conn.state == connIdle && attempt == nil {
+		conn.instance.removeIdle(conn)
+	}
+	conn.state, conn.attempt = connBusy, attempt
+	m.Emit(Send{Conn: conn, Commands: commands})
+}
+
+func (i *instanceState) removeIdle(conn *Conn) {
+	if index := slices.Index(i.idle, conn); index >= 0 {
+		i.idle = slices.Delete(i.idle, index, index+1)
+	}
+}
--- a/internal/coordination/pool/linepool/harness_test.go
+++ b/internal/coordination/pool/linepool/harness_test.go
@@ -359,7 +359,7 @@
 func (m *Machine) invariantViolation() string {
 	legs := map[*instanceState]int{}
 	jobs := map[*Request]int{}
-	for _, instance := range m.instances {
+	for _, instance := range m.instances.All() {
 		opening := 0
 		for _, conn := range instance.conns {
 			if conn.state == connClosed || conn.instance != instance {
@@ -397,7 +397,7 @@
 			return fmt.Sprintf("%s counts %d out, has %d", instance.info.Name, reading.InFlight, legs[instance])
 		}
 	}
-	for _, database := range m.databases {
+	for _, database := range m.databases.All() {
 		for _, list := range [][]*Request{database.transactionQueue, database.primaryQueue, database.readQueue} {
 			for _, request := range list {
 				jobs[request]++
--- a/internal/coordination/pool/linepool/pool_test.go
+++ b/internal/coordination/pool/linepool/pool_test.go
@@ -1187,7 +1187,7 @@
 				So(r.Clients(), ShouldEqual, 0)
 				So(r.sends, ShouldBeEmpty)
 				So(r.invariantViolation(), ShouldEqual, "")
-				for _, instance := range r.instances {
+				for _, instance := range r.instances.All() {
 					So(instance.window.Reading().InFlight, ShouldEqual, 0)
 					So(len(instance.idle), ShouldEqual, len(instance.conns))
 				}
@@ -1232,7 +1232,7 @@
 		return r, client, first, second
 	}
 	zero := func(r *harness) {
-		for _, instance := range r.instances {
+		for _, instance := range r.instances.All() {
 			So(instance.window.Reading().InFlight, ShouldEqual, 0)
 		}
 		So(r.invariantViolation(), ShouldEqual, "")
--- /dev/null
+++ b/internal/coordination/pool/linepool/position.go
@@ -0,0 +1,75 @@
+package linepool
+
+import (
+	"time"
+
+	"tansyseam/internal/state/model"
+)
+
+const (
+	// freshnessMargin covers what passes between a client's request and the
+	// moments at which positions are sampled.
+	freshnessMargin = 100 * time.Millisecond
+	// sampleRetention is the age at which a position sample is dropped; no
+	// binding allows reads that are older.
+	sampleRetention = 8 * time.Second
+	// sampleInterval is the least time between two samples that are kept.
+	sampleInterval = 20 * time.Millisecond
+)
+
+// positionSample says that a position covers all that was committed before
+// takenAt.
+type positionSample struct {
+	takenAt  time.Duration
+	position model.Position
+}
+
+// minPositionFor returns the position that covers all that a read must see:
+// what was confirmed before its freshness bound and, with read-your-writes,
+// the session's own commits. It returns false if no sample is recent enough.
+func (m *Machine) minPositionFor(database *databaseState, request *Request) (minPosition model.Position, found bool) {
+	earliest := request.arrivedAt - request.binding.Freshness + freshnessMargin
+	for _, sample := range database.samples {
+		if sample.takenAt >= earliest {
+			minPosition, found = sample.position, true
+			break
+		}
+	}
+	if request.binding.ReadYourWrites {
+		minPosition = minPosition.Max(request.client.ownCommits[database.name].position)
+	}
+	return minPosition, found
+}
+
+// learnPosition samples the position that the primary gave with an answer. It
+// covers what was committed before the request was sent to it.
+func (m *Machine) learnPosition(attempt *requestAttempt, position model.Position, now time.Duration) {
+	database := attempt.conn.instance.database
+	writer, primary, open := m.writer(database)
+	fromPrimary := open && primary == attempt.conn.instance && attempt.request.term == writer.Term
+	if fromPrimary && m.Routing().HasLease(now) && position != (model.Position{}) {
+		database.recordPosition(attempt.sentAt, position, now)
+	}
+}
+
+// recordPosition adds a sample. Samples are kept in the order of their time
+// and never go back in position.
+func (d *databaseState) recordPosition(takenAt time.Duration, position model.Position, now time.Duration) {
+	for len(d.samples) > 0 && now-d.samples[0].takenAt > sampleRetention {
+		d.samples = d.samples[1:]
+	}
+	count := len(d.samples)
+	if count > 0 {
+		last := d.samples[count-1]
+		if takenAt <= last.takenAt {
+			return
+		}
+		position = position.Max(last.position)
+	}
+	sample := positionSample{takenAt: takenAt, position: position}
+	if count > 1 && takenAt-d.samples[count-2].takenAt < sampleInterval {
+		d.samples[count-1] = sample
+		return
+	}
+	d.samples = append(d.samples, sample)
+}
--- a/internal/coordination/pool/linepool/random_test.go
+++ b/internal/coordination/pool/linepool/random_test.go
@@ -511,12 +511,12 @@
 			return fmt.Sprintf("%s was never answered", p.pending[0].query.ID)
 		}
 	}
-	for _, instance := range s.instances {
+	for _, instance := range s.instances.All() {
 		if open := instance.window.Reading().InFlight; open != 0 {
 			return fmt.Sprintf("%s still counts %d out", instance.info.Name, open)
 		}
 	}
-	for _, database := range s.databases {
+	for _, database := range s.databases.All() {
 		if len(database.transactionQueue)+len(database.primaryQueue)+len(database.readQueue)+len(database.inFlight)+len(database.unconfirmed) > 0 {
 			return database.name + " has a line that is not empty"
 		}
--- /dev/null
+++ b/internal/coordination/pool/linepool/timeout.go
@@ -0,0 +1,122 @@
+package linepool
+
+import (
+	"slices"
+	"time"
+)
+
+// expireRequests ends the requests whose time is over, and the commits that
+// were left at a closed primary.
+func (m *Machine) expireRequests(now time.Duration) {
+	for _, request := range slices.Clone(m.awaitingLease) {
+		until := min(request.arrivedAt+m.timing.UnavailableWait, m.queueDeadline(request))
+		if request.phase == phaseAwaitingLease && now >= until {
+			m.timeOut(request, now)
+		}
+	}
+	for _, database := range m.databases.All() {
+		lists := []*requestQueue{&database.transactionQueue, &database.primaryQueue, &database.readQueue, &database.inFlight, &database.unconfirmed}
+		for _, list := range lists {
+			m.expireList(database, list, now)
+		}
+		if database.writerClosedAt != 0 && now-database.writerClosedAt >= m.timing.ClosingGrace {
+			for _, request := range m.strandedCommits(database) {
+				m.abortStranded(request, now)
+			}
+		}
+	}
+}
+
+func (m *Machine) expireList(database *databaseState, list *requestQueue, now time.Duration) {
+	for _, request := range slices.Clone(*list) {
+		if request.phase != phaseEnded && m.isExpired(database, request, now) {
+			m.timeOut(request, now)
+		}
+	}
+}
+
+func (m *Machine) isExpired(database *databaseState, request *Request, now time.Duration) bool {
+	if now >= request.deadline {
+		return true
+	}
+	if request.phase != phaseQueued {
+		return false
+	}
+	if now >= m.queueDeadline(request) {
+		return true
+	}
+	return now >= request.arrivedAt+m.timing.UnavailableWait && m.isTargetUnavailable(database, request, now)
+}
+
+// queueDeadline is until when a request may be queued: its client is told
+// while it has time left to try elsewhere. A transaction that has begun waits
+// to the end, since its work would be lost.
+func (m *Machine) queueDeadline(request *Request) time.Duration {
+	if request.transaction.isOpenAtInstance() {
+		return request.deadline
+	}
+	timeout := request.deadline - request.arrivedAt
+	return request.arrivedAt + time.Duration(float64(timeout)*m.timing.QueueFraction)
+}
+
+// isTargetUnavailable reports whether what a queued request waits for is not
+// there at all: the lease, or the writer role.
+func (m *Machine) isTargetUnavailable(database *databaseState, request *Request, now time.Duration) bool {
+	_, _, open := m.writer(database)
+	return !m.Routing().HasLease(now) || (request.strict && !open)
+}
+
+var timeoutHandlers = map[phase]func(*Machine, *Request, time.Duration){
+	phaseAwaitingLease: (*Machine).timeOutQueued,
+	phaseQueued:        (*Machine).timeOutQueued,
+	phaseInFlight:      (*Machine).timeOutInFlight,
+	phaseUnconfirmed:   (*Machine).timeOutUnconfirmed,
+}
+
+func (m *Machine) timeOut(request *Request, now time.Duration) {
+	m.Count("timeouts", 1)
+	timeoutHandlers[request.phase](m, request, now)
+}
+
+func (m *Machine) timeOutQueued(request *Request, now time.Duration) {
+	err := errNoCapacity
+	if request.transaction.isOpenAtInstance() {
+		err = errNoCapacityAborted
+	}
+	m.reject(request, err, now)
+}
+
+func (m *Machine) timeOutInFlight(request *Request, now time.Duration) {
+	uncertain := request.mayPersist() && request.isSent()
+	m.abandonAll(request, now)
+	transaction := request.transaction
+	if transaction != nil {
+		transaction.conn = nil
+	}
+	if uncertain {
+		m.respondUnknown(request, errCommitTimeout, now)
+		return
+	}
+	if transaction != nil {
+		transaction.lost = true
+		m.abortTransaction(request, now)
+		return
+	}
+	m.reject(request, errReadTimeout, now)
+}
+
+func (m *Machine) timeOutUnconfirmed(request *Request, now time.Duration) {
+	m.respondUnknown(request, errLeaseTimeout, now)
+}
+
+// abandonAll closes the connections on which a request is in flight.
+func (m *Machine) abandonAll(request *Request, now time.Duration) {
+	for _, attempt := range request.attempts {
+		attempt.abandoned = true
+		conn := attempt.conn
+		if conn.state == connBusy && conn.attempt == attempt {
+			conn.owner = nil
+			m.closeConn(conn, now)
+		}
+	}
+}
--- /dev/null
+++ b/internal/coordination/pool/linepool/transaction.go
@@ -0,0 +1,138 @@
+package linepool
+
+import (
+	"time"
+
+	"tansyseam/internal/state/lineproto"
+	"tansyseam/internal/state/model"
+)
+
+// transactionState is a client's open transaction. It begins at an instance
+// only with its first statement.
+type transactionState struct {
+	// binding is the one that was in force at the first statement; the
+	// transaction keeps it.
+	binding  model.Binding
+	readOnly bool
+	// lost says that the instance's side is gone and that nothing of the
+	// transaction is kept. The client learns it with its next statement.
+	lost bool
+	// hasWrites says that a write was forwarded, if only to be refused.
+	hasWrites bool
+	// conn is the connection on which the transaction is open; nil before the
+	// first statement and after the connection is gone.
+	conn *Conn
+}
+
+func (t *transactionState) isOpenAtInstance() bool { return t != nil && t.conn != nil }
+
+func (m *Machine) handleBegin(client *Client, _ Query, now time.Duration) {
+	m.begin(client, &transactionState{}, now)
+}
+
+func (m *Machine) handleBeginReadOnly(client *Client, _ Query, now time.Duration) {
+	m.begin(client, &transactionState{readOnly: true}, now)
+}
+
+func (m *Machine) begin(client *Client, transaction *transactionState, now time.Duration) {
+	if client.state != lineproto.StateIdle {
+		m.failTransaction(client, now)
+		m.respondError(client, errNestedTransaction)
+		return
+	}
+	client.state, client.transaction = lineproto.StateInTransaction, transaction
+	m.respondDone(client)
+}
+
+// handleRollback answers at once: what the instance holds of the transaction
+// is rolled back behind it.
+func (m *Machine) handleRollback(client *Client, _ Query, now time.Duration) {
+	if client.state == lineproto.StateIdle {
+		m.respondError(client, errNoTransaction)
+		return
+	}
+	m.endTransaction(client, now)
+	client.state = lineproto.StateIdle
+	m.respondDone(client)
+}
+
+func (m *Machine) handleCommit(client *Client, query Query, now time.Duration) {
+	if client.state == lineproto.StateIdle {
+		m.respondError(client, errNoTransaction)
+		return
+	}
+	if client.state == lineproto.StateFailed || client.transaction.lost {
+		m.endTransaction(client, now)
+		client.state = lineproto.StateIdle
+		m.respondError(client, errTransactionFailed)
+		return
+	}
+	m.submit(&Request{client: client, query: query, commit: true, transaction: client.transaction}, now)
+}
+
+// failTransaction ends a client's transaction; the client has still to commit
+// or roll back.
+func (m *Machine) failTransaction(client *Client, now time.Duration) {
+	m.endTransaction(client, now)
+	client.state = lineproto.StateFailed
+}
+
+// failTransactionOf brings a client to the state after its statement failed.
+func (m *Machine) failTransactionOf(request *Request, now time.Duration) {
+	if request.transaction == nil {
+		return
+	}
+	m.failTransaction(request.client, now)
+	if request.commit {
+		request.client.state = lineproto.StateIdle
+	}
+}
+
+// endTransaction gives up a client's transaction, if it has one. What the
+// instance holds of it is rolled back.
+func (m *Machine) endTransaction(client *Client, now time.Duration) {
+	transaction := client.transaction
+	client.transaction = nil
+	if !transaction.isOpenAtInstance() {
+		return
+	}
+	conn := transaction.conn
+	transaction.conn = nil
+	conn.owner = nil
+	if conn.state != connIdle || conn.attempt != nil {
+		m.closeConn(conn, now)
+		return
+	}
+	conn.dirty = conn.dirty || conn.changed
+	m.send(conn, nil, []Command{{Kind: CommandRollback}})
+}
+
+// loseTransaction gives up a transaction on the instance's side. The client
+// learns it with its next statement, or at once where one is being served.
+func (m *Machine) loseTransaction(client *Client, now time.Duration) {
+	transaction := client.transaction
+	if transaction == nil || transaction.lost {
+		return
+	}
+	request := client.request
+	if request != nil && request.isSent() && request.mayPersist() {
+		m.abortStranded(request, now)
+		return
+	}
+	transaction.lost = true
+	conn := transaction.conn
+	transaction.conn = nil
+	if conn != nil {
+		conn.owner = nil
+		m.closeConn(conn, now)
+	}
+	if request != nil && request.phase != phaseEnded {
+		m.abortTransaction(request, now)
+	}
+}
+
+// abortTransaction ends a statement whose transaction is over and was not
+// asked to commit: nothing of it is kept.
+func (m *Machine) abortTransaction(request *Request, now time.Duration) {
+	m.reject(request, errTransactionLost, now)
+}
--- /dev/null
+++ b/internal/coordination/pool/linepool/update.go
@@ -0,0 +1,174 @@
+package linepool
+
+import (
+	"slices"
+	"time"
+
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/coordination/routing"
+	"tansyseam/internal/state/model"
+)
+
+// ApplyUpdate takes the control primary's answer to an update request that was
+// sent at a moment.
+func (m *Machine) ApplyUpdate(update distribution.Update, sent, now time.Duration) {
+	if update.Snapshot != nil {
+		m.Count("docs_taken", 1)
+	}
+	for _, change := range m.Routing().ApplyUpdate(update, sent, now) {
+		m.Emit(WriterChanged{Change: change})
+		m.onWriterChanged(change, now)
+	}
+	if update.FromPrimary {
+		m.sampleMinPositions(sent, now)
+	}
+	if update.Instances != nil {
+		m.listVersion = update.ListVersion
+		for _, info := range update.Instances {
+			m.UpdateInstance(info, now)
+		}
+	}
+	m.updateCapacities(m.Routing().Snapshot().NewestSet())
+	m.EffectiveSet(now)
+	m.admitConnecting(now)
+	m.dispatchAll(now)
+}
+
+// sampleMinPositions samples the positions that the control primary holds for
+// databases without a primary: they cover every commit that was confirmed.
+func (m *Machine) sampleMinPositions(sent, now time.Duration) {
+	for _, database := range m.databases.All() {
+		writer := m.Routing().WriterRole(database.name)
+		if writer.Phase != model.PhaseOpen && writer.MinPosition != (model.Position{}) {
+			database.recordPosition(sent, writer.MinPosition, now)
+		}
+	}
+}
+
+func (m *Machine) onWriterChanged(change routing.WriterRoleChanged, now time.Duration) {
+	database := m.database(change.Database)
+	m.Count("writer_moves", 1)
+	opened := change.Current.Phase == model.PhaseOpen
+	if opened {
+		database.writerClosedAt, database.closeReported = 0, false
+		if change.Previous.Term != change.Current.Term {
+			database.samples = nil
+		}
+	} else if database.writerClosedAt == 0 {
+		database.writerClosedAt = now
+	}
+	former := m.instance(change.Previous.Primary)
+	termEnded := !opened || change.Current.Term != change.Previous.Term
+	if change.Previous.Phase == model.PhaseOpen && former != nil && termEnded {
+		m.leaveFormerPrimary(database, former, change.Current, now)
+	}
+}
+
+// leaveFormerPrimary takes back from an instance that was the primary what
+// only a primary may run: strict reads go to the next one, transactions that
+// are not being committed are lost.
+func (m *Machine) leaveFormerPrimary(database *databaseState, former *instanceState, current model.WriterRole, now time.Duration) {
+	isFormerTerm := func(term uint64) bool { return current.Phase != model.PhaseOpen || term != current.Term }
+	for _, request := range slices.Clone(database.inFlight) {
+		strictRead := request.phase == phaseInFlight && request.isRetryableRead() && request.strict && len(request.attempts) > 0
+		if strictRead && isFormerTerm(request.term) && request.attempts[0].conn.instance == former {
+			m.requeue(request, now)
+		}
+	}
+	for _, conn := range slices.Clone(former.conns) {
+		owner := conn.owner
+		if owner == nil || owner.transaction == nil || owner.transaction.readOnly || !isFormerTerm(conn.term) {
+			continue
+		}
+		if request := owner.request; request != nil && request.commit && request.isSent() {
+			continue
+		}
+		m.loseTransaction(owner, now)
+	}
+	m.closeIdleConns(former, now)
+}
+
+// UpdateRequest returns the next request for updates to the control primary.
+// It reports that the node has seen the terms that are closing: from then on
+// it confirms no commit of them.
+func (m *Machine) UpdateRequest(now time.Duration) distribution.UpdateRequest {
+	m.EffectiveSet(now)
+	request := m.Routing().DeltaUpdateRequest(m.observations(now), now)
+	request.ListVersion, request.Incarnation = m.listVersion, m.node.Incarnation
+	for _, database := range m.databases.All() {
+		database.closeReported = database.writerClosedAt != 0
+	}
+	return request
+}
+
+// Observations returns what the node has to report to the control primary,
+// less what earlier reports have said.
+func (m *Machine) Observations(now time.Duration) distribution.NodeReport {
+	return m.Routing().DeltaReport(m.observations(now), now)
+}
+
+// Ages of an overdue answer. From reportOverdueAge on an instance is reported;
+// each of suspectAges that its database's primary passes is reported at once.
+var (
+	reportOverdueAge = 300 * time.Millisecond
+	suspectAges      = []time.Duration{reportOverdueAge, 610 * time.Millisecond}
+)
+
+const (
+	// maxReportedRefusals is the number of refused connections in a row from
+	// which further ones are no news.
+	maxReportedRefusals = 2
+	// refusalLevel is the weight of a refusal beside that of a passed age.
+	refusalLevel = 4
+)
+
+// observations has the primaries, and the instances that refuse connections or
+// are overdue.
+func (m *Machine) observations(now time.Duration) distribution.NodeReport {
+	report := distribution.NodeReport{Node: m.node.Name, HighWatermarks: map[string]model.Position{}}
+	for _, instance := range m.instances.All() {
+		overdue := instance.overdue(now)
+		writer := m.Routing().WriterRole(instance.database.name)
+		hasRole := writer.Primary == instance.info.Name || writer.Promoting == instance.info.Name
+		if !hasRole && instance.refusals == 0 && overdue < reportOverdueAge {
+			continue
+		}
+		observed := instance.info
+		observed.Position = instance.position
+		report.Reports = append(report.Reports, distribution.InstanceReport{
+			Instance: observed, ResponseAge: now - instance.lastResponse, RefusedConnections: instance.refusals, OldestStatementAge: overdue,
+		})
+	}
+	for _, database := range m.databases.All() {
+		if database.highWatermark != (model.Position{}) {
+			report.HighWatermarks[database.name] = database.highWatermark
+		}
+	}
+	return report
+}
+
+// reportSuspects asks for a report at once when a primary becomes doubtful.
+func (m *Machine) reportSuspects(now time.Duration) {
+	for _, database := range m.databases.All() {
+		_, primary, open := m.writer(database)
+		if !open {
+			continue
+		}
+		level := primary.suspicionLevel(now)
+		if level > primary.reportedLevel {
+			m.Emit(Report{})
+		}
+		primary.reportedLevel = level
+	}
+}
+
+func (i *instanceState) suspicionLevel(now time.Duration) int {
+	level := min(i.refusals, maxReportedRefusals) * refusalLevel
+	overdue := i.overdue(now)
+	for _, age := range suspectAges {
+		if overdue > age {
+			level++
+		}
+	}
+	return level
+}
