--- a/cmd/tansyseam-control/main.go
+++ b/cmd/tansyseam-control/main.go
@@ -1,4 +1,5 @@
-// Program tansyseam-control is the control plane.
+// Program tansyseam-control is the control plane: it holds the bindings, gives
+// the proxies their configuration and leases, and moves the writer roles.
 package main
 
 import (
@@ -12,40 +13,47 @@
 	"tansyseam/platform"
 )
 
-type adapterSet struct {
+// leaveTimeout bounds the wait for other nodes to take over the roles of a node
+// that stops.
+const leaveTimeout = 5 * time.Second
+
+// outside is what connects a control node to instances and platform.
+type outside struct {
+	// adapters are nil in the product's own mode, which needs none.
 	adapters *control.Adapters
 	start    func() error
 }
 
-var adaptersByMode = map[string]func(*node.Node) adapterSet{
-	"": func(*node.Node) adapterSet { return adapterSet{start: func() error { return nil }} },
-	config.ModePlatform: func(node *node.Node) adapterSet {
-		node.Translate = platform.Translate
-		commands := control.NewCommandClient(node.Workers, platform.Codec(), node.Config().Name)
-		return adapterSet{adapters: &control.Adapters{SendCommand: commands.Send, Promote: control.NewPromoter(node, platform.Promote)}, start: commands.Start}
-	},
+var outsideByMode = map[string]func(*node.Node) outside{
+	"":                  func(*node.Node) outside { return outside{start: func() error { return nil }} },
+	config.ModePlatform: newPlatformOutside,
 }
 
-// leaveBound is how long a machine waits for others to take its roles over.
-const leaveTimeout = 5 * time.Second
+func newPlatformOutside(node *node.Node) outside {
+	node.Translate = platform.Translate
+	commands := control.NewCommandClient(node.Workers, platform.Codec(), node.Config().Name)
+	adapters := &control.Adapters{SendCommand: commands.Send, Promote: control.NewPromoter(node, platform.Promote)}
+	return outside{adapters: adapters, start: commands.Start}
+}
 
-func main() {
-	os.Exit(bootstrap.Main("seamc", os.Args[1:], func(node *node.Node, cfg config.Config) (bootstrap.Daemon, error) {
-		set := adaptersByMode[cfg.Mode](node)
-		server, err := control.Open(node, cfg, set.adapters)
-		if err != nil {
-			return bootstrap.Daemon{}, err
-		}
-		begin := func() error {
-			if err := set.start(); err != nil {
-				return err
-			}
-			server.Start()
-			return nil
+func main() { os.Exit(bootstrap.Main(config.Control, os.Args[1:], open)) }
+
+func open(node *node.Node, cfg config.Config) (bootstrap.Daemon, error) {
+	outside := outsideByMode[cfg.Mode](node)
+	server, err := control.Open(node, cfg, outside.adapters)
+	if err != nil {
+		return bootstrap.Daemon{}, err
+	}
+	start := func() error {
+		if err := outside.start(); err != nil {
+			return err
 		}
-		return bootstrap.Daemon{Start: begin, Drain: func() {
-			server.Leave(leaveTimeout)
-			node.Leave()
-		}}, nil
-	}))
+		server.Start()
+		return nil
+	}
+	drain := func() {
+		server.Leave(leaveTimeout)
+		node.Leave()
+	}
+	return bootstrap.Daemon{Start: start, Drain: drain}, nil
 }
--- a/cmd/tansyseam-proxy/main.go
+++ b/cmd/tansyseam-proxy/main.go
@@ -1,4 +1,6 @@
-// Program tansyseam-proxy is the data plane.
+// Program tansyseam-proxy is the data plane: it takes clients' sessions and
+// routes their statements to the instances over a bounded number of
+// connections.
 package main
 
 import (
@@ -12,26 +14,35 @@
 	"tansyseam/platform"
 )
 
+// openByMode opens the proxy that speaks the protocols of each mode.
 var openByMode = map[string]func(*node.Node) (bootstrap.Daemon, error){
-	"": func(node *node.Node) (bootstrap.Daemon, error) {
-		proxy, err := httpproxy.New(node)
-		if err != nil {
-			return bootstrap.Daemon{}, err
-		}
-		return bootstrap.Daemon{Start: func() error { proxy.Start(); return nil }, Drain: proxy.Drain}, nil
-	},
-	config.ModePlatform: func(node *node.Node) (bootstrap.Daemon, error) {
-		node.Translate = platform.Translate
-		proxy, err := lineproxy.Open(node, platform.Codec())
-		if err != nil {
-			return bootstrap.Daemon{}, err
-		}
-		return bootstrap.Daemon{Start: proxy.Start, Drain: proxy.Drain}, nil
-	},
+	"":                  openHTTPProxy,
+	config.ModePlatform: openLineProxy,
 }
 
 func main() {
-	os.Exit(bootstrap.Main("seamd", os.Args[1:], func(node *node.Node, cfg config.Config) (bootstrap.Daemon, error) {
+	os.Exit(bootstrap.Main(config.Proxy, os.Args[1:], func(node *node.Node, cfg config.Config) (bootstrap.Daemon, error) {
 		return openByMode[cfg.Mode](node)
 	}))
 }
+
+func openHTTPProxy(node *node.Node) (bootstrap.Daemon, error) {
+	proxy, err := httpproxy.New(node)
+	if err != nil {
+		return bootstrap.Daemon{}, err
+	}
+	start := func() error {
+		proxy.Start()
+		return nil
+	}
+	return bootstrap.Daemon{Start: start, Drain: proxy.Drain}, nil
+}
+
+func openLineProxy(node *node.Node) (bootstrap.Daemon, error) {
+	node.Translate = platform.Translate
+	proxy, err := lineproxy.Open(node, platform.Codec())
+	if err != nil {
+		return bootstrap.Daemon{}, err
+	}
+	return bootstrap.Daemon{Start: proxy.Start, Drain: proxy.Drain}, nil
+}
--- a/cmd/tansyseamctl/main.go
+++ b/cmd/tansyseamctl/main.go
@@ -1,4 +1,5 @@
-// Program tansyseamctl is the shell for queries on the fleet's state.
+// Program tansyseamctl is the operators' client: it answers queries on the
+// state of the cluster, one from its arguments or many from a prompt.
 package main
 
 import (
@@ -9,7 +10,6 @@
 
 	"github.com/integrii/flaggy"
 	"github.com/juju/errors"
-	"github.com/lesismal/nbio/logging"
 
 	"tansyseam/internal/app/bootstrap"
 	"tansyseam/internal/app/config"
@@ -17,46 +17,87 @@
 	"tansyseam/internal/transport/worker"
 )
 
+const (
+	program = "tansyseamctl"
+	// maxWords is how many words a query may have.
+	maxWords = 3
+	// stopTimeout bounds the wait for connections to close at the end.
+	stopTimeout = time.Second
+)
+
+// errBadAddress says that the address given is none.
+const errBadAddress = errors.ConstError("--at must be the IP:port of a node's door")
+
+// options are what the arguments say.
+type options struct {
+	address string
+	asJSON  bool
+	// query is empty for a prompt.
+	query string
+}
+
 func main() { os.Exit(execute(os.Args[1:])) }
 
+// execute gives the exit code.
 func execute(args []string) int {
-	logging.SetLogger(bootstrap.SilentLogger{})
-	parser := flaggy.NewParser("tansyseamctl")
-	parser.Description = "queries on the fleet's state; without a query, a prompt. " + "Queries: " + strings.Join(shell.QueryNames(), ", ")
+	bootstrap.DisableEngineLog()
+	parsed, err := parseArguments(args)
+	if err != nil {
+		report(err)
+		return bootstrap.ExitBadConfig
+	}
+	workers := worker.NewGroup()
+	defer workers.Stop(stopTimeout)
+	client, err := shell.New(parsed.address, parsed.asJSON, os.Stdout, workers)
+	if err != nil {
+		report(err)
+		return bootstrap.ExitFailure
+	}
+	return exitCode(run(client, parsed.query))
+}
+
+func parseArguments(args []string) (options, error) {
+	parser := flaggy.NewParser(program)
+	parser.Description = "queries on the fleet's state; without a query, a prompt. Queries: " + strings.Join(shell.QueryNames(), ", ")
 	parser.Version = config.Version
-	address, asJSON := "", false
-	parser.String(&address, "a", "at", "IP:port of any node's door")
-	parser.Bool(&asJSON, "j", "json", "answer in JSON")
-	var words [3]string
-	for at := range words {
-		parser.AddPositionalValue(&words[at], fmt.Sprintf("word%d", at+1), at+1, false, "query and its words")
+	parsed := options{}
+	parser.String(&parsed.address, "a", "at", "IP:port of any node's door")
+	parser.Bool(&parsed.asJSON, "j", "json", "answer in JSON")
+	var words [maxWords]string
+	for index := range words {
+		parser.AddPositionalValue(&words[index], fmt.Sprintf("word%d", index+1), index+1, false, "query and its words")
 	}
 	if err := parser.ParseArgs(args); err != nil {
-		fmt.Fprintln(os.Stderr, "tansyseamctl:", err)
-		return bootstrap.ExitBadConfig
+		return parsed, errors.Trace(err)
 	}
-	if !config.IsIPPort(address) {
-		fmt.Fprintln(os.Stderr, "tansyseamctl: --at must be the IP:port of a node's door")
-		return bootstrap.ExitBadConfig
+	if !config.IsIPPort(parsed.address) {
+		return parsed, errBadAddress
 	}
-	workers := worker.NewGroup()
-	defer workers.Stop(time.Second)
-	client, err := shell.New(address, asJSON, os.Stdout, workers)
+	parsed.query = strings.TrimSpace(strings.Join(words[:], " "))
+	return parsed, nil
+}
+
+// run answers the query, or those typed at a prompt, which reports errors by
+// itself.
+func run(client *shell.Shell, query string) error {
+	if query == "" {
+		return client.RunInteractive(os.Stdin)
+	}
+	err := client.Run(query)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "tansyseamctl:", err)
-		return bootstrap.ExitFailure
+		report(err)
 	}
-	line := strings.TrimSpace(strings.Join(words[:], " "))
-	if line == "" {
-		err = client.RunInteractive(os.Stdin)
-	} else if err = client.Run(line); err != nil {
-		fmt.Fprintln(os.Stderr, "tansyseamctl:", err)
+	return err
+}
+
+func report(err error) { fmt.Fprintf(os.Stderr, "%s: %v\n", program, err) }
+
+func exitCode(err error) int {
+	if err == nil {
+		return bootstrap.ExitOK
 	}
 	if errors.Is(err, shell.ErrBadQuery) {
 		return bootstrap.ExitBadConfig
 	}
-	if err != nil {
-		return bootstrap.ExitFailure
-	}
-	return bootstrap.ExitOK
+	return bootstrap.ExitFailure
 }
--- a/internal/app/bootstrap/bootstrap.go
+++ b/internal/app/bootstrap/bootstrap.go
@@ -1,5 +1,3 @@
-// Package bootstrap is what both programs do from their arguments to their end:
-// settings, logs, signals, reloads and exit codes.
 package bootstrap
 
 import (
@@ -10,14 +8,15 @@
 	"time"
 
 	"github.com/hashicorp/go-hclog"
-	"github.com/lesismal/nbio/logging"
+	"github.com/juju/errors"
 
 	"tansyseam/internal/app/config"
 	"tansyseam/internal/app/node"
+	"tansyseam/internal/state/model"
 	"tansyseam/internal/transport/worker"
 )
 
-// Exit codes.
+// Exit codes of the programs.
 const (
 	ExitOK         = 0
 	ExitFailure    = 1
@@ -25,73 +24,95 @@
 	ExitBadDataDir = 3
 )
 
-// Program is one of the two daemons, opened on a node.
+const (
+	// signalQueueSize is how many signals may wait to be handled.
+	signalQueueSize = 4
+	// fileCheckInterval is how often the configuration file is looked at.
+	fileCheckInterval = 500 * time.Millisecond
+	// countersLogInterval is how often the counters are logged.
+	countersLogInterval = 5 * time.Second
+)
+
+// Daemon is a program that was opened on a node.
 type Daemon struct {
-	// Start begins to act once the node can be met.
+	// Start begins to act; the node was started before.
 	Start func() error
-	// Drain finishes what is under way.
+	// Drain finishes what is in flight.
 	Drain func()
 }
 
-// Silent is a logger for the engine below, whose lines are not state changes.
-type SilentLogger struct{}
-
-// SetLevel does nothing.
-func (SilentLogger) SetLevel(int) {}
-
-// Debug drops a line.
-func (SilentLogger) Debug(string, ...any) {}
-
-// Info drops a line.
-func (SilentLogger) Info(string, ...any) {}
+// kinds are the kinds of node that the programs run, as the nodes name them to
+// each other.
+var kinds = map[config.Program]string{config.Proxy: model.KindProxy, config.Control: model.KindControl}
 
-// Warn drops a line.
-func (SilentLogger) Warn(string, ...any) {}
-
-// Error drops a line.
-func (SilentLogger) Error(string, ...any) {}
-
-// Main runs a daemon and gives its exit code.
-func Main(program string, args []string, open func(*node.Node, config.Config) (Daemon, error)) int {
-	logging.SetLogger(SilentLogger{})
+// Main runs a daemon until a signal stops it, and gives its exit code.
+func Main(program config.Program, args []string, open func(*node.Node, config.Config) (Daemon, error)) int {
+	DisableEngineLog()
 	cfg, err := config.Parse(program, args)
 	if err != nil {
-		for _, line := range config.Reasons(err) {
-			fmt.Fprintln(os.Stderr, program+": "+line)
+		for _, reason := range config.Reasons(err) {
+			fmt.Fprintf(os.Stderr, "%s: %s\n", program, reason)
 		}
 		return ExitBadConfig
 	}
 	if cfg.CheckOnly {
-		fmt.Println(program + ": settings are good")
+		fmt.Printf("%s: settings are good\n", program)
 		return ExitOK
 	}
 	logger := hclog.New(&hclog.LoggerOptions{
-		Name: program, Level: hclog.LevelFromString(cfg.LogLevel), JSONFormat: cfg.LogJSON, Output: os.Stderr,
+		Name: string(program), Level: hclog.LevelFromString(cfg.LogLevel), JSONFormat: cfg.LogJSON, Output: os.Stderr,
 	})
-	signals := make(chan os.Signal, 4)
+	signals := make(chan os.Signal, signalQueueSize)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	node, err := node.New(program, cfg, logger)
+	node, daemon, err := start(program, cfg, logger, open)
 	if err != nil {
 		logger.Error("cannot start", "error", err)
-		return ExitFailure
+		return exitCode(err)
+	}
+	run(node, daemon, newReloader(program, args, node, logger), signals)
+	logger.Info("counters at the end", "counts", node.Counters.Snapshot())
+	node.Stop()
+	return ExitOK
+}
+
+// errNotOpened says that the daemon could not be opened.
+const errNotOpened = errors.ConstError("daemon not opened")
+
+// start opens the daemon on a new node and starts both.
+func start(
+	program config.Program, cfg config.Config, logger hclog.Logger, open func(*node.Node, config.Config) (Daemon, error),
+) (*node.Node, Daemon, error) {
+	node, err := node.New(kinds[program], cfg, logger)
+	if err != nil {
+		return nil, Daemon{}, errors.Trace(err)
 	}
 	daemon, err := open(node, cfg)
 	if err != nil {
-		logger.Error("cannot start", "error", err)
-		return ExitBadDataDir
+		return nil, Daemon{}, errors.WithType(err, errNotOpened)
 	}
 	if err := node.Start(); err != nil {
-		logger.Error("cannot start", "error", err)
-		return ExitFailure
+		return nil, Daemon{}, errors.Trace(err)
 	}
 	if err := daemon.Start(); err != nil {
-		logger.Error("cannot start", "error", err)
-		return ExitFailure
+		return nil, Daemon{}, errors.Trace(err)
 	}
-	reloader := newReloader(program, args, node, logger)
+	return node, daemon, nil
+}
+
+func exitCode(err error) int {
+	if errors.Is(err, errNotOpened) {
+		return ExitBadDataDir
+	}
+	return ExitFailure
+}
+
+// run serves until a signal to stop has come and the daemon is drained.
+func run(node *node.Node, daemon Daemon, reloader *reloader, signals <-chan os.Signal) {
 	drained := make(chan struct{})
-	node.Workers.Loop(nil, 500*time.Millisecond, reloader.checkFile)
-	node.Workers.Loop(nil, 5*time.Second, func() { logger.Debug("counters", "counts", node.Counters.Snapshot()) })
+	node.Workers.Loop(nil, fileCheckInterval, reloader.checkFile)
+	node.Workers.Loop(nil, countersLogInterval, func() {
+		reloader.logger.Debug("counters", "counts", node.Counters.Snapshot())
+	})
 	node.Workers.Go(func() {
 		for {
 			received, ok := worker.Receive(signals, node.Workers.Stopping())
@@ -108,55 +129,4 @@
 		}
 	})
 	<-drained
-	logger.Info("counters at the end", "counts", node.Counters.Snapshot())
-	node.Stop()
-	return ExitOK
-}
-
-type reloader struct {
-	program     string
-	flagValues  map[string]string
-	node        *node.Node
-	logger      hclog.Logger
-	fingerprint string
-}
-
-func newReloader(program string, args []string, node *node.Node, logger hclog.Logger) *reloader {
-	return &reloader{
-		program: program, flagValues: config.FlagValues(program, args), node: node, logger: logger, fingerprint: config.Fingerprint(node.Config().File),
-	}
-}
-
-func (r *reloader) checkFile() {
-	file := r.node.Config().File
-	if file == "" {
-		return
-	}
-	if fingerprint := config.Fingerprint(file); fingerprint != r.fingerprint {
-		r.fingerprint = fingerprint
-		r.reload("file changed")
-	}
-}
-
-func (r *reloader) reload(why string) {
-	old := r.node.Config()
-	r.fingerprint = config.Fingerprint(old.File)
-	loaded, err := config.Load(r.program, old.File, r.flagValues)
-	if err != nil {
-		r.node.Counters.Add("settings_refused", 1)
-		r.logger.Warn("settings refused, the old ones stay in force", "why", why, "faults", config.Reasons(err))
-		return
-	}
-	live, fixed := config.Diff(r.program, old, loaded)
-	if len(fixed) > 0 {
-		r.node.Counters.Add("settings_need_restart", 1)
-		r.logger.Warn("settings that need a restart stay as they were", "names", fixed)
-	}
-	if len(live) == 0 {
-		return
-	}
-	r.node.Reconfigure(config.ApplyLive(r.program, old, loaded))
-	r.logger.SetLevel(hclog.LevelFromString(r.node.Config().LogLevel))
-	r.node.Counters.Add("settings_taken", 1)
-	r.logger.Info("settings taken", "why", why, "names", live)
 }
--- a/internal/app/config/config_test.go
+++ b/internal/app/config/config_test.go
@@ -24,42 +24,42 @@
 		return path
 	}
 	Convey("Good flags are taken, and what is advertised follows what is listened on", t, func() {
-		loaded, err := Load("seamd", "", validFlags)
+		loaded, err := Load(Proxy, "", validFlags)
 		So(err, ShouldBeNil)
 		So(loaded.AdvertiseRPCAddress, ShouldEqual, "127.0.0.1:1")
 		So(loaded.Weight, ShouldEqual, 1)
 	})
 	Convey("Every fault of file and flags is listed at once", t, func() {
 		file := write(`{"name":"bad name","zone":1,"disks":4,"seeds":["127.0.0.1:1","nowhere"],"link":"host:1","extra":true,"weight":{},"link":"x"}`)
-		_, err := Load("seamc", file, map[string]string{"disks": "many", "log_level": "loud"})
+		_, err := Load(Control, file, map[string]string{"disks": "many", "log_level": "loud"})
 		all := strings.Join(Reasons(err), "\n")
-		for _, part := range []string{"/name", "/extra", "/link", "/seeds", "--disks", "/data", "/platform", "/log_level", "/door", "twice", "/weight: no such setting of seamc"} {
+		for _, part := range []string{"/name", "/extra", "/link", "/seeds", "--disks", "/data", "/platform", "/log_level", "/door", "twice", "/weight: no such setting of tansyseam-control"} {
 			So(all, ShouldContainSubstring, part)
 		}
 		So(len(Reasons(err)), ShouldBeGreaterThanOrEqualTo, 10)
 	})
 	Convey("A file that is no JSON object, or that is missing, is said to be so", t, func() {
-		_, err := Load("seamd", write(`[1]`), validFlags)
+		_, err := Load(Proxy, write(`[1]`), validFlags)
 		So(Reasons(err)[0], ShouldContainSubstring, "one object")
-		_, err = Load("seamd", filepath.Join(t.TempDir(), "none"), validFlags)
+		_, err = Load(Proxy, filepath.Join(t.TempDir(), "none"), validFlags)
 		So(err, ShouldNotBeNil)
 	})
 	Convey("Flags win over the file, and are kept on a reload", t, func() {
 		file := write(`{"weight":3,"zone":"zz"}`)
-		loaded, err := Load("seamd", file, validFlags)
+		loaded, err := Load(Proxy, file, validFlags)
 		So(err, ShouldBeNil)
 		So(loaded.Weight, ShouldEqual, 3)
 		So(loaded.Zone, ShouldEqual, "za")
-		So(FlagValues("seamd", []string{"--zone", "za", "--weight=2", "--check"}), ShouldResemble, map[string]string{"zone": "za", "weight": "2"})
+		So(FlagValues(Proxy, []string{"--zone", "za", "--weight=2", "--check"}), ShouldResemble, map[string]string{"zone": "za", "weight": "2"})
 	})
 	Convey("A change is split into what may change while running and what needs a restart", t, func() {
-		old, _ := Load("seamd", "", validFlags)
+		old, _ := Load(Proxy, "", validFlags)
 		new := old
 		new.Weight, new.Zone, new.LogLevel = 4, "zb", "debug"
-		live, fixed := Diff("seamd", old, new)
+		live, fixed := Diff(Proxy, old, new)
 		So(live, ShouldResemble, []string{"weight", "log_level"})
 		So(fixed, ShouldResemble, []string{"zone"})
-		adopted := ApplyLive("seamd", old, new)
+		adopted := ApplyLive(Proxy, old, new)
 		So(adopted.Weight, ShouldEqual, 4)
 		So(adopted.Zone, ShouldEqual, "za")
 	})
@@ -67,20 +67,20 @@
 
 func TestDurationBounds(t *testing.T) {
 	Convey("Spans are read in the unit that their name gives, have defaults, and are held to their bounds", t, func() {
-		loaded, err := Load("seamd", "", validFlags)
+		loaded, err := Load(Proxy, "", validFlags)
 		So(err, ShouldBeNil)
 		So([]time.Duration{loaded.ShutdownGrace, loaded.InstanceDrain}, ShouldResemble, []time.Duration{6 * time.Second, 7 * time.Second})
 		given := maps.Clone(validFlags)
 		given["grace_s"], given["drain_ms"] = "4.5", "5000"
-		loaded, err = Load("seamd", "", given)
+		loaded, err = Load(Proxy, "", given)
 		So(err, ShouldBeNil)
 		So([]time.Duration{loaded.ShutdownGrace, loaded.InstanceDrain}, ShouldResemble, []time.Duration{4500 * time.Millisecond, 5 * time.Second})
 		given["grace_s"], given["drain_ms"] = "1", "soon"
-		_, err = Load("seamd", "", given)
+		_, err = Load(Proxy, "", given)
 		all := strings.Join(Reasons(err), "\n")
 		So(all, ShouldContainSubstring, "/grace_s: must be")
 		So(all, ShouldContainSubstring, "--drain-ms: not a number")
-		_, err = Load("seamc", "", map[string]string{"in_force_ms": "1000"})
+		_, err = Load(Control, "", map[string]string{"in_force_ms": "1000"})
 		So(strings.Join(Reasons(err), "\n"), ShouldContainSubstring, "/in_force_ms: must be")
 	})
 }
--- /dev/null
+++ b/internal/app/config/errors.go
@@ -0,0 +1,36 @@
+package config
+
+import (
+	"strings"
+
+	"github.com/juju/errors"
+	"go.uber.org/multierr"
+)
+
+// ErrInvalid says that a configuration cannot be used.
+const ErrInvalid = errors.ConstError("settings cannot be used")
+
+// InvalidError is the error of a configuration that cannot be used, with every
+// reason. It comes as an ErrInvalid.
+type InvalidError struct{ Reasons []string }
+
+func (e *InvalidError) Error() string {
+	return "settings cannot be used: " + strings.Join(e.Reasons, "; ")
+}
+
+func newInvalidError(failures error) error {
+	invalid := &InvalidError{}
+	for _, failure := range multierr.Errors(failures) {
+		invalid.Reasons = append(invalid.Reasons, failure.Error())
+	}
+	return errors.WithType(invalid, ErrInvalid)
+}
+
+// Reasons lists every reason behind an error of Parse or Load.
+func Reasons(err error) []string {
+	var invalid *InvalidError
+	if errors.As(err, &invalid) {
+		return invalid.Reasons
+	}
+	return []string{err.Error()}
+}
--- /dev/null
+++ b/internal/app/config/reload.go
@@ -0,0 +1,64 @@
+package config
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"os"
+	"strings"
+)
+
+// Diff compares a new configuration with the one in force: the settings that
+// differ and may change while the program runs, and those that need a restart.
+func Diff(program Program, old, new Config) (live, fixed []string) {
+	for _, s := range settingsOf(program) {
+		if s.format(old) == s.format(new) {
+			continue
+		}
+		if s.reloadable {
+			live = append(live, s.name)
+			continue
+		}
+		fixed = append(fixed, s.name)
+	}
+	return live, fixed
+}
+
+// ApplyLive gives the old configuration with those settings of the new one
+// that may change while the program runs.
+func ApplyLive(program Program, old, new Config) Config {
+	for _, s := range settingsOf(program) {
+		if s.reloadable {
+			// What format writes, parse reads.
+			_ = s.parse(&old, s.format(new))
+		}
+	}
+	return old
+}
+
+// Fingerprint gives a digest of a file, by which a change is noticed; it is
+// empty where the file cannot be read.
+func Fingerprint(file string) string {
+	data, err := os.ReadFile(file)
+	if err != nil {
+		return ""
+	}
+	return fmt.Sprintf("%x", sha256.Sum256(data))
+}
+
+// FlagValues gives the values of the flags among the arguments by setting. They
+// take precedence over the file on a reload too.
+func FlagValues(program Program, args []string) map[string]string {
+	values := map[string]string{}
+	for _, s := range settingsOf(program) {
+		flag := "--" + s.flag()
+		for index, arg := range args {
+			if arg == flag && index+1 < len(args) {
+				values[s.name] = args[index+1]
+			}
+			if value, joined := strings.CutPrefix(arg, flag+"="); joined {
+				values[s.name] = value
+			}
+		}
+	}
+	return values
+}
