--- a/internal/app/control/instances_test.go
+++ b/internal/app/control/instances_test.go
@@ -7,6 +7,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
+	"tansyseam/internal/app/node"
 	"tansyseam/internal/state/model"
 )
 
@@ -19,8 +20,8 @@
 		h.runPending()
 		status, answer := h.node.Announce(announced("i-1", model.RoleReplica, 4))
 		So(status, ShouldEqual, http.StatusOK)
-		So(answer.(map[string]any)["door"], ShouldEqual, "127.0.0.1:2")
-		SoMsg("the doors of all nodes, which a synced instance does not ask for", answer.(map[string]any)["nodes"], ShouldBeEmpty)
+		So(*answer.(node.AnnounceResponse).HTTPAddress, ShouldEqual, "127.0.0.1:2")
+		SoMsg("the doors of all nodes, which a synced instance does not ask for", answer.(node.AnnounceResponse).Nodes, ShouldBeEmpty)
 		late := announced("i-1", model.RolePrimary, 4)
 		status, _ = h.node.Announce(late)
 		So(status, ShouldEqual, http.StatusOK)
--- /dev/null
+++ b/internal/app/node/calls.go
@@ -0,0 +1,129 @@
+package node
+
+import (
+	"encoding/json"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/valyala/fastjson"
+
+	"tansyseam/internal/protocol/schema"
+	"tansyseam/internal/transport/httpserver"
+)
+
+// CallHandler serves one call of the HTTP interface, whose body has the shape
+// that the schema gives it. It returns the HTTP status and the body of the
+// answer, either encoded as []byte or as a value for JSON.
+type CallHandler func(body *fastjson.Value, raw []byte, request *http.Request) (int, any)
+
+// Outcomes of a call that was not answered by the one who decides.
+const (
+	// OutcomeNotKept says that the call changed nothing.
+	OutcomeNotKept = "not_kept"
+	// OutcomeUnknown says that the call may have taken effect.
+	OutcomeUnknown = "unknown"
+)
+
+// encodeFailure is the answer if an answer cannot be encoded.
+const encodeFailure = `{"error":"answer could not be written","faults":[]}`
+
+// ErrorResponse is the body of an answer to a call that failed.
+type ErrorResponse struct {
+	Error            string             `json:"error"`
+	Faults           []schema.Violation `json:"faults"`
+	Sequence         *uint64            `json:"sequence,omitempty"`
+	Outcome          string             `json:"outcome,omitempty"`
+	RetryAfterMillis int64              `json:"retry_after_ms,omitempty"`
+}
+
+// NewErrorResponse returns the body for an error.
+func NewErrorResponse(text string, violations ...schema.Violation) ErrorResponse {
+	if violations == nil {
+		violations = []schema.Violation{}
+	}
+	return ErrorResponse{Error: text, Faults: violations}
+}
+
+type countersResponse struct {
+	Counters map[string]int64 `json:"counters"`
+	Node     string           `json:"node"`
+}
+
+// HandleCall sets the handler of a call by its path.
+func (n *Node) HandleCall(path string, handle CallHandler) { n.callHandlers[path] = handle }
+
+// OnDisconnect sets the function that is called when a caller's connection ends.
+func (n *Node) OnDisconnect(handle func(remoteAddress string)) { n.onDisconnect = handle }
+
+func (n *Node) serveHTTP(w http.ResponseWriter, r *http.Request) {
+	if r.URL.Path == "/v1/schema" {
+		w.Header().Set("Content-Type", "application/schema+json")
+		_, _ = w.Write(schema.Document())
+		return
+	}
+	body, err := httpserver.ReadBody(r)
+	if err != nil {
+		n.Counters.Add("calls_oversized", 1)
+		n.WriteResponse(w, http.StatusRequestEntityTooLarge, NewErrorResponse("body too large"))
+		return
+	}
+	path := r.URL.Path
+	convertAnswer := func(status int, answer []byte) (int, []byte) { return status, answer }
+	if n.Translate != nil {
+		if translation, ok := n.Translate(r.Method, path, body); ok {
+			path, body = translation.Path, translation.Body
+			if translation.Answer != nil {
+				convertAnswer = translation.Answer
+			}
+		}
+	}
+	status, answer := n.encode(n.dispatchCall(path, body, r))
+	status, answer = convertAnswer(status, answer)
+	n.WriteResponse(w, status, answer)
+}
+
+func (n *Node) dispatchCall(path string, raw []byte, r *http.Request) (int, any) {
+	handle, known := n.callHandlers[path]
+	if !known {
+		return http.StatusNotFound, NewErrorResponse("no such call: " + path)
+	}
+	body, violations := n.Schemas.ValidateRequest(path, raw)
+	if len(violations) > 0 {
+		n.Counters.Add("calls_bad_shape", 1)
+		return http.StatusBadRequest, NewErrorResponse("the call does not have the shape that the schema gives it", violations...)
+	}
+	return handle(body, raw, r)
+}
+
+func (n *Node) encode(status int, answer any) (int, []byte) {
+	if encoded, ok := answer.([]byte); ok {
+		return status, encoded
+	}
+	encoded, err := json.Marshal(answer)
+	if err != nil {
+		n.Counters.Add("answer_encode_faults", 1)
+		return http.StatusInternalServerError, []byte(encodeFailure)
+	}
+	return status, encoded
+}
+
+// WriteResponse sends the answer to a call. If the answer asks the caller to try
+// again later, the header Retry-After says so too, in whole seconds.
+func (n *Node) WriteResponse(w http.ResponseWriter, status int, answer any) {
+	status, encoded := n.encode(status, answer)
+	w.Header().Set("Content-Type", "application/json")
+	if status == http.StatusServiceUnavailable {
+		w.Header().Set("Retry-After", retryAfter(encoded))
+	}
+	w.WriteHeader(status)
+	_, _ = w.Write(encoded)
+}
+
+// retryAfter returns the delay that an answer gives, in whole seconds and at
+// least one.
+func retryAfter(answer []byte) string {
+	delay := time.Duration(fastjson.GetInt(answer, "retry_after_ms")) * time.Millisecond
+	seconds := int64((delay + time.Second - 1) / time.Second)
+	return strconv.FormatInt(max(1, seconds), 10)
+}
--- /dev/null
+++ b/internal/app/node/epoch.go
@@ -0,0 +1,59 @@
+package node
+
+import (
+	"tansyseam/internal/coordination/consensus"
+	"tansyseam/internal/coordination/membership"
+	"tansyseam/internal/protocol/message"
+	"tansyseam/internal/state/model"
+)
+
+func (n *Node) onEpochChanged(_ string, changed message.EpochChanged, _ func(any)) {
+	n.ObserveEpoch(changed.Record)
+}
+
+// ObserveEpoch keeps an epoch record if it is newer than the one that is known.
+// A record with another primary ends the update requests that are under way.
+func (n *Node) ObserveEpoch(record consensus.Record) {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	if record.Epoch <= n.epochRecord.Epoch {
+		return
+	}
+	if record.Primary != n.epochRecord.Primary {
+		close(n.primaryChanged)
+		n.primaryChanged = make(chan struct{})
+	}
+	n.epochRecord = record
+}
+
+// primaryChange returns a channel that is closed when a record names another
+// primary than now.
+func (n *Node) primaryChange() <-chan struct{} {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	return n.primaryChanged
+}
+
+// EpochRecord returns the newest epoch record that the node has seen.
+func (n *Node) EpochRecord() consensus.Record {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	return n.epochRecord
+}
+
+// ControlPrimary returns the RPC address of the control primary, "" if it is not
+// known, and all control nodes that may know it: the live ones, or the dead ones
+// if none is live.
+func (n *Node) ControlPrimary() (string, []model.Node) {
+	record := n.EpochRecord()
+	nodes := n.Nodes(model.KindControl, membership.StatusLive)
+	if len(nodes) == 0 {
+		nodes = n.Nodes(model.KindControl, membership.StatusDead)
+	}
+	for _, node := range nodes {
+		if node.Name == record.Primary {
+			return node.RPCAddress, nodes
+		}
+	}
+	return "", nodes
+}
--- /dev/null
+++ b/internal/app/node/instances.go
@@ -0,0 +1,192 @@
+package node
+
+import (
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"tansyseam/internal/state/model"
+)
+
+const (
+	// instanceLifetime is how long an instance is kept after its last
+	// announcement.
+	instanceLifetime = 5 * time.Minute
+	// sweepInterval is the least time between two removals of expired instances.
+	sweepInterval = 10 * time.Second
+	// numberLifetime is how long the number of an instance's last announcement
+	// counts. An instance that restarted begins with low numbers again.
+	numberLifetime = 5 * time.Second
+)
+
+// AnnouncedInstance is an instance with the time of its last announcement, by
+// the node's monotonic clock.
+type AnnouncedInstance struct {
+	Instance    model.Instance
+	AnnouncedAt time.Duration
+}
+
+// isStale says whether an announcement of the same instance is older than this
+// one, which is known of instances that number their announcements.
+func (a AnnouncedInstance) isStale(instance model.Instance, now time.Duration) bool {
+	behind := instance.SyncReplication && instance.AnnouncementNumber <= a.Instance.AnnouncementNumber
+	return behind && (a.Instance.Stopped || now-a.AnnouncedAt < numberLifetime)
+}
+
+// announcementResult is what became of an announcement.
+type announcementResult int
+
+const (
+	// announcementUnknown is of an instance that stopped and was not known.
+	announcementUnknown announcementResult = iota
+	// announcementConflicting is of an instance of another database than before.
+	announcementConflicting
+	// announcementStale came after a newer one.
+	announcementStale
+	// announcementRecorded is in the table.
+	announcementRecorded
+)
+
+// instanceTable holds the last announcement of each instance.
+type instanceTable struct {
+	byName     map[string]*AnnouncedInstance
+	byDatabase map[string]map[string]*AnnouncedInstance
+	lastSweep  time.Duration
+}
+
+func newInstanceTable() instanceTable {
+	return instanceTable{byName: map[string]*AnnouncedInstance{}, byDatabase: map[string]map[string]*AnnouncedInstance{}}
+}
+
+// record puts an announcement into the table. It returns the instance as it was
+// recorded, and whether that is an event worth logging.
+func (t *instanceTable) record(instance model.Instance, now time.Duration) (recorded model.Instance, changed bool, result announcementResult) {
+	previous, known := t.byName[instance.Name]
+	if instance.Stopped && instance.Database == "" {
+		if !known {
+			return instance, false, announcementUnknown
+		}
+		instance = stoppedAfter(previous.Instance)
+	}
+	if known && instance.ConflictsWith(previous.Instance) {
+		return instance, false, announcementConflicting
+	}
+	if known && previous.isStale(instance, now) {
+		return instance, false, announcementStale
+	}
+	t.put(&AnnouncedInstance{Instance: instance, AnnouncedAt: now})
+	if now > t.lastSweep+sweepInterval {
+		t.lastSweep = now
+		t.sweep(now)
+	}
+	return instance, !known || stateChanged(previous.Instance, instance), announcementRecorded
+}
+
+// stoppedAfter returns the entry of an instance whose last announcement says
+// only that it has stopped.
+func stoppedAfter(previous model.Instance) model.Instance {
+	stopped := previous
+	stopped.Stopped, stopped.Leaving = true, true
+	stopped.AnnouncementNumber++
+	return stopped
+}
+
+func stateChanged(previous, instance model.Instance) bool {
+	return previous.Role != instance.Role || previous.Incarnation != instance.Incarnation ||
+		previous.Leaving != instance.Leaving || previous.Stopped != instance.Stopped
+}
+
+func (t *instanceTable) put(announced *AnnouncedInstance) {
+	instance := announced.Instance
+	t.byName[instance.Name] = announced
+	if t.byDatabase[instance.Database] == nil {
+		t.byDatabase[instance.Database] = map[string]*AnnouncedInstance{}
+	}
+	t.byDatabase[instance.Database][instance.Name] = announced
+}
+
+// sweep removes the instances that have expired.
+func (t *instanceTable) sweep(now time.Duration) {
+	expired := func(_ string, announced *AnnouncedInstance) bool { return now-announced.AnnouncedAt > instanceLifetime }
+	maps.DeleteFunc(t.byName, expired)
+	for database, instances := range t.byDatabase {
+		maps.DeleteFunc(instances, expired)
+		if len(instances) == 0 {
+			delete(t.byDatabase, database)
+		}
+	}
+}
+
+// recentInstances returns the instances whose last announcement is not older
+// than maxAge, sorted by name.
+func recentInstances(instances map[string]*AnnouncedInstance, now, maxAge time.Duration) []AnnouncedInstance {
+	var recent []AnnouncedInstance
+	for _, announced := range instances {
+		if now-announced.AnnouncedAt <= maxAge {
+			recent = append(recent, *announced)
+		}
+	}
+	slices.SortFunc(recent, func(a, b AnnouncedInstance) int { return strings.Compare(a.Instance.Name, b.Instance.Name) })
+	return recent
+}
+
+// Instances returns the instances that announced themselves within maxAge,
+// sorted by name.
+func (n *Node) Instances(maxAge time.Duration) []AnnouncedInstance {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	return recentInstances(n.instances.byName, n.Now(), maxAge)
+}
+
+// DatabaseInstances is Instances for one database.
+func (n *Node) DatabaseInstances(database string, maxAge time.Duration) []AnnouncedInstance {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	return recentInstances(n.instances.byDatabase[database], n.Now(), maxAge)
+}
+
+// Instance returns an instance as it last announced itself.
+func (n *Node) Instance(name string) (AnnouncedInstance, bool) {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	announced, found := n.instances.byName[name]
+	if !found {
+		return AnnouncedInstance{}, false
+	}
+	return *announced, true
+}
+
+// RecordAnnouncement takes what an instance announced. It returns false if the
+// instance belongs to another database than it announced before. A stale
+// announcement changes nothing and is no error.
+func (n *Node) RecordAnnouncement(instance model.Instance) bool {
+	n.mutex.Lock()
+	recorded, changed, result := n.instances.record(instance, n.Now())
+	n.mutex.Unlock()
+	if result != announcementRecorded {
+		n.countUnrecorded(result)
+		return result != announcementConflicting
+	}
+	if changed {
+		n.Log.Info("instance changed", "instance", recorded.Name, "role", recorded.Role, "term", recorded.Term,
+			"leaving", recorded.Leaving, "stopped", recorded.Stopped)
+	}
+	n.Counters.Add("announcements", 1)
+	if n.onInstance != nil {
+		n.onInstance(recorded)
+	}
+	return true
+}
+
+func (n *Node) countUnrecorded(result announcementResult) {
+	if result == announcementConflicting {
+		n.Counters.Add("announcements_foreign", 1)
+	}
+	if result == announcementStale {
+		n.Counters.Add("announcements_late", 1)
+	}
+}
+
+// OnInstance sets the function that is called with each recorded announcement.
+func (n *Node) OnInstance(handle func(model.Instance)) { n.onInstance = handle }
--- a/internal/app/node/search_test.go
+++ b/internal/app/node/search_test.go
@@ -10,24 +10,24 @@
 )
 
 func TestPrimarySearch(t *testing.T) {
-	Convey("Asks that bring no news go round all control machines, however many there are", t, func() {
+	Convey("Requests without an update go to all control nodes in turn, however many there are", t, func() {
 		for _, primary := range []string{"", "gone"} {
 			for count := 1; count <= 9; count++ {
 				var nodes []model.Node
 				for number := range count {
 					nodes = append(nodes, model.Node{RPCAddress: fmt.Sprint("link", number)})
 				}
-				asked := map[string]int{}
+				requests := map[string]int{}
 				for misses := range 3 * count {
-					asked[PrimarySearch{Misses: misses}.target(primary, nodes)]++
+					requests[PrimarySearch{Misses: misses}.target(primary, nodes)]++
 				}
 				for _, node := range nodes {
-					SoMsg(fmt.Sprintf("%s of %d, primary %q", node.RPCAddress, count, primary), asked[node.RPCAddress], ShouldBeGreaterThan, 0)
+					SoMsg(fmt.Sprintf("%s of %d, primary %q", node.RPCAddress, count, primary), requests[node.RPCAddress], ShouldBeGreaterThan, 0)
 				}
 			}
 		}
 	})
-	Convey("The primary is asked first, and two times of three after", t, func() {
+	Convey("The primary is asked first, and two of three times from then on", t, func() {
 		nodes := []model.Node{{RPCAddress: "a"}, {RPCAddress: "b"}, {RPCAddress: "c"}}
 		for misses := range 12 {
 			So(PrimarySearch{Misses: misses}.target("primary", nodes) == "primary", ShouldEqual, misses%3 != 2)
--- a/internal/app/node/update.go
+++ b/internal/app/node/update.go
@@ -8,55 +8,41 @@
 
 	"tansyseam/internal/coordination/distribution"
 	"tansyseam/internal/protocol/message"
-	"tansyseam/internal/state/model"
 	"tansyseam/internal/transport/worker"
 )
 
-// ErrNoPeer says that no peer that passes asks on is known.
+// ErrNoPeer says that no peer is known that could forward a request.
 const ErrNoPeer = errors.ConstError("no such peer")
 
-// Seeker is how one node's asks for news have gone lately.
-type PrimarySearch struct {
-	// Misses counts the asks in a row that brought none, Silent those of them
-	// that nobody answered at all.
-	Misses, Unanswered int
-}
-
-func (s PrimarySearch) target(primary string, nodes []model.Node) string {
-	if len(nodes) == 0 || (primary != "" && s.Misses%3 != 2) {
-		return primary
-	}
-	turn := s.Misses
-	if primary != "" {
-		turn /= 3
-	}
-	return nodes[turn%len(nodes)].RPCAddress
-}
+// attempt is one way of a request: directly, or through a peer.
+type attempt func() (any, error)
 
-// AskNews asks the control primary, or whoever may know it, for news. After an
-// ask that nobody answered the next goes through a peer of its kind as well, in
-// case only the way to the primary is cut. It ends as soon as another control
-// primary is heard of.
-func (n *Node) RequestUpdate(ask distribution.UpdateRequest, search *PrimarySearch, timeout time.Duration) (distribution.Update, bool) {
+// RequestUpdate requests an update of the configuration from the control
+// primary, or from a control node that may know it. After a request that nobody
+// answered the next is also sent through a peer, in case that only the network
+// to the primary is partitioned. It returns false if no primary answered in time,
+// and as soon as another node has become primary.
+func (n *Node) RequestUpdate(request distribution.UpdateRequest, search *PrimarySearch, timeout time.Duration) (distribution.Update, bool) {
 	primaryChanged := n.primaryChange()
 	primary, nodes := n.ControlPrimary()
 	if primary == "" && len(nodes) == 0 {
 		return distribution.Update{}, false
 	}
-	address, silent := search.target(primary, nodes), search.Unanswered
-	ways := []func() (any, error){func() (any, error) { return n.Hub.Call(address, ask, timeout) }}
-	if primary != "" && silent > 0 {
-		ask.WithoutLease = false
-		ways = append(ways, func() (any, error) { return n.requestThroughPeer(ask, silent, timeout) })
+	address, unanswered := search.target(primary, nodes), search.Unanswered
+	attempts := []attempt{func() (any, error) { return n.Hub.Call(address, request, timeout) }}
+	if primary != "" && unanswered > 0 {
+		// The first of two answers is used, so that neither may give up a lease.
+		request.WithoutLease = false
+		attempts = append(attempts, func() (any, error) { return n.requestThroughPeer(request, unanswered, timeout) })
 	}
 	search.Misses++
 	search.Unanswered++
-	for news := range n.firstUpdates(ways, primaryChanged) {
-		n.ObserveEpoch(news.Record)
+	for update := range n.updates(attempts, primaryChanged) {
+		n.ObserveEpoch(update.Record)
 		search.Unanswered = 0
-		if news.FromPrimary {
+		if update.FromPrimary {
 			search.Misses = 0
-			return news, true
+			return update, true
 		}
 	}
 	if search.Unanswered > 0 {
@@ -65,58 +51,59 @@
 	return distribution.Update{}, false
 }
 
-// race gives the answers as they come, until all ways have ended or another
-// control primary is heard of.
-func (n *Node) firstUpdates(ways []func() (any, error), primaryChanged <-chan struct{}) iter.Seq[distribution.Update] {
+// updates makes all attempts at once and yields their answers as they come,
+// until all have ended or another node has become primary.
+func (n *Node) updates(attempts []attempt, primaryChanged <-chan struct{}) iter.Seq[distribution.Update] {
 	type outcome struct {
 		reply any
 		err   error
 	}
-	ended := make(chan outcome, len(ways))
-	for _, way := range ways {
+	outcomes := make(chan outcome, len(attempts))
+	for _, call := range attempts {
 		n.Workers.Go(func() {
-			reply, err := way()
-			ended <- outcome{reply, err}
+			reply, err := call()
+			outcomes <- outcome{reply, err}
 		})
 	}
 	return func(yield func(distribution.Update) bool) {
-		for range ways {
-			one, isEnded := worker.Receive(ended, primaryChanged)
-			if !isEnded {
+		for range attempts {
+			ended, ok := worker.Receive(outcomes, primaryChanged)
+			if !ok {
 				n.Counters.Add("news_turned", 1)
 				return
 			}
-			news, isNews := one.reply.(distribution.Update)
-			if one.err == nil && isNews && !yield(news) {
+			update, isUpdate := ended.reply.(distribution.Update)
+			if ended.err == nil && isUpdate && !yield(update) {
 				return
 			}
 		}
 	}
 }
 
-func (n *Node) requestThroughPeer(ask distribution.UpdateRequest, silent int, timeout time.Duration) (any, error) {
+func (n *Node) requestThroughPeer(request distribution.UpdateRequest, unanswered int, timeout time.Duration) (any, error) {
 	peers := n.Peers()
 	if len(peers) == 0 {
 		return nil, ErrNoPeer
 	}
-	peer := peers[silent%len(peers)]
-	ask.ForwardedBy = peer.Name
+	peer := peers[unanswered%len(peers)]
+	request.ForwardedBy = peer.Name
 	n.Counters.Add("news_through_peer", 1)
-	return n.Hub.Call(peer.RPCAddress, message.ForwardUpdateRequest{Request: ask}, timeout)
+	return n.Hub.Call(peer.RPCAddress, message.ForwardUpdateRequest{Request: request}, timeout)
 }
 
-// OnPassNews passes a peer's asks on to the control primary. Where that is not
-// known, does not answer or is no longer primary, the peer is told so at once.
+// ForwardUpdateRequests has the node forward its peers' requests to the control
+// primary. If the primary is not known, does not answer in time or is no longer
+// primary, the peer is answered at once with the newest epoch record.
 func (n *Node) ForwardUpdateRequests(timeout time.Duration) {
-	HandleMessage(n, func(_ string, pass message.ForwardUpdateRequest, answer func(any)) {
+	HandleMessage(n, func(_ string, forward message.ForwardUpdateRequest, reply func(any)) {
 		primaryChanged := n.primaryChange()
 		if address, _ := n.ControlPrimary(); address != "" {
-			ask := func() (any, error) { return n.Hub.Call(address, pass.Request, timeout) }
-			for news := range n.firstUpdates([]func() (any, error){ask}, primaryChanged) {
-				answer(news)
+			call := func() (any, error) { return n.Hub.Call(address, forward.Request, timeout) }
+			for update := range n.updates([]attempt{call}, primaryChanged) {
+				reply(update)
 				return
 			}
 		}
-		answer(distribution.Update{Record: n.EpochRecord()})
+		reply(distribution.Update{Record: n.EpochRecord()})
 	})
 }
--- a/internal/app/node/update_test.go
+++ b/internal/app/node/update_test.go
@@ -25,7 +25,7 @@
 	return listener.Addr().String()
 }
 
-// asking is a node that knows control machines by name, and its ask.
+// testNode is a node whose peers are hubs of the test.
 type testNode struct {
 	*Node
 	workers *worker.Group
@@ -37,85 +37,85 @@
 	node, err := New(model.KindProxy, nodeConfig, hclog.NewNullLogger())
 	So(err, ShouldBeNil)
 	So(node.Start(), ShouldBeNil)
-	a := &testNode{Node: node, workers: worker.NewGroup()}
+	n := &testNode{Node: node, workers: worker.NewGroup()}
 	Reset(func() {
-		a.Stop()
-		a.workers.Stop(5 * time.Second)
+		n.Stop()
+		n.workers.Stop(5 * time.Second)
 	})
-	return a
+	return n
 }
 
-func (a *testNode) addPeer(name, kind string, act rpc.Handler) {
+func (n *testNode) addPeer(name, kind string, handler rpc.Handler) {
 	address := freePort()
-	hub := rpc.NewHub(name, address, a.workers, &worker.Counters{}, act)
+	hub := rpc.NewHub(name, address, n.workers, &worker.Counters{}, handler)
 	So(hub.Listen(), ShouldBeNil)
 	Reset(hub.Close)
-	a.stepMembership(membership.GossipReceived{Gossip: membership.Gossip{From: model.Node{Name: name, Kind: kind, RPCAddress: address, Incarnation: 1, Heartbeat: 1}}})
+	n.stepMembership(membership.GossipReceived{Gossip: membership.Gossip{From: model.Node{Name: name, Kind: kind, RPCAddress: address, Incarnation: 1, Heartbeat: 1}}})
 }
 
-func (a *testNode) requestUpdate(search *PrimarySearch, timeout time.Duration) chan bool {
-	over := make(chan bool, 1)
+func (n *testNode) requestUpdate(search *PrimarySearch, timeout time.Duration) chan bool {
+	result := make(chan bool, 1)
 	go func() {
-		_, isGood := a.RequestUpdate(distribution.UpdateRequest{Node: "d1", Kind: model.KindProxy, WithoutLease: true}, search, timeout)
-		over <- isGood
+		_, updated := n.RequestUpdate(distribution.UpdateRequest{Node: "d1", Kind: model.KindProxy, WithoutLease: true}, search, timeout)
+		result <- updated
 	}()
-	return over
+	return result
 }
 
 func TestUpdateRequestsWithSilentPrimary(t *testing.T) {
-	primary := func(_ string, body any, answer func(any)) {
-		if _, isAsk := body.(distribution.UpdateRequest); isAsk {
-			answer(distribution.Update{FromPrimary: true, Record: consensus.Record{Epoch: 2, Primary: "c2"}})
+	primary := func(_ string, body any, reply func(any)) {
+		if _, ok := body.(distribution.UpdateRequest); ok {
+			reply(distribution.Update{FromPrimary: true, Record: consensus.Record{Epoch: 2, Primary: "c2"}})
 		}
 	}
-	Convey("Given a node whose control primary hears and does not answer", t, func() {
-		a := newTestNode()
-		heard := make(chan bool, 10)
-		a.addPeer("c1", model.KindControl, func(_ string, body any, _ func(any)) {
-			if ask, isAsk := body.(distribution.UpdateRequest); isAsk {
-				heard <- ask.WithoutLease
+	Convey("Given a node whose control primary receives requests and does not answer", t, func() {
+		n := newTestNode()
+		requests := make(chan bool, 10)
+		n.addPeer("c1", model.KindControl, func(_ string, body any, _ func(any)) {
+			if request, ok := body.(distribution.UpdateRequest); ok {
+				requests <- request.WithoutLease
 			}
 		})
-		a.ObserveEpoch(consensus.Record{Epoch: 1, Primary: "c1"})
-		Convey("It gives up the ask that is out when it hears of another primary, and asks that one", func() {
-			a.addPeer("c2", model.KindControl, primary)
-			over := a.requestUpdate(&PrimarySearch{}, time.Hour)
-			isBare, _ := worker.Receive(heard, time.After(time.Minute))
-			So(isBare, ShouldBeTrue)
-			a.dispatchMessage("c2", message.EpochChanged{Record: consensus.Record{Epoch: 2, Primary: "c2"}}, nil)
-			isGood, isOver := worker.Receive(over, time.After(time.Minute))
-			So(isOver, ShouldBeTrue)
-			So(isGood, ShouldBeFalse)
-			isGood, _ = worker.Receive(a.requestUpdate(&PrimarySearch{}, time.Hour), time.After(time.Minute))
-			So(isGood, ShouldBeTrue)
+		n.ObserveEpoch(consensus.Record{Epoch: 1, Primary: "c1"})
+		Convey("It abandons the request in flight when another node becomes primary, and sends the next one there", func() {
+			n.addPeer("c2", model.KindControl, primary)
+			result := n.requestUpdate(&PrimarySearch{}, time.Hour)
+			withoutLease, _ := worker.Receive(requests, time.After(time.Minute))
+			So(withoutLease, ShouldBeTrue)
+			n.dispatchMessage("c2", message.EpochChanged{Record: consensus.Record{Epoch: 2, Primary: "c2"}}, nil)
+			updated, ended := worker.Receive(result, time.After(time.Minute))
+			So(ended, ShouldBeTrue)
+			So(updated, ShouldBeFalse)
+			updated, _ = worker.Receive(n.requestUpdate(&PrimarySearch{}, time.Hour), time.After(time.Minute))
+			So(updated, ShouldBeTrue)
 		})
-		Convey("Another epoch of the same primary ends no ask", func() {
-			over := a.requestUpdate(&PrimarySearch{}, time.Hour)
-			So(worker.Await(heard, time.Minute), ShouldBeTrue)
-			primaryChanged := a.primaryChange()
-			a.dispatchMessage("c1", message.EpochChanged{Record: consensus.Record{Epoch: 2, Primary: "c1"}}, nil)
-			So(a.primaryChange(), ShouldEqual, primaryChanged)
-			_, isOver := worker.TryReceive(over)
-			So(isOver, ShouldBeFalse)
-			a.ObserveEpoch(consensus.Record{Epoch: 3, Primary: "c9"})
-			So(worker.Await(over, time.Minute), ShouldBeTrue)
+		Convey("Another epoch of the same primary ends no request", func() {
+			result := n.requestUpdate(&PrimarySearch{}, time.Hour)
+			So(worker.Await(requests, time.Minute), ShouldBeTrue)
+			primaryChanged := n.primaryChange()
+			n.dispatchMessage("c1", message.EpochChanged{Record: consensus.Record{Epoch: 2, Primary: "c1"}}, nil)
+			So(n.primaryChange(), ShouldEqual, primaryChanged)
+			_, ended := worker.TryReceive(result)
+			So(ended, ShouldBeFalse)
+			n.ObserveEpoch(consensus.Record{Epoch: 3, Primary: "c9"})
+			So(worker.Await(result, time.Minute), ShouldBeTrue)
 		})
-		Convey("After an ask that nobody answered it goes through a peer, which brings the first answer; by one that goes two ways no lease is given up", func() {
-			a.addPeer("d2", model.KindProxy, func(_ string, body any, answer func(any)) {
-				if _, isPass := body.(message.ForwardUpdateRequest); isPass {
-					answer(distribution.Update{FromPrimary: true, Record: consensus.Record{Epoch: 1, Primary: "c1"}})
+		Convey("After a request that nobody answered the next is also sent through a peer, whose answer is the first; a request that is sent twice gives up no lease", func() {
+			n.addPeer("d2", model.KindProxy, func(_ string, body any, reply func(any)) {
+				if _, ok := body.(message.ForwardUpdateRequest); ok {
+					reply(distribution.Update{FromPrimary: true, Record: consensus.Record{Epoch: 1, Primary: "c1"}})
 				}
 			})
-			So(len(a.Peers()), ShouldEqual, 1)
-			So(a.Peers()[0].Name, ShouldEqual, "d2")
+			So(len(n.Peers()), ShouldEqual, 1)
+			So(n.Peers()[0].Name, ShouldEqual, "d2")
 			search := &PrimarySearch{Misses: 1, Unanswered: 1}
-			isGood, isOver := worker.Receive(a.requestUpdate(search, time.Hour), time.After(time.Minute))
-			So(isOver, ShouldBeTrue)
-			So(isGood, ShouldBeTrue)
+			updated, ended := worker.Receive(n.requestUpdate(search, time.Hour), time.After(time.Minute))
+			So(ended, ShouldBeTrue)
+			So(updated, ShouldBeTrue)
 			So(search.Unanswered, ShouldEqual, 0)
-			isBare, isHeard := worker.Receive(heard, time.After(time.Minute))
-			So(isHeard, ShouldBeTrue)
-			So(isBare, ShouldBeFalse)
+			withoutLease, received := worker.Receive(requests, time.After(time.Minute))
+			So(received, ShouldBeTrue)
+			So(withoutLease, ShouldBeFalse)
 		})
 	})
 }
--- /dev/null
+++ b/internal/transport/httpserver/client.go
@@ -0,0 +1,183 @@
+package httpserver
+
+import (
+	"bytes"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/juju/errors"
+	"github.com/lesismal/nbio/nbhttp"
+
+	"tansyseam/internal/protocol/adapter"
+	"tansyseam/internal/transport/worker"
+)
+
+// Errors of a request, as types for errors.Is.
+const (
+	// ErrNotSent says that nothing of the request has left this process.
+	ErrNotSent = errors.ConstError("request not sent")
+	// ErrOutcomeUnknown says that the request may have arrived and taken effect.
+	ErrOutcomeUnknown = errors.ConstError("connection broken with a request in flight")
+
+	errNoResponse = errors.ConstError("no response in time")
+)
+
+const (
+	// clientPollers is the number of event loops of a client.
+	clientPollers = 2
+	// maxResponseSize is the largest body of a response, in bytes.
+	maxResponseSize = 16 << 20
+)
+
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3}
+
+// Client opens connections to backends and to the platform.
+type Client struct {
+	engine  *nbhttp.Engine
+	localIP net.IP
+	workers *worker.Group
+}
+
+// NewClient starts a client whose connections have a local IP address. An empty
+// or unspecified one leaves the choice to the system.
+func NewClient(localIP string, workers *worker.Group) (*Client, error) {
+	engine := nbhttp.NewEngine(nbhttp.Config{NPoller: clientPollers, MaxHTTPBodySize: maxResponseSize})
+	orderConnectionHandoff(engine.Engine)
+	if err := engine.Start(); err != nil {
+		return nil, errors.Trace(err)
+	}
+	ip := net.ParseIP(localIP)
+	if ip != nil && ip.IsUnspecified() {
+		ip = nil
+	}
+	return &Client{engine: engine, localIP: ip, workers: workers}, nil
+}
+
+// Close ends the client and all its connections.
+func (c *Client) Close() { c.engine.Stop() }
+
+// Response is the response to a request, or its error, which is of type
+// ErrNotSent or ErrOutcomeUnknown.
+type Response struct {
+	Status int
+	Body   []byte
+	Err    error
+}
+
+// ClientConn is a persistent connection that carries one request at a time.
+type ClientConn struct {
+	client  *Client
+	address string
+	conn    *nbhttp.ClientConn
+	mutex   sync.Mutex
+	closed  bool
+}
+
+// Dial opens a connection. If onClose is not nil, it is called when the
+// connection ends. Dial blocks for up to timeout. Its errors are of type
+// ErrNotSent.
+func (c *Client) Dial(address string, timeout time.Duration, onClose func()) (*ClientConn, error) {
+	dialer := net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive}
+	if c.localIP != nil {
+		dialer.LocalAddr = &net.TCPAddr{IP: c.localIP}
+	}
+	raw, err := dialer.Dial("tcp", address)
+	if err != nil {
+		return nil, errors.WithType(errors.Trace(err), ErrNotSent)
+	}
+	conn := &ClientConn{client: c, address: address}
+	conn.conn = &nbhttp.ClientConn{Engine: c.engine, Dial: func(string, string) (net.Conn, error) { return raw, nil }}
+	conn.conn.OnClose(func() {
+		conn.markClosed()
+		if onClose != nil {
+			onClose()
+		}
+	})
+	return conn, nil
+}
+
+func (c *ClientConn) markClosed() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.closed = true
+}
+
+// IsClosed says whether the connection has ended.
+func (c *ClientConn) IsClosed() bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.closed
+}
+
+// Address returns the remote address.
+func (c *ClientConn) Address() string { return c.address }
+
+// Close ends the connection. It does not block.
+func (c *ClientConn) Close() { c.client.workers.Go(c.conn.Close) }
+
+// PostAsync sends a POST request with a JSON body. The client's event loop calls
+// done with the response; done must not block.
+func (c *ClientConn) PostAsync(path string, body []byte, done func(Response)) {
+	c.start(postRequest(path, body), done)
+}
+
+// Post sends a POST request with a JSON body and waits for the response. If none
+// comes within timeout, the connection is closed.
+func (c *ClientConn) Post(path string, body []byte, timeout time.Duration) Response {
+	return c.Send(postRequest(path, body), timeout)
+}
+
+func postRequest(path string, body []byte) adapter.Request {
+	return adapter.Request{Method: http.MethodPost, Path: path, Body: body}
+}
+
+// Send sends a request and waits for the response. If none comes within timeout,
+// the connection is closed.
+func (c *ClientConn) Send(request adapter.Request, timeout time.Duration) Response {
+	responses := make(chan Response, 1)
+	c.start(request, func(response Response) { worker.TrySend(responses, response) })
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	select {
+	case response := <-responses:
+		return response
+	case <-timer.C:
+	case <-c.client.workers.Stopping():
+	}
+	c.Close()
+	return Response{Err: errors.WithType(errNoResponse, ErrOutcomeUnknown)}
+}
+
+func (c *ClientConn) start(request adapter.Request, done func(Response)) {
+	httpRequest, err := http.NewRequest(request.Method, "http://"+c.address+request.Path, bytes.NewReader(request.Body))
+	if err != nil {
+		done(Response{Err: errors.WithType(err, ErrNotSent)})
+		return
+	}
+	httpRequest.Header.Set("Content-Type", "application/json")
+	for name, value := range request.Header {
+		httpRequest.Header.Set(name, value)
+	}
+	c.conn.Do(httpRequest, func(httpResponse *http.Response, _ net.Conn, err error) {
+		if err != nil {
+			done(Response{Err: errors.WithType(err, ErrOutcomeUnknown)})
+			return
+		}
+		done(readResponse(httpResponse))
+	})
+}
+
+func readResponse(httpResponse *http.Response) Response {
+	if httpResponse.Body == nil {
+		return Response{Status: httpResponse.StatusCode}
+	}
+	defer func() { _ = httpResponse.Body.Close() }()
+	body, err := io.ReadAll(httpResponse.Body)
+	if err != nil {
+		return Response{Err: errors.WithType(err, ErrOutcomeUnknown)}
+	}
+	return Response{Status: httpResponse.StatusCode, Body: body}
+}
--- a/internal/transport/httpserver/connection_test.go
+++ b/internal/transport/httpserver/connection_test.go
@@ -18,16 +18,16 @@
 )
 
 func TestFirstRequestOfEachConnection(t *testing.T) {
-	Convey("What a listener made of a connection is seen whole by the poller that reads from it", t, func() {
+	Convey("The poller that reads from a connection sees all that the listener wrote to it", t, func() {
 		const dialers, each = 8, 60
 		address := freeAddress(t)
 		var served atomic.Int64
 		server, err := Listen(address, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			body, complete := ReadBody(r)
-			if complete && string(body) == "asked" && r.RemoteAddr != "" {
+			body, err := ReadBody(r)
+			if err == nil && string(body) == "request" && r.RemoteAddr != "" {
 				served.Add(1)
 			}
-			_, _ = w.Write([]byte("told"))
+			_, _ = w.Write([]byte("response"))
 		}), nil)
 		So(err, ShouldBeNil)
 		Reset(server.Close)
@@ -36,31 +36,31 @@
 		So(err, ShouldBeNil)
 		Reset(client.Close)
 		var answered atomic.Int64
-		var all sync.WaitGroup
+		var running sync.WaitGroup
 		for range dialers {
-			all.Add(1)
+			running.Add(1)
 			workers.Go(func() {
-				defer all.Done()
+				defer running.Done()
 				for range each {
-					session, err := client.Dial(address, 10*time.Second, nil)
+					conn, err := client.Dial(address, 10*time.Second, nil)
 					if err != nil {
 						continue
 					}
-					if answer := session.Post("/", []byte("asked"), 10*time.Second); answer.Err == nil && string(answer.Body) == "told" {
+					if response := conn.Post("/", []byte("request"), 10*time.Second); response.Err == nil && string(response.Body) == "response" {
 						answered.Add(1)
 					}
-					session.Close()
+					conn.Close()
 				}
 			})
 		}
-		all.Wait()
+		running.Wait()
 		So(answered.Load(), ShouldEqual, dialers*each)
 		So(served.Load(), ShouldEqual, dialers*each)
 	})
 }
 
 func TestLongResponseWithConnectionClose(t *testing.T) {
-	Convey("An answer longer than its connection takes at once arrives whole, though the caller asked to be parted from", t, func() {
+	Convey("A response longer than the connection accepts at once arrives completely, though the client asked for Connection: close", t, func() {
 		const size = 16 << 20
 		address := freeAddress(t)
 		server, err := Listen(address, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/transport/httpserver/server_test.go
+++ b/internal/transport/httpserver/server_test.go
@@ -19,50 +19,50 @@
 	"tansyseam/internal/transport/worker"
 )
 
-// ledger is an allocator that gives no buffer twice, and notes each one that
-// is freed more than once, or changed after it was freed.
+// recordingAllocator never reuses a buffer, and records each one that is freed
+// more than once, or changed after it was freed.
 type recordingAllocator struct {
 	mutex  sync.Mutex
 	freed  map[*[]byte]bool
 	faults []string
 }
 
-func (l *recordingAllocator) Malloc(size int) *[]byte {
+func (a *recordingAllocator) Malloc(size int) *[]byte {
 	buffer := make([]byte, size, max(size, 1024))
 	return &buffer
 }
 
-func (l *recordingAllocator) Realloc(buffer *[]byte, size int) *[]byte {
+func (a *recordingAllocator) Realloc(buffer *[]byte, size int) *[]byte {
 	panic("deprecated: nothing calls it")
 }
 
-func (l *recordingAllocator) Append(buffer *[]byte, more ...byte) *[]byte {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if l.freed[buffer] {
-		l.faults = append(l.faults, fmt.Sprintf("%d bytes appended to a buffer that was freed", len(more)))
+func (a *recordingAllocator) Append(buffer *[]byte, more ...byte) *[]byte {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	if a.freed[buffer] {
+		a.faults = append(a.faults, fmt.Sprintf("%d bytes appended to a buffer that was freed", len(more)))
 	}
 	*buffer = append(*buffer, more...)
 	return buffer
 }
 
-func (l *recordingAllocator) AppendString(buffer *[]byte, more string) *[]byte {
-	return l.Append(buffer, []byte(more)...)
+func (a *recordingAllocator) AppendString(buffer *[]byte, more string) *[]byte {
+	return a.Append(buffer, []byte(more)...)
 }
 
-func (l *recordingAllocator) Free(buffer *[]byte) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if l.freed[buffer] {
-		l.faults = append(l.faults, "a buffer freed twice")
+func (a *recordingAllocator) Free(buffer *[]byte) {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	if a.freed[buffer] {
+		a.faults = append(a.faults, "a buffer freed twice")
 	}
-	l.freed[buffer] = true
+	a.freed[buffer] = true
 }
 
-func (l *recordingAllocator) recordedFaults() []string {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.faults
+func (a *recordingAllocator) recordedFaults() []string {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	return a.faults
 }
 
 func installRecordingAllocator() (*recordingAllocator, func()) {
@@ -82,8 +82,8 @@
 
 // echo answers with the body, repeated as often as the path says.
 func echo(w http.ResponseWriter, r *http.Request) {
-	body, complete := ReadBody(r)
-	if !complete {
+	body, err := ReadBody(r)
+	if err != nil {
 		w.WriteHeader(http.StatusRequestEntityTooLarge)
 		return
 	}
@@ -93,21 +93,21 @@
 	_, _ = w.Write(bytes.Repeat(body, count))
 }
 
-// drawer is a connection whose far end is the test: what is written is kept.
+// recordedConn is a connection that keeps what is written to it.
 type recordedConn struct {
 	net.Conn
 	written bytes.Buffer
 }
 
-func (d *recordedConn) Write(data []byte) (int, error)   { return d.written.Write(data) }
-func (d *recordedConn) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
-func (d *recordedConn) SetReadDeadline(time.Time) error  { return nil }
-func (d *recordedConn) SetWriteDeadline(time.Time) error { return nil }
+func (c *recordedConn) Write(data []byte) (int, error)   { return c.written.Write(data) }
+func (c *recordedConn) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
+func (c *recordedConn) SetReadDeadline(time.Time) error  { return nil }
+func (c *recordedConn) SetWriteDeadline(time.Time) error { return nil }
 
 func TestResponsesFreeBuffersOnce(t *testing.T) {
 	allocator, restore := installRecordingAllocator()
 	defer restore()
-	Convey("An answer of any size is written whole, its length told, and each of its buffers given back once", t, func() {
+	Convey("A response of any size is written completely with its Content-Length, and each of its buffers is freed once", t, func() {
 		engine := nbhttp.NewEngine(nbhttp.Config{Handler: withContentLength(http.HandlerFunc(echo))})
 		for _, size := range []int{0, 1, 500, 1024, 40000, 65000, 65300, 65530, 65536, 70000, 200000} {
 			conn := &recordedConn{}
@@ -141,20 +141,20 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	ask := func(body string, count int) Response {
-		session, err := client.Dial(address, 5*time.Second, nil)
+	post := func(body string, count int) Response {
+		conn, err := client.Dial(address, 5*time.Second, nil)
 		if err != nil {
 			return Response{Err: err}
 		}
-		defer session.Close()
-		return session.Post(fmt.Sprintf("/%d", count), []byte(body), 20*time.Second)
+		defer conn.Close()
+		return conn.Post(fmt.Sprintf("/%d", count), []byte(body), 20*time.Second)
 	}
-	Convey("An answer of any size arrives whole with its length told, and each buffer is given back once", t, func() {
+	Convey("A response of any size arrives completely with its Content-Length, and each buffer is freed once", t, func() {
 		var lengths []int64
 		for _, size := range []int{0, 1, 500, 1024, 40000, 65000, 65300, 65530, 65536, 70000, 200000} {
-			answer := ask(strings.Repeat("x", 100), size/100)
-			So(answer.Err, ShouldBeNil)
-			So(len(answer.Body), ShouldEqual, size/100*100)
+			posted := post(strings.Repeat("x", 100), size/100)
+			So(posted.Err, ShouldBeNil)
+			So(len(posted.Body), ShouldEqual, size/100*100)
 			response, err := http.Post("http://"+address+fmt.Sprintf("/%d", size), "text/plain", strings.NewReader("y"))
 			So(err, ShouldBeNil)
 			data, err := io.ReadAll(response.Body)
@@ -166,40 +166,40 @@
 		So(allocator.recordedFaults(), ShouldBeEmpty)
 		So(lengths, ShouldResemble, make([]int64, len(lengths)))
 	})
-	Convey("Many sessions, large and small, some of them closed with an answer on its way: nobody reads another's body", t, func() {
-		var group sync.WaitGroup
+	Convey("Many connections, some of them closed with a response in flight: none reads the body of another", t, func() {
+		var running sync.WaitGroup
 		wrong := make(chan string, 1000)
-		for at := range 40 {
-			group.Add(1)
+		for number := range 40 {
+			running.Add(1)
 			workers.Go(func() {
-				defer group.Done()
-				for turn := range 10 {
-					body := fmt.Sprintf("<%d.%d>", at, turn)
-					count := []int{1, 30, 2000, 30000}[(at+turn)%4]
-					session, err := client.Dial(address, 5*time.Second, nil)
+				defer running.Done()
+				for round := range 10 {
+					body := fmt.Sprintf("<%d.%d>", number, round)
+					count := []int{1, 30, 2000, 30000}[(number+round)%4]
+					conn, err := client.Dial(address, 5*time.Second, nil)
 					if err != nil {
 						wrong <- err.Error()
 						continue
 					}
-					if at%5 == 0 {
-						session.PostAsync(fmt.Sprintf("/%d", count), []byte(body), func(Response) {})
-						session.Close()
+					if number%5 == 0 {
+						conn.PostAsync(fmt.Sprintf("/%d", count), []byte(body), func(Response) {})
+						conn.Close()
 						continue
 					}
 					for range 3 {
-						answer := session.Post(fmt.Sprintf("/%d", count), []byte(body), 20*time.Second)
-						if answer.Err != nil || string(answer.Body) != strings.Repeat(body, count) {
-							wrong <- fmt.Sprintf("%s: %v, %.40s", body, answer.Err, answer.Body)
+						response := conn.Post(fmt.Sprintf("/%d", count), []byte(body), 20*time.Second)
+						if response.Err != nil || string(response.Body) != strings.Repeat(body, count) {
+							wrong <- fmt.Sprintf("%s: %v, %.40s", body, response.Err, response.Body)
 						}
 					}
-					session.Close()
+					conn.Close()
 				}
 			})
 		}
-		group.Wait()
+		running.Wait()
 		close(wrong)
-		for one := range wrong {
-			So(one, ShouldBeEmpty)
+		for mismatch := range wrong {
+			So(mismatch, ShouldBeEmpty)
 		}
 		So(allocator.recordedFaults(), ShouldBeEmpty)
 	})
