--- a/test/cmd/modelcheck/main.go
+++ b/test/cmd/modelcheck/main.go
@@ -1,8 +1,9 @@
-// Program search plays control's epoch machines through every course of events
-// within bounds, and prints what it met.
+// Command modelcheck searches sequences of events of the consensus machines, and prints
+// what it found. It ends with 1 where an invariant was violated.
 package main
 
 import (
+	"cmp"
 	"flag"
 	"fmt"
 	"os"
@@ -13,59 +14,71 @@
 	"tansyseam/test/modelcheck"
 )
 
-func main() { os.Exit(run()) }
+const (
+	everyConfig  = -1
+	defaultRound = 100 * time.Millisecond
+)
 
-func run() int {
-	isDeeper := flag.Bool("deep", false, "the deeper shapes, in place of those of the tests")
-	only := flag.Int("shape", -1, "only the shape of this number")
-	most := flag.Int("most", 0, "end each search after so many states, where given")
+func main() {
+	deep := flag.Bool("deep", false, "the deeper shapes, in place of those of the tests")
+	only := flag.Int("shape", everyConfig, "only the shape of this number")
+	maxStates := flag.Int("most", 0, "end each search after so many states, where given")
 	jobs := flag.Int("jobs", 2, "shapes searched at once")
 	flag.Parse()
-	shapes := modelcheck.TestConfigs()
-	if *isDeeper {
-		shapes = modelcheck.DeepConfigs()
+	configs := modelcheck.TestConfigs()
+	if *deep {
+		configs = modelcheck.DeepConfigs()
+	}
+	if searchAll(configs, *only, *maxStates, *jobs) > 0 {
+		os.Exit(1)
 	}
-	slots := make(chan struct{}, max(*jobs, 1))
-	var group sync.WaitGroup
-	var mutex sync.Mutex
-	broken := 0
-	for at, shape := range shapes {
-		if *only >= 0 && at != *only {
+}
+
+// searchAll runs the searches, some at once, and gives how many found a violation.
+func searchAll(configs []modelcheck.Config, only, maxStates, jobs int) int {
+	slots := make(chan struct{}, max(jobs, 1))
+	var searches sync.WaitGroup
+	var output sync.Mutex
+	violated := 0
+	for number, config := range configs {
+		if only != everyConfig && number != only {
 			continue
 		}
-		group.Add(1)
-		go func() {
-			defer group.Done()
+		config.MaxStates = maxStates
+		searches.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			shape.MaxStates = *most
-			began := time.Now()
-			result := modelcheck.Run(shape)
-			mutex.Lock()
-			defer mutex.Unlock()
-			fmt.Printf("shape %d: %s: %d states, %d steps, epochs up to %d, %d writes kept, ended early %t, %.1f s\n",
-				at, describe(shape), result.States, result.Steps, result.HighestEpoch, result.AckedWrites, result.Truncated, time.Since(began).Seconds())
+			startedAt := time.Now()
+			result := modelcheck.Run(config)
+			output.Lock()
+			defer output.Unlock()
+			report(number, config, result, time.Since(startedAt))
 			if result.Violation != "" {
-				broken++
-				fmt.Println("  broken:", result.Violation)
-				fmt.Println("    " + strings.Join(result.Trace, "\n    "))
+				violated++
 			}
-		}()
+		})
 	}
-	group.Wait()
-	if broken > 0 {
-		return 1
-	}
-	return 0
+	searches.Wait()
+	return violated
 }
 
-func describe(shape modelcheck.Config) string {
-	kinds, places := "any", "any"
-	if len(shape.AllowedFaults) > 0 {
-		kinds = strings.Join(shape.AllowedFaults, ", ")
+func report(number int, config modelcheck.Config, result modelcheck.Result, took time.Duration) {
+	fmt.Printf("shape %d: %s: %d states, %d steps, epochs up to %d, %d writes acknowledged, ended early %t, %.1f s\n",
+		number, describe(config), result.States, result.Steps, result.HighestEpoch, result.AckedWrites, result.Truncated, took.Seconds())
+	if result.Violation != "" {
+		fmt.Println("  violated:", result.Violation)
+		fmt.Println("    " + strings.Join(result.Trace, "\n    "))
 	}
-	if len(shape.FaultHosts) > 0 {
-		places = strings.Join(shape.FaultHosts, ", ")
+}
+
+func describe(config modelcheck.Config) string {
+	var faults []string
+	for _, fault := range config.AllowedFaults {
+		faults = append(faults, string(fault))
 	}
-	return fmt.Sprintf("%d machines, %d faults (%s; at %s), %d disks lost, %d rounds of %v", shape.Machines, shape.MaxFaults, kinds, places, shape.MaxWipes, shape.Rounds, max(shape.RoundDuration, 100*time.Millisecond))
+	return fmt.Sprintf("%d machines, %d faults (%s; at %s), %d disks lost, %d rounds of %v",
+		config.Machines, config.MaxFaults, listOrAny(faults), listOrAny(config.FaultHosts), config.MaxWipes,
+		config.Rounds, cmp.Or(config.RoundDuration, defaultRound))
 }
+
+func listOrAny(names []string) string { return cmp.Or(strings.Join(names, ", "), "any") }
--- a/test/modelcheck/configs.go
+++ b/test/modelcheck/configs.go
@@ -5,48 +5,49 @@
 	"time"
 )
 
-// Rounds that are longer than the pace of renewals, and of those that play long
-// enough for a voter to be replaced.
 const (
+	// coarseRound is longer than the interval at which leases are renewed, which makes
+	// a search shorter.
 	coarseRound = 200 * time.Millisecond
-	longRound   = 300 * time.Millisecond
+	// longRound is for searches that last until a voter is replaced.
+	longRound = 300 * time.Millisecond
 )
 
-// Shapes is what is searched with each test run.
+// TestConfigs lists what is searched with each run of the tests.
 func TestConfigs() []Config {
 	return []Config{
 		{Machines: 3, MaxFaults: 1, MaxWipes: 1, Rounds: 7, Writes: 2, RequiredReplicas: 2},
 		{Machines: 5, MaxFaults: 1, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 5, Writes: 1, RequiredReplicas: 2},
-		{Machines: 3, MaxFaults: 2, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 6, Writes: 1, RequiredReplicas: 2, AllowedFaults: []string{"killed", "wiped"}, FaultHosts: []string{"c1", "c2"}},
-		{Machines: 3, MaxFaults: 2, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 6, Writes: 1, RequiredReplicas: 2, AllowedFaults: []string{"frozen", "cut off", "disk hangs"}, FaultHosts: []string{"c1", "c3"}},
-		{Machines: 5, MaxFaults: 2, MaxWipes: 2, RoundDuration: coarseRound, Rounds: 4, Writes: 1, RequiredReplicas: 2, AllowedFaults: []string{"wiped"}, FaultHosts: []string{"c2", "c3"}},
-		{Machines: 5, MaxFaults: 2, MaxWipes: 2, RoundDuration: coarseRound, Rounds: 6, Writes: 1, RequiredReplicas: 3, AllowedFaults: []string{"wiped"}, FaultHosts: []string{"c1", "c2"}},
-		{Machines: 3, MaxFaults: 3, RoundDuration: coarseRound, Rounds: 6, RequiredReplicas: 2, AllowedFaults: []string{"cut off", "disk hangs"}, FaultHosts: []string{"c1", "c2"}},
-		{Machines: 3, MaxFaults: 3, RoundDuration: coarseRound, Rounds: 9, RequiredReplicas: 2, AllowedFaults: []string{"cut off", "lost"}, FaultHosts: []string{"c1"}},
-		{Machines: 3, Standbys: 1, MaxFaults: 2, MaxWipes: 2, RoundDuration: longRound, Rounds: 11, Writes: 1, RequiredReplicas: 2, AllowedFaults: []string{"killed", "wiped"}, FaultHosts: []string{"c1", "c3"}, FaultsWhenHealthyOnly: true},
-		{Machines: 3, Standbys: 1, MaxFaults: 2, RoundDuration: longRound, Rounds: 11, Writes: 1, RequiredReplicas: 2, AllowedFaults: []string{"killed", "told to end"}, FaultHosts: []string{"c1", "c2"}, FaultsWhenHealthyOnly: true},
-		{Machines: 5, Standbys: 1, MaxFaults: 1, MaxWipes: 1, RoundDuration: longRound, Rounds: 12, Writes: 1, RequiredReplicas: 3, AllowedFaults: []string{"killed", "wiped", "told to end"}, FaultHosts: []string{"c1", "c2", "c3"}, FaultsWhenHealthyOnly: true},
+		{Machines: 3, MaxFaults: 2, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 6, Writes: 1, RequiredReplicas: 2, AllowedFaults: []Fault{Killed, Wiped}, FaultHosts: []string{"c1", "c2"}},
+		{Machines: 3, MaxFaults: 2, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 6, Writes: 1, RequiredReplicas: 2, AllowedFaults: []Fault{Frozen, Isolated, DiskHangs}, FaultHosts: []string{"c1", "c3"}},
+		{Machines: 5, MaxFaults: 2, MaxWipes: 2, RoundDuration: coarseRound, Rounds: 4, Writes: 1, RequiredReplicas: 2, AllowedFaults: []Fault{Wiped}, FaultHosts: []string{"c2", "c3"}},
+		{Machines: 5, MaxFaults: 2, MaxWipes: 2, RoundDuration: coarseRound, Rounds: 6, Writes: 1, RequiredReplicas: 3, AllowedFaults: []Fault{Wiped}, FaultHosts: []string{"c1", "c2"}},
+		{Machines: 3, MaxFaults: 3, RoundDuration: coarseRound, Rounds: 6, RequiredReplicas: 2, AllowedFaults: []Fault{Isolated, DiskHangs}, FaultHosts: []string{"c1", "c2"}},
+		{Machines: 3, MaxFaults: 3, RoundDuration: coarseRound, Rounds: 9, RequiredReplicas: 2, AllowedFaults: []Fault{Isolated, MessageLost}, FaultHosts: []string{"c1"}},
+		{Machines: 3, Standbys: 1, MaxFaults: 2, MaxWipes: 2, RoundDuration: longRound, Rounds: 11, Writes: 1, RequiredReplicas: 2, AllowedFaults: []Fault{Killed, Wiped}, FaultHosts: []string{"c1", "c3"}, FaultsWhenHealthyOnly: true},
+		{Machines: 3, Standbys: 1, MaxFaults: 2, RoundDuration: longRound, Rounds: 11, Writes: 1, RequiredReplicas: 2, AllowedFaults: []Fault{Killed, Leaving}, FaultHosts: []string{"c1", "c2"}, FaultsWhenHealthyOnly: true},
+		{Machines: 5, Standbys: 1, MaxFaults: 1, MaxWipes: 1, RoundDuration: longRound, Rounds: 12, Writes: 1, RequiredReplicas: 3, AllowedFaults: []Fault{Killed, Wiped, Leaving}, FaultHosts: []string{"c1", "c2", "c3"}, FaultsWhenHealthyOnly: true},
 	}
 }
 
-// Deeper is what is searched by command.
+// DeepConfigs lists what is searched by command.
 func DeepConfigs() []Config {
-	hosts := []string{"killed", "frozen", "cut off", "disk hangs", "wiped"}
+	hostFaults := []Fault{Killed, Frozen, Isolated, DiskHangs, Wiped}
 	return []Config{
 		{Machines: 3, Standbys: 1, MaxFaults: 1, MaxWipes: 1, RoundDuration: longRound, Rounds: 20, Writes: 2, RequiredReplicas: 2},
-		{Machines: 3, Standbys: 1, MaxFaults: 2, MaxWipes: 2, RoundDuration: longRound, Rounds: 22, Writes: 1, RequiredReplicas: 2, AllowedFaults: append(slices.Clone(hosts), "told to end"), FaultsWhenHealthyOnly: true},
-		{Machines: 3, Standbys: 2, MaxFaults: 2, RoundDuration: longRound, Rounds: 22, Writes: 1, RequiredReplicas: 2, AllowedFaults: []string{"killed", "told to end"}, FaultsWhenHealthyOnly: true},
-		{Machines: 3, Standbys: 1, MaxFaults: 4, MaxWipes: 1, RoundDuration: longRound, Rounds: 16, RequiredReplicas: 2, AllowedFaults: []string{"cut off", "lost", "late", "killed", "wiped"}, FaultHosts: []string{"c1", "c3"}},
-		{Machines: 5, Standbys: 1, MaxFaults: 2, MaxWipes: 2, RoundDuration: longRound, Rounds: 16, Writes: 1, RequiredReplicas: 3, AllowedFaults: []string{"killed", "wiped", "told to end"}, FaultsWhenHealthyOnly: true},
+		{Machines: 3, Standbys: 1, MaxFaults: 2, MaxWipes: 2, RoundDuration: longRound, Rounds: 22, Writes: 1, RequiredReplicas: 2, AllowedFaults: append(slices.Clone(hostFaults), Leaving), FaultsWhenHealthyOnly: true},
+		{Machines: 3, Standbys: 2, MaxFaults: 2, RoundDuration: longRound, Rounds: 22, Writes: 1, RequiredReplicas: 2, AllowedFaults: []Fault{Killed, Leaving}, FaultsWhenHealthyOnly: true},
+		{Machines: 3, Standbys: 1, MaxFaults: 4, MaxWipes: 1, RoundDuration: longRound, Rounds: 16, RequiredReplicas: 2, AllowedFaults: []Fault{Isolated, MessageLost, MessageDelayed, Killed, Wiped}, FaultHosts: []string{"c1", "c3"}},
+		{Machines: 5, Standbys: 1, MaxFaults: 2, MaxWipes: 2, RoundDuration: longRound, Rounds: 16, Writes: 1, RequiredReplicas: 3, AllowedFaults: []Fault{Killed, Wiped, Leaving}, FaultsWhenHealthyOnly: true},
 		{Machines: 3, MaxFaults: 1, MaxWipes: 1, Rounds: 30, Writes: 3, RequiredReplicas: 2},
 		{Machines: 5, MaxFaults: 1, MaxWipes: 1, Rounds: 16, Writes: 2, RequiredReplicas: 2},
 		{Machines: 3, MaxFaults: 2, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 8, Writes: 2, RequiredReplicas: 2},
-		{Machines: 3, MaxFaults: 2, MaxWipes: 1, Rounds: 14, Writes: 1, RequiredReplicas: 2, AllowedFaults: hosts},
-		{Machines: 3, MaxFaults: 3, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 8, Writes: 1, RequiredReplicas: 2, AllowedFaults: hosts},
-		{Machines: 5, MaxFaults: 3, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 9, Writes: 1, RequiredReplicas: 2, AllowedFaults: []string{"killed", "wiped"}, FaultHosts: []string{"c1", "c2"}},
-		{Machines: 5, MaxFaults: 2, MaxWipes: 2, RoundDuration: coarseRound, Rounds: 12, Writes: 1, RequiredReplicas: 2, AllowedFaults: []string{"wiped"}},
-		{Machines: 5, MaxFaults: 3, MaxWipes: 2, RoundDuration: coarseRound, Rounds: 10, Writes: 1, RequiredReplicas: 2, AllowedFaults: []string{"wiped", "killed"}, FaultHosts: []string{"c2", "c3"}},
-		{Machines: 5, MaxFaults: 2, MaxWipes: 2, RoundDuration: coarseRound, Rounds: 10, Writes: 2, RequiredReplicas: 3, AllowedFaults: []string{"wiped"}},
-		{Machines: 5, MaxFaults: 3, MaxWipes: 2, RoundDuration: coarseRound, Rounds: 10, Writes: 1, RequiredReplicas: 3, AllowedFaults: []string{"wiped", "killed"}, FaultHosts: []string{"c1", "c2", "c3"}},
+		{Machines: 3, MaxFaults: 2, MaxWipes: 1, Rounds: 14, Writes: 1, RequiredReplicas: 2, AllowedFaults: hostFaults},
+		{Machines: 3, MaxFaults: 3, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 8, Writes: 1, RequiredReplicas: 2, AllowedFaults: hostFaults},
+		{Machines: 5, MaxFaults: 3, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 9, Writes: 1, RequiredReplicas: 2, AllowedFaults: []Fault{Killed, Wiped}, FaultHosts: []string{"c1", "c2"}},
+		{Machines: 5, MaxFaults: 2, MaxWipes: 2, RoundDuration: coarseRound, Rounds: 12, Writes: 1, RequiredReplicas: 2, AllowedFaults: []Fault{Wiped}},
+		{Machines: 5, MaxFaults: 3, MaxWipes: 2, RoundDuration: coarseRound, Rounds: 10, Writes: 1, RequiredReplicas: 2, AllowedFaults: []Fault{Wiped, Killed}, FaultHosts: []string{"c2", "c3"}},
+		{Machines: 5, MaxFaults: 2, MaxWipes: 2, RoundDuration: coarseRound, Rounds: 10, Writes: 2, RequiredReplicas: 3, AllowedFaults: []Fault{Wiped}},
+		{Machines: 5, MaxFaults: 3, MaxWipes: 2, RoundDuration: coarseRound, Rounds: 10, Writes: 1, RequiredReplicas: 3, AllowedFaults: []Fault{Wiped, Killed}, FaultHosts: []string{"c1", "c2", "c3"}},
 	}
 }
--- a/test/modelcheck/encode.go
+++ b/test/modelcheck/encode.go
@@ -1,6 +1,7 @@
 package modelcheck
 
 import (
+	"cmp"
 	"crypto/sha256"
 	"encoding/binary"
 	"reflect"
@@ -11,176 +12,207 @@
 	"tansyseam/internal/coordination/consensus"
 )
 
-// Key names a state: what is equal has equal keys.
+// Key names a state by its hash: equal states have equal keys.
 type Key [16]byte
 
-// What makes no difference to what a machine does next: clocks of day, counters
-// of files, what the fleet was founded by.
+// ignoredFields make no difference to what a machine does next, other than in clocks of
+// day, counters of files, and what the cluster was formed by.
 var ignoredFields = map[string]bool{
-	"Machine.clock":         true,
-	"Machine.tableSequence": true, "Machine.effects": true, "Machine.peers": true, "Machine.peersByAddress": true, "Machine.enoughPeersSince": true,
-	"Machine.bootstrap": true, "Machine.timing": true, "RenewLeaseAck.WallNanos": true,
-	"VoterState.Sequence": true, "Identity.Cluster": true, "Identity.Voters": true,
-	"SyncGate.lastIssued": true, "SyncGate.lastSynced": true,
+	"Machine.clock":            true,
+	"Machine.tableSequence":    true,
+	"Machine.effects":          true,
+	"Machine.peers":            true,
+	"Machine.peersByAddress":   true,
+	"Machine.enoughPeersSince": true,
+	"Machine.bootstrap":        true,
+	"Machine.timing":           true,
+	"RenewLeaseAck.WallNanos":  true,
+	"VoterState.Sequence":      true,
+	"Identity.Cluster":         true,
+	"Identity.Voters":          true,
+	"SyncGate.lastIssued":      true,
+	"SyncGate.lastSynced":      true,
 }
 
-// Numbers of saves count from the last one synced.
-var relativeFields = map[string]bool{"SyncGate.lastVoterStateTask": true, "syncTask.number": true, "blockedEffect.requiredSync": true}
+// relativeFields are numbers of disk tasks, which count from the last one synced.
+var relativeFields = map[string]bool{
+	"SyncGate.lastVoterStateTask": true,
+	"syncTask.number":             true,
+	"blockedEffect.requiredSync":  true,
+}
 
-// Past this far, a moment that has been is as any other: no bound of the machine
-// reaches back further.
+// momentHorizon is the age past which moments are alike: no span of the machine is
+// longer.
 const momentHorizon = 3 * time.Second
 
+// encoder writes out a state, with moments relative to now, so that states at different
+// times are equal where they behave alike.
 type encoder struct {
-	data       []byte
-	now        time.Duration
+	data []byte
+	now  time.Duration
+	// lastSynced is that of the SyncGate that is written out.
 	lastSynced uint64
 }
 
-func (p *encoder) number(value uint64) { p.data = binary.BigEndian.AppendUint64(p.data, value) }
+func (e *encoder) key() Key {
+	sum := sha256.Sum256(e.data)
+	return Key(sum[:len(Key{})])
+}
+
+func (e *encoder) number(value uint64) { e.data = binary.BigEndian.AppendUint64(e.data, value) }
 
-func (p *encoder) text(value string) {
-	p.number(uint64(len(value)))
-	p.data = append(p.data, value...)
+func (e *encoder) text(value string) {
+	e.number(uint64(len(value)))
+	e.data = append(e.data, value...)
 }
 
-func (p *encoder) flag(is bool) {
-	p.data = append(p.data, map[bool]byte{true: 1}[is])
+func (e *encoder) flag(value bool) {
+	bit := byte(0)
+	if value {
+		bit = 1
+	}
+	e.data = append(e.data, bit)
 }
 
-func (p *encoder) moment(at time.Duration) {
+func (e *encoder) moment(at time.Duration) {
 	if at == 0 {
-		p.data = append(p.data, 'z')
+		e.data = append(e.data, 'z')
 		return
 	}
-	p.number(uint64(max(at-p.now, -momentHorizon)))
+	e.number(uint64(max(at-e.now, -momentHorizon)))
 }
 
-type structPlan struct {
-	name             string
-	syncGate, save   bool
-	relative, fields []int
+func (e *encoder) messages(list []message) {
+	e.number(uint64(len(list)))
+	for _, one := range list {
+		e.text(one.from)
+		e.text(one.to)
+		e.value(one.body)
+	}
 }
 
-// plans is filled by one search at a time, or by several at once.
-var structPlans sync.Map
+func (e *encoder) value(value any) { e.reflected(reflect.ValueOf(value)) }
 
-func structPlanOf(kind reflect.Type) *structPlan {
-	if held, isHeld := structPlans.Load(kind); isHeld {
-		return held.(*structPlan)
-	}
-	made := &structPlan{name: kind.Name(), syncGate: kind == syncGateType, save: kind == reflect.TypeFor[consensus.Save]()}
-	for at := range kind.NumField() {
-		name := kind.Name() + "." + kind.Field(at).Name
-		if relativeFields[name] {
-			made.relative = append(made.relative, at)
-		}
-		if !relativeFields[name] && !ignoredFields[name] {
-			made.fields = append(made.fields, at)
-		}
+// encoders write out a value by its kind. They are set by init, since they refer to
+// themselves.
+var encoders map[reflect.Kind]func(e *encoder, value reflect.Value)
+
+func init() {
+	encoders = map[reflect.Kind]func(e *encoder, value reflect.Value){
+		reflect.Bool:      func(e *encoder, value reflect.Value) { e.flag(value.Bool()) },
+		reflect.String:    func(e *encoder, value reflect.Value) { e.text(value.String()) },
+		reflect.Int:       (*encoder).integer,
+		reflect.Int64:     (*encoder).integer,
+		reflect.Uint64:    func(e *encoder, value reflect.Value) { e.number(value.Uint()) },
+		reflect.Uint8:     func(e *encoder, value reflect.Value) { e.data = append(e.data, byte(value.Uint())) },
+		reflect.Array:     (*encoder).list,
+		reflect.Slice:     (*encoder).list,
+		reflect.Pointer:   (*encoder).pointer,
+		reflect.Interface: (*encoder).pointer,
+		reflect.Func:      func(*encoder, reflect.Value) {},
+		reflect.Map:       (*encoder).mapping,
+		reflect.Struct:    (*encoder).structure,
 	}
-	structPlans.Store(kind, made)
-	return made
 }
 
-var (
-	durationType = reflect.TypeFor[time.Duration]()
-	uint64Type   = reflect.TypeFor[uint64]()
-	syncGateType = reflect.TypeFor[consensus.SyncGate]()
-	encoders     map[reflect.Kind]func(p *encoder, value reflect.Value)
-)
+func (e *encoder) reflected(value reflect.Value) { encoders[value.Kind()](e, value) }
 
-func init() {
-	integer := func(p *encoder, value reflect.Value) {
-		if value.Type() == durationType {
-			p.moment(time.Duration(value.Int()))
-			return
-		}
-		p.number(uint64(value.Int()))
+func (e *encoder) integer(value reflect.Value) {
+	if value.Type() == durationType {
+		e.moment(time.Duration(value.Int()))
+		return
 	}
-	list := func(p *encoder, value reflect.Value) {
-		p.number(uint64(value.Len()))
-		for at := range value.Len() {
-			p.walk(value.Index(at))
-		}
+	e.number(uint64(value.Int()))
+}
+
+func (e *encoder) list(value reflect.Value) {
+	e.number(uint64(value.Len()))
+	for index := range value.Len() {
+		e.reflected(value.Index(index))
 	}
-	behind := func(p *encoder, value reflect.Value) {
-		p.flag(value.IsNil())
-		if !value.IsNil() {
-			p.walk(value.Elem())
-		}
+}
+
+func (e *encoder) pointer(value reflect.Value) {
+	e.flag(value.IsNil())
+	if !value.IsNil() {
+		e.reflected(value.Elem())
 	}
-	encoders = map[reflect.Kind]func(p *encoder, value reflect.Value){
-		reflect.Bool:      func(p *encoder, value reflect.Value) { p.flag(value.Bool()) },
-		reflect.String:    func(p *encoder, value reflect.Value) { p.text(value.String()) },
-		reflect.Int:       integer,
-		reflect.Int64:     integer,
-		reflect.Uint64:    func(p *encoder, value reflect.Value) { p.number(value.Uint()) },
-		reflect.Uint8:     func(p *encoder, value reflect.Value) { p.data = append(p.data, byte(value.Uint())) },
-		reflect.Array:     list,
-		reflect.Slice:     list,
-		reflect.Pointer:   behind,
-		reflect.Interface: behind,
-		reflect.Func:      func(*encoder, reflect.Value) {},
-		reflect.Map: func(p *encoder, value reflect.Value) {
-			keys := value.MapKeys()
-			slices.SortFunc(keys, func(a, b reflect.Value) int { return compare(a, b) })
-			p.number(uint64(len(keys)))
-			for _, key := range keys {
-				p.walk(key)
-				p.walk(value.MapIndex(key))
-			}
-		},
-		reflect.Struct: func(p *encoder, value reflect.Value) {
-			plan := structPlanOf(value.Type())
-			p.text(plan.name)
-			if plan.syncGate {
-				p.lastSynced = value.FieldByName("lastSynced").Uint()
-			}
-			if plan.save {
-				p.save(value.FieldByName("Kind").String(), value.FieldByName("Data").Bytes())
-				return
-			}
-			for _, at := range plan.relative {
-				p.number(max(value.Field(at).Uint(), p.lastSynced) - p.lastSynced)
-			}
-			for _, at := range plan.fields {
-				p.walk(value.Field(at))
-			}
-		},
+}
+
+// mapping writes out a map in the order of its keys, which are strings or numbers.
+func (e *encoder) mapping(value reflect.Value) {
+	keys := value.MapKeys()
+	slices.SortFunc(keys, func(a, b reflect.Value) int {
+		if a.Type() == uint64Type {
+			return cmp.Compare(a.Uint(), b.Uint())
+		}
+		return cmp.Compare(a.String(), b.String())
+	})
+	e.number(uint64(len(keys)))
+	for _, key := range keys {
+		e.reflected(key)
+		e.reflected(value.MapIndex(key))
 	}
 }
 
-func compare(a, b reflect.Value) int {
-	if a.Type() == uint64Type {
-		return int(a.Uint()) - int(b.Uint())
+func (e *encoder) structure(value reflect.Value) {
+	plan := structPlanOf(value.Type())
+	e.text(plan.name)
+	if value.Type() == syncGateType {
+		e.lastSynced = value.FieldByName("lastSynced").Uint()
+	}
+	if value.Type() == saveType {
+		e.save(value.FieldByName("Kind").String(), value.FieldByName("Data").Bytes())
+		return
+	}
+	for _, index := range plan.relative {
+		e.number(max(value.Field(index).Uint(), e.lastSynced) - e.lastSynced)
+	}
+	for _, index := range plan.fields {
+		e.reflected(value.Field(index))
 	}
-	return map[bool]int{true: -1, false: 1}[a.String() < b.String()]
 }
 
-// save writes what a table's file holds, since its bytes are in no order.
-func (p *encoder) save(kind string, data []byte) {
-	p.text(kind)
+// save writes out what a table's file holds, since its bytes are in no fixed order.
+func (e *encoder) save(kind string, data []byte) {
+	e.text(kind)
 	if kind != consensus.FileTable {
-		p.text(string(data))
+		e.text(string(data))
 		return
 	}
-	held, err := consensus.DecodeTable(data)
-	must(err)
-	p.value(held)
+	e.value(must(consensus.DecodeTable(data)))
 }
 
-func (p *encoder) walk(value reflect.Value) { encoders[value.Kind()](p, value) }
-
-func (p *encoder) value(value any) { p.walk(reflect.ValueOf(value)) }
+var (
+	durationType = reflect.TypeFor[time.Duration]()
+	uint64Type   = reflect.TypeFor[uint64]()
+	syncGateType = reflect.TypeFor[consensus.SyncGate]()
+	saveType     = reflect.TypeFor[consensus.Save]()
+)
 
-func (p *encoder) key() Key {
-	sum := sha256.Sum256(p.data)
-	return Key(sum[:16])
+// structPlan gives the indexes of the fields of a struct type that are written out.
+type structPlan struct {
+	name             string
+	relative, fields []int
 }
 
-func (p *encoder) message(one message) {
-	p.text(one.from)
-	p.text(one.to)
-	p.value(one.body)
+// structPlans has the plans by type. Searches that run at once share it.
+var structPlans sync.Map
+
+func structPlanOf(of reflect.Type) *structPlan {
+	if plan, known := structPlans.Load(of); known {
+		return plan.(*structPlan)
+	}
+	plan := &structPlan{name: of.Name()}
+	for index := range of.NumField() {
+		name := of.Name() + "." + of.Field(index).Name
+		if relativeFields[name] {
+			plan.relative = append(plan.relative, index)
+		}
+		if !relativeFields[name] && !ignoredFields[name] {
+			plan.fields = append(plan.fields, index)
+		}
+	}
+	structPlans.Store(of, plan)
+	return plan
 }
--- a/test/modelcheck/faults.go
+++ b/test/modelcheck/faults.go
@@ -6,197 +6,144 @@
 	"tansyseam/internal/coordination/consensus"
 )
 
-// A move is one way in which a world goes on.
-type transition func(w *world)
-
-// Faults lists what may go other than by default.
-func FaultNames() []string {
-	var names []string
-	for _, one := range messageFaults {
-		names = append(names, one.name)
-	}
-	for _, one := range hostFaults {
-		names = append(names, one.name)
-	}
-	return names
-}
+// Fault names a way in which events may differ from the normal course.
+type Fault string
+
+// Faults that happen in place of the delivery of a message.
+const (
+	MessageLost      Fault = "message lost"
+	MessageDelayed   Fault = "message delayed"
+	MessageReordered Fault = "message overtaken"
+	CrashBeforeSync  Fault = "power lost before a sync"
+	CrashAfterSync   Fault = "power lost after a sync"
+	FileTorn         Fault = "file torn"
+	DiskHangsAtOnce  Fault = "disk hangs at a message"
+)
 
-type fault[T any] struct {
-	name    string
-	enabled func(w *world, at T) bool
-	apply   func(w *world, at T)
+// Faults that happen to a node between messages.
+const (
+	Killed    Fault = "killed"
+	Frozen    Fault = "frozen"
+	Isolated  Fault = "isolated"
+	DiskHangs Fault = "disk hangs"
+	Leaving   Fault = "asked to leave"
+	Wiped     Fault = "disk lost"
+)
+
+// messageFault may happen in place of the delivery of the oldest message in flight.
+type messageFault struct {
+	name    Fault
+	enabled func(w *world) bool
+	apply   func(w *world)
 }
 
-// While messages are under way, the oldest is delivered, unless one of these
-// comes in its place.
-var messageFaults = []fault[int]{
-	{"lost", isAnyMessage, func(w *world, at int) { w.inFlight = slices.Delete(w.inFlight, 0, 1) }},
-	{"late", isAnyMessage, func(w *world, at int) {
-		w.delayed = append(w.delayed, w.inFlight[0])
-		w.inFlight = slices.Delete(w.inFlight, 0, 1)
-	}},
-	{"overtaken", func(w *world, _ int) bool { return w.second() > 0 }, func(w *world, _ int) { w.deliver(w.second()) }},
-	{"power lost before a sync", isAnyMessage, func(w *world, _ int) { w.crashDuringSync(nil) }},
-	{"power lost after a sync", isAnyMessage, func(w *world, _ int) { w.crashDuringSync(persist) }},
-	{"file torn", isAnyMessage, func(w *world, _ int) { w.crashDuringSync(tear) }},
-	{"disk hangs at once", isAnyMessage, func(w *world, _ int) { w.stall() }},
+// The order of the faults is that of the search.
+var messageFaults = []messageFault{
+	{MessageLost, always, (*world).loseMessage},
+	{MessageDelayed, always, (*world).delayMessage},
+	{MessageReordered, (*world).hasSecondMessage, func(w *world) { w.deliver(w.secondMessage()) }},
+	{CrashBeforeSync, always, func(w *world) { w.crashDuringSync(nil) }},
+	{CrashAfterSync, always, func(w *world) { w.crashDuringSync(persist) }},
+	{FileTorn, always, func(w *world) { w.crashDuringSync(tear) }},
+	{DiskHangsAtOnce, always, func(w *world) { w.hangDuringSync() }},
 }
 
-func isAnyMessage(*world, int) bool { return true }
+func always(*world) bool { return true }
+
+func (w *world) loseMessage() { w.inFlight = slices.Delete(w.inFlight, 0, 1) }
+
+func (w *world) delayMessage() {
+	w.delayed = append(w.delayed, w.inFlight[0])
+	w.loseMessage()
+}
 
-// second gives the next message to the machine that the oldest goes to.
-func (w *world) second() int {
-	for at, one := range w.inFlight {
-		if at > 0 && one.to == w.inFlight[0].to {
-			return at
+// secondMessage gives the index of the next message to the receiver of the oldest, or 0
+// where there is none.
+func (w *world) secondMessage() int {
+	for index, sent := range w.inFlight {
+		if index > 0 && sent.to == w.inFlight[0].to {
+			return index
 		}
 	}
 	return 0
 }
 
-// stall delivers the oldest message to a machine whose disk does not get to
-// what comes of it.
-func (w *world) stall() *host {
-	at := w.find(w.inFlight[0].to)
-	h := w.hosts[at]
+func (w *world) hasSecondMessage() bool { return w.secondMessage() > 0 }
+
+// hangDuringSync delivers the oldest message to a node whose disk hangs from then on.
+// Where the message has nothing saved, the fault makes no difference.
+func (w *world) hangDuringSync() *host {
+	index := w.find(w.inFlight[0].to)
+	h := w.hosts[index]
 	if !h.running || h.frozen || h.diskHung {
 		w.redundant = true
 		return nil
 	}
-	w.mutableHost(at).diskHung = true
+	w.mutableHost(index).diskHung = true
 	w.deliver(0)
-	h = w.hosts[at]
+	h = w.hosts[index]
 	w.redundant = h.gate.SyncPending(w.now) == 0
 	return h
 }
 
-// stopAt ends that machine there.
-func (w *world) crashDuringSync(end func(*host, consensus.Effect)) {
-	if h := w.stall(); !w.redundant {
-		w.stop(h, end)
+// crashDuringSync ends the node while its disk is at what the oldest message has saved.
+func (w *world) crashDuringSync(atDisk func(*host, consensus.Effect)) {
+	if h := w.hangDuringSync(); !w.redundant {
+		w.stop(h, atDisk)
 		h.diskHung = false
 	}
 }
 
-// Between rounds, any of these may come to a machine.
-var hostFaults = []fault[int]{
-	{"killed", isRunning, func(w *world, at int) { w.stop(w.mutableHost(at), nil) }},
-	{"frozen", func(w *world, at int) bool { return isRunning(w, at) && !w.hosts[at].frozen }, func(w *world, at int) { w.mutableHost(at).frozen = true }},
-	{"cut off", func(w *world, at int) bool { return !w.hosts[at].isolated }, func(w *world, at int) { w.mutableHost(at).isolated = true }},
-	{"disk hangs", func(w *world, at int) bool { return isRunning(w, at) && !w.hosts[at].diskHung }, func(w *world, at int) { w.mutableHost(at).diskHung = true }},
-	{"told to end", isRunning, func(w *world, at int) { w.step(w.mutableHost(at), consensus.Leave{}) }},
-	{"wiped", func(w *world, at int) bool { return w.wipes < w.config.MaxWipes }, func(w *world, at int) {
-		h := w.mutableHost(at)
-		if h.running {
-			w.stop(h, nil)
-		}
-		w.wipes++
-		h.files, h.diskHung = files{}, false
-		w.retireIncarnations(h)
-		h.wiped, h.reportedEpoch = true, 0
-	}},
+// hostFault may happen to a node while no message is in flight. enabled must not change
+// the host, and apply has one that it may change.
+type hostFault struct {
+	name    Fault
+	enabled func(w *world, h *host) bool
+	apply   func(w *world, h *host)
 }
 
-// isWhole says whether the fleet can bear a loss: there is a primary with a backup,
-// and all voters are there and know its record.
-func (w *world) isHealthy() bool {
-	var record consensus.Record
-	for _, one := range w.hosts {
-		if one.running && w.now < one.leaseUntil {
-			record = one.machine.Record()
-		}
-	}
-	return record.Backup != "" && !slices.ContainsFunc(record.Voters.Names(), func(name string) bool {
-		one := w.hosts[w.find(name)]
-		return !one.running || one.frozen || one.isolated || one.diskHung || !one.machine.IsMember() || one.machine.Record() != record
-	})
+var hostFaults = []hostFault{
+	{Killed, isRunning, func(w *world, h *host) { w.stop(h, nil) }},
+	{Frozen, func(_ *world, h *host) bool { return h.running && !h.frozen }, func(_ *world, h *host) { h.frozen = true }},
+	{Isolated, func(_ *world, h *host) bool { return !h.isolated }, func(_ *world, h *host) { h.isolated = true }},
+	{DiskHangs, func(_ *world, h *host) bool { return h.running && !h.diskHung }, func(_ *world, h *host) { h.diskHung = true }},
+	{Leaving, isRunning, func(w *world, h *host) { w.step(h, consensus.Leave{}) }},
+	{Wiped, func(w *world, _ *host) bool { return w.wipes < w.config.MaxWipes }, (*world).wipe},
 }
 
-func isRunning(w *world, at int) bool { return w.hosts[at].running }
+func isRunning(_ *world, h *host) bool { return h.running }
+
+// wipe ends the node and takes its disk.
+func (w *world) wipe(h *host) {
+	if h.running {
+		w.stop(h, nil)
+	}
+	w.wipes++
+	h.files, h.diskHung = files{}, false
+	w.retireIncarnations(h)
+	h.wiped, h.reportedEpoch = true, 0
+}
 
-// What ends a fault comes between rounds too, and is none.
-var recoveries = []fault[int]{
-	{"started", func(w *world, at int) bool { return !w.hosts[at].running }, func(w *world, at int) {
-		h := w.mutableHost(at)
+// recoveries end faults. They are not counted as faults.
+var recoveries = []hostFault{
+	{"started", func(_ *world, h *host) bool { return !h.running }, func(w *world, h *host) {
 		h.diskHung = false
 		w.start(h)
 	}},
-	{"thawed", func(w *world, at int) bool { return w.hosts[at].frozen }, func(w *world, at int) {
-		h := w.mutableHost(at)
-		h.frozen = false
-		inbox := h.inbox
-		h.inbox = nil
-		for _, one := range inbox {
-			w.receive(h, one)
-		}
-	}},
-	{"reached again", func(w *world, at int) bool { return w.hosts[at].isolated }, func(w *world, at int) { w.mutableHost(at).isolated = false }},
-	{"disk well", func(w *world, at int) bool { return w.hosts[at].running && w.hosts[at].diskHung }, func(w *world, at int) {
-		h := w.mutableHost(at)
+	{"thawed", func(_ *world, h *host) bool { return h.frozen }, (*world).thaw},
+	{"reached again", func(_ *world, h *host) bool { return h.isolated }, func(_ *world, h *host) { h.isolated = false }},
+	{"disk works again", func(_ *world, h *host) bool { return h.running && h.diskHung }, func(w *world, h *host) {
 		h.diskHung = false
 		w.sync(h)
 	}},
 }
 
-func (w *world) fork(step traceStep, act transition) *world {
-	other := w.clone()
-	step.previous, step.at = w.trace, w.now
-	other.trace = &step
-	act(other)
-	return other
-}
-
-func (w *world) allowsFault(name string) bool {
-	return w.faults < w.config.MaxFaults && (len(w.config.AllowedFaults) == 0 || slices.Contains(w.config.AllowedFaults, name))
-}
-
-func (w *world) successors() []*world {
-	return slices.DeleteFunc(w.transitions(), func(other *world) bool { return other.redundant })
-}
-
-func (w *world) transitions() []*world {
-	if len(w.inFlight) > 0 {
-		return w.messageTransitions()
-	}
-	var list []*world
-	for at, one := range w.hosts {
-		for _, mend := range recoveries {
-			if mend.enabled(w, at) {
-				list = append(list, w.fork(traceStep{host: one.name + " ", action: mend.name}, func(other *world) { mend.apply(other, at) }))
-			}
-		}
-		for _, fault := range hostFaults {
-			isHere := len(w.config.FaultHosts) == 0 || slices.Contains(w.config.FaultHosts, one.name)
-			if isHere && w.allowsFault(fault.name) && fault.enabled(w, at) && (!w.config.FaultsWhenHealthyOnly || w.isHealthy()) {
-				list = append(list, w.fork(traceStep{host: one.name + " ", action: fault.name}, func(other *world) {
-					other.faults++
-					fault.apply(other, at)
-				}))
-			}
-		}
-	}
-	for at, one := range w.delayed {
-		list = append(list, w.fork(traceStep{message: &one, action: "comes late"}, func(other *world) {
-			other.delayed = slices.Delete(other.delayed, at, at+1)
-			other.inFlight = append(other.inFlight, one)
-		}))
-	}
-	if w.rounds < w.config.Rounds {
-		list = append(list, w.fork(traceStep{action: "next round"}, (*world).startRound))
-	}
-	return list
-}
-
-func (w *world) messageTransitions() []*world {
-	one := w.inFlight[0]
-	var list []*world
-	for _, fault := range messageFaults {
-		if w.allowsFault(fault.name) && fault.enabled(w, 0) {
-			list = append(list, w.fork(traceStep{message: &one, action: fault.name}, func(other *world) {
-				other.faults++
-				fault.apply(other, 0)
-			}))
-		}
+// thaw has a frozen node handle the messages that came meanwhile.
+func (w *world) thaw(h *host) {
+	h.frozen = false
+	inbox := h.inbox
+	h.inbox = nil
+	for _, received := range inbox {
+		w.receive(h, received)
 	}
-	return append(list, w.fork(traceStep{message: &one}, func(other *world) { other.deliver(0) }))
 }
--- a/test/modelcheck/host.go
+++ b/test/modelcheck/host.go
@@ -1,7 +1,6 @@
 package modelcheck
 
 import (
-	"fmt"
 	"maps"
 	"slices"
 	"time"
@@ -10,44 +9,47 @@
 	"tansyseam/internal/coordination/proposal"
 )
 
-type message struct {
-	from, to string
-	body     any
-}
-
-// files is what a disk holds; each value is replaced, never changed.
+// files is what a disk holds. Values are replaced, never changed.
 type files struct {
 	identity   []byte
 	voterState *consensus.VoterState
 	table      []byte
-	keys       []string
-	// torn is the kind of the newest file that is unsound.
+	// keys are those of table.
+	keys []string
+	// torn is the kind of file whose newest version is damaged, if any.
 	torn string
 }
 
-// host is one machine with its disk, and what is known of it from outside.
+// host is one node with its disk, and what was seen of it from outside.
 type host struct {
-	name        string
-	machine     *consensus.Machine
-	gate        *consensus.SyncGate
-	files       files
+	name string
+	// machine and gate are nil while the node does not run.
+	machine *consensus.Machine
+	gate    *consensus.SyncGate
+	files   files
+	// incarnation counts the starts of the program.
 	incarnation int64
-	leaseUntil  time.Duration
-	published   []string
-	inbox       []message
-	running     bool
-	// isFrozen, isHung and isAlone: it does nothing, its disk does nothing, no
-	// message reaches or leaves it.
+	// leaseUntil is until when it serves as primary, and published the keys that it
+	// serves. Both lag behind the machine's by the files that they depend on.
+	leaseUntil time.Duration
+	published  []string
+	// inbox are messages that came while it was frozen.
+	inbox   []message
+	running bool
+	// A frozen node does nothing, one whose disk hangs saves nothing, and no message
+	// reaches or leaves an isolated one.
 	frozen, diskHung, isolated bool
+	// wiped says that it has lost a disk.
+	wiped bool
+	// delayedSave is what Defect.VotesUnsynced has not synced yet.
+	delayedSave consensus.Effect
 
-	// lagging is what a planted defect has not synced yet.
-	delayedSave   consensus.Effect
+	// For the invariants: the highest epoch that it told of, the incarnations that it
+	// voted with before it lost a disk, and its votes by epoch.
 	reportedEpoch uint64
-	wiped         bool
-	// past holds the incarnations that the machine voted with before it lost a disk.
-	retired  map[uint64]bool
-	promises map[uint64]proposal.Number
-	accepts  map[uint64]proposal.Number
+	retired       map[uint64]bool
+	promises      map[uint64]proposal.Number
+	accepts       map[uint64]proposal.Number
 
 	cachedKey   Key
 	cachedKeyAt time.Duration
@@ -65,293 +67,227 @@
 	return &other
 }
 
-// key names what the host is and does at a moment.
+// works says whether no fault holds the node up.
+func (h *host) works() bool { return h.running && !h.frozen && !h.isolated && !h.diskHung }
+
+// key names the state of the host at a moment.
 func (h *host) key(now time.Duration) Key {
 	if h.cachedKeyAt != now {
-		p := encoder{now: now, data: make([]byte, 0, 4096)}
-		h.encode(&p)
-		h.cachedKey, h.cachedKeyAt = p.key(), now
+		e := encoder{now: now, data: make([]byte, 0, 4096)}
+		h.encode(&e)
+		h.cachedKey, h.cachedKeyAt = e.key(), now
 	}
 	return h.cachedKey
 }
 
-func (h *host) encode(p *encoder) {
-	p.text(h.name)
-	for _, is := range []bool{h.running, h.frozen, h.diskHung, h.isolated, h.wiped} {
-		p.flag(is)
-	}
-	p.moment(h.leaseUntil)
-	p.number(uint64(h.incarnation))
-	p.number(h.reportedEpoch)
-	p.value(h.published)
-	p.value(h.retired)
-	p.value(h.promises)
-	p.value(h.accepts)
-	for _, one := range h.inbox {
-		p.message(one)
-	}
+func (h *host) encode(e *encoder) {
+	e.text(h.name)
+	for _, set := range []bool{h.running, h.frozen, h.diskHung, h.isolated, h.wiped} {
+		e.flag(set)
+	}
+	e.moment(h.leaseUntil)
+	e.number(uint64(h.incarnation))
+	e.number(h.reportedEpoch)
+	e.value(h.published)
+	e.value(h.retired)
+	e.value(h.promises)
+	e.value(h.accepts)
+	e.messages(h.inbox)
 	if h.running {
-		p.value(h.machine)
-		p.value(h.gate)
-	}
-	p.flag(h.delayedSave != nil)
-	p.text(h.files.torn)
-	p.value(h.files.voterState)
-	p.value(h.files.keys)
-	p.flag(h.files.identity == nil)
+		e.value(h.machine)
+		e.value(h.gate)
+	}
+	e.flag(h.delayedSave != nil)
+	e.text(h.files.torn)
+	e.value(h.files.voterState)
+	e.value(h.files.keys)
+	e.flag(h.files.identity == nil)
 }
 
+// start runs the node's program with what its disk holds.
 func (w *world) start(h *host) {
-	var saved consensus.PersistentState
-	if h.files.identity != nil {
-		identity, err := consensus.DecodeIdentity(h.files.identity)
-		must(err)
-		saved.Identity = identity
-	}
-	if h.files.voterState != nil {
-		ballots := *h.files.voterState
-		saved.VoterState = &ballots
-	}
-	if h.files.table != nil {
-		table, err := consensus.DecodeTable(h.files.table)
-		must(err)
-		saved.Table = table
-	}
-	saved.Corrupted = h.files.torn != ""
-	if w.config.Defect.BlankDiskVotes && saved.Identity == nil {
+	saved := w.load(h)
+	bootstrap := consensus.BootstrapConfig{Voters: 2*w.config.RequiredReplicas - 1, RequireBackup: true}
+	h.incarnation++
+	h.running, h.frozen, h.leaseUntil, h.inbox = true, false, 0, nil
+	h.machine = consensus.NewWithBootstrap(h.name, bootstrap, consensus.DefaultTiming(), saved, w.now)
+	h.gate = &consensus.SyncGate{}
+	h.published = slices.Sorted(maps.Keys(h.machine.CommittedTable().Records))
+	w.step(h, consensus.Peers{Names: w.names()})
+}
+
+// load reads the disk, with the defects that change what is read.
+func (w *world) load(h *host) consensus.PersistentState {
+	saved := h.files.load()
+	defect := w.config.Defect
+	if defect.BlankDiskVotes && saved.Identity == nil {
 		saved = w.bootstrapped(h.name)
 	}
-	if w.config.Defect.ReusesIncarnation && saved.Identity != nil {
+	if defect.ReusesIncarnation && saved.Identity != nil {
 		saved.Identity.Incarnation = 0
 	}
-	if w.config.Defect.UsesBootstrapVoters && saved.VoterState != nil {
+	if defect.UsesBootstrapVoters && saved.VoterState != nil {
 		saved.VoterState.Decided.Voters = w.bootstrapped(h.name).VoterState.Decided.Voters
 	}
-	h.incarnation++
-	h.running, h.frozen, h.leaseUntil, h.published, h.inbox = true, false, 0, nil, nil
-	h.machine = consensus.NewWithBootstrap(h.name, consensus.BootstrapConfig{Voters: 2*w.config.RequiredReplicas - 1, RequireBackup: true}, consensus.DefaultTiming(), saved, w.now)
-	h.gate, h.published = &consensus.SyncGate{}, slices.Sorted(maps.Keys(h.machine.CommittedTable().Records))
-	w.effects(h, h.machine.Step(consensus.Peers{Names: w.names()}, w.now))
+	return saved
 }
 
-// stop ends a machine's program; what its disk was at is dropped, kept or torn.
-func (w *world) stop(h *host, end func(h *host, work consensus.Effect)) {
-	if work, isDue := h.gate.Next(w.now + consensus.SyncRetryDelay); isDue && end != nil {
-		end(h, work)
+func (f files) load() consensus.PersistentState {
+	saved := consensus.PersistentState{Corrupted: f.torn != ""}
+	if f.identity != nil {
+		saved.Identity = must(consensus.DecodeIdentity(f.identity))
+	}
+	if f.voterState != nil {
+		voterState := *f.voterState
+		saved.VoterState = &voterState
+	}
+	if f.table != nil {
+		saved.Table = must(consensus.DecodeTable(f.table))
+	}
+	return saved
+}
+
+// stop ends the node's program. What its disk is at is left to atDisk, or lost where
+// that is nil.
+func (w *world) stop(h *host, atDisk func(h *host, task consensus.Effect)) {
+	if task, due := h.gate.Next(w.now + consensus.SyncRetryDelay); due && atDisk != nil {
+		atDisk(h, task)
 	}
 	if w.submitter == h.name {
 		w.submitter = ""
 	}
-	h.machine, h.gate, h.running, h.frozen, h.inbox, h.leaseUntil, h.published = nil, nil, false, false, nil, 0, nil
-	h.delayedSave = nil
+	h.machine, h.gate, h.running, h.frozen = nil, nil, false, false
+	h.leaseUntil, h.published, h.inbox, h.delayedSave = 0, nil, nil, nil
 }
 
-func persist(h *host, work consensus.Effect) {
-	save, isSave := work.(consensus.Save)
+// persist completes a task of the disk.
+func persist(h *host, task consensus.Effect) {
+	save, isSave := task.(consensus.Save)
 	if !isSave {
 		h.files.torn = ""
 		return
 	}
-	puts := map[string]func(){
-		consensus.FileIdentity: func() { h.files.identity = save.Data },
-		consensus.FileVoterState: func() {
-			voterState, err := consensus.DecodeVoterState(save.Data)
-			must(err)
-			h.files.voterState = voterState
-		},
-		consensus.FileTable: func() {
-			held, err := consensus.DecodeTable(save.Data)
-			must(err)
-			h.files.table, h.files.keys = save.Data, slices.Sorted(maps.Keys(held.Records))
-		},
-	}
-	puts[save.Kind]()
+	h.files.save(save)
 	if h.files.torn == save.Kind {
 		h.files.torn = ""
 	}
 }
 
-func tear(h *host, work consensus.Effect) {
-	if save, isSave := work.(consensus.Save); isSave {
+func (f *files) save(save consensus.Save) {
+	savers := map[string]func(){
+		consensus.FileIdentity:   func() { f.identity = save.Data },
+		consensus.FileVoterState: func() { f.voterState = must(consensus.DecodeVoterState(save.Data)) },
+		consensus.FileTable: func() {
+			f.table = save.Data
+			f.keys = slices.Sorted(maps.Keys(must(consensus.DecodeTable(save.Data)).Records))
+		},
+	}
+	savers[save.Kind]()
+}
+
+// tear leaves a file half written.
+func tear(h *host, task consensus.Effect) {
+	if save, ok := task.(consensus.Save); ok {
 		h.files.torn, h.reportedEpoch = save.Kind, 0
 	}
 }
 
-func must(err error) {
+func must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
 	}
+	return value
 }
 
+// step gives the machine an event, and carries out the effects that may be.
 func (w *world) step(h *host, event any) {
-	w.effects(h, h.machine.Step(event, w.now))
-}
-
-func (w *world) effects(h *host, effects []consensus.Effect) {
+	effects := h.machine.Step(event, w.now)
 	if w.config.Defect.VotesUnsynced {
-		effects = slices.DeleteFunc(effects, func(effect consensus.Effect) bool {
-			save, isSave := effect.(consensus.Save)
-			isVote := isSave && save.Kind == consensus.FileVoterState
-			if isVote {
-				h.delayedSave = save
-			}
-			return isVote
-		})
+		effects = h.withoutVoteSaves(effects)
 	}
 	w.release(h, h.gate.Pass(effects, w.now))
 	w.sync(h)
 }
 
-// sync lets the disk do all that is due.
+// withoutVoteSaves takes out the save of votes, which is done with the next round.
+func (h *host) withoutVoteSaves(effects []consensus.Effect) []consensus.Effect {
+	return slices.DeleteFunc(effects, func(effect consensus.Effect) bool {
+		save, ok := effect.(consensus.Save)
+		isVote := ok && save.Kind == consensus.FileVoterState
+		if isVote {
+			h.delayedSave = save
+		}
+		return isVote
+	})
+}
+
+func (h *host) finishDelayedSave() {
+	if h.delayedSave != nil {
+		persist(h, h.delayedSave)
+		h.delayedSave = nil
+	}
+}
+
+// sync has the disk do all that is due.
 func (w *world) sync(h *host) {
 	for h.running && !h.diskHung {
-		work, isDue := h.gate.Next(w.now)
-		if !isDue {
+		task, due := h.gate.Next(w.now)
+		if !due {
 			return
 		}
-		persist(h, work)
+		persist(h, task)
 		w.release(h, h.gate.Done(true, w.now))
 	}
 }
 
+// release carries out effects that the gate gave. A lease is given up at once, and taken
+// up only once the change of epoch that it follows is synced.
 func (w *world) release(h *host, effects []consensus.Effect) {
-	primacy := time.Duration(0)
+	leaseUntil := time.Duration(0)
 	if h.machine.IsPrimary(w.now) {
-		primacy = h.machine.LeaseUntil()
+		leaseUntil = h.machine.LeaseUntil()
 	}
-	h.leaseUntil = min(h.leaseUntil, primacy)
+	h.leaseUntil = min(h.leaseUntil, leaseUntil)
 	for _, effect := range effects {
 		w.apply(h, effect)
 	}
 	if !h.gate.IsEpochChangeBlocked() {
-		h.leaseUntil = primacy
+		h.leaseUntil = leaseUntil
 	}
 }
 
+// apply carries out one effect.
 func (w *world) apply(h *host, effect consensus.Effect) {
-	if send, isSend := effect.(consensus.Send); isSend {
-		w.checkMessage(h, send.Body)
-		if write, isWrite := send.Body.(consensus.Replicate); isWrite && w.config.Defect.AssumesBackupAck {
-			w.step(h, consensus.Received{From: send.To, Body: consensus.ReplicateAck{Version: write.Version, Synced: true}})
-		}
-		w.send(message{from: h.name, to: send.To, body: send.Body})
-		return
+	if send, ok := effect.(consensus.Send); ok {
+		w.applySend(h, send)
 	}
-	if answer, isAnswer := effect.(consensus.SubmitResult); isAnswer {
-		w.answered(h, answer)
-		return
+	if result, ok := effect.(consensus.SubmitResult); ok {
+		w.applySubmitResult(h, result)
 	}
-	if wrote, isWrote := effect.(consensus.TableCommitted); isWrote {
-		h.published = slices.Sorted(maps.Keys(wrote.Table.Records))
-		return
+	if committed, ok := effect.(consensus.TableCommitted); ok {
+		h.published = slices.Sorted(maps.Keys(committed.Table.Records))
 	}
-	if turned, isTurned := effect.(consensus.EpochChanged); isTurned {
-		h.published = slices.Sorted(maps.Keys(turned.Table.Records))
-		w.checkRecord(h, turned.Record)
+	if changed, ok := effect.(consensus.EpochChanged); ok {
+		h.published = slices.Sorted(maps.Keys(changed.Table.Records))
+		w.checkRecord(h, changed.Record)
 	}
 }
 
-func (w *world) answered(h *host, answer consensus.SubmitResult) {
-	if h.name == w.submitter {
-		w.submitter = ""
-	}
-	if !answer.Committed {
-		return
-	}
-	key := keyOf(answer.Token)
-	w.acked = append(slices.Clone(w.acked), key)
-	copies := 0
-	for _, other := range w.hosts {
-		if slices.Contains(other.files.keys, key) {
-			copies++
-		}
-	}
-	if copies+w.wipes < w.config.RequiredReplicas {
-		w.violate("%s acknowledged %s, which is synced on %d disks", h.name, key, copies)
+func (w *world) applySend(h *host, send consensus.Send) {
+	w.checkMessage(h, send.Body)
+	if write, ok := send.Body.(consensus.Replicate); ok && w.config.Defect.AssumesBackupAck {
+		w.step(h, consensus.Received{From: send.To, Body: consensus.ReplicateAck{Version: write.Version, Synced: true}})
 	}
+	w.send(message{from: h.name, to: send.To, body: send.Body})
 }
 
-func keyOf(token uint64) string { return fmt.Sprintf("w%d", token) }
-
-// agreed holds that an epoch has one record.
-func (w *world) checkRecord(h *host, record consensus.Record) {
-	old, isKnown := w.records[record.Epoch]
-	if isKnown && old != record {
-		w.violate("epoch %d has two records: %v, and at %s %v", record.Epoch, old, h.name, record)
-	}
-	if !isKnown {
-		w.records = maps.Clone(w.records)
-		w.records[record.Epoch] = record
-	}
-}
-
-// watch holds what a machine says to what it said before.
-func (w *world) checkMessage(h *host, body any) {
-	if ack, isOne := body.(consensus.RenewLeaseAck); isOne {
-		w.checkEpochRises(h, ack.Decided.Epoch)
-		if ack.Granted {
-			w.checkParticipation(h, "grants")
-		}
-	}
-	if renew, isOne := body.(consensus.RenewLease); isOne {
-		w.checkEpochRises(h, renew.Record.Epoch)
-	}
-	if told, isOne := body.(consensus.Decided); isOne {
-		w.checkEpochRises(h, told.Record.Epoch)
-		w.checkRecord(h, told.Record)
-	}
-	if _, isOne := body.(consensus.Prepare); isOne {
-		w.checkParticipation(h, "stands")
-	}
-	if promised, isOne := body.(consensus.Promise); isOne && promised.Granted {
-		w.checkVote(h, h.promises, promised.Epoch, promised.Number, true)
-	}
-	if accepted, isOne := body.(consensus.Accepted); isOne {
-		w.checkVote(h, h.accepts, accepted.Epoch, accepted.Number, false)
-	}
-	if _, isOne := body.(consensus.Accept); isOne {
-		w.checkParticipation(h, "stands")
-	}
-}
-
-func (w *world) checkEpochRises(h *host, number uint64) {
-	if number < h.reportedEpoch {
-		w.violate("%s tells epoch %d after %d", h.name, number, h.reportedEpoch)
-	}
-	h.reportedEpoch = max(h.reportedEpoch, number)
-}
-
-// speaks holds that a machine takes part only by a record that has it, and with the
-// disk that it has.
-func (w *world) checkParticipation(h *host, what string) {
-	member, isIn := h.machine.Record().Voters.Find(h.name)
-	if !isIn {
-		w.violate("%s %s without a vote", h.name, what)
-	}
-	if isIn && h.retired[member.Incarnation] {
-		w.violate("%s, whose disk is blank, %s", h.name, what)
-	}
-}
-
-// forgets notes the incarnations that are over with a disk.
-func (w *world) retireIncarnations(h *host) {
-	past := map[uint64]bool{}
-	maps.Copy(past, h.retired)
-	for _, record := range w.records {
-		if member, isIn := record.Voters.Find(h.name); isIn {
-			past[member.Incarnation] = true
-		}
-	}
-	h.retired = past
-}
-
-func (w *world) checkVote(h *host, told map[uint64]proposal.Number, number uint64, by proposal.Number, isPromise bool) {
-	w.checkParticipation(h, "votes")
-	if by.IsBefore(h.promises[number]) || by.IsBefore(h.accepts[number]) {
-		w.violate("%s votes for %v in epoch %d after %v and %v", h.name, by, number, h.promises[number], h.accepts[number])
+func (w *world) applySubmitResult(h *host, result consensus.SubmitResult) {
+	if h.name == w.submitter {
+		w.submitter = ""
 	}
-	if isPromise && by == h.promises[number] {
-		w.violate("%s promises %v in epoch %d twice", h.name, by, number)
+	if result.Committed {
+		key := keyOf(result.Token)
+		w.acked = append(slices.Clone(w.acked), key)
+		w.checkReplicas(h, key)
 	}
-	told[number] = by
 }
--- /dev/null
+++ b/test/modelcheck/invariants.go
@@ -0,0 +1,150 @@
+package modelcheck
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+
+	"tansyseam/internal/coordination/consensus"
+	"tansyseam/internal/coordination/proposal"
+)
+
+// violate notes the first invariant that does not hold.
+func (w *world) violate(format string, parts ...any) {
+	if w.violation == "" {
+		w.violation = fmt.Sprintf(format, parts...)
+	}
+}
+
+// checkInvariants checks that there is one primary at most, and that it serves all
+// writes that were acknowledged or served before.
+func (w *world) checkInvariants() {
+	primary := ""
+	for _, h := range w.hosts {
+		if !h.running || w.now >= h.leaseUntil {
+			continue
+		}
+		if primary != "" {
+			w.violate("%s and %s hold primacy at once", primary, h.name)
+		}
+		primary = h.name
+		w.checkServed(h)
+	}
+}
+
+func (w *world) checkServed(h *host) {
+	for _, key := range slices.Concat(w.acked, w.published) {
+		if !slices.Contains(h.published, key) {
+			w.violate("%s serves without %s, which was acknowledged or shown", h.name, key)
+		}
+	}
+	for _, key := range h.published {
+		if !slices.Contains(w.published, key) {
+			w.published = append(slices.Clone(w.published), key)
+		}
+	}
+}
+
+// checkReplicas checks that enough disks hold a write that is acknowledged.
+func (w *world) checkReplicas(h *host, key string) {
+	replicas := 0
+	for _, other := range w.hosts {
+		if slices.Contains(other.files.keys, key) {
+			replicas++
+		}
+	}
+	if replicas+w.wipes < w.config.RequiredReplicas {
+		w.violate("%s acknowledged %s, which is synced on %d disks", h.name, key, replicas)
+	}
+}
+
+// checkRecord checks that an epoch has one record.
+func (w *world) checkRecord(h *host, record consensus.Record) {
+	known, exists := w.records[record.Epoch]
+	if exists && known != record {
+		w.violate("epoch %d has two records: %v, and at %s %v", record.Epoch, known, h.name, record)
+	}
+	if !exists {
+		w.records = maps.Clone(w.records)
+		w.records[record.Epoch] = record
+	}
+}
+
+// checkMessage checks a message against what its sender sent before.
+func (w *world) checkMessage(h *host, body any) {
+	if ack, ok := body.(consensus.RenewLeaseAck); ok {
+		w.checkEpochRises(h, ack.Decided.Epoch)
+		if ack.Granted {
+			w.checkParticipation(h, "grants")
+		}
+	}
+	if renewal, ok := body.(consensus.RenewLease); ok {
+		w.checkEpochRises(h, renewal.Record.Epoch)
+	}
+	if decided, ok := body.(consensus.Decided); ok {
+		w.checkEpochRises(h, decided.Record.Epoch)
+		w.checkRecord(h, decided.Record)
+	}
+	if _, ok := body.(consensus.Prepare); ok {
+		w.checkParticipation(h, "proposes")
+	}
+	if promise, ok := body.(consensus.Promise); ok && promise.Granted {
+		w.checkPromise(h, promise)
+	}
+	if accepted, ok := body.(consensus.Accepted); ok {
+		w.checkVote(h, accepted.Epoch, accepted.Number)
+		h.accepts[accepted.Epoch] = accepted.Number
+	}
+	if _, ok := body.(consensus.Accept); ok {
+		w.checkParticipation(h, "proposes")
+	}
+}
+
+// checkEpochRises checks that a node does not forget an epoch that it has told of.
+func (w *world) checkEpochRises(h *host, epoch uint64) {
+	if epoch < h.reportedEpoch {
+		w.violate("%s tells epoch %d after %d", h.name, epoch, h.reportedEpoch)
+	}
+	h.reportedEpoch = max(h.reportedEpoch, epoch)
+}
+
+// checkParticipation checks that a node takes part only by a record in which it is a
+// voter, with the disk that it has.
+func (w *world) checkParticipation(h *host, action string) {
+	member, found := h.machine.Record().Voters.Find(h.name)
+	if !found {
+		w.violate("%s %s without a vote", h.name, action)
+	}
+	if found && h.retired[member.Incarnation] {
+		w.violate("%s, whose disk is blank, %s", h.name, action)
+	}
+}
+
+// retireIncarnations notes the incarnations that end with the disk of a node.
+func (w *world) retireIncarnations(h *host) {
+	retired := map[uint64]bool{}
+	maps.Copy(retired, h.retired)
+	for _, record := range w.records {
+		if member, found := record.Voters.Find(h.name); found {
+			retired[member.Incarnation] = true
+		}
+	}
+	h.retired = retired
+}
+
+// checkPromise checks that a proposal is promised once.
+func (w *world) checkPromise(h *host, promise consensus.Promise) {
+	w.checkVote(h, promise.Epoch, promise.Number)
+	if promise.Number == h.promises[promise.Epoch] {
+		w.violate("%s promises %v in epoch %d twice", h.name, promise.Number, promise.Epoch)
+	}
+	h.promises[promise.Epoch] = promise.Number
+}
+
+// checkVote checks that no vote in an epoch is for a lower proposal than one before.
+func (w *world) checkVote(h *host, epoch uint64, number proposal.Number) {
+	w.checkParticipation(h, "votes")
+	if number.IsBefore(h.promises[epoch]) || number.IsBefore(h.accepts[epoch]) {
+		w.violate("%s votes for %v in epoch %d after %v and %v", h.name, number, epoch, h.promises[epoch], h.accepts[epoch])
+	}
+}
--- a/test/modelcheck/modelcheck_test.go
+++ b/test/modelcheck/modelcheck_test.go
@@ -9,14 +9,14 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func runAll(shapes []Config) []Result {
-	results := make([]Result, len(shapes))
+func runAll(configs []Config) []Result {
+	results := make([]Result, len(configs))
 	var group sync.WaitGroup
-	for at, shape := range shapes {
+	for index, config := range configs {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			results[at] = Run(shape)
+			results[index] = Run(config)
 		}()
 	}
 	group.Wait()
@@ -24,24 +24,24 @@
 }
 
 func TestNoTraceViolatesAnInvariant(t *testing.T) {
-	Convey("In no course within the bounds is a rule broken, and epochs turn and writes are kept in them", t, func() {
-		shapes := TestConfigs()
-		for at, result := range runAll(shapes) {
-			about := fmt.Sprintf("%+v: %d states\n%s", shapes[at], result.States, strings.Join(result.Trace, "\n"))
-			t.Log(shapes[at], result.States, result.Steps, result.HighestEpoch, result.AckedWrites)
+	Convey("No sequence of events within the bounds violates an invariant, and epochs change and writes are committed in them", t, func() {
+		configs := TestConfigs()
+		for index, result := range runAll(configs) {
+			about := fmt.Sprintf("%+v: %d states\n%s", configs[index], result.States, strings.Join(result.Trace, "\n"))
+			t.Log(configs[index], result.States, result.Steps, result.HighestEpoch, result.AckedWrites)
 			SoMsg(about, result.Violation, ShouldBeEmpty)
 			So(result.Truncated, ShouldBeFalse)
 			So(result.States, ShouldBeGreaterThan, 1000)
 			So(result.HighestEpoch, ShouldBeGreaterThanOrEqualTo, 2)
-			So(result.AckedWrites, ShouldEqual, shapes[at].Writes+1)
+			So(result.AckedWrites, ShouldEqual, configs[index].Writes+1)
 		}
 	})
 }
 
 func TestDeterministic(t *testing.T) {
-	Convey("The same shape gives the same result", t, func() {
-		shape := Config{Machines: 3, MaxFaults: 1, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 3, Writes: 1, RequiredReplicas: 2}
-		results := runAll([]Config{shape, shape, shape})
+	Convey("The same Config gives the same Result", t, func() {
+		config := Config{Machines: 3, MaxFaults: 1, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 3, Writes: 1, RequiredReplicas: 2}
+		results := runAll([]Config{config, config, config})
 		So(results[0].States, ShouldBeGreaterThan, 500)
 		So(results[1], ShouldResemble, results[0])
 		So(results[2], ShouldResemble, results[0])
@@ -50,57 +50,57 @@
 
 func TestSeededDefectsAreFound(t *testing.T) {
 	defects := []struct {
-		name  string
-		shape Config
-		fault string
+		name      string
+		config    Config
+		violation string
 	}{
 		{"a blank machine votes", Config{
-			Machines: 3, MaxFaults: 1, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 3, Writes: 1, RequiredReplicas: 2, AllowedFaults: []string{"wiped"}, Defect: Defect{BlankDiskVotes: true},
+			Machines: 3, MaxFaults: 1, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 3, Writes: 1, RequiredReplicas: 2, AllowedFaults: []Fault{Wiped}, Defect: Defect{BlankDiskVotes: true},
 		}, "disk is blank"},
-		{"a promise is told before it is synced", Config{
-			Machines: 3, MaxFaults: 2, RoundDuration: coarseRound, Rounds: 6, RequiredReplicas: 2, AllowedFaults: []string{"frozen", "killed"}, FaultHosts: []string{"c1", "c3"}, Defect: Defect{VotesUnsynced: true},
+		{"a promise is sent before it is synced", Config{
+			Machines: 3, MaxFaults: 2, RoundDuration: coarseRound, Rounds: 6, RequiredReplicas: 2, AllowedFaults: []Fault{Frozen, Killed}, FaultHosts: []string{"c1", "c3"}, Defect: Defect{VotesUnsynced: true},
 		}, "after"},
 		{"a write is acknowledged before the backup has synced it", Config{
 			Machines: 3, RoundDuration: coarseRound, Rounds: 2, Writes: 1, RequiredReplicas: 2, Defect: Defect{AssumesBackupAck: true},
 		}, "synced on 1 disks"},
-		{"a backup that lost its disk and was told ends, and takes itself for well", Config{
-			Machines: 5, MaxFaults: 3, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 9, RequiredReplicas: 2, AllowedFaults: []string{"wiped", "killed"}, FaultHosts: []string{"c1", "c2"},
+		{"a backup that lost its disk is restarted, and takes itself for the voter that it was", Config{
+			Machines: 5, MaxFaults: 3, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 9, RequiredReplicas: 2, AllowedFaults: []Fault{Wiped, Killed}, FaultHosts: []string{"c1", "c2"},
 			Defect: Defect{ReusesIncarnation: true},
 		}, "disk is blank"},
 		{"a machine that starts again counts the voters before a replacement", Config{
-			Machines: 3, Standbys: 1, MaxFaults: 2, RoundDuration: longRound, Rounds: 16, RequiredReplicas: 2, AllowedFaults: []string{"killed"}, FaultHosts: []string{"c1", "c3"}, FaultsWhenHealthyOnly: true,
+			Machines: 3, Standbys: 1, MaxFaults: 2, RoundDuration: longRound, Rounds: 16, RequiredReplicas: 2, AllowedFaults: []Fault{Killed}, FaultHosts: []string{"c1", "c3"}, FaultsWhenHealthyOnly: true,
 			Defect: Defect{UsesBootstrapVoters: true},
 		}, "has two records"},
 	}
-	Convey("Defects planted around the machines are found, and the course ends with them", t, func() {
-		var shapes []Config
+	Convey("Defects put around the machines are found", t, func() {
+		var configs []Config
 		for _, defect := range defects {
-			shapes = append(shapes, defect.shape)
+			configs = append(configs, defect.config)
 		}
-		for at, result := range runAll(shapes) {
-			SoMsg(defects[at].name, result.Violation, ShouldContainSubstring, defects[at].fault)
+		for index, result := range runAll(configs) {
+			SoMsg(defects[index].name, result.Violation, ShouldContainSubstring, defects[index].violation)
 		}
 	})
-	Convey("Without them, the same shapes break no rule", t, func() {
-		var shapes []Config
+	Convey("Without them, the same searches find nothing", t, func() {
+		var configs []Config
 		for _, defect := range defects[:3] {
-			shape := defect.shape
-			shape.Defect = Defect{}
-			shapes = append(shapes, shape)
+			config := defect.config
+			config.Defect = Defect{}
+			configs = append(configs, config)
 		}
-		for at, result := range runAll(shapes) {
-			SoMsg(defects[at].name, result.Violation, ShouldBeEmpty)
+		for index, result := range runAll(configs) {
+			SoMsg(defects[index].name, result.Violation, ShouldBeEmpty)
 		}
 	})
 }
 
 func TestKeys(t *testing.T) {
 	Convey("A state that differs in one machine's promise, time or message under way has another key; one reached again has the same", t, func() {
-		shape := Config{Machines: 3, RoundDuration: coarseRound, Rounds: 2}
-		w := newWorld(&shape)
+		config := Config{Machines: 3, RoundDuration: coarseRound, Rounds: 2}
+		w := newWorld(&config)
 		w.trace = nil
 		first := w.key()
-		So(newWorld(&shape).key(), ShouldEqual, first)
+		So(newWorld(&config).key(), ShouldEqual, first)
 		other := w.clone()
 		other.startRound()
 		So(other.key(), ShouldNotEqual, first)
