--- /dev/null
+++ b/internal/app/shell/bindings.go
@@ -0,0 +1,89 @@
+package shell
+
+import (
+	"time"
+
+	"github.com/juju/errors"
+	"github.com/valyala/fastjson"
+
+	"tansyseam/internal/app/admin"
+	"tansyseam/internal/state/model"
+)
+
+// States of a binding set, as they are shown.
+const (
+	stateInForce   = "in force"
+	stateNoLease   = "old news: the node has no lease and serves nothing"
+	statePending   = "being carried to all nodes"
+	stateScheduled = "takes effect at "
+)
+
+type bindingSetRow struct {
+	Bindings int    `json:"bindings"`
+	Node     string `json:"node"`
+	Sequence int    `json:"sequence"`
+	State    string `json:"state"`
+}
+
+func (r bindingSetRow) cells() []any { return []any{r.Node, r.Sequence, r.Bindings, r.State} }
+
+// bindings gives the set in force at each proxy and at the control primary, and
+// the later ones that are known there.
+func (s *Shell) bindings([]string) (result, error) {
+	return s.collect("", admin.PathFleet, func(node nodeRef, value *fastjson.Value) []row {
+		if node.kind == model.KindControl && !value.GetBool("primacy") {
+			return nil
+		}
+		state := stateInForce
+		if node.kind == model.KindProxy && value.GetInt("lease_ms") == 0 {
+			state = stateNoLease
+		}
+		sets := value.Get("sets")
+		active := sets.GetInt("sequence")
+		rows := []row{bindingSetRow{Bindings: len(sets.GetArray("bindings")), Node: node.name, Sequence: active, State: state}}
+		for _, set := range sets.GetArray("taken") {
+			if sequence := set.GetInt("sequence"); sequence > active {
+				rows = append(rows, bindingSetRow{
+					Bindings: len(set.GetArray("bindings")), Node: node.name, Sequence: sequence, State: stateOf(set.GetInt64("moment_ms")),
+				})
+			}
+		}
+		return rows
+	})
+}
+
+// stateOf says in words when a set takes effect, given its wall time in ms.
+func stateOf(effectiveAtMillis int64) string {
+	if effectiveAtMillis == 0 {
+		return statePending
+	}
+	return stateScheduled + formatMillis(effectiveAtMillis)
+}
+
+type changeRow struct {
+	EffectiveAt string `json:"at"`
+	Bindings    int    `json:"bindings"`
+	ID          string `json:"id"`
+}
+
+func (r changeRow) cells() []any { return []any{r.ID, r.EffectiveAt, r.Bindings} }
+
+func (s *Shell) changes([]string) (result, error) {
+	found := result{}
+	value, err := s.fetch(s.Address, admin.PathListChanges)
+	if err != nil {
+		return found, err
+	}
+	if reason := stringAt(value, "error"); reason != "" {
+		return found, errors.WithType(errors.New(reason), ErrUnreachable)
+	}
+	for _, change := range value.GetArray("changes") {
+		found.rows = append(found.rows, changeRow{
+			EffectiveAt: formatMillis(change.GetInt64("at_ms")), Bindings: len(change.GetArray("bindings")), ID: stringAt(change, "id"),
+		})
+	}
+	return found, nil
+}
+
+// formatMillis writes a wall time in ms since 1970.
+func formatMillis(millis int64) string { return time.UnixMilli(millis).UTC().Format(time.RFC3339Nano) }
--- /dev/null
+++ b/internal/app/shell/control.go
@@ -0,0 +1,149 @@
+package shell
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"time"
+
+	"github.com/valyala/fastjson"
+
+	"tansyseam/internal/app/admin"
+	"tansyseam/internal/state/model"
+)
+
+// timeOfDay is the layout of times in the audit log.
+const timeOfDay = "15:04:05.000"
+
+type epochRow struct {
+	Backup  string `json:"backup"`
+	Epoch   int    `json:"epoch"`
+	Primacy bool   `json:"holds_primacy"`
+	Node    string `json:"node"`
+	Primary string `json:"primary"`
+	State   string `json:"state"`
+}
+
+func (r epochRow) cells() []any {
+	return []any{r.Node, r.Epoch, r.Primary, r.Backup, r.Primacy, r.State}
+}
+
+func (s *Shell) epochs([]string) (result, error) {
+	return s.collect(model.KindControl, admin.PathFleet, func(node nodeRef, value *fastjson.Value) []row {
+		epoch := value.Get("epoch")
+		return []row{epochRow{
+			Backup: stringAt(epoch, "backup"), Epoch: epoch.GetInt("epoch"), Primacy: value.GetBool("primacy"), Node: node.name,
+			Primary: stringAt(epoch, "primary"), State: formatVersion(value.Get("stamp")),
+		}}
+	})
+}
+
+type singletonRow struct {
+	Role   string `json:"duty"`
+	Leader string `json:"held_by"`
+}
+
+func (r singletonRow) cells() []any { return []any{r.Role, r.Leader} }
+
+func (s *Shell) singletons([]string) (result, error) {
+	return s.collect(model.KindControl, admin.PathFleet, func(node nodeRef, value *fastjson.Value) []row {
+		var rows []row
+		for _, role := range value.GetArray("duties") {
+			if role.GetBool("is_held") {
+				rows = append(rows, singletonRow{Role: stringAt(role, "duty"), Leader: node.name})
+			}
+		}
+		return rows
+	})
+}
+
+type leaseRow struct {
+	Version        string `json:"has_taken_up"`
+	Node           string `json:"node"`
+	ActiveSequence int    `json:"shows"`
+}
+
+func (r leaseRow) cells() []any { return []any{r.Node, r.Version, r.ActiveSequence} }
+
+func (s *Shell) leases([]string) (result, error) {
+	found := result{}
+	value, err := s.fetchFromPrimary()
+	if err != nil {
+		return found, err
+	}
+	var leases []leaseRow
+	for _, lease := range value.GetArray("leases") {
+		leases = append(leases, leaseRow{Version: formatVersion(lease), Node: stringAt(lease, "node"), ActiveSequence: lease.GetInt("shows")})
+	}
+	slices.SortFunc(leases, func(a, b leaseRow) int { return cmp.Compare(a.Node, b.Node) })
+	for _, lease := range leases {
+		found.rows = append(found.rows, lease)
+	}
+	return found, nil
+}
+
+type writerRow struct {
+	RequiredReplicas string `json:"commits_wait_for"`
+	Database         string `json:"database"`
+	Candidates       string `json:"may_be_promoted"`
+	Phase            string `json:"phase"`
+	Primary          string `json:"primary"`
+	Term             int    `json:"term"`
+	Reason           string `json:"why"`
+}
+
+func (r writerRow) cells() []any {
+	return []any{r.Database, r.Term, r.Primary, r.Phase, r.RequiredReplicas, r.Candidates, r.Reason}
+}
+
+func (s *Shell) writers([]string) (result, error) {
+	found := result{}
+	value, err := s.fetchFromPrimary()
+	if err != nil {
+		return found, err
+	}
+	for _, writer := range value.GetArray("writers") {
+		found.rows = append(found.rows, writerRow{
+			RequiredReplicas: sortedKeys(writer, "Required"), Database: stringAt(writer, "Database"), Candidates: sortedKeys(writer, "Candidates"),
+			Phase: stringAt(writer, "Phase"), Primary: stringAt(writer, "Primary"), Term: writer.GetInt("Term"), Reason: stringAt(writer, "Why"),
+		})
+	}
+	return found, nil
+}
+
+type auditRow struct {
+	At       string `json:"at"`
+	Evidence string `json:"evidence"`
+	Subject  string `json:"subject"`
+	Action   string `json:"what"`
+}
+
+func (r auditRow) cells() []any { return []any{r.At, r.Subject, r.Action, r.Evidence} }
+
+// history gives the audit log, or its entries about a subject.
+func (s *Shell) history(args []string) (result, error) {
+	found := result{}
+	value, err := s.fetchFromPrimary()
+	if err != nil {
+		return found, err
+	}
+	for _, entry := range value.GetArray("entries") {
+		subject := stringAt(entry, "subject")
+		if len(args) > 0 && subject != args[0] && subject != "database "+args[0] {
+			continue
+		}
+		found.rows = append(found.rows, auditRow{
+			At:       time.Unix(0, entry.GetInt64("at")).UTC().Format(timeOfDay),
+			Evidence: stringAt(entry, "evidence"), Subject: subject, Action: stringAt(entry, "what"),
+		})
+	}
+	if len(args) > 0 && len(found.rows) == 0 {
+		return found, badQuery("nothing is on record about %q", args[0])
+	}
+	return found, nil
+}
+
+// formatVersion writes a version of the control state.
+func formatVersion(value *fastjson.Value) string {
+	return fmt.Sprintf("%d/%d", value.GetInt("epoch"), value.GetInt("sequence"))
+}
--- a/internal/app/shell/golden_test.go
+++ b/internal/app/shell/golden_test.go
@@ -77,3 +77,13 @@
 		golden.Check(t, "unreached.txt", []byte(text.String()))
 	})
 }
+
+func TestGoldenPrompt(t *testing.T) {
+	Convey("A prompt answers line by line, reports errors and goes on, and ends with the last error", t, func() {
+		var out bytes.Buffer
+		shell := NewWithRequester("c1", false, &out, respondGolden)
+		So(shell.RunInteractive(strings.NewReader("duties\n\nnonsense\nquit\nduties\n")), ShouldHaveSameTypeAs, badQuery(""))
+		So(shell.RunInteractive(strings.NewReader("nonsense\nchanges")), ShouldBeNil)
+		golden.Check(t, "prompt.txt", out.Bytes())
+	})
+}
--- /dev/null
+++ b/internal/app/shell/nodes.go
@@ -0,0 +1,112 @@
+package shell
+
+import (
+	"cmp"
+	"slices"
+
+	"github.com/valyala/fastjson"
+
+	"tansyseam/internal/app/admin"
+)
+
+// pathCounters is the call that gives a node's counters.
+const pathCounters = "/v1/counters"
+
+type nodeRow struct {
+	Address      string  `json:"door"`
+	Kind         string  `json:"kind"`
+	Node         string  `json:"node"`
+	SilentMillis int     `json:"silent_ms"`
+	Status       string  `json:"standing"`
+	Version      int     `json:"version"`
+	Weight       float64 `json:"weight"`
+	Zone         string  `json:"zone"`
+}
+
+func (r nodeRow) cells() []any {
+	return []any{r.Node, r.Kind, r.Zone, r.Status, r.SilentMillis, r.Weight, r.Version, r.Address}
+}
+
+func (s *Shell) nodes([]string) (result, error) {
+	found := result{}
+	value, err := s.fetch(s.Address, admin.PathFleet)
+	if err != nil {
+		return found, err
+	}
+	for _, node := range value.GetArray("nodes") {
+		found.rows = append(found.rows, nodeRow{
+			Address: stringAt(node, "door"), Kind: stringAt(node, "kind"), Node: stringAt(node, "node"), SilentMillis: node.GetInt("silent_ms"),
+			Status: stringAt(node, "standing"), Version: node.GetInt("version"), Weight: node.GetFloat64("weight"), Zone: stringAt(node, "zone"),
+		})
+	}
+	return found, nil
+}
+
+type healthRow struct {
+	Epoch       int    `json:"epoch"`
+	Kind        string `json:"kind"`
+	LeaseMillis int    `json:"lease_ms"`
+	Node        string `json:"node"`
+	Ready       bool   `json:"ready"`
+	Sequence    int    `json:"sequence"`
+	Sessions    int    `json:"sessions"`
+	Reason      string `json:"why"`
+}
+
+func (r healthRow) cells() []any {
+	return []any{r.Node, r.Kind, r.Ready, r.Epoch, r.Sequence, r.LeaseMillis, r.Sessions, r.Reason}
+}
+
+func (s *Shell) health([]string) (result, error) {
+	return s.collect("", admin.PathHealth, func(node nodeRef, value *fastjson.Value) []row {
+		return []row{healthRow{
+			Epoch: value.GetInt("epoch"), Kind: node.kind, LeaseMillis: value.GetInt("lease_ms"), Node: node.name, Ready: value.GetBool("is_ready"),
+			Sequence: value.GetInt("sequence"), Sessions: value.GetInt("sessions"), Reason: stringAt(value, "why"),
+		}}
+	})
+}
+
+type counterRow struct {
+	Count   int64  `json:"count"`
+	Counter string `json:"counter"`
+}
+
+func (r counterRow) cells() []any { return []any{r.Counter, r.Count} }
+
+// counters gives those of the node that is named, or of the first node.
+func (s *Shell) counters(args []string) (result, error) {
+	found := result{}
+	address, err := s.addressOf(args)
+	if err != nil {
+		return found, err
+	}
+	value, err := s.fetch(address, pathCounters)
+	if err != nil {
+		return found, err
+	}
+	var counters []counterRow
+	value.GetObject("counters").Visit(func(key []byte, count *fastjson.Value) {
+		counters = append(counters, counterRow{Count: count.GetInt64(), Counter: string(key)})
+	})
+	slices.SortFunc(counters, func(a, b counterRow) int { return cmp.Compare(a.Counter, b.Counter) })
+	for _, counter := range counters {
+		found.rows = append(found.rows, counter)
+	}
+	return found, nil
+}
+
+func (s *Shell) addressOf(args []string) (string, error) {
+	if len(args) == 0 {
+		return s.Address, nil
+	}
+	nodes, err := s.listNodes()
+	if err != nil {
+		return "", err
+	}
+	for _, node := range nodes {
+		if node.name == args[0] {
+			return node.address, nil
+		}
+	}
+	return "", badQuery("no node %q is known", args[0])
+}
