--- a/internal/coordination/distribution/distribution_test.go
+++ b/internal/coordination/distribution/activation_test.go
@@ -13,71 +13,8 @@
 	"tansyseam/internal/state/store"
 )
 
-type harness struct {
-	*Machine
-	stored *store.Table
-	now    time.Duration
-	wall   int64
-}
-
-func newHarness(epochNo uint64, state *store.Table) *harness {
-	return newHarnessWithTiming(lease.DefaultTiming(), epochNo, state)
-}
-
-func newHarnessWithTiming(timing lease.Timing, epochNo uint64, state *store.Table) *harness {
-	h := &harness{stored: state, now: time.Hour, wall: int64(1000 * time.Hour)}
-	h.Machine = New("c1", timing, consensus.Record{Epoch: epochNo, Primary: "c1", Backup: "c2"}, state, h.now)
-	return h
-}
-
-func (h *harness) advance(span time.Duration) { h.now, h.wall = h.now+span, h.wall+int64(span) }
-
-func (h *harness) write(write Write) int {
-	puts := write.Build(h.stored)
-	if len(puts) > 0 {
-		h.stored = h.stored.Clone()
-		h.stored.Apply(store.Version{Epoch: h.Record().Epoch, Sequence: h.stored.Version.Sequence + 1}, puts)
-		h.Publish(h.stored)
-	}
-	write.Done()
-	return len(puts)
-}
-
-func (h *harness) runWrites() int {
-	writes := 0
-	for range 20 {
-		progressed := false
-		for _, next := range []func(int64, time.Duration) (Write, bool){h.RegisterNodes, h.NextActivation, h.NextCollection} {
-			if write, due := next(h.wall, h.now); due {
-				progressed = h.write(write) > 0 || progressed
-				writes++
-			}
-		}
-		if !progressed {
-			break
-		}
-	}
-	return writes
-}
-
-func (h *harness) request(node string, have store.Version) Update {
-	h.HandleRequest(UpdateRequest{Node: node, Kind: model.KindProxy, Version: have}, 1, h.now)
-	h.runWrites()
-	h.advance(DefaultPollTimeout)
-	replies := h.Flush(true, h.wall, h.now)
-	So(len(replies), ShouldBeGreaterThan, 0)
-	return replies[len(replies)-1].Update
-}
-
-func (h *harness) putSet(expected uint64) {
-	h.write(Write{Build: func(state *store.Table) []store.Put {
-		puts, _ := rollout.AcceptBindings(state, expected, []model.Binding{{Name: "b", Database: "db"}}, "test", h.wall)
-		return puts
-	}, Done: func() {}})
-}
-
 func TestLeases(t *testing.T) {
-	Convey("A node that asks is put on record once, and gets a lease of this epoch even from a primary that was just started", t, func() {
+	Convey("A node that sends a request is registered once, and gets a lease of this epoch even from a primary that was just started", t, func() {
 		h := newHarness(3, store.New())
 		first := h.request("d1", store.Version{})
 		So(h.runWrites(), ShouldEqual, 0)
@@ -88,7 +25,7 @@
 		So(h.runWrites(), ShouldBeGreaterThan, 0)
 		So(h.stored.Records, ShouldNotContainKey, model.PrefixNode+"d1")
 	})
-	Convey("A new primary reckons with the leases of all nodes on record, and with no others", t, func() {
+	Convey("A new primary takes all registered nodes to hold a lease, and no others", t, func() {
 		h := newHarness(1, store.New())
 		h.request("d1", store.Version{})
 		h.putSet(0)
@@ -101,24 +38,24 @@
 		So(next.write(write), ShouldBeGreaterThan, 0)
 		So(next.Snapshot().NewestSet().EffectiveAt, ShouldBeGreaterThan, next.wall)
 	})
-	Convey("While a set waits for a node, leases end where its moment can still come in time; past that there are none", t, func() {
+	Convey("While a set waits for a node, leases end early enough for its activation deadline; past that none is granted", t, func() {
 		h := newHarness(1, store.New())
 		h.request("d1", store.Version{})
 		h.request("d2", store.Version{})
 		h.request("d1", h.stored.Version)
 		h.putSet(0)
-		taken := h.wall
-		for h.wall < taken+int64(lease.DefaultTiming().PendingSetLimit()) {
+		acceptedAt := h.wall
+		for h.wall < acceptedAt+int64(lease.DefaultTiming().PendingSetLimit()) {
 			h.Machine.grantor.Acknowledge("d2", store.Version{}, h.now)
 			h.Machine.grantor.Grant("d2", time.Minute, h.now)
-			left := time.Duration(taken + int64(lease.DefaultTiming().PendingSetLimit()) - h.wall)
+			left := time.Duration(acceptedAt + int64(lease.DefaultTiming().PendingSetLimit()) - h.wall)
 			So(h.request("d1", h.stored.Version).LeaseDuration, ShouldBeLessThanOrEqualTo, min(lease.DefaultTiming().LeaseDuration, left))
 		}
 		h.Machine.grantor.Acknowledge("d2", store.Version{}, h.now)
 		h.Machine.grantor.Grant("d2", time.Minute, h.now)
 		So(h.request("d1", h.stored.Version).LeaseDuration, ShouldEqual, 0)
 	})
-	Convey("With a node that falls silent, a set's moment is within the bound that the settings give", t, func() {
+	Convey("With a node that falls silent, a set takes effect within the configured deadline", t, func() {
 		for _, bound := range []time.Duration{2500 * time.Millisecond, 3 * time.Second, 4 * time.Second, 11 * time.Second} {
 			timing := lease.DefaultTiming()
 			timing.ActivationDeadline = bound
@@ -128,16 +65,16 @@
 				h.request("d2", h.stored.Version)
 			}
 			h.putSet(0)
-			taken := h.wall
-			for h.Snapshot().NewestSet().EffectiveAt == 0 && h.wall < taken+int64(time.Minute) {
+			acceptedAt := h.wall
+			for h.Snapshot().NewestSet().EffectiveAt == 0 && h.wall < acceptedAt+int64(time.Minute) {
 				h.request("d1", h.stored.Version)
 				h.runWrites()
 				h.advance(50 * time.Millisecond)
 			}
-			SoMsg(bound.String(), time.Duration(h.Snapshot().NewestSet().EffectiveAt-taken), ShouldBeBetween, 0, bound)
+			SoMsg(bound.String(), time.Duration(h.Snapshot().NewestSet().EffectiveAt-acceptedAt), ShouldBeBetween, 0, bound)
 		}
 	})
-	Convey("A moment set by an earlier tenure is brought in force before any lease goes out", t, func() {
+	Convey("An implausible effective time of an earlier tenure is brought forward before any lease is granted", t, func() {
 		h := newHarness(1, store.New())
 		h.request("d1", store.Version{})
 		h.putSet(0)
@@ -158,22 +95,12 @@
 	})
 }
 
-func TestWriterRolePuts(t *testing.T) {
-	Convey("A change that was decided on an earlier writer role is not written", t, func() {
-		state := store.New()
-		change := WriterRoleChange{Next: model.WriterRole{Database: "db", Term: 1, Phase: model.PhaseOpen}}
-		state.Apply(store.Version{Epoch: 1, Sequence: 2}, WriterRolePuts(state, change, 3))
-		So(state.Records, ShouldContainKey, model.PrefixWriterRole+"db")
-		So(WriterRolePuts(state, change, 4), ShouldBeEmpty)
-	})
-}
-
 func TestPendingSetOfAnEarlierTenure(t *testing.T) {
-	Convey("A primary that cannot trust its clock leases nobody to serve beside a pending set that it has inherited", t, func() {
+	Convey("A primary that cannot trust its clock grants no lease beside a pending set that it has inherited", t, func() {
 		first := newHarness(1, store.New())
 		first.request("d1", store.Version{})
 		puts, _ := rollout.AcceptBindings(first.stored, 0, []model.Binding{{Name: "x", Database: "x"}}, "call", first.wall)
-		first.write(Write{Build: func(*store.Table) []store.Put { return puts }, Done: func() {}})
+		first.put(puts...)
 		for _, trusted := range []bool{false, true} {
 			second := newHarness(1, first.stored)
 			second.Machine = New("c2", lease.DefaultTiming(), consensus.Record{Epoch: 1, Primary: "c1"}, first.stored, second.now)
@@ -186,11 +113,11 @@
 			So(replies[0].Update.LeaseDuration > 0, ShouldEqual, trusted)
 		}
 	})
-	Convey("Nor does one that started again and holds primacy by the record that it held before", t, func() {
+	Convey("Nor does one that restarted and is primary by the same record as before", t, func() {
 		first := newHarness(1, store.New())
 		first.request("d1", store.Version{})
 		puts, _ := rollout.AcceptBindings(first.stored, 0, []model.Binding{{Name: "x", Database: "x"}}, "call", first.wall)
-		first.write(Write{Build: func(*store.Table) []store.Put { return puts }, Done: func() {}})
+		first.put(puts...)
 		for _, trusted := range []bool{false, true} {
 			again := newHarness(1, first.stored)
 			again.wall -= int64(4 * time.Second)
@@ -204,55 +131,33 @@
 	})
 }
 
-func TestInstancePosition(t *testing.T) {
-	Convey("An instance stands where it last said, though another node had an answer of it since that told no position", t, func() {
-		h := newHarness(1, store.New())
-		h.request("d1", store.Version{})
-		h.request("d2", store.Version{})
-		report := func(index uint64, answered, placed time.Duration) []InstanceReport {
-			info := model.Instance{Name: "r", Database: "x", Incarnation: "b", Position: model.Position{Term: 1, Index: index}}
-			return []InstanceReport{{Instance: info, AnnouncementAge: 390 * time.Millisecond, ResponseAge: answered, PositionAge: placed}}
-		}
-		h.HandleReport(NodeReport{Node: "d1", Reports: report(9, 80*time.Millisecond, 80*time.Millisecond)}, h.now)
-		h.HandleReport(NodeReport{Node: "d2", Reports: report(4, 10*time.Millisecond, 390*time.Millisecond)}, h.now)
-		observations := []Observation{{Instance: report(4, 0, 0)[0].Instance, ObservedAt: h.now - 390*time.Millisecond}}
-		observation := h.AsyncFailoverEvidence("x", observations, h.wall, h.now).Observations[0]
-		So(observation.Instance.Position.Index, ShouldEqual, 9)
-		So(observation.ContactAge, ShouldEqual, 10*time.Millisecond)
-		So(observation.PositionAge, ShouldEqual, 80*time.Millisecond)
-		h.HandleReport(NodeReport{Node: "d1"}, h.now)
-		late := []Observation{{Instance: observations[0].Instance, ObservedAt: h.now}}
-		So(h.AsyncFailoverEvidence("x", late, h.wall, h.now).Observations[0].PositionAge, ShouldEqual, time.Hour)
-	})
-}
-
 func TestScheduledChangesActivateInOrder(t *testing.T) {
 	at := func(h *harness, span time.Duration) int64 { return h.wall + int64(span) }
-	book := func(h *harness, id string, effectiveAt int64) bool {
+	scheduleAt := func(h *harness, id string, effectiveAt int64) bool {
 		puts, _ := rollout.Schedule(h.stored, id, effectiveAt, []model.Binding{{Name: id, Database: "x"}}, h.wall)
-		return h.write(Write{Build: func(*store.Table) []store.Put { return puts }, Done: func() {}}) > 0
+		return h.put(puts...) > 0
 	}
-	Convey("A change whose moment lies before that of one already on its way is refused, and a later one is not", t, func() {
+	Convey("A change for an earlier time than that of a set already being distributed is rejected, and a later one is not", t, func() {
 		h := newHarness(1, store.New())
 		later := at(h, time.Second)
-		So(book(h, "later", later), ShouldBeTrue)
+		So(scheduleAt(h, "later", later), ShouldBeTrue)
 		h.runWrites()
 		So(h.Snapshot().NewestSet().Source, ShouldEqual, "booking later")
-		So(book(h, "earlier", later-int64(500*time.Millisecond)), ShouldBeFalse)
-		So(book(h, "same", later), ShouldBeTrue)
+		So(scheduleAt(h, "earlier", later-int64(500*time.Millisecond)), ShouldBeFalse)
+		So(scheduleAt(h, "same", later), ShouldBeTrue)
 		for range 5 {
 			h.advance(time.Second)
 			h.runWrites()
 		}
-		So(book(h, "past", later-int64(500*time.Millisecond)), ShouldBeTrue)
+		So(scheduleAt(h, "past", later-int64(500*time.Millisecond)), ShouldBeTrue)
 	})
-	Convey("A change booked between the choice and the write of another, for an earlier moment, goes first", t, func() {
+	Convey("A change scheduled between the choice and the write of another, for an earlier time, is accepted first", t, func() {
 		h := newHarness(1, store.New())
-		So(book(h, "later", at(h, time.Second)), ShouldBeTrue)
-		landing, due := h.NextActivation(h.wall, h.now)
+		So(scheduleAt(h, "later", at(h, time.Second)), ShouldBeTrue)
+		acceptance, due := h.NextActivation(h.wall, h.now)
 		So(due, ShouldBeTrue)
-		So(book(h, "earlier", at(h, 500*time.Millisecond)), ShouldBeTrue)
-		h.write(landing)
+		So(scheduleAt(h, "earlier", at(h, 500*time.Millisecond)), ShouldBeTrue)
+		h.write(acceptance)
 		So(h.Snapshot().NewestSet().Source, ShouldEqual, "booking earlier")
 	})
 }
@@ -260,7 +165,7 @@
 func TestEffectiveTimesBesideLeases(t *testing.T) {
 	full := lease.DefaultTiming().LeaseDuration
 	const pace = 50 * time.Millisecond
-	Convey("A set that is taken shortens no lease, so that one outlasts the election of another primary", t, func() {
+	Convey("A newly accepted set shortens no lease, so that one outlasts the election of another primary", t, func() {
 		h := newHarness(1, store.New())
 		h.request("d1", store.Version{})
 		h.request("d1", h.stored.Version)
@@ -270,7 +175,7 @@
 		So(replies[0].Update.Snapshot.HasPendingSet(), ShouldBeTrue)
 		So(replies[0].Update.LeaseDuration, ShouldEqual, full)
 	})
-	Convey("A moment lies past each lease given without it, and in time also where a node falls silent", t, func() {
+	Convey("An effective time lies past each lease granted without it, and in time also if a node falls silent", t, func() {
 		for _, silentFor := range []time.Duration{0, 300 * time.Millisecond, time.Second, time.Minute} {
 			h := newHarness(1, store.New())
 			for _, node := range []string{"d1", "d2"} {
@@ -282,15 +187,15 @@
 				h.request("d2", h.stored.Version)
 			}
 			h.putSet(1)
-			taken, last := h.now, time.Duration(0)
-			for h.Snapshot().HasPendingSet() && h.now < taken+5*time.Second {
+			acceptedAt, lastExpiry := h.now, time.Duration(0)
+			for h.Snapshot().HasPendingSet() && h.now < acceptedAt+5*time.Second {
 				for _, node := range []string{"d1", "d2"} {
-					if node == "d2" && h.now < taken+silentFor {
+					if node == "d2" && h.now < acceptedAt+silentFor {
 						continue
 					}
 					h.HandleRequest(UpdateRequest{Node: node, Kind: model.KindProxy, Version: store.Version{}}, 1, h.now)
 					for _, reply := range h.Flush(true, h.wall, h.now) {
-						last = max(last, h.now+reply.Update.LeaseDuration)
+						lastExpiry = max(lastExpiry, h.now+reply.Update.LeaseDuration)
 					}
 					h.HandleRequest(UpdateRequest{Node: node, Kind: model.KindProxy, Version: h.stored.Version}, 1, h.now)
 				}
@@ -298,11 +203,11 @@
 				h.runWrites()
 			}
 			effectiveAt := h.now + time.Duration(h.Snapshot().NewestSet().EffectiveAt-h.wall)
-			So(effectiveAt, ShouldBeGreaterThan, last)
-			So(effectiveAt, ShouldBeLessThan, taken+2600*time.Millisecond)
+			So(effectiveAt, ShouldBeGreaterThan, lastExpiry)
+			So(effectiveAt, ShouldBeLessThan, acceptedAt+2600*time.Millisecond)
 		}
 	})
-	Convey("The first set of a fleet, beside which none is in force, waits for no lease", t, func() {
+	Convey("The first set of a cluster, which replaces no other, waits for no lease", t, func() {
 		h := newHarness(1, store.New())
 		h.request("d1", store.Version{})
 		h.putSet(0)
@@ -313,7 +218,7 @@
 }
 
 func TestEffectiveTimeOfEarlierTenure(t *testing.T) {
-	Convey("A moment that lies ahead as far as moments do is left to a clock that is sure, since who holds a lease knows it; beside one that is not nobody is leased", t, func() {
+	Convey("With a trusted clock a plausible effective time of an earlier tenure is kept, since every leased node knows it; with one that is not trusted no lease is granted", t, func() {
 		first := newHarness(1, store.New())
 		first.request("d1", store.Version{})
 		first.putSet(0)
@@ -346,3 +251,45 @@
 		}
 	})
 }
+
+func TestEffectiveTimeComesWithLease(t *testing.T) {
+	Convey("The update with a set's effective time brings a lease past that time, also before its write has ended", t, func() {
+		h := newHarness(3, store.New())
+		h.request("d1", store.Version{})
+		h.putSet(0)
+		h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version}, 5, h.now)
+		write, due := h.NextActivation(h.wall, h.now)
+		So(due, ShouldBeTrue)
+		h.stored = h.stored.Clone()
+		h.stored.Apply(store.Version{Epoch: 3, Sequence: h.stored.Version.Sequence + 1}, write.Build(h.stored))
+		h.Publish(h.stored)
+		So(h.Snapshot().HasPendingSet(), ShouldBeFalse)
+		replies := h.Flush(true, h.wall, h.now)
+		So(len(replies), ShouldEqual, 1)
+		So(replies[0].Update.LeaseDuration, ShouldBeGreaterThan, time.Duration(h.Snapshot().NewestSet().EffectiveAt-h.wall))
+		write.Done()
+	})
+}
+
+func TestRequestsEndWithActivation(t *testing.T) {
+	Convey("A request received before a set's effective time is answered when that is past, with a full lease again", t, func() {
+		h := newHarness(3, store.New())
+		h.request("d1", store.Version{})
+		h.putSet(0)
+		h.request("d1", h.stored.Version)
+		h.request("d1", h.stored.Version)
+		h.putSet(1)
+		h.request("d1", h.stored.Version)
+		left := time.Duration(h.Snapshot().NewestSet().EffectiveAt - h.wall)
+		So(left, ShouldBeGreaterThan, 0)
+		h.advance(left - time.Millisecond)
+		h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version}, 8, h.now)
+		So(len(h.Flush(true, h.wall, h.now)), ShouldEqual, 0)
+		h.advance(2 * time.Millisecond)
+		replies := h.Flush(true, h.wall, h.now)
+		So(len(replies), ShouldEqual, 1)
+		So(replies[0].Update.LeaseDuration, ShouldEqual, lease.DefaultTiming().LeaseDuration)
+		h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version}, 9, h.now)
+		So(len(h.Flush(true, h.wall, h.now)), ShouldEqual, 0)
+	})
+}
--- a/internal/coordination/distribution/delta_test.go
+++ b/internal/coordination/distribution/delta_test.go
@@ -13,31 +13,8 @@
 	"tansyseam/internal/state/store"
 )
 
-func (h *harness) put(puts ...store.Put) {
-	h.write(Write{Build: func(*store.Table) []store.Put { return puts }, Done: func() {}})
-}
-
-func writerPut(name string, term uint64) store.Put {
-	return store.Put{Key: model.PrefixWriterRole + name, Data: store.Encode(model.WriterRole{Database: name, Term: term, Phase: model.PhaseOpen})}
-}
-
-func syncWriterPut(writer model.WriterRole) store.Put {
-	writer.SyncReplication = true
-	return store.Put{Key: model.PrefixWriterRole + writer.Database, Data: store.Encode(writer)}
-}
-
-func setPut(sequence uint64, effectiveAt int64) store.Put {
-	return store.Put{Key: model.BindingSetKey(sequence), Data: store.Encode(model.BindingSet{Sequence: sequence, EffectiveAt: effectiveAt})}
-}
-
-func (h *harness) requestSnapshot(have store.Version, acceptsDelta bool) *model.Snapshot {
-	h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: have, AcceptsDelta: acceptsDelta}, 1, h.now)
-	h.advance(DefaultPollTimeout)
-	return h.Flush(true, h.wall, h.now)[0].Update.Snapshot
-}
-
 func TestDeltas(t *testing.T) {
-	Convey("Given a tenure with a hundred databases and a node that has taken up all of it", t, func() {
+	Convey("Given a tenure with a hundred databases and a node that has applied all of it", t, func() {
 		h := newHarness(1, store.New())
 		h.EpochChanged(consensus.Record{Epoch: 2, Primary: "c2", Backup: "c1"}, h.stored, h.now)
 		h.EpochChanged(consensus.Record{Epoch: 3, Primary: "c1", Backup: "c2"}, h.stored, h.now)
@@ -45,52 +22,52 @@
 		for number := range 100 {
 			h.put(writerPut(fmt.Sprintf("db%d", number), 1))
 		}
-		whole := h.requestSnapshot(store.Version{}, true)
-		So(len(whole.Writers), ShouldEqual, 100)
-		have := whole.Version
-		Convey("a write brings it what was written, and others all", func() {
+		complete := h.requestSnapshot(store.Version{}, true)
+		So(len(complete.Writers), ShouldEqual, 100)
+		version := complete.Version
+		Convey("a write brings it what was written, and brings other nodes everything", func() {
 			h.put(writerPut("db7", 2))
-			delta := h.requestSnapshot(have, true)
+			delta := h.requestSnapshot(version, true)
 			So(len(delta.Writers), ShouldEqual, 1)
 			So(delta.Sets, ShouldBeEmpty)
-			taken, applied := whole.Apply(*delta)
+			result, applied := complete.Apply(*delta)
 			So(applied, ShouldBeTrue)
-			So(taken.Writers["db7"].Term, ShouldEqual, 2)
-			So(len(taken.Writers), ShouldEqual, 100)
-			So(len(h.requestSnapshot(have, false).Writers), ShouldEqual, 100)
+			So(result.Writers["db7"].Term, ShouldEqual, 2)
+			So(len(result.Writers), ShouldEqual, 100)
+			So(len(h.requestSnapshot(version, false).Writers), ShouldEqual, 100)
 			So(len(h.requestSnapshot(store.Version{Epoch: 1, Sequence: 900}, true).Writers), ShouldEqual, 100)
 			_, applied = model.Snapshot{Version: store.Version{Epoch: 3, Sequence: 1}}.Apply(*delta)
 			So(applied, ShouldBeFalse)
 		})
-		Convey("a write that is not for the data plane is no news", func() {
+		Convey("a write that is not for the data plane is no update", func() {
 			h.put(store.Put{Key: model.PrefixNode + "d9"}, store.Put{Key: model.PrefixAuditEntry + "1"}, store.Put{Key: model.PrefixCallResult + "x"})
-			So(h.requestSnapshot(have, true), ShouldBeNil)
+			So(h.requestSnapshot(version, true), ShouldBeNil)
 		})
-		Convey("a set that was dropped is dropped with the next write", func() {
+		Convey("a set that was deleted is deleted with the next write", func() {
 			h.put(store.Put{Key: model.BindingSetKey(1), Deleted: true})
 			h.put(setPut(3, 0))
-			taken, _ := whole.Apply(*h.requestSnapshot(have, true))
-			So(taken.Sets, ShouldResemble, h.Snapshot().Sets)
+			result, _ := complete.Apply(*h.requestSnapshot(version, true))
+			So(result.Sets, ShouldResemble, h.Snapshot().Sets)
 		})
-		Convey("the next tenure tells all of its own, also where it knows less", func() {
+		Convey("the next tenure sends its complete snapshot, also if that has less", func() {
 			h.put(writerPut("db7", 2))
-			have = h.requestSnapshot(have, true).Version
+			version = h.requestSnapshot(version, true).Version
 			fewer := store.New()
 			fewer.Apply(store.Version{Epoch: 3, Sequence: 1}, []store.Put{writerPut("db1", 1)})
 			h.EpochChanged(consensus.Record{Epoch: 4, Primary: "c2"}, fewer, h.now)
 			h.EpochChanged(consensus.Record{Epoch: 5, Primary: "c1"}, fewer, h.now)
 			h.stored = fewer
 			h.put(store.Put{Key: model.PrefixAuditEntry + "2"})
-			update := h.requestSnapshot(have, true)
+			update := h.requestSnapshot(version, true)
 			So(update, ShouldNotBeNil)
 			So(update.BaseVersion, ShouldResemble, store.Version{})
 			So(len(update.Writers), ShouldEqual, 1)
 		})
 	})
-	Convey("Writer roles that become known one by one go together to an ask that has just come; a role that moves, or a set, goes at once", t, func() {
-		for _, kind := range []struct {
-			puts   []store.Put
-			isCalm bool
+	Convey("Writer roles that become known one by one are sent together to a request just received; a role that is transferred, or a set, is sent at once", t, func() {
+		for _, write := range []struct {
+			puts     []store.Put
+			mayDelay bool
 		}{
 			{[]store.Put{syncWriterPut(model.WriterRole{Database: "db1", Term: 1, Phase: model.PhaseOpen})}, true},
 			{[]store.Put{syncWriterPut(model.WriterRole{Database: "db1", Term: 1, Phase: model.PhaseClosing})}, false},
@@ -105,16 +82,16 @@
 			h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.Snapshot().Version, AcceptsDelta: true}, 1, h.now)
 			answers := len(h.Flush(true, h.wall, h.now))
 			for range 10 {
-				h.put(kind.puts...)
+				h.put(write.puts...)
 				h.advance(5 * time.Millisecond)
 				answers += len(h.Flush(true, h.wall, h.now))
 			}
-			So(answers == 0, ShouldEqual, kind.isCalm)
+			So(answers == 0, ShouldEqual, write.mayDelay)
 			h.advance(settleDelay)
 			So(answers+len(h.Flush(true, h.wall, h.now)), ShouldEqual, 1)
 		}
 	})
-	Convey("What a node makes of deltas is what it would have been told whole", t, func() {
+	Convey("The snapshot that results from deltas is the complete one", t, func() {
 		for seed := range int64(20) {
 			dice := rand.New(rand.NewSource(seed))
 			h := newHarness(1, store.New())
@@ -151,7 +128,7 @@
 			}
 		}
 	})
-	Convey("A write reads again what it wrote, not the whole state", t, func() {
+	Convey("After a write only what was written is decoded again", t, func() {
 		h := newHarness(1, store.New())
 		for number := range 50 {
 			h.put(writerPut(fmt.Sprintf("db%d", number), 1))
--- /dev/null
+++ b/internal/coordination/distribution/harness_test.go
@@ -0,0 +1,159 @@
+package distribution
+
+import (
+	"fmt"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/internal/coordination/consensus"
+	"tansyseam/internal/coordination/failover/syncrepl"
+	"tansyseam/internal/coordination/lease"
+	"tansyseam/internal/coordination/rollout"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
+)
+
+// harness is a machine with clocks that the test sets, and with a control state that
+// its writes are applied to.
+type harness struct {
+	*Machine
+	stored *store.Table
+	now    time.Duration
+	wall   int64
+}
+
+func newHarness(epoch uint64, stored *store.Table) *harness {
+	return newHarnessWithTiming(lease.DefaultTiming(), epoch, stored)
+}
+
+func newHarnessWithTiming(timing lease.Timing, epoch uint64, stored *store.Table) *harness {
+	h := &harness{stored: stored, now: time.Hour, wall: int64(1000 * time.Hour)}
+	h.Machine = New("c1", timing, consensus.Record{Epoch: epoch, Primary: "c1", Backup: "c2"}, stored, h.now)
+	return h
+}
+
+// newHarnessWithNodes returns one with so many leased nodes, of which each reports on a
+// database of its own: d0 on db0, and so on.
+func newHarnessWithNodes(nodes int) *harness {
+	h := newHarness(1, store.New())
+	for number := range nodes {
+		h.put(store.Put{Key: model.PrefixNode + fmt.Sprintf("d%d", number)}, writerPut(fmt.Sprintf("db%d", number), 1))
+	}
+	for number := range nodes {
+		reported := instance(fmt.Sprintf("a%d", number), model.RolePrimary)
+		reported.Database = fmt.Sprintf("db%d", number)
+		h.HandleRequest(UpdateRequest{
+			Node: fmt.Sprintf("d%d", number), Kind: model.KindProxy, Version: h.Snapshot().Version,
+			Reports: []InstanceReport{{Instance: reported}},
+		}, 1, h.now)
+	}
+	h.advance(DefaultPollTimeout)
+	h.Flush(true, h.wall, h.now)
+	return h
+}
+
+func (h *harness) advance(span time.Duration) { h.now, h.wall = h.now+span, h.wall+int64(span) }
+
+// write carries out a write and returns the number of its puts.
+func (h *harness) write(write Write) int {
+	puts := write.Build(h.stored)
+	if len(puts) > 0 {
+		h.stored = h.stored.Clone()
+		h.stored.Apply(store.Version{Epoch: h.Record().Epoch, Sequence: h.stored.Version.Sequence + 1}, puts)
+		h.Publish(h.stored)
+	}
+	write.Done()
+	return len(puts)
+}
+
+func (h *harness) put(puts ...store.Put) int {
+	return h.write(Write{Build: func(*store.Table) []store.Put { return puts }, Done: func() {}})
+}
+
+func (h *harness) putSet(expected uint64) {
+	puts, _ := rollout.AcceptBindings(h.stored, expected, []model.Binding{{Name: "b", Database: "db"}}, "test", h.wall)
+	h.put(puts...)
+}
+
+func (h *harness) openTerm(term uint64) {
+	h.put(syncWriterPut(model.WriterRole{Database: "db", Term: term, Primary: "a", Phase: model.PhaseOpen}))
+}
+
+// runWrites carries out the writes that are due, until none changes anything, and
+// returns their number.
+func (h *harness) runWrites() int {
+	const maxRounds = 20
+	writes := 0
+	for range maxRounds {
+		progressed := false
+		for _, next := range []func(int64, time.Duration) (Write, bool){h.RegisterNodes, h.NextActivation, h.NextCollection} {
+			if write, due := next(h.wall, h.now); due {
+				progressed = h.write(write) > 0 || progressed
+				writes++
+			}
+		}
+		if !progressed {
+			break
+		}
+	}
+	return writes
+}
+
+// request sends a node's request, waits, and returns the update.
+func (h *harness) request(node string, version store.Version) Update {
+	h.HandleRequest(UpdateRequest{Node: node, Kind: model.KindProxy, Version: version}, 1, h.now)
+	h.runWrites()
+	h.advance(DefaultPollTimeout)
+	replies := h.Flush(true, h.wall, h.now)
+	So(len(replies), ShouldBeGreaterThan, 0)
+	return replies[len(replies)-1].Update
+}
+
+// requestSnapshot returns only the snapshot of an update.
+func (h *harness) requestSnapshot(version store.Version, acceptsDelta bool) *model.Snapshot {
+	h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: version, AcceptsDelta: acceptsDelta}, 1, h.now)
+	h.advance(DefaultPollTimeout)
+	return h.Flush(true, h.wall, h.now)[0].Update.Snapshot
+}
+
+// observe updates the instances by those that were observed just now.
+func (h *harness) observe(instances ...model.Instance) bool {
+	var observations []Observation
+	for _, observed := range instances {
+		observations = append(observations, Observation{Instance: observed, ObservedAt: h.now})
+	}
+	return h.UpdateInstances(observations)
+}
+
+// evidence is that on database db while both its instances are observed.
+func (h *harness) evidence() syncrepl.Evidence {
+	observations := []Observation{
+		{Instance: instance("a", model.RolePrimary), ObservedAt: h.now},
+		{Instance: instance("b", model.RoleReplica), ObservedAt: h.now},
+	}
+	return h.SyncFailoverEvidence("db", observations, h.wall, h.now)
+}
+
+func instance(name, role string) model.Instance {
+	return model.Instance{Name: name, Database: "db", Address: name + ":1", Role: role, SyncReplication: true}
+}
+
+func writerPut(database string, term uint64) store.Put {
+	return store.Put{
+		Key:  model.PrefixWriterRole + database,
+		Data: store.Encode(model.WriterRole{Database: database, Term: term, Phase: model.PhaseOpen}),
+	}
+}
+
+func syncWriterPut(role model.WriterRole) store.Put {
+	role.SyncReplication = true
+	return store.Put{Key: model.PrefixWriterRole + role.Database, Data: store.Encode(role)}
+}
+
+func setPut(sequence uint64, effectiveAt int64) store.Put {
+	return store.Put{
+		Key:  model.BindingSetKey(sequence),
+		Data: store.Encode(model.BindingSet{Sequence: sequence, EffectiveAt: effectiveAt}),
+	}
+}
--- /dev/null
+++ b/internal/coordination/distribution/instances_test.go
@@ -0,0 +1,113 @@
+package distribution
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/internal/coordination/consensus"
+	"tansyseam/internal/coordination/lease"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
+)
+
+func TestInstanceList(t *testing.T) {
+	Convey("A new tenure lists an instance only if it was observed shortly before or since: nodes may have newer facts from the tenure before", t, func() {
+		h := newHarness(1, store.New())
+		h.observe(instance("a", model.RolePrimary), instance("b", model.RoleReplica))
+		old := []Observation{{Instance: instance("a", model.RolePrimary), ObservedAt: h.now}, {Instance: instance("b", model.RoleReplica), ObservedAt: h.now}}
+		h.EpochChanged(consensus.Record{Epoch: 2, Primary: "c2"}, h.stored, h.now)
+		h.advance(maxObservationAge + time.Millisecond)
+		h.EpochChanged(consensus.Record{Epoch: 3, Primary: "c1"}, h.stored, h.now)
+		So(h.UpdateInstances(old), ShouldBeFalse)
+		old[0].ObservedAt = h.now - maxObservationAge
+		So(h.UpdateInstances(old), ShouldBeTrue)
+		So(len(h.instances.entries), ShouldEqual, 1)
+		So(h.instances.entries["a"].instance, ShouldResemble, listEntry(old[0].Instance))
+		h.advance(time.Minute)
+		leaving := instance("b", model.RoleReplica)
+		leaving.Leaving = true
+		So(h.UpdateInstances([]Observation{old[0], {Instance: leaving, ObservedAt: h.now}}), ShouldBeTrue)
+		So(len(h.instances.entries), ShouldEqual, 2)
+		So(h.instances.entries["b"].instance.Leaving, ShouldBeTrue)
+	})
+	Convey("The list's number rises when an instance appears or changes, not with repeats or positions, and counts only instances with synchronous replication", t, func() {
+		h := newHarness(1, store.New())
+		first := instance("a", model.RolePrimary)
+		So(h.observe(first), ShouldBeTrue)
+		again := first
+		again.AnnouncementNumber, again.Position, again.Term = 7, model.Position{Term: 3, Index: 9}, 3
+		So(h.observe(again), ShouldBeFalse)
+		for _, change := range []func(*model.Instance){
+			func(i *model.Instance) { i.Address = "x:1" }, func(i *model.Instance) { i.Zone = "z" }, func(i *model.Instance) { i.Role = model.RoleReplica },
+			func(i *model.Instance) { i.Leaving = true }, func(i *model.Instance) { i.Stopped = true }, func(i *model.Instance) { i.Connections = 9 },
+			func(i *model.Instance) { i.Slots = 9 },
+		} {
+			change(&again)
+			So(h.observe(again), ShouldBeTrue)
+		}
+		So(h.observe(again, instance("b", model.RoleReplica)), ShouldBeTrue)
+		So(h.observe(again, instance("b", model.RoleReplica), model.Instance{Name: "plain", Database: "x"}), ShouldBeFalse)
+	})
+	Convey("A request with a list of another tenure is answered at once, one with an older list after the settle delay; one with the newest waits", t, func() {
+		h := newHarness(1, store.New())
+		h.request("d1", store.Version{})
+		h.observe(instance("a", model.RolePrimary))
+		request := UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version}
+		h.HandleRequest(request, 1, h.now)
+		replies := h.Flush(true, h.wall, h.now)
+		So(len(replies), ShouldEqual, 1)
+		So(replies[0].Update.ListVersion.Number, ShouldEqual, 1)
+		So(len(replies[0].Update.Instances), ShouldEqual, 1)
+		request.ListVersion = replies[0].Update.ListVersion
+		h.HandleRequest(request, 2, h.now)
+		So(h.Flush(true, h.wall, h.now), ShouldBeEmpty)
+		h.observe(instance("a", model.RoleReplica))
+		So(h.Flush(true, h.wall, h.now), ShouldBeEmpty)
+		h.advance(settleDelay)
+		So(h.Flush(true, h.wall, h.now)[0].Update.Instances[0].Role, ShouldEqual, model.RoleReplica)
+		request.ListVersion = ListVersion{Tenure: "c9@1", Number: 2}
+		h.HandleRequest(request, 3, h.now)
+		So(len(h.Flush(true, h.wall, h.now)), ShouldEqual, 1)
+	})
+	Convey("A request with a list of this tenure gets only what changed since", t, func() {
+		h := newHarness(1, store.New())
+		list := func(version ListVersion) (ListVersion, []string) {
+			h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version, ListVersion: version}, 1, h.now)
+			h.advance(settleDelay)
+			update := h.Flush(true, h.wall, h.now)[0].Update
+			var names []string
+			for _, one := range update.Instances {
+				names = append(names, one.Name)
+			}
+			return update.ListVersion, names
+		}
+		first, second := instance("a", model.RolePrimary), instance("b", model.RoleReplica)
+		h.observe(second, first)
+		early, names := list(ListVersion{})
+		So(names, ShouldResemble, []string{"a", "b"})
+		h.observe(first, second, instance("c", model.RoleReplica))
+		second.Leaving = true
+		So(h.RegisterInstance(second), ShouldBeTrue)
+		So(h.RegisterInstance(second), ShouldBeFalse)
+		_, names = list(early)
+		So(names, ShouldResemble, []string{"b", "c"})
+		_, names = list(ListVersion{Tenure: "c9@1", Number: early.Number})
+		So(names, ShouldResemble, []string{"a", "b", "c"})
+		h.observe(first, second)
+		h.RegisterInstance(instance("d", model.RoleReplica))
+		_, names = list(ListVersion{})
+		SoMsg("what the control node has forgotten is on no later list", names, ShouldResemble, []string{"a", "b", "d"})
+	})
+	Convey("A request waits as long as the timing says", t, func() {
+		timing := lease.DefaultTiming()
+		timing.PollTimeout = 500 * time.Millisecond
+		h := newHarnessWithTiming(timing, 1, store.New())
+		h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy}, 1, h.now)
+		h.advance(400 * time.Millisecond)
+		So(h.Flush(true, h.wall, h.now), ShouldBeEmpty)
+		h.advance(100 * time.Millisecond)
+		So(len(h.Flush(true, h.wall, h.now)), ShouldEqual, 1)
+	})
+}
--- /dev/null
+++ b/internal/coordination/distribution/manifests_test.go
@@ -0,0 +1,67 @@
+package distribution
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/internal/coordination/rollout"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
+)
+
+func TestManifests(t *testing.T) {
+	put := func(h *harness, version uint64, text string) bool {
+		return h.write(Write{Build: func(state *store.Table) []store.Put {
+			set := model.BindingSet{Bindings: []model.Binding{{Name: "b", Database: "db"}}, Databases: []model.Database{{Name: "db", MaxConnections: 80}}}
+			puts, _ := rollout.AcceptManifest(state, rollout.Manifest{Version: version, Set: set, Compressed: []byte(text), Digest: rollout.DigestOf(set, []byte(text)), Source: "test"}, h.wall)
+			return puts
+		}, Done: func() {}}) > 0
+	}
+	Convey("The highest version is kept, with its text; one not above changes nothing", t, func() {
+		h := newHarness(1, store.New())
+		So(put(h, 7, "seven"), ShouldBeTrue)
+		So(put(h, 7, "other"), ShouldBeFalse)
+		So(put(h, 6, "six"), ShouldBeFalse)
+		So(put(h, 12, "twelve"), ShouldBeTrue)
+		set, text, found := rollout.NewestManifest(h.stored)
+		So(found, ShouldBeTrue)
+		So(set.Version, ShouldEqual, 12)
+		So(set.Sequence, ShouldEqual, 2)
+		So(string(text), ShouldEqual, "twelve")
+		So(h.Snapshot().NewestSet().Databases[0].MaxConnections, ShouldEqual, 80)
+	})
+	Convey("A manifest's text is deleted with its set, but never the newest", t, func() {
+		h := newHarness(1, store.New())
+		put(h, 1, "one")
+		put(h, 2, "two")
+		for range 8 {
+			h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version, ActiveSequence: h.Snapshot().ActiveSet(h.wall).Sequence}, 1, h.now)
+			h.runWrites()
+			h.advance(time.Second)
+			h.Flush(true, h.wall, h.now)
+		}
+		So(len(h.Snapshot().Sets), ShouldEqual, 1)
+		So(h.stored.Keys(model.PrefixManifest), ShouldResemble, []string{rollout.ManifestKey(2)})
+		_, text, _ := rollout.NewestManifest(h.stored)
+		So(string(text), ShouldEqual, "two")
+	})
+	Convey("A set that is accepted beside manifests keeps the newest version", t, func() {
+		h := newHarness(1, store.New())
+		put(h, 9, "nine")
+		h.putSet(1)
+		So(h.Snapshot().NewestSet().Version, ShouldEqual, 9)
+		for range 8 {
+			h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version, ActiveSequence: h.Snapshot().ActiveSet(h.wall).Sequence}, 1, h.now)
+			h.runWrites()
+			h.advance(time.Second)
+			h.Flush(true, h.wall, h.now)
+		}
+		So(len(h.Snapshot().Sets), ShouldEqual, 1)
+		set, text, _ := rollout.NewestManifest(h.stored)
+		So(set.Version, ShouldEqual, 9)
+		So(string(text), ShouldEqual, "nine")
+		So(put(h, 9, "again"), ShouldBeFalse)
+	})
+}
--- /dev/null
+++ b/internal/coordination/distribution/reports_test.go
@@ -0,0 +1,24 @@
+package distribution
+
+import (
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/internal/state/model"
+)
+
+func TestReportsBesideRequests(t *testing.T) {
+	Convey("A report beside the requests, which may be delayed, brings evidence and leaves the instance as the requests have it", t, func() {
+		h := newHarnessWithNodes(2)
+		old := instance("a0", model.RolePrimary)
+		old.Database, old.Address, old.Position = "db0", "old:1", model.Position{Term: 1, Index: 8}
+		h.HandleReport(NodeReport{Node: "d0", Reports: []InstanceReport{{Instance: old, RefusedConnections: 2}}}, h.now)
+		h.HandleReport(NodeReport{Node: "d0", Reports: []InstanceReport{{Instance: model.Instance{Name: "unknown"}}}}, h.now)
+		evidence := h.SyncFailoverEvidence("db0", nil, h.wall, h.now)
+		So(len(evidence.Observations), ShouldEqual, 1)
+		So(evidence.Observations[0].Instance.Address, ShouldEqual, "a0:1")
+		So(evidence.Observations[0].Instance.Position.Index, ShouldEqual, 8)
+		So(evidence.Observations[0].RefusedNodes, ShouldEqual, 1)
+	})
+}
--- a/internal/coordination/distribution/retention_test.go
+++ b/internal/coordination/distribution/retention_test.go
@@ -16,15 +16,15 @@
 	"tansyseam/internal/state/store"
 )
 
-// entries counts what the maps and lists of a value hold, also those behind
-// pointers, but for the table, which is counted by itself.
-func entries(value reflect.Value) int {
+// elements counts the elements of the maps and slices of a value, also behind pointers,
+// except those of the control state.
+func elements(value reflect.Value) int {
 	kind := value.Kind()
 	if value.Type() == reflect.TypeFor[*store.Table]() {
 		return 0
 	}
 	if kind == reflect.Pointer && !value.IsNil() {
-		return entries(value.Elem())
+		return elements(value.Elem())
 	}
 	if kind == reflect.Map || kind == reflect.Slice {
 		return value.Len()
@@ -32,29 +32,29 @@
 	count := 0
 	if kind == reflect.Struct {
 		for at := range value.NumField() {
-			count += entries(value.Field(at))
+			count += elements(value.Field(at))
 		}
 	}
 	return count
 }
 
 func TestRetention(t *testing.T) {
-	routes := func(count, salt int) model.BindingSet {
+	bindings := func(count, salt int) model.BindingSet {
 		set := model.BindingSet{}
 		for at := range count {
 			set.Bindings = append(set.Bindings, model.Binding{Name: fmt.Sprintf("r-%d-%d", salt, at), Database: "db"})
 		}
 		return set
 	}
-	Convey("After hundreds of sets, calls and nodes that came and went, what is held is no more than after dozens", t, func() {
+	Convey("After hundreds of sets, calls and nodes that came and went, no more is stored than after dozens", t, func() {
 		h := newHarness(1, store.New())
 		live := func(from, to int) (int, int) {
 			for at := from; at < to; at++ {
-				for one := range 3 {
-					h.request(fmt.Sprintf("d%d", at/2+one), h.stored.Version)
+				for offset := range 3 {
+					h.request(fmt.Sprintf("d%d", at/2+offset), h.stored.Version)
 				}
 				h.write(Write{Build: func(state *store.Table) []store.Put {
-					puts, _ := rollout.AcceptManifest(state, rollout.Manifest{Version: uint64(at + 1), Set: routes(3, at), Compressed: []byte("raw"), Source: "operator"}, h.wall)
+					puts, _ := rollout.AcceptManifest(state, rollout.Manifest{Version: uint64(at + 1), Set: bindings(3, at), Compressed: []byte("raw"), Source: "operator"}, h.wall)
 					return callresult.Record(state, fmt.Sprint("call", at), callresult.Result{Status: 200, Path: "/v1/manifest/replace"}, puts)
 				}, Done: func() {}})
 				for range 5 {
@@ -62,9 +62,9 @@
 					h.runWrites()
 				}
 			}
-			// Entries and kept calls have bounds, and tests, of their own.
+			// Audit entries and results of calls have bounds, and tests, of their own.
 			bounded := len(h.stored.Keys(model.PrefixAuditEntry)) + len(h.stored.Keys(model.PrefixCallResult))
-			return len(h.stored.Records) - bounded, entries(reflect.ValueOf(h.Machine))
+			return len(h.stored.Records) - bounded, elements(reflect.ValueOf(h.Machine))
 		}
 		records, inside := live(0, 60)
 		later, stillInside := live(60, 180)
@@ -74,12 +74,12 @@
 	})
 	Convey("Thousands of routes, replaced one after the other, fit a disk of 128 MB many times over, with all versions that are kept", t, func() {
 		h := newHarness(1, store.New())
-		raw := bytes.Repeat([]byte("x"), 2<<20)
+		text := bytes.Repeat([]byte("x"), 2<<20)
 		most := 0
 		for at := range 12 {
 			h.request("d1", store.Version{})
 			h.write(Write{Build: func(state *store.Table) []store.Put {
-				puts, _ := rollout.AcceptManifest(state, rollout.Manifest{Version: uint64(at + 1), Set: routes(8000, at), Compressed: raw, Source: "operator"}, h.wall)
+				puts, _ := rollout.AcceptManifest(state, rollout.Manifest{Version: uint64(at + 1), Set: bindings(8000, at), Compressed: text, Source: "operator"}, h.wall)
 				return puts
 			}, Done: func() {}})
 			h.runWrites()
@@ -97,15 +97,15 @@
 		{3 * time.Second, -3 * time.Second}, {-4 * time.Second, 4 * time.Second},
 		{2 * time.Second, 2 * time.Second, -5 * time.Second, time.Second}, {-time.Second, -time.Second, -time.Second, 3 * time.Second},
 	}
-	Convey("However the time of day steps while changes are booked, each lands once, in order, and none moves its moment before an earlier one's, also under another primary", t, func() {
+	Convey("However the time of day steps while changes are scheduled, each is accepted once, in order, and none takes effect before an earlier one, also under another primary", t, func() {
 		for _, jumps := range steps {
-			for _, epochChanged := range []bool{false, true} {
+			for _, restarts := range []bool{false, true} {
 				h := newHarness(1, store.New())
 				var want, got []string
 				for at := range 6 {
 					id := fmt.Sprintf("b%d", at)
 					puts, _ := rollout.Schedule(h.stored, id, h.wall+int64(time.Duration(2*at+2)*time.Second), []model.Binding{{Name: id, Database: "x"}}, h.wall)
-					So(h.write(Write{Build: func(*store.Table) []store.Put { return puts }, Done: func() {}}), ShouldBeGreaterThan, 0)
+					So(h.put(puts...), ShouldBeGreaterThan, 0)
 					want = append(want, "booking "+id)
 				}
 				seen := uint64(0)
@@ -113,7 +113,7 @@
 					if at%40 == 20 {
 						h.wall += int64(jumps[at/40%len(jumps)])
 					}
-					if epochChanged && at%100 == 60 {
+					if restarts && at%100 == 60 {
 						next := newHarness(h.Record().Epoch+1, h.stored)
 						next.now, next.wall = h.now, h.wall
 						h = next
--- a/internal/coordination/lease/lease_test.go
+++ b/internal/coordination/lease/lease_test.go
@@ -14,18 +14,18 @@
 	grant := func(epoch uint64, wall int64) Grant {
 		return Grant{Epoch: epoch, Primary: "c1", Duration: timing.LeaseDuration, PrimaryTime: wall, QueuedFor: 250 * time.Millisecond}
 	}
-	Convey("A lease counts from when its ask was sent, less the margin for drift", t, func() {
+	Convey("A lease counts from when its request was sent, less the allowance for drift", t, func() {
 		l := NewLease(timing)
 		l.Accept(grant(1, 0), time.Second, time.Second+300*time.Millisecond)
 		So(l.IsValid(time.Second+timing.LeaseDuration*96/100), ShouldBeTrue)
 		So(l.IsValid(time.Second+timing.LeaseDuration*98/100), ShouldBeFalse)
 	})
-	Convey("The primary's clock is reckoned from the trip alone, not from how long it kept the ask", t, func() {
+	Convey("The primary's time is estimated from the round trip alone, without the time that the request was queued", t, func() {
 		l := NewLease(timing)
 		l.Accept(grant(1, int64(time.Hour)), time.Second, time.Second+252*time.Millisecond)
 		So(l.PrimaryTime(time.Second+252*time.Millisecond), ShouldEqual, int64(time.Hour+time.Millisecond))
 	})
-	Convey("A slow answer neither moves the reckoning of the clock nor, where nothing better is known, gives a lease", t, func() {
+	Convey("A slow answer neither changes the estimate of the primary's time nor, if nothing better is known, brings a lease", t, func() {
 		l := NewLease(timing)
 		slow := func(epoch uint64, wall int64) Grant {
 			return Grant{Epoch: epoch, Primary: "c1", Duration: timing.LeaseDuration, PrimaryTime: wall}
@@ -37,7 +37,7 @@
 		So(l.PrimaryTime(6*time.Second), ShouldEqual, int64(time.Hour+4*time.Second))
 		So(l.Accept(slow(2, 0), 7*time.Second, 7580*time.Millisecond), ShouldBeFalse)
 	})
-	Convey("Grants of an older epoch, and those for asks sent before the node said that it is bare, are nothing", t, func() {
+	Convey("Grants of an older epoch, and those for requests sent before the node confirmed that its lease has expired, are ignored", t, func() {
 		l := NewLease(timing)
 		l.Accept(grant(5, 0), time.Second, time.Second)
 		So(l.Accept(grant(4, 0), 9*time.Second, 9*time.Second), ShouldBeFalse)
@@ -50,7 +50,7 @@
 
 func TestGrantor(t *testing.T) {
 	timing := DefaultTiming()
-	Convey("A stamp is settled when each node that may hold a lease has taken it up or its lease is over", t, func() {
+	Convey("A version is acknowledged by all when each node that may hold a lease has applied it or its lease is over", t, func() {
 		g := NewGrantor(timing, nil, 0)
 		version := store.Version{Epoch: 1, Sequence: 2}
 		for _, node := range []string{"a", "b"} {
@@ -62,7 +62,7 @@
 		So(g.AllAcknowledged(version, time.Second), ShouldBeFalse)
 		So(g.AllAcknowledged(version, time.Second+timing.LeaseDuration), ShouldBeTrue)
 	})
-	Convey("A frozen desk gives no lease past the moment", t, func() {
+	Convey("A frozen grantor grants no lease past the time given", t, func() {
 		g := NewGrantor(timing, nil, 0)
 		g.Freeze(time.Second)
 		So(g.Grant("a", time.Minute, 900*time.Millisecond), ShouldEqual, 100*time.Millisecond)
--- a/internal/coordination/routing/machine_test.go
+++ b/internal/coordination/routing/machine_test.go
@@ -35,7 +35,7 @@
 
 func TestWhoMayRead(t *testing.T) {
 	now := time.Hour
-	Convey("A replica may answer once it holds what the primary had at a look within the bound, and the consumer's own", t, func() {
+	Convey("A replica may answer once it has what the primary had at a query within the bound, and the client's own writes", t, func() {
 		m := serving(open(), now)
 		m.HandleAnnouncement(instance("p", model.RolePrimary, at(1, 10)), now)
 		m.HandleAnnouncement(instance("r", model.RoleReplica, at(1, 8)), now)
@@ -51,7 +51,7 @@
 		So(may(1500*ms, at(0, 0), now+1439*ms), ShouldBeTrue)
 		So(may(1500*ms, at(0, 0), now+1441*ms), ShouldBeFalse)
 	})
-	Convey("A replica that has gone back is believed, but an answer older than what was heard since is not", t, func() {
+	Convey("A replica that has gone back is believed, but not an answer older than what was learned since", t, func() {
 		m := serving(open(), now)
 		m.HandleAnnouncement(instance("r", model.RoleReplica, at(1, 10)), now)
 		m.HandlePosition("r", instance("r", model.RoleReplica, at(1, 8)), now-ms, now+ms)
@@ -60,7 +60,7 @@
 		So(m.Observation("r").Position, ShouldResemble, at(1, 8))
 		So(m.LaggingReplicas("x", at(1, 9)), ShouldResemble, []string{"r"})
 	})
-	Convey("In a closed term a candidate is fresh only if it holds what the term began with", t, func() {
+	Convey("In a closed term a candidate is fresh only if it has everything confirmed before", t, func() {
 		writer := open()
 		writer.Phase, writer.HighWatermark = model.PhaseClosed, at(1, 9)
 		m := serving(writer, now)
@@ -73,7 +73,7 @@
 
 func TestPositionAge(t *testing.T) {
 	now := time.Hour
-	Convey("Neither an answer to a statement nor an announcement, which may be late, tells where an instance stands at what time; a look does, from when it was sent", t, func() {
+	Convey("Neither a response to a statement nor an announcement, which may be delayed, dates the position of an instance; a query does, from when it was sent", t, func() {
 		m := serving(open(), now)
 		m.HandleAnnouncement(instance("r", model.RoleReplica, at(1, 5)), now)
 		m.HandlePosition("r", instance("r", model.RoleReplica, at(1, 5)), now, now+2*ms)
@@ -86,7 +86,7 @@
 		m.HandlePosition("r", instance("r", model.RoleReplica, at(1, 6)), now+311*ms, now+312*ms)
 		So(m.Report(now+320*ms, nil).Reports[0].PositionAge, ShouldEqual, 9*ms)
 	})
-	Convey("An announcement that comes late takes nothing back in what is reported", t, func() {
+	Convey("A delayed announcement takes back nothing of what is reported", t, func() {
 		m := serving(open(), now)
 		m.HandleAnnouncement(instance("r", model.RoleReplica, at(1, 5)), now)
 		m.HandlePosition("r", instance("r", model.RoleReplica, at(1, 9)), now+ms, now+2*ms)
@@ -97,7 +97,7 @@
 
 func TestCommitVerdict(t *testing.T) {
 	now := time.Hour
-	Convey("A commit is kept once every required replica of the same birth holds it, and never without a lease", t, func() {
+	Convey("A commit is durable once every required replica of the same incarnation has it, and never without a lease", t, func() {
 		m := serving(open(), now)
 		So(m.CommitVerdict("x", 1, at(1, 5), now), ShouldEqual, VerdictNone)
 		m.HandleAnnouncement(instance("r", model.RoleReplica, at(1, 5)), now)
@@ -109,7 +109,7 @@
 		m.HandleAnnouncement(restarted, now)
 		So(m.CommitVerdict("x", 1, at(1, 6), now), ShouldEqual, VerdictNone)
 	})
-	Convey("One of a term that is over is kept if the next began past it, and unknown else", t, func() {
+	Convey("One of a term that is over is durable if the next began past it, and unknown otherwise", t, func() {
 		writer := open()
 		writer.Term, writer.PreviousTerm, writer.TermStart = 2, 1, at(2, 8)
 		m := serving(writer, now)
@@ -120,7 +120,7 @@
 
 func TestDeltaUpdates(t *testing.T) {
 	now := time.Hour
-	Convey("News written after the state held is added to it; news written after another brings neither state nor lease", t, func() {
+	Convey("A delta on the node's version is applied; one on another version brings neither a snapshot nor a lease", t, func() {
 		m := serving(open(), now)
 		have := m.Version()
 		closing := open()
@@ -141,7 +141,7 @@
 
 func TestLeaseBesidePendingSet(t *testing.T) {
 	now := time.Hour
-	Convey("A set that is taken up while it has no moment leaves the lease as long as it was", t, func() {
+	Convey("Applying a pending set leaves the lease as long as it was", t, func() {
 		m := serving(open(), now)
 		snapshot := model.Snapshot{Version: store.Version{Epoch: 1, Sequence: 2}, Sets: []model.BindingSet{{Sequence: 1}}, Writers: m.Snapshot().Writers}
 		previous := m.LeaseRemaining(now + 10*ms)
--- a/internal/coordination/routing/reporter_test.go
+++ b/internal/coordination/routing/reporter_test.go
@@ -19,15 +19,15 @@
 )
 
 func primary(name string, wall int64, now time.Duration) *distribution.Machine {
-	observation := store.New()
+	state := store.New()
 	var puts []store.Put
 	for number := range 4 {
 		writer := model.WriterRole{Database: fmt.Sprintf("db%d", number), Term: 1, Primary: fmt.Sprintf("i%d", number), Phase: model.PhaseOpen, SyncReplication: true}
 		puts = append(puts, store.Put{Key: model.PrefixWriterRole + writer.Database, Data: store.Encode(writer)})
 	}
 	puts = append(puts, store.Put{Key: model.PrefixNode + "d1", Data: store.EncodePlain(wall)})
-	observation.Apply(store.Version{Epoch: 1, Sequence: 1}, puts)
-	return distribution.New(name, lease.DefaultTiming(), consensus.Record{Epoch: 1, Primary: name}, observation, now)
+	state.Apply(store.Version{Epoch: 1, Sequence: 1}, puts)
+	return distribution.New(name, lease.DefaultTiming(), consensus.Record{Epoch: 1, Primary: name}, state, now)
 }
 
 func evidenceOf(m *distribution.Machine, wall int64, now time.Duration) []syncrepl.Evidence {
@@ -44,7 +44,7 @@
 }
 
 func TestReporter(t *testing.T) {
-	Convey("Whatever is lost, comes twice or late, and whoever becomes primary, a case of brief asks is one of whole asks", t, func() {
+	Convey("Whatever is lost, duplicated or delayed, and whoever becomes primary, the evidence from abbreviated requests is that from complete ones", t, func() {
 		left, sent := 0, 0
 		for seed := range int64(60) {
 			dice := rand.New(rand.NewSource(seed))
@@ -120,7 +120,7 @@
 		}
 		SoMsg("reports left out", left, ShouldBeGreaterThan, sent/2)
 	})
-	Convey("An ask that has nothing new to tell of a hundred instances is of less than 200 bytes", t, func() {
+	Convey("A request that has nothing new to report on a hundred instances takes less than 200 bytes", t, func() {
 		node, now := New("d1", lease.DefaultTiming()), time.Hour
 		seen := distribution.NodeReport{Node: "d1", HighWatermarks: map[string]model.Position{}}
 		for number := range 100 {
