--- a/internal/app/httpproxy/effects.go
+++ b/internal/app/httpproxy/effects.go
@@ -64,7 +64,7 @@
 }
 
 func (p *Proxy) logActivation(effect httppool.BindingsActivated) {
-	p.log.Info("bindings in force", "sequence", effect.Sequence)
+	p.log.Info("bindings in force", "sequence", effect.Set.Sequence)
 }
 
 // lookup asks another node for the status of a request id.
--- a/internal/app/httpproxy/handlers_test.go
+++ b/internal/app/httpproxy/handlers_test.go
@@ -91,9 +91,9 @@
 
 func TestStatusOfEachCause(t *testing.T) {
 	Convey("Each cause has its own HTTP status; an error without one says that the service cannot be had now", t, func() {
-		statuses := map[string]int{
-			httppool.CauseNoSession: 404, httppool.CauseSessionBusy: 409, httppool.CauseNoBinding: 404, httppool.CauseNoTransaction: 409,
-			httppool.CauseInvalidRequestID: 400, httppool.CauseStatementFailed: 422, httppool.CauseNotReady: 503, "": 503,
+		statuses := map[error]int{
+			httppool.ErrNoSession: 404, httppool.ErrSessionBusy: 409, httppool.ErrNoBinding: 404, httppool.ErrNoTransaction: 409,
+			httppool.ErrInvalidRequestID: 400, httppool.ErrStatementFailed: 422, httppool.ErrNotReady: 503, nil: 503,
 		}
 		for cause, status := range statuses {
 			So(httpStatus(httppool.Result{Cause: cause, Error: "failed"}), ShouldEqual, status)
--- a/internal/app/httpproxy/responses.go
+++ b/internal/app/httpproxy/responses.go
@@ -37,7 +37,7 @@
 
 func newOutcomeResponse(result httppool.Result) OutcomeResponse {
 	response := OutcomeResponse{
-		Outcome:       result.Outcome,
+		Outcome:       string(result.Outcome),
 		Rows:          result.Rows,
 		Mark:          encodePositions(result.MinPositions),
 		Error:         result.Error,
@@ -58,13 +58,13 @@
 	return rejection
 }
 
-var statusByCause = map[string]int{
-	httppool.CauseNoSession:        http.StatusNotFound,
-	httppool.CauseSessionBusy:      http.StatusConflict,
-	httppool.CauseNoBinding:        http.StatusNotFound,
-	httppool.CauseNoTransaction:    http.StatusConflict,
-	httppool.CauseInvalidRequestID: http.StatusBadRequest,
-	httppool.CauseStatementFailed:  http.StatusUnprocessableEntity,
+var statusByCause = map[error]int{
+	httppool.ErrNoSession:        http.StatusNotFound,
+	httppool.ErrSessionBusy:      http.StatusConflict,
+	httppool.ErrNoBinding:        http.StatusNotFound,
+	httppool.ErrNoTransaction:    http.StatusConflict,
+	httppool.ErrInvalidRequestID: http.StatusBadRequest,
+	httppool.ErrStatementFailed:  http.StatusUnprocessableEntity,
 }
 
 func httpStatus(result httppool.Result) int {
--- a/internal/coordination/idempotency/id.go
+++ b/internal/coordination/idempotency/id.go
@@ -38,10 +38,3 @@
 	number, err := strconv.ParseUint(id[at+1:], 10, 64)
 	return id[:at], number, err == nil
 }
-
-// IncarnationOf gives the incarnation of the node that opened the session of a
-// request id, empty where the id has not the form of one.
-func IncarnationOf(requestID string) string {
-	sessionID, _, _ := parseRequestID(requestID)
-	return ownerOf(sessionID).incarnation
-}
--- /dev/null
+++ b/internal/coordination/pool/httppool/accept.go
@@ -0,0 +1,142 @@
+package httppool
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// Accept takes a request of a session, to be answered within a timeout; 0
+// stands for the default. Bind is to follow; false gives the result to answer
+// at once. The token is given back by Respond.
+func (m *Machine) Accept(sessionID string, op Op, timeout time.Duration, token any, now time.Duration) (*Request, Result, bool) {
+	session, found := m.sessions[sessionID]
+	if !found || session.closed {
+		m.Count("sessions_unknown", 1)
+		return nil, rejection(ErrNoSession, 0, "no such session here: open one and come back"), false
+	}
+	if session.busy {
+		return nil, rejection(ErrSessionBusy, 0, "the session has a request out"), false
+	}
+	if timeout == 0 {
+		timeout = m.timing.DefaultDeadline
+	}
+	request := &Request{
+		Token: token, op: op, session: session, arrivedAt: now, deadline: now + timeout,
+		strict: true, inTransaction: session.inTransaction,
+	}
+	if m.Draining() && !session.inTransaction {
+		return nil, m.rejectDraining(request, now), false
+	}
+	if m.Routing().HasLease(now) {
+		set := m.EffectiveSet(now)
+		binding, found := set.Binding(session.binding)
+		if !found {
+			return nil, rejection(ErrNoBinding, 0, noBindingText(session.binding, set.Sequence)), false
+		}
+		request.databaseName, request.freshness = binding.Database, binding.Freshness
+	}
+	session.busy, session.lastUsed = true, now
+	return request, Result{}, true
+}
+
+func (m *Machine) rejectDraining(request *Request, now time.Duration) Result {
+	result := drainingResult
+	result.Outcome = m.unsentOutcome(request)
+	m.endSession(request.session, now)
+	result.MinPositions = maps.Clone(request.session.minPositions)
+	return result
+}
+
+// Bind finds the binding that is in force for a request, what its session must
+// see, and whether its request id was seen before. Without a lease it waits for
+// one.
+func (m *Machine) Bind(request *Request, now time.Duration) {
+	if request.responded {
+		return
+	}
+	if !m.Routing().HasLease(now) {
+		request.phase = phaseAwaitingLease
+		m.awaitingLease = append(m.awaitingLease, request)
+		return
+	}
+	session := request.session
+	set := m.EffectiveSet(now)
+	binding, found := set.Binding(session.binding)
+	if !found {
+		m.respond(request, Result{Outcome: m.unsentOutcome(request), Error: noBindingText(session.binding, set.Sequence), Cause: ErrNoBinding}, now)
+		return
+	}
+	request.databaseName, request.freshness, request.bindingSequence = binding.Database, binding.Freshness, set.Sequence
+	if session.pinnedConn != nil && session.pinnedConn.instance.database.name != request.databaseName {
+		session.stateLost = true
+		result := notCommitted("the binding moved to another database; the session's state is closed")
+		result.SessionClosed = true
+		m.respond(request, result, now)
+		return
+	}
+	request.minPosition = session.minPositions[request.databaseName]
+	request.pinned = session.pinnedConn != nil
+	request.strict = !request.isRead() || request.freshness == 0 || request.pinned
+	nestedBegin := request.op.Kind == OpBegin && session.inTransaction
+	strayRollback := request.op.Kind == OpRollback && !session.inTransaction
+	if nestedBegin || strayRollback {
+		m.respond(request, noTransactionResult, now)
+		return
+	}
+	if request.mayPersist() {
+		m.applyDecision(request, m.requestLog.Decide(request.op.RequestID, request, now), now)
+		return
+	}
+	m.Emit(Enqueue{Request: request})
+}
+
+// resumeAwaitingLease binds the requests that waited for a lease.
+func (m *Machine) resumeAwaitingLease(now time.Duration) {
+	if len(m.awaitingLease) == 0 {
+		return
+	}
+	if !m.Routing().HasLease(now) {
+		m.awaitingLease = slices.DeleteFunc(m.awaitingLease, func(request *Request) bool { return request.responded })
+		return
+	}
+	waiting := m.awaitingLease
+	m.awaitingLease = nil
+	for _, request := range waiting {
+		m.Bind(request, now)
+	}
+}
+
+// Enqueue puts a request in its queue.
+func (m *Machine) Enqueue(request *Request, now time.Duration) {
+	if request.responded {
+		m.recordNotCommitted(request, now)
+		return
+	}
+	database := m.database(request.databaseName)
+	queue := database.queueOf(request)
+	if queue.length >= m.timing.MaxQueue {
+		m.recordNotCommitted(request, now)
+		result := notCommitted("the line is full")
+		result.RetryAfter = m.retryAfter(request, now)
+		m.respond(request, result, now)
+		return
+	}
+	request.phase = phaseQueued
+	queue.pushBack(request)
+	m.dispatch(database, now)
+}
+
+func (m *Machine) dequeue(request *Request) {
+	request.phase = phaseDone
+	m.database(request.databaseName).queueOf(request).removed()
+}
+
+// unsentOutcome is that of a request which ends before it was sent. A retry
+// whose first attempt is not known about can't be called without effect.
+func (m *Machine) unsentOutcome(request *Request) Outcome {
+	if request.mayPersist() && !m.requestLog.IsUnseen(request.op.RequestID) {
+		return OutcomeUnknown
+	}
+	return OutcomeNotCommitted
+}
--- /dev/null
+++ b/internal/coordination/pool/httppool/cancel.go
@@ -0,0 +1,97 @@
+package httppool
+
+import (
+	"time"
+
+	"tansyseam/internal/state/model"
+)
+
+const (
+	retryAfterJitter = 30 * time.Millisecond
+	retryAfterMin    = 100 * time.Millisecond
+	retryAfterMax    = 5 * time.Second
+)
+
+// Cancel ends a request whose deadline has passed, or that could not go on to
+// the next stage. It is answered at once by what is known of it.
+func (m *Machine) Cancel(request *Request, now time.Duration) {
+	if request.responded {
+		return
+	}
+	m.Count("gave_up", 1)
+	cancelByPhase[request.phase](m, request, now)
+}
+
+var cancelByPhase = map[phase]func(*Machine, *Request, time.Duration){
+	phaseNew:           (*Machine).cancelUnbound,
+	phaseAwaitingLease: (*Machine).cancelUnbound,
+	phaseLookup: func(m *Machine, request *Request, now time.Duration) {
+		m.respond(request, unknownOutcome("the node that had this go has not answered"), now)
+	},
+	phaseAwaitingFirst: func(m *Machine, request *Request, now time.Duration) {
+		m.respond(request, unknownOutcome("its first sending is still out"), now)
+	},
+	phaseQueued:   (*Machine).cancelQueued,
+	phaseAssigned: (*Machine).cancelAssigned,
+	phaseInFlight: (*Machine).abandon,
+	phaseUnconfirmed: func(m *Machine, request *Request, now time.Duration) {
+		m.recordUnknown(request, now)
+		m.respond(request, unknownOutcome("it ran, but is not yet shown to be safe on the replicas"), now)
+	},
+	phaseDone: func(*Machine, *Request, time.Duration) {},
+}
+
+const notForwardedText = "deadline passed before it was passed on"
+
+func (m *Machine) cancelUnbound(request *Request, now time.Duration) {
+	m.respond(request, Result{Outcome: m.unsentOutcome(request), Error: notForwardedText, RetryAfter: m.retryAfter(request, now)}, now)
+}
+
+func (m *Machine) cancelQueued(request *Request, now time.Duration) {
+	m.dequeue(request)
+	m.recordNotCommitted(request, now)
+	result := notCommitted("deadline passed while waiting in line: " + m.waitReason(request, now))
+	result.RetryAfter = m.retryAfter(request, now)
+	m.respond(request, result, now)
+}
+
+func (m *Machine) cancelAssigned(request *Request, now time.Duration) {
+	m.recordNotCommitted(request, now)
+	result := notCommitted(notForwardedText)
+	result.RetryAfter = m.retryAfter(request, now)
+	m.respond(request, result, now)
+}
+
+// waitReason says what a queued request waits for.
+func (m *Machine) waitReason(request *Request, now time.Duration) string {
+	writer := m.Routing().WriterRole(request.databaseName)
+	if !m.Routing().HasLease(now) {
+		return "this node has no lease from the control plane"
+	}
+	if writer.Phase == "" {
+		return "the database's primary is not known yet"
+	}
+	if writer.Phase != model.PhaseOpen && (request.strict || request.op.Write) {
+		return "the writer role is moving"
+	}
+	return "no room in the windows of its instances"
+}
+
+// retryAfter estimates when a request would be served that is sent again: once
+// the queues ahead of it have gone through the windows of the instances.
+func (m *Machine) retryAfter(request *Request, now time.Duration) time.Duration {
+	database := m.database(request.databaseName)
+	jitter := m.jitter(retryAfterJitter)
+	if m.Routing().WriterRole(request.databaseName).Phase != model.PhaseOpen || !m.Routing().HasLease(now) {
+		return retryAfterWriterChange + jitter
+	}
+	slots, latency := 0, time.Duration(0)
+	for _, instance := range m.instances.All() {
+		if instance.database == database {
+			slots += instance.window.Size()
+			latency = max(latency, instance.window.Reading().AverageLatency)
+		}
+	}
+	ahead := time.Duration(database.queueLength() + 1)
+	return min(retryAfterMin+jitter+ahead*latency/time.Duration(max(slots, 1)), retryAfterMax)
+}
--- /dev/null
+++ b/internal/coordination/pool/httppool/commit.go
@@ -0,0 +1,57 @@
+package httppool
+
+import (
+	"time"
+
+	"tansyseam/internal/coordination/idempotency"
+	"tansyseam/internal/coordination/routing"
+	"tansyseam/internal/state/model"
+)
+
+// confirmCommits answers the commits that ran and are known by now to be safe
+// on the replicas, or to have run on a primary that was fenced.
+func (m *Machine) confirmCommits(database *databaseState, now time.Duration) {
+	if len(database.unconfirmed) == 0 {
+		return
+	}
+	var unconfirmed []*Request
+	for _, request := range database.unconfirmed {
+		verdict := m.Routing().CommitVerdict(request.databaseName, request.term, request.position, now)
+		if verdict == routing.VerdictNone {
+			unconfirmed = append(unconfirmed, request)
+			continue
+		}
+		m.confirmCommit(request, verdict == routing.VerdictDurable, now)
+	}
+	database.unconfirmed = unconfirmed
+}
+
+func (m *Machine) confirmCommit(request *Request, durable bool, now time.Duration) {
+	request.phase = phaseDone
+	if !durable {
+		m.recordOutcome(request, idempotency.StateUnknown, request.rows, request.position, now)
+		m.respond(request, unknownOutcome("it ran on a primary that has since lost the writer role"), now)
+		return
+	}
+	m.Count("confirm_us", (now - request.executedAt).Microseconds())
+	request.session.raiseMinPosition(request.databaseName, request.position)
+	m.recordOutcome(request, idempotency.StateCommitted, request.rows, request.position, now)
+	m.respond(request, Result{Outcome: OutcomeCommitted, Rows: request.rows, Position: request.position, Instance: request.Instance()}, now)
+}
+
+func (m *Machine) recordNotCommitted(request *Request, now time.Duration) {
+	m.recordOutcome(request, idempotency.StateNotCommitted, nil, model.Position{}, now)
+}
+
+func (m *Machine) recordUnknown(request *Request, now time.Duration) {
+	m.recordOutcome(request, idempotency.StateUnknown, nil, model.Position{}, now)
+}
+
+// recordOutcome records how the request of a request id ended, where there is a
+// record of it, and answers the retries that wait for it.
+func (m *Machine) recordOutcome(request *Request, state string, rows []byte, position model.Position, now time.Duration) {
+	waiters, status := m.requestLog.Complete(request.op.RequestID, state, rows, position, now)
+	for _, waiter := range waiters {
+		m.respond(waiter.(*Request), resultFromStatus(status), now)
+	}
+}
--- a/internal/coordination/pool/httppool/connections.go
+++ b/internal/coordination/pool/httppool/connections.go
@@ -4,77 +4,70 @@
 	"slices"
 	"time"
 
-	"tansyseam/internal/coordination/flowcontrol"
-	"tansyseam/internal/coordination/idempotency"
-	"tansyseam/internal/coordination/routing"
 	"tansyseam/internal/state/model"
 )
 
-func (m *Machine) closeConn(conn *Conn) {
-	if conn.closed {
-		return
-	}
-	conn.closed = true
-	conn.instance.connections--
-	m.emit(CloseConn{Conn: conn})
+// Conn is one connection to an instance.
+type Conn struct {
+	// Transport belongs to whoever carries out OpenConn.
+	Transport any
+
+	instance    *instanceState
+	term        uint64
+	incarnation string
+	// broken is for a connection that ended by itself, closed for one that the
+	// pool has given up.
+	broken bool
+	closed bool
 }
 
-func (m *Machine) closeIdleConns(instance *instanceState) {
-	for _, conn := range instance.idle {
-		m.closeConn(conn)
+func (m *Machine) canOpen(instance *instanceState, now time.Duration) bool {
+	return instance.connections < m.connectionShare(instance) && instance.backoff.Over(now) && !instance.leaving()
+}
+
+// openConns opens connections for requests that wait, as many as the window and
+// the node's share have room for.
+func (m *Machine) openConns(instance *instanceState, waiting int, now time.Duration) {
+	wanted := min(waiting, instance.window.Available())
+	for instance.opening < wanted && m.canOpen(instance, now) {
+		instance.opening++
+		instance.connections++
+		m.Emit(OpenConn{Conn: &Conn{instance: instance}, Address: instance.observation.Instance.Address})
 	}
-	instance.idle = nil
 }
 
-// Opened takes a connection that was to be opened; isOpen is false where the
-// instance could not be reached, and reply then says nothing.
+// ConnOpened ends an OpenConn. Where the instance could not be reached,
+// connected is false and reply says nothing.
 func (m *Machine) ConnOpened(conn *Conn, reply Reply, connected bool, now time.Duration) {
 	instance := conn.instance
 	instance.opening--
-	sameIncarnation := reply.Incarnation == instance.observation.Instance.Incarnation
+	sameIncarnation := reply.Incarnation == instance.incarnation()
 	if connected && !sameIncarnation {
-		m.count("sessions_to_reborn", 1)
+		m.Count("sessions_to_reborn", 1)
 	}
-	database := m.databaseOf(instance)
 	if !connected || !sameIncarnation || reply.Rejected || reply.Failed {
 		m.closeConn(conn)
-		m.count("sessions_refused", 1)
-		instance.backoff = min(max(2*instance.backoff, m.timing.BackoffMin), m.timing.BackoffMax)
-		instance.backoffUntil = now + instance.backoff
-		m.dispatch(database, now)
+		m.Count("sessions_refused", 1)
+		instance.backoff.Fail(m.timing.BackoffMin, m.timing.BackoffMax, now)
+		m.dispatch(instance.database, now)
 		return
 	}
-	m.count("sessions_opened", 1)
-	instance.observation.LastResponse, instance.backoff = now, 0
-	conn.incarnation, conn.term = reply.Incarnation, m.routing.WriterRole(database.name).Term
+	m.Count("sessions_opened", 1)
+	instance.observation.LastResponse = now
+	instance.backoff.Succeed()
+	conn.incarnation = reply.Incarnation
+	conn.term = m.Routing().WriterRole(instance.database.name).Term
 	m.releaseConn(conn)
-	m.dispatch(database, now)
-}
-
-func (m *Machine) releaseConn(conn *Conn) {
-	instance := conn.instance
-	writer := m.routing.WriterRole(m.databaseOf(instance).name)
-	primary := writer.Primary == instance.observation.Instance.Name
-	stale := primary && (writer.Phase != model.PhaseOpen || conn.term != writer.Term)
-	restarted := conn.incarnation != instance.observation.Instance.Incarnation
-	if conn.closed {
-		return
-	}
-	if conn.broken || instance.leavingAt != 0 || stale || restarted || instance.connections > m.connectionShare(instance) {
-		m.closeConn(conn)
-		return
-	}
-	instance.idle = append(instance.idle, conn)
+	m.dispatch(instance.database, now)
 }
 
-// Lost tells that a connection has ended. Where a statement is out on it,
-// Answered tells the rest.
+// ConnLost says that a connection has ended by itself. A request that is in
+// flight on it ends by its own event, ReplyReceived.
 func (m *Machine) ConnLost(conn *Conn, now time.Duration) {
 	conn.broken = true
 	instance := conn.instance
-	rank := slices.Index(instance.idle, conn)
-	if rank >= 0 {
-		instance.idle = slices.Delete(instance.idle, rank, rank+1)
+	if index := slices.Index(instance.idle, conn); index >= 0 {
+		instance.idle = slices.Delete(instance.idle, index, index+1)
 		m.closeConn(conn)
 	}
 	for _, session := range instance.pinnedSessions {
@@ -87,208 +80,124 @@
 	}
 }
 
-// Answered takes the end of a request that was sent: its answer, or that
-// the connection broke or made no sense.
-func (m *Machine) ReplyReceived(request *Request, reply Reply, broken bool, now time.Duration) {
-	database := m.database(request.databaseName)
-	if broken {
-		m.onConnBroken(request, now)
-		m.dispatch(database, now)
+func (m *Machine) closeConn(conn *Conn) {
+	if conn.closed {
 		return
 	}
-	request.instance.observation.LastResponse = now
-	m.recordLatency(request, reply, now)
-	m.returnConn(request, reply)
-	if request.phase == phaseInFlight {
-		m.handleReply(request, database, reply, now)
-	}
-	m.dispatch(database, now)
+	conn.closed = true
+	conn.instance.connections--
+	m.Emit(CloseConn{Conn: conn})
 }
 
-func (m *Machine) releaseAbandoned(request *Request) bool {
-	rank := slices.Index(request.instance.abandoned, request)
-	if rank >= 0 {
-		request.instance.abandoned = slices.Delete(request.instance.abandoned, rank, rank+1)
-		request.instance.window.ReleaseAbandoned()
+func (m *Machine) closeIdleConns(instance *instanceState) {
+	for _, conn := range instance.idle {
+		m.closeConn(conn)
 	}
-	return rank >= 0
+	instance.idle = nil
 }
 
-func (m *Machine) recordLatency(request *Request, reply Reply, now time.Duration) {
-	if request.abandoned {
-		m.releaseAbandoned(request)
+// releaseConn makes a connection idle that holds no state, or closes it where
+// it is not to be used again.
+func (m *Machine) releaseConn(conn *Conn) {
+	if conn.closed {
 		return
 	}
-	outcome := flowcontrol.Completed
-	if reply.Rejected {
-		outcome = flowcontrol.Rejected
+	instance := conn.instance
+	surplus := instance.connections > m.connectionShare(instance)
+	if conn.broken || instance.leaving() || surplus || m.isStale(conn) {
+		m.closeConn(conn)
+		return
+	}
+	instance.idle = append(instance.idle, conn)
+}
+
+// isStale says whether a connection was opened to an earlier incarnation of its
+// instance, or to the primary in an earlier term.
+func (m *Machine) isStale(conn *Conn) bool {
+	instance := conn.instance
+	if conn.incarnation != instance.incarnation() {
+		return true
 	}
-	m.removeInFlight(request)
-	request.instance.window.Release(outcome, now-request.sentAt)
+	writer := m.Routing().WriterRole(instance.database.name)
+	return writer.Primary == instance.name() && (writer.Phase != model.PhaseOpen || conn.term != writer.Term)
 }
 
+// returnConn takes back the connection over which a request was answered: to
+// its session where that holds state there, to the idle ones else.
 func (m *Machine) returnConn(request *Request, reply Reply) {
 	conn, session := request.conn, request.session
 	if session.pinnedConn == conn {
-		session.inTransaction = reply.InTransaction
-		if session.stateLost || session.closed {
-			m.discardPinned(session)
-			return
-		}
-		if reply.Clean {
-			m.unpin(session)
-			m.releaseConn(conn)
-		}
+		m.returnPinned(session, reply)
 		return
 	}
 	if reply.Clean {
 		m.releaseConn(conn)
 		return
 	}
-	keepsState := request.op.Kind == OpBegin || request.op.Kind == OpSet || request.op.Kind == OpPrepare
-	if keepsState && !request.responded && !session.closed && session.pinnedConn == nil && !conn.closed {
-		m.pin(session, conn)
+	pinnable := session.pinnedConn == nil && !session.closed && !conn.closed
+	if request.op.leavesState() && !request.responded && pinnable {
+		session.pin(conn)
 		session.inTransaction = reply.InTransaction
 		return
 	}
 	m.closeConn(conn)
-	m.count("sessions_closed_unclean", 1)
+	m.Count("sessions_closed_unclean", 1)
 }
 
-func (m *Machine) onConnBroken(request *Request, now time.Duration) {
-	m.count("sessions_broken", 1)
-	if !m.releaseAbandoned(request) && slices.Contains(request.instance.inFlight, request) {
-		m.removeInFlight(request)
-		request.instance.window.Release(flowcontrol.Lost, now-request.sentAt)
-	}
-	if request.session.pinnedConn == request.conn {
-		m.discardPinned(request.session)
-	}
-	m.closeConn(request.conn)
-	if request.phase != phaseInFlight {
+func (m *Machine) returnPinned(session *clientSession, reply Reply) {
+	conn := session.pinnedConn
+	session.inTransaction = reply.InTransaction
+	if session.stateLost || session.closed {
+		m.discardPinned(session)
 		return
 	}
-	request.phase = phaseDone
-	if request.mayPersist() {
-		m.recordOutcome(request.op.RequestID, idempotency.StateUnknown, nil, model.Position{}, now)
-		m.respond(request, Result{Outcome: OutcomeUnknown, Error: "the instance's session ended before its answer came", RetryAfter: time.Second}, now)
-		return
+	if reply.Clean {
+		session.unpin()
+		m.releaseConn(conn)
 	}
-	m.respond(request, Result{Outcome: OutcomeNotCommitted, Error: "the instance's session ended before its answer came", RetryAfter: 200 * time.Millisecond}, now)
 }
 
-func (m *Machine) handleReply(request *Request, database *databaseState, reply Reply, now time.Duration) {
-	request.phase = phaseDone
-	name := request.instance.observation.Instance.Name
-	if reply.Rejected || reply.Failed {
-		m.recordOutcome(request.op.RequestID, idempotency.StateNotCommitted, nil, model.Position{}, now)
-		result := Result{Outcome: OutcomeNotCommitted, Error: reply.Error, Cause: CauseStatementFailed, Instance: name}
-		if reply.Rejected {
-			result.Cause, result.RetryAfter = "", 200*time.Millisecond
-		}
-		m.respond(request, result, now)
-		return
-	}
-	if request.op.Kind == OpCommit || (request.op.Kind == OpRun && request.op.Write && !reply.InTransaction) {
-		request.phase, request.executedAt, request.position, request.rows = phaseUnconfirmed, now, reply.Position, reply.Rows
-		database.unconfirmed = append(database.unconfirmed, request)
-		m.confirmCommits(database, now)
-		return
-	}
-	if request.isRead() && reply.Position.IsBefore(request.assignedPosition) {
-		m.count("reads_gone_back", 1)
-		m.respond(request, Result{Outcome: OutcomeNotCommitted, Error: "the instance went back behind where it stood", RetryAfter: 50 * time.Millisecond}, now)
+// reclaimIdle closes the connection of the session that has been idle longest
+// with state at an instance, where a request has waited long and no connection
+// is left for it. Transactions are not touched.
+func (m *Machine) reclaimIdle(instance *instanceState, request *Request, now time.Duration) {
+	waited := now - request.arrivedAt
+	exhausted := instance.connections >= m.connectionShare(instance) && instance.opening == 0
+	if !exhausted || waited <= m.timing.ReclaimAfter {
 		return
 	}
-	result := Result{Outcome: OutcomeDone, Rows: reply.Rows, Instance: name, Position: reply.Position}
-	if request.isRead() {
-		result.Outcome = OutcomeRead
-	}
-	m.respond(request, result, now)
-}
-
-func (m *Machine) confirmCommits(database *databaseState, now time.Duration) {
-	if len(database.unconfirmed) == 0 {
-		return
+	minIdle := m.timing.ReclaimMinIdle
+	if waited > m.timing.ReclaimMinIdle {
+		minIdle = m.timing.ReclaimAfter
 	}
-	var kept []*Request
-	for _, request := range database.unconfirmed {
-		verdict := m.routing.CommitVerdict(request.databaseName, request.term, request.position, now)
-		if verdict == routing.VerdictNone {
-			kept = append(kept, request)
+	var oldest *clientSession
+	for _, session := range instance.pinnedSessions {
+		if session.inTransaction || !session.idleLongerThan(minIdle, now) {
 			continue
 		}
-		if verdict == routing.VerdictDurable {
-			m.count("confirm_us", (now - request.executedAt).Microseconds())
-			request.session.minPositions[request.databaseName] = request.session.minPositions[request.databaseName].Max(request.position)
-		}
-		request.phase = phaseDone
-		m.recordOutcome(request.op.RequestID, verdict, request.rows, request.position, now)
-		m.respond(request, map[string]Result{
-			routing.VerdictDurable: {Outcome: OutcomeCommitted, Rows: request.rows, Position: request.position, Instance: request.instance.observation.Instance.Name},
-			routing.VerdictUnknown: {Outcome: OutcomeUnknown, Error: "it ran on a primary that has since lost the writer role", RetryAfter: time.Second},
-		}[verdict], now)
-	}
-	database.unconfirmed = kept
-}
-
-func (m *Machine) abandon(request *Request, now time.Duration) {
-	if !request.abandoned {
-		request.abandoned = true
-		request.instance.window.Abandon(now - request.sentAt)
-		m.removeInFlight(request)
-		request.instance.abandoned = append(request.instance.abandoned, request)
-	}
-	result := Result{Outcome: OutcomeNotCommitted, Error: "no answer from the instance in time", RetryAfter: time.Second}
-	if request.mayPersist() {
-		result = Result{Outcome: OutcomeUnknown, Error: "passed on, but no answer from the instance in time", RetryAfter: time.Second}
-		m.recordOutcome(request.op.RequestID, idempotency.StateUnknown, nil, model.Position{}, now)
-	}
-	if request.session.pinnedConn == request.conn {
-		request.session.stateLost = true
-		result.SessionClosed = true
-	}
-	request.phase = phaseDone
-	m.respond(request, result, now)
-}
-
-func (m *Machine) abandonAll(instance *instanceState, now time.Duration) {
-	for _, request := range slices.Clone(instance.inFlight) {
-		if request.phase == phaseInFlight {
-			m.abandon(request, now)
-			m.closeConn(request.conn)
+		if oldest == nil || session.lastUsed < oldest.lastUsed {
+			oldest = session
 		}
 	}
-}
-
-func (m *Machine) onWriterChanged(moved routing.WriterRoleChanged, now time.Duration) {
-	m.count("writer_moves", 1)
-	old := m.instance(moved.Previous.Primary)
-	fenced := moved.Previous.Phase == model.PhaseOpen && old != nil && (moved.Current.Phase != model.PhaseOpen || moved.Current.Primary != moved.Previous.Primary)
-	if !fenced {
-		return
-	}
-	m.closeIdleConns(old)
-	m.abandonAll(old, now)
-	for _, session := range slices.Clone(old.pinnedSessions) {
-		session.stateLost = true
-		if !session.busy {
-			m.discardPinned(session)
-		}
+	if oldest != nil {
+		m.Count("sessions_shed", 1)
+		m.discardPinned(oldest)
 	}
 }
 
-func (m *Machine) reapAbandoned(instance *instanceState, now time.Duration) {
+// closeOverdue closes the connections of requests that were abandoned long ago,
+// and all that an instance still has after its grace to leave.
+func (m *Machine) closeOverdue(instance *instanceState, now time.Duration) {
 	for _, request := range slices.Clone(instance.abandoned) {
 		if now-request.sentAt > m.timing.AbandonedTimeout {
-			m.releaseAbandoned(request)
+			instance.removeAbandoned(request)
 			if request.session.pinnedConn == request.conn {
 				m.discardPinned(request.session)
 			}
 			m.closeConn(request.conn)
 		}
 	}
-	if instance.leavingAt == 0 || now-instance.leavingAt <= m.timing.LeaveGrace {
+	if !instance.leaving() || now-instance.leavingSince <= m.timing.LeaveGrace {
 		return
 	}
 	m.abandonAll(instance, now)
--- /dev/null
+++ b/internal/coordination/pool/httppool/doc.go
@@ -0,0 +1,16 @@
+// Package httppool is the connection pool of proxies whose clients use the
+// product's own HTTP API. It multiplexes the sessions of many clients over a
+// bounded number of connections to database instances.
+//
+// A request passes through these events, in this order: Accept admits it to its
+// session, Bind resolves its binding and looks for an earlier attempt of the
+// same request id, Enqueue puts it in a queue of its database, from which it is
+// assigned to an instance whose window and connections have room, Forward sends
+// it, and ReplyReceived takes the answer. A commit is answered only when it is
+// known to be safe on the replicas. Cancel ends a request in any of these
+// phases.
+//
+// The machine is pure: it does no I/O and has no clock. Each method is one
+// event; Effects gives what the events caused, to be carried out in order.
+// Times are offsets on the node's monotonic clock.
+package httppool
--- /dev/null
+++ b/internal/coordination/pool/httppool/drain.go
@@ -0,0 +1,51 @@
+package httppool
+
+import (
+	"slices"
+	"time"
+)
+
+// Drain makes the node unready and ends what waits, with a short time to retry
+// after. What was assigned goes on, and so do open transactions.
+func (m *Machine) Drain(now time.Duration) {
+	m.StartDraining()
+	for _, request := range m.awaitingLease {
+		m.Cancel(request, now)
+	}
+	for _, database := range m.databases.All() {
+		for _, queue := range []*requestQueue{&database.transactions, &database.writes, &database.reads} {
+			m.drainQueue(queue, now)
+		}
+	}
+}
+
+func (m *Machine) drainQueue(queue *requestQueue, now time.Duration) {
+	for _, request := range slices.Clone(queue.requests) {
+		if request.phase == phaseQueued && !request.session.inTransaction {
+			m.dequeue(request)
+			m.recordNotCommitted(request, now)
+			m.respond(request, drainingResult, now)
+		}
+	}
+}
+
+// ActiveSessions counts the sessions that have a request that isn't answered or
+// a transaction open.
+func (m *Machine) ActiveSessions() int {
+	count := 0
+	for _, session := range m.sessionOrder {
+		if m.isOpen(session) && (session.busy || session.inTransaction) {
+			count++
+		}
+	}
+	return count
+}
+
+// DisconnectSessions closes every connection where a session holds state, and
+// gives the number of sessions that are left.
+func (m *Machine) DisconnectSessions() int {
+	for _, session := range m.sessionOrder {
+		m.discardPinned(session)
+	}
+	return len(m.sessions)
+}
--- /dev/null
+++ b/internal/coordination/pool/httppool/machine.go
@@ -0,0 +1,92 @@
+package httppool
+
+import (
+	"time"
+
+	"tansyseam/internal/coordination/flowcontrol"
+	"tansyseam/internal/coordination/idempotency"
+	"tansyseam/internal/coordination/lease"
+	"tansyseam/internal/coordination/pool"
+)
+
+// Node is the proxy that the pool is part of. Weight is its share of the
+// instances' capacity beside other nodes, the beta of flow control.
+type Node struct {
+	Name        string
+	Zone        string
+	Incarnation string
+	Weight      float64
+}
+
+// Machine is one node's pool.
+type Machine struct {
+	pool.Core
+
+	node   Node
+	timing Timing
+
+	databases        pool.Directory[*databaseState]
+	instances        pool.Directory[*instanceState]
+	windowParameters flowcontrol.Parameters
+	peers            flowcontrol.PeerCounter
+
+	sessions          map[string]*clientSession
+	sessionOrder      []*clientSession
+	sessionsByAddress map[string][]*clientSession
+	lastSessionNumber uint64
+	lastExpiry        time.Duration
+
+	awaitingLease []*Request
+	requestLog    *idempotency.Machine
+	lookups       lookups
+
+	jitterCount uint64
+}
+
+// New makes the pool of a node that knows nothing yet; count is called for each
+// counter that rises.
+func New(node Node, timing Timing, count func(name string, by int64)) *Machine {
+	m := &Machine{
+		Core:              pool.NewCore(node.Name, lease.DefaultTiming(), count),
+		node:              node,
+		timing:            timing,
+		windowParameters:  flowcontrol.DefaultParameters(),
+		peers:             flowcontrol.PeerCounter{Max: 1},
+		sessions:          map[string]*clientSession{},
+		sessionsByAddress: map[string][]*clientSession{},
+		requestLog:        idempotency.New(node.Name, node.Incarnation, idempotency.DefaultTiming()),
+		lookups:           newLookups(),
+	}
+	m.windowParameters.Beta = node.Weight
+	return m
+}
+
+// RequestLog gives the node's records of request ids.
+func (m *Machine) RequestLog() *idempotency.Machine { return m.requestLog }
+
+// Tick is the regular event of the clock. liveProxies counts the proxies that
+// are alive, this one included; weight is the node's own.
+func (m *Machine) Tick(liveProxies int, weight float64, now time.Duration) {
+	m.updatePeers(liveProxies, weight, now)
+	for _, instance := range m.instances.All() {
+		instance.window.Tick(now)
+		m.closeOverdue(instance, now)
+	}
+	m.expireSessions(now)
+	m.retryLookups(now)
+	m.dispatchAll(now)
+}
+
+func (m *Machine) database(name string) *databaseState {
+	return m.databases.GetOrAdd(name, func() *databaseState { return &databaseState{name: name} })
+}
+
+// jitterSteps is the number of different delays that jitter gives in turn.
+const jitterSteps = 16
+
+// jitter gives a delay that differs from call to call, so that clients that are
+// turned away together don't come back together.
+func (m *Machine) jitter(step time.Duration) time.Duration {
+	m.jitterCount++
+	return time.Duration(m.jitterCount%jitterSteps) * step
+}
--- a/internal/coordination/pool/httppool/pool_test.go
+++ b/internal/coordination/pool/httppool/pool_test.go
@@ -17,16 +17,15 @@
 
 type harness struct {
 	*Machine
-	now           time.Duration
-	results       map[string]Result
-	sent          []Send
-	opens         []OpenConn
-	lookups       []Lookup
-	closedConns   []*Conn
-	highWatermark model.Position
-	slow          map[string]bool
-	stamp         uint64
-	phase         string
+	now         time.Duration
+	results     map[string]Result
+	sent        []Send
+	opens       []OpenConn
+	lookups     []Lookup
+	closedConns []*Conn
+	slow        map[string]bool
+	stamp       uint64
+	phase       string
 }
 
 func newHarness(connections int) *harness {
@@ -147,7 +146,7 @@
 	Convey("A deadline gets its final answer at once in each phase, with what is known and when to come back", t, func() {
 		phases := []struct {
 			name    string
-			outcome string
+			outcome Outcome
 			reach   func(*harness, string, string) *Request
 		}{
 			{"entered", OutcomeNotCommitted, func(h *harness, sessionID, id string) *Request {
@@ -313,13 +312,13 @@
 		h.advance(400 * time.Millisecond)
 		So(len(h.sent), ShouldEqual, 1)
 		h.submit(idle, "gone", Op{Kind: OpRun, Text: "r"})
-		So(h.results["gone"].Cause, ShouldEqual, CauseNoSession)
+		So(h.results["gone"].Cause, ShouldEqual, ErrNoSession)
 		another := h.openSession("x", "another")
 		h.submit(another, "v", write(another+".1"))
 		h.advance(2500 * time.Millisecond)
 		So(len(h.sent), ShouldEqual, 1)
 		h.submit(inside, "still", Op{Kind: OpRollback})
-		So(h.results["still"].Cause, ShouldBeEmpty)
+		So(h.results["still"].Cause, ShouldBeNil)
 		So(len(h.sent), ShouldEqual, 2)
 	})
 }
--- a/internal/protocol/backend/codec.go
+++ b/internal/protocol/backend/codec.go
@@ -1,9 +1,11 @@
-// Package backend is the narrow way in which the pooler meets back ends; a
-// further dialect is one more value of Wire.
+// Package backend translates between the operations of the HTTP pool and the
+// messages that database instances understand. Another protocol is another
+// Codec.
 package backend
 
 import (
 	"encoding/json"
+	"net/http"
 
 	"github.com/juju/errors"
 	"github.com/valyala/fastjson"
@@ -12,26 +14,36 @@
 	"tansyseam/internal/state/model"
 )
 
-// ErrDialect says that a back end's answer made no sense.
-const ErrMalformedReply = errors.ConstError("answer not in the dialect")
+// ErrMalformedReply says that an instance's reply can't be read.
+const ErrMalformedReply = errors.ConstError("malformed reply of an instance")
 
-// Wire turns requests into bytes and back.
+// Codec turns operations into HTTP requests to an instance, and its responses
+// into replies.
 type Codec struct {
 	Encode func(op httppool.Op) (path string, body []byte)
+	// Decode fails with ErrMalformedReply.
 	Decode func(status int, body []byte) (httppool.Reply, error)
-	// Status asks for the position, answered when it has passed after or a
-	// bounded wait is over. It is no statement and takes no session.
-	EncodeStatusRequest func(after model.Position, wait int) (path string, body []byte)
+	// EncodeStatusRequest asks for the instance's position and role. The
+	// instance answers once it is past a position, or after waitMS
+	// milliseconds. It is no statement and needs no session there.
+	EncodeStatusRequest func(after model.Position, waitMS int) (path string, body []byte)
 }
 
-// JSON is the dialect of docs/backends.md.
+// NewJSONCodec gives the codec of the protocol in docs/backends.md.
 func NewJSONCodec() Codec {
 	return Codec{Encode: encodeOperation, Decode: decodeReply, EncodeStatusRequest: encodeStatusRequest}
 }
 
-var pathByOperation = map[string]string{
-	httppool.OpOpen: "/db/open", httppool.OpRun: "/db/run", httppool.OpBegin: "/db/begin", httppool.OpCommit: "/db/commit",
-	httppool.OpRollback: "/db/rollback", httppool.OpSet: "/db/set", httppool.OpPrepare: "/db/prepare",
+const statusPath = "/db/status"
+
+var pathByOperation = map[httppool.OpKind]string{
+	httppool.OpOpen:     "/db/open",
+	httppool.OpRun:      "/db/run",
+	httppool.OpBegin:    "/db/begin",
+	httppool.OpCommit:   "/db/commit",
+	httppool.OpRollback: "/db/rollback",
+	httppool.OpSet:      "/db/set",
+	httppool.OpPrepare:  "/db/prepare",
 }
 
 type operationBody struct {
@@ -47,23 +59,31 @@
 
 func encodeOperation(op httppool.Op) (string, []byte) {
 	body, _ := json.Marshal(operationBody{
-		Text: op.Text, Prepared: op.Prepared, Arguments: op.Arguments, Write: op.Write,
-		Name: op.Name, Value: op.Value, RequestID: op.RequestID, Term: op.Term,
+		Text:      op.Text,
+		Prepared:  op.Prepared,
+		Arguments: op.Arguments,
+		Write:     op.Write,
+		Name:      op.Name,
+		Value:     op.Value,
+		RequestID: op.RequestID,
+		Term:      op.Term,
 	})
 	return pathByOperation[op.Kind], body
 }
 
-func decodeReply(code int, body []byte) (httppool.Reply, error) {
+func decodeReply(status int, body []byte) (httppool.Reply, error) {
 	value, err := fastjson.ParseBytes(body)
 	if err != nil {
 		return httppool.Reply{}, errors.WithType(err, ErrMalformedReply)
 	}
+	rejected := status == http.StatusTooManyRequests || status == http.StatusConflict
 	reply := httppool.Reply{
-		Rejected: code == 429 || code == 409,
-		Failed:   code >= 400 && code != 429 && code != 409,
+		Rejected: rejected,
+		Failed:   status >= http.StatusBadRequest && !rejected,
 		Error:    string(value.GetStringBytes("error")),
 		Position: model.Position{
-			Term: value.GetUint64("position", "term"), Index: value.GetUint64("position", "index"),
+			Term:  value.GetUint64("position", "term"),
+			Index: value.GetUint64("position", "index"),
 		},
 		Clean:         value.GetBool("clean"),
 		InTransaction: value.GetBool("inside"),
@@ -78,10 +98,12 @@
 	return reply, nil
 }
 
-func encodeStatusRequest(after model.Position, wait int) (string, []byte) {
-	body, _ := json.Marshal(struct {
-		After model.Position `json:"after"`
-		Wait  int            `json:"wait_ms"`
-	}{after, wait})
-	return "/db/status", body
+type statusRequestBody struct {
+	After  model.Position `json:"after"`
+	WaitMS int            `json:"wait_ms"`
+}
+
+func encodeStatusRequest(after model.Position, waitMS int) (string, []byte) {
+	body, _ := json.Marshal(statusRequestBody{After: after, WaitMS: waitMS})
+	return statusPath, body
 }
--- a/test/simulation/caller.go
+++ b/test/simulation/caller.go
@@ -160,7 +160,7 @@
 		finished = true
 		c.disconnect = nil
 		delete(f.outstanding, number)
-		event.Outcome, event.Error, event.Sequence, event.Got = told.Outcome, told.Error, told.BindingSequence, int64(c.simulator.now)
+		event.Outcome, event.Error, event.Sequence, event.Got = string(told.Outcome), told.Error, told.BindingSequence, int64(c.simulator.now)
 		event.RetryMS = told.RetryAfter.Milliseconds()
 		event.Position = standin.Position{Term: told.Position.Term, Index: told.Position.Index}
 		if isCut {
@@ -179,7 +179,7 @@
 		for database, position := range told.MinPositions {
 			c.minPositions[database] = c.minPositions[database].Max(position)
 		}
-		isOn := !isCut && !told.SessionClosed && told.Cause != httppool.CauseNoSession && told.Cause != httppool.CauseNoBinding
+		isOn := !isCut && !told.SessionClosed && told.Cause != httppool.ErrNoSession && told.Cause != httppool.ErrNoBinding
 		if !isOn && c.remoteAddress == remote {
 			c.leave()
 		}
--- a/test/simulation/connection.go
+++ b/test/simulation/connection.go
@@ -255,7 +255,7 @@
 
 func (x *instance) recordExecution(c *connection, op httppool.Op, text string) {
 	ran := standin.Ran{
-		At: int64(x.simulator.now), Instance: x.name, Conn: c.id, Act: op.Kind, Text: text, Go: op.RequestID, IsWrite: op.Write, Term: x.term,
+		At: int64(x.simulator.now), Instance: x.name, Conn: c.id, Act: string(op.Kind), Text: text, Go: op.RequestID, IsWrite: op.Write, Term: x.term,
 		Role: x.role, Leaving: x.leavingSince, Settings: maps.Clone(c.settings),
 	}
 	if c.transaction != nil {
@@ -264,7 +264,7 @@
 	x.executions = append(x.executions, ran)
 }
 
-var operations = map[string]func(*instance, *connection, httppool.Op){
+var operations = map[httppool.OpKind]func(*instance, *connection, httppool.Op){
 	httppool.OpOpen: func(x *instance, c *connection, _ httppool.Op) {
 		if x.openConnections >= x.fleet.config.Connections {
 			x.refuse(c, "connections are capped")
--- a/test/simulation/node.go
+++ b/test/simulation/node.go
@@ -102,7 +102,7 @@
 		n.simulator.record("%s holds %s: term %d %s at %s", n.name, turned.Change.Database, after.Term, after.Phase, after.Primary)
 	})
 	handleEffect(func(n *node, shown httppool.BindingsActivated) {
-		n.simulator.record("%s serves under %d", n.name, shown.Sequence)
+		n.simulator.record("%s serves under %d", n.name, shown.Set.Sequence)
 	})
 }
 
