--- a/internal/transport/httpserver/client.go
+++ b/internal/transport/httpserver/client.go
@@ -12,6 +12,7 @@
 	"github.com/lesismal/nbio/nbhttp"
 
 	"tansyseam/internal/protocol/adapter"
+	"tansyseam/internal/transport/tcp"
 	"tansyseam/internal/transport/worker"
 )
 
@@ -32,12 +33,10 @@
 	maxResponseSize = 16 << 20
 )
 
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3}
-
 // Client opens connections to backends and to the platform.
 type Client struct {
 	engine  *nbhttp.Engine
-	localIP net.IP
+	local   net.Addr
 	workers *worker.Group
 }
 
@@ -49,11 +48,7 @@
 	if err := engine.Start(); err != nil {
 		return nil, errors.Trace(err)
 	}
-	ip := net.ParseIP(localIP)
-	if ip != nil && ip.IsUnspecified() {
-		ip = nil
-	}
-	return &Client{engine: engine, localIP: ip, workers: workers}, nil
+	return &Client{engine: engine, local: tcp.LocalAddress(localIP), workers: workers}, nil
 }
 
 // Close ends the client and all its connections.
@@ -80,10 +75,7 @@
 // connection ends. Dial blocks for up to timeout. Its errors are of type
 // ErrNotSent.
 func (c *Client) Dial(address string, timeout time.Duration, onClose func()) (*ClientConn, error) {
-	dialer := net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive}
-	if c.localIP != nil {
-		dialer.LocalAddr = &net.TCPAddr{IP: c.localIP}
-	}
+	dialer := net.Dialer{Timeout: timeout, LocalAddr: c.local, KeepAliveConfig: tcp.KeepAlive}
 	raw, err := dialer.Dial("tcp", address)
 	if err != nil {
 		return nil, errors.WithType(errors.Trace(err), ErrNotSent)
--- a/internal/transport/lineserver/server.go
+++ b/internal/transport/lineserver/server.go
@@ -12,6 +12,7 @@
 	"github.com/juju/errors"
 	"github.com/lesismal/nbio"
 
+	"tansyseam/internal/transport/tcp"
 	"tansyseam/internal/transport/worker"
 )
 
@@ -138,13 +139,13 @@
 // hears of the connection before all else. It does not block.
 func (e *Server) Dial(address string, first []byte, timeout time.Duration, handler Handler, onConnect func(*Conn)) {
 	e.workers.Go(func() {
-		dialer := net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive}
+		dialer := net.Dialer{Timeout: timeout, KeepAliveConfig: tcp.KeepAlive}
 		dialled, err := dialer.Dial("tcp", address)
 		if err != nil {
 			handler.OnClose(err)
 			return
 		}
-		worker.SetUserTimeout(dialled.(*net.TCPConn), userTimeout)
+		tcp.SetUserTimeout(dialled.(*net.TCPConn), userTimeout)
 		raw, err := nbio.NBConn(dialled)
 		if err != nil {
 			_ = dialled.Close()
@@ -166,8 +167,6 @@
 
 const userTimeout = 2 * time.Second
 
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3}
-
 func (c *Conn) onData(data []byte) {
 	if len(c.partial) > 0 {
 		data = append(c.partial, data...)
--- /dev/null
+++ b/internal/transport/rpc/dial.go
@@ -0,0 +1,111 @@
+package rpc
+
+import (
+	"net"
+	"time"
+
+	"github.com/juju/errors"
+	"github.com/lesismal/nbio"
+
+	"tansyseam/internal/transport/tcp"
+)
+
+const (
+	// dialTimeout bounds the opening of a connection.
+	dialTimeout = 500 * time.Millisecond
+	// maxBacklog is the number of messages kept for a connection that is being
+	// opened; more are dropped.
+	maxBacklog = 64
+	// userTimeout is how long sent bytes may stay unacknowledged before the
+	// connection is given up.
+	userTimeout = time.Second
+)
+
+// outboundLink is the connection to an address, or the attempt to open it.
+type outboundLink struct {
+	// peer is nil until the connection is open.
+	peer    *peer
+	dialing bool
+	backlog []Envelope
+}
+
+// Send sends a message to the hub at an address. It does not block. The message
+// is dropped if the hub cannot be reached.
+func (h *Hub) Send(address string, body any) {
+	h.sendTo(address, Envelope{From: h.name, Version: ProtocolVersion, Body: body})
+}
+
+func (h *Hub) sendTo(address string, envelope Envelope) {
+	h.mutex.Lock()
+	link, found := h.links[address]
+	if !found {
+		link = &outboundLink{}
+		h.links[address] = link
+	}
+	to := link.peer
+	shouldDial := to == nil && link.enqueue(envelope)
+	h.mutex.Unlock()
+	if to != nil {
+		h.transmit(to, envelope)
+	}
+	if shouldDial {
+		h.workers.Go(func() { h.dial(address, link) })
+	}
+}
+
+// enqueue keeps a message until the connection is open. It returns true if the
+// caller has to dial.
+func (l *outboundLink) enqueue(envelope Envelope) bool {
+	if len(l.backlog) < maxBacklog {
+		l.backlog = append(l.backlog, envelope)
+	}
+	shouldDial := !l.dialing
+	l.dialing = true
+	return shouldDial
+}
+
+func (h *Hub) transmit(to *peer, envelope Envelope) {
+	if err := to.send(envelope); err != nil {
+		h.counters.Add("link_encode_faults", 1)
+		return
+	}
+	h.counters.Add("link_out", 1)
+}
+
+// dial opens the connection of a link and sends its backlog. If that fails, the
+// backlog is dropped and the pending calls to the address fail.
+func (h *Hub) dial(address string, link *outboundLink) {
+	conn, err := h.open(address)
+	h.mutex.Lock()
+	backlog := link.backlog
+	link.backlog, link.dialing = nil, false
+	if err != nil {
+		delete(h.links, address)
+		h.failCalls(address)
+		h.mutex.Unlock()
+		h.counters.Add("link_dial_faults", 1)
+		return
+	}
+	link.peer, _ = conn.Session().(*peer)
+	h.links[address] = link
+	h.mutex.Unlock()
+	for _, envelope := range backlog {
+		h.transmit(link.peer, envelope)
+	}
+}
+
+func (h *Hub) open(address string) (*nbio.Conn, error) {
+	dialer := net.Dialer{Timeout: dialTimeout, LocalAddr: tcp.LocalAddress(h.localHost)}
+	raw, err := dialer.Dial("tcp", address)
+	if err != nil {
+		return nil, errors.Trace(err)
+	}
+	tcp.SetUserTimeout(raw.(*net.TCPConn), userTimeout)
+	conn, err := nbio.NBConn(raw)
+	if err != nil {
+		_ = raw.Close()
+		return nil, errors.Trace(err)
+	}
+	_, err = h.engine.AddConn(conn)
+	return conn, errors.Trace(err)
+}
--- a/internal/transport/rpc/hub_test.go
+++ b/internal/transport/rpc/hub_test.go
@@ -3,11 +3,13 @@
 import (
 	"bytes"
 	"encoding/binary"
+	"encoding/gob"
 	"hash/crc32"
 	"net"
 	"testing"
 	"time"
 
+	"github.com/juju/errors"
 	. "github.com/smartystreets/goconvey/convey"
 
 	"tansyseam/internal/coordination/idempotency"
@@ -22,15 +24,37 @@
 	return listener.Addr().String()
 }
 
+// encodeFrame returns an envelope in a frame that is a gob stream of its own.
+func encodeFrame(envelope Envelope) []byte {
+	envelope.Body = message.Encode(envelope.Body)
+	var buffer bytes.Buffer
+	buffer.Write(make([]byte, headerSize))
+	So(gob.NewEncoder(&buffer).Encode(&envelope), ShouldBeNil)
+	frame := buffer.Bytes()
+	writeHeader(frame, 0)
+	return frame
+}
+
+// exchange sends bytes to an address and returns how many are sent back.
+func exchange(address string, data []byte) (int, error) {
+	conn, err := net.Dial("tcp", address)
+	So(err, ShouldBeNil)
+	defer func() { _ = conn.Close() }()
+	_, err = conn.Write(data)
+	So(err, ShouldBeNil)
+	So(conn.SetReadDeadline(time.Now().Add(10*time.Second)), ShouldBeNil)
+	return conn.Read(make([]byte, 4096))
+}
+
 func TestHub(t *testing.T) {
 	message.Register()
 	Convey("Given two hubs", t, func() {
 		workers, counters := worker.NewGroup(), &worker.Counters{}
 		clientAddress, serverAddress := freePort(), freePort()
-		server := NewHub("far", serverAddress, workers, counters, func(from string, body any, answer func(any)) {
-			answer(idempotency.Status{State: from + " asked " + body.(idempotency.StatusRequest).RequestID})
+		server := NewHub("far", serverAddress, workers, counters, func(from string, body any, reply func(any)) {
+			reply(idempotency.Status{State: from + " asked " + body.(idempotency.StatusRequest).RequestID})
 		})
-		client := NewHub("near", clientAddress, workers, &worker.Counters{}, func(_ string, _ any, answer func(any)) { answer(idempotency.Status{}) })
+		client := NewHub("near", clientAddress, workers, &worker.Counters{}, func(_ string, _ any, reply func(any)) { reply(idempotency.Status{}) })
 		So(server.Listen(), ShouldBeNil)
 		So(client.Listen(), ShouldBeNil)
 		Reset(func() {
@@ -38,80 +62,58 @@
 			server.Close()
 			client.Close()
 		})
-		// The engine below never ends if it is stopped before its listener runs.
+		// The engine of nbio never ends if it is stopped before its listener runs.
 		for hub, address := range map[*Hub]string{server: clientAddress, client: serverAddress} {
 			_, err := hub.Call(address, idempotency.StatusRequest{RequestID: "first"}, time.Minute)
 			So(err, ShouldBeNil)
 		}
-		ask := func() string {
+		call := func() string {
 			reply, err := client.Call(serverAddress, idempotency.StatusRequest{RequestID: "x"}, 5*time.Second)
 			So(err, ShouldBeNil)
 			return reply.(idempotency.Status).State
 		}
-		Convey("A call is answered, and a call to nobody fails without waiting out its bound", func() {
-			So(ask(), ShouldEqual, "near asked x")
+		Convey("A call is answered, and a call to an address where nobody listens fails before its time-out", func() {
+			So(call(), ShouldEqual, "near asked x")
 			started := time.Now()
 			_, err := client.Call(freePort(), idempotency.StatusRequest{}, time.Minute)
-			So(err, ShouldNotBeNil)
+			So(errors.Is(err, ErrUnreachable), ShouldBeTrue)
 			So(time.Since(started), ShouldBeLessThan, 30*time.Second)
 		})
-		Convey("Garbage, oversized, wrong-version and changed frames close their own link, are counted, and harm nothing else", func() {
-			good, err := encodeFrame(Envelope{From: "evil", ID: 1, Body: idempotency.StatusRequest{RequestID: "x"}})
-			So(err, ShouldBeNil)
-			frame := func(change func([]byte)) []byte {
+		Convey("Malformed, oversized and corrupted frames and those of another version close their own connection, are counted, and affect no other", func() {
+			good := encodeFrame(Envelope{From: "evil", ID: 1, Body: idempotency.StatusRequest{RequestID: "x"}})
+			corrupt := func(change func([]byte)) []byte {
 				data := append([]byte(nil), good...)
 				change(data)
 				return data
 			}
 			bad := map[string][]byte{
 				"link_refused_garbage":   []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
-				"link_refused_version":   frame(func(data []byte) { data[3] = 99 }),
-				"link_refused_oversized": frame(func(data []byte) { binary.BigEndian.PutUint32(data[4:], 1<<30) }),
-				"link_refused_checksum":  frame(func(data []byte) { data[len(data)-1] ^= 1 }),
+				"link_refused_version":   corrupt(func(data []byte) { data[versionOffset] = 99 }),
+				"link_refused_oversized": corrupt(func(data []byte) { binary.BigEndian.PutUint32(data[sizeOffset:], 1<<30) }),
+				"link_refused_checksum":  corrupt(func(data []byte) { data[len(data)-1] ^= 1 }),
 			}
 			for count, data := range bad {
-				conn, err := net.Dial("tcp", serverAddress)
-				So(err, ShouldBeNil)
-				_, err = conn.Write(data)
-				So(err, ShouldBeNil)
-				So(conn.SetReadDeadline(time.Now().Add(10*time.Second)), ShouldBeNil)
-				_, err = conn.Read(make([]byte, 1))
+				_, err := exchange(serverAddress, data)
 				So(err, ShouldNotBeNil)
-				_ = conn.Close()
 				So(counters.Snapshot()[count], ShouldEqual, 1)
 			}
-			So(ask(), ShouldEqual, "near asked x")
+			So(call(), ShouldEqual, "near asked x")
 		})
-		Convey("A message that only a newer build knows is passed over, and the link lives on", func() {
-			unknown, err := encodeFrame(Envelope{From: "newer", ID: 1, Body: idempotency.StatusRequest{RequestID: "y"}})
-			So(err, ShouldBeNil)
+		Convey("A message that only a newer build knows is skipped, and the connection stays open", func() {
+			unknown := encodeFrame(Envelope{From: "newer", ID: 1, Body: idempotency.StatusRequest{RequestID: "y"}})
 			changed := bytes.ReplaceAll(unknown, []byte("goes.Ask"), []byte("goes.Nex"))
 			So(changed, ShouldNotResemble, unknown)
-			binary.BigEndian.PutUint32(changed[8:], crc32.ChecksumIEEE(changed[headerSize:]))
-			known, err := encodeFrame(Envelope{From: "newer", ID: 2, Body: idempotency.StatusRequest{RequestID: "z"}})
-			So(err, ShouldBeNil)
-			conn, err := net.Dial("tcp", serverAddress)
-			So(err, ShouldBeNil)
-			defer func() { _ = conn.Close() }()
-			_, err = conn.Write(append(changed, known...))
-			So(err, ShouldBeNil)
-			So(conn.SetReadDeadline(time.Now().Add(10*time.Second)), ShouldBeNil)
-			count, err := conn.Read(make([]byte, 4096))
+			binary.BigEndian.PutUint32(changed[checksumOffset:], crc32.ChecksumIEEE(changed[headerSize:]))
+			known := encodeFrame(Envelope{From: "newer", ID: 2, Body: idempotency.StatusRequest{RequestID: "z"}})
+			count, err := exchange(serverAddress, append(changed, known...))
 			So(err, ShouldBeNil)
 			So(count, ShouldBeGreaterThan, headerSize)
 			So(counters.Snapshot()["link_unknown_message"], ShouldEqual, 1)
 		})
-		Convey("A frame of the version after ours is still read", func() {
-			next, err := encodeFrame(Envelope{From: "newer", ID: 1, Body: idempotency.StatusRequest{RequestID: "y"}})
-			So(err, ShouldBeNil)
-			next[3] = ProtocolVersion + 1
-			conn, err := net.Dial("tcp", serverAddress)
-			So(err, ShouldBeNil)
-			defer func() { _ = conn.Close() }()
-			_, err = conn.Write(next)
-			So(err, ShouldBeNil)
-			So(conn.SetReadDeadline(time.Now().Add(10*time.Second)), ShouldBeNil)
-			count, err := conn.Read(make([]byte, 4096))
+		Convey("A frame of the next version is still read", func() {
+			next := encodeFrame(Envelope{From: "newer", ID: 1, Body: idempotency.StatusRequest{RequestID: "y"}})
+			next[versionOffset] = ProtocolVersion + 1
+			count, err := exchange(serverAddress, next)
 			So(err, ShouldBeNil)
 			So(count, ShouldBeGreaterThan, headerSize)
 		})
--- a/internal/transport/worker/counters.go
+++ b/internal/transport/worker/counters.go
@@ -5,21 +5,21 @@
 	"sync/atomic"
 )
 
-// Counters are the program's named counts.
+// Counters are a program's named counters. They are safe for concurrent use.
 type Counters struct {
 	counts sync.Map
 }
 
-// Add raises a count.
-func (c *Counters) Add(name string, by int64) {
+// Add adds to a counter, which begins at 0.
+func (c *Counters) Add(name string, delta int64) {
 	counter, found := c.counts.Load(name)
 	if !found {
 		counter, _ = c.counts.LoadOrStore(name, new(atomic.Int64))
 	}
-	counter.(*atomic.Int64).Add(by)
+	counter.(*atomic.Int64).Add(delta)
 }
 
-// Read copies all counts.
+// Snapshot returns the values of all counters by name.
 func (c *Counters) Snapshot() map[string]int64 {
 	counts := map[string]int64{}
 	c.counts.Range(func(name, counter any) bool {
--- a/internal/transport/worker/group.go
+++ b/internal/transport/worker/group.go
@@ -1,5 +1,6 @@
-// Package worker is the one place where goroutines start, and holds the select
-// loop and the bounded stage that everything else uses.
+// Package worker starts all goroutines of the programs, and provides what is
+// needed around them: groups that can be stopped, pools with bounded queues,
+// operations on channels, and counters.
 package worker
 
 import (
@@ -8,7 +9,11 @@
 	"time"
 )
 
-// Crew starts goroutines and waits for them at the end.
+// clockOffset is the time that a group's clock shows at first. Times are never
+// close to zero, so that the zero value is long past.
+const clockOffset = time.Hour
+
+// Group starts goroutines and stops them together.
 type Group struct {
 	running   sync.WaitGroup
 	stopping  chan struct{}
@@ -17,57 +22,51 @@
 	startedAt time.Time
 }
 
-// NewCrew makes a crew whose clock starts now.
+// NewGroup returns a group whose clock starts now.
 func NewGroup() *Group { return &Group{stopping: make(chan struct{}), startedAt: time.Now()} }
 
-// Now is the monotonic time since the crew began, plus an hour, so that it
-// never lies near zero.
-func (c *Group) Now() time.Duration { return time.Since(c.startedAt) + time.Hour }
+// Now returns the group's monotonic time, which is at least clockOffset.
+func (g *Group) Now() time.Duration { return time.Since(g.startedAt) + clockOffset }
 
-// Go starts work.
-func (c *Group) Go(work func()) {
-	c.running.Add(1)
+// Go runs work in a goroutine.
+func (g *Group) Go(work func()) {
+	g.running.Add(1)
 	go func() {
-		defer c.running.Done()
+		defer g.running.Done()
 		work()
 	}()
 }
 
-// Stopping is closed when the crew is told to stop.
-func (c *Group) Stopping() <-chan struct{} { return c.stopping }
+// Stopping returns a channel that is closed when the group is to stop.
+func (g *Group) Stopping() <-chan struct{} { return g.stopping }
 
-// IsStopping says whether the crew was told to stop.
-func (c *Group) IsStopping() bool { return c.stopped.Load() }
+// IsStopping says whether the group is to stop.
+func (g *Group) IsStopping() bool { return g.stopped.Load() }
 
-// Stop tells all loops and stages to end and waits for them, for a bound.
-func (c *Group) Stop(timeout time.Duration) bool {
-	c.stopOnce.Do(func() { c.stopped.Store(true); close(c.stopping) })
+// Stop ends all loops and pools and waits until all goroutines have ended. It
+// returns false if some have not within timeout.
+func (g *Group) Stop(timeout time.Duration) bool {
+	g.stopOnce.Do(func() {
+		g.stopped.Store(true)
+		close(g.stopping)
+	})
 	done := make(chan struct{})
-	go func() { c.running.Wait(); close(done) }()
+	go func() {
+		g.running.Wait()
+		close(done)
+	}()
 	return Await(done, timeout)
 }
 
-// Await waits for a channel, for a bound.
-func Await[T any](done <-chan T, timeout time.Duration) bool {
-	timer := time.NewTimer(timeout)
-	defer timer.Stop()
-	select {
-	case <-done:
-		return true
-	case <-timer.C:
-		return false
-	}
-}
-
-// Loop runs queued work and a regular beat, one at a time, until the crew
-// stops.
-func (c *Group) Loop(queue <-chan func(), interval time.Duration, tick func()) {
-	c.Go(func() {
+// Loop runs the queued functions, and tick at each interval, one at a time until
+// the group stops. The queue may be nil.
+func (g *Group) Loop(queue <-chan func(), interval time.Duration, tick func()) {
+	g.Go(func() {
 		ticker := time.NewTicker(interval)
 		defer ticker.Stop()
 		for {
 			select {
-			case <-c.stopping:
+			case <-g.stopping:
 				return
 			case work := <-queue:
 				work()
@@ -77,93 +76,3 @@
 		}
 	})
 }
-
-// Stage is one step of a request's way: a bounded queue and its workers.
-type Pool[T any] struct {
-	Name  string
-	queue chan T
-	group *Group
-}
-
-// NewStage starts a stage.
-func NewPool[T any](group *Group, name string, size, workers int, handle func(T)) *Pool[T] {
-	s := &Pool[T]{Name: name, queue: make(chan T, size), group: group}
-	for range workers {
-		group.Go(func() {
-			for {
-				select {
-				case <-group.stopping:
-					return
-				case item := <-s.queue:
-					handle(item)
-				}
-			}
-		})
-	}
-	return s
-}
-
-// Push waits for a place in the queue, for a bound: a full queue holds its
-// callers back.
-func (s *Pool[T]) Submit(item T, timeout time.Duration) bool {
-	select {
-	case s.queue <- item:
-		return true
-	default:
-	}
-	timer := time.NewTimer(timeout)
-	defer timer.Stop()
-	select {
-	case s.queue <- item:
-		return true
-	case <-timer.C:
-		return false
-	case <-s.group.stopping:
-		return false
-	}
-}
-
-// Offer puts an item in the queue if there is a place at once.
-func (s *Pool[T]) TrySubmit(item T) bool {
-	select {
-	case s.queue <- item:
-		return true
-	default:
-		return false
-	}
-}
-
-// Depth is the number of items that wait.
-func (s *Pool[T]) QueueLength() int { return len(s.queue) }
-
-// Take receives a value unless another channel is ready first.
-func Receive[T, U any](values <-chan T, cancel <-chan U) (T, bool) {
-	select {
-	case value := <-values:
-		return value, true
-	case <-cancel:
-		var zero T
-		return zero, false
-	}
-}
-
-// Poll receives a value if there is one at once.
-func TryReceive[T any](values <-chan T) (T, bool) {
-	select {
-	case value := <-values:
-		return value, true
-	default:
-		var zero T
-		return zero, false
-	}
-}
-
-// Offer sends a value if there is room at once.
-func TrySend[T any](values chan<- T, value T) bool {
-	select {
-	case values <- value:
-		return true
-	default:
-		return false
-	}
-}
