--- /dev/null
+++ b/internal/coordination/consensus/clock_test.go
@@ -0,0 +1,49 @@
+package consensus
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+)
+
+func TestClockOfAMachineJustStarted(t *testing.T) {
+	const wall = int64(1_700_000_000_000_000_000)
+	Convey("A primary that comes back uses no clock of a node that has not read its own yet", t, func() {
+		now := time.Hour
+		primary, other := newFormedMachine("c1", now), newFormedMachine("c3", now)
+		primary.Step(Tick{WallNanos: wall}, now)
+		acks := bodiesSent[RenewLeaseAck](other.Step(Received{From: "c1", Body: RenewLease{Record: primary.Record(), SentAt: now, Incarnation: primary.processIncarnation}}, now))
+		So(len(acks), ShouldEqual, 1)
+		So(acks[0].Granted, ShouldBeTrue)
+		primary.Step(Received{From: "c3", Body: acks[0]}, now+time.Millisecond)
+		So(primary.IsPrimary(now+time.Millisecond), ShouldBeTrue)
+		So(primary.WallNanos(now), ShouldEqual, wall)
+	})
+	Convey("A grant that an earlier run of the program asked for gives no lease, though its clock reading would fit", t, func() {
+		now := time.Hour
+		primary := newFormedMachine("c1", now)
+		stale := RenewLeaseAck{Decided: primary.Record(), SentAt: now, Incarnation: wall - 1, WallNanos: wall, Granted: true}
+		primary.Step(Received{From: "c3", Body: stale}, now)
+		So(primary.IsPrimary(now), ShouldBeFalse)
+		primary.Step(Tick{WallNanos: wall}, now)
+		primary.Step(Received{From: "c3", Body: stale}, now)
+		So(primary.IsPrimary(now), ShouldBeFalse)
+		So(primary.WallNanos(now), ShouldEqual, wall)
+	})
+	Convey("It takes the median of those that have", t, func() {
+		now := time.Hour
+		primary := newFormedMachine("c1", now)
+		primary.Step(Tick{WallNanos: wall}, now)
+		for at, name := range []string{"c2", "c3"} {
+			other := newFormedMachine(name, now)
+			other.Step(Tick{WallNanos: wall + int64(at+1)*int64(time.Second)}, now)
+			ack := bodiesSent[RenewLeaseAck](other.Step(Received{From: "c1", Body: RenewLease{Record: primary.Record(), SentAt: now, Incarnation: primary.processIncarnation}}, now))[0]
+			primary.Step(Received{From: name, Body: ack}, now)
+		}
+		So(primary.WallNanos(now), ShouldEqual, wall)
+		later := now + 100*time.Millisecond
+		primary.Step(Tick{WallNanos: wall + int64(later-now)}, later)
+		So(primary.WallNanos(later), ShouldBeBetween, wall+int64(later-now), wall+int64(later-now)+int64(2*time.Millisecond))
+	})
+}
--- a/internal/coordination/consensus/diskloss_test.go
+++ b/internal/coordination/consensus/diskloss_test.go
@@ -1,6 +1,7 @@
 package consensus
 
 import (
+	"slices"
 	"testing"
 	"time"
 
@@ -10,26 +11,12 @@
 	"tansyseam/internal/state/store"
 )
 
-var five = []string{"c1", "c2", "c3", "c4", "c5"}
-
-func bodiesSent[T any](effects []Effect) []T {
-	var list []T
-	for _, effect := range effects {
-		if send, isSend := effect.(Send); isSend {
-			if body, isOne := send.Body.(T); isOne {
-				list = append(list, body)
-			}
-		}
-	}
-	return list
-}
-
-// restart makes the machine anew from what its effects have saved.
+// restart makes a machine anew from what its effects have saved.
 func restart(self string, effects []Effect, now time.Duration) *Machine {
 	saved := PersistentState{}
 	for _, effect := range effects {
-		save, isSave := effect.(Save)
-		if !isSave {
+		save, ok := effect.(Save)
+		if !ok {
 			continue
 		}
 		if save.Kind == FileIdentity {
@@ -46,14 +33,8 @@
 	return newMachine(self, len(five), DefaultTiming(), saved, now)
 }
 
-func newBlankMachine(self string, now time.Duration) *Machine {
-	m := newMachine(self, len(five), DefaultTiming(), PersistentState{}, now)
-	m.Step(Peers{Names: five}, now)
-	So(len(bodiesSent[StatusRequest](m.Step(Tick{WallNanos: 77}, now))), ShouldBeGreaterThanOrEqualTo, len(five)-1)
-	return m
-}
-
-// speaks counts how often a machine grants, votes or stands, whatever it is asked.
+// countParticipation counts how often a node grants, votes, proposes or syncs, whatever
+// it is asked.
 func countParticipation(m *Machine, from string, now time.Duration) int {
 	record := m.Record()
 	number := proposal.Number{Round: 1, Name: from}
@@ -77,15 +58,8 @@
 	return count
 }
 
-func boolInt(condition bool) int {
-	if condition {
-		return 1
-	}
-	return 0
-}
-
 func TestMachineThatLostItsDisk(t *testing.T) {
-	Convey("Whatever role it had, a machine that lost its disk does not grant, vote, stand or sync until a record has its new disk, also after a restart", t, func() {
+	Convey("Whatever role it had, a node that lost its disk does not grant, vote, propose or sync until a record has its new disk, also after a restart", t, func() {
 		for _, self := range []string{"c1", "c2", "c3"} {
 			now := time.Hour
 			record := Record{Epoch: 4, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(five)}
@@ -111,7 +85,7 @@
 			So(countParticipation(m, "c4", now), ShouldBeGreaterThan, 0)
 		}
 	})
-	Convey("A record that has an older disk of the machine gives it no vote", t, func() {
+	Convey("A record that has an older disk of the node gives it no vote", t, func() {
 		m := newBlankMachine("c3", time.Hour)
 		record := Record{Epoch: 4, Primary: "c1", Voters: votersWithoutIncarnation(five).Replace(Member{Name: "c3"}, Member{Name: "c3", Incarnation: 76})}
 		m.Step(Received{From: "c4", Body: Status{Cluster: "x", Decided: record}}, time.Hour)
@@ -121,7 +95,7 @@
 }
 
 func TestOlderFilesThanWereSynced(t *testing.T) {
-	Convey("A machine whose newest files are unsound, or whose votes are gone, is as one whose disk is blank, formed or not", t, func() {
+	Convey("A node whose newest files are damaged, or whose votes are gone, is as one whose disk is blank, formed or not", t, func() {
 		now := time.Hour
 		old := Record{Epoch: 2, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(five)}
 		record := Record{Epoch: 4, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(five)}
@@ -139,19 +113,15 @@
 			effects := m.Step(Received{From: "c2", Body: Status{Cluster: "x", Decided: record}}, now)
 			So(m.Record(), ShouldResemble, record)
 			So(countParticipation(m, "c1", now), ShouldEqual, 0)
-			isCleaned := false
-			for _, effect := range effects {
-				_, isClean := effect.(RemoveCorrupt)
-				isCleaned = isCleaned || isClean
-			}
-			So(isCleaned, ShouldEqual, saved.Corrupted)
+			removesCorrupt := slices.Contains(effects, Effect(RemoveCorrupt{}))
+			So(removesCorrupt, ShouldEqual, saved.Corrupted)
 			record := record
 			record.Epoch, record.Voters = 5, record.Voters.Replace(Member{Name: "c3"}, Member{Name: "c3", Incarnation: 77})
 			m.Step(Received{From: "c1", Body: Decided{Record: record}}, now)
 			So(countParticipation(m, "c1", now), ShouldBeGreaterThan, 0)
 		}
 	})
-	Convey("A machine whose files are unsound founds nothing and agrees to nothing", t, func() {
+	Convey("A node whose files are damaged forms no cluster and agrees to none", t, func() {
 		m := newMachine("c1", 3, DefaultTiming(), PersistentState{Corrupted: true}, time.Hour)
 		m.Step(Peers{Names: []string{"c1", "c2", "c3"}}, time.Hour)
 		effects := m.Step(Tick{WallNanos: 77}, time.Hour)
@@ -162,13 +132,9 @@
 }
 
 func TestFilesOfABuildWithoutIncarnations(t *testing.T) {
-	Convey("A record without voters on disk has the machines that the fleet was founded with", t, func() {
+	Convey("A record without voters on disk has the nodes that the cluster was formed with", t, func() {
 		m := newFormedMachine("c2", time.Hour)
 		So(m.IsMember(), ShouldBeTrue)
 		So(m.Record().Voters, ShouldEqual, votersWithoutIncarnation([]string{"c1", "c2", "c3"}))
 	})
 }
-
-func putKey(key string) func(*store.Table) []store.Put {
-	return func(*store.Table) []store.Put { return []store.Put{{Key: key, Data: []byte("x")}} }
-}
--- /dev/null
+++ b/internal/coordination/consensus/helpers_test.go
@@ -0,0 +1,59 @@
+package consensus
+
+import (
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/internal/state/store"
+)
+
+var five = []string{"c1", "c2", "c3", "c4", "c5"}
+
+// newMachine makes a node of a cluster in which exactly so many nodes vote.
+func newMachine(self string, voters int, timing Timing, saved PersistentState, now time.Duration) *Machine {
+	return NewWithBootstrap(self, BootstrapConfig{ExactVoters: voters}, timing, saved, now)
+}
+
+// newFormedMachine makes c1, c2 or c3 of a formed cluster: the primary, the backup or a
+// witness.
+func newFormedMachine(self string, now time.Duration) *Machine {
+	voters := []string{"c1", "c2", "c3"}
+	return newMachine(self, len(voters), DefaultTiming(), PersistentState{
+		Identity:   &Identity{Cluster: "x", Self: self, Voters: voters, Formed: true},
+		VoterState: &VoterState{Sequence: 1, Decided: Record{Epoch: 4, Primary: "c1", Backup: "c2"}}, Table: store.New(),
+	}, now)
+}
+
+// newBlankMachine makes a node with a blank disk, which asks the others for their status.
+func newBlankMachine(self string, now time.Duration) *Machine {
+	m := newMachine(self, len(five), DefaultTiming(), PersistentState{}, now)
+	m.Step(Peers{Names: five}, now)
+	So(len(bodiesSent[StatusRequest](m.Step(Tick{WallNanos: 77}, now))), ShouldBeGreaterThanOrEqualTo, len(five)-1)
+	return m
+}
+
+// bodiesSent lists the messages of one type among the effects.
+func bodiesSent[T any](effects []Effect) []T {
+	var bodies []T
+	for _, effect := range effects {
+		if send, ok := effect.(Send); ok {
+			if body, ok := send.Body.(T); ok {
+				bodies = append(bodies, body)
+			}
+		}
+	}
+	return bodies
+}
+
+// putKey gives a Submit.Build that sets one key.
+func putKey(key string) func(*store.Table) []store.Put {
+	return func(*store.Table) []store.Put { return []store.Put{{Key: key, Data: []byte("x")}} }
+}
+
+func boolInt(condition bool) int {
+	if condition {
+		return 1
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/coordination/consensus/leaving_test.go
@@ -0,0 +1,105 @@
+package consensus
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+)
+
+func TestPlannedLeaving(t *testing.T) {
+	leave := func(c *cluster, name string) time.Duration {
+		from := c.now
+		c.step(name, Leave{})
+		for c.now < from+3*time.Second && !c.machines[name].MayStop() {
+			c.run(20 * time.Millisecond)
+		}
+		c.up[name] = false
+		return c.now - from
+	}
+	Convey("A node that shuts down hands its role over first, in less time than a failover takes, and what is acknowledged is on two disks beside it", t, func() {
+		for role, pick := range lossTargets {
+			c, _ := newFormedCluster(3, "c1", "c2", "c3")
+			So(c.submitAndCommit(1), ShouldBeTrue)
+			leaving := pick(c)
+			So(leave(c, leaving), ShouldBeLessThan, 500*time.Millisecond)
+			c.run(200 * time.Millisecond)
+			SoMsg(role, c.primary(), ShouldNotBeEmpty)
+			record := c.machines[c.primary()].Record()
+			So(record.Backup, ShouldNotBeEmpty)
+			So(record.Backup, ShouldNotEqual, leaving)
+			So(c.machines[record.Backup].ReplicaTable().Records, ShouldContainKey, "1")
+			So(c.submitAndCommit(2), ShouldBeTrue)
+		}
+	})
+	Convey("Where a standby is there, it takes the vote of the node that leaves", t, func() {
+		for role, pick := range lossTargets {
+			c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
+			c.add(bootstrap, "n1")
+			c.run(2 * time.Second)
+			So(c.machines["n1"].IsMember(), ShouldBeFalse)
+			leaving := pick(c)
+			leave(c, leaving)
+			c.run(time.Second)
+			SoMsg(role, c.machines["n1"].IsMember(), ShouldBeTrue)
+			So(c.machines[c.primary()].Record().Voters.Names(), ShouldNotContain, leaving)
+			c.up[c.primary()] = false
+			c.run(3 * time.Second)
+			So(c.submitAndCommit(2), ShouldBeTrue)
+		}
+	})
+	Convey("Where the disk of one node is lost and another voter leaves before that one is back, its place is taken first", t, func() {
+		c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
+		So(c.submitAndCommit(1), ShouldBeTrue)
+		c.add(bootstrap, "n1")
+		c.run(2 * time.Second)
+		record, witness := c.machines[c.primary()].Record(), c.witness()
+		c.up[record.Backup] = false
+		c.run(100 * time.Millisecond)
+		So(leave(c, witness), ShouldBeLessThan, 500*time.Millisecond)
+		So(c.machines["n1"].IsMember(), ShouldBeTrue)
+		c.add(bootstrap, record.Backup)
+		c.run(catchUpTime)
+		So(c.submitAndCommit(2), ShouldBeTrue)
+	})
+	Convey("A voter without which there is no majority waits for a standby that comes while it shuts down", t, func() {
+		c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
+		witness := c.witness()
+		c.up[c.machines[c.primary()].Record().Backup] = false
+		c.run(time.Second)
+		c.step(witness, Leave{})
+		c.run(time.Second)
+		So(c.machines[witness].MayStop(), ShouldBeFalse)
+		c.add(bootstrap, "n1")
+		c.run(time.Second)
+		So(c.machines[witness].MayStop(), ShouldBeTrue)
+		c.up[witness] = false
+		c.run(time.Second)
+		So(c.submitAndCommit(1), ShouldBeTrue)
+	})
+	Convey("A backup that leaves is followed by a voter that failed lately, where there is no other", t, func() {
+		c, _ := newFormedCluster(3, "c1", "c2", "c3")
+		backup := c.machines[c.primary()].Record().Backup
+		c.machines[c.primary()].excludedUntil[c.witness()] = c.now + time.Hour
+		So(leave(c, backup), ShouldBeLessThan, time.Second)
+		So(c.submitAndCommit(1), ShouldBeTrue)
+	})
+	Convey("All nodes may be restarted in turn, many times, and writes are committed", t, func() {
+		c, _ := newFormedCluster(3, "c1", "c2", "c3")
+		for token := uint64(1); token < 20; token++ {
+			leaving := c.live()[int(token)%3]
+			leave(c, leaving)
+			SoMsg(leaving, c.submitAndCommit(token), ShouldBeTrue)
+			c.machines[leaving].stopping, c.machines[leaving].releasedEpoch = false, 0
+			c.up[leaving] = true
+			c.run(time.Second)
+		}
+	})
+	Convey("A node that shuts down is no standby", t, func() {
+		m := newBlankMachine("n1", time.Hour)
+		m.Step(Received{From: "c2", Body: Status{Cluster: "x", Decided: Record{Epoch: 4, Primary: "c1", Voters: votersWithoutIncarnation(five)}}}, time.Hour)
+		m.Step(Leave{}, time.Hour)
+		So(bodiesSent[Join](m.Step(Tick{WallNanos: 78}, 2*time.Hour)), ShouldBeEmpty)
+		So(m.MayStop(), ShouldBeTrue)
+	})
+}
--- a/internal/coordination/consensus/load.go
+++ b/internal/coordination/consensus/load.go
@@ -7,7 +7,7 @@
 	"tansyseam/internal/state/versionfile"
 )
 
-// Load reads what a Machine has saved. Damaged files are skipped and told to
+// Load reads what a Machine has saved. Damaged files are skipped and reported to
 // onSkipped. The error is store.ErrDecode where a sound file has another content than
 // it should, or one of the disk.
 func Load(files *versionfile.Store, onSkipped func(kind string, skipped int)) (PersistentState, error) {
--- a/internal/coordination/consensus/machine.go
+++ b/internal/coordination/consensus/machine.go
@@ -16,8 +16,8 @@
 	bootstrap BootstrapConfig
 	timing    Timing
 	startedAt time.Duration
-	// processIncarnation is the wall clock at the first tick, by which replies to an
-	// earlier run of the program are told apart. It is 0 before that tick.
+	// processIncarnation is the wall clock at the first tick, which distinguishes replies
+	// to an earlier run of the program. It is 0 before that tick.
 	processIncarnation int64
 
 	// What is on disk, or on the way there. Tables are replaced, never changed.
--- a/internal/coordination/consensus/membership_test.go
+++ b/internal/coordination/consensus/membership_test.go
@@ -11,60 +11,11 @@
 	"tansyseam/internal/state/store"
 )
 
-// catchUp is the time that a machine has to be whole after its start.
-const catchUpTime = 4 * time.Second
-
-func newFormedCluster(voters int, names ...string) (*cluster, func(string) BootstrapConfig) {
-	var seeds []string
-	for at := range 3 {
-		seeds = append(seeds, address(names[at]))
-	}
-	founding := func(string) BootstrapConfig {
-		return BootstrapConfig{Voters: voters, MayBootstrap: true, RequireBackup: true, Seeds: seeds}
-	}
-	c := newCluster(names[:voters], founding)
-	c.run(6 * time.Second)
-	So(c.primary(), ShouldNotBeEmpty)
-	return c, founding
-}
-
-// add starts a machine with a blank disk.
-func (c *cluster) add(founding func(string) BootstrapConfig, name string) {
-	blank := founding(name)
-	blank.MayBootstrap = false
-	c.machines[name] = NewWithBootstrap(name, blank, DefaultTiming(), PersistentState{}, c.now)
-	c.up[name] = true
-}
-
-func (c *cluster) submitAndCommit(token uint64) bool {
-	c.submit(token)
-	c.run(time.Second)
-	return c.results[token].Committed
-}
-
-// witness gives a live voter that the record does not name.
-func (c *cluster) witness() string {
-	record := c.machines[c.primary()].Record()
-	for _, name := range record.Voters.Names() {
-		if name != record.Primary && name != record.Backup {
-			return name
-		}
-	}
-	return ""
-}
-
-// loses lists which machine of a fleet is lost.
-var lossTargets = map[string]func(c *cluster) string{
-	"primary": func(c *cluster) string { return c.primary() },
-	"backup":  func(c *cluster) string { return c.machines[c.primary()].Record().Backup },
-	"witness": func(c *cluster) string { return c.witness() },
-}
-
 func TestReplacement(t *testing.T) {
-	Convey("Whichever machine is gone, one that comes in its place votes and is whole within the time that it has, so that the next loss, of any, is borne; many times over", t, func() {
+	Convey("Whichever node is gone, one that comes in its place votes and is repaired within the time that it has, so that the next loss, of any, is borne; many times over", t, func() {
 		for first, lose := range lossTargets {
 			for second, loseNext := range lossTargets {
-				c, founding := newFormedCluster(3, "c1", "c2", "c3")
+				c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
 				token := uint64(1)
 				So(c.submitAndCommit(token), ShouldBeTrue)
 				for round := range 4 {
@@ -72,7 +23,7 @@
 					c.up[lose(c)] = false
 					c.run(time.Second)
 					name := fmt.Sprintf("n%d", round)
-					c.add(founding, name)
+					c.add(bootstrap, name)
 					c.run(catchUpTime)
 					So(c.primary(), ShouldNotBeEmpty)
 					SoMsg(about, c.machines[name].IsMember(), ShouldBeTrue)
@@ -89,16 +40,16 @@
 			}
 		}
 	})
-	Convey("Any machine's disk is lost, and another's once the first has been back for the time that it has: all that was acknowledged is there", t, func() {
+	Convey("The disk of any node is lost, and another's once the first has been back for the time that it has: all that was acknowledged is there", t, func() {
 		for _, lose := range lossTargets {
 			for _, loseNext := range lossTargets {
-				c, founding := newFormedCluster(3, "c1", "c2", "c3")
+				c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
 				for token := uint64(1); token < 8; token += 2 {
 					So(c.submitAndCommit(token), ShouldBeTrue)
-					c.add(founding, lose(c))
+					c.add(bootstrap, lose(c))
 					c.run(catchUpTime)
 					So(c.submitAndCommit(token+1), ShouldBeTrue)
-					c.add(founding, loseNext(c))
+					c.add(bootstrap, loseNext(c))
 					c.run(catchUpTime)
 					for before := uint64(1); before <= token+1; before++ {
 						So(c.machines[c.primary()].CommittedTable().Records, ShouldContainKey, fmt.Sprint(before))
@@ -107,9 +58,9 @@
 			}
 		}
 	})
-	Convey("Of five machines, where two may be lost, two are gone and two others come; then any two lose their disks", t, func() {
+	Convey("Of five nodes, where two may be lost, two are gone and two others come; then any two lose their disks", t, func() {
 		for _, first := range []string{"primary", "backup", "witness"} {
-			c, founding := newFormedCluster(5, "c1", "c2", "c3", "c4", "c5")
+			c, bootstrap := newFormedCluster(5, "c1", "c2", "c3", "c4", "c5")
 			So(c.submitAndCommit(1), ShouldBeTrue)
 			for round := range 3 {
 				gone := lossTargets[first](c)
@@ -120,15 +71,15 @@
 				}
 				c.up[gone], c.up[also] = false, false
 				c.run(time.Second)
-				c.add(founding, fmt.Sprintf("n%d", 2*round))
-				c.add(founding, fmt.Sprintf("n%d", 2*round+1))
+				c.add(bootstrap, fmt.Sprintf("n%d", 2*round))
+				c.add(bootstrap, fmt.Sprintf("n%d", 2*round+1))
 				c.run(6 * time.Second)
 				record := c.machines[c.primary()].Record()
-				for name, isUp := range c.up {
-					So(record.Voters.Names(), map[bool]func(any, ...any) string{true: ShouldContain, false: ShouldNotContain}[isUp], name)
+				for name, up := range c.up {
+					So(record.Voters.Names(), map[bool]func(any, ...any) string{true: ShouldContain, false: ShouldNotContain}[up], name)
 				}
 				So(c.submitAndCommit(uint64(round+2)), ShouldBeTrue)
-				c.wipe(founding, record.Primary, record.Backup)
+				c.wipe(bootstrap, record.Primary, record.Backup)
 				c.run(8 * time.Second)
 				for before := 1; before <= round+2; before++ {
 					So(c.machines[c.primary()].CommittedTable().Records, ShouldContainKey, fmt.Sprint(before))
@@ -136,12 +87,12 @@
 			}
 		}
 	})
-	Convey("A machine that was replaced while it was away comes back with its disk as a standby, and its old epoch gives nobody primacy", t, func() {
-		c, founding := newFormedCluster(3, "c1", "c2", "c3")
+	Convey("A node that was replaced while it was away comes back with its disk as a standby, and its old epoch makes nobody primary", t, func() {
+		c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
 		away := c.primary()
 		c.up[away] = false
 		c.run(time.Second)
-		c.add(founding, "n1")
+		c.add(bootstrap, "n1")
 		c.run(catchUpTime)
 		for _, name := range c.live() {
 			c.up[name] = false
@@ -162,8 +113,8 @@
 		So(c.machines[away].IsMember(), ShouldBeTrue)
 	})
 	Convey("No voter is replaced while it answers, nor before it was silent for a while, nor by one that is not there", t, func() {
-		c, founding := newFormedCluster(3, "c1", "c2", "c3")
-		c.add(founding, "n1")
+		c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
+		c.add(bootstrap, "n1")
 		c.run(20 * time.Second)
 		So(c.machines["n1"].IsMember(), ShouldBeFalse)
 		witness := c.witness()
@@ -200,7 +151,7 @@
 	offer := func(m *Machine, join Join) []Effect {
 		return m.Step(Received{From: "n1", Body: join}, now)
 	}
-	Convey("An offer is answered by the newest record, and counts only from a machine that has synced that one and has no vote by it", t, func() {
+	Convey("An offer is answered by the newest record, and counts only from a node that has synced that one and is no voter by it", t, func() {
 		m := primary()
 		effects := offer(m, Join{Cluster: "x", Epoch: 3, Incarnation: 7})
 		So(bodiesSent[Decided](effects), ShouldResemble, []Decided{{Record: m.Record()}})
@@ -230,14 +181,14 @@
 		So(bodiesSent[Join](gate.Pass(effects, now)), ShouldBeEmpty)
 		var free []Effect
 		for range 2 {
-			_, isDue := gate.Next(now)
-			So(isDue, ShouldBeTrue)
+			_, due := gate.Next(now)
+			So(due, ShouldBeTrue)
 			So(bodiesSent[Join](free), ShouldBeEmpty)
 			free = gate.Done(true, now)
 		}
 		So(len(bodiesSent[Join](free)), ShouldEqual, 1)
 	})
-	Convey("A voter whose record is replaced by one without it lends no vote to a spare until it votes again and is filled", t, func() {
+	Convey("A voter whose record is replaced by one without it votes for no spare until it is a voter again and repaired", t, func() {
 		record := Record{Epoch: 4, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(five)}
 		m := NewWithBootstrap("c4", BootstrapConfig{Voters: 5, RequireBackup: true}, DefaultTiming(), PersistentState{
 			Identity:   &Identity{Cluster: "x", Self: "c4", Voters: five, Formed: true},
@@ -257,143 +208,8 @@
 	})
 }
 
-func TestPlannedLeaving(t *testing.T) {
-	leave := func(c *cluster, name string) time.Duration {
-		from := c.now
-		c.step(name, Leave{})
-		for c.now < from+3*time.Second && !c.machines[name].MayStop() {
-			c.run(20 * time.Millisecond)
-		}
-		c.up[name] = false
-		return c.now - from
-	}
-	Convey("A machine that is to end hands its role over first, in less time than a takeover takes, and what is acknowledged is on two disks beside it", t, func() {
-		for role, pick := range lossTargets {
-			c, _ := newFormedCluster(3, "c1", "c2", "c3")
-			So(c.submitAndCommit(1), ShouldBeTrue)
-			leaving := pick(c)
-			So(leave(c, leaving), ShouldBeLessThan, 500*time.Millisecond)
-			c.run(200 * time.Millisecond)
-			SoMsg(role, c.primary(), ShouldNotBeEmpty)
-			record := c.machines[c.primary()].Record()
-			So(record.Backup, ShouldNotBeEmpty)
-			So(record.Backup, ShouldNotEqual, leaving)
-			So(c.machines[record.Backup].ReplicaTable().Records, ShouldContainKey, "1")
-			So(c.submitAndCommit(2), ShouldBeTrue)
-		}
-	})
-	Convey("Where a standby is there, it takes the vote of the machine that ends", t, func() {
-		for role, pick := range lossTargets {
-			c, founding := newFormedCluster(3, "c1", "c2", "c3")
-			c.add(founding, "n1")
-			c.run(2 * time.Second)
-			So(c.machines["n1"].IsMember(), ShouldBeFalse)
-			leaving := pick(c)
-			leave(c, leaving)
-			c.run(time.Second)
-			SoMsg(role, c.machines["n1"].IsMember(), ShouldBeTrue)
-			So(c.machines[c.primary()].Record().Voters.Names(), ShouldNotContain, leaving)
-			c.up[c.primary()] = false
-			c.run(3 * time.Second)
-			So(c.submitAndCommit(2), ShouldBeTrue)
-		}
-	})
-	Convey("Where one machine's disk is lost and another voter ends before that one is back, its place is taken first", t, func() {
-		c, founding := newFormedCluster(3, "c1", "c2", "c3")
-		So(c.submitAndCommit(1), ShouldBeTrue)
-		c.add(founding, "n1")
-		c.run(2 * time.Second)
-		record, witness := c.machines[c.primary()].Record(), c.witness()
-		c.up[record.Backup] = false
-		c.run(100 * time.Millisecond)
-		So(leave(c, witness), ShouldBeLessThan, 500*time.Millisecond)
-		So(c.machines["n1"].IsMember(), ShouldBeTrue)
-		c.add(founding, record.Backup)
-		c.run(catchUpTime)
-		So(c.submitAndCommit(2), ShouldBeTrue)
-	})
-	Convey("A voter without which there is no majority waits for a standby that comes while it is about to end", t, func() {
-		c, founding := newFormedCluster(3, "c1", "c2", "c3")
-		witness := c.witness()
-		c.up[c.machines[c.primary()].Record().Backup] = false
-		c.run(time.Second)
-		c.step(witness, Leave{})
-		c.run(time.Second)
-		So(c.machines[witness].MayStop(), ShouldBeFalse)
-		c.add(founding, "n1")
-		c.run(time.Second)
-		So(c.machines[witness].MayStop(), ShouldBeTrue)
-		c.up[witness] = false
-		c.run(time.Second)
-		So(c.submitAndCommit(1), ShouldBeTrue)
-	})
-	Convey("A backup that ends is followed by a voter that failed lately, where there is no other", t, func() {
-		c, _ := newFormedCluster(3, "c1", "c2", "c3")
-		backup := c.machines[c.primary()].Record().Backup
-		c.machines[c.primary()].excludedUntil[c.witness()] = c.now + time.Hour
-		So(leave(c, backup), ShouldBeLessThan, time.Second)
-		So(c.submitAndCommit(1), ShouldBeTrue)
-	})
-	Convey("All machines of a fleet may be restarted in turn, many times, and writes go on", t, func() {
-		c, _ := newFormedCluster(3, "c1", "c2", "c3")
-		for token := uint64(1); token < 20; token++ {
-			leaving := c.live()[int(token)%3]
-			leave(c, leaving)
-			SoMsg(leaving, c.submitAndCommit(token), ShouldBeTrue)
-			c.machines[leaving].stopping, c.machines[leaving].releasedEpoch = false, 0
-			c.up[leaving] = true
-			c.run(time.Second)
-		}
-	})
-	Convey("A machine that is to end offers itself for no vote", t, func() {
-		m := newBlankMachine("n1", time.Hour)
-		m.Step(Received{From: "c2", Body: Status{Cluster: "x", Decided: Record{Epoch: 4, Primary: "c1", Voters: votersWithoutIncarnation(five)}}}, time.Hour)
-		m.Step(Leave{}, time.Hour)
-		So(bodiesSent[Join](m.Step(Tick{WallNanos: 78}, 2*time.Hour)), ShouldBeEmpty)
-		So(m.MayStop(), ShouldBeTrue)
-	})
-}
-
-func TestPrimaryThatHearsNobody(t *testing.T) {
-	Convey("A primary that others hear, and that hears nobody, leaves them the time to make the backup primary", t, func() {
-		now := time.Hour + time.Second
-		primary, backup, witness := newFormedMachine("c1", time.Hour), newFormedMachine("c2", time.Hour), newFormedMachine("c3", time.Hour)
-		all := map[string]*Machine{"c2": backup, "c3": witness}
-		var carry func(from string, effects []Effect)
-		carry = func(from string, effects []Effect) {
-			for len(effects) > 0 {
-				send, isSend := effects[0].(Send)
-				effects = effects[1:]
-				if to := all[send.To]; isSend && to != nil && from != send.To {
-					for _, answer := range to.Step(Received{From: from, Body: send.Body}, now) {
-						if back, isBack := answer.(Send); isBack && all[back.To] != nil {
-							carry(send.To, []Effect{back})
-						}
-					}
-				}
-			}
-		}
-		for until := now + 6*time.Second; now < until && !backup.IsPrimary(now); now += 20 * time.Millisecond {
-			carry("c1", primary.Step(Tick{WallNanos: 7}, now))
-			carry("c2", backup.Step(Tick{WallNanos: 7}, now))
-			carry("c3", witness.Step(Tick{WallNanos: 7}, now))
-			So(primary.IsPrimary(now), ShouldBeFalse)
-		}
-		So(backup.IsPrimary(now), ShouldBeTrue)
-		So(now, ShouldBeLessThan, time.Hour+6*time.Second)
-	})
-	Convey("One that hears a majority again asks at once", t, func() {
-		now := time.Hour + 10*time.Second
-		m := newFormedMachine("c1", time.Hour)
-		So(bodiesSent[RenewLease](m.Step(Tick{WallNanos: 7}, now)), ShouldNotBeEmpty)
-		So(bodiesSent[RenewLease](m.Step(Tick{WallNanos: 7}, now+time.Second)), ShouldBeEmpty)
-		m.Step(Received{From: "c3", Body: StatusRequest{}}, now+time.Second)
-		So(bodiesSent[RenewLease](m.Step(Tick{WallNanos: 7}, now+time.Second)), ShouldNotBeEmpty)
-	})
-}
-
 func TestElectorate(t *testing.T) {
-	Convey("A voter that has accepted a record with other voters says so until an epoch settles it", t, func() {
+	Convey("A voter that has accepted a record with other voters says so until the epoch is decided", t, func() {
 		now := time.Hour + time.Second
 		m := newFormedMachine("c3", time.Hour)
 		So(m.Electorate(), ShouldResemble, Electorate{Voters: m.Record().Voters, IncludesSelf: true})
--- a/internal/coordination/consensus/persist.go
+++ b/internal/coordination/consensus/persist.go
@@ -84,7 +84,7 @@
 }
 
 // restore takes over what the disk held. Where that may be less than what was synced,
-// the node may have forgotten a vote, and goes on as one whose disk is blank.
+// the node may have forgotten a vote, and continues as one whose disk is blank.
 func (m *Machine) restore(saved PersistentState) {
 	m.corrupted = saved.Corrupted
 	if saved.VoterState != nil {
--- a/internal/coordination/consensus/catchup_test.go
+++ b/internal/coordination/consensus/repair_test.go
@@ -1,7 +1,6 @@
 package consensus
 
 import (
-	"fmt"
 	"testing"
 	"time"
 
@@ -10,19 +9,12 @@
 	"tansyseam/internal/state/store"
 )
 
-// change writes one of so many keys at the primary.
-func (c *cluster) submitChange(number, keys int) {
-	c.step(c.primary(), Submit{Token: uint64(1000 + number), Build: func(*store.Table) []store.Put {
-		return []store.Put{{Key: fmt.Sprint("key", number%keys), Data: []byte(fmt.Sprintf("%06d", number))}}
-	}})
-}
-
 func TestCatchUpAfterManyChanges(t *testing.T) {
 	const keys = 200
-	// away has a machine miss so many changes, and gives what is sent to it, in bytes,
-	// until it is whole again, and how long that takes.
-	away := func(changes int, isBlank bool) (size int, span time.Duration) {
-		c, founding := newFormedCluster(3, "c1", "c2", "c3")
+	// away has a node miss so many changes, and gives the bytes that are sent to it until
+	// it is repaired, and how long that takes.
+	away := func(changes int, blankDisk bool) (size int, span time.Duration) {
+		c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
 		for number := range keys {
 			c.submitChange(number, keys)
 		}
@@ -34,11 +26,11 @@
 		}
 		So(c.results[uint64(1000+changes-1)].Committed, ShouldBeTrue)
 		c.up[lost] = true
-		if isBlank {
-			c.add(founding, lost)
+		if blankDisk {
+			c.add(bootstrap, lost)
 		}
 		c.sent = func(_, to string, body any) {
-			if fill, isFill := body.(RepairRanges); isFill && to == lost {
+			if fill, ok := body.(RepairRanges); ok && to == lost {
 				size += len(store.EncodePlain(fill))
 			}
 		}
@@ -53,18 +45,18 @@
 		So(c.machines[lost].ReplicaTable().Records, ShouldResemble, c.machines[c.primary()].ReplicaTable().Records)
 		return size, c.now - from
 	}
-	Convey("What is sent to a machine that missed changes is bounded by the state, not by their number, whether it has its disk or not, and it holds no role before it is whole", t, func() {
-		for _, isBlank := range []bool{false, true} {
-			few, _ := away(keys, isBlank)
+	Convey("What is sent to a node that missed changes is bounded by the state, not by their number, whether it has its disk or not, and it has no role before it is repaired", t, func() {
+		for _, blankDisk := range []bool{false, true} {
+			few, _ := away(keys, blankDisk)
 			for _, changes := range []int{1000, 4000} {
-				size, span := away(changes, isBlank)
+				size, span := away(changes, blankDisk)
 				So(size, ShouldBeGreaterThan, 0)
 				So(size, ShouldBeLessThan, 2*few)
 				So(span, ShouldBeLessThan, catchUpTime+time.Second)
 			}
 		}
 	})
-	Convey("A machine that missed one change of two hundred keys is sent one range of sixteen", t, func() {
+	Convey("A node that missed one change of two hundred keys is sent one range of sixteen", t, func() {
 		all, _ := away(keys, false)
 		one, _ := away(1, false)
 		So(one, ShouldBeGreaterThan, 0)
--- /dev/null
+++ b/internal/coordination/consensus/replication_test.go
@@ -0,0 +1,213 @@
+package consensus
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/internal/state/store"
+)
+
+func TestPairedWrites(t *testing.T) {
+	names := []string{"c1", "c2", "c3"}
+	newPair := func(requireBackup bool) *cluster {
+		c := newCluster(names, func(string) BootstrapConfig { return BootstrapConfig{ExactVoters: 3, RequireBackup: requireBackup} })
+		c.run(3 * time.Second)
+		So(c.primary(), ShouldNotBeEmpty)
+		return c
+	}
+	loses := []func(c *cluster){
+		func(c *cluster) { c.up[c.machines[c.primary()].Record().Backup] = false },
+		func(c *cluster) { c.up[c.primary()] = false },
+	}
+	Convey("With one of three lost, primary or backup, the others make one of them backup within seconds, and what is acknowledged is on two disks", t, func() {
+		for _, lose := range loses {
+			c := newPair(true)
+			lose(c)
+			token := uint64(100)
+			for at := time.Duration(0); at < 6*time.Second; at += 100 * time.Millisecond {
+				token++
+				c.submit(token)
+				c.run(100 * time.Millisecond)
+				for number, answer := range c.results {
+					if answer.Committed {
+						So(c.replicasWith(number), ShouldBeGreaterThanOrEqualTo, 2)
+					}
+				}
+			}
+			So(c.results[token-5].Committed, ShouldBeTrue)
+			So(c.machines[c.primary()].Record().Backup, ShouldNotBeEmpty)
+		}
+	})
+	Convey("A write that is pending when the backup is lost is not acknowledged before another has it; where no backup is required, it is", t, func() {
+		for _, requireBackup := range []bool{true, false} {
+			c := newPair(requireBackup)
+			first := c.primary()
+			backup := c.machines[first].Record().Backup
+			c.up[backup] = false
+			c.submit(7)
+			committedAlone := false
+			for range 200 {
+				c.run(20 * time.Millisecond)
+				if answer, ok := c.results[7]; ok && answer.Committed {
+					committedAlone = c.machines[first].Record().Backup == ""
+					break
+				}
+			}
+			So(c.results[7].Committed, ShouldBeTrue)
+			So(committedAlone, ShouldNotEqual, requireBackup)
+		}
+	})
+	Convey("A write that comes while the primary is alone waits; where no backup is required, it does not", t, func() {
+		for _, requireBackup := range []bool{true, false} {
+			c := newPair(requireBackup)
+			first := c.primary()
+			for _, name := range c.live() {
+				c.machines[first].excludedUntil[name] = c.now + time.Hour
+			}
+			c.up[c.machines[first].Record().Backup] = false
+			for range 500 {
+				c.run(20 * time.Millisecond)
+				if c.machines[first].Record().Backup == "" {
+					break
+				}
+			}
+			So(c.machines[first].Record().Backup, ShouldBeEmpty)
+			So(c.primary(), ShouldEqual, first)
+			c.submit(8)
+			So(c.results[8].Committed, ShouldNotEqual, requireBackup)
+			clear(c.machines[first].excludedUntil)
+			c.run(time.Second)
+			So(c.results[8].Committed, ShouldBeTrue)
+			So(c.replicasWith(8), ShouldBeGreaterThanOrEqualTo, 2)
+		}
+	})
+	Convey("The others have a primary and a backup within 2 s of the loss", t, func() {
+		for _, lose := range loses {
+			c := newPair(true)
+			lose(c)
+			c.submit(9)
+			c.run(2 * time.Second)
+			So(c.primary(), ShouldNotBeEmpty)
+			So(c.machines[c.primary()].Record().Backup, ShouldNotBeEmpty)
+		}
+	})
+}
+
+func TestPrimaryThatComesBackAheadOfItsBackup(t *testing.T) {
+	const wall = int64(1_700_000_000_000_000_000)
+	voters := []string{"c1", "c2", "c3"}
+	restarted := func(record Record, written uint64, now time.Duration) *Machine {
+		copied := store.New()
+		copied.Apply(store.Version{Epoch: written, Sequence: 9}, []store.Put{{Key: "set", Data: []byte("x")}})
+		return newMachine("c1", len(voters), DefaultTiming(), PersistentState{
+			Identity:   &Identity{Cluster: "x", Self: "c1", Voters: voters, Formed: true},
+			VoterState: &VoterState{Sequence: 1, Decided: record}, Table: copied,
+		}, now)
+	}
+	renew := func(m *Machine, now time.Duration) []Effect {
+		effects := m.Step(Tick{WallNanos: wall}, now)
+		ack := RenewLeaseAck{Decided: m.Record(), SentAt: now, Incarnation: m.processIncarnation, WallNanos: wall, Granted: true}
+		effects = append(effects, m.Step(Received{From: "c3", Body: ack}, now)...)
+		return append(effects, m.Step(Tick{WallNanos: wall}, now+20*time.Millisecond)...)
+	}
+	now := time.Hour
+	Convey("What a primary wrote last before it stopped may be on no backup: it is served only once an epoch without one is decided", t, func() {
+		m := restarted(Record{Epoch: 4, Primary: "c1", Backup: "c2"}, 4, now)
+		prepares := bodiesSent[Prepare](renew(m, now))
+		now := now + 20*time.Millisecond
+		So(m.IsPrimary(now), ShouldBeFalse)
+		So(m.LeaseUntil(), ShouldBeLessThan, now)
+		So(len(prepares), ShouldEqual, 2)
+		promised := Promise{Epoch: 5, Number: prepares[0].Number, Granted: true, Decided: m.Record()}
+		m.Step(Received{From: "c3", Body: promised}, now)
+		m.Step(Received{From: "c3", Body: Accepted{Epoch: 5, Number: prepares[0].Number}}, now)
+		So(m.Record(), ShouldResemble, Record{Epoch: 5, Primary: "c1", Voters: votersWithoutIncarnation(voters)})
+		renew(m, now+100*time.Millisecond)
+		So(m.IsPrimary(now+120*time.Millisecond), ShouldBeTrue)
+		So(m.CommittedTable().Records, ShouldContainKey, "set")
+	})
+	Convey("Nor does it propose an epoch that keeps the backup while a voter refuses it", t, func() {
+		m := restarted(Record{Epoch: 4, Primary: "c1", Backup: "c2"}, 4, now)
+		later := now + time.Second
+		m.Step(Tick{WallNanos: wall}, later)
+		m.Step(Received{From: "c3", Body: RenewLeaseAck{Decided: m.Record(), SentAt: later, Incarnation: m.processIncarnation, WallNanos: wall}}, later)
+		m.Step(Tick{WallNanos: wall}, later+20*time.Millisecond)
+		So(m.proposer, ShouldNotBeNil)
+		var proposed Record
+		So(store.DecodePlain(m.proposer.Value, &proposed), ShouldBeNil)
+		So(proposed, ShouldResemble, Record{Epoch: 5, Primary: "c1", Voters: votersWithoutIncarnation(voters)})
+	})
+	Convey("With nothing written in its epoch, or no backup in it, it continues at once", t, func() {
+		for _, m := range []*Machine{
+			restarted(Record{Epoch: 4, Primary: "c1", Backup: "c2"}, 3, now), restarted(Record{Epoch: 4, Primary: "c1"}, 4, now),
+		} {
+			renew(m, now)
+			So(m.IsPrimary(now+20*time.Millisecond), ShouldBeTrue)
+		}
+	})
+}
+
+func TestWhatIsPublishedIsSynced(t *testing.T) {
+	const wall = int64(1_700_000_000_000_000_000)
+	Convey("Where writes follow each other in one step, each is committed with what was synced by then, and no more", t, func() {
+		now := time.Hour
+		voters := []string{"c1", "c2", "c3"}
+		m := newMachine("c1", len(voters), DefaultTiming(), PersistentState{
+			Identity:   &Identity{Cluster: "x", Self: "c1", Voters: voters, Formed: true},
+			VoterState: &VoterState{Sequence: 1, Decided: Record{Epoch: 4, Primary: "c1"}}, Table: store.New(),
+		}, now)
+		m.Step(Tick{WallNanos: wall}, now)
+		for at := range 3 {
+			m.Step(Submit{Token: uint64(at + 1), Build: func(*store.Table) []store.Put {
+				return []store.Put{{Key: string(rune('a' + at)), Data: []byte("x")}}
+			}}, now)
+		}
+		effects := m.Step(Received{From: "c3", Body: RenewLeaseAck{Decided: m.Record(), SentAt: now, Incarnation: m.processIncarnation, WallNanos: wall, Granted: true}}, now)
+		saved, published := 0, 0
+		for _, effect := range effects {
+			if save, ok := effect.(Save); ok && save.Kind == FileTable {
+				saved++
+			}
+			if wrote, ok := effect.(TableCommitted); ok {
+				published++
+				So(len(wrote.Table.Records), ShouldEqual, saved)
+				So(wrote.Table.Version, ShouldResemble, wrote.Version)
+			}
+		}
+		So(published, ShouldEqual, 3)
+	})
+}
+
+func TestWritesWithSpares(t *testing.T) {
+	Convey("A write is acknowledged on three disks at least, also with any two nodes down, and waits with more", t, func() {
+		names := []string{"c1", "c2", "c3", "c4", "c5"}
+		for at, first := range names {
+			for _, second := range names[at+1:] {
+				c, _ := newFiveVoterCluster()
+				c.up[first], c.up[second] = false, false
+				for token := uint64(1); token <= 100; token++ {
+					c.submit(token)
+					c.run(100 * time.Millisecond)
+					for number, answer := range c.results {
+						if answer.Committed {
+							So(c.replicasWith(number), ShouldBeGreaterThanOrEqualTo, 3)
+						}
+					}
+				}
+				SoMsg(first+" and "+second, c.results[95].Committed, ShouldBeTrue)
+			}
+		}
+	})
+	Convey("Where one node may be lost, two disks hold a write and no third is written", t, func() {
+		c := newCluster([]string{"c1", "c2", "c3"}, func(string) BootstrapConfig {
+			return BootstrapConfig{Voters: 3, MayBootstrap: true, RequireBackup: true, Seeds: []string{address("c1"), address("c2"), address("c3")}}
+		})
+		c.run(6 * time.Second)
+		c.submit(1)
+		c.run(time.Second)
+		So(c.results[1].Committed, ShouldBeTrue)
+		So(c.replicasWith(1), ShouldEqual, 2)
+	})
+}
--- a/internal/coordination/proposal/election.go
+++ b/internal/coordination/proposal/election.go
@@ -116,7 +116,7 @@
 // IsLeader says whether this candidate fills the role now.
 func (c *Candidate) IsLeader(now time.Duration) bool { return now < c.leaderUntil }
 
-// Leader names the last other candidate that a voter told of; it is empty while this
+// Leader names the last other candidate that a voter reported; it is empty while this
 // one fills the role.
 func (c *Candidate) Leader() string { return c.leader }
 
