--- a/internal/protocol/bindings/bindings.go
+++ b/internal/protocol/bindings/bindings.go
@@ -40,7 +40,7 @@
 // exists.
 func Parse(value *fastjson.Value, knows func(database string) bool) ([]model.Binding, []schema.Violation) {
 	if value.Exists("routes") {
-		bindings, violations := ParseRoutes(value)
+		bindings, violations := parseRoutes(value)
 		return bindings, append(violations, validate(bindings, knows, routePaths)...)
 	}
 	var bindings []model.Binding
--- a/internal/protocol/bindings/bindings_test.go
+++ b/internal/protocol/bindings/bindings_test.go
@@ -21,8 +21,8 @@
 	read := func(text string) ([]model.Binding, []string) {
 		bindings, violations := Parse(fastjson.MustParse(text), knows)
 		var paths []string
-		for _, fault := range violations {
-			paths = append(paths, fault.Path)
+		for _, violation := range violations {
+			paths = append(paths, violation.Path)
 		}
 		return bindings, paths
 	}
--- a/internal/protocol/bindings/gatewayapi.go
+++ b/internal/protocol/bindings/gatewayapi.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -13,16 +12,34 @@
 	"tansyseam/internal/state/model"
 )
 
-// FreshnessAnnotation carries a binding's freshness in a route.
+// FreshnessAnnotation is the annotation of a route that carries a binding's
+// freshness, in ms.
 const FreshnessAnnotation = "tansyseam.example/freshness-ms"
 
 const (
-	gatewayGroup = "gateway.networking.k8s.io/"
-	routeKind    = "TCPRoute"
+	gatewayGroup       = "gateway.networking.k8s.io/"
+	routeKind          = "TCPRoute"
+	maxNameLength      = 63
+	maxFreshnessMillis = 3600000
+	// namePunctuation may stand in a name, but not begin it.
+	namePunctuation = "-._"
 )
 
-type fieldReaders map[string]func(r *routeReader, value *fastjson.Value, path string)
+// parseRoutes reads a binding set that is given as routes of the Kubernetes
+// Gateway API: each binding is a TCPRoute of its name, whose one backend is the
+// database. A field that is not supported is a violation that names it.
+func parseRoutes(value *fastjson.Value) ([]model.Binding, []schema.Violation) {
+	var bindings []model.Binding
+	var violations []schema.Violation
+	for index, route := range value.GetArray("routes") {
+		reader := readRoute(route, fmt.Sprintf("/routes/%d", index))
+		violations = append(violations, reader.violations...)
+		bindings = append(bindings, reader.binding)
+	}
+	return bindings, violations
+}
 
+// routeReader gathers the binding and the violations of one route.
 type routeReader struct {
 	binding     model.Binding
 	violations  []schema.Violation
@@ -31,68 +48,110 @@
 	hasKind     bool
 }
 
-func (r *routeReader) addViolation(path, format string, parts ...any) {
-	r.violations = append(r.violations, schema.Violation{Path: path, Reason: fmt.Sprintf(format, parts...)})
+func readRoute(route *fastjson.Value, path string) *routeReader {
+	r := &routeReader{}
+	r.readObject(routeFields, route, path)
+	for _, required := range []struct {
+		name    string
+		present bool
+	}{
+		{"kind", r.hasKind},
+		{"metadata.name", r.hasName},
+		{"spec.rules[0].backendRefs[0].name", r.hasDatabase},
+	} {
+		if !required.present {
+			r.addViolation(path, "%s is missing", required.name)
+		}
+	}
+	return r
 }
 
-var routeFields, metadataFields, annotationFields, specFields, ruleFields, backendFields fieldReaders
+func (r *routeReader) addViolation(path, format string, arguments ...any) {
+	r.violations = append(r.violations, schema.Violation{Path: path, Reason: fmt.Sprintf(format, arguments...)})
+}
 
-func init() {
-	routeFields = fieldReaders{
-		"apiVersion": func(r *routeReader, value *fastjson.Value, path string) {
-			if text := string(value.GetStringBytes()); !strings.HasPrefix(text, gatewayGroup) {
-				r.addViolation(path, "must be of %s", gatewayGroup)
-			}
-		},
-		"kind": func(r *routeReader, value *fastjson.Value, path string) {
-			r.hasKind = true
-			if string(value.GetStringBytes()) != routeKind {
-				r.addViolation(path, "must be %s", routeKind)
-			}
-		},
-		"metadata": func(r *routeReader, value *fastjson.Value, path string) { r.readObject(metadataFields, value, path) },
-		"spec":     func(r *routeReader, value *fastjson.Value, path string) { r.readObject(specFields, value, path) },
+// fieldReaders holds how each supported field of an object is read.
+type fieldReaders map[string]func(r *routeReader, value *fastjson.Value, path string)
+
+// The fields of a route, from the outside in. Each table names the next.
+var (
+	backendFields = fieldReaders{"name": (*routeReader).readDatabase}
+
+	ruleFields = fieldReaders{
+		"backendRefs": func(r *routeReader, value *fastjson.Value, path string) { r.readSingle(backendFields, value, path) },
 	}
+
+	specFields = fieldReaders{
+		"rules": func(r *routeReader, value *fastjson.Value, path string) { r.readSingle(ruleFields, value, path) },
+	}
+
+	annotationFields = fieldReaders{FreshnessAnnotation: (*routeReader).readFreshness}
+
 	metadataFields = fieldReaders{
-		"name": func(r *routeReader, value *fastjson.Value, path string) {
-			r.binding.Name, r.hasName = r.readName(value, path), true
-		},
+		"name":        (*routeReader).readBindingName,
 		"annotations": func(r *routeReader, value *fastjson.Value, path string) { r.readObject(annotationFields, value, path) },
 	}
-	annotationFields = fieldReaders{
-		FreshnessAnnotation: func(r *routeReader, value *fastjson.Value, path string) {
-			number, err := strconv.Atoi(string(value.GetStringBytes()))
-			if err != nil || number < 0 || number > 3600000 {
-				r.addViolation(path, "must be a whole number of ms, as a string")
-			}
-			r.binding.Freshness = time.Duration(number) * time.Millisecond
-		},
+
+	routeFields = fieldReaders{
+		"apiVersion": (*routeReader).readAPIVersion,
+		"kind":       (*routeReader).readKind,
+		"metadata":   func(r *routeReader, value *fastjson.Value, path string) { r.readObject(metadataFields, value, path) },
+		"spec":       func(r *routeReader, value *fastjson.Value, path string) { r.readObject(specFields, value, path) },
 	}
-	specFields = fieldReaders{
-		"rules": func(r *routeReader, value *fastjson.Value, path string) { r.readSingle(ruleFields, value, path) },
+)
+
+func (r *routeReader) readAPIVersion(value *fastjson.Value, path string) {
+	if !strings.HasPrefix(string(value.GetStringBytes()), gatewayGroup) {
+		r.addViolation(path, "must be of %s", gatewayGroup)
 	}
-	ruleFields = fieldReaders{
-		"backendRefs": func(r *routeReader, value *fastjson.Value, path string) { r.readSingle(backendFields, value, path) },
+}
+
+func (r *routeReader) readKind(value *fastjson.Value, path string) {
+	r.hasKind = true
+	if string(value.GetStringBytes()) != routeKind {
+		r.addViolation(path, "must be %s", routeKind)
 	}
-	backendFields = fieldReaders{
-		"name": func(r *routeReader, value *fastjson.Value, path string) {
-			r.binding.Database, r.hasDatabase = r.readName(value, path), true
-		},
+}
+
+func (r *routeReader) readBindingName(value *fastjson.Value, path string) {
+	r.binding.Name, r.hasName = r.readName(value, path), true
+}
+
+func (r *routeReader) readDatabase(value *fastjson.Value, path string) {
+	r.binding.Database, r.hasDatabase = r.readName(value, path), true
+}
+
+func (r *routeReader) readFreshness(value *fastjson.Value, path string) {
+	number, err := strconv.Atoi(string(value.GetStringBytes()))
+	if err != nil || number < 0 || number > maxFreshnessMillis {
+		r.addViolation(path, "must be a whole number of ms, as a string")
 	}
+	r.binding.Freshness = time.Duration(number) * time.Millisecond
 }
 
 func (r *routeReader) readName(value *fastjson.Value, path string) string {
-	text := string(value.GetStringBytes())
-	invalid := func(char rune) bool {
-		return !(char >= 'a' && char <= 'z' || char >= 'A' && char <= 'Z' || char >= '0' && char <= '9' || strings.ContainsRune("-._", char))
-	}
-	if text == "" || len(text) > 63 || strings.IndexFunc(text, invalid) >= 0 || strings.ContainsRune("-._", rune(text[0])) {
+	name := string(value.GetStringBytes())
+	if !isName(name) {
 		r.addViolation(path, "must be a name of 1 to 63 letters, digits, '-', '.' or '_'")
 	}
-	return text
+	return name
 }
 
-func (r *routeReader) readObject(known fieldReaders, value *fastjson.Value, path string) {
+func isName(name string) bool {
+	if name == "" || len(name) > maxNameLength || strings.ContainsRune(namePunctuation, rune(name[0])) {
+		return false
+	}
+	return !strings.ContainsFunc(name, func(char rune) bool { return !isNameRune(char) })
+}
+
+func isNameRune(char rune) bool {
+	isLetter := char >= 'a' && char <= 'z' || char >= 'A' && char <= 'Z'
+	isDigit := char >= '0' && char <= '9'
+	return isLetter || isDigit || strings.ContainsRune(namePunctuation, char)
+}
+
+// readObject reads the supported fields of an object.
+func (r *routeReader) readObject(supported fieldReaders, value *fastjson.Value, path string) {
 	object, err := value.Object()
 	if err != nil {
 		r.addViolation(path, "must be an object")
@@ -100,47 +159,21 @@
 	}
 	object.Visit(func(key []byte, field *fastjson.Value) {
 		name := string(key)
-		take, supported := known[name]
-		if !supported {
+		read, known := supported[name]
+		if !known {
 			r.addViolation(path+"/"+name, "field %q is not supported", name)
 			return
 		}
-		take(r, field, path+"/"+name)
+		read(r, field, path+"/"+name)
 	})
 }
 
-func (r *routeReader) readSingle(known fieldReaders, value *fastjson.Value, path string) {
+// readSingle reads the one object that a list must hold.
+func (r *routeReader) readSingle(supported fieldReaders, value *fastjson.Value, path string) {
 	list, err := value.Array()
 	if err != nil || len(list) != 1 {
 		r.addViolation(path, "must hold just one entry")
 		return
 	}
-	r.readObject(known, list[0], path+"/0")
-}
-
-// Routes translates a set given in the manner of the Gateway API into
-// bindings: one TCPRoute each, its name the binding's, its one backend the
-// database. A field that is not supported is refused by name.
-func ParseRoutes(value *fastjson.Value) ([]model.Binding, []schema.Violation) {
-	var bindings []model.Binding
-	var violations []schema.Violation
-	for at, route := range value.GetArray("routes") {
-		path := fmt.Sprintf("/routes/%d", at)
-		r := &routeReader{}
-		r.readObject(routeFields, route, path)
-		missing := map[string]bool{"kind": !r.hasKind, "metadata.name": !r.hasName, "spec.rules[0].backendRefs[0].name": !r.hasDatabase}
-		var names []string
-		for name, absent := range missing {
-			if absent {
-				names = append(names, name)
-			}
-		}
-		slices.Sort(names)
-		for _, name := range names {
-			r.addViolation(path, "%s is missing", name)
-		}
-		violations = append(violations, r.violations...)
-		bindings = append(bindings, r.binding)
-	}
-	return bindings, violations
+	r.readObject(supported, list[0], path+"/0")
 }
--- a/internal/protocol/bindings/manifest_test.go
+++ b/internal/protocol/bindings/manifest_test.go
@@ -46,8 +46,8 @@
 		So(violations, ShouldBeEmpty)
 		_, _, violations = ParseManifest(value)
 		var paths []string
-		for _, fault := range violations {
-			paths = append(paths, fault.Path)
+		for _, violation := range violations {
+			paths = append(paths, violation.Path)
 		}
 		So(paths, ShouldResemble, []string{"/version", "/databases/1/name", "/bindings/0/timeout_ms", "/bindings/1/name", "/bindings/1/database", "/raw"})
 	})
--- a/internal/protocol/schema/schema_test.go
+++ b/internal/protocol/schema/schema_test.go
@@ -15,8 +15,8 @@
 	paths := func(path, body string) map[string]string {
 		_, violations := validator.ValidateRequest(path, []byte(body))
 		found := map[string]string{}
-		for _, fault := range violations {
-			found[fault.Path] = fault.Reason
+		for _, violation := range violations {
+			found[violation.Path] = violation.Reason
 		}
 		return found
 	}
