--- a/cmd/tansyseam-proxy/main.go
+++ b/cmd/tansyseam-proxy/main.go
@@ -40,9 +40,6 @@
 
 func openLineProxy(node *node.Node) (bootstrap.Daemon, error) {
 	node.Translate = platform.Translate
-	proxy, err := lineproxy.Open(node, platform.Codec())
-	if err != nil {
-		return bootstrap.Daemon{}, err
-	}
+	proxy := lineproxy.New(node, platform.Codec())
 	return bootstrap.Daemon{Start: proxy.Start, Drain: proxy.Drain}, nil
 }
--- /dev/null
+++ b/internal/app/lineproxy/effects.go
@@ -0,0 +1,124 @@
+package lineproxy
+
+import (
+	"reflect"
+	"time"
+
+	"tansyseam/internal/coordination/pool/linepool"
+	"tansyseam/internal/state/lineproto"
+	"tansyseam/internal/transport/lineserver"
+)
+
+// dialTimeout bounds the connecting to an instance.
+const dialTimeout = 800 * time.Millisecond
+
+var effectHandlers = map[reflect.Type]func(*Proxy, linepool.Effect){}
+
+func handleEffect[T linepool.Effect](handle func(*Proxy, T)) {
+	effectHandlers[reflect.TypeFor[T]()] = func(p *Proxy, effect linepool.Effect) { handle(p, effect.(T)) }
+}
+
+func init() {
+	handleEffect((*Proxy).respond)
+	handleEffect((*Proxy).closeClient)
+	handleEffect((*Proxy).openConn)
+	handleEffect((*Proxy).send)
+	handleEffect((*Proxy).closeConn)
+	handleEffect((*Proxy).scheduleReport)
+	handleEffect((*Proxy).logWriterChange)
+	handleEffect((*Proxy).logActivation)
+}
+
+func (p *Proxy) execute(effect linepool.Effect) { effectHandlers[reflect.TypeOf(effect)](p, effect) }
+
+func (p *Proxy) respond(effect linepool.Respond) {
+	p.buffer = p.buffer[:0]
+	for _, message := range effect.Messages {
+		p.buffer = messageEncoders[message.Kind](p.codec, p.buffer, message)
+	}
+	effect.Client.Token.(*clientConn).conn.Write(p.buffer)
+}
+
+func (p *Proxy) closeClient(effect linepool.CloseClient) {
+	effect.Client.Token.(*clientConn).conn.Close()
+}
+
+func (p *Proxy) openConn(effect linepool.OpenConn) {
+	handler := &instanceConn{proxy: p, conn: effect.Conn}
+	handshake := p.codec.Connect(nil, effect.Database, p.name, effect.Instance)
+	p.server.Dial(effect.Address, handshake, dialTimeout, handler, func(conn *lineserver.Conn) {
+		p.mutex.Lock()
+		defer p.mutex.Unlock()
+		effect.Conn.Transport = conn
+		if effect.Conn.IsClosed() {
+			conn.Close()
+		}
+	})
+}
+
+func (p *Proxy) send(effect linepool.Send) {
+	p.buffer = p.buffer[:0]
+	for _, command := range effect.Commands {
+		text := commandTexts[command.Kind](p.codec, command)
+		p.buffer = p.codec.Query(p.buffer, command.ID, text, command.MinPosition)
+	}
+	if conn, connected := effect.Conn.Transport.(*lineserver.Conn); connected {
+		conn.Write(p.buffer)
+	}
+}
+
+func (p *Proxy) closeConn(effect linepool.CloseConn) {
+	if conn, connected := effect.Conn.Transport.(*lineserver.Conn); connected {
+		conn.Close()
+	}
+}
+
+func (p *Proxy) logWriterChange(effect linepool.WriterChanged) {
+	writer := effect.Change.Current
+	p.log.Info("writer role changed", "database", effect.Change.Database, "term", writer.Term, "phase", writer.Phase, "primary", writer.Primary)
+}
+
+func (p *Proxy) logActivation(effect linepool.BindingsActivated) {
+	p.log.Info("bindings in force", "sequence", effect.Set.Sequence, "version", effect.Set.Version)
+}
+
+// messageEncoders append a message to a client to a buffer.
+var messageEncoders = map[lineproto.Kind]func(lineproto.Codec, []byte, lineproto.Message) []byte{
+	lineproto.KindReady: func(codec lineproto.Codec, buffer []byte, message lineproto.Message) []byte {
+		return codec.Ready(buffer, message.State, message.Position)
+	},
+	lineproto.KindRow: func(codec lineproto.Codec, buffer []byte, message lineproto.Message) []byte {
+		return codec.Row(buffer, message.Payload)
+	},
+	lineproto.KindDone: func(codec lineproto.Codec, buffer []byte, message lineproto.Message) []byte {
+		return codec.Done(buffer, message.Payload)
+	},
+	lineproto.KindError: encodeError,
+}
+
+// encodeError passes an instance's error on as it came; the node's own errors
+// have no payload.
+func encodeError(codec lineproto.Codec, buffer []byte, message lineproto.Message) []byte {
+	if message.Payload != "" {
+		return codec.RawError(buffer, message.Payload)
+	}
+	return codec.Error(buffer, message.Code, message.Text)
+}
+
+// commandTexts give the text of a command to an instance.
+var commandTexts = map[linepool.CommandKind]func(lineproto.Codec, linepool.Command) string{
+	linepool.CommandText:          func(_ lineproto.Codec, command linepool.Command) string { return command.Text },
+	linepool.CommandBegin:         func(codec lineproto.Codec, _ linepool.Command) string { return codec.Begin(false) },
+	linepool.CommandBeginReadOnly: func(codec lineproto.Codec, _ linepool.Command) string { return codec.Begin(true) },
+	linepool.CommandRollback:      func(codec lineproto.Codec, _ linepool.Command) string { return codec.Rollback() },
+	linepool.CommandReset:         func(codec lineproto.Codec, _ linepool.Command) string { return codec.Reset() },
+	linepool.CommandSet: func(codec lineproto.Codec, command linepool.Command) string {
+		return codec.Set(command.Name, command.Value)
+	},
+	linepool.CommandPrepare: func(codec lineproto.Codec, command linepool.Command) string {
+		return codec.Prepare(command.Name, command.Value)
+	},
+	linepool.CommandExecute: func(codec lineproto.Codec, command linepool.Command) string {
+		return codec.Execute(command.Name, command.Value)
+	},
+}
--- a/internal/app/lineproxy/proxy.go
+++ b/internal/app/lineproxy/proxy.go
@@ -1,19 +1,21 @@
-// Package lineproxy is the data plane's program where clients and instances
-// speak a line protocol: it joins the machine of package pool to connections
-// and to the control plane. Lock order: Sessions.mutex, then the node's.
-// Effects are carried out under the lock, in order; none of them blocks.
+// Package lineproxy is the data plane for clients that speak a line protocol.
+// It joins the pure machine of package linepool to the connections of clients
+// and database instances, and to the control plane.
+//
+// Each event is handed to the machine under Proxy.mutex, and its effects are
+// carried out under the same lock, in order: none of them blocks. Lock order:
+// Proxy.mutex, then the node's.
 package lineproxy
 
 import (
-	"reflect"
 	"sync"
 	"time"
 
 	"github.com/hashicorp/go-hclog"
 	"github.com/juju/errors"
 
+	"tansyseam/internal/app/admin"
 	"tansyseam/internal/app/node"
-	"tansyseam/internal/coordination/distribution"
 	"tansyseam/internal/coordination/lease"
 	"tansyseam/internal/coordination/membership"
 	"tansyseam/internal/coordination/pool/linepool"
@@ -23,46 +25,58 @@
 	"tansyseam/internal/transport/worker"
 )
 
-// Sessions is the program's state.
+const (
+	tickInterval = 25 * time.Millisecond
+	// liveNamesMaxAge bounds the age of the list of proxy nodes among which
+	// connections are shared.
+	liveNamesMaxAge = 250 * time.Millisecond
+)
+
+// Proxy is the program's state.
 type Proxy struct {
 	node   *node.Node
 	log    hclog.Logger
 	codec  lineproto.Codec
-	engine *lineserver.Server
-	name   string
-	// lingerLeast and drainMost bound a stop.
+	server *lineserver.Server
+	// name is how the node introduces itself to instances.
+	name string
+	// minDrain and maxDrain bound the time that a stop takes.
 	minDrain, maxDrain time.Duration
 
-	mutex     sync.Mutex
-	pool      *linepool.Machine
-	buffer    []byte
-	ready     bool
-	reporting bool
-	isLeaving bool
+	mutex sync.Mutex
+	pool  *linepool.Machine
+	// buffer is reused for what is written to connections.
+	buffer []byte
+	// reportScheduled says that a report is about to be sent.
+	reportScheduled bool
+	wasReady        bool
 
+	// liveNames is read and written by tick only.
 	liveNames   []string
 	liveNamesAt time.Duration
 }
 
-// Open makes the program; Start begins to serve.
-func Open(node *node.Node, codec lineproto.Codec) (*Proxy, error) {
-	place := node.Config()
-	self := linepool.Node{Name: place.Name, Zone: place.Zone, Incarnation: node.Self().Incarnation, Weight: place.Weight}
-	timing := linepool.DefaultTiming().Within(place.ShutdownGrace, place.InstanceDrain)
+// New makes the proxy and registers its calls at the node; Start begins to
+// serve. The codec gives the words of the line protocol.
+func New(host *node.Node, codec lineproto.Codec) *Proxy {
+	cfg := host.Config()
+	self := linepool.Node{Name: cfg.Name, Zone: cfg.Zone, Incarnation: host.Self().Incarnation, Weight: cfg.Weight}
+	timing := linepool.DefaultTiming().Within(cfg.ShutdownGrace, cfg.InstanceDrain)
 	p := &Proxy{
-		minDrain: timing.Linger + 200*time.Millisecond, maxDrain: timing.EndSessions + 200*time.Millisecond,
-		node: node, log: node.Log, codec: codec, name: place.Name,
-		pool: linepool.New(self, timing, lease.DefaultTiming(), node.Counters.Add),
+		node: host, log: host.Log, codec: codec, name: cfg.Name,
+		minDrain: timing.Linger + drainMargin, maxDrain: timing.EndSessions + drainMargin,
+		pool: linepool.New(self, timing, lease.DefaultTiming(), host.Counters.Add),
 	}
-	p.engine = lineserver.NewServer(node.Workers, place.LineAddress, lineproto.MaxLineBytes, p.acceptClient)
-	node.ForwardUpdateRequests(800 * time.Millisecond)
-	p.adminCalls().Register()
-	return p, nil
+	p.server = lineserver.NewServer(host.Workers, cfg.LineAddress, lineproto.MaxLineBytes, p.acceptClient)
+	host.ForwardUpdateRequests(forwardTimeout)
+	p.adminAPI().Register()
+	return p
 }
 
-// Start begins to ask for news and to serve.
+// Start begins to serve and to ask for updates. It fails where the address for
+// clients cannot be listened on.
 func (p *Proxy) Start() error {
-	if err := p.engine.Start(); err != nil {
+	if err := p.server.Start(); err != nil {
 		return errors.Trace(err)
 	}
 	p.node.Workers.Go(p.pollUpdates)
@@ -70,259 +84,60 @@
 	return nil
 }
 
-const tickInterval = 25 * time.Millisecond
-
 func (p *Proxy) now() time.Duration { return p.node.Now() }
 
-func (p *Proxy) withPool(act func(now time.Duration)) {
+// apply hands one event to the pool and carries out its effects.
+func (p *Proxy) apply(event func(now time.Duration)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	act(p.now())
-	p.applyEffects()
-}
-
-func (p *Proxy) applyEffects() {
+	event(p.now())
 	for _, effect := range p.pool.Effects() {
-		effectHandlers[reflect.TypeOf(effect)](p, effect)
+		p.execute(effect)
 	}
 }
 
 func (p *Proxy) tick() {
-	live, weight := p.liveNodes(), p.node.Config().Weight
-	p.withPool(func(now time.Duration) {
+	live, weight := p.liveProxies(), p.node.Config().Weight
+	p.apply(func(now time.Duration) {
 		p.pool.Tick(live, weight, now)
 		ready, reason := p.pool.Ready(now)
-		if ready != p.ready {
-			p.ready = ready
+		if ready != p.wasReady {
+			p.wasReady = ready
 			p.node.Counters.Add("ready_turns", 1)
-			p.log.Info("ready", "is", ready, "why", reason)
-		}
-	})
-}
-
-// liveEvery is how old the names may be by which connections are shared.
-const liveNamesTTL = 250 * time.Millisecond
-
-// live names the data-plane nodes that live. Only the beat calls it.
-func (p *Proxy) liveNodes() []string {
-	if now := p.now(); p.liveNames == nil || now-p.liveNamesAt >= liveNamesTTL {
-		p.liveNames, p.liveNamesAt = p.liveNames[:0], now
-		for _, node := range p.node.Nodes(model.KindProxy, membership.StatusLive) {
-			p.liveNames = append(p.liveNames, node.Name)
-		}
-	}
-	return p.liveNames
-}
-
-type clientConn struct {
-	proxy  *Proxy
-	conn   *lineserver.Conn
-	client *linepool.Client
-}
-
-func (p *Proxy) acceptClient(conn *lineserver.Conn) lineserver.Handler {
-	c := &clientConn{proxy: p, conn: conn}
-	p.withPool(func(now time.Duration) { c.client = p.pool.Accept(c, now) })
-	if c.client == nil {
-		conn.Write(p.codec.Error(nil, lineproto.CodeBusy, "this node has as many sessions as it takes; come back in 1000 ms"))
-		conn.Close()
-	}
-	return c
-}
-
-type clientMessageHandler func(p *Proxy, c *linepool.Client, message lineproto.Message, now time.Duration)
-
-var clientMessageHandlers = map[lineproto.Kind]clientMessageHandler{
-	lineproto.KindConnect: func(p *Proxy, c *linepool.Client, message lineproto.Message, now time.Duration) {
-		p.pool.Connect(c, message.Database, now)
-	},
-	lineproto.KindQuery: func(p *Proxy, c *linepool.Client, message lineproto.Message, now time.Duration) {
-		p.pool.Query(c, linepool.Query{ID: message.ID, Text: message.Text, Statement: p.codec.ParseStatement(message.Text)}, now)
-	},
-	lineproto.KindTerminate: func(p *Proxy, c *linepool.Client, _ lineproto.Message, now time.Duration) { p.pool.Terminate(c, now) },
-}
-
-// Lines takes what a client sent.
-func (c *clientConn) OnLines(lines [][]byte) {
-	p := c.proxy
-	if c.client == nil {
-		return
-	}
-	messages := make([]lineproto.Message, len(lines))
-	for at, line := range lines {
-		messages[at] = p.codec.Parse(string(line))
-	}
-	p.withPool(func(now time.Duration) {
-		for _, message := range messages {
-			act, found := clientMessageHandlers[message.Kind]
-			if !found {
-				p.pool.ProtocolError(c.client, lineproto.CodeMalformed, "not a message", now)
-				continue
-			}
-			act(p, c.client, message, now)
+			p.log.Info("readiness changed", "ready", ready, "reason", reason)
 		}
 	})
 }
 
-// Ended tells that a client's connection is over.
-func (c *clientConn) OnClose(err error) {
-	if c.client == nil {
-		return
-	}
-	if errors.Is(err, lineserver.ErrLineTooLong) {
-		c.proxy.node.Counters.Add("clients_too_long", 1)
+// liveProxies returns the names of the proxy nodes that are live.
+func (p *Proxy) liveProxies() []string {
+	now := p.now()
+	if p.liveNames != nil && now-p.liveNamesAt < liveNamesMaxAge {
+		return p.liveNames
 	}
-	c.proxy.withPool(func(now time.Duration) { c.proxy.pool.ClientLost(c.client, now) })
-}
-
-type instanceConn struct {
-	proxy *Proxy
-	conn  *linepool.Conn
-}
-
-// Lines takes what an instance sent.
-func (b *instanceConn) OnLines(lines [][]byte) {
-	p := b.proxy
-	messages := make([]lineproto.Message, len(lines))
-	for at, line := range lines {
-		messages[at] = p.codec.Parse(string(line))
+	p.liveNames, p.liveNamesAt = p.liveNames[:0], now
+	for _, peer := range p.node.Nodes(model.KindProxy, membership.StatusLive) {
+		p.liveNames = append(p.liveNames, peer.Name)
 	}
-	p.withPool(func(now time.Duration) {
-		for _, message := range messages {
-			p.pool.Received(b.conn, message, now)
-		}
-	})
-}
-
-// Ended tells that an instance's connection is over.
-func (b *instanceConn) OnClose(error) {
-	b.proxy.withPool(func(now time.Duration) { b.proxy.pool.ConnLost(b.conn, now) })
-}
-
-var effectHandlers map[reflect.Type]func(*Proxy, linepool.Effect)
-
-func handle[T linepool.Effect](act func(*Proxy, T)) {
-	effectHandlers[reflect.TypeFor[T]()] = func(p *Proxy, effect linepool.Effect) { act(p, effect.(T)) }
-}
-
-func init() {
-	effectHandlers = map[reflect.Type]func(*Proxy, linepool.Effect){}
-	handle((*Proxy).respond)
-	handle(func(_ *Proxy, over linepool.CloseClient) { over.Client.Token.(*clientConn).conn.Close() })
-	handle((*Proxy).open)
-	handle((*Proxy).send)
-	handle(func(_ *Proxy, shut linepool.CloseConn) {
-		if conn, ok := shut.Conn.Transport.(*lineserver.Conn); ok {
-			conn.Close()
-		}
-	})
-	handle(func(p *Proxy, _ linepool.Report) { p.report() })
-	handle(func(p *Proxy, turned linepool.WriterChanged) {
-		after := turned.Change.Current
-		p.log.Info("writer role", "database", turned.Change.Database, "term", after.Term, "phase", after.Phase, "primary", after.Primary)
-	})
-	handle(func(p *Proxy, shown linepool.BindingsActivated) {
-		p.log.Info("bindings in force", "sequence", shown.Set.Sequence, "version", shown.Set.Version)
-	})
-}
-
-var messageEncoders = map[lineproto.Kind]func(lineproto.Codec, []byte, lineproto.Message) []byte{
-	lineproto.KindReady: func(codec lineproto.Codec, to []byte, one lineproto.Message) []byte {
-		return codec.Ready(to, one.State, one.Position)
-	},
-	lineproto.KindRow: func(codec lineproto.Codec, to []byte, one lineproto.Message) []byte {
-		return codec.Row(to, one.Payload)
-	},
-	lineproto.KindDone: func(codec lineproto.Codec, to []byte, one lineproto.Message) []byte {
-		return codec.Done(to, one.Payload)
-	},
-	lineproto.KindError: func(codec lineproto.Codec, to []byte, one lineproto.Message) []byte {
-		if one.Payload != "" {
-			return codec.RawError(to, one.Payload)
-		}
-		return codec.Error(to, one.Code, one.Text)
-	},
-}
-
-func (p *Proxy) respond(say linepool.Respond) {
-	p.buffer = p.buffer[:0]
-	for _, one := range say.Messages {
-		p.buffer = messageEncoders[one.Kind](p.codec, p.buffer, one)
-	}
-	say.Client.Token.(*clientConn).conn.Write(p.buffer)
-}
-
-func (p *Proxy) open(open linepool.OpenConn) {
-	handler := &instanceConn{proxy: p, conn: open.Conn}
-	first := p.codec.Connect(nil, open.Database, p.name, open.Instance)
-	p.engine.Dial(open.Address, first, 800*time.Millisecond, handler, func(conn *lineserver.Conn) {
-		p.mutex.Lock()
-		defer p.mutex.Unlock()
-		open.Conn.Transport = conn
-		if open.Conn.IsClosed() {
-			conn.Close()
-		}
-	})
-}
-
-var commandTexts = map[linepool.CommandKind]func(lineproto.Codec, linepool.Command) string{
-	linepool.CommandText:          func(_ lineproto.Codec, out linepool.Command) string { return out.Text },
-	linepool.CommandBegin:         func(codec lineproto.Codec, _ linepool.Command) string { return codec.Begin(false) },
-	linepool.CommandBeginReadOnly: func(codec lineproto.Codec, _ linepool.Command) string { return codec.Begin(true) },
-	linepool.CommandRollback:      func(codec lineproto.Codec, _ linepool.Command) string { return codec.Rollback() },
-	linepool.CommandReset:         func(codec lineproto.Codec, _ linepool.Command) string { return codec.Reset() },
-	linepool.CommandSet:           func(codec lineproto.Codec, out linepool.Command) string { return codec.Set(out.Name, out.Value) },
-	linepool.CommandPrepare:       func(codec lineproto.Codec, out linepool.Command) string { return codec.Prepare(out.Name, out.Value) },
-	linepool.CommandExecute:       func(codec lineproto.Codec, out linepool.Command) string { return codec.Execute(out.Name, out.Value) },
+	return p.liveNames
 }
 
-func (p *Proxy) send(send linepool.Send) {
-	p.buffer = p.buffer[:0]
-	for _, out := range send.Commands {
-		p.buffer = p.codec.Query(p.buffer, out.ID, commandTexts[out.Kind](p.codec, out), out.MinPosition)
-	}
-	if conn, ok := send.Conn.Transport.(*lineserver.Conn); ok {
-		conn.Write(p.buffer)
+func (p *Proxy) adminAPI() *admin.API {
+	return &admin.API{
+		Node: p.node, Locker: &p.mutex, Proxy: p.pool, SessionCount: p.pool.Clients,
+		QueueDepths: p.queueDepths,
+		Describe:    func(now time.Duration) (any, any) { return p.pool.Status(now) },
 	}
 }
 
-// Drain makes the node unready, goes on until the platform has taken it from
-// its list, then ends sessions as they rest, and what is open by half of the
-// grace.
-func (p *Proxy) Drain() {
-	p.log.Info("stopping: no new sessions")
-	p.node.Leave()
-	p.withPool(p.pool.Drain)
-	began := p.now()
-	isOver := func() bool {
-		p.mutex.Lock()
-		defer p.mutex.Unlock()
-		return p.pool.IsDrained() && p.now()-began > p.minDrain
-	}
-	for p.now()-began < p.maxDrain && !isOver() {
-		worker.Await(make(chan struct{}), 20*time.Millisecond)
+// queueDepths returns the number of queued statements by database.
+func (p *Proxy) queueDepths(now time.Duration) map[string]int {
+	_, queues := p.pool.Status(now)
+	depths := map[string]int{}
+	for _, queue := range queues {
+		depths[queue.Database] = queue.Transactions + queue.Writes + queue.Reads
 	}
-	p.mutex.Lock()
-	left := p.pool.Clients()
-	p.mutex.Unlock()
-	p.log.Info("stopped", "sessions", left)
-	p.engine.Stop()
+	return depths
 }
 
-func (p *Proxy) report() {
-	if p.reporting {
-		return
-	}
-	p.reporting = true
-	p.node.Workers.Go(func() {
-		worker.Await(make(chan struct{}), 5*time.Millisecond)
-		var told distribution.NodeReport
-		p.withPool(func(now time.Duration) {
-			p.reporting = false
-			told = p.pool.Observations(now)
-		})
-		if address, _ := p.node.ControlPrimary(); address != "" {
-			p.node.Hub.Send(address, told)
-		}
-	})
-}
+func sleep(duration time.Duration) { worker.Await(make(chan struct{}), duration) }
--- a/internal/app/lineproxy/updates.go
+++ b/internal/app/lineproxy/updates.go
@@ -3,46 +3,74 @@
 import (
 	"time"
 
-	"tansyseam/internal/app/admin"
 	"tansyseam/internal/app/node"
 	"tansyseam/internal/coordination/distribution"
-	"tansyseam/internal/transport/worker"
+	"tansyseam/internal/coordination/pool/linepool"
 )
 
+const (
+	updateTimeout    = 750 * time.Millisecond
+	updateRetryDelay = 30 * time.Millisecond
+
+	// forwardTimeout bounds an update request that is sent on for another node.
+	forwardTimeout = 800 * time.Millisecond
+
+	// strandedPollInterval is how often an update request that waits for
+	// commits at a closing primary looks whether they are answered.
+	strandedPollInterval = 10 * time.Millisecond
+
+	// reportDelay gathers what is observed within it into one report.
+	reportDelay = 5 * time.Millisecond
+)
+
+// pollUpdates asks the control primary for updates, one request after another.
 func (p *Proxy) pollUpdates() {
-	seeker := &node.PrimarySearch{}
+	search := &node.PrimarySearch{}
 	for !p.node.Workers.IsStopping() {
-		var ask distribution.UpdateRequest
-		stranded := false
-		p.withPool(func(now time.Duration) {
-			if stranded = p.pool.HasStrandedCommits(now); !stranded {
-				ask = p.pool.UpdateRequest(now)
-			}
-		})
-		if stranded {
-			worker.Await(make(chan struct{}), 10*time.Millisecond)
+		request, ok := p.nextRequest()
+		if !ok {
+			sleep(strandedPollInterval)
 			continue
 		}
 		sent := p.now()
-		if update, ok := p.node.RequestUpdate(ask, seeker, 750*time.Millisecond); ok {
-			p.withPool(func(now time.Duration) { p.pool.ApplyUpdate(update, sent, now) })
+		update, received := p.node.RequestUpdate(request, search, updateTimeout)
+		if !received {
+			sleep(updateRetryDelay)
 			continue
 		}
-		worker.Await(make(chan struct{}), 30*time.Millisecond)
+		p.apply(func(now time.Duration) { p.pool.ApplyUpdate(update, sent, now) })
+	}
+}
+
+// nextRequest returns false while commits at a closing primary may still be
+// answered.
+func (p *Proxy) nextRequest() (request distribution.UpdateRequest, ok bool) {
+	p.apply(func(now time.Duration) {
+		if ok = !p.pool.HasStrandedCommits(now); ok {
+			request = p.pool.UpdateRequest(now)
+		}
+	})
+	return request, ok
+}
+
+// scheduleReport has a report sent to the control primary between two update
+// requests. It is called with the lock held.
+func (p *Proxy) scheduleReport(linepool.Report) {
+	if p.reportScheduled {
+		return
 	}
+	p.reportScheduled = true
+	p.node.Workers.Go(p.sendReport)
 }
 
-func (p *Proxy) adminCalls() *admin.API {
-	return &admin.API{
-		Node: p.node, Locker: &p.mutex, Proxy: p.pool, SessionCount: p.pool.Clients,
-		QueueDepths: func(now time.Duration) map[string]int {
-			_, lines := p.pool.Status(now)
-			depths := map[string]int{}
-			for _, one := range lines {
-				depths[one.Database] = one.Transactions + one.Writes + one.Reads
-			}
-			return depths
-		},
-		Describe: func(now time.Duration) (any, any) { return p.pool.Status(now) },
+func (p *Proxy) sendReport() {
+	sleep(reportDelay)
+	var report distribution.NodeReport
+	p.apply(func(now time.Duration) {
+		p.reportScheduled = false
+		report = p.pool.Observations(now)
+	})
+	if address, _ := p.node.ControlPrimary(); address != "" {
+		p.node.Hub.Send(address, report)
 	}
 }
