--- a/internal/coordination/idempotency/machine.go
+++ b/internal/coordination/idempotency/machine.go
@@ -125,7 +125,7 @@
 	return Decision{Kind: Lookup, Node: owner.name}
 }
 
-// DecideFromPeer goes on with the status that the node of a Lookup gave.
+// DecideFromPeer continues a Lookup with the status that the node gave.
 func (m *Machine) DecideFromPeer(requestID string, token any, status Status, now time.Duration) Decision {
 	owned := status.State == StateUnseen || (status.State == StateTransferred && status.Owner == m.self.name)
 	if owned {
--- a/internal/coordination/pool/httppool/accept.go
+++ b/internal/coordination/pool/httppool/accept.go
@@ -68,19 +68,15 @@
 		return
 	}
 	request.databaseName, request.freshness, request.bindingSequence = binding.Database, binding.Freshness, set.Sequence
-	if session.pinnedConn != nil && session.pinnedConn.instance.database.name != request.databaseName {
+	if session.isPinnedOutside(binding.Database) {
 		session.stateLost = true
 		result := notCommitted("the binding moved to another database; the session's state is closed")
 		result.SessionClosed = true
 		m.respond(request, result, now)
 		return
 	}
-	request.minPosition = session.minPositions[request.databaseName]
-	request.pinned = session.pinnedConn != nil
-	request.strict = !request.isRead() || request.freshness == 0 || request.pinned
-	nestedBegin := request.op.Kind == OpBegin && session.inTransaction
-	strayRollback := request.op.Kind == OpRollback && !session.inTransaction
-	if nestedBegin || strayRollback {
+	request.setRequirements()
+	if request.misplacedInTransaction() {
 		m.respond(request, noTransactionResult, now)
 		return
 	}
--- a/internal/coordination/pool/httppool/drain.go
+++ b/internal/coordination/pool/httppool/drain.go
@@ -6,7 +6,7 @@
 )
 
 // Drain makes the node unready and ends what waits, with a short time to retry
-// after. What was assigned goes on, and so do open transactions.
+// after. What was assigned is still run, and open transactions continue.
 func (m *Machine) Drain(now time.Duration) {
 	m.StartDraining()
 	for _, request := range m.awaitingLease {
--- a/internal/coordination/pool/httppool/request.go
+++ b/internal/coordination/pool/httppool/request.go
@@ -90,4 +90,20 @@
 	return r.op.Kind == OpCommit || (r.op.Kind == OpRun && r.op.Write && !r.inTransaction)
 }
 
+// setRequirements derives from the binding and the session where the request may
+// be run.
+func (r *Request) setRequirements() {
+	r.minPosition = r.session.minPositions[r.databaseName]
+	r.pinned = r.session.pinnedConn != nil
+	r.strict = !r.isRead() || r.freshness == 0 || r.pinned
+}
+
+// misplacedInTransaction is true of a begin inside a transaction and of a
+// rollback outside of one. A commit outside of one may be a retry.
+func (r *Request) misplacedInTransaction() bool {
+	nestedBegin := r.op.Kind == OpBegin && r.session.inTransaction
+	strayRollback := r.op.Kind == OpRollback && !r.session.inTransaction
+	return nestedBegin || strayRollback
+}
+
 func (r *Request) isRead() bool { return r.op.Kind == OpRun && !r.op.Write }
--- a/internal/coordination/pool/httppool/sessions.go
+++ b/internal/coordination/pool/httppool/sessions.go
@@ -50,6 +50,12 @@
 	s.pinnedConn, s.inTransaction, s.stateLost = nil, false, false
 }
 
+// isPinnedOutside says whether it holds state at an instance of another
+// database.
+func (s *clientSession) isPinnedOutside(database string) bool {
+	return s.pinnedConn != nil && s.pinnedConn.instance.database.name != database
+}
+
 func (s *clientSession) raiseMinPosition(database string, position model.Position) {
 	s.minPositions[database] = s.minPositions[database].Max(position)
 }
