--- /dev/null
+++ b/internal/transport/lineserver/conn.go
@@ -0,0 +1,74 @@
+package lineserver
+
+import (
+	"bytes"
+
+	"github.com/juju/errors"
+	"github.com/lesismal/nbio"
+)
+
+// ErrLineTooLong ends a connection whose remote end sends a line longer than the
+// server allows.
+const ErrLineTooLong = errors.ConstError("line too long")
+
+// Handler handles what happens on one connection.
+type Handler interface {
+	// OnLines is called with complete lines, without their ends, that arrived
+	// together. They are valid until it returns.
+	OnLines(lines [][]byte)
+	// OnClose is called once, when the connection has ended or could not be
+	// opened.
+	OnClose(err error)
+}
+
+// Conn is one connection.
+type Conn struct {
+	raw     *nbio.Conn
+	handler Handler
+	// partial is the start of a line whose end has not arrived.
+	partial       []byte
+	maxLineLength int
+	// closed is guarded by the server's mutex.
+	closed bool
+}
+
+// Write sends bytes. It does not block: what the socket does not accept at once
+// is queued. A connection whose queue grows too large is closed.
+func (c *Conn) Write(data []byte) { _, _ = c.raw.Write(data) }
+
+// Close ends the connection.
+func (c *Conn) Close() { _ = c.raw.Close() }
+
+// RemoteAddress returns the address of the remote end.
+func (c *Conn) RemoteAddress() string { return c.raw.RemoteAddr().String() }
+
+func (c *Conn) onData(data []byte) {
+	if len(c.partial) > 0 {
+		data = append(c.partial, data...)
+		c.partial = nil
+	}
+	lines, rest := splitLines(data, c.maxLineLength)
+	if len(lines) > 0 {
+		c.handler.OnLines(lines)
+	}
+	if len(rest) > c.maxLineLength {
+		_ = c.raw.CloseWithError(ErrLineTooLong)
+		return
+	}
+	if len(rest) > 0 {
+		c.partial = append([]byte(nil), rest...)
+	}
+}
+
+// splitLines returns the complete lines at the start of data, up to the first
+// that is too long, and the bytes after them.
+func splitLines(data []byte, maxLineLength int) (lines [][]byte, rest []byte) {
+	for {
+		end := bytes.IndexByte(data, '\n')
+		if end < 0 || end > maxLineLength {
+			return lines, data
+		}
+		lines = append(lines, bytes.TrimSuffix(data[:end], []byte{'\r'}))
+		data = data[end+1:]
+	}
+}
--- a/internal/transport/lineserver/dial_test.go
+++ b/internal/transport/lineserver/dial_test.go
@@ -10,27 +10,28 @@
 	"tansyseam/internal/transport/worker"
 )
 
+// lineCollector keeps the lines and the end of a connection.
 type lineCollector struct {
 	lines chan string
 	ended chan error
 }
 
-func (h *lineCollector) OnLines(lines [][]byte) {
+func (c *lineCollector) OnLines(lines [][]byte) {
 	for _, line := range lines {
-		h.lines <- string(line)
+		c.lines <- string(line)
 	}
 }
 
-func (h *lineCollector) OnClose(err error) { h.ended <- err }
+func (c *lineCollector) OnClose(err error) { c.ended <- err }
 
 func TestDial(t *testing.T) {
-	Convey("A connection that is opened writes first and hears lines", t, func() {
+	Convey("A dialed connection sends its first bytes and receives lines", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
-		engine := NewServer(worker.NewGroup(), "", 100, nil)
-		So(engine.Start(), ShouldBeNil)
-		h := &lineCollector{lines: make(chan string, 9), ended: make(chan error, 9)}
-		engine.Dial(listener.Addr().String(), []byte("hello\r\n"), time.Second, h, func(*Conn) {})
+		server := NewServer(worker.NewGroup(), "", 100, nil)
+		So(server.Start(), ShouldBeNil)
+		collector := &lineCollector{lines: make(chan string, 9), ended: make(chan error, 9)}
+		server.Dial(listener.Addr().String(), []byte("hello\r\n"), time.Second, collector, func(*Conn) {})
 		conn, err := listener.Accept()
 		So(err, ShouldBeNil)
 		buffer := make([]byte, 100)
@@ -39,9 +40,9 @@
 		So(string(buffer[:count]), ShouldEqual, "hello\r\n")
 		_, err = conn.Write([]byte("one\r\ntwo\n"))
 		So(err, ShouldBeNil)
-		So(<-h.lines, ShouldEqual, "one")
-		So(<-h.lines, ShouldEqual, "two")
+		So(<-collector.lines, ShouldEqual, "one")
+		So(<-collector.lines, ShouldEqual, "two")
 		So(conn.Close(), ShouldBeNil)
-		<-h.ended
+		<-collector.ended
 	})
 }
--- a/internal/transport/lineserver/server.go
+++ b/internal/transport/lineserver/server.go
@@ -1,83 +1,98 @@
-// Package lineserver carries lines over TCP, on one engine of nbio: sessions that
-// are accepted and sessions that are opened. Lines end with LF, with or
-// without CR before it.
 package lineserver
 
 import (
-	"bytes"
-	"net"
 	"sync"
-	"time"
 
 	"github.com/juju/errors"
 	"github.com/lesismal/nbio"
 
-	"tansyseam/internal/transport/tcp"
 	"tansyseam/internal/transport/worker"
 )
 
-// Errors of the wire layer.
+// ErrListen is the type of the errors of Start.
+const ErrListen = errors.ConstError("address cannot be listened on")
+
 const (
-	ErrListen      = errors.ConstError("address cannot be listened on")
-	ErrLineTooLong = errors.ConstError("line too long")
+	readBufferSize = 16 << 10
+	// maxWriteBufferSize is the number of queued bytes at which a connection whose
+	// remote end does not read is closed.
+	maxWriteBufferSize = 4 << 20
 )
 
-// Handler hears of one connection. Lines hears of all whole lines that came
-// together, in order; they are not valid after it returns. Ended comes once.
-type Handler interface {
-	OnLines(lines [][]byte)
-	OnClose(err error)
-}
-
-// Conn is one connection.
-type Conn struct {
-	raw           *nbio.Conn
-	handler       Handler
-	partial       []byte
-	maxLineLength int
-	closed        bool
-}
-
-// Write sends bytes; what the network does not take now follows later, in
-// order. It does not block.
-func (c *Conn) Write(data []byte) { _, _ = c.raw.Write(data) }
-
-// Close ends the connection.
-func (c *Conn) Close() { _ = c.raw.Close() }
-
-// Remote gives the far end's address.
-func (c *Conn) RemoteAddress() string { return c.raw.RemoteAddr().String() }
-
-// Engine serves all connections of a process.
+// Server serves all line connections of a process.
 type Server struct {
 	engine        *nbio.Engine
 	workers       *worker.Group
 	maxLineLength int
 	accept        func(*Conn) Handler
-	mutex         sync.Mutex
+	// mutex guards the sessions of the raw connections.
+	mutex sync.Mutex
 }
 
+// closedEarly is the session of a raw connection that ended before its Conn was
+// attached.
 type closedEarly struct{ err error }
 
-// put joins a connection to the engine's; one that has ended meanwhile is
-// told so.
-func (e *Server) attach(raw *nbio.Conn, conn *Conn) {
-	e.mutex.Lock()
-	over, closed := raw.Session().(closedEarly)
+// NewServer returns a server for an address, which Start opens. With an empty
+// address the server only dials. The function accept returns the handler of an
+// accepted connection; lines may have maxLineLength bytes.
+func NewServer(workers *worker.Group, address string, maxLineLength int, accept func(*Conn) Handler) *Server {
+	config := nbio.Config{Network: "tcp", NPoller: 1, ReadBufferSize: readBufferSize, MaxWriteBufferSize: maxWriteBufferSize}
+	if address != "" {
+		config.Addrs = []string{address}
+	}
+	s := &Server{engine: nbio.NewEngine(config), workers: workers, maxLineLength: maxLineLength, accept: accept}
+	s.engine.OnOpen(s.onOpen)
+	s.engine.OnData(s.onData)
+	s.engine.OnClose(s.detach)
+	return s
+}
+
+// Start opens the address and serves. Its errors are of type ErrListen.
+func (s *Server) Start() error {
+	if err := s.engine.Start(); err != nil {
+		return errors.WithType(errors.Trace(err), ErrListen)
+	}
+	return nil
+}
+
+// Stop closes the address and all connections.
+func (s *Server) Stop() { s.engine.Stop() }
+
+func (s *Server) onOpen(raw *nbio.Conn) {
+	if s.connOf(raw) != nil {
+		return // It was dialed.
+	}
+	conn := &Conn{raw: raw, maxLineLength: s.maxLineLength}
+	conn.handler = s.accept(conn)
+	s.attach(raw, conn)
+}
+
+func (s *Server) onData(raw *nbio.Conn, data []byte) {
+	if conn := s.connOf(raw); conn != nil {
+		conn.onData(data)
+	}
+}
+
+// attach joins a Conn to its raw connection. If that has ended in the meantime,
+// the handler is notified.
+func (s *Server) attach(raw *nbio.Conn, conn *Conn) {
+	s.mutex.Lock()
+	early, closed := raw.Session().(closedEarly)
 	conn.closed = closed
 	if !closed {
 		raw.SetSession(conn)
 	}
-	e.mutex.Unlock()
+	s.mutex.Unlock()
 	if closed {
-		conn.handler.OnClose(over.err)
+		conn.handler.OnClose(early.err)
 	}
 }
 
-// end tells the end of a connection once, even where it comes before the
-// connection was joined.
-func (e *Server) detach(raw *nbio.Conn, err error) {
-	e.mutex.Lock()
+// detach notifies the handler of the end of a connection, once. If no Conn is
+// attached yet, attach does it.
+func (s *Server) detach(raw *nbio.Conn, err error) {
+	s.mutex.Lock()
 	conn, attached := raw.Session().(*Conn)
 	notified := attached && conn.closed
 	if attached {
@@ -85,110 +100,15 @@
 	} else {
 		raw.SetSession(closedEarly{err})
 	}
-	e.mutex.Unlock()
+	s.mutex.Unlock()
 	if attached && !notified {
 		conn.handler.OnClose(err)
 	}
 }
 
-func (e *Server) connOf(raw *nbio.Conn) *Conn {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
+func (s *Server) connOf(raw *nbio.Conn) *Conn {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	conn, _ := raw.Session().(*Conn)
 	return conn
 }
-
-// New makes an engine; address may be empty, for one that only opens. Greet
-// gives the handler of each accepted connection.
-func NewServer(workers *worker.Group, address string, maxLineLength int, accept func(*Conn) Handler) *Server {
-	config := nbio.Config{Network: "tcp", NPoller: 1, ReadBufferSize: 16 << 10, MaxWriteBufferSize: 4 << 20}
-	if address != "" {
-		config.Addrs = []string{address}
-	}
-	e := &Server{engine: nbio.NewEngine(config), workers: workers, maxLineLength: maxLineLength, accept: accept}
-	e.engine.OnOpen(func(raw *nbio.Conn) {
-		if e.connOf(raw) != nil {
-			return
-		}
-		conn := &Conn{raw: raw, maxLineLength: maxLineLength}
-		conn.handler = e.accept(conn)
-		e.attach(raw, conn)
-	})
-	e.engine.OnData(func(raw *nbio.Conn, data []byte) {
-		if conn := e.connOf(raw); conn != nil {
-			conn.onData(data)
-		}
-	})
-	e.engine.OnClose(e.detach)
-	return e
-}
-
-// Start listens and serves.
-func (e *Server) Start() error {
-	if err := e.engine.Start(); err != nil {
-		return errors.WithType(errors.Trace(err), ErrListen)
-	}
-	return nil
-}
-
-// Stop ends all connections.
-func (e *Server) Stop() { e.engine.Stop() }
-
-// Open opens a connection and writes first as soon as it is up. The handler
-// hears of lines and of the end, also where the connection never came up; up
-// hears of the connection before all else. It does not block.
-func (e *Server) Dial(address string, first []byte, timeout time.Duration, handler Handler, onConnect func(*Conn)) {
-	e.workers.Go(func() {
-		dialer := net.Dialer{Timeout: timeout, KeepAliveConfig: tcp.KeepAlive}
-		dialled, err := dialer.Dial("tcp", address)
-		if err != nil {
-			handler.OnClose(err)
-			return
-		}
-		tcp.SetUserTimeout(dialled.(*net.TCPConn), userTimeout)
-		raw, err := nbio.NBConn(dialled)
-		if err != nil {
-			_ = dialled.Close()
-			handler.OnClose(err)
-			return
-		}
-		conn := &Conn{raw: raw, handler: handler, maxLineLength: e.maxLineLength}
-		e.attach(raw, conn)
-		onConnect(conn)
-		if _, err := e.engine.AddConn(raw); err != nil {
-			e.detach(raw, err)
-			return
-		}
-		if len(first) > 0 {
-			conn.Write(first)
-		}
-	})
-}
-
-const userTimeout = 2 * time.Second
-
-func (c *Conn) onData(data []byte) {
-	if len(c.partial) > 0 {
-		data = append(c.partial, data...)
-		c.partial = nil
-	}
-	var lines [][]byte
-	for {
-		at := bytes.IndexByte(data, '\n')
-		if at < 0 || at > c.maxLineLength {
-			break
-		}
-		lines = append(lines, bytes.TrimSuffix(data[:at], []byte{'\r'}))
-		data = data[at+1:]
-	}
-	if len(lines) > 0 {
-		c.handler.OnLines(lines)
-	}
-	if len(data) > c.maxLineLength {
-		_ = c.raw.CloseWithError(ErrLineTooLong)
-		return
-	}
-	if len(data) > 0 {
-		c.partial = append([]byte(nil), data...)
-	}
-}
--- a/internal/transport/lineserver/server_test.go
+++ b/internal/transport/lineserver/server_test.go
@@ -18,7 +18,8 @@
 
 const testTimeout = 30 * time.Second
 
-// ear hears one connection; events holds lines and, at the end, the end.
+// recorder records one connection: events holds the lines, and "ended" at the
+// end.
 type recorder struct {
 	conn   *Conn
 	events chan string
@@ -30,38 +31,38 @@
 	return &recorder{events: make(chan string, 1<<16), ended: make(chan error, 16)}
 }
 
-func (e *recorder) OnLines(lines [][]byte) {
+func (r *recorder) OnLines(lines [][]byte) {
 	for _, line := range lines {
-		e.events <- string(line)
+		r.events <- string(line)
 	}
-	if e.echo {
-		e.conn.Write(append(bytes.Join(lines, []byte{'\n'}), '\n'))
+	if r.echo {
+		r.conn.Write(append(bytes.Join(lines, []byte{'\n'}), '\n'))
 	}
 }
 
-func (e *recorder) OnClose(err error) {
-	e.ended <- err
-	e.events <- "ended"
+func (r *recorder) OnClose(err error) {
+	r.ended <- err
+	r.events <- "ended"
 }
 
-func (e *recorder) next() string {
-	over := time.NewTimer(testTimeout)
-	defer over.Stop()
-	line, ok := worker.Receive(e.events, over.C)
+func (r *recorder) next() string {
+	timer := time.NewTimer(testTimeout)
+	defer timer.Stop()
+	line, ok := worker.Receive(r.events, timer.C)
 	So(ok, ShouldBeTrue)
 	return line
 }
 
-func (e *recorder) closeError() error {
-	timeout := time.NewTimer(testTimeout)
-	defer timeout.Stop()
-	err, ok := worker.Receive(e.ended, timeout.C)
+func (r *recorder) closeError() error {
+	timer := time.NewTimer(testTimeout)
+	defer timer.Stop()
+	err, ok := worker.Receive(r.ended, timer.C)
 	So(ok, ShouldBeTrue)
 	return err
 }
 
 type testServer struct {
-	engine    *Server
+	server    *Server
 	address   string
 	recorders chan *recorder
 }
@@ -69,49 +70,49 @@
 func startTestServer(maxLineLength int, echo bool) *testServer {
 	probe, err := net.Listen("tcp", "127.0.0.1:0")
 	So(err, ShouldBeNil)
-	p := &testServer{address: probe.Addr().String(), recorders: make(chan *recorder, 1024)}
+	s := &testServer{address: probe.Addr().String(), recorders: make(chan *recorder, 1024)}
 	So(probe.Close(), ShouldBeNil)
-	p.engine = NewServer(worker.NewGroup(), p.address, maxLineLength, func(conn *Conn) Handler {
+	s.server = NewServer(worker.NewGroup(), s.address, maxLineLength, func(conn *Conn) Handler {
 		recorder := newRecorder()
 		recorder.conn, recorder.echo = conn, echo
-		p.recorders <- recorder
+		s.recorders <- recorder
 		return recorder
 	})
-	So(p.engine.Start(), ShouldBeNil)
-	// The engine below never ends if it is stopped before its listener runs.
-	first, _ := p.dial()
+	So(s.server.Start(), ShouldBeNil)
+	// The engine of nbio never ends if it is stopped before its listener runs.
+	first, _ := s.dial()
 	So(first.Close(), ShouldBeNil)
-	return p
+	return s
 }
 
-func (p *testServer) dial() (*net.TCPConn, *recorder) {
-	conn, err := net.Dial("tcp", p.address)
+func (s *testServer) dial() (*net.TCPConn, *recorder) {
+	conn, err := net.Dial("tcp", s.address)
 	So(err, ShouldBeNil)
-	over := time.NewTimer(testTimeout)
-	defer over.Stop()
-	recorder, ok := worker.Receive(p.recorders, over.C)
+	timer := time.NewTimer(testTimeout)
+	defer timer.Stop()
+	recorder, ok := worker.Receive(s.recorders, timer.C)
 	So(ok, ShouldBeTrue)
 	return conn.(*net.TCPConn), recorder
 }
 
-func TestAccepted(t *testing.T) {
-	Convey("Given a listening engine", t, func() {
-		p := startTestServer(1000, false)
-		defer p.engine.Stop()
-		conn, recorder := p.dial()
+func TestAcceptedConnections(t *testing.T) {
+	Convey("Given a server that listens", t, func() {
+		s := startTestServer(1000, false)
+		defer s.server.Stop()
+		conn, recorder := s.dial()
 		defer func() { _ = conn.Close() }()
 		send := func(text string) {
 			_, err := conn.Write([]byte(text))
 			So(err, ShouldBeNil)
 		}
-		Convey("Lines come whole and in order, with or without CR, and blank ones too", func() {
+		Convey("Lines arrive complete and in order, with or without CR, and empty ones too", func() {
 			send("one\r\ntwo\nthr")
 			So([]string{recorder.next(), recorder.next()}, ShouldResemble, []string{"one", "two"})
 			send("ee\r")
 			send("\n\r\n\nx\ry\r\r\n")
 			So([]string{recorder.next(), recorder.next(), recorder.next(), recorder.next()}, ShouldResemble, []string{"three", "", "", "x\ry\r"})
 		})
-		Convey("A line of the longest length is taken; one byte more ends the connection, whole or not", func() {
+		Convey("A line of the maximum length is accepted; one byte more ends the connection", func() {
 			send(strings.Repeat("a", 1000) + "\n")
 			So(recorder.next(), ShouldEqual, strings.Repeat("a", 1000))
 			send("good\n" + strings.Repeat("b", 1001) + "\nnever\n")
@@ -120,12 +121,12 @@
 			So(errors.Is(recorder.closeError(), ErrLineTooLong), ShouldBeTrue)
 			So(len(recorder.events), ShouldEqual, 0)
 		})
-		Convey("An overlong line without an end is not waited for", func() {
+		Convey("The end of a line that is too long is not waited for", func() {
 			send(strings.Repeat("b", 1001))
 			So(recorder.next(), ShouldEqual, "ended")
 			So(errors.Is(recorder.closeError(), ErrLineTooLong), ShouldBeTrue)
 		})
-		Convey("A far end that closes its side is told after its lines, once, without what it left half said", func() {
+		Convey("A close by the remote end is notified once, after its lines and without an incomplete line", func() {
 			send("one\ntwo\nhalf")
 			So(conn.CloseWrite(), ShouldBeNil)
 			So([]string{recorder.next(), recorder.next(), recorder.next()}, ShouldResemble, []string{"one", "two", "ended"})
@@ -133,7 +134,7 @@
 			So(err, ShouldNotBeNil)
 			So(len(recorder.events), ShouldEqual, 0)
 		})
-		Convey("A far end that resets is told once", func() {
+		Convey("A reset by the remote end is notified once", func() {
 			send("one\n")
 			So(recorder.next(), ShouldEqual, "one")
 			So(conn.SetLinger(0), ShouldBeNil)
@@ -141,7 +142,7 @@
 			So(recorder.next(), ShouldEqual, "ended")
 			So(len(recorder.ended), ShouldEqual, 1)
 		})
-		Convey("Closed from this side, it ends once, and writes to it do nothing", func() {
+		Convey("A close by this end is notified once, and later writes do nothing", func() {
 			recorder.conn.Close()
 			So(recorder.next(), ShouldEqual, "ended")
 			recorder.conn.Close()
@@ -150,15 +151,15 @@
 			So(err, ShouldNotBeNil)
 			So(len(recorder.ended), ShouldEqual, 1)
 		})
-		Convey("A silent one holds up nobody", func() {
+		Convey("A silent connection blocks no other", func() {
 			send("half a li")
-			for at := range 20 {
-				other, heard := p.dial()
-				_, err := fmt.Fprintf(other, "line %d\n", at)
+			for number := range 20 {
+				other, otherRecorder := s.dial()
+				_, err := fmt.Fprintf(other, "line %d\n", number)
 				So(err, ShouldBeNil)
-				So(heard.next(), ShouldEqual, fmt.Sprintf("line %d", at))
+				So(otherRecorder.next(), ShouldEqual, fmt.Sprintf("line %d", number))
 				So(other.Close(), ShouldBeNil)
-				So(heard.next(), ShouldEqual, "ended")
+				So(otherRecorder.next(), ShouldEqual, "ended")
 			}
 			send("ne\n")
 			So(recorder.next(), ShouldEqual, "half a line")
@@ -167,16 +168,16 @@
 }
 
 func TestFlood(t *testing.T) {
-	Convey("A flood of lines comes whole and in order, and is answered in order", t, func() {
-		p := startTestServer(1000, true)
-		defer p.engine.Stop()
-		conn, recorder := p.dial()
+	Convey("Many lines at once arrive complete and in order, and are answered in order", t, func() {
+		s := startTestServer(1000, true)
+		defer s.server.Stop()
+		conn, recorder := s.dial()
 		defer func() { _ = conn.Close() }()
 		const count = 20000
 		workers := worker.NewGroup()
 		workers.Go(func() {
-			for at := range count {
-				_, _ = fmt.Fprintf(conn, "%d\n", at)
+			for number := range count {
+				_, _ = fmt.Fprintf(conn, "%d\n", number)
 			}
 		})
 		answered := make(chan int, 1)
@@ -192,8 +193,8 @@
 			answered <- lines
 		})
 		wrong := 0
-		for at := range count {
-			if recorder.next() != fmt.Sprint(at) {
+		for number := range count {
+			if recorder.next() != fmt.Sprint(number) {
 				wrong++
 			}
 		}
@@ -201,10 +202,10 @@
 		So(worker.Await(answered, testTimeout), ShouldBeTrue)
 		So(workers.Stop(testTimeout), ShouldBeTrue)
 	})
-	Convey("A far end that never reads is given up before it takes much memory", t, func() {
-		p := startTestServer(1000, false)
-		defer p.engine.Stop()
-		conn, recorder := p.dial()
+	Convey("A connection whose remote end never reads is closed before it takes much memory", t, func() {
+		s := startTestServer(1000, false)
+		defer s.server.Stop()
+		conn, recorder := s.dial()
 		defer func() { _ = conn.Close() }()
 		So(conn.SetReadBuffer(4096), ShouldBeNil)
 		var before, after runtime.MemStats
@@ -219,16 +220,16 @@
 		runtime.ReadMemStats(&after)
 		So(int64(after.HeapAlloc)-int64(before.HeapAlloc), ShouldBeLessThan, 24<<20)
 	})
-	Convey("A hundred far ends that say half a line each take no more than they said", t, func() {
+	Convey("A hundred connections with an incomplete line each take little more memory than was sent", t, func() {
 		const count, size = 100, 60000
-		p := startTestServer(1<<20, false)
-		defer p.engine.Stop()
+		s := startTestServer(1<<20, false)
+		defer s.server.Stop()
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		var recorders []*recorder
 		for range count {
-			conn, recorder := p.dial()
+			conn, recorder := s.dial()
 			defer func() { _ = conn.Close() }()
 			_, err := conn.Write(append([]byte("head\n"), bytes.Repeat([]byte{'x'}, size)...))
 			So(err, ShouldBeNil)
@@ -239,73 +240,74 @@
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		// each ear's channel holds 1 MiB of its own
+		// The channel of each recorder takes 1 MiB of its own.
 		So(int64(after.HeapAlloc)-int64(before.HeapAlloc)-count<<20, ShouldBeLessThan, 4*count*size)
 	})
 }
 
-func TestDialed(t *testing.T) {
-	Convey("Given an engine that only opens", t, func() {
-		e := NewServer(worker.NewGroup(), "", 1000, func(*Conn) Handler { panic("nobody is greeted") })
-		So(e.Start(), ShouldBeNil)
-		defer e.Stop()
-		reach := func(address string, timeout time.Duration) (*recorder, chan bool) {
-			recorder, ups := newRecorder(), make(chan bool, 8)
-			e.Dial(address, []byte("hello\n"), timeout, recorder, func(conn *Conn) { recorder.conn = conn; ups <- true })
-			return recorder, ups
+func TestDialedConnections(t *testing.T) {
+	Convey("Given a server that only dials", t, func() {
+		server := NewServer(worker.NewGroup(), "", 1000, func(*Conn) Handler { panic("nothing is accepted") })
+		So(server.Start(), ShouldBeNil)
+		defer server.Stop()
+		dial := func(address string, timeout time.Duration) (*recorder, chan bool) {
+			recorder, connected := newRecorder(), make(chan bool, 8)
+			server.Dial(address, []byte("hello\n"), timeout, recorder, func(conn *Conn) { recorder.conn = conn; connected <- true })
+			return recorder, connected
 		}
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		defer func() { _ = listener.Close() }()
-		meet := func() (*recorder, net.Conn) {
-			recorder, _ := reach(listener.Addr().String(), testTimeout)
-			far, err := listener.Accept()
+		connect := func() (*recorder, net.Conn) {
+			recorder, _ := dial(listener.Addr().String(), testTimeout)
+			remote, err := listener.Accept()
 			So(err, ShouldBeNil)
-			return recorder, far
+			return recorder, remote
 		}
-		// The engine below never ends if it is stopped before it runs.
-		first, far := meet()
-		So(far.Close(), ShouldBeNil)
+		// The engine of nbio never ends if it is stopped before it runs.
+		first, remote := connect()
+		So(remote.Close(), ShouldBeNil)
 		So(first.next(), ShouldEqual, "ended")
-		Convey("The first words go out before all others, and the end comes once", func() {
-			recorder, far := meet()
-			heard := make([]byte, 6)
-			_, err = far.Read(heard)
+		Convey("The first bytes are sent before all others, and the end is notified once", func() {
+			recorder, remote := connect()
+			first := make([]byte, 6)
+			_, err = remote.Read(first)
 			So(err, ShouldBeNil)
-			So(string(heard), ShouldEqual, "hello\n")
-			_, err = far.Write([]byte("READY\nand\n"))
+			So(string(first), ShouldEqual, "hello\n")
+			_, err = remote.Write([]byte("READY\nand\n"))
 			So(err, ShouldBeNil)
 			So([]string{recorder.next(), recorder.next()}, ShouldResemble, []string{"READY", "and"})
-			So(far.Close(), ShouldBeNil)
+			So(remote.Close(), ShouldBeNil)
 			So(recorder.next(), ShouldEqual, "ended")
 			So(len(recorder.ended), ShouldEqual, 1)
-			recorder, _ = reach("no address", testTimeout)
+			recorder, _ = dial("no address", testTimeout)
 			So(recorder.next(), ShouldEqual, "ended")
 			So(recorder.closeError(), ShouldNotBeNil)
 		})
-		Convey("A refused one ends once, and was never up", func() {
+		Convey("A refused connection ends once, and was never open", func() {
 			probe, err := net.Listen("tcp", "127.0.0.1:0")
 			So(err, ShouldBeNil)
 			So(probe.Close(), ShouldBeNil)
-			recorder, ups := reach(probe.Addr().String(), testTimeout)
+			recorder, connected := dial(probe.Addr().String(), testTimeout)
 			So(recorder.next(), ShouldEqual, "ended")
 			So(recorder.closeError(), ShouldNotBeNil)
-			So(len(ups), ShouldEqual, 0)
+			So(len(connected), ShouldEqual, 0)
 			So(len(recorder.events), ShouldEqual, 0)
 		})
-		Convey("A far end that never answers is given up at the bound", func() {
+		Convey("A remote end that never answers is given up at the time-out", func() {
 			address, done := listenWithFullBacklog()
 			defer done()
-			recorder, ups := reach(address, 50*time.Millisecond)
+			recorder, connected := dial(address, 50*time.Millisecond)
 			So(recorder.next(), ShouldEqual, "ended")
 			So(recorder.closeError(), ShouldNotBeNil)
-			So(len(ups), ShouldEqual, 0)
+			So(len(connected), ShouldEqual, 0)
 			So(len(recorder.events), ShouldEqual, 0)
 		})
 	})
 }
 
-// deaf listens with a queue that is full, so that openings are not answered.
+// listenWithFullBacklog listens with a full backlog, so that connections are not
+// accepted. It returns the address and a function that ends it.
 func listenWithFullBacklog() (string, func()) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	So(err, ShouldBeNil)
@@ -314,32 +316,32 @@
 	name, err := syscall.Getsockname(fd)
 	So(err, ShouldBeNil)
 	address := fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
-	var held []net.Conn
+	var conns []net.Conn
 	for range 8 {
 		conn, err := net.DialTimeout("tcp", address, 100*time.Millisecond)
 		if err != nil {
 			break
 		}
-		held = append(held, conn)
+		conns = append(conns, conn)
 	}
 	return address, func() {
-		for _, conn := range held {
+		for _, conn := range conns {
 			_ = conn.Close()
 		}
 		_ = syscall.Close(fd)
 	}
 }
 
-func TestAddress(t *testing.T) {
-	Convey("An address in use is told as such", t, func() {
-		p := startTestServer(1000, false)
-		defer p.engine.Stop()
-		So(errors.Is(NewServer(worker.NewGroup(), p.address, 1000, nil).Start(), ErrListen), ShouldBeTrue)
+func TestAddressInUse(t *testing.T) {
+	Convey("An address in use is an error of its own type", t, func() {
+		s := startTestServer(1000, false)
+		defer s.server.Stop()
+		So(errors.Is(NewServer(worker.NewGroup(), s.address, 1000, nil).Start(), ErrListen), ShouldBeTrue)
 	})
 }
 
-// FuzzSplit holds the splitting to one thing: wherever the chunks are cut,
-// the lines are the same.
+// FuzzLineSplitting checks that the lines are the same wherever the network cuts
+// them.
 func FuzzLineSplitting(f *testing.F) {
 	f.Add([]byte("one\r\ntwo\nthree"), []byte{1, 2, 3})
 	f.Add([]byte("\r\n\n\r\r\n"), []byte{1})
@@ -357,7 +359,7 @@
 				if len(cuts) > 0 {
 					size = min(size, int(cuts[at%len(cuts)])+1)
 				}
-				// what is handed over is used again once it has been heard
+				// The buffer is reused once it has been handled.
 				piece := append([]byte(nil), rest[:size]...)
 				conn.onData(piece)
 				for index := range piece {
@@ -375,9 +377,9 @@
 		if len(data) > 1<<15 {
 			return
 		}
-		whole, cut := split(nil), split(cuts)
-		if fmt.Sprintf("%q", whole) != fmt.Sprintf("%q", cut) {
-			t.Fatalf("%q at once, %q in pieces", whole, cut)
+		uncut, cut := split(nil), split(cuts)
+		if fmt.Sprintf("%q", uncut) != fmt.Sprintf("%q", cut) {
+			t.Fatalf("%q at once, %q in pieces", uncut, cut)
 		}
 	})
 }
