--- a/test/platforme2e/scenarios.go
+++ b/test/platforme2e/scenarios.go
@@ -169,9 +169,10 @@
 func actChange(t *Trial) {
 	routes := t.Routes()
 	t.Change(append(t.Routes(), platformstandin.Route{Host: "extra", Kind: "primary", Service: "db2", Timeout: time.Second, Target: time.Second}), 0)
+	// The version between the two that race stays free.
 	racing := make(chan int, 2)
-	for at := range 2 {
-		t.crew.Go(func() { racing <- t.Operator.Replace(t.version+uint64(1+at), routes, at) })
+	for at, version := range []uint64{t.version + 1, t.version + 3} {
+		t.crew.Go(func() { racing <- t.Operator.Replace(version, routes, at) })
 	}
 	for range 2 {
 		bound := time.NewTimer(20 * time.Second)
@@ -181,10 +182,14 @@
 			t.Miss("one of two racing versions was answered %d", status)
 		}
 	}
-	t.version += 2
-	if status := t.Operator.Replace(t.version-1, append(routes, platformstandin.Route{Host: "late", Kind: "primary", Service: "db1", Timeout: time.Second}), 2); status != http.StatusOK {
+	t.version += 3
+	late := append(routes, platformstandin.Route{Host: "late", Kind: "primary", Service: "db1", Timeout: time.Second})
+	if status := t.Operator.Replace(t.version-1, late, 2); status != http.StatusOK {
 		t.Miss("an old version was answered %d, which wants an acknowledgement", status)
 	}
+	if status := t.Operator.Break(t.version, t.Operator.Body(t.version, late), 2); status != http.StatusConflict {
+		t.Miss("other content under the version held was answered %d, which wants a refusal", status)
+	}
 	broken := map[string]string{
 		"cut short":             t.Operator.Body(t.version+9, routes)[:100],
 		"nothing":               "{}",
