--- a/test/cmd/e2e/main.go
+++ b/test/cmd/e2e/main.go
@@ -1,4 +1,4 @@
-// Program prove runs fleets of real processes through scenarios and checks
+// Program e2e runs fleets of real processes through scenarios and checks
 // their histories.
 package main
 
@@ -28,6 +28,8 @@
 	isRace := flag.Bool("race", false, "build the programs with the race detector")
 	isList := flag.Bool("list", false, "list the scenarios")
 	manner := flag.String("manner", "", "platform, for the scenarios in the manner of the users' platform")
+	beside := flag.String("beside", "", "folder with tansyseam-proxy and tansyseam-control of another build, which every second process runs")
+	isOtherFirst := flag.Bool("other-first", false, "with -beside: the first process of a kind is of the other build")
 	flag.Parse()
 	if *isList && *manner != "" {
 		for _, scenario := range platforme2e.Scenarios() {
@@ -55,14 +57,14 @@
 		}
 		folder = made
 	}
-	bin := filepath.Join(folder, "bin")
-	if err := e2e.Build(*root, bin, *isRace); err != nil {
+	programs := e2e.Programs{Folder: filepath.Join(folder, "bin"), Beside: *beside, OtherFirst: *isOtherFirst}
+	if err := e2e.Build(*root, programs.Folder, *isRace); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
 	wanted := strings.Split(*names, ",")
 	if *manner != "" {
-		return tryAll(wanted, *root, bin, folder, *seed)
+		return tryAll(wanted, *root, programs, folder, *seed)
 	}
 	broken, played := 0, 0
 	for _, scenario := range e2e.Scenarios() {
@@ -74,7 +76,7 @@
 			continue
 		}
 		played++
-		result, err := e2e.Play(scenario, shape, bin, filepath.Join(folder, scenario.Name), *seed, *scale)
+		result, err := e2e.Play(scenario, shape, programs, filepath.Join(folder, scenario.Name), *seed, *scale)
 		if err != nil {
 			fmt.Printf("%s on %s: could not be played: %v\n", scenario.Name, shape.Name, err)
 			broken++
@@ -96,14 +98,14 @@
 	return 0
 }
 
-func tryAll(wanted []string, root, bin, folder string, seed uint64) int {
+func tryAll(wanted []string, root string, programs e2e.Programs, folder string, seed uint64) int {
 	broken, played := 0, 0
 	for _, scenario := range platforme2e.Scenarios() {
 		if !slices.Contains(wanted, "all") && !slices.Contains(wanted, scenario.Name) {
 			continue
 		}
 		played++
-		result, err := platforme2e.Play(scenario, root, bin, filepath.Join(folder, scenario.Name), seed)
+		result, err := platforme2e.Play(scenario, root, programs, filepath.Join(folder, scenario.Name), seed)
 		if err != nil {
 			fmt.Printf("%s: could not be played: %v\n", scenario.Name, err)
 			broken++
--- a/test/cmd/measure/main.go
+++ b/test/cmd/measure/main.go
@@ -51,14 +51,14 @@
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
 	list := strings.Split(*versions, ",")
-	bins := map[string]string{}
+	bins := map[string]e2e.Programs{}
 	for _, version := range list {
 		bin, err := build(*root, folder, version)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			return 1
 		}
-		bins[version] = bin
+		bins[version] = e2e.Programs{Folder: bin}
 	}
 	results := map[string][]e2e.Result{}
 	for turn := range *repeat {
--- a/test/e2e/fleet.go
+++ b/test/e2e/fleet.go
@@ -88,7 +88,7 @@
 type Fleet struct {
 	Shape    Shape
 	Folder   string
-	Bin      string
+	Programs Programs
 	Fronts   []*Process
 	Disks    []*Process
 	Backs    []*Process
@@ -147,10 +147,10 @@
 }
 
 // Start starts instances, control plane and data plane, in that order.
-func Start(shape Shape, bin, folder string, options Options) (*Fleet, error) {
+func Start(shape Shape, programs Programs, folder string, options Options) (*Fleet, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &Fleet{
-		Shape: shape, Folder: folder, Bin: bin, History: &standin.History{}, Relays: map[string]*standin.Relay{},
+		Shape: shape, Folder: folder, Programs: programs, History: &standin.History{}, Relays: map[string]*standin.Relay{},
 		ctx: ctx, cancel: cancel, client: &http.Client{Timeout: 5 * time.Second}, origin: ip(9, 0),
 	}
 	if err := f.plan(options); err != nil {
@@ -191,7 +191,7 @@
 			}
 			name := fmt.Sprintf("%s%d", strings.TrimPrefix(program, "tansyseam-"), at+1)
 			list = append(list, &Process{
-				Name: name, Program: filepath.Join(f.Bin, program), Link: link, Door: door, IP: ip(group, at),
+				Name: name, Program: f.Programs.Path(program, at), Link: link, Door: door, IP: ip(group, at),
 				Zone: f.Shape.Zones[at%len(f.Shape.Zones)], Data: filepath.Join(f.Folder, name),
 			})
 		}
@@ -268,7 +268,7 @@
 				return err
 			}
 			f.Backs = append(f.Backs, &Process{
-				Name: config.Name, Program: filepath.Join(f.Bin, "standin"), Args: []string{path}, Link: where, Door: where,
+				Name: config.Name, Program: f.Programs.Own("standin"), Args: []string{path}, Link: where, Door: where,
 				Zone: config.Zone, Data: config.Folder, IP: ip(3, number),
 			})
 			places = append(places, standin.Place{Name: config.Name, Database: database, Address: where})
@@ -390,7 +390,7 @@
 		addresses[at] = address
 	}
 	front := &Process{
-		Name: fmt.Sprintf("proxy%d", number+1), Program: filepath.Join(f.Bin, "tansyseam-proxy"), Link: addresses[0], Door: addresses[1], IP: host,
+		Name: fmt.Sprintf("proxy%d", number+1), Program: f.Programs.Path("tansyseam-proxy", number), Link: addresses[0], Door: addresses[1], IP: host,
 		Zone: f.Shape.Zones[number%len(f.Shape.Zones)],
 	}
 	front.Args = []string{"--name", front.Name, "--zone", front.Zone, "--link", front.Link, "--door", front.Door, "--seeds", f.Seeds}
--- a/test/e2e/outside.go
+++ b/test/e2e/outside.go
@@ -10,7 +10,6 @@
 	"net/http"
 	"os"
 	"os/exec"
-	"path/filepath"
 	"slices"
 	"strings"
 	"syscall"
@@ -199,7 +198,7 @@
 
 func (r *Run) askShell() {
 	ask := func(want int, words ...string) string {
-		command := exec.Command(filepath.Join(r.Bin, "tansyseamctl"), words...)
+		command := exec.Command(r.Programs.Own("tansyseamctl"), words...)
 		out, _ := command.CombinedOutput()
 		if code := command.ProcessState.ExitCode(); code != want {
 			r.Miss("tansyseamctl %v ended with %d, wanted %d: %s", words, code, want, out)
@@ -224,7 +223,7 @@
 		ask(2, words...)
 	}
 	ask(1, "--at", "127.1.9.9:9", "nodes")
-	command := exec.Command(filepath.Join(r.Bin, "tansyseamctl"), "--at", at)
+	command := exec.Command(r.Programs.Own("tansyseamctl"), "--at", at)
 	command.Stdin = strings.NewReader("epochs\nnonsense\nnodes\nquit\n")
 	out, _ := command.CombinedOutput()
 	for _, part := range []string{"tansyseamctl>", "no query \"nonsense\"", "proxy1"} {
--- a/test/e2e/scenario.go
+++ b/test/e2e/scenario.go
@@ -572,7 +572,7 @@
 }
 
 // Play runs one scenario on a new fleet and checks its history.
-func Play(scenario Scenario, shape Shape, bin, folder string, seed uint64, scale float64) (Result, error) {
+func Play(scenario Scenario, shape Shape, programs Programs, folder string, seed uint64, scale float64) (Result, error) {
 	result := Result{Scenario: scenario.Name, Shape: shape.Name, Seed: seed, Faults: map[string][]string{}, Outcomes: map[string]int{}}
 	if err := os.RemoveAll(folder); err != nil {
 		return result, err
@@ -580,7 +580,7 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return result, err
 	}
-	f, err := Start(shape, bin, folder, scenario.Options)
+	f, err := Start(shape, programs, folder, scenario.Options)
 	if err != nil {
 		return result, err
 	}
--- a/test/platforme2e/trial.go
+++ b/test/platforme2e/trial.go
@@ -94,10 +94,10 @@
 
 // Start starts stand-ins and programs, takes the first configuration and
 // waits until all nodes are ready.
-func Start(root, bin, folder string, services int) (*Trial, error) {
+func Start(root string, programs e2e.Programs, folder string, services int) (*Trial, error) {
 	crew := worker.NewGroup()
 	t := &Trial{crew: crew, load: worker.NewGroup(), folder: folder, octet: 64 + os.Getpid()%150, History: platformstandin.NewHistory(crew)}
-	if err := t.plan(root, bin, services); err != nil {
+	if err := t.plan(root, programs, services); err != nil {
 		t.Stop()
 		return nil, err
 	}
@@ -119,7 +119,7 @@
 	return t, nil
 }
 
-func (t *Trial) plan(root, bin string, services int) error {
+func (t *Trial) plan(root string, programs e2e.Programs, services int) error {
 	var hosts []string
 	for group, count := range []int{1, fronts, disks + spares, services * (replicas + 1)} {
 		for at := range count {
@@ -169,7 +169,7 @@
 		for at := range part.count {
 			ip, name := t.ip(part.group, at), fmt.Sprintf("%s%d", strings.TrimPrefix(part.program, "tansyseam-"), at+1)
 			one := &e2e.Process{
-				Name: name, Program: filepath.Join(bin, part.program), Zone: zones[at%len(zones)], IP: ip, Data: filepath.Join(t.folder, name),
+				Name: name, Program: programs.Path(part.program, at), Zone: zones[at%len(zones)], IP: ip, Data: filepath.Join(t.folder, name),
 				Link: fmt.Sprint(ip, ":", link), Door: fmt.Sprint(ip, ":", door), File: filepath.Join(t.folder, name+".json"),
 			}
 			text, err := Fill(string(template), map[string]any{
@@ -315,7 +315,7 @@
 }
 
 // Play runs one scenario and checks its history.
-func Play(scenario Scenario, root, bin, folder string, seed uint64) (Result, error) {
+func Play(scenario Scenario, root string, programs e2e.Programs, folder string, seed uint64) (Result, error) {
 	result := Result{Scenario: scenario.Name, Codes: map[string]int{}}
 	if err := os.RemoveAll(folder); err != nil {
 		return result, err
@@ -323,7 +323,7 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return result, err
 	}
-	t, err := Start(root, bin, folder, 2)
+	t, err := Start(root, programs, folder, 2)
 	if err != nil {
 		return result, err
 	}
