--- a/internal/coordination/distribution/activation.go
+++ b/internal/coordination/distribution/activation.go
@@ -86,7 +86,7 @@
 
 // mayActivate says whether overdue sets may take effect at once: a node has activated
 // them already, or no lease of an earlier tenure is left, under which a node that has
-// not heard of the change would serve by the set before.
+// not got the change would serve by the previous set.
 func (m *Machine) mayActivate(overdue []model.BindingSet, now time.Duration) bool {
 	isInactive := func(set model.BindingSet) bool { return set.Sequence > m.highestActive }
 	return !slices.ContainsFunc(overdue, isInactive) || now >= m.grantor.StartedAt()+m.timing.LeaseDuration
--- a/internal/coordination/rollout/rollout.go
+++ b/internal/coordination/rollout/rollout.go
@@ -3,7 +3,7 @@
 // it is deleted. Its functions return the puts that carry out a decision against a
 // copy of the control state; a decision that no longer applies returns none.
 //
-// A set goes through these states: scheduled (a model.ScheduledChange), pending
+// A set passes through these states: scheduled (a model.ScheduledChange), pending
 // (accepted under a sequence, without an effective time, while it is distributed to
 // the nodes), waiting for its effective time, active, and obsolete.
 //
--- a/internal/coordination/routing/commits.go
+++ b/internal/coordination/routing/commits.go
@@ -8,7 +8,7 @@
 
 // Verdicts on a commit that was executed.
 const (
-	// VerdictNone: it cannot be told yet.
+	// VerdictNone: it cannot be decided yet.
 	VerdictNone = ""
 	// VerdictDurable: the commit survives a change of the primary.
 	VerdictDurable = "kept"
--- a/internal/state/model/writerrole.go
+++ b/internal/state/model/writerrole.go
@@ -6,7 +6,7 @@
 const (
 	// PhaseOpen: the primary accepts writes.
 	PhaseOpen = "open"
-	// PhaseClosing: nodes are being told to stop writing.
+	// PhaseClosing: nodes are being notified to stop writing.
 	PhaseClosing = "closing"
 	// PhaseClosed: no node writes any more, and a new primary is to be selected.
 	PhaseClosed = "closed"
