--- a/internal/coordination/distribution/activation_test.go
+++ b/internal/coordination/distribution/activation_test.go
@@ -219,13 +219,7 @@
 
 func TestEffectiveTimeOfEarlierTenure(t *testing.T) {
 	Convey("With a trusted clock a plausible effective time of an earlier tenure is kept, since every leased node knows it; with one that is not trusted no lease is granted", t, func() {
-		first := newHarness(1, store.New())
-		first.request("d1", store.Version{})
-		first.putSet(0)
-		first.request("d1", first.stored.Version)
-		first.request("d1", first.stored.Version)
-		first.putSet(1)
-		first.request("d1", first.stored.Version)
+		first := newHarnessWithSetAhead(1)
 		effectiveAt := first.Snapshot().NewestSet().EffectiveAt
 		So(effectiveAt, ShouldBeGreaterThan, first.wall)
 		for _, trusted := range []bool{true, false} {
@@ -273,13 +267,7 @@
 
 func TestRequestsEndWithActivation(t *testing.T) {
 	Convey("A request received before a set's effective time is answered when that is past, with a full lease again", t, func() {
-		h := newHarness(3, store.New())
-		h.request("d1", store.Version{})
-		h.putSet(0)
-		h.request("d1", h.stored.Version)
-		h.request("d1", h.stored.Version)
-		h.putSet(1)
-		h.request("d1", h.stored.Version)
+		h := newHarnessWithSetAhead(3)
 		left := time.Duration(h.Snapshot().NewestSet().EffectiveAt - h.wall)
 		So(left, ShouldBeGreaterThan, 0)
 		h.advance(left - time.Millisecond)
--- a/internal/coordination/distribution/harness_test.go
+++ b/internal/coordination/distribution/harness_test.go
@@ -53,6 +53,19 @@
 	return h
 }
 
+// newHarnessWithSetAhead returns one with a leased node, d1, an active set, and a second
+// one whose effective time lies ahead.
+func newHarnessWithSetAhead(epoch uint64) *harness {
+	h := newHarness(epoch, store.New())
+	h.request("d1", store.Version{})
+	h.putSet(0)
+	h.request("d1", h.stored.Version)
+	h.request("d1", h.stored.Version)
+	h.putSet(1)
+	h.request("d1", h.stored.Version)
+	return h
+}
+
 func (h *harness) advance(span time.Duration) { h.now, h.wall = h.now+span, h.wall+int64(span) }
 
 // write carries out a write and returns the number of its puts.
--- /dev/null
+++ b/internal/coordination/distribution/leaselimit.go
@@ -0,0 +1,45 @@
+package distribution
+
+import (
+	"time"
+
+	"tansyseam/internal/state/model"
+)
+
+// maxLease returns the longest lease that may be granted beside sets that have yet to
+// take effect: a node whose lease lapses before need not be waited for.
+func (m *Machine) maxLease(wall int64) time.Duration {
+	if len(m.overdueSets(wall)) > 0 {
+		return 0
+	}
+	longest := m.timing.LeaseDuration
+	for _, set := range m.snapshot.Sets {
+		isPending := set.EffectiveAt == 0
+		isAhead := set.EffectiveAt > wall
+		if !isPending && !isAhead {
+			continue
+		}
+		if !m.clockTrusted && m.isInherited(set) {
+			return 0
+		}
+		longest = min(longest, remaining(max(set.AcceptedAt, set.NotBefore), m.timing.PreviousSetLimit(), wall))
+		if isPending {
+			longest = min(longest, remaining(set.AcceptedAt, m.timing.PendingSetLimit(), wall))
+		}
+	}
+	return longest
+}
+
+// isInherited says whether a set's effective time, or the set itself if it has none
+// yet, is of an earlier tenure.
+func (m *Machine) isInherited(set model.BindingSet) bool {
+	if set.EffectiveAt != 0 {
+		return set.ScheduledBy != m.tenure
+	}
+	return !m.inheritedVersion.IsBefore(m.setVersion(set))
+}
+
+// remaining returns what is left at a time of a span that started at another.
+func remaining(startedAt int64, span time.Duration, wall int64) time.Duration {
+	return max(time.Duration(startedAt-wall)+span, 0)
+}
--- a/internal/coordination/routing/commits.go
+++ b/internal/coordination/routing/commits.go
@@ -6,14 +6,16 @@
 	"tansyseam/internal/state/model"
 )
 
-// Verdicts on a commit that was executed.
+// Verdict is what is known of a commit that was executed.
+type Verdict int
+
 const (
 	// VerdictNone: it cannot be decided yet.
-	VerdictNone = ""
+	VerdictNone Verdict = iota
 	// VerdictDurable: the commit survives a change of the primary.
-	VerdictDurable = "kept"
+	VerdictDurable
 	// VerdictUnknown: the term is over, and the commit may be lost.
-	VerdictUnknown = "unknown"
+	VerdictUnknown
 )
 
 // MayWrite says whether a write of a term may be sent to the primary.
@@ -38,7 +40,7 @@
 // CommitVerdict decides on a commit that was executed in a term at a position. It is
 // durable once every replica that may be promoted has it, or if the next term began
 // past it. Otherwise it is unknown as soon as its term is over.
-func (m *Machine) CommitVerdict(database string, term uint64, position model.Position, now time.Duration) string {
+func (m *Machine) CommitVerdict(database string, term uint64, position model.Position, now time.Duration) Verdict {
 	if !m.lease.IsValid(now) {
 		return VerdictNone
 	}
--- a/internal/coordination/routing/reporter_test.go
+++ b/internal/coordination/routing/reporter_test.go
@@ -18,126 +18,169 @@
 	"tansyseam/internal/state/store"
 )
 
-func primary(name string, wall int64, now time.Duration) *distribution.Machine {
-	state := store.New()
-	var puts []store.Put
-	for number := range 4 {
-		writer := model.WriterRole{Database: fmt.Sprintf("db%d", number), Term: 1, Primary: fmt.Sprintf("i%d", number), Phase: model.PhaseOpen, SyncReplication: true}
-		puts = append(puts, store.Put{Key: model.PrefixWriterRole + writer.Database, Data: store.Encode(writer)})
+const databases = 4
+
+// newPrimary returns a primary at which node d1 is registered, with one instance of each
+// database as its primary.
+func newPrimary(name string, wall int64, now time.Duration) *distribution.Machine {
+	puts := []store.Put{{Key: model.PrefixNode + "d1", Data: store.EncodePlain(wall)}}
+	for number := range databases {
+		role := model.WriterRole{Database: fmt.Sprintf("db%d", number), Term: 1, Primary: fmt.Sprintf("i%d", number), Phase: model.PhaseOpen, SyncReplication: true}
+		puts = append(puts, store.Put{Key: model.PrefixWriterRole + role.Database, Data: store.Encode(role)})
 	}
-	puts = append(puts, store.Put{Key: model.PrefixNode + "d1", Data: store.EncodePlain(wall)})
+	state := store.New()
 	state.Apply(store.Version{Epoch: 1, Sequence: 1}, puts)
 	return distribution.New(name, lease.DefaultTiming(), consensus.Record{Epoch: 1, Primary: name}, state, now)
 }
 
-func evidenceOf(m *distribution.Machine, wall int64, now time.Duration) []syncrepl.Evidence {
-	var cases []syncrepl.Evidence
-	for number := range 4 {
-		cases = append(cases, m.SyncFailoverEvidence(fmt.Sprintf("db%d", number), nil, wall, now))
+// exchange simulates a node whose requests to a primary are abbreviated, may be lost,
+// duplicated and delayed. Another primary, to compare with, gets the same requests
+// unabbreviated.
+type exchange struct {
+	dice                *rand.Rand
+	now                 time.Duration
+	wall                int64
+	node                *Machine
+	actual, reference   *distribution.Machine
+	report              distribution.NodeReport
+	lastResponse        map[string]time.Duration
+	requests            []distribution.UpdateRequest
+	overtaken           int
+	omitted, reportsOut int
+}
+
+func newExchange(seed int64) *exchange {
+	e := &exchange{
+		dice: rand.New(rand.NewSource(seed)), now: time.Hour, wall: int64(1000 * time.Hour),
+		node:         New("d1", lease.DefaultTiming()),
+		report:       distribution.NodeReport{Node: "d1", HighWatermarks: map[string]model.Position{}},
+		lastResponse: map[string]time.Duration{},
+	}
+	e.replacePrimary("c1")
+	for number := range databases {
+		instance := model.Instance{Name: fmt.Sprintf("i%d", number), Database: fmt.Sprintf("db%d", number), Address: "x:1", SyncReplication: true}
+		e.report.Reports = append(e.report.Reports, distribution.InstanceReport{Instance: instance})
+	}
+	return e
+}
+
+func (e *exchange) oneIn(count int) bool { return e.dice.Intn(count) == 0 }
+
+func (e *exchange) replacePrimary(name string) {
+	e.actual, e.reference = newPrimary(name, e.wall, e.now), newPrimary(name, e.wall, e.now)
+}
+
+// changeReport changes one fact about one instance.
+func (e *exchange) changeReport() {
+	changed := &e.report.Reports[e.dice.Intn(databases)]
+	changes := []func(){
+		func() { e.lastResponse[changed.Instance.Name] = e.now },
+		func() { changed.Instance.Position.Index += uint64(e.dice.Intn(3)) },
+		func() { changed.Instance.Leaving = !changed.Instance.Leaving },
+		func() { changed.RefusedConnections = max(e.dice.Intn(8)-5, 0) },
+		func() { changed.OldestStatementAge = time.Duration(e.dice.Intn(8)/7) * time.Second },
+		func() { e.report.HighWatermarks[changed.Instance.Database] = changed.Instance.Position },
+	}
+	changes[e.dice.Intn(len(changes))]()
+	for index := range e.report.Reports {
+		report := &e.report.Reports[index]
+		report.ResponseAge = e.now - e.lastResponse[report.Instance.Name]
+	}
+}
+
+func (e *exchange) send(primary *distribution.Machine, request distribution.UpdateRequest) distribution.Update {
+	primary.HandleRequest(request, 1, e.now)
+	return primary.Flush(true, e.wall, e.now+distribution.DefaultPollTimeout)[0].Update
+}
+
+// step makes one request. It returns true if the node got an answer that both primaries
+// must agree after.
+func (e *exchange) step() bool {
+	e.now, e.wall = e.now+50*ms, e.wall+int64(50*ms)
+	e.changeReport()
+	if e.oneIn(40) {
+		e.replacePrimary("c2")
 	}
-	return cases
+	if e.oneIn(6) {
+		e.actual.HandleReport(e.node.DeltaReport(e.report, e.now), e.now)
+	}
+	request := e.node.DeltaUpdateRequest(e.report, e.now)
+	request.Incarnation = 7
+	if e.overtaken > 0 && e.oneIn(10) {
+		e.send(e.actual, e.requests[e.dice.Intn(e.overtaken)])
+	}
+	e.requests = append(e.requests, request)
+	e.omitted += len(e.report.Reports) - len(request.Reports)
+	e.reportsOut += len(request.Reports)
+	if requestLost := e.oneIn(8); requestLost {
+		return false
+	}
+	update := e.send(e.actual, request)
+	e.overtaken = len(e.requests) - 1
+	if answerLost := e.oneIn(8); answerLost {
+		return false
+	}
+	e.node.ApplyUpdate(update, e.now, e.now)
+	if request.BaselineTenure != 0 && update.Tenure != request.BaselineTenure {
+		So(update.LeaseDuration, ShouldEqual, 0)
+		return false
+	}
+	complete := request
+	complete.BaselineTenure, complete.Reports, complete.HighWatermarks = 0, e.report.Reports, e.report.HighWatermarks
+	e.send(e.reference, complete)
+	return true
 }
 
-func answered(m *distribution.Machine, request distribution.UpdateRequest, wall int64, now time.Duration) distribution.Update {
-	m.HandleRequest(request, 1, now)
-	return m.Flush(true, wall, now+distribution.DefaultPollTimeout)[0].Update
+// evidence prints a primary's evidence, without what depends on the number of requests.
+func (e *exchange) evidence(primary *distribution.Machine) string {
+	var all []syncrepl.Evidence
+	for number := range databases {
+		evidence := primary.SyncFailoverEvidence(fmt.Sprintf("db%d", number), nil, e.wall, e.now)
+		evidence.GapSequence, evidence.Tenure = 0, ""
+		for index := range evidence.Observations {
+			evidence.Observations[index].UnobservedFor = 0
+		}
+		all = append(all, evidence)
+	}
+	return fmt.Sprint(all)
 }
 
 func TestReporter(t *testing.T) {
 	Convey("Whatever is lost, duplicated or delayed, and whoever becomes primary, the evidence from abbreviated requests is that from complete ones", t, func() {
-		left, sent := 0, 0
+		omitted, sent := 0, 0
 		for seed := range int64(60) {
-			dice := rand.New(rand.NewSource(seed))
-			now, wall := time.Hour, int64(1000*time.Hour)
-			brief, complete := primary("c1", wall, now), primary("c1", wall, now)
-			node := New("d1", lease.DefaultTiming())
-			seen := distribution.NodeReport{Node: "d1", HighWatermarks: map[string]model.Position{}}
-			at := map[string]time.Duration{}
-			for number := range 4 {
-				one := model.Instance{Name: fmt.Sprintf("i%d", number), Database: fmt.Sprintf("db%d", number), Address: "x:1", SyncReplication: true}
-				seen.Reports = append(seen.Reports, distribution.InstanceReport{Instance: one})
-			}
-			var past []distribution.UpdateRequest
-			overtaken := 0
+			e := newExchange(seed)
 			for range 200 {
-				now, wall = now+50*ms, wall+int64(50*ms)
-				one := &seen.Reports[dice.Intn(4)]
-				turns := []func(){
-					func() { at[one.Instance.Name] = now },
-					func() { one.Instance.Position.Index += uint64(dice.Intn(3)) },
-					func() { one.Instance.Leaving = !one.Instance.Leaving },
-					func() { one.RefusedConnections = max(dice.Intn(8)-5, 0) },
-					func() { one.OldestStatementAge = time.Duration(dice.Intn(8)/7) * time.Second },
-					func() { seen.HighWatermarks[one.Instance.Database] = one.Instance.Position },
-				}
-				turns[dice.Intn(len(turns))]()
-				for rank := range seen.Reports {
-					seen.Reports[rank].ResponseAge = now - at[seen.Reports[rank].Instance.Name]
-				}
-				if dice.Intn(40) == 0 {
-					brief, complete = primary("c2", wall, now), primary("c2", wall, now)
-				}
-				if dice.Intn(6) == 0 {
-					report := node.DeltaReport(seen, now)
-					brief.HandleReport(report, now)
-				}
-				request := node.DeltaUpdateRequest(seen, now)
-				request.Incarnation = 7
-				if overtaken > 0 && dice.Intn(10) == 0 {
-					brief.HandleRequest(past[dice.Intn(overtaken)], 2, now)
-					brief.Flush(true, wall, now+distribution.DefaultPollTimeout)
-				}
-				past = append(past, request)
-				left, sent = left+len(seen.Reports)-len(request.Reports), sent+len(request.Reports)
-				if dice.Intn(8) == 0 {
+				if !e.step() {
 					continue
 				}
-				update := answered(brief, request, wall, now)
-				overtaken = len(past) - 1
-				if dice.Intn(8) == 0 {
-					continue
-				}
-				applied := request.BaselineTenure == 0 || update.Tenure == request.BaselineTenure
-				node.ApplyUpdate(update, now, now)
-				full := request
-				full.BaselineTenure, full.Reports, full.HighWatermarks = 0, seen.Reports, seen.HighWatermarks
-				if !applied {
-					So(update.LeaseDuration, ShouldEqual, 0)
-					continue
-				}
-				answered(complete, full, wall, now)
-				got, want := evidenceOf(brief, wall, now), evidenceOf(complete, wall, now)
-				for rank := range got {
-					got[rank].GapSequence, got[rank].Tenure, want[rank].GapSequence, want[rank].Tenure = 0, "", 0, ""
-					for at := range got[rank].Observations {
-						got[rank].Observations[at].UnobservedFor, want[rank].Observations[at].UnobservedFor = 0, 0
-					}
-				}
-				if fmt.Sprint(got) != fmt.Sprint(want) {
-					So(fmt.Sprintf("seed %d: %v", seed, got), ShouldEqual, fmt.Sprintf("seed %d: %v", seed, want))
+				got, want := e.evidence(e.actual), e.evidence(e.reference)
+				if got != want {
+					SoMsg(fmt.Sprintf("seed %d", seed), got, ShouldEqual, want)
 				}
 			}
+			omitted, sent = omitted+e.omitted, sent+e.reportsOut
 		}
-		SoMsg("reports left out", left, ShouldBeGreaterThan, sent/2)
+		SoMsg("reports left out", omitted, ShouldBeGreaterThan, sent/2)
 	})
 	Convey("A request that has nothing new to report on a hundred instances takes less than 200 bytes", t, func() {
 		node, now := New("d1", lease.DefaultTiming()), time.Hour
-		seen := distribution.NodeReport{Node: "d1", HighWatermarks: map[string]model.Position{}}
+		report := distribution.NodeReport{Node: "d1", HighWatermarks: map[string]model.Position{}}
 		for number := range 100 {
-			one := model.Instance{Name: fmt.Sprintf("i%d", number), Database: fmt.Sprintf("db%d", number), Address: "10.0.0.1:5432", Zone: "z", SyncReplication: true, Position: model.Position{Term: 1, Index: 9}}
-			seen.Reports = append(seen.Reports, distribution.InstanceReport{Instance: one, ResponseAge: time.Second})
-			seen.HighWatermarks[one.Database] = one.Position
+			instance := model.Instance{Name: fmt.Sprintf("i%d", number), Database: fmt.Sprintf("db%d", number), Address: "10.0.0.1:5432", Zone: "z", SyncReplication: true, Position: model.Position{Term: 1, Index: 9}}
+			report.Reports = append(report.Reports, distribution.InstanceReport{Instance: instance, ResponseAge: time.Second})
+			report.HighWatermarks[instance.Database] = instance.Position
 		}
 		size := func() int {
-			for rank := range seen.Reports {
-				seen.Reports[rank].ResponseAge += 500 * ms
+			for index := range report.Reports {
+				report.Reports[index].ResponseAge += 500 * ms
 			}
 			now += 500 * ms
 			var stream bytes.Buffer
 			encoder := gob.NewEncoder(&stream)
 			So(encoder.Encode(distribution.UpdateRequest{}), ShouldBeNil)
 			previous := stream.Len()
-			So(encoder.Encode(node.DeltaUpdateRequest(seen, now)), ShouldBeNil)
+			So(encoder.Encode(node.DeltaUpdateRequest(report, now)), ShouldBeNil)
 			return stream.Len() - previous
 		}
 		So(size(), ShouldBeGreaterThan, 5000)
