--- a/internal/coordination/membership/machine.go
+++ b/internal/coordination/membership/machine.go
@@ -21,7 +21,7 @@
 	lastHeartbeat   time.Duration
 	lastSeedContact time.Duration
 	seedContacts    int
-	// selfGossipUntil is until when this node's whole entry is attached to its
+	// selfGossipUntil is until when this node's complete entry is attached to its
 	// messages, and gossipUntil the latest time until which any other is.
 	selfGossipUntil time.Duration
 	gossipUntil     time.Duration
--- a/internal/coordination/membership/peer.go
+++ b/internal/coordination/membership/peer.go
@@ -24,7 +24,7 @@
 	// digests were last compared with it.
 	digest       uint64
 	lastCompared time.Duration
-	// knowsSelf says that the node has this node's whole entry.
+	// knowsSelf says that the node has this node's complete entry.
 	knowsSelf bool
 	// lastRequested is when its heartbeats were last subscribed to,
 	// subscribedUntil is until when it subscribes to those of this node, and
--- a/internal/coordination/membership/suspicion.go
+++ b/internal/coordination/membership/suspicion.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// refuteSuspicions has a peer's new entry told to all if it refutes a suspicion.
+// refuteSuspicions gossips a peer's new entry to all if it refutes a suspicion.
 func (m *Machine) refuteSuspicions(other *peer, node model.Node, now time.Duration) {
 	for suspicion := range m.suspicions {
 		if suspicion.Node == node.Name && suspicion.isRefutedBy(node) {
--- a/internal/protocol/message/message.go
+++ b/internal/protocol/message/message.go
@@ -1,4 +1,9 @@
-// Package message names the messages between the fleet's processes.
+// Package message lists the messages between the fleet's processes, and holds the
+// form in which they are sent.
+//
+// The types that only carry a call or its answer are defined here; the others
+// belong to the packages that decide by them. What a receiver does with a second
+// copy of a message is described in docs/design/messages.md.
 package message
 
 import (
@@ -9,56 +14,69 @@
 	"tansyseam/internal/state/model"
 )
 
-// PassNews asks a watched peer to pass an ask on to the primary.
+// ForwardUpdateRequest asks a proxy node to forward a peer's update request to the
+// control primary. The reply is the update.
 type ForwardUpdateRequest struct{ Request distribution.UpdateRequest }
 
-// Operate passes an operator's checked call on to the control primary.
+// OperatorCall forwards an operator's call to the control primary. Its body has
+// the shape that the schema gives the path.
 type OperatorCall struct {
 	Path string
 	Body []byte
 }
 
-// Operated is its answer.
+// OperatorCallResult replies to an OperatorCall with the HTTP status and the body
+// of the answer.
 type OperatorCallResult struct {
 	Status int
 	Body   []byte
-	// IsElsewhere says that this machine is not primary; Primary is whom it
-	// holds to be.
+	// NotPrimary says that the node is not the control primary and did nothing.
+	// Primary is then the name of the node that it believes to be.
 	NotPrimary bool
 	Primary    string
 }
 
-// AskCase asks the primary for the databases, and for the case of one.
+// EvidenceRequest asks the control primary for the failover evidence of a
+// database, or for the lists of databases if none is named.
 type EvidenceRequest struct{ Database string }
 
-// Announce passes a synced instance's announcement on to the control primary.
-type InstanceAnnouncement struct{ Instance model.Instance }
-
-// Announced is its answer; Door is where later announcements had best go.
-type AnnouncementResult struct {
-	Accepted    bool
-	HTTPAddress string
-}
-
-// CaseAnswer gives it.
+// EvidenceResponse replies to an EvidenceRequest.
 type EvidenceResponse struct {
+	// FromPrimary says that the node is the control primary. The rest is not set
+	// otherwise.
 	FromPrimary bool
-	Databases   []string
-	Evidence    asyncrepl.Evidence
-	// Synced are those of the databases whose instances judge themselves when
-	// a commit is safe; Takeover is the case of one of them.
+	// Databases lists all databases, if the request names none.
+	Databases []string
+	// Evidence is that of the named database, if its replication is asynchronous.
+	Evidence asyncrepl.Evidence
+	// SyncedDatabases are those of the databases whose replication is synchronous.
 	SyncedDatabases []string
-	SyncedEvidence  syncrepl.Evidence
+	// SyncedEvidence is that of the named database, if its replication is
+	// synchronous.
+	SyncedEvidence syncrepl.Evidence
 }
 
-// Recorded answers a RecordCase.
+// RecordResult replies to a distribution.WriterRoleChange: whether the control
+// primary stored it.
 type RecordResult struct{ Stored bool }
 
-// Turned tells a data-plane node of another control primary.
+// InstanceAnnouncement forwards the announcement of an instance with synchronous
+// replication to the control primary.
+type InstanceAnnouncement struct{ Instance model.Instance }
+
+// AnnouncementResult replies to an InstanceAnnouncement. HTTPAddress is where the
+// instance had best send the next one.
+type AnnouncementResult struct {
+	Accepted    bool
+	HTTPAddress string
+}
+
+// EpochChanged tells a proxy node of a newer epoch record, so that it need not
+// wait for a silent primary.
 type EpochChanged struct{ Record consensus.Record }
 
-// Query asks a node for its part of the fleet view, as JSON.
+// QueryRequest asks a node for its part of a query about the fleet.
 type QueryRequest struct{ What string }
 
-// QueryAnswer gives it.
+// QueryResponse replies to a QueryRequest. The body is JSON.
 type QueryResponse struct{ Body []byte }
--- a/internal/transport/httpserver/writer.go
+++ b/internal/transport/httpserver/writer.go
@@ -29,7 +29,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { handler.ServeHTTP(sizedWriter{w, r}, r) })
 }
 
-// Write sets the Content-Length and writes the whole body.
+// Write sets the Content-Length and writes the complete body.
 func (w sizedWriter) Write(body []byte) (int, error) {
 	if w.Header().Get("Content-Length") == "" {
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
