--- a/internal/coordination/consensus/events.go
+++ b/internal/coordination/consensus/events.go
@@ -8,7 +8,7 @@
 
 // The events that Machine.Step takes.
 type (
-	// Tick is due every few milliseconds.
+	// Tick is due several times within each span of Timing.
 	Tick struct {
 		// WallNanos is this node's wall clock.
 		WallNanos int64
--- a/internal/coordination/consensus/replication.go
+++ b/internal/coordination/consensus/replication.go
@@ -134,7 +134,8 @@
 		m.noteSpareVersion(from, ack.Version, ack.Synced, now)
 		return
 	}
-	if m.pendingWrite == nil || from != m.voterState.Decided.Backup || ack.Version != m.pendingWrite.version || !m.isRecordedPrimary() {
+	isAwaited := m.pendingWrite != nil && ack.Version == m.pendingWrite.version
+	if !isAwaited || from != m.voterState.Decided.Backup || !m.isRecordedPrimary() {
 		return
 	}
 	if ack.Synced {
--- a/internal/coordination/proposal/doc.go
+++ b/internal/coordination/proposal/doc.go
@@ -1,4 +1,4 @@
-// Package proposal has two kinds of majority vote among the control machines.
+// Package proposal has two kinds of majority vote among the control nodes.
 //
 // Single-decree Paxos settles one value for good: a Proposer collects promises for a
 // Number and then acceptances of a value, and each voter is an Acceptor. Package
--- a/internal/coordination/proposal/election.go
+++ b/internal/coordination/proposal/election.go
@@ -15,7 +15,7 @@
 
 // Vote answers a VoteRequest.
 type Vote struct {
-	// Voter is who voted: another machine may answer at an address than the one
+	// Voter is who voted: another node may answer at an address than the one
 	// that was asked.
 	Voter   string
 	Role    string
@@ -33,7 +33,7 @@
 	until     time.Duration
 }
 
-// Grantor gives the votes of one machine. Votes are not stored: a voter that starts
+// Grantor gives the votes of one node. Votes are not stored: a voter that starts
 // gives none until those of its run before have lapsed.
 type Grantor struct {
 	duration       time.Duration
@@ -70,7 +70,7 @@
 	return vote
 }
 
-// VacantFor gives for how long no vote of this machine has been binding for a role.
+// VacantFor gives for how long no vote of this node has been binding for a role.
 func (g *Grantor) VacantFor(role string, now time.Duration) time.Duration {
 	return max(now-max(g.grants[role].until, g.suspendedUntil), 0)
 }
--- a/test/cmd/modelcheck/main.go
+++ b/test/cmd/modelcheck/main.go
@@ -25,7 +25,7 @@
 	maxStates := flag.Int("most", 0, "end each search after so many states, where given")
 	jobs := flag.Int("jobs", 2, "shapes searched at once")
 	flag.Parse()
-	configs := modelcheck.TestConfigs()
+	configs := modelcheck.QuickConfigs()
 	if *deep {
 		configs = modelcheck.DeepConfigs()
 	}
@@ -76,8 +76,8 @@
 	for _, fault := range config.AllowedFaults {
 		faults = append(faults, string(fault))
 	}
-	return fmt.Sprintf("%d machines, %d faults (%s; at %s), %d disks lost, %d rounds of %v",
-		config.Machines, config.MaxFaults, listOrAny(faults), listOrAny(config.FaultHosts), config.MaxWipes,
+	return fmt.Sprintf("%d voters, %d faults (%s; at %s), %d disks lost, %d rounds of %v",
+		config.Voters, config.MaxFaults, listOrAny(faults), listOrAny(config.FaultHosts), config.MaxWipes,
 		config.Rounds, cmp.Or(config.RoundDuration, defaultRound))
 }
 
--- a/test/modelcheck/config.go
+++ b/test/modelcheck/config.go
@@ -4,8 +4,8 @@
 
 // Config bounds a search.
 type Config struct {
-	// Machines is how many nodes vote at first, Standbys how many have blank disks.
-	Machines, Standbys int
+	// Voters is how many nodes vote at first, Standbys how many have blank disks.
+	Voters, Standbys int
 	// RoundDuration is how long a round lasts, 100 ms where it is 0.
 	RoundDuration time.Duration
 	// MaxFaults is how many faults may happen, and MaxWipes how many of them may be
--- a/test/modelcheck/modelcheck_test.go
+++ b/test/modelcheck/modelcheck_test.go
@@ -25,7 +25,7 @@
 
 func TestNoTraceViolatesAnInvariant(t *testing.T) {
 	Convey("No sequence of events within the bounds violates an invariant, and epochs change and writes are committed in them", t, func() {
-		configs := TestConfigs()
+		configs := QuickConfigs()
 		for index, result := range runAll(configs) {
 			about := fmt.Sprintf("%+v: %d states\n%s", configs[index], result.States, strings.Join(result.Trace, "\n"))
 			t.Log(configs[index], result.States, result.Steps, result.HighestEpoch, result.AckedWrites)
@@ -40,7 +40,7 @@
 
 func TestDeterministic(t *testing.T) {
 	Convey("The same Config gives the same Result", t, func() {
-		config := Config{Machines: 3, MaxFaults: 1, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 3, Writes: 1, RequiredReplicas: 2}
+		config := Config{Voters: 3, MaxFaults: 1, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 3, Writes: 1, RequiredReplicas: 2}
 		results := runAll([]Config{config, config, config})
 		So(results[0].States, ShouldBeGreaterThan, 500)
 		So(results[1], ShouldResemble, results[0])
@@ -55,20 +55,24 @@
 		violation string
 	}{
 		{"a blank machine votes", Config{
-			Machines: 3, MaxFaults: 1, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 3, Writes: 1, RequiredReplicas: 2, AllowedFaults: []Fault{Wiped}, Defect: Defect{BlankDiskVotes: true},
+			Voters: 3, MaxFaults: 1, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 3, Writes: 1, RequiredReplicas: 2,
+			AllowedFaults: []Fault{Wiped}, Defect: Defect{BlankDiskVotes: true},
 		}, "disk is blank"},
 		{"a promise is sent before it is synced", Config{
-			Machines: 3, MaxFaults: 2, RoundDuration: coarseRound, Rounds: 6, RequiredReplicas: 2, AllowedFaults: []Fault{Frozen, Killed}, FaultHosts: []string{"c1", "c3"}, Defect: Defect{VotesUnsynced: true},
+			Voters: 3, MaxFaults: 2, RoundDuration: coarseRound, Rounds: 6, RequiredReplicas: 2,
+			AllowedFaults: []Fault{Frozen, Killed}, FaultHosts: []string{"c1", "c3"}, Defect: Defect{VotesUnsynced: true},
 		}, "after"},
 		{"a write is acknowledged before the backup has synced it", Config{
-			Machines: 3, RoundDuration: coarseRound, Rounds: 2, Writes: 1, RequiredReplicas: 2, Defect: Defect{AssumesBackupAck: true},
+			Voters: 3, RoundDuration: coarseRound, Rounds: 2, Writes: 1, RequiredReplicas: 2, Defect: Defect{AssumesBackupAck: true},
 		}, "synced on 1 disks"},
 		{"a backup that lost its disk is restarted, and takes itself for the voter that it was", Config{
-			Machines: 5, MaxFaults: 3, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 9, RequiredReplicas: 2, AllowedFaults: []Fault{Wiped, Killed}, FaultHosts: []string{"c1", "c2"},
+			Voters: 5, MaxFaults: 3, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 9, RequiredReplicas: 2,
+			AllowedFaults: []Fault{Wiped, Killed}, FaultHosts: []string{"c1", "c2"},
 			Defect: Defect{ReusesIncarnation: true},
 		}, "disk is blank"},
 		{"a machine that starts again counts the voters before a replacement", Config{
-			Machines: 3, Standbys: 1, MaxFaults: 2, RoundDuration: longRound, Rounds: 16, RequiredReplicas: 2, AllowedFaults: []Fault{Killed}, FaultHosts: []string{"c1", "c3"}, FaultsWhenHealthyOnly: true,
+			Voters: 3, Standbys: 1, MaxFaults: 2, RoundDuration: longRound, Rounds: 16, RequiredReplicas: 2,
+			AllowedFaults: []Fault{Killed}, FaultHosts: []string{"c1", "c3"}, FaultsWhenHealthyOnly: true,
 			Defect: Defect{UsesBootstrapVoters: true},
 		}, "has two records"},
 	}
@@ -96,7 +100,7 @@
 
 func TestKeys(t *testing.T) {
 	Convey("A state that differs in one machine's promise, time or message under way has another key; one reached again has the same", t, func() {
-		config := Config{Machines: 3, RoundDuration: coarseRound, Rounds: 2}
+		config := Config{Voters: 3, RoundDuration: coarseRound, Rounds: 2}
 		w := newWorld(&config)
 		w.trace = nil
 		first := w.key()
--- a/test/modelcheck/world.go
+++ b/test/modelcheck/world.go
@@ -60,14 +60,14 @@
 // newWorld makes a cluster that is formed and settled.
 func newWorld(config *Config) *world {
 	w := &world{config: config, now: startTime, maxWrites: settlingWrites, records: map[uint64]consensus.Record{}}
-	for number := range config.Machines + config.Standbys {
+	for number := range config.Voters + config.Standbys {
 		w.hosts = append(w.hosts, &host{
 			name:     fmt.Sprintf("c%d", number+1),
 			promises: map[uint64]proposal.Number{}, accepts: map[uint64]proposal.Number{},
 		})
 	}
 	for index, h := range w.hosts {
-		if index < config.Machines {
+		if index < config.Voters {
 			saved := w.bootstrapped(h.name)
 			w.records[saved.VoterState.Decided.Epoch] = saved.VoterState.Decided
 			h.files = files{identity: store.Encode(*saved.Identity), voterState: saved.VoterState, table: store.Encode(*saved.Table)}
@@ -85,7 +85,7 @@
 
 // bootstrapped gives the files of a voter of a cluster that was just formed.
 func (w *world) bootstrapped(self string) consensus.PersistentState {
-	voters := w.names()[:w.config.Machines]
+	voters := w.names()[:w.config.Voters]
 	var members []consensus.Member
 	for _, name := range voters {
 		members = append(members, consensus.Member{Name: name})
