--- a/internal/coordination/failover/asyncrepl/step_test.go
+++ b/internal/coordination/failover/asyncrepl/step_test.go
@@ -10,14 +10,14 @@
 	"tansyseam/internal/state/model"
 )
 
-func newObservation(name, role string, term, index uint64, heard time.Duration) Observation {
-	one := Observation{ContactAge: heard, ReportingNodes: 5, Instance: model.Instance{
+func newObservation(name, role string, term, index uint64, contactAge time.Duration) Observation {
+	observed := Observation{ContactAge: contactAge, ReportingNodes: 5, Instance: model.Instance{
 		Name: name, Database: "db", Role: role, Incarnation: name + "-1", Term: term, Position: model.Position{Term: term, Index: index},
 	}}
-	if heard > DefaultTiming().SilenceTimeout {
-		one.SilentNodes = 5
+	if contactAge > DefaultTiming().SilenceTimeout {
+		observed.SilentNodes = 5
 	}
-	return one
+	return observed
 }
 
 func openTerm() Evidence {
@@ -54,9 +54,9 @@
 	})
 	Convey("A primary that leaves, steps down or comes back blank has its term closed", t, func() {
 		for _, change := range []func(*model.Instance){
-			func(x *model.Instance) { x.Leaving = true },
-			func(x *model.Instance) { x.Role = model.RoleReplica },
-			func(x *model.Instance) { x.Incarnation = "a-2" },
+			func(instance *model.Instance) { instance.Leaving = true },
+			func(instance *model.Instance) { instance.Role = model.RoleReplica },
+			func(instance *model.Instance) { instance.Incarnation = "a-2" },
 		} {
 			evidence := openTerm()
 			change(&evidence.Observations[0].Instance)
@@ -99,14 +99,14 @@
 	})
 	Convey("One that is behind what was confirmed, reborn, unheard or no candidate is never chosen", t, func() {
 		for _, change := range []func(*Evidence, *Observation){
-			func(_ *Evidence, x *Observation) { x.Instance.Position.Index = 94 },
-			func(_ *Evidence, x *Observation) { x.Instance.Incarnation = "new" },
-			func(_ *Evidence, x *Observation) { x.ContactAge = 2 * time.Second },
-			func(evidence *Evidence, x *Observation) {
+			func(_ *Evidence, observed *Observation) { observed.Instance.Position.Index = 94 },
+			func(_ *Evidence, observed *Observation) { observed.Instance.Incarnation = "new" },
+			func(_ *Evidence, observed *Observation) { observed.ContactAge = 2 * time.Second },
+			func(evidence *Evidence, observed *Observation) {
 				evidence.Writer.Candidates = map[string]string{"c": "c-1"}
-				x.Instance.Position.Index = 500
+				observed.Instance.Position.Index = 500
 			},
-			func(_ *Evidence, x *Observation) { x.Instance.Leaving = true },
+			func(_ *Evidence, observed *Observation) { observed.Instance.Leaving = true },
 		} {
 			evidence := closed()
 			change(&evidence, &evidence.Observations[1])
@@ -177,12 +177,12 @@
 }
 
 func TestIntentIgnoresStalePosition(t *testing.T) {
-	intended := func(placed time.Duration) Evidence {
+	intended := func(positionAge time.Duration) Evidence {
 		evidence := openTerm()
 		evidence.Observations[0] = newObservation("a", model.RolePrimary, 1, 100, 2*time.Second)
 		evidence.Writer.Phase, evidence.Writer.Promoting, evidence.WallNanos, evidence.Writer.LastTransitionAt = model.PhasePromoting, "b", int64(10100*time.Millisecond), int64(10*time.Second)
 		evidence.Observations[1] = newObservation("b", model.RoleReplica, 1, 90, 10*time.Millisecond)
-		evidence.Observations[1].PositionAge = placed
+		evidence.Observations[1].PositionAge = positionAge
 		return evidence
 	}
 	Convey("An intent is not given up for a position that its replica told before it, however lately it was heard", t, func() {
--- a/internal/coordination/failover/syncrepl/observer.go
+++ b/internal/coordination/failover/syncrepl/observer.go
@@ -7,24 +7,102 @@
 	"tansyseam/internal/state/model"
 )
 
+// probeRetention is how long the result of a probe is kept.
 const probeRetention = 2 * time.Minute
 
+// Observer keeps what one control server learned from its own probes and
+// promote calls, for each database. It is not safe for concurrent use.
+type Observer struct {
+	self      string
+	databases map[string]*databaseHistory
+}
+
+// NewObserver returns an observer without history for the control server of a
+// name.
+func NewObserver(self string) *Observer {
+	return &Observer{self: self, databases: map[string]*databaseHistory{}}
+}
+
+// Augment returns the evidence with the probes and calls of this server added.
+func (o *Observer) Augment(evidence Evidence, now time.Duration) Evidence {
+	history := o.history(evidence.Database)
+	history.enterEpisode(newEpisode(evidence.Writer))
+	evidence.Self = o.self
+	evidence.Probes = history.probeResults(now)
+	evidence.PromoteCalls = history.promoteCalls(now)
+	return evidence
+}
+
+// RecordCommitted notes that a record was committed. The effects that follow it
+// in the same step belong to the episode that it begins.
+func (o *Observer) RecordCommitted(record failover.Record) {
+	o.history(record.Writer.Database).enterEpisode(newEpisode(record.Writer))
+}
+
+// BeginProbe notes that an instance is sent an order on this evidence. The
+// returned function takes the outcome and its time; the zero result stands for
+// no answer. BeginProbe returns nil while an order to the instance is in flight.
+func (o *Observer) BeginProbe(evidence Evidence, instance string) func(result ProbeResult, now time.Duration) {
+	history := o.history(evidence.Database)
+	probe, found := history.probes[instance]
+	if !found {
+		probe = &probeState{}
+		history.probes[instance] = probe
+	}
+	if probe.inFlight {
+		return nil
+	}
+	probe.inFlight = true
+	sentIn := history.episode
+	return func(result ProbeResult, now time.Duration) {
+		result.AfterSettled = evidence.Settled && history.episode == sentIn && newEpisode(evidence.Writer) == sentIn
+		result.GapSequence = evidence.GapSequence
+		result.Tenure = evidence.Tenure
+		*probe = probeState{result: result, finishedAt: now}
+	}
+}
+
+// BeginPromote notes that a promote call is made. The returned function takes
+// the HTTP status, 0 for no answer, and whether the call was never sent.
+func (o *Observer) BeginPromote(call Promote, now time.Duration) func(status int, unsent bool) {
+	history := o.history(call.Database)
+	attempt := &promoteAttempt{call: PromoteCall{Instance: call.Instance, FencingToken: call.FencingToken}, startedAt: now}
+	history.attempts = append(history.attempts, attempt)
+	return func(status int, unsent bool) {
+		attempt.call.Status = status
+		attempt.call.Unsent = unsent
+	}
+}
+
+func (o *Observer) history(database string) *databaseHistory {
+	history, found := o.databases[database]
+	if !found {
+		history = &databaseHistory{probes: map[string]*probeState{}}
+		o.databases[database] = history
+	}
+	return history
+}
+
+// episode identifies a stay of the writer role in one phase. Of two closings of
+// a term, each is an episode of its own.
 type episode struct {
-	term          uint64
-	phase, intent string
-	since         int64
+	term      uint64
+	phase     string
+	promoting string
+	closingAt int64
 }
 
 func newEpisode(writer model.WriterRole) episode {
-	one := episode{term: writer.Term, phase: writer.Phase, intent: writer.Promoting}
+	current := episode{term: writer.Term, phase: writer.Phase, promoting: writer.Promoting}
 	if writer.Phase == model.PhaseClosing {
-		one.since = writer.LastTransitionAt
+		current.closingAt = writer.LastTransitionAt
 	}
-	return one
+	return current
 }
 
 type probeState struct {
-	result     ProbeResult
+	result ProbeResult
+	// finishedAt is zero until the first order has an outcome.
 	finishedAt time.Duration
 	inFlight   bool
 }
@@ -34,103 +112,50 @@
 	startedAt time.Duration
 }
 
-// evidence is what the holder saw of one database: looks last from episode to
-// episode, but count as seen after the settling only within their own.
+// databaseHistory is what is known of one database. Probe results outlast an
+// episode, but count as sent after it was settled in their own only.
 type databaseHistory struct {
 	episode  episode
 	probes   map[string]*probeState
 	attempts []*promoteAttempt
 }
 
-func (e *databaseHistory) enterEpisode(to episode) {
-	if e.episode == to {
+func (h *databaseHistory) enterEpisode(next episode) {
+	if h.episode == next {
 		return
 	}
-	e.episode, e.attempts = to, nil
-	for _, one := range e.probes {
-		one.result.AfterSettled = false
-	}
-}
-
-// Holder keeps what one control machine itself learned of the databases whose
-// duty it holds, or held.
-type Observer struct {
-	self      string
-	databases map[string]*databaseHistory
-}
-
-// NewHolder makes one that has seen nothing.
-func NewObserver(self string) *Observer {
-	return &Observer{self: self, databases: map[string]*databaseHistory{}}
-}
-
-func (h *Observer) history(database string) *databaseHistory {
-	history, found := h.databases[database]
-	if !found {
-		history = &databaseHistory{probes: map[string]*probeState{}}
-		h.databases[database] = history
+	h.episode = next
+	h.attempts = nil
+	for _, probe := range h.probes {
+		probe.result.AfterSettled = false
 	}
-	return history
 }
 
-// Show gives the case with what the holder itself saw in it.
-func (h *Observer) Augment(evidence Evidence, now time.Duration) Evidence {
-	history := h.history(evidence.Database)
-	history.enterEpisode(newEpisode(evidence.Writer))
-	evidence.Self, evidence.Probes, evidence.PromoteCalls = h.self, map[string]ProbeResult{}, nil
-	for name, one := range history.probes {
-		if one.finishedAt == 0 {
+// probeResults gives the results by instance, and drops those past retention.
+func (h *databaseHistory) probeResults(now time.Duration) map[string]ProbeResult {
+	results := map[string]ProbeResult{}
+	for name, probe := range h.probes {
+		if probe.finishedAt == 0 {
 			continue
 		}
-		if now-one.finishedAt > probeRetention && !one.inFlight {
-			delete(history.probes, name)
+		age := now - probe.finishedAt
+		if age > probeRetention && !probe.inFlight {
+			delete(h.probes, name)
 			continue
 		}
-		probe := one.result
-		probe.Age = now - one.finishedAt
-		evidence.Probes[name] = probe
-	}
-	for _, one := range history.attempts {
-		call := one.call
-		call.Age = now - one.startedAt
-		evidence.PromoteCalls = append(evidence.PromoteCalls, call)
+		result := probe.result
+		result.Age = age
+		results[name] = result
 	}
-	return evidence
+	return results
 }
 
-// Recorded takes in that a record which the holder asked for is kept; what
-// Step gave after it is carried out then.
-func (h *Observer) RecordCommitted(record failover.Record) {
-	h.history(record.Writer.Database).enterEpisode(newEpisode(record.Writer))
-}
-
-// Order takes in that an instance is given an order, and gives the function to
-// be told what came of it, with the time: an empty Seen where nothing did. It
-// gives nil while an order to the instance is under way.
-func (h *Observer) BeginProbe(evidence Evidence, instance string) func(probe ProbeResult, now time.Duration) {
-	history := h.history(evidence.Database)
-	one, known := history.probes[instance]
-	if !known {
-		one = &probeState{}
-		history.probes[instance] = one
-	}
-	if one.inFlight {
-		return nil
+func (h *databaseHistory) promoteCalls(now time.Duration) []PromoteCall {
+	var calls []PromoteCall
+	for _, attempt := range h.attempts {
+		call := attempt.call
+		call.Age = now - attempt.startedAt
+		calls = append(calls, call)
 	}
-	one.inFlight = true
-	asked := history.episode
-	return func(probe ProbeResult, now time.Duration) {
-		probe.AfterSettled = evidence.Settled && history.episode == asked && newEpisode(evidence.Writer) == asked
-		probe.GapSequence, probe.Tenure = evidence.GapSequence, evidence.Tenure
-		one.inFlight, one.finishedAt, one.result = false, now, probe
-	}
-}
-
-// Call takes in that the promote call is made, and gives the function to be
-// told the status answered, and whether the call left this machine at all.
-func (h *Observer) BeginPromote(call Promote, now time.Duration) func(status int, isUnsent bool) {
-	history := h.history(call.Database)
-	one := &promoteAttempt{call: PromoteCall{Instance: call.Instance, FencingToken: call.FencingToken}, startedAt: now}
-	history.attempts = append(history.attempts, one)
-	return func(status int, isUnsent bool) { one.call.Status, one.call.Unsent = status, isUnsent }
+	return calls
 }
--- /dev/null
+++ b/internal/coordination/failover/syncrepl/open.go
@@ -0,0 +1,100 @@
+package syncrepl
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+
+	"tansyseam/internal/coordination/failover"
+	"tansyseam/internal/state/model"
+)
+
+// onOpen closes the term of a suspected primary, and otherwise maintains the
+// open term.
+func onOpen(evidence Evidence, timing Timing) []any {
+	primary, known := evidence.observation(evidence.Writer.Primary)
+	reason, suspected := suspectPrimary(evidence, primary, known, timing)
+	if !suspected {
+		return maintainOpenTerm(evidence, primary, known, timing)
+	}
+	reason = evidence.Writer.Primary + " " + reason
+	if !hasOtherInstance(evidence, timing) {
+		return failover.RecordReason(evidence.Writer, reason+", and no other instance can be heard")
+	}
+	return []any{failover.CloseTerm(evidence.Writer, evidence.WallNanos, reason)}
+}
+
+func hasOtherInstance(evidence Evidence, timing Timing) bool {
+	return slices.ContainsFunc(evidence.Observations, func(observed Observation) bool {
+		instance := observed.Instance
+		usable := instance.Name != evidence.Writer.Primary && !instance.Leaving && !instance.Stopped
+		return usable && evidence.contactAge(observed) <= timing.MaxContactAge
+	})
+}
+
+// maintainOpenTerm demotes other primaries, closes reporting gaps and records
+// changes of the set of replicas.
+func maintainOpenTerm(evidence Evidence, primary Observation, known bool, timing Timing) []any {
+	var effects []any
+	for _, observed := range evidence.Observations {
+		effects = append(effects, demoteRival(evidence, observed, timing)...)
+	}
+	coversGap := primaryCoversGap(evidence)
+	if !evidence.IsBoundComplete() && coversGap {
+		effects = append(effects, ReportBound{
+			Database: evidence.Database, Tenure: evidence.Tenure, GapSequence: evidence.GapSequence,
+			Position: evidence.Probes[evidence.Writer.Primary].Position,
+		})
+	}
+	missesBound := !evidence.IsBoundComplete() && !coversGap
+	inDoubt := evidence.isUnobserved(primary, timing) || evidence.currentRole(primary) == model.RoleReplica
+	if known && (missesBound || inDoubt) && evidence.probeDue(evidence.Writer.Primary, timing.IdleProbeInterval) {
+		effects = append(effects, queryStatus(primary.Instance))
+	}
+	replicas := knownReplicas(evidence, timing)
+	if !maps.Equal(replicas, evidence.Writer.RequiredReplicas) {
+		writer := model.CloneWriterRole(evidence.Writer)
+		writer.RequiredReplicas = replicas
+		names := slices.Sorted(maps.Keys(replicas))
+		return append(effects, failover.Record{Writer: writer, Change: "replicas known", Reason: fmt.Sprint(names)})
+	}
+	return append(effects, failover.ClearReason(evidence.Writer)...)
+}
+
+// primaryCoversGap says whether the primary gave its position after the last
+// event that made reports incomplete: that position covers all commits before.
+func primaryCoversGap(evidence Evidence) bool {
+	probe := evidence.Probes[evidence.Writer.Primary]
+	return probe.leads(evidence.Writer.Term) && probe.GapSequence >= evidence.GapSequence && probe.Tenure == evidence.Tenure
+}
+
+// knownReplicas gives the replicas that may hold commits: those with recent
+// contact, and recorded ones, which are forgotten only while the commit bound is
+// complete.
+func knownReplicas(evidence Evidence, timing Timing) map[string]string {
+	replicas := evidence.recentReplicas(evidence.Writer.Primary, timing)
+	mayForget := evidence.IsBoundComplete() && evidence.GatheredFor > timing.ReplicaRetention
+	for name := range evidence.Writer.RequiredReplicas {
+		observed, known := evidence.observation(name)
+		expired := !known || evidence.contactAge(observed) > timing.ReplicaRetention
+		if name != evidence.Writer.Primary && !(mayForget && expired) {
+			replicas[name] = ""
+		}
+	}
+	return replicas
+}
+
+// demoteRival orders another instance out of the role of primary of an earlier
+// term, after it has confirmed that it still claims it.
+func demoteRival(evidence Evidence, observed Observation, timing Timing) []any {
+	instance := observed.Instance
+	rival := instance.Name != evidence.Writer.Primary && !instance.Stopped && evidence.claimsPrimary(observed, timing)
+	if !rival || !evidence.probeDue(instance.Name, timing.StepDownInterval) {
+		return nil
+	}
+	probe := evidence.Probes[instance.Name]
+	if probe.Answered && probe.Term < evidence.Writer.Term {
+		return []any{StepDown{Instance: instance.Name, Address: instance.Address, Term: evidence.Writer.Term}}
+	}
+	return []any{queryStatus(instance)}
+}
