--- a/internal/app/httpproxy/proxy.go
+++ b/internal/app/httpproxy/proxy.go
@@ -59,7 +59,7 @@
 }
 
 // New makes the proxy and registers its handlers at the node; Start begins to
-// serve. It fails where the node's RPC address is none to dial from.
+// serve. It fails if no client can be bound to the host of the RPC address.
 func New(host *node.Node) (*Proxy, error) {
 	cfg := host.Config()
 	localIP, _, _ := net.SplitHostPort(cfg.RPCAddress)
--- a/internal/coordination/flowcontrol/parameters.go
+++ b/internal/coordination/flowcontrol/parameters.go
@@ -25,7 +25,7 @@
 	LatencyThreshold time.Duration
 }
 
-// DefaultParameters gives the values that docs/paper.md gives reasons for.
+// DefaultParameters returns the values that docs/paper.md gives reasons for.
 func DefaultParameters() Parameters {
 	return Parameters{
 		Alpha:            0.9,
--- a/internal/coordination/flowcontrol/peer_counter.go
+++ b/internal/coordination/flowcontrol/peer_counter.go
@@ -19,7 +19,7 @@
 	count int
 }
 
-// Observe takes the number of nodes that are alive now, and says whether Max
+// Observe takes the number of nodes that are alive now, and reports whether Max
 // has changed.
 func (p *PeerCounter) Observe(count int, now time.Duration) bool {
 	kept := p.recent[:0]
--- a/internal/coordination/flowcontrol/window.go
+++ b/internal/coordination/flowcontrol/window.go
@@ -74,7 +74,7 @@
 	w.averageLatency, w.sampleCount, w.latencySum = 0, 0, 0
 }
 
-// HasRoom says whether one more statement may be sent.
+// HasRoom reports whether one more statement may be sent.
 func (w *Window) HasRoom() bool { return w.inFlight+w.abandoned < w.Size() }
 
 // Available is how many more statements may be sent.
@@ -180,7 +180,7 @@
 	MaxWindow    float64 `json:"max"`
 }
 
-// Reading gives the present state.
+// Reading returns the present state.
 func (w *Window) Reading() Reading {
 	return Reading{
 		Size:             w.size,
--- a/internal/coordination/idempotency/handover.go
+++ b/internal/coordination/idempotency/handover.go
@@ -26,7 +26,7 @@
 	sessions  map[string]*sessionRecord
 }
 
-// Export gives the records to be handed over to a successor. What is still in
+// Export returns the records to be handed over to a successor. What is still in
 // flight is unknown there.
 func (m *Machine) Export(successor string) Handover {
 	handover := Handover{
--- a/internal/coordination/idempotency/id.go
+++ b/internal/coordination/idempotency/id.go
@@ -18,7 +18,7 @@
 	return fmt.Sprintf("%s~%s~%d", n.name, n.incarnation, number)
 }
 
-// ownerOf gives the node that opened a session, and the zero nodeID where the
+// ownerOf returns the node that opened a session, and the zero nodeID where the
 // id has not the form of one.
 func ownerOf(sessionID string) nodeID {
 	parts := strings.Split(sessionID, sessionIDSeparator)
--- a/internal/coordination/idempotency/machine.go
+++ b/internal/coordination/idempotency/machine.go
@@ -6,7 +6,7 @@
 	"tansyseam/internal/state/model"
 )
 
-// expiryInterval is the least time between two looks for sessions to forget.
+// expiryInterval is the minimum time between two searches for expired sessions.
 const expiryInterval = time.Second
 
 // Timing bounds what is kept.
@@ -18,7 +18,7 @@
 	MaxRecords int
 }
 
-// DefaultTiming gives the project's bounds.
+// DefaultTiming returns the project's bounds.
 func DefaultTiming() Timing { return Timing{Retention: 3 * time.Minute, MaxRecords: 100000} }
 
 // Machine is one node's records of request ids.
@@ -33,8 +33,8 @@
 	lastExpiry       time.Duration
 }
 
-// New makes the records of a node that starts; the incarnation tells it from
-// the same node before its last start.
+// New returns the empty records of a node that starts. The incarnation differs
+// from those of its earlier starts.
 func New(self, incarnation string, timing Timing) *Machine {
 	return &Machine{
 		self:         nodeID{name: self, incarnation: incarnation},
@@ -45,7 +45,7 @@
 	}
 }
 
-// SessionID makes the id of a session by its number.
+// SessionID returns the id of this node's session with a number.
 func (m *Machine) SessionID(number uint64) string { return m.self.sessionID(number) }
 
 // OpenSession begins to keep records for a session of this node.
@@ -85,7 +85,7 @@
 	Reply DecisionKind = "tell"
 	// Lookup: Node must be asked for its status.
 	Lookup DecisionKind = "seek"
-	// Invalid: it has not the form of a request id.
+	// Invalid: it doesn't have the form of a request id.
 	Invalid DecisionKind = "bad"
 )
 
@@ -152,14 +152,15 @@
 	return Decision{Kind: Reply, Status: record.Status}
 }
 
-// IsUnseen says whether a request id was surely never executed anywhere: only
-// then may a node that doesn't execute it say that nothing was committed.
+// IsUnseen reports whether a request id has certainly never been executed
+// anywhere. Only then may a node that doesn't execute it answer that nothing was
+// committed.
 func (m *Machine) IsUnseen(requestID string) bool {
 	sessionID, _, valid := parseRequestID(requestID)
 	return valid && !m.Contains(requestID) && ownerOf(sessionID) == m.self && isUnseen(m.sessions, requestID)
 }
 
-// Contains says whether there is a record of a request id.
+// Contains reports whether there is a record of a request id.
 func (m *Machine) Contains(requestID string) bool {
 	_, found := m.records[requestID]
 	return found
--- a/internal/coordination/idempotency/records.go
+++ b/internal/coordination/idempotency/records.go
@@ -10,16 +10,17 @@
 	waiters   []any
 }
 
-// sessionRecord tells ids of a session that were never seen from those whose
-// record was pruned.
+// sessionRecord tells request ids that were never seen from those whose record was
+// pruned. Numbers up to highestPruned may have had a record.
 type sessionRecord struct {
 	highestPruned uint64
 	closed        bool
 	closedAt      time.Duration
 }
 
-// isUnseen says whether a request id, of which there is no record, was surely
-// never seen: its session is known and no later number of it was pruned.
+// isUnseen reports whether a request id without a record has certainly never been
+// seen: its session is known, and no record of its number or a higher one was
+// pruned.
 func isUnseen(sessions map[string]*sessionRecord, requestID string) bool {
 	sessionID, number, _ := parseRequestID(requestID)
 	session, found := sessions[sessionID]
--- a/internal/coordination/pool/httppool/accept.go
+++ b/internal/coordination/pool/httppool/accept.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// Accept takes a request of a session, to be answered within a timeout; 0
-// stands for the default. Bind is to follow; false gives the result to answer
-// at once. The token is given back by Respond.
-func (m *Machine) Accept(sessionID string, op Op, timeout time.Duration, token any, now time.Duration) (*Request, Result, bool) {
+// Accept takes a request of a session, to be answered within timeout, or within
+// DefaultDeadline if that is 0. The caller calls Bind next. If accepted is false,
+// there is no request and the result is the answer. The token is for the caller,
+// who finds it again in Respond.
+func (m *Machine) Accept(sessionID string, op Op, timeout time.Duration, token any, now time.Duration) (request *Request, result Result, accepted bool) {
 	session, found := m.sessions[sessionID]
 	if !found || session.closed {
 		m.Count("sessions_unknown", 1)
@@ -21,7 +22,7 @@
 	if timeout == 0 {
 		timeout = m.timing.DefaultDeadline
 	}
-	request := &Request{
+	request = &Request{
 		Token: token, op: op, session: session, arrivedAt: now, deadline: now + timeout,
 		strict: true, inTransaction: session.inTransaction,
 	}
@@ -48,9 +49,8 @@
 	return result
 }
 
-// Bind finds the binding that is in force for a request, what its session must
-// see, and whether its request id was seen before. Without a lease it waits for
-// one.
+// Bind resolves the binding of a request and looks for an earlier attempt of the
+// same request id. While the node has no lease, the request waits for one.
 func (m *Machine) Bind(request *Request, now time.Duration) {
 	if request.responded {
 		return
@@ -128,8 +128,9 @@
 	m.database(request.databaseName).queueOf(request).removed()
 }
 
-// unsentOutcome is that of a request which ends before it was sent. A retry
-// whose first attempt is not known about can't be called without effect.
+// unsentOutcome returns the outcome of a request that ends before it is sent. It
+// is unknown for a write that may be a retry, since the first attempt may have
+// been committed elsewhere.
 func (m *Machine) unsentOutcome(request *Request) Outcome {
 	if request.mayPersist() && !m.requestLog.IsUnseen(request.op.RequestID) {
 		return OutcomeUnknown
--- a/internal/coordination/pool/httppool/cancel.go
+++ b/internal/coordination/pool/httppool/cancel.go
@@ -12,8 +12,8 @@
 	retryAfterMax    = 5 * time.Second
 )
 
-// Cancel ends a request whose deadline has passed, or that could not go on to
-// the next stage. It is answered at once by what is known of it.
+// Cancel ends a request whose deadline has passed, or for which the next stage has
+// no capacity. It is answered at once with what is known about it.
 func (m *Machine) Cancel(request *Request, now time.Duration) {
 	if request.responded {
 		return
@@ -77,8 +77,8 @@
 	return "no room in the windows of its instances"
 }
 
-// retryAfter estimates when a request would be served that is sent again: once
-// the queues ahead of it have gone through the windows of the instances.
+// retryAfter estimates after which time a retry would be served: the time that
+// the instances need for the requests queued ahead of it.
 func (m *Machine) retryAfter(request *Request, now time.Duration) time.Duration {
 	database := m.database(request.databaseName)
 	jitter := m.jitter(retryAfterJitter)
--- a/internal/coordination/pool/httppool/commit.go
+++ b/internal/coordination/pool/httppool/commit.go
@@ -8,8 +8,9 @@
 	"tansyseam/internal/state/model"
 )
 
-// confirmCommits answers the commits that ran and are known by now to be safe
-// on the replicas, or to have run on a primary that was fenced.
+// confirmCommits answers the executed commits whose fate is known by now: those
+// that all required replicas hold are durable; those of a term that has ended
+// otherwise are unknown.
 func (m *Machine) confirmCommits(database *databaseState, now time.Duration) {
 	if len(database.unconfirmed) == 0 {
 		return
@@ -47,8 +48,8 @@
 	m.recordOutcome(request, idempotency.StateUnknown, nil, model.Position{}, now)
 }
 
-// recordOutcome records how the request of a request id ended, where there is a
-// record of it, and answers the retries that wait for it.
+// recordOutcome stores the final state of a request in the record of its request
+// id, if there is one, and answers the retries that wait for it.
 func (m *Machine) recordOutcome(request *Request, state string, rows []byte, position model.Position, now time.Duration) {
 	waiters, status := m.requestLog.Complete(request.op.RequestID, state, rows, position, now)
 	for _, waiter := range waiters {
--- a/internal/coordination/pool/httppool/connections.go
+++ b/internal/coordination/pool/httppool/connections.go
@@ -9,14 +9,13 @@
 
 // Conn is one connection to an instance.
 type Conn struct {
-	// Transport belongs to whoever carries out OpenConn.
+	// Transport is for the caller that carries out OpenConn and Send.
 	Transport any
 
 	instance    *instanceState
 	term        uint64
 	incarnation string
-	// broken is for a connection that ended by itself, closed for one that the
-	// pool has given up.
+	// broken means that the connection was lost, closed that the pool closed it.
 	broken bool
 	closed bool
 }
@@ -36,8 +35,8 @@
 	}
 }
 
-// ConnOpened ends an OpenConn. Where the instance could not be reached,
-// connected is false and reply says nothing.
+// ConnOpened takes the result of OpenConn. If the instance could not be reached,
+// connected is false and reply is empty.
 func (m *Machine) ConnOpened(conn *Conn, reply Reply, connected bool, now time.Duration) {
 	instance := conn.instance
 	instance.opening--
@@ -61,8 +60,8 @@
 	m.dispatch(instance.database, now)
 }
 
-// ConnLost says that a connection has ended by itself. A request that is in
-// flight on it ends by its own event, ReplyReceived.
+// ConnLost takes the end of a connection that the pool has not closed. A request
+// in flight on it ends by its own event, ReplyReceived.
 func (m *Machine) ConnLost(conn *Conn, now time.Duration) {
 	conn.broken = true
 	instance := conn.instance
@@ -96,8 +95,8 @@
 	instance.idle = nil
 }
 
-// releaseConn makes a connection idle that holds no state, or closes it where
-// it is not to be used again.
+// releaseConn makes a connection without state idle, or closes it if it must not
+// be used again.
 func (m *Machine) releaseConn(conn *Conn) {
 	if conn.closed {
 		return
@@ -111,7 +110,7 @@
 	instance.idle = append(instance.idle, conn)
 }
 
-// isStale says whether a connection was opened to an earlier incarnation of its
+// isStale reports whether a connection was opened to an earlier incarnation of its
 // instance, or to the primary in an earlier term.
 func (m *Machine) isStale(conn *Conn) bool {
 	instance := conn.instance
@@ -122,8 +121,8 @@
 	return writer.Primary == instance.name() && (writer.Phase != model.PhaseOpen || conn.term != writer.Term)
 }
 
-// returnConn takes back the connection over which a request was answered: to
-// its session where that holds state there, to the idle ones else.
+// returnConn takes back the connection of a request that was answered. If it holds
+// state of the session it stays, or becomes, pinned to the session.
 func (m *Machine) returnConn(request *Request, reply Reply) {
 	conn, session := request.conn, request.session
 	if session.pinnedConn == conn {
@@ -157,9 +156,9 @@
 	}
 }
 
-// reclaimIdle closes the connection of the session that has been idle longest
-// with state at an instance, where a request has waited long and no connection
-// is left for it. Transactions are not touched.
+// reclaimIdle closes the pinned connection that has been idle longest, if a
+// request has waited long and no other connection can be had. Sessions inside a
+// transaction are spared.
 func (m *Machine) reclaimIdle(instance *instanceState, request *Request, now time.Duration) {
 	waited := now - request.arrivedAt
 	exhausted := instance.connections >= m.connectionShare(instance) && instance.opening == 0
@@ -186,7 +185,7 @@
 }
 
 // closeOverdue closes the connections of requests that were abandoned long ago,
-// and all that an instance still has after its grace to leave.
+// and those still in use at an instance whose time to leave is over.
 func (m *Machine) closeOverdue(instance *instanceState, now time.Duration) {
 	for _, request := range slices.Clone(instance.abandoned) {
 		if now-request.sentAt > m.timing.AbandonedTimeout {
--- a/internal/coordination/pool/httppool/dispatch.go
+++ b/internal/coordination/pool/httppool/dispatch.go
@@ -9,8 +9,8 @@
 	"tansyseam/internal/state/model"
 )
 
-// maxUnassignedReads ends a pass over the reads of a database once so many of
-// them have found no instance.
+// maxUnassignedReads bounds the reads that a pass over a queue may fail to assign
+// before it ends.
 const maxUnassignedReads = 8
 
 func (m *Machine) dispatchAll(now time.Duration) {
@@ -21,8 +21,7 @@
 	}
 }
 
-// dispatch assigns the queued requests of a database that instances have room
-// for.
+// dispatch assigns queued requests of a database to instances that have room.
 func (m *Machine) dispatch(database *databaseState, now time.Duration) {
 	if m.Routing().HasLease(now) {
 		m.dispatchWrites(database, now)
@@ -75,9 +74,9 @@
 	database.reads.front()
 }
 
-// selectInstance picks an instance for a read, nil where none has room. Where
-// the best one has no idle connection, one is opened there and the best of the
-// others is taken meanwhile.
+// selectInstance picks an instance for a read, or nil if none has room. If the
+// best one has no idle connection, it opens one there and picks the best of the
+// instances that have.
 func (m *Machine) selectInstance(database *databaseState, request *Request, now time.Duration) *instanceState {
 	var candidates []balancer.Candidate
 	var instances []*instanceState
@@ -110,9 +109,9 @@
 	return instances[index]
 }
 
-// assign gives a request that is queued a connection of an instance and a slot
-// of its window; false where no connection is free. A request whose session has
-// lost its connection ends here.
+// assign gives a queued request a connection of an instance and a slot of its
+// window. It returns false if no connection is free. A pinned request whose
+// connection is lost ends here.
 func (m *Machine) assign(request *Request, instance *instanceState, term uint64, now time.Duration) bool {
 	conn, found := m.connFor(request, instance)
 	if !found {
@@ -137,8 +136,8 @@
 	return true
 }
 
-// connFor gives the connection for a request: nil where its session's own is
-// lost, and false where none is idle.
+// connFor returns the connection that a request is to use: nil if it is pinned to
+// one that is lost. It returns false if none is idle.
 func (m *Machine) connFor(request *Request, instance *instanceState) (conn *Conn, found bool) {
 	if request.pinned {
 		conn := request.session.pinnedConn
@@ -156,8 +155,8 @@
 	return conn, true
 }
 
-// Forward sends a request that was assigned, unless this node may not send it
-// any more.
+// Forward sends an assigned request, unless the lease, the term or the connection
+// was lost in the meantime: then the request is queued again.
 func (m *Machine) Forward(request *Request, now time.Duration) {
 	if request.phase != phaseAssigned {
 		return
@@ -175,8 +174,8 @@
 	m.Emit(Send{Request: request, Conn: request.conn, Op: op})
 }
 
-// isFenced says whether the lease or the term under which a request was assigned
-// is over.
+// isFenced reports whether the lease or the term under which a request was
+// assigned has ended.
 func (m *Machine) isFenced(request *Request, now time.Duration) bool {
 	if !m.Routing().HasLease(now) || m.Routing().WriterRole(request.databaseName).Term != request.term {
 		return true
@@ -184,14 +183,14 @@
 	return request.strict && !m.Routing().MayWrite(request.databaseName, request.term, now)
 }
 
-// ForwardFailed says that the event Forward can't follow for want of capacity.
+// ForwardFailed queues a request again that the forwarding stage had no room for.
 func (m *Machine) ForwardFailed(request *Request, now time.Duration) {
 	if request.phase == phaseAssigned {
 		m.requeue(request, now)
 	}
 }
 
-// requeue puts a request that was assigned and not sent back to the front of its
+// requeue puts an assigned request that was not sent back to the front of its
 // queue.
 func (m *Machine) requeue(request *Request, now time.Duration) {
 	request.instance.removeInFlight(request)
--- a/internal/coordination/pool/httppool/drain.go
+++ b/internal/coordination/pool/httppool/drain.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Drain makes the node unready and ends what waits, with a short time to retry
-// after. What was assigned is still run, and open transactions continue.
+// Drain makes the node unready and rejects all requests that wait, so that their
+// clients retry at another node. Assigned requests are still run, and open
+// transactions continue.
 func (m *Machine) Drain(now time.Duration) {
 	m.StartDraining()
 	for _, request := range m.awaitingLease {
@@ -29,8 +30,8 @@
 	}
 }
 
-// ActiveSessions counts the sessions that have a request that isn't answered or
-// a transaction open.
+// ActiveSessions returns the number of sessions with an unanswered request or an
+// open transaction.
 func (m *Machine) ActiveSessions() int {
 	count := 0
 	for _, session := range m.sessionOrder {
@@ -41,8 +42,8 @@
 	return count
 }
 
-// DisconnectSessions closes every connection where a session holds state, and
-// gives the number of sessions that are left.
+// DisconnectSessions closes all pinned connections and returns the number of
+// sessions that are still open.
 func (m *Machine) DisconnectSessions() int {
 	for _, session := range m.sessionOrder {
 		m.discardPinned(session)
--- a/internal/coordination/pool/httppool/instance.go
+++ b/internal/coordination/pool/httppool/instance.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// silenceBeforeReset is how long an instance must not have announced itself
-	// for its window to begin anew when it does.
+	// silenceBeforeReset is the time without an announcement after which an
+	// instance is treated as a new one when it announces itself again.
 	silenceBeforeReset = 5 * time.Second
 
-	// watchTimeout is how long an instance that does not announce itself is
-	// still watched.
+	// watchTimeout is the time without an announcement after which an instance is
+	// no longer watched.
 	watchTimeout = time.Minute
 )
 
@@ -26,10 +26,10 @@
 	database    *databaseState
 	window      *flowcontrol.Window
 	watched     bool
-	// leavingSince is 0 where the instance does not leave.
+	// leavingSince is 0 unless the instance is leaving.
 	leavingSince time.Duration
 
-	// connections counts those opened and those opening.
+	// connections counts open connections and, included, those being opened.
 	connections int
 	opening     int
 	idle        []*Conn
@@ -50,8 +50,8 @@
 	i.inFlight = slices.DeleteFunc(i.inFlight, func(other *Request) bool { return other == request })
 }
 
-// removeAbandoned frees the slot of an abandoned request; false where it isn't
-// one.
+// removeAbandoned frees the slot of an abandoned request. It returns false if the
+// request isn't one.
 func (i *instanceState) removeAbandoned(request *Request) bool {
 	index := slices.Index(i.abandoned, request)
 	if index < 0 {
@@ -71,7 +71,7 @@
 		}
 	})
 	previous := instance.observation.Instance
-	if returned(previous, announced, now-instance.observation.LastAnnouncement) {
+	if cameBack(previous, announced, now-instance.observation.LastAnnouncement) {
 		instance.window.Reset()
 		instance.backoff = pool.Backoff{}
 	}
@@ -93,9 +93,9 @@
 	m.dispatch(database, now)
 }
 
-// returned says whether an instance that was known before is to be met as a new
-// one.
-func returned(previous, announced model.Instance, silence time.Duration) bool {
+// cameBack reports whether a known instance is to be treated as a new one: after a
+// restart, a change of role, a long silence, or when it doesn't leave after all.
+func cameBack(previous, announced model.Instance, silence time.Duration) bool {
 	if previous.Name == "" {
 		return false
 	}
@@ -111,9 +111,8 @@
 	}
 }
 
-// WatchTarget gives the address at which an instance is to be asked for its
-// status next, and the position that it is known to have reached. It is not
-// active once the instance has long been silent, and is watched no more.
+// WatchTarget returns the address at which to ask an instance for its status next,
+// and its last known position. If active is false the watch has ended.
 func (m *Machine) WatchTarget(name string, now time.Duration) (address string, after model.Position, active bool) {
 	instance := m.instances.Get(name)
 	if now-instance.observation.LastAnnouncement > watchTimeout {
@@ -123,8 +122,8 @@
 	return instance.observation.Instance.Address, instance.observation.Position, true
 }
 
-// InstanceStatusReceived takes an instance's answer to a request for its status
-// that was sent at a time.
+// InstanceStatusReceived takes an instance's status; sent is when the request for
+// it was sent.
 func (m *Machine) InstanceStatusReceived(name string, reply Reply, sent, now time.Duration) {
 	instance := m.instances.Get(name)
 	reported := instance.observation.Instance
@@ -154,9 +153,9 @@
 	}
 }
 
-// connectionShare is how many connections this node may have to an instance:
-// its even share of them, where one node more than live is reckoned with, so
-// that a node can be replaced.
+// connectionShare is the number of connections that this node may have to an
+// instance: an equal share for each proxy, with one share left for a proxy that
+// replaces another.
 func (m *Machine) connectionShare(instance *instanceState) int {
 	return max(instance.observation.Instance.Connections/(m.peers.Max+1), 1)
 }
--- a/internal/coordination/pool/httppool/lookups.go
+++ b/internal/coordination/pool/httppool/lookups.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// maxLookupsPerRequest ends a chain of nodes that send on to each other.
+	// maxLookupsPerRequest bounds a chain of nodes that refer to each other.
 	maxLookupsPerRequest = 64
 
-	// lookupRetryDelay is the pause before a node is asked again whose attempt
-	// was still in flight.
+	// lookupRetryDelay is the time until a node is asked again at which the first
+	// attempt was still in flight.
 	lookupRetryDelay = 40 * time.Millisecond
 )
 
-// lookups holds the requests whose status another node is asked for.
+// lookups holds the requests that need a status from another node.
 type lookups struct {
-	// inFlight and queued are by node.
+	// inFlight and queued have the name of the node asked as key.
 	inFlight map[string]int
 	queued   map[string][]*Request
 	retries  []lookupRetry
@@ -77,8 +77,8 @@
 	m.lookup(request, now)
 }
 
-// lookup asks for the status of a request id: this node itself at once, another
-// when it has fewer lookups in flight than the bound.
+// lookup asks lookupNode for the status of a request id. If MaxLookups are in
+// flight at that node, the request waits for one of them to end.
 func (m *Machine) lookup(request *Request, now time.Duration) {
 	node := request.lookupNode
 	if node == m.node.Name {
@@ -94,8 +94,7 @@
 	m.Emit(Lookup{Request: request, Node: node})
 }
 
-// LookupDone ends a Lookup by the node's answer; answered is false where there
-// was none.
+// LookupDone takes the answer to a Lookup; answered is false if there was none.
 func (m *Machine) LookupDone(request *Request, node string, status idempotency.Status, answered bool, now time.Duration) {
 	m.lookups.inFlight[node]--
 	m.startQueuedLookups(node, now)
--- a/internal/coordination/pool/httppool/machine.go
+++ b/internal/coordination/pool/httppool/machine.go
@@ -9,8 +9,8 @@
 	"tansyseam/internal/coordination/pool"
 )
 
-// Node is the proxy that the pool is part of. Weight is its share of the
-// instances' capacity beside other nodes, the beta of flow control.
+// Node describes the proxy that the pool is part of. Weight is its share of the
+// instances' capacity relative to other proxies, the beta of flow control.
 type Node struct {
 	Name        string
 	Zone        string
@@ -43,7 +43,7 @@
 	jitterCount uint64
 }
 
-// New makes the pool of a node that knows nothing yet; count is called for each
+// New returns the pool of a node that has just started. It calls count for each
 // counter that rises.
 func New(node Node, timing Timing, count func(name string, by int64)) *Machine {
 	m := &Machine{
@@ -61,11 +61,11 @@
 	return m
 }
 
-// RequestLog gives the node's records of request ids.
+// RequestLog returns the node's records of request ids.
 func (m *Machine) RequestLog() *idempotency.Machine { return m.requestLog }
 
-// Tick is the regular event of the clock. liveProxies counts the proxies that
-// are alive, this one included; weight is the node's own.
+// Tick is to be called at short, regular intervals. liveProxies is the number of
+// proxies that are alive, this one included; weight is this node's.
 func (m *Machine) Tick(liveProxies int, weight float64, now time.Duration) {
 	m.updatePeers(liveProxies, weight, now)
 	for _, instance := range m.instances.All() {
@@ -84,7 +84,7 @@
 // jitterSteps is the number of different delays that jitter gives in turn.
 const jitterSteps = 16
 
-// jitter gives a delay that differs from call to call, so that clients that are
+// jitter returns a delay that differs from call to call, so that clients that are
 // turned away together don't come back together.
 func (m *Machine) jitter(step time.Duration) time.Duration {
 	m.jitterCount++
--- a/internal/coordination/pool/httppool/operation.go
+++ b/internal/coordination/pool/httppool/operation.go
@@ -32,7 +32,7 @@
 	Term      uint64
 }
 
-// leavesState says whether the connection may keep state of the session after
+// leavesState reports whether the connection may keep state of the session after
 // the operation.
 func (op Op) leavesState() bool {
 	return op.Kind == OpBegin || op.Kind == OpSet || op.Kind == OpPrepare
--- a/internal/coordination/pool/httppool/queue.go
+++ b/internal/coordination/pool/httppool/queue.go
@@ -41,7 +41,7 @@
 	q.requests = queued
 }
 
-// front gives the first request that is queued, or nil.
+// front returns the first request that is queued, or nil.
 func (q *requestQueue) front() *Request {
 	for len(q.requests) > 0 && q.requests[0].phase != phaseQueued {
 		q.requests = q.requests[1:]
--- a/internal/coordination/pool/httppool/request.go
+++ b/internal/coordination/pool/httppool/request.go
@@ -75,7 +75,7 @@
 // write.
 func (r *Request) RequestID() string { return r.op.RequestID }
 
-// Instance names the instance it was last assigned to, empty where there is
+// Instance names the instance it was last assigned to, empty if there is
 // none yet.
 func (r *Request) Instance() string {
 	if r.instance == nil {
@@ -84,7 +84,7 @@
 	return r.instance.name()
 }
 
-// mayPersist says whether it has an effect of its own that lasts: a commit, or
+// mayPersist reports whether it has an effect of its own that lasts: a commit, or
 // a write outside of a transaction.
 func (r *Request) mayPersist() bool {
 	return r.op.Kind == OpCommit || (r.op.Kind == OpRun && r.op.Write && !r.inTransaction)
--- a/internal/coordination/pool/httppool/result.go
+++ b/internal/coordination/pool/httppool/result.go
@@ -53,7 +53,7 @@
 
 // Result is what a client is answered.
 type Result struct {
-	// Outcome is empty where a request was rejected before it was accepted.
+	// Outcome is empty if a request was rejected before it was accepted.
 	Outcome  Outcome
 	Rows     []byte
 	Position model.Position
@@ -67,7 +67,7 @@
 	RetryAfter      time.Duration
 	Instance        string
 	BindingSequence uint64
-	// MinPositions gives for each database the position that the session's
+	// MinPositions holds for each database the position that the session's
 	// reads must have reached.
 	MinPositions map[string]model.Position
 }
--- a/internal/coordination/pool/httppool/sessions.go
+++ b/internal/coordination/pool/httppool/sessions.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// closedSessionRetention is how long a closed session whose last request is
-	// over is still kept.
+	// closedSessionRetention is how long a closed session is kept after its last
+	// request.
 	closedSessionRetention = time.Minute
 
-	// expiryInterval is the least time between two looks for expired sessions.
+	// expiryInterval is the minimum time between two searches for expired sessions.
 	expiryInterval = time.Second
 
 	notReadyJitter = 50 * time.Millisecond
 )
 
-// clientSession is a client's session. It may hold state at an instance, a
-// transaction, settings or prepared statements: then it has the connection
-// there to itself, pinnedConn.
+// clientSession is a client's session. While it has state at an instance (an open
+// transaction, settings or prepared statements) it is pinned to the connection
+// that holds the state, and no other session uses that connection.
 type clientSession struct {
 	id            string
 	binding       string
@@ -31,10 +31,10 @@
 
 	pinnedConn    *Conn
 	inTransaction bool
-	// stateLost says that what it holds at pinnedConn can't be used any more.
+	// stateLost means that the state at pinnedConn can't be used any more.
 	stateLost bool
 
-	// busy says that it has a request that isn't answered.
+	// busy means that a request of the session hasn't been answered yet.
 	busy   bool
 	closed bool
 }
@@ -50,7 +50,7 @@
 	s.pinnedConn, s.inTransaction, s.stateLost = nil, false, false
 }
 
-// isPinnedOutside says whether it holds state at an instance of another
+// isPinnedOutside reports whether it holds state at an instance of another
 // database.
 func (s *clientSession) isPinnedOutside(database string) bool {
 	return s.pinnedConn != nil && s.pinnedConn.instance.database.name != database
@@ -68,15 +68,15 @@
 type OpenedSession struct {
 	ID              string
 	BindingSequence uint64
-	// MinPositions holds those of the given positions whose database is known
-	// here.
+	// MinPositions holds the given positions of the databases that this node
+	// knows.
 	MinPositions map[string]model.Position
 }
 
-// OpenSession opens a session of a client that brings the positions of an
-// earlier one; false gives the result to reject it with. The session ends at
-// the latest with the client's connection, remoteAddress.
-func (m *Machine) OpenSession(binding, remoteAddress string, minPositions map[string]model.Position, now time.Duration) (OpenedSession, Result, bool) {
+// OpenSession opens a session for the client at remoteAddress; the session ends
+// when that connection ends. minPositions are those of the client's earlier
+// sessions. If opened is false, the result tells why.
+func (m *Machine) OpenSession(binding, remoteAddress string, minPositions map[string]model.Position, now time.Duration) (session OpenedSession, result Result, opened bool) {
 	if ready, reason := m.Ready(now); !ready {
 		return OpenedSession{}, rejection(ErrNotReady, retryAfterNotReady+m.jitter(notReadyJitter), "not ready: "+reason), false
 	}
@@ -87,14 +87,14 @@
 	if _, found := set.Binding(binding); !found {
 		return OpenedSession{}, rejection(ErrNoBinding, 0, noBindingText(binding, set.Sequence)), false
 	}
-	session := m.addSession(binding, remoteAddress, now)
+	added := m.addSession(binding, remoteAddress, now)
 	for database, position := range minPositions {
 		if m.databases.Get(database) != nil {
-			session.minPositions[database] = position
+			added.minPositions[database] = position
 		}
 	}
 	m.Count("consumers_opened", 1)
-	return OpenedSession{ID: session.id, BindingSequence: set.Sequence, MinPositions: maps.Clone(session.minPositions)}, Result{}, true
+	return OpenedSession{ID: added.id, BindingSequence: set.Sequence, MinPositions: maps.Clone(added.minPositions)}, Result{}, true
 }
 
 func (m *Machine) addSession(binding, remoteAddress string, now time.Duration) *clientSession {
@@ -158,8 +158,8 @@
 
 func (m *Machine) isOpen(session *clientSession) bool { return m.sessions[session.id] == session }
 
-// discardPinned closes the connection where a session holds state, and with it
-// the session, which can't go on without that.
+// discardPinned closes the connection that a session is pinned to. The session is
+// closed too, since its state is lost.
 func (m *Machine) discardPinned(session *clientSession) {
 	if session.pinnedConn == nil {
 		return
--- a/internal/coordination/pool/httppool/status.go
+++ b/internal/coordination/pool/httppool/status.go
@@ -33,7 +33,7 @@
 	HighWatermark model.Position `json:"high"`
 }
 
-// Status gives what operators see of the instances and queues.
+// Status returns what operators see of the instances and queues.
 func (m *Machine) Status(now time.Duration) (instances []InstanceStatus, queues []QueueStatus) {
 	instances, queues = []InstanceStatus{}, []QueueStatus{}
 	for _, instance := range m.instances.All() {
@@ -68,7 +68,7 @@
 	}
 }
 
-// WindowReading gives the flow-control window of an instance; false where the
+// WindowReading returns the flow-control window of an instance; false if the
 // instance isn't known.
 func (m *Machine) WindowReading(instanceName string) (flowcontrol.Reading, bool) {
 	instance := m.instances.Get(instanceName)
--- a/internal/coordination/pool/httppool/timing.go
+++ b/internal/coordination/pool/httppool/timing.go
@@ -37,7 +37,7 @@
 	MaxLookups  int
 }
 
-// DefaultTiming gives the project's bounds.
+// DefaultTiming returns the project's bounds.
 func DefaultTiming() Timing {
 	return Timing{
 		DefaultDeadline:    5 * time.Second,
--- a/internal/coordination/pool/httppool/updates.go
+++ b/internal/coordination/pool/httppool/updates.go
@@ -9,19 +9,19 @@
 	"tansyseam/internal/state/model"
 )
 
-// UpdateRequest gives the next request for an update, with what this node
+// UpdateRequest returns the next request for an update, with what this node
 // observes of the instances.
 func (m *Machine) UpdateRequest(now time.Duration) distribution.UpdateRequest {
 	m.EffectiveSet(now)
 	return m.Routing().UpdateRequest(now, m.replicaLags(now))
 }
 
-// Observations gives what is observed, for a report between two update requests.
+// Observations returns what is observed, for a report between two update requests.
 func (m *Machine) Observations(now time.Duration) distribution.NodeReport {
 	return m.Routing().Report(now, m.replicaLags(now))
 }
 
-// replicaLags gives for each replica how long the oldest commit waits for it.
+// replicaLags returns how long the oldest commit has waited for each replica.
 func (m *Machine) replicaLags(now time.Duration) map[string]time.Duration {
 	lags := map[string]time.Duration{}
 	for _, database := range m.databases.All() {
@@ -49,7 +49,7 @@
 	m.dispatchAll(now)
 }
 
-// onWriterChanged gives up what is in flight or held at a primary whose term is
+// onWriterChanged gives up what is in flight or pinned at a primary whose term is
 // over.
 func (m *Machine) onWriterChanged(change routing.WriterRoleChanged, now time.Duration) {
 	m.Count("writer_moves", 1)
--- a/internal/protocol/backend/codec.go
+++ b/internal/protocol/backend/codec.go
@@ -29,7 +29,7 @@
 	EncodeStatusRequest func(after model.Position, waitMS int) (path string, body []byte)
 }
 
-// NewJSONCodec gives the codec of the protocol in docs/backends.md.
+// NewJSONCodec returns the codec of the protocol in docs/backends.md.
 func NewJSONCodec() Codec {
 	return Codec{Encode: encodeOperation, Decode: decodeReply, EncodeStatusRequest: encodeStatusRequest}
 }
