--- /dev/null
+++ b/internal/coordination/pool/linepool/drain_test.go
@@ -0,0 +1,68 @@
+package linepool
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/internal/state/lineproto"
+)
+
+func TestDrain(t *testing.T) {
+	Convey("A node that stops is unready at once, and serves on for a while", t, func() {
+		h := newHarness(20)
+		isReady, _ := h.Ready(h.now)
+		So(isReady, ShouldBeTrue)
+		idle, busy := h.client("strict"), h.client("strict")
+		h.Drain(h.now)
+		isReady, why := h.Ready(h.now)
+		So(isReady, ShouldBeFalse)
+		So(why, ShouldEqual, "stopping")
+		h.advanceInTicks(2200 * time.Millisecond)
+		So(h.closedClients[idle], ShouldBeFalse)
+		h.query(busy, write("1"))
+		send := h.nextSend()
+		h.advanceInTicks(200 * time.Millisecond)
+		So(h.closedClients[idle], ShouldBeTrue)
+		So(h.closedClients[busy], ShouldBeFalse)
+		h.answerSend(send, lineproto.StateIdle, done("w"))
+		So(h.lastResponse(busy), ShouldEqual, "DONE w / READY I")
+		h.advanceInTicks(50 * time.Millisecond)
+		So(h.closedClients[busy], ShouldBeTrue)
+		So(h.IsDrained(), ShouldBeTrue)
+	})
+	Convey("An open transaction has a while more, and is rolled back at rest", t, func() {
+		h := newHarness(20)
+		client, other := h.client("strict"), h.client("strict")
+		for _, one := range []*Client{client, other} {
+			h.query(one, begin())
+			h.query(one, write("1"))
+			h.answerSend(h.answerBegin(), lineproto.StateInTransaction, done("w"))
+		}
+		h.Drain(h.now)
+		h.advanceInTicks(2500 * time.Millisecond)
+		So(h.closedClients[client], ShouldBeFalse)
+		h.query(client, commit())
+		h.answerSend(h.nextSend(), lineproto.StateIdle, done("k"))
+		So(h.lastResponse(client), ShouldEqual, "DONE k / READY I")
+		h.advanceInTicks(500 * time.Millisecond)
+		So(h.closedClients[client], ShouldBeTrue)
+		So(h.closedClients[other], ShouldBeTrue)
+		So(formatCommands(h.nextSend()), ShouldEqual, "rollback")
+		So(h.IsDrained(), ShouldBeTrue)
+	})
+	Convey("No session is ended with a statement out before the last moment", t, func() {
+		h := newHarness(20)
+		h.snapshot.Sets[0].Bindings[0].Timeout = 8 * time.Second
+		h.update(leaseDuration)
+		client := h.client("strict")
+		h.query(client, write("1"))
+		h.Drain(h.now)
+		h.advanceInTicks(5300 * time.Millisecond)
+		So(h.closedClients[client], ShouldBeFalse)
+		h.advanceInTicks(200 * time.Millisecond)
+		So(h.closedClients[client], ShouldBeTrue)
+		So(h.invariantViolation(), ShouldEqual, "")
+	})
+}
--- /dev/null
+++ b/internal/coordination/pool/linepool/instance_test.go
@@ -0,0 +1,205 @@
+package linepool
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/internal/coordination/connquota"
+	"tansyseam/internal/coordination/lease"
+	"tansyseam/internal/state/lineproto"
+	"tansyseam/internal/state/model"
+)
+
+func TestWindows(t *testing.T) {
+	Convey("The most that is out at an instance is its connections over the nodes and one", t, func() {
+		h := newHarness(20)
+		h.Tick(nodes(4), 1, h.now)
+		So(h.instance("a").window.Reading().MaxWindow, ShouldEqual, 4)
+		So(h.instance("a").quota, ShouldResemble, connquota.Quota{MaxIdle: 4, MaxOpen: 4})
+		h.Tick(nodes(9), 1, h.now)
+		So(h.instance("a").window.Reading().MaxWindow, ShouldEqual, 2)
+		h.Tick(nodes(4), 1, h.now+30*time.Second)
+		So(h.instance("a").window.Reading().MaxWindow, ShouldEqual, 2)
+		h.Tick(nodes(4), 1, h.now+100*time.Second)
+		So(h.instance("a").window.Reading().MaxWindow, ShouldEqual, 4)
+	})
+	Convey("Over the window statements wait in line, in the order of their priority, and go as answers come", t, func() {
+		h := newHarness(20)
+		var clients []*Client
+		for range 4 {
+			clients = append(clients, h.client("strict"))
+		}
+		urgent := h.client("urgent")
+		for _, client := range clients {
+			h.query(client, read("1"))
+		}
+		h.query(urgent, read("now"))
+		So(len(h.sends), ShouldEqual, 2)
+		So(h.instance("a").window.Reading().InFlight, ShouldEqual, 2)
+		h.answerSend(h.nextSend(), lineproto.StateIdle, done("s"))
+		So(len(h.sends), ShouldEqual, 2)
+		So(formatCommands(h.sends[1]), ShouldEqual, "read now")
+		for len(h.sends) > 0 {
+			h.answerSend(h.nextSend(), lineproto.StateIdle, done("s"))
+		}
+		for _, client := range append(clients, urgent) {
+			So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
+		}
+		So(h.instance("a").window.Reading().InFlight, ShouldEqual, 0)
+	})
+	Convey("A line that is full refuses with a promise", t, func() {
+		h := newHarness(1)
+		h.timing.MaxQueue = 2
+		var last *Client
+		for range 4 {
+			last = h.client("strict")
+			h.query(last, read("1"))
+		}
+		So(h.lastResponse(last), ShouldEqual, "ERROR BUSY / READY I")
+		So(h.invariantViolation(), ShouldEqual, "")
+	})
+	Convey("The node holds no more connections than its share", t, func() {
+		h := newHarness(8)
+		for range 12 {
+			client := h.client("strict")
+			h.query(client, begin())
+			h.query(client, write("1"))
+			for len(h.sends) > 0 {
+				h.answerSend(h.nextSend(), lineproto.StateInTransaction, done("-"))
+			}
+		}
+		So(len(h.instance("a").conns), ShouldEqual, 4)
+		So(h.invariantViolation(), ShouldEqual, "")
+	})
+	Convey("The lines of two databases do not wait for each other", t, func() {
+		h := newHarness(1)
+		one, other := h.client("strict"), h.client("other")
+		h.query(one, read("1"))
+		h.query(other, read("2"))
+		So(h.nextSend().target(), ShouldEqual, "a")
+		So(h.nextSend().target(), ShouldEqual, "d")
+	})
+}
+
+func TestLeavingInstances(t *testing.T) {
+	Convey("An instance that leaves gets no new work, and its idle connections are shut", t, func() {
+		h := newHarness(20)
+		h.samplePosition()
+		h.registered("b").Leaving = true
+		h.registered("c").Leaving = true
+		h.update(leaseDuration)
+		for range 4 {
+			client := h.client("stale")
+			h.query(client, read("1"))
+			send := h.nextSend()
+			So(send.target(), ShouldEqual, "a")
+			h.answerSend(send, lineproto.StateIdle, done("s"))
+		}
+		So(len(h.instance("b").conns)+len(h.instance("c").conns), ShouldEqual, 0)
+	})
+	Convey("A primary that leaves is sent what needs it, on the connections that it has, until its term closes", t, func() {
+		h := newHarness(20)
+		client := h.client("strict")
+		h.query(client, write("1"))
+		first := h.nextSend()
+		h.answerSend(first, lineproto.StateIdle, done("w"))
+		h.registered("a").Leaving = true
+		h.update(leaseDuration)
+		for range 3 {
+			h.query(client, write("2"))
+			send := h.nextSend()
+			So(send.Conn, ShouldEqual, first.Conn)
+			h.answerSend(send, lineproto.StateIdle, done("w"))
+		}
+		h.setWriter(model.PhaseClosing, "a", 3)
+		So(len(h.instance("a").conns), ShouldEqual, 0)
+	})
+	Convey("A primary that was leaving when the node first heard of it is sent what needs it for a shorter while", t, func() {
+		h := newHarness(20)
+		late := newHarness(20)
+		late.registry[0].Leaving = true
+		late.Machine = New(Node{Name: "d2", Zone: "za", Incarnation: 1, Weight: 1}, DefaultTiming(), lease.DefaultTiming(), func(string, int64) {})
+		late.update(1600 * time.Millisecond)
+		client := late.client("strict")
+		late.query(client, write("1"))
+		late.answerSend(late.nextSend(), lineproto.StateIdle, done("w"))
+		late.advanceInTicks(2100 * time.Millisecond)
+		late.query(client, write("2"))
+		So(late.sends, ShouldBeEmpty)
+		h.registry[0].Leaving = true
+		h.update(leaseDuration)
+		h.advanceInTicks(2100 * time.Millisecond)
+		h.query(h.client("strict"), write("1"))
+		So(len(h.sends), ShouldEqual, 1)
+	})
+	Convey("A primary that leaves is sent nothing more after a while, though its term be open", t, func() {
+		h := newHarness(20)
+		client, inside := h.client("strict"), h.client("strict")
+		h.query(inside, begin())
+		h.query(inside, write("1"))
+		h.answerSend(h.answerBegin(), lineproto.StateInTransaction, done("w"))
+		h.registered("a").Leaving = true
+		h.update(leaseDuration)
+		for range 2 {
+			h.advanceInTicks(2400 * time.Millisecond)
+			h.query(inside, read("2"))
+			h.answerSend(h.nextSend(), lineproto.StateInTransaction, done("w"))
+		}
+		h.advanceInTicks(300 * time.Millisecond)
+		for _, query := range []Query{read("3"), write("4")} {
+			h.query(client, query)
+			So(h.sends, ShouldBeEmpty)
+			h.advanceInTicks(2100 * time.Millisecond)
+			So(h.lastResponse(client), ShouldEqual, "ERROR BUSY / READY I")
+		}
+		h.query(inside, commit())
+		So(h.lastResponse(inside), ShouldEqual, "ERROR ABORTED / READY I")
+		So(len(h.instance("a").conns), ShouldEqual, 0)
+	})
+	Convey("What is out there is answered, and its connection is not lent on", t, func() {
+		h := newHarness(20)
+		h.samplePosition()
+		client := h.client("stale")
+		h.query(client, read("1"))
+		send := h.nextSend()
+		h.registered(send.target()).Leaving = true
+		h.update(leaseDuration)
+		h.answerSend(send, lineproto.StateIdle, done("s"))
+		So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
+		So(send.Conn.IsClosed(), ShouldBeTrue)
+	})
+	Convey("A transaction there goes on, for a while", t, func() {
+		h := newHarness(20)
+		h.samplePosition()
+		client := h.client("stale")
+		h.query(client, beginRead())
+		h.query(client, read("1"))
+		send := h.answerBegin()
+		h.answerSend(send, lineproto.StateInTransaction, done("s"))
+		h.registered(send.target()).Leaving = true
+		h.update(leaseDuration)
+		h.query(client, read("2"))
+		h.answerSend(h.nextSend(), lineproto.StateInTransaction, done("s2"))
+		So(h.lastResponse(client), ShouldEqual, "DONE s2 / READY T")
+		for range 3 {
+			h.advanceInTicks(2 * time.Second)
+			h.query(client, read("3"))
+			for len(h.sends) > 0 {
+				h.answerSend(h.nextSend(), lineproto.StateInTransaction, done("s3"))
+			}
+		}
+		So(send.Conn.IsClosed(), ShouldBeTrue)
+		So(h.lastResponse(client), ShouldEqual, "ERROR ABORTED / READY E")
+	})
+	Convey("One that has gone is none", t, func() {
+		h := newHarness(20)
+		h.samplePosition()
+		h.registered("b").Stopped = true
+		h.registered("c").Stopped = true
+		h.update(leaseDuration)
+		h.query(h.client("stale"), read("1"))
+		So(h.nextSend().target(), ShouldEqual, "a")
+	})
+}
--- /dev/null
+++ b/internal/coordination/pool/linepool/query_test.go
@@ -0,0 +1,163 @@
+package linepool
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/internal/state/lineproto"
+	"tansyseam/internal/state/model"
+)
+
+func TestSessions(t *testing.T) {
+	Convey("A session waits for the first lease, and is refused after a while without", t, func() {
+		h := newHarness(20)
+		h.advance(1700 * time.Millisecond)
+		client, late := h.client("strict"), h.client("strict")
+		So(h.responseCount(client), ShouldEqual, 0)
+		h.update(leaseDuration)
+		So(h.lastResponse(client), ShouldEqual, "READY I")
+		So(h.lastResponse(late), ShouldEqual, "READY I")
+		h.advance(1700 * time.Millisecond)
+		third := h.client("strict")
+		h.advance(1900 * time.Millisecond)
+		So(h.lastResponse(third), ShouldEqual, "ERROR BUSY")
+		So(h.closedClients[third], ShouldBeTrue)
+	})
+	Convey("A database that is bound to nothing is refused", t, func() {
+		h := newHarness(20)
+		client := h.client("none")
+		So(h.lastResponse(client), ShouldEqual, "ERROR NODB")
+		So(h.closedClients[client], ShouldBeTrue)
+	})
+	Convey("A binding that changes binds from the next transaction on, and one that is gone is none", t, func() {
+		h := newHarness(20)
+		client, inside := h.client("strict"), h.client("strict")
+		h.query(inside, begin())
+		h.query(inside, write("1"))
+		h.answerSend(h.answerBegin(), lineproto.StateInTransaction, done("w"))
+		next := h.snapshot.Sets[0]
+		next.Sequence, next.Version = 2, 6
+		next.Bindings = []model.Binding{{Name: "strict", Database: "y", Timeout: 2 * time.Second}}
+		h.snapshot.Sets = append(h.snapshot.Sets, next)
+		h.update(leaseDuration)
+		h.query(client, write("2"))
+		So(h.nextSend().target(), ShouldEqual, "d")
+		h.query(inside, write("3"))
+		send := h.nextSend()
+		So(send.target(), ShouldEqual, "a")
+		h.answerSend(send, lineproto.StateInTransaction, done("w"))
+		next.Sequence, next.Version, next.Bindings = 3, 7, nil
+		h.snapshot.Sets = append(h.snapshot.Sets, next)
+		h.update(leaseDuration)
+		h.query(inside, commit())
+		h.answerSend(h.nextSend(), lineproto.StateIdle, done("k"))
+		So(h.lastResponse(inside), ShouldEqual, "DONE k / READY I")
+		h.query(inside, read("4"))
+		So(h.lastResponse(inside), ShouldEqual, "ERROR NODB / READY I")
+	})
+	Convey("Queries sent ahead are answered in order, each once", t, func() {
+		h := newHarness(20)
+		client := h.client("strict")
+		h.query(client, begin())
+		h.query(client, write("1"))
+		h.query(client, set("v", "1"))
+		h.query(client, commit())
+		h.query(client, read("2"))
+		h.answerSend(h.answerBegin(), lineproto.StateInTransaction, done("w"))
+		send := h.nextSend()
+		So(formatCommands(send), ShouldEqual, "set v=1, commit")
+		h.answerSend(send, lineproto.StateIdle, done("k"))
+		send = h.nextSend()
+		So(formatCommands(send), ShouldEqual, "read 2")
+		h.answerSend(send, lineproto.StateIdle, done("s"))
+		So(h.responses[client], ShouldResemble, []string{
+			"READY I", "DONE - / READY T", "DONE w / READY T", "DONE - / READY T", "DONE k / READY I", "DONE s / READY I",
+		})
+	})
+	Convey("Too much sent ahead ends the session", t, func() {
+		h := newHarness(20)
+		client := h.client("strict")
+		for range h.timing.MaxPipelined + 2 {
+			h.query(client, read("1"))
+		}
+		So(h.lastResponse(client), ShouldEqual, "ERROR TOOLONG")
+		So(h.closedClients[client], ShouldBeTrue)
+		So(h.invariantViolation(), ShouldEqual, "")
+	})
+	Convey("Only so many sessions are taken", t, func() {
+		h := newHarness(20)
+		h.timing.MaxClients = 1
+		So(h.client("strict"), ShouldNotBeNil)
+		So(h.Accept(nil, h.now), ShouldBeNil)
+	})
+	acts := []struct {
+		name string
+		ask  func() Query
+		want map[string]string
+	}{
+		{"begin", begin, map[string]string{"I": "DONE - / READY T", "T": "ERROR MALFORMED / READY E", "E": "ERROR MALFORMED / READY E"}},
+		{"begin read", beginRead, map[string]string{"I": "DONE - / READY T", "T": "ERROR MALFORMED / READY E", "E": "ERROR MALFORMED / READY E"}},
+		{"commit", commit, map[string]string{"I": "ERROR MALFORMED / READY I", "T": "", "E": "ERROR ABORTED / READY I"}},
+		{"rollback", rollback, map[string]string{"I": "ERROR MALFORMED / READY I", "T": "DONE - / READY I", "E": "DONE - / READY I"}},
+		{"read", func() Query { return read("1") }, map[string]string{"I": "", "T": "", "E": "ERROR MALFORMED / READY E"}},
+		{"write", func() Query { return write("1") }, map[string]string{"I": "", "T": "", "E": "ERROR MALFORMED / READY E"}},
+		{"set", func() Query { return set("v", "1") }, map[string]string{"I": "DONE - / READY I", "T": "DONE - / READY T", "E": "ERROR MALFORMED / READY E"}},
+		{"prepare", func() Query { return prepare("p", "read q") }, map[string]string{"I": "DONE - / READY I", "T": "DONE - / READY T", "E": "ERROR MALFORMED / READY E"}},
+		{"run", func() Query { return execute("none", "1") }, map[string]string{"I": "ERROR NOTFOUND / READY I", "T": "ERROR NOTFOUND / READY E", "E": "ERROR MALFORMED / READY E"}},
+		{"forget", func() Query { return deallocate("none") }, map[string]string{"I": "ERROR NOTFOUND / READY I", "T": "ERROR NOTFOUND / READY T", "E": "ERROR MALFORMED / READY E"}},
+		{"nonsense", func() Query { return newQuery(lineproto.ActionInvalid, "what") }, map[string]string{"I": "ERROR MALFORMED / READY I", "T": "ERROR MALFORMED / READY E", "E": "ERROR MALFORMED / READY E"}},
+		{"unheard of", func() Query { return newQuery(lineproto.Action(99), "what") }, map[string]string{"I": "ERROR MALFORMED / READY I", "T": "ERROR MALFORMED / READY E", "E": "ERROR MALFORMED / READY E"}},
+	}
+	for _, act := range acts {
+		for state, want := range act.want {
+			Convey("In state "+state+" the text "+act.name+" tells "+want, t, func() {
+				h := newHarness(20)
+				client := h.client("strict")
+				if state != "I" {
+					h.query(client, begin())
+				}
+				if state == "E" {
+					h.query(client, begin())
+					So(h.lastResponse(client), ShouldEqual, "ERROR MALFORMED / READY E")
+				}
+				count := h.responseCount(client)
+				h.query(client, act.ask())
+				if want == "" {
+					So(h.responseCount(client), ShouldEqual, count)
+					So(len(h.sends), ShouldEqual, 1)
+				} else {
+					So(h.lastResponse(client), ShouldEqual, want)
+					So(h.responseCount(client), ShouldEqual, count+1)
+					So(h.sends, ShouldBeEmpty)
+				}
+				So(h.invariantViolation(), ShouldEqual, "")
+			})
+		}
+	}
+	Convey("Queries before the connect, and a second connect, end the session", t, func() {
+		h := newHarness(20)
+		client := h.Accept(nil, h.now)
+		h.query(client, read("1"))
+		So(h.lastResponse(client), ShouldEqual, "ERROR MALFORMED")
+		So(h.closedClients[client], ShouldBeTrue)
+		client = h.client("strict")
+		h.Connect(client, "strict", h.now)
+		h.applyEffects()
+		So(h.lastResponse(client), ShouldEqual, "ERROR MALFORMED")
+		So(h.closedClients[client], ShouldBeTrue)
+	})
+	Convey("Malformed answers of an instance end its connection", t, func() {
+		h := newHarness(20)
+		client := h.client("strict")
+		h.query(client, write("1"))
+		send := h.nextSend()
+		h.receive(send.Conn, lineproto.Message{Kind: lineproto.KindInvalid})
+		So(send.Conn.IsClosed(), ShouldBeTrue)
+		So(h.lastResponse(client), ShouldEqual, "ERROR UNKNOWN / READY I")
+		h.receive(send.Conn, done("late"), h.readyIn(lineproto.StateIdle))
+		So(h.responseCount(client), ShouldEqual, 2)
+		So(h.invariantViolation(), ShouldEqual, "")
+	})
+}
--- a/internal/coordination/pool/linepool/random_test.go
+++ b/internal/coordination/pool/linepool/random_test.go
@@ -14,14 +14,13 @@
 	"tansyseam/internal/state/model"
 )
 
-// group is what is kept or lost together: a transaction, or a single write.
+// writeGroup is what is applied as a whole or not at all: a transaction, or a
+// single write.
 type writeGroup struct {
-	id              int
-	by              *simulatedClient
-	writes          int
-	submitted       bool
-	persisted       bool
-	promisedNotKept string
+	id               int
+	writes           int
+	applied          bool
+	noEffectResponse string
 }
 
 type pendingQuery struct {
@@ -40,7 +39,8 @@
 	connected bool
 }
 
-// host is the far end of one connection, which runs what it is sent.
+// simulatedServer is the instance's end of one connection. It runs what it is
+// sent.
 type simulatedServer struct {
 	conn          *Conn
 	queue         []Command
@@ -54,16 +54,18 @@
 	accepted      bool
 }
 
+// simulation runs one machine against clients, servers and events that are drawn
+// at random.
 type simulation struct {
 	*harness
-	random           *rand.Rand
-	simulatedClients []*simulatedClient
-	servers          []*simulatedServer
-	senders          map[string]*simulatedClient
-	groups           int
-	violation        string
-	faultFree        bool
-	answered         int
+	random       *rand.Rand
+	clientModels []*simulatedClient
+	servers      []*simulatedServer
+	senders      map[string]*simulatedClient
+	groups       int
+	violation    string
+	faultFree    bool
+	answered     int
 }
 
 func newSimulation(seed uint64) *simulation {
@@ -78,7 +80,7 @@
 	}
 }
 
-func (s *simulation) chance(part float64) bool { return s.random.Float64() < part }
+func (s *simulation) chance(probability float64) bool { return s.random.Float64() < probability }
 
 func (s *simulation) sync() {
 	s.applyEffects()
@@ -87,52 +89,52 @@
 	}
 	s.opens = nil
 	for _, send := range s.sends {
-		at := slices.IndexFunc(s.servers, func(h *simulatedServer) bool { return h.conn == send.Conn })
-		if at < 0 {
+		index := slices.IndexFunc(s.servers, func(server *simulatedServer) bool { return server.conn == send.Conn })
+		if index < 0 {
 			s.violated("sent on a connection that is not open")
 			continue
 		}
-		s.servers[at].queue = append(s.servers[at].queue, send.Commands...)
+		s.servers[index].queue = append(s.servers[index].queue, send.Commands...)
 	}
 	s.sends = nil
-	for _, p := range s.simulatedClients {
-		s.checkResponses(p)
+	for _, client := range s.clientModels {
+		s.checkResponses(client)
 	}
-	s.servers = slices.DeleteFunc(s.servers, func(h *simulatedServer) bool {
-		if !h.conn.IsClosed() {
+	s.servers = slices.DeleteFunc(s.servers, func(server *simulatedServer) bool {
+		if !server.conn.IsClosed() {
 			return false
 		}
-		for len(h.queue) > 0 && s.chance(0.7) {
-			s.runNext(h, lineproto.CodeOther)
+		for len(server.queue) > 0 && s.chance(0.7) {
+			s.runNext(server, lineproto.CodeOther)
 		}
 		return true
 	})
-	if fault := s.invariantViolation(); fault != "" {
-		s.violated("%s", fault)
+	if violation := s.invariantViolation(); violation != "" {
+		s.violated("%s", violation)
 	}
 }
 
-// listen takes what was said to a client, and checks it.
-func (s *simulation) checkResponses(p *simulatedClient) {
-	lines := s.harness.responses[p.client]
-	s.harness.responses[p.client] = nil
+// checkResponses takes the responses to a client, and checks them.
+func (s *simulation) checkResponses(client *simulatedClient) {
+	lines := s.harness.responses[client.client]
+	s.harness.responses[client.client] = nil
 	for _, line := range lines {
-		if !p.connected {
-			p.connected = true
+		if !client.connected {
+			client.connected = true
 			continue
 		}
-		if len(p.pending) == 0 {
+		if len(client.pending) == 0 {
 			s.violated("an answer to nothing: %s", line)
 			return
 		}
-		s.checkResponse(p, line)
+		s.checkResponse(client, line)
 	}
-	if s.closedClients[p.client] {
-		p.closed = true
+	if s.closedClients[client.client] {
+		client.closed = true
 	}
 }
 
-func (s *simulation) checkResponse(p *simulatedClient, line string) {
+func (s *simulation) checkResponse(client *simulatedClient, line string) {
 	var code, end string
 	var state byte
 	for _, part := range splitResponse(line) {
@@ -149,323 +151,323 @@
 	if state == 0 {
 		return
 	}
-	one := p.pending[0]
-	p.pending = p.pending[1:]
+	pending := client.pending[0]
+	client.pending = client.pending[1:]
 	s.answered++
-	act, own := one.query.Statement.Action, one.query.Statement
-	if act == lineproto.ActionBegin || act == lineproto.ActionBeginReadOnly {
+	statement := pending.query.Statement
+	action := statement.Action
+	if action == lineproto.ActionBegin || action == lineproto.ActionBeginReadOnly {
 		if code == "" {
-			p.group = s.newGroup(p)
+			client.group = s.newGroup()
 		}
 	}
-	held := p.group
-	isSingle := p.state == lineproto.StateIdle && one.group != nil
-	if isSingle {
-		held = one.group
+	group := client.group
+	single := client.state == lineproto.StateIdle && pending.group != nil
+	if single {
+		group = pending.group
 	}
-	isPromise := slices.Contains(promises, code)
-	if isPromise && held != nil && (isSingle || held == p.group) {
-		held.promisedNotKept = line
-		if held.persisted {
-			s.violated("%s was told of what is kept: %s %s in group %d", line, one.query.ID, one.query.Text, held.id)
+	noEffect := slices.Contains(noEffectCodeNames, code)
+	if noEffect && group != nil && (single || group == client.group) {
+		group.noEffectResponse = line
+		if group.applied {
+			s.violated("%s was sent for a group that was applied: %s %s in group %d", line, pending.query.ID, pending.query.Text, group.id)
 		}
 	}
-	isDone := code == ""
-	isKeeping := isDone && ((isSingle && one.group.writes > 0) || (act == lineproto.ActionCommit && held != nil && held.writes > 0))
-	if isKeeping && !held.persisted {
-		s.violated("%s was told of what is not kept", line)
+	done := code == ""
+	applies := done && ((single && pending.group.writes > 0) || (action == lineproto.ActionCommit && group != nil && group.writes > 0))
+	if applies && !group.applied {
+		s.violated("%s was sent for a group that was not applied", line)
 	}
-	isOwn := act == lineproto.ActionRead || act == lineproto.ActionWrite || act == lineproto.ActionExecute || act == lineproto.ActionCommit
-	if isDone && isOwn && end != "s"+one.query.ID {
-		s.violated("%s is not the answer to %s", line, one.query.ID)
+	hasAnswer := action == lineproto.ActionRead || action == lineproto.ActionWrite || action == lineproto.ActionExecute || action == lineproto.ActionCommit
+	if done && hasAnswer && end != "s"+pending.query.ID {
+		s.violated("%s is not the answer to %s", line, pending.query.ID)
 	}
-	if isDone && act == lineproto.ActionSet {
-		p.variables[own.Name] = own.Value
+	if done && action == lineproto.ActionSet {
+		client.variables[statement.Name] = statement.Value
 	}
-	if isDone && act == lineproto.ActionPrepare {
-		p.prepared[own.Name] = own.PreparedText
+	if done && action == lineproto.ActionPrepare {
+		client.prepared[statement.Name] = statement.PreparedText
 	}
-	if isDone && act == lineproto.ActionDeallocate {
-		delete(p.prepared, own.Name)
+	if done && action == lineproto.ActionDeallocate {
+		delete(client.prepared, statement.Name)
 	}
 	if state != lineproto.StateInTransaction {
-		p.group = nil
+		client.group = nil
 	}
-	p.state = state
+	client.state = state
 }
 
 func splitResponse(line string) []string {
 	var parts []string
 	for {
-		at := slices.Index([]byte(line), '/')
-		if at < 0 {
+		index := slices.Index([]byte(line), '/')
+		if index < 0 {
 			return append(parts, line)
 		}
-		parts, line = append(parts, line[:at-1]), line[at+2:]
+		parts, line = append(parts, line[:index-1]), line[index+2:]
 	}
 }
 
-func (s *simulation) newGroup(p *simulatedClient) *writeGroup {
+func (s *simulation) newGroup() *writeGroup {
 	s.groups++
-	return &writeGroup{id: s.groups, by: p}
+	return &writeGroup{id: s.groups}
 }
 
-func (s *simulation) submitQuery(p *simulatedClient, ask Query) {
-	s.senders[ask.ID] = p
-	one := pendingQuery{query: ask}
-	isWrite := ask.Statement.Action == lineproto.ActionWrite || ask.Statement.Action == lineproto.ActionExecute
-	if isWrite {
-		one.group = s.newGroup(p)
-		one.group.submitted = true
+func (s *simulation) submitQuery(client *simulatedClient, query Query) {
+	s.senders[query.ID] = client
+	pending := pendingQuery{query: query}
+	write := query.Statement.Action == lineproto.ActionWrite || query.Statement.Action == lineproto.ActionExecute
+	if write {
+		pending.group = s.newGroup()
 	}
-	p.pending = append(p.pending, one)
-	s.Query(p.client, ask, s.now)
+	client.pending = append(client.pending, pending)
+	s.Query(client.client, query, s.now)
 }
 
 func (s *simulation) findPending(id string) (*simulatedClient, pendingQuery, bool) {
-	p := s.senders[id]
-	if p == nil {
+	client := s.senders[id]
+	if client == nil {
 		return nil, pendingQuery{}, false
 	}
-	at := slices.IndexFunc(p.pending, func(one pendingQuery) bool { return one.query.ID == id })
-	if at < 0 {
-		return p, pendingQuery{}, false
+	index := slices.IndexFunc(client.pending, func(pending pendingQuery) bool { return pending.query.ID == id })
+	if index < 0 {
+		return client, pendingQuery{}, false
 	}
-	return p, p.pending[at], at == 0 && !p.closed
+	return client, client.pending[index], index == 0 && !client.closed
 }
 
-func (s *simulation) rollBack(h *simulatedServer) {
-	if s.chance(0.5) && h.savedSession[0] != nil {
-		h.variables, h.prepared = h.savedSession[0], h.savedSession[1]
+func (s *simulation) rollBack(server *simulatedServer) {
+	if s.chance(0.5) && server.savedSession[0] != nil {
+		server.variables, server.prepared = server.savedSession[0], server.savedSession[1]
 	}
-	h.inTransaction, h.failed, h.hasWrites, h.group, h.savedSession = false, false, false, nil, [2]map[string]string{}
+	server.inTransaction, server.failed, server.hasWrites, server.group, server.savedSession = false, false, false, nil, [2]map[string]string{}
 }
 
-// run runs the oldest text at a host, refusing it with a code where one is
-// given, and gives the answer.
-func (s *simulation) runNext(h *simulatedServer, refusal lineproto.Code) []lineproto.Message {
-	out := h.queue[0]
-	h.queue = h.queue[1:]
-	ways := map[CommandKind]func() []lineproto.Message{
+// runNext runs the oldest command at a server and returns the answer. It
+// refuses the command with the code, unless that is CodeOther.
+func (s *simulation) runNext(server *simulatedServer, refusal lineproto.Code) []lineproto.Message {
+	command := server.queue[0]
+	server.queue = server.queue[1:]
+	runners := map[CommandKind]func() []lineproto.Message{
 		CommandReset: func() []lineproto.Message {
-			h.variables, h.prepared = map[string]string{}, map[string]string{}
-			return []lineproto.Message{ok("-")}
+			server.variables, server.prepared = map[string]string{}, map[string]string{}
+			return []lineproto.Message{done("-")}
 		},
 		CommandSet: func() []lineproto.Message {
-			h.variables[out.Name] = out.Value
-			return []lineproto.Message{ok("-")}
+			server.variables[command.Name] = command.Value
+			return []lineproto.Message{done("-")}
 		},
 		CommandPrepare: func() []lineproto.Message {
-			h.prepared[out.Name] = out.Value
-			return []lineproto.Message{ok("-")}
+			server.prepared[command.Name] = command.Value
+			return []lineproto.Message{done("-")}
 		},
 		CommandRollback: func() []lineproto.Message {
-			s.rollBack(h)
-			return []lineproto.Message{ok("-")}
+			s.rollBack(server)
+			return []lineproto.Message{done("-")}
 		},
-		CommandBegin:         func() []lineproto.Message { return s.beginTransaction(h, refusal) },
-		CommandBeginReadOnly: func() []lineproto.Message { return s.beginTransaction(h, refusal) },
-		CommandText:          func() []lineproto.Message { return s.runStatement(h, out, refusal) },
-		CommandExecute:       func() []lineproto.Message { return s.runStatement(h, out, refusal) },
+		CommandBegin:         func() []lineproto.Message { return s.beginTransaction(server, refusal) },
+		CommandBeginReadOnly: func() []lineproto.Message { return s.beginTransaction(server, refusal) },
+		CommandText:          func() []lineproto.Message { return s.runStatement(server, command, refusal) },
+		CommandExecute:       func() []lineproto.Message { return s.runStatement(server, command, refusal) },
 	}
-	said := ways[out.Kind]()
+	answer := runners[command.Kind]()
 	state := lineproto.StateIdle
-	if h.inTransaction {
+	if server.inTransaction {
 		state = lineproto.StateInTransaction
 	}
-	if h.failed {
+	if server.failed {
 		state = lineproto.StateFailed
 	}
-	return append(said, s.readyIn(state))
+	return append(answer, s.readyIn(state))
 }
 
-func (s *simulation) beginTransaction(h *simulatedServer, refusal lineproto.Code) []lineproto.Message {
-	if h.inTransaction {
+func (s *simulation) beginTransaction(server *simulatedServer, refusal lineproto.Code) []lineproto.Message {
+	if server.inTransaction {
 		s.violated("begin inside a transaction")
 	}
 	if refusal != lineproto.CodeOther {
-		return []lineproto.Message{bad(refusal)}
+		return []lineproto.Message{failure(refusal)}
 	}
-	h.inTransaction, h.savedSession = true, [2]map[string]string{maps.Clone(h.variables), maps.Clone(h.prepared)}
-	return []lineproto.Message{ok("-")}
+	server.inTransaction, server.savedSession = true, [2]map[string]string{maps.Clone(server.variables), maps.Clone(server.prepared)}
+	return []lineproto.Message{done("-")}
 }
 
-func (s *simulation) runStatement(h *simulatedServer, out Command, refusal lineproto.Code) []lineproto.Message {
-	p, one, isHead := s.findPending(out.ID)
-	if p == nil {
-		s.violated("a statement that nobody sent: %s", out.ID)
-		return []lineproto.Message{bad(lineproto.CodeOther)}
-	}
-	act, isWrite := lineproto.ActionRead, false
-	if isHead {
-		act = one.query.Statement.Action
-		isTurn := p.state == lineproto.StateInTransaction
-		if isTurn != h.inTransaction {
-			s.violated("%s runs inside %v, its client is inside %v", out.ID, h.inTransaction, isTurn)
+func (s *simulation) runStatement(server *simulatedServer, command Command, refusal lineproto.Code) []lineproto.Message {
+	client, pending, current := s.findPending(command.ID)
+	if client == nil {
+		s.violated("a statement that nobody sent: %s", command.ID)
+		return []lineproto.Message{failure(lineproto.CodeOther)}
+	}
+	action, write := lineproto.ActionRead, false
+	if current {
+		action = pending.query.Statement.Action
+		inTransaction := client.state == lineproto.StateInTransaction
+		if inTransaction != server.inTransaction {
+			s.violated("%s runs inside %v, its client is inside %v", command.ID, server.inTransaction, inTransaction)
 		}
-		if !maps.Equal(h.variables, p.variables) {
-			s.violated("%s runs with %v, not %v", out.ID, h.variables, p.variables)
+		if !maps.Equal(server.variables, client.variables) {
+			s.violated("%s runs with %v, not %v", command.ID, server.variables, client.variables)
 		}
-		if h.inTransaction && h.group == nil {
-			h.group = p.group
+		if server.inTransaction && server.group == nil {
+			server.group = client.group
 		}
-		if h.inTransaction && h.group != p.group {
-			s.violated("%s runs inside another's transaction", out.ID)
+		if server.inTransaction && server.group != client.group {
+			s.violated("%s runs inside another's transaction", command.ID)
 		}
-		isWrite = act == lineproto.ActionWrite
+		write = action == lineproto.ActionWrite
 	}
-	if out.Kind == CommandExecute {
-		shape, found := h.prepared[out.Name]
+	if command.Kind == CommandExecute {
+		text, found := server.prepared[command.Name]
 		if !found {
-			return []lineproto.Message{bad(lineproto.CodeNotFound)}
+			return []lineproto.Message{failure(lineproto.CodeNotFound)}
 		}
-		isWrite = shape[0] == 'w'
-		if isHead && p.prepared[one.query.Statement.Name] != shape {
-			s.violated("%s runs %s, not %s", out.ID, shape, p.prepared[one.query.Statement.Name])
+		write = text[0] == 'w'
+		if current && client.prepared[pending.query.Statement.Name] != text {
+			s.violated("%s runs %s, not %s", command.ID, text, client.prepared[pending.query.Statement.Name])
 		}
 	}
-	isCommit := out.Text == "commit"
+	commit := command.Text == "commit"
 	if refusal != lineproto.CodeOther {
-		if refusal == lineproto.CodeFailed && h.inTransaction {
-			h.failed = true
+		if refusal == lineproto.CodeFailed && server.inTransaction {
+			server.failed = true
 		}
-		if isCommit {
-			s.rollBack(h)
+		if commit {
+			s.rollBack(server)
 		}
-		return []lineproto.Message{bad(refusal)}
+		return []lineproto.Message{failure(refusal)}
 	}
-	if isCommit {
-		if h.group != nil {
-			h.group.persisted = h.hasWrites
-			if h.group.promisedNotKept != "" && h.hasWrites {
-				s.violated("kept after %s", h.group.promisedNotKept)
+	if commit {
+		if server.group != nil {
+			server.group.applied = server.hasWrites
+			if server.group.noEffectResponse != "" && server.hasWrites {
+				s.violated("applied after %s", server.group.noEffectResponse)
 			}
 		}
-		h.inTransaction, h.hasWrites, h.group = false, false, nil
-	} else if isWrite && h.inTransaction {
-		h.hasWrites = true
-		if h.group != nil {
-			h.group.writes++
+		server.inTransaction, server.hasWrites, server.group = false, false, nil
+	} else if write && server.inTransaction {
+		server.hasWrites = true
+		if server.group != nil {
+			server.group.writes++
 		}
-	} else if isWrite && one.group != nil {
-		one.group.writes++
-		one.group.persisted = true
+	} else if write && pending.group != nil {
+		pending.group.writes++
+		pending.group.applied = true
 	}
-	return []lineproto.Message{row("r" + out.ID), ok("s" + out.ID)}
+	return []lineproto.Message{row("r" + command.ID), done("s" + command.ID)}
 }
 
 func (s *simulation) randomClient() *simulatedClient {
-	var list []*simulatedClient
-	for _, p := range s.simulatedClients {
-		if !p.closed {
-			list = append(list, p)
+	var open []*simulatedClient
+	for _, client := range s.clientModels {
+		if !client.closed {
+			open = append(open, client)
 		}
 	}
-	if len(list) == 0 {
+	if len(open) == 0 {
 		return nil
 	}
-	return list[s.random.IntN(len(list))]
+	return open[s.random.IntN(len(open))]
 }
 
 func (s *simulation) randomQuery() Query {
 	names := []string{"n1", "n2"}
 	name := names[s.random.IntN(2)]
-	ways := []func() Query{
+	generators := []func() Query{
 		begin, begin, beginRead, commit, commit, commit, rollback,
 		func() Query { return read("t") }, func() Query { return read("t") }, func() Query { return write("t") }, func() Query { return write("t") },
 		func() Query { return set(name, fmt.Sprint(s.random.IntN(3))) },
 		func() Query { return prepare(name, []string{"read q", "write q", "read z"}[s.random.IntN(3)]) },
-		func() Query { return runs(name, "t") }, func() Query { return runs(name, "t") },
-		func() Query { return forget(name) },
+		func() Query { return execute(name, "t") }, func() Query { return execute(name, "t") },
+		func() Query { return deallocate(name) },
 	}
-	return ways[s.random.IntN(len(ways))]()
+	return generators[s.random.IntN(len(generators))]()
 }
 
 func (s *simulation) connectClient() {
-	if len(s.simulatedClients) > 60 {
+	if len(s.clientModels) > 60 {
 		return
 	}
 	names := []string{"strict", "stale", "own", "urgent", "other"}
 	client := s.Accept(nil, s.now)
-	s.simulatedClients = append(s.simulatedClients, &simulatedClient{client: client, state: lineproto.StateIdle, variables: map[string]string{}, prepared: map[string]string{}})
+	s.clientModels = append(s.clientModels, &simulatedClient{client: client, state: lineproto.StateIdle, variables: map[string]string{}, prepared: map[string]string{}})
 	s.Connect(client, names[s.random.IntN(len(names))], s.now)
 }
 
 func (s *simulation) sendQuery() {
-	p := s.randomClient()
-	if p == nil || !p.connected || len(p.pending) > 4 || (len(p.pending) > 0 && s.chance(0.8)) {
+	client := s.randomClient()
+	if client == nil || !client.connected || len(client.pending) > 4 || (len(client.pending) > 0 && s.chance(0.8)) {
 		return
 	}
-	s.submitQuery(p, s.randomQuery())
+	s.submitQuery(client, s.randomQuery())
 }
 
-// serve lets a host go one step.
+// advanceServer lets some server go one step.
 func (s *simulation) advanceServer() {
 	if len(s.servers) == 0 {
 		return
 	}
-	h := s.servers[s.random.IntN(len(s.servers))]
-	if !h.accepted {
+	server := s.servers[s.random.IntN(len(s.servers))]
+	if !server.accepted {
 		if !s.faultFree && s.chance(0.1) {
-			s.Received(h.conn, bad([]lineproto.Code{lineproto.CodeTooManyConnections, lineproto.CodeWrongInstance}[s.random.IntN(2)]), s.now)
+			s.Received(server.conn, failure([]lineproto.Code{lineproto.CodeTooManyConnections, lineproto.CodeWrongInstance}[s.random.IntN(2)]), s.now)
 			return
 		}
-		h.accepted = true
-		s.Received(h.conn, s.readyIn(lineproto.StateIdle), s.now)
+		server.accepted = true
+		s.Received(server.conn, s.readyIn(lineproto.StateIdle), s.now)
 		return
 	}
-	if len(h.queue) == 0 {
+	if len(server.queue) == 0 {
 		return
 	}
 	refusal := lineproto.CodeOther
 	if !s.faultFree && s.chance(0.15) {
 		refusal = []lineproto.Code{lineproto.CodeBusy, lineproto.CodeLagging, lineproto.CodeReadOnly, lineproto.CodeFailed}[s.random.IntN(4)]
 	}
-	messages := s.runNext(h, refusal)
+	messages := s.runNext(server, refusal)
 	if !s.faultFree && s.chance(0.03) {
 		messages = messages[:s.random.IntN(len(messages))]
 		for _, message := range messages {
-			s.Received(h.conn, message, s.now)
+			s.Received(server.conn, message, s.now)
 		}
-		s.ConnLost(h.conn, s.now)
+		s.ConnLost(server.conn, s.now)
 		return
 	}
 	for _, message := range messages {
-		s.Received(h.conn, message, s.now)
+		s.Received(server.conn, message, s.now)
 	}
 }
 
 func (s *simulation) disconnectClient() {
-	if p := s.randomClient(); p != nil && s.chance(0.3) {
-		p.closed = true
-		s.ClientLost(p.client, s.now)
+	if client := s.randomClient(); client != nil && s.chance(0.3) {
+		client.closed = true
+		s.ClientLost(client.client, s.now)
 	}
 }
 
 func (s *simulation) changeFleet() {
-	writer := s.doc.Writers["x"]
-	ways := []func(){
+	writer := s.snapshot.Writers["x"]
+	changes := []func(){
 		func() { s.setWriter(model.PhaseClosing, writer.Primary, writer.Term) },
 		func() { s.setWriter(model.PhaseOpen, writer.Primary, writer.Term) },
 		func() { s.setWriter(model.PhaseOpen, []string{"a", "b", "c"}[s.random.IntN(3)], writer.Term+1) },
 		func() {
-			one := s.registered([]string{"a", "b", "c"}[s.random.IntN(3)])
-			one.Leaving = !one.Leaving
-			s.update(1600 * time.Millisecond)
+			instance := s.registered([]string{"a", "b", "c"}[s.random.IntN(3)])
+			instance.Leaving = !instance.Leaving
+			s.update(leaseDuration)
 		},
 		func() {
-			one := s.registered([]string{"b", "c"}[s.random.IntN(2)])
-			one.Stopped = !one.Stopped
+			instance := s.registered([]string{"b", "c"}[s.random.IntN(2)])
+			instance.Stopped = !instance.Stopped
 			s.update(400 * time.Millisecond)
 		},
 	}
-	ways[s.random.IntN(len(ways))]()
+	changes[s.random.IntN(len(changes))]()
 }
 
 func (s *simulation) step() {
-	ways := []struct {
-		part float64
-		act  func()
+	events := []struct {
+		probability float64
+		act         func()
 	}{
 		{0.03, s.connectClient}, {0.3, s.sendQuery}, {0.45, s.advanceServer}, {0.02, s.disconnectClient}, {0.01, s.changeFleet},
 		{0.01, func() {
@@ -475,26 +477,26 @@
 		}},
 		{0.1, func() { s.advance(time.Duration(s.random.IntN(30)) * time.Millisecond) }},
 		{0.005, func() { s.advance(time.Duration(s.random.IntN(2500)) * time.Millisecond) }},
-		{1, func() { s.update(1600 * time.Millisecond) }},
+		{1, func() { s.update(leaseDuration) }},
 	}
 	draw := s.random.Float64()
-	for _, way := range ways {
-		if draw < way.part {
-			way.act()
+	for _, event := range events {
+		if draw < event.probability {
+			event.act()
 			break
 		}
-		draw -= way.part
+		draw -= event.probability
 	}
 	s.sync()
 }
 
-// calm ends all trouble and lets everything be answered.
+// settle ends all faults and lets everything be answered.
 func (s *simulation) settle() {
 	s.faultFree = true
-	for at := range s.registry {
-		s.registry[at].Leaving, s.registry[at].Stopped = false, false
+	for index := range s.registry {
+		s.registry[index].Leaving, s.registry[index].Stopped = false, false
 	}
-	s.setWriter(model.PhaseOpen, "a", s.doc.Writers["x"].Term+1)
+	s.setWriter(model.PhaseOpen, "a", s.snapshot.Writers["x"].Term+1)
 	for range 400 {
 		s.advanceInTicks(25 * time.Millisecond)
 		s.sync()
@@ -506,19 +508,19 @@
 }
 
 func (s *simulation) unfinished() string {
-	for _, p := range s.simulatedClients {
-		if !p.closed && len(p.pending) > 0 {
-			return fmt.Sprintf("%s was never answered", p.pending[0].query.ID)
+	for _, client := range s.clientModels {
+		if !client.closed && len(client.pending) > 0 {
+			return fmt.Sprintf("%s was never answered", client.pending[0].query.ID)
 		}
 	}
 	for _, instance := range s.instances.All() {
 		if open := instance.window.Reading().InFlight; open != 0 {
-			return fmt.Sprintf("%s still counts %d out", instance.info.Name, open)
+			return fmt.Sprintf("%s still counts %d in flight", instance.info.Name, open)
 		}
 	}
 	for _, database := range s.databases.All() {
 		if len(database.transactionQueue)+len(database.primaryQueue)+len(database.readQueue)+len(database.inFlight)+len(database.unconfirmed) > 0 {
-			return database.name + " has a line that is not empty"
+			return database.name + " has a queue that is not empty"
 		}
 	}
 	return ""
@@ -526,7 +528,7 @@
 
 func TestRandomSchedules(t *testing.T) {
 	Convey("Under random events, by fixed seeds, nothing is miscounted, mixed, leaked, answered twice or never", t, func() {
-		said := 0
+		answered := 0
 		seeds := []uint64{11769, 10165, 1915, 1997, 2055, 2597, 3267, 3510, 3808, 3927}
 		for seed := range uint64(40) {
 			seeds = append(seeds, seed)
@@ -543,8 +545,8 @@
 				s.violation = s.unfinished()
 			}
 			SoMsg(fmt.Sprintf("seed %d", seed), s.violation, ShouldEqual, "")
-			said += s.answered
+			answered += s.answered
 		}
-		So(said, ShouldBeGreaterThan, 10000)
+		So(answered, ShouldBeGreaterThan, 10000)
 	})
 }
--- a/internal/coordination/pool/linepool/scarce_test.go
+++ b/internal/coordination/pool/linepool/scarce_test.go
@@ -17,45 +17,48 @@
 	statementTime   = 8 * time.Millisecond
 	thinkTime       = 25 * time.Millisecond
 	deadConnTimeout = 3 * time.Second
+
+	never = time.Duration(1 << 62)
 )
 
-// seat is one connection that the shared instance holds.
+// serverConn is one connection as the shared instance holds it.
 type serverConn struct {
 	node     *fleetNode
 	conn     *Conn
 	queue    []Command
 	answerAt time.Duration
-	// freed is when the instance drops it where its node has died, 0 before.
+	// freedAt is when the instance drops it after its node has died; 0 before.
 	freedAt time.Duration
 }
 
-// errand is one operation of a client: its statements, and what came of it.
-type operation struct {
+// clientOperation is what one client does: the statements that it has still to
+// send, and when it sends the next one.
+type clientOperation struct {
 	client    *Client
 	remaining []Query
 	dueAt     time.Duration
 	startedAt time.Duration
-	// isHeld says that the client rests inside its transaction for good.
+	// idle says that the client stays inside its transaction and does nothing.
 	idle bool
 }
 
 type fleetNode struct {
 	*harness
 	name       string
-	operations []*operation
+	operations []*clientOperation
 	down       bool
 }
 
-// crowd plays many machines before one primary with a hard bound on its
-// connections, all in virtual time.
+// fleet runs many machines in front of one primary that takes a limited number
+// of connections, all in virtual time.
 type fleet struct {
 	random    *rand.Rand
 	now       time.Duration
-	bound     int
+	maxConns  int
 	nodes     []*fleetNode
 	conns     []*serverConn
 	liveNames []string
-	pace      float64
+	rate      float64
 	mostConns int
 	opened    int
 	refused   int
@@ -64,157 +67,156 @@
 	slowest   time.Duration
 }
 
-func newFleet(seed uint64, count, bound int, pace float64) *fleet {
-	c := &fleet{random: rand.New(rand.NewPCG(seed, 3)), now: time.Hour, bound: bound, pace: pace, liveNames: nodes(count)}
-	for _, name := range c.liveNames {
-		c.nodes = append(c.nodes, &fleetNode{name: name})
-		c.start(c.nodes[len(c.nodes)-1])
+func newFleet(seed uint64, count, maxConns int, rate float64) *fleet {
+	f := &fleet{random: rand.New(rand.NewPCG(seed, 3)), now: time.Hour, maxConns: maxConns, rate: rate, liveNames: nodes(count)}
+	for _, name := range f.liveNames {
+		f.nodes = append(f.nodes, &fleetNode{name: name})
+		f.start(f.nodes[len(f.nodes)-1])
 	}
-	return c
+	return f
 }
 
-func (c *fleet) start(node *fleetNode) {
-	node.harness, node.down, node.operations = newHarnessFor(node.name, c.bound), false, nil
-	node.manualOpen, node.now = true, c.now
+func (f *fleet) start(node *fleetNode) {
+	node.harness, node.down, node.operations = newHarnessFor(node.name, f.maxConns), false, nil
+	node.manualOpen, node.now = true, f.now
 	node.update(time.Hour)
-	node.Tick(c.liveNames, 1, c.now)
+	node.Tick(f.liveNames, 1, f.now)
 }
 
-func (c *fleet) kill(node *fleetNode, isDark bool) {
+func (f *fleet) kill(node *fleetNode, vanished bool) {
 	node.down = true
-	for _, one := range c.conns {
-		if one.node == node {
-			one.freedAt = c.now
-			if isDark {
-				one.freedAt = c.now + deadConnTimeout
+	for _, conn := range f.conns {
+		if conn.node == node {
+			conn.freedAt = f.now
+			if vanished {
+				conn.freedAt = f.now + deadConnTimeout
 			}
 		}
 	}
 }
 
-func (c *fleet) addOperation(node *fleetNode, found bool) {
-	one := &operation{client: node.client("strict"), startedAt: c.now, dueAt: c.now, remaining: []Query{write("1")}, idle: found}
-	if found || c.random.Float64() < 0.6 {
-		one.remaining = []Query{begin(), write("1"), write("2"), commit()}
+func (f *fleet) addOperation(node *fleetNode, idle bool) {
+	operation := &clientOperation{client: node.client("strict"), startedAt: f.now, dueAt: f.now, remaining: []Query{write("1")}, idle: idle}
+	if idle || f.random.Float64() < 0.6 {
+		operation.remaining = []Query{begin(), write("1"), write("2"), commit()}
 	}
-	if found {
-		one.remaining = one.remaining[:2]
+	if idle {
+		operation.remaining = operation.remaining[:2]
 	}
-	node.operations = append(node.operations, one)
+	node.operations = append(node.operations, operation)
 }
 
-// run passes time; each node that is up asks at the crowd's pace.
-func (c *fleet) run(span time.Duration) {
-	for end := c.now + span; c.now < end; {
-		c.now += fleetStep
-		c.serve()
-		for _, node := range c.nodes {
+// run passes time; each node that is up has new operations at the fleet's rate.
+func (f *fleet) run(span time.Duration) {
+	for end := f.now + span; f.now < end; {
+		f.now += fleetStep
+		f.serve()
+		for _, node := range f.nodes {
 			if !node.down {
-				c.advanceNode(node)
+				f.advanceNode(node)
 			}
 		}
 	}
 }
 
-func (c *fleet) advanceNode(node *fleetNode) {
-	node.now = c.now
-	if c.now%(25*time.Millisecond) == 0 {
-		node.Tick(c.liveNames, 1, c.now)
+func (f *fleet) advanceNode(node *fleetNode) {
+	node.now = f.now
+	if f.now%(25*time.Millisecond) == 0 {
+		node.Tick(f.liveNames, 1, f.now)
 		node.applyEffects()
 	}
-	if c.random.Float64() < c.pace*fleetStep.Seconds() {
-		c.addOperation(node, false)
+	if f.random.Float64() < f.rate*fleetStep.Seconds() {
+		f.addOperation(node, false)
 	}
-	for _, one := range slices.Clone(node.operations) {
-		c.advanceOperation(node, one)
+	for _, operation := range slices.Clone(node.operations) {
+		f.advanceOperation(node, operation)
 	}
-	c.collect(node)
+	f.collect(node)
 }
 
-func (c *fleet) advanceOperation(node *fleetNode, one *operation) {
-	said := node.responses[one.client]
-	for _, answer := range said {
-		isBad := len(answer) > 5 && answer[:5] == "ERROR"
-		if isBad && !one.idle {
-			c.failed++
-			one.remaining = nil
+func (f *fleet) advanceOperation(node *fleetNode, operation *clientOperation) {
+	for _, answer := range node.responses[operation.client] {
+		failed := len(answer) > 5 && answer[:5] == "ERROR"
+		if failed && !operation.idle {
+			f.failed++
+			operation.remaining = nil
 		}
-		one.dueAt = c.now + thinkTime
-		if len(one.remaining) == 0 && !one.idle {
-			node.operations = slices.DeleteFunc(node.operations, func(other *operation) bool { return other == one })
-			c.done++
-			c.slowest = max(c.slowest, c.now-one.startedAt)
-			node.Terminate(one.client, c.now)
+		operation.dueAt = f.now + thinkTime
+		if len(operation.remaining) == 0 && !operation.idle {
+			node.operations = slices.DeleteFunc(node.operations, func(other *clientOperation) bool { return other == operation })
+			f.done++
+			f.slowest = max(f.slowest, f.now-operation.startedAt)
+			node.Terminate(operation.client, f.now)
 			node.applyEffects()
 			return
 		}
 	}
-	node.responses[one.client] = nil
-	isWaiting := one.client.request != nil
-	if !isWaiting && len(one.remaining) > 0 && c.now >= one.dueAt {
-		query := one.remaining[0]
-		one.remaining = one.remaining[1:]
-		node.query(one.client, query)
-		one.dueAt = time.Duration(1 << 62)
+	node.responses[operation.client] = nil
+	waiting := operation.client.request != nil
+	if !waiting && len(operation.remaining) > 0 && f.now >= operation.dueAt {
+		query := operation.remaining[0]
+		operation.remaining = operation.remaining[1:]
+		node.query(operation.client, query)
+		operation.dueAt = never
 	}
 }
 
-func (c *fleet) collect(node *fleetNode) {
+func (f *fleet) collect(node *fleetNode) {
 	for _, conn := range node.closedConns {
-		c.conns = slices.DeleteFunc(c.conns, func(one *serverConn) bool { return one.conn == conn })
+		f.conns = slices.DeleteFunc(f.conns, func(other *serverConn) bool { return other.conn == conn })
 	}
 	node.closedConns = nil
 	for _, open := range slices.Clone(node.opens) {
-		c.opened++
-		if len(c.conns) >= c.bound {
-			c.refused++
-			node.opens = slices.DeleteFunc(node.opens, func(one OpenConn) bool { return one.Conn == open.Conn })
-			node.receive(open.Conn, bad(lineproto.CodeTooManyConnections))
+		f.opened++
+		if len(f.conns) >= f.maxConns {
+			f.refused++
+			node.opens = slices.DeleteFunc(node.opens, func(other OpenConn) bool { return other.Conn == open.Conn })
+			node.receive(open.Conn, failure(lineproto.CodeTooManyConnections))
 			continue
 		}
-		c.conns = append(c.conns, &serverConn{node: node, conn: open.Conn, answerAt: c.now + handshakeTime})
+		f.conns = append(f.conns, &serverConn{node: node, conn: open.Conn, answerAt: f.now + handshakeTime})
 	}
 	node.opens = nil
 	for _, send := range node.sends {
-		for _, one := range c.conns {
-			if one.conn == send.Conn {
-				one.queue, one.answerAt = append(one.queue, send.Commands...), c.now+statementTime
+		for _, conn := range f.conns {
+			if conn.conn == send.Conn {
+				conn.queue, conn.answerAt = append(conn.queue, send.Commands...), f.now+statementTime
 			}
 		}
 	}
 	node.sends = nil
-	c.mostConns = max(c.mostConns, len(c.conns))
+	f.mostConns = max(f.mostConns, len(f.conns))
 }
 
-// serve answers what is due at the shared instance.
-func (c *fleet) serve() {
-	c.conns = slices.DeleteFunc(c.conns, func(one *serverConn) bool { return one.freedAt != 0 && c.now >= one.freedAt })
-	for _, one := range slices.Clone(c.conns) {
-		if one.freedAt != 0 || one.answerAt == 0 || c.now < one.answerAt {
+// serve has the shared instance send the answers whose time has come.
+func (f *fleet) serve() {
+	f.conns = slices.DeleteFunc(f.conns, func(conn *serverConn) bool { return conn.freedAt != 0 && f.now >= conn.freedAt })
+	for _, conn := range slices.Clone(f.conns) {
+		if conn.freedAt != 0 || conn.answerAt == 0 || f.now < conn.answerAt {
 			continue
 		}
-		one.answerAt, one.node.now = 0, c.now
-		if len(one.queue) == 0 {
-			one.node.connAccepted(OpenConn{Conn: one.conn})
+		conn.answerAt, conn.node.now = 0, f.now
+		if len(conn.queue) == 0 {
+			conn.node.connAccepted(OpenConn{Conn: conn.conn})
 			continue
 		}
-		queue := one.queue
-		one.queue = nil
-		for at, out := range queue {
+		queue := conn.queue
+		conn.queue = nil
+		for index, command := range queue {
 			state := byte(lineproto.StateIdle)
-			inTransaction := one.conn.owner != nil && !(out.Kind == CommandText && out.Text == "commit")
-			if inTransaction && (at > 0 || out.Kind == CommandBegin || out.Kind == CommandText) {
+			inTransaction := conn.conn.owner != nil && !(command.Kind == CommandText && command.Text == "commit")
+			if inTransaction && (index > 0 || command.Kind == CommandBegin || command.Kind == CommandText) {
 				state = lineproto.StateInTransaction
 			}
-			one.node.receive(one.conn, ok("s"), one.node.readyIn(state))
+			conn.node.receive(conn.conn, done("s"), conn.node.readyIn(state))
 		}
 	}
 }
 
-// resting counts the connections that nodes hold and do not use.
-func (c *fleet) idleConns() int {
+// idleConns counts the connections that nodes keep and do not use.
+func (f *fleet) idleConns() int {
 	count := 0
-	for _, node := range c.nodes {
+	for _, node := range f.nodes {
 		if !node.down {
 			count += len(node.instance("a").idle)
 		}
@@ -222,82 +224,83 @@
 	return count
 }
 
-func (c *fleet) share(part int) []*fleetNode { return c.nodes[:len(c.nodes)/part] }
+// share returns the first of so many equal parts of the nodes.
+func (f *fleet) share(parts int) []*fleetNode { return f.nodes[:len(f.nodes)/parts] }
 
 func TestScarceConnections(t *testing.T) {
 	Convey("More nodes than an instance takes connections all are served", t, func() {
-		for _, shape := range []struct {
-			count, bound int
-			pace         float64
+		for _, load := range []struct {
+			count, maxConns int
+			rate            float64
 		}{{60, 51, 0.5}, {60, 51, 1}, {30, 20, 0.6}, {60, 110, 1}, {120, 51, 0.3}} {
-			c := newFleet(1, shape.count, shape.bound, shape.pace)
-			c.run(8 * time.Second)
-			So(c.done, ShouldBeGreaterThan, int(float64(shape.count)*shape.pace*6))
-			So(c.failed, ShouldEqual, 0)
-			So(c.slowest, ShouldBeLessThan, 600*time.Millisecond)
-			So(c.mostConns, ShouldBeLessThanOrEqualTo, shape.bound)
-			So(float64(c.refused), ShouldBeLessThan, 0.02*float64(c.opened)+1)
-			c.pace = 0
-			c.run(3 * time.Second)
-			So(c.idleConns(), ShouldBeLessThanOrEqualTo, shape.bound/2)
-			So(len(c.conns), ShouldEqual, c.idleConns())
+			f := newFleet(1, load.count, load.maxConns, load.rate)
+			f.run(8 * time.Second)
+			So(f.done, ShouldBeGreaterThan, int(float64(load.count)*load.rate*6))
+			So(f.failed, ShouldEqual, 0)
+			So(f.slowest, ShouldBeLessThan, 600*time.Millisecond)
+			So(f.mostConns, ShouldBeLessThanOrEqualTo, load.maxConns)
+			So(float64(f.refused), ShouldBeLessThan, 0.02*float64(f.opened)+1)
+			f.rate = 0
+			f.run(3 * time.Second)
+			So(f.idleConns(), ShouldBeLessThanOrEqualTo, load.maxConns/2)
+			So(len(f.conns), ShouldEqual, f.idleConns())
 		}
 	})
 	Convey("They are while nodes die, come back and leave", t, func() {
-		c := newFleet(2, 60, 51, 0.6)
-		c.run(5 * time.Second)
-		herd := c.share(3)
-		for _, node := range herd {
-			c.kill(node, true)
+		f := newFleet(2, 60, 51, 0.6)
+		f.run(5 * time.Second)
+		killed := f.share(3)
+		for _, node := range killed {
+			f.kill(node, true)
 		}
-		c.run(1500 * time.Millisecond)
-		c.liveNames = c.liveNames[len(herd):]
-		c.run(4 * time.Second)
-		c.liveNames = nodes(60)
-		for _, node := range herd {
-			c.start(node)
+		f.run(1500 * time.Millisecond)
+		f.liveNames = f.liveNames[len(killed):]
+		f.run(4 * time.Second)
+		f.liveNames = nodes(60)
+		for _, node := range killed {
+			f.start(node)
 		}
-		c.run(5 * time.Second)
-		for _, node := range c.nodes[50:] {
-			c.kill(node, false)
+		f.run(5 * time.Second)
+		for _, node := range f.nodes[50:] {
+			f.kill(node, false)
 		}
-		c.liveNames = c.liveNames[:50]
-		c.run(8 * time.Second)
-		c.pace = 0.05
-		c.run(62 * time.Second)
-		So(c.failed, ShouldEqual, 0)
-		So(c.mostConns, ShouldBeLessThanOrEqualTo, c.bound)
-		c.pace = 0
-		c.run(3 * time.Second)
-		So(c.idleConns(), ShouldBeLessThanOrEqualTo, c.bound/2)
+		f.liveNames = f.liveNames[:50]
+		f.run(8 * time.Second)
+		f.rate = 0.05
+		f.run(62 * time.Second)
+		So(f.failed, ShouldEqual, 0)
+		So(f.mostConns, ShouldBeLessThanOrEqualTo, f.maxConns)
+		f.rate = 0
+		f.run(3 * time.Second)
+		So(f.idleConns(), ShouldBeLessThanOrEqualTo, f.maxConns/2)
 	})
 	Convey("They are beside transactions that rest, which end in time", t, func() {
-		c := newFleet(3, 60, 51, 0.5)
-		c.run(3 * time.Second)
-		for _, node := range c.share(3) {
-			c.addOperation(node, true)
+		f := newFleet(3, 60, 51, 0.5)
+		f.run(3 * time.Second)
+		for _, node := range f.share(3) {
+			f.addOperation(node, true)
 		}
-		c.run(10 * time.Second)
-		So(c.failed, ShouldEqual, 0)
+		f.run(10 * time.Second)
+		So(f.failed, ShouldEqual, 0)
 		rested := int64(0)
-		for _, node := range c.nodes {
+		for _, node := range f.nodes {
 			rested += node.counts["transactions_rested_out"]
 		}
-		So(rested, ShouldEqual, len(c.share(3)))
+		So(rested, ShouldEqual, len(f.share(3)))
 	})
 	Convey("Where transactions that rest take all connections, the others are served again once those have ended", t, func() {
-		c := newFleet(4, 60, 51, 0)
+		f := newFleet(4, 60, 51, 0)
 		for range 2 {
-			for _, node := range c.nodes {
-				c.addOperation(node, true)
+			for _, node := range f.nodes {
+				f.addOperation(node, true)
 			}
 		}
-		c.run(2 * time.Second)
-		So(len(c.conns), ShouldEqual, c.bound)
-		c.run(5 * time.Second)
-		c.failed, c.pace = 0, 0.5
-		c.run(5 * time.Second)
-		So(c.done, ShouldBeGreaterThan, 100)
-		So(c.failed, ShouldEqual, 0)
+		f.run(2 * time.Second)
+		So(len(f.conns), ShouldEqual, f.maxConns)
+		f.run(5 * time.Second)
+		f.failed, f.rate = 0, 0.5
+		f.run(5 * time.Second)
+		So(f.done, ShouldBeGreaterThan, 100)
+		So(f.failed, ShouldEqual, 0)
 	})
 }
--- /dev/null
+++ b/internal/coordination/pool/linepool/timeout_test.go
@@ -0,0 +1,156 @@
+package linepool
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/internal/state/lineproto"
+)
+
+func TestDeadlines(t *testing.T) {
+	Convey("Without a lease a statement ends with a promise when its time is over", t, func() {
+		h := newHarness(20)
+		client := h.client("strict")
+		h.advance(1700 * time.Millisecond)
+		h.query(client, write("1"))
+		h.advance(5100 * time.Millisecond)
+		So(h.lastResponse(client), ShouldEqual, "ERROR BUSY / READY I")
+		So(h.invariantViolation(), ShouldEqual, "")
+	})
+	Convey("A lease that comes after a statement's time has it end, and not go out", t, func() {
+		h := newHarness(20)
+		client := h.client("strict")
+		h.advance(1700 * time.Millisecond)
+		h.query(client, write("1"))
+		h.now += 2100 * time.Millisecond
+		h.update(leaseDuration)
+		So(h.sends, ShouldBeEmpty)
+		So(h.lastResponse(client), ShouldEqual, "ERROR BUSY / READY I")
+	})
+	Convey("In line, a first statement ends with BUSY, one of an open transaction with ABORTED", t, func() {
+		h := newHarness(1)
+		one, other, inside := h.client("strict"), h.client("strict"), h.client("strict")
+		h.query(one, read("1"))
+		h.nextSend()
+		h.query(other, write("2"))
+		h.query(inside, begin())
+		h.query(inside, write("3"))
+		So(h.sends, ShouldBeEmpty)
+		h.advanceInTicks(1990 * time.Millisecond)
+		h.advanceInTicks(20 * time.Millisecond)
+		So(h.lastResponse(other), ShouldEqual, "ERROR BUSY / READY I")
+		So(h.lastResponse(inside), ShouldEqual, "ERROR BUSY / READY E")
+		So(h.invariantViolation(), ShouldEqual, "")
+	})
+	Convey("What waits in line is given up on before half of its time is over, with a time to come back", t, func() {
+		h := newHarness(1)
+		one, other, inside := h.client("strict"), h.client("strict"), h.client("strict")
+		h.query(one, read("1"))
+		h.nextSend()
+		h.query(other, write("2"))
+		h.query(inside, begin())
+		h.query(inside, write("3"))
+		h.advanceInTicks(875 * time.Millisecond)
+		So(h.responseCount(other), ShouldEqual, 1)
+		So(h.responseCount(inside), ShouldEqual, 2)
+		h.advanceInTicks(100 * time.Millisecond)
+		So(h.lastResponse(other), ShouldEqual, "ERROR BUSY / READY I")
+		So(h.lastResponse(inside), ShouldEqual, "ERROR BUSY / READY E")
+		So(h.responseCount(one), ShouldEqual, 1)
+		So(h.invariantViolation(), ShouldEqual, "")
+	})
+	Convey("So is what waits for a lease", t, func() {
+		h := newHarness(20)
+		client := h.client("strict")
+		h.timing.UnavailableWait = 2 * time.Second
+		h.advance(1700 * time.Millisecond)
+		h.query(client, write("1"))
+		h.advance(875 * time.Millisecond)
+		So(h.responseCount(client), ShouldEqual, 1)
+		h.advance(50 * time.Millisecond)
+		So(h.lastResponse(client), ShouldEqual, "ERROR BUSY / READY I")
+		So(h.responseCount(client), ShouldEqual, 2)
+	})
+	Convey("Where the lease has been gone for long nothing new waits for it, neither statement nor session", t, func() {
+		h := newHarness(20)
+		client, inside := h.client("strict"), h.client("strict")
+		h.advanceInTicks(100 * time.Millisecond)
+		h.advance(1500 * time.Millisecond)
+		h.advance(200 * time.Millisecond)
+		h.query(client, write("1"))
+		So(h.responseCount(client), ShouldEqual, 1)
+		h.update(leaseDuration)
+		h.answerSend(h.nextSend(), lineproto.StateIdle, done("w"))
+		So(h.lastResponse(client), ShouldEqual, "DONE w / READY I")
+		for range 10 {
+			h.advance(250 * time.Millisecond)
+		}
+		h.query(client, write("2"))
+		So(h.lastResponse(client), ShouldEqual, "ERROR BUSY / READY I")
+		h.query(inside, begin())
+		h.query(inside, write("3"))
+		So(h.lastResponse(inside), ShouldEqual, "ERROR BUSY / READY E")
+		late := h.client("strict")
+		So(h.lastResponse(late), ShouldEqual, "ERROR BUSY")
+		So(h.closedClients[late], ShouldBeTrue)
+		h.update(leaseDuration)
+		h.query(client, write("4"))
+		h.answerSend(h.nextSend(), lineproto.StateIdle, done("w"))
+		So(h.lastResponse(client), ShouldEqual, "DONE w / READY I")
+		So(h.invariantViolation(), ShouldEqual, "")
+	})
+	Convey("One of an open transaction that waits for the window ends it, and its connection is rolled back", t, func() {
+		h := newHarness(20)
+		client := h.client("strict")
+		h.query(client, begin())
+		h.query(client, write("1"))
+		h.answerSend(h.answerBegin(), lineproto.StateInTransaction, done("w"))
+		for range 2 {
+			h.query(h.client("strict"), read("x"))
+		}
+		So(h.instance("a").window.HasRoom(), ShouldBeFalse)
+		h.query(client, commit())
+		for _, send := range h.sends {
+			So(formatCommands(send), ShouldNotEqual, "commit")
+		}
+		h.advance(2100 * time.Millisecond)
+		So(h.lastResponse(client), ShouldEqual, "ERROR ABORTED / READY I")
+		So(h.invariantViolation(), ShouldEqual, "")
+	})
+	Convey("A begin that is not answered in time ends with a promise", t, func() {
+		h := newHarness(20)
+		client := h.client("strict")
+		h.query(client, begin())
+		h.query(client, write("1"))
+		send := h.nextSend()
+		h.advanceInTicks(2100 * time.Millisecond)
+		So(h.lastResponse(client), ShouldEqual, "ERROR ABORTED / READY E")
+		So(send.Conn.IsClosed(), ShouldBeTrue)
+		So(h.invariantViolation(), ShouldEqual, "")
+	})
+	Convey("A read that gets no answer ends with TIMEOUT", t, func() {
+		h := newHarness(20)
+		client := h.client("strict")
+		h.query(client, read("1"))
+		h.advanceInTicks(2100 * time.Millisecond)
+		So(h.lastResponse(client), ShouldEqual, "ERROR TIMEOUT / READY I")
+	})
+	Convey("A transaction that rests for too long is rolled back, counted from its last answer", t, func() {
+		h := newHarness(20)
+		client := h.client("strict")
+		h.query(client, begin())
+		h.query(client, write("1"))
+		send := h.answerBegin()
+		h.advanceInTicks(1900 * time.Millisecond)
+		h.answerSend(send, lineproto.StateInTransaction, done("w"))
+		h.advanceInTicks(2700 * time.Millisecond)
+		So(send.Conn.IsClosed(), ShouldBeFalse)
+		h.advanceInTicks(600 * time.Millisecond)
+		So(send.Conn.IsClosed(), ShouldBeTrue)
+		h.query(client, commit())
+		So(h.lastResponse(client), ShouldEqual, "ERROR ABORTED / READY I")
+		So(h.invariantViolation(), ShouldEqual, "")
+	})
+}
--- a/internal/coordination/pool/linepool/timing_test.go
+++ b/internal/coordination/pool/linepool/timing_test.go
@@ -12,12 +12,12 @@
 		So(DefaultTiming().Within(6*time.Second, 7*time.Second), ShouldResemble, DefaultTiming())
 		for _, grace := range []time.Duration{2 * time.Second, 4 * time.Second, 6 * time.Second, 30 * time.Second} {
 			for _, drain := range []time.Duration{time.Second, 5 * time.Second, 7 * time.Second, time.Minute} {
-				one := DefaultTiming().Within(grace, drain)
-				So(one.EndTransactions, ShouldBeBetween, 0, grace/2)
-				So(one.Linger, ShouldBeBetween, 0, one.EndSessions)
-				So(one.EndSessions, ShouldBeLessThan, grace)
-				So(one.DrainWindow, ShouldBeBetween, 0, drain)
-				So(one.LateDrainWindow, ShouldBeBetween, 0, one.DrainWindow)
+				timing := DefaultTiming().Within(grace, drain)
+				So(timing.EndTransactions, ShouldBeBetween, 0, grace/2)
+				So(timing.Linger, ShouldBeBetween, 0, timing.EndSessions)
+				So(timing.EndSessions, ShouldBeLessThan, grace)
+				So(timing.DrainWindow, ShouldBeBetween, 0, drain)
+				So(timing.LateDrainWindow, ShouldBeBetween, 0, timing.DrainWindow)
 			}
 		}
 	})
--- /dev/null
+++ b/internal/coordination/pool/linepool/transaction_test.go
@@ -0,0 +1,150 @@
+package linepool
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/internal/state/lineproto"
+)
+
+func TestBegin(t *testing.T) {
+	Convey("A begin is answered by the node, and goes out only with the first statement, which follows its answer", t, func() {
+		h := newHarness(20)
+		client := h.client("strict")
+		So(h.lastResponse(client), ShouldEqual, "READY I")
+		h.query(client, begin())
+		So(h.lastResponse(client), ShouldEqual, "DONE - / READY T")
+		So(h.sends, ShouldBeEmpty)
+		h.query(client, write("1"))
+		first := h.nextSend()
+		So(formatCommands(first), ShouldEqual, "begin")
+		So(first.target(), ShouldEqual, "a")
+		So(h.sends, ShouldBeEmpty)
+		h.answerSend(first, lineproto.StateInTransaction, done("-"))
+		second := h.nextSend()
+		So(formatCommands(second), ShouldEqual, "write 1")
+		So(second.Conn, ShouldEqual, first.Conn)
+		h.answerSend(second, lineproto.StateInTransaction, done("w1"))
+		So(h.lastResponse(client), ShouldEqual, "DONE w1 / READY T")
+		h.query(client, commit())
+		third := h.nextSend()
+		So(formatCommands(third), ShouldEqual, "commit")
+		So(third.Conn, ShouldEqual, first.Conn)
+		h.answerSend(third, lineproto.StateIdle, done("k1"))
+		So(h.lastResponse(client), ShouldEqual, "DONE k1 / READY I")
+		So(h.invariantViolation(), ShouldEqual, "")
+	})
+	refusals := []struct {
+		name  string
+		act   func() Query
+		bound string
+		code  lineproto.Code
+	}{
+		{"LAGGING", beginRead, "stale", lineproto.CodeLagging},
+		{"READONLY", begin, "strict", lineproto.CodeReadOnly},
+		{"BUSY", begin, "strict", lineproto.CodeBusy},
+	}
+	for _, one := range refusals {
+		Convey("A begin refused with "+one.name+" keeps the statement back; it runs inside a later one", t, func() {
+			h := newHarness(20)
+			h.samplePosition()
+			client := h.client(one.bound)
+			h.query(client, one.act())
+			h.query(client, read("1"))
+			count := h.responseCount(client)
+			h.answerSend(h.nextSend(), lineproto.StateIdle, failure(one.code))
+			So(h.responseCount(client), ShouldEqual, count)
+			h.advanceInTicks(400 * time.Millisecond)
+			again := h.answerBegin()
+			So(formatCommands(again), ShouldEqual, "read 1")
+			h.answerSend(again, lineproto.StateInTransaction, done("s"))
+			So(h.lastResponse(client), ShouldEqual, "DONE s / READY T")
+			So(h.invariantViolation(), ShouldEqual, "")
+		})
+		Convey("A begin refused with "+one.name+" for as long as the statement may wait ends it with a promise", t, func() {
+			h := newHarness(20)
+			h.samplePosition()
+			client := h.client(one.bound)
+			h.query(client, one.act())
+			h.query(client, read("1"))
+			tries := 0
+			for h.now < time.Hour+5*time.Second && h.lastResponse(client) == "DONE - / READY T" {
+				for len(h.sends) > 0 {
+					tries++
+					h.answerSend(h.nextSend(), lineproto.StateIdle, failure(one.code))
+				}
+				h.advanceInTicks(25 * time.Millisecond)
+			}
+			So(h.lastResponse(client), ShouldEqual, "ERROR BUSY / READY E")
+			So(tries, ShouldBeBetween, 1, 60)
+			So(h.invariantViolation(), ShouldEqual, "")
+		})
+	}
+	Convey("A begin that is answered done outside of a transaction is none", t, func() {
+		h := newHarness(20)
+		client := h.client("strict")
+		h.query(client, begin())
+		h.query(client, write("1"))
+		h.answerSend(h.nextSend(), lineproto.StateIdle, done("-"))
+		for _, send := range h.sends {
+			So(formatCommands(send), ShouldEqual, "begin")
+		}
+	})
+	Convey("A commit of nothing begins and commits at an instance all the same", t, func() {
+		h := newHarness(20)
+		client := h.client("strict")
+		h.query(client, begin())
+		h.query(client, commit())
+		send := h.answerBegin()
+		So(formatCommands(send), ShouldEqual, "commit")
+		h.answerSend(send, lineproto.StateIdle, done("k"))
+		So(h.lastResponse(client), ShouldEqual, "DONE k / READY I")
+	})
+	Convey("A rollback of nothing, or before any statement, is the node's own", t, func() {
+		h := newHarness(20)
+		client := h.client("strict")
+		h.query(client, rollback())
+		So(h.lastResponse(client), ShouldEqual, "ERROR MALFORMED / READY I")
+		h.query(client, begin())
+		h.query(client, rollback())
+		So(h.lastResponse(client), ShouldEqual, "DONE - / READY I")
+		So(h.sends, ShouldBeEmpty)
+	})
+	Convey("A rollback after statements is answered at once, and the connection is lent on only when it is done", t, func() {
+		h := newHarness(20)
+		client := h.client("strict")
+		h.query(client, begin())
+		h.query(client, write("1"))
+		h.answerSend(h.answerBegin(), lineproto.StateInTransaction, done("w"))
+		h.query(client, rollback())
+		So(h.lastResponse(client), ShouldEqual, "DONE - / READY I")
+		back := h.nextSend()
+		So(formatCommands(back), ShouldEqual, "rollback")
+		h.query(client, write("2"))
+		So(h.nextSend().Conn, ShouldNotEqual, back.Conn)
+		h.answerSend(back, lineproto.StateIdle, done("-"))
+		So(back.Conn.state, ShouldEqual, connIdle)
+		So(h.invariantViolation(), ShouldEqual, "")
+	})
+	Convey("A connection whose rollback does not end its transaction is not lent on", t, func() {
+		h := newHarness(20)
+		client := h.client("strict")
+		h.query(client, begin())
+		h.query(client, write("1"))
+		h.answerSend(h.answerBegin(), lineproto.StateInTransaction, done("w"))
+		h.query(client, rollback())
+		back := h.nextSend()
+		h.answerSend(back, lineproto.StateInTransaction, failure(lineproto.CodeOther))
+		So(back.Conn.IsClosed(), ShouldBeTrue)
+	})
+	Convey("A single statement that leaves its connection inside a transaction ends the connection", t, func() {
+		h := newHarness(20)
+		client := h.client("strict")
+		h.query(client, read("1"))
+		send := h.nextSend()
+		h.answerSend(send, lineproto.StateInTransaction, done("s"))
+		So(send.Conn.IsClosed(), ShouldBeTrue)
+	})
+}
--- /dev/null
+++ b/internal/coordination/pool/linepool/update_test.go
@@ -0,0 +1,134 @@
+package linepool
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/internal/coordination/distribution"
+	"tansyseam/internal/state/lineproto"
+	"tansyseam/internal/state/model"
+)
+
+func TestClosing(t *testing.T) {
+	Convey("Open transactions are aborted when the term closes: at once where a statement is out, else at the next word", t, func() {
+		h := newHarness(20)
+		working, resting, committing := h.client("strict"), h.client("strict"), h.client("strict")
+		for _, client := range []*Client{working, resting, committing} {
+			h.query(client, begin())
+			h.query(client, write("1"))
+			h.answerSend(h.answerBegin(), lineproto.StateInTransaction, done("w"))
+		}
+		h.query(working, write("2"))
+		out := h.nextSend()
+		h.setWriter(model.PhaseClosing, "a", 3)
+		So(h.lastResponse(working), ShouldEqual, "ERROR ABORTED / READY E")
+		So(out.Conn.IsClosed(), ShouldBeTrue)
+		So(h.lastResponse(resting), ShouldEqual, "DONE w / READY T")
+		h.query(resting, write("3"))
+		So(h.lastResponse(resting), ShouldEqual, "ERROR ABORTED / READY E")
+		h.query(resting, rollback())
+		So(h.lastResponse(resting), ShouldEqual, "DONE - / READY I")
+		h.query(committing, commit())
+		So(h.lastResponse(committing), ShouldEqual, "ERROR ABORTED / READY I")
+		So(h.sends, ShouldBeEmpty)
+		So(h.invariantViolation(), ShouldEqual, "")
+	})
+	Convey("A transaction that only reads goes on at a replica, and at the primary that was", t, func() {
+		h := newHarness(20)
+		h.samplePosition()
+		for _, name := range []string{"stale", "strict"} {
+			client := h.client(name)
+			h.query(client, beginRead())
+			h.query(client, read("1"))
+			h.answerSend(h.answerBegin(), lineproto.StateInTransaction, done("s"))
+			defer func() {
+				h.query(client, read("2"))
+				h.answerSend(h.nextSend(), lineproto.StateInTransaction, done("s2"))
+				So(h.lastResponse(client), ShouldEqual, "DONE s2 / READY T")
+			}()
+		}
+		h.setWriter(model.PhaseClosing, "a", 3)
+	})
+	Convey("A transaction whose begin is out when the term closes begins anew at the next primary", t, func() {
+		h := newHarness(20)
+		client := h.client("strict")
+		h.query(client, begin())
+		h.query(client, write("1"))
+		h.nextSend()
+		h.setWriter(model.PhaseClosing, "a", 3)
+		So(h.lastResponse(client), ShouldBeIn, "DONE - / READY T", "ERROR ABORTED / READY E")
+		So(h.invariantViolation(), ShouldEqual, "")
+	})
+	Convey("A primary that leads a later term, the ones between unseen, has lost the transactions of the earlier", t, func() {
+		h := newHarness(20)
+		client := h.client("strict")
+		h.query(client, begin())
+		h.query(client, write("1"))
+		h.answerSend(h.answerBegin(), lineproto.StateInTransaction, done("w"))
+		h.setWriter(model.PhaseOpen, "a", 5)
+		h.query(client, write("2"))
+		So(h.lastResponse(client), ShouldEqual, "ERROR ABORTED / READY E")
+		So(h.sends, ShouldBeEmpty)
+	})
+	Convey("Statements of an open transaction wait while there is no lease, and go on with one", t, func() {
+		h := newHarness(20)
+		client := h.client("strict")
+		h.query(client, begin())
+		h.query(client, write("1"))
+		h.answerSend(h.answerBegin(), lineproto.StateInTransaction, done("w"))
+		h.advance(1700 * time.Millisecond)
+		h.query(client, commit())
+		So(h.sends, ShouldBeEmpty)
+		h.update(leaseDuration)
+		So(formatCommands(h.nextSend()), ShouldEqual, "commit")
+	})
+}
+
+func TestObservations(t *testing.T) {
+	Convey("A primary that owes answers is told at once, and again when it owes them for longer", t, func() {
+		h := newHarness(20)
+		client := h.client("strict")
+		h.query(client, write("1"))
+		h.advanceInTicks(275 * time.Millisecond)
+		So(h.reports, ShouldEqual, 0)
+		h.advanceInTicks(50 * time.Millisecond)
+		So(h.reports, ShouldEqual, 1)
+		h.advanceInTicks(275 * time.Millisecond)
+		So(h.reports, ShouldEqual, 1)
+		h.advanceInTicks(50 * time.Millisecond)
+		So(h.reports, ShouldEqual, 2)
+		report := h.Observations(h.now).Reports[0]
+		So(report.OldestStatementAge, ShouldBeGreaterThan, 600*time.Millisecond)
+		So(report.ResponseAge, ShouldBeGreaterThan, 600*time.Millisecond)
+	})
+	Convey("The instance that is to be promoted is told of, so that a new control primary can ask at its address", t, func() {
+		h := newHarness(20)
+		So(len(h.Observations(h.now).Reports), ShouldEqual, 2)
+		h.snapshot.Writers["x"] = model.WriterRole{Database: "x", Term: 3, Primary: "a", Promoting: "b", Phase: model.PhasePromoting, SyncReplication: true}
+		h.update(leaseDuration)
+		names := []string{}
+		for _, report := range h.Observations(h.now).Reports {
+			names = append(names, report.Instance.Name+" "+report.Instance.Address)
+		}
+		So(names, ShouldResemble, []string{"a a:1", "b b:1", "d d:1"})
+	})
+	Convey("A primary that refuses connections is told at once", t, func() {
+		h := newHarness(20)
+		h.manualOpen = true
+		h.query(h.client("strict"), write("1"))
+		h.loseConn(h.opens[0].Conn)
+		h.advance(time.Millisecond)
+		So(h.reports, ShouldEqual, 1)
+		So(h.Observations(h.now).Reports[0].RefusedConnections, ShouldEqual, 1)
+	})
+	Convey("An ask tells the roll that the node has, its birth and the set it shows", t, func() {
+		h := newHarness(20)
+		ask := h.UpdateRequest(h.now)
+		So(ask.ListVersion, ShouldResemble, distribution.ListVersion{Tenure: "t", Number: 1})
+		So(ask.Incarnation, ShouldEqual, 1)
+		So(ask.ActiveSequence, ShouldEqual, 1)
+		So(ask.Node, ShouldEqual, "d1")
+	})
+}
