--- a/internal/app/control/manifests.go
+++ b/internal/app/control/manifests.go
@@ -36,9 +36,8 @@
 	}
 	accepted, conflict := false, false
 	s.submit(func(state *store.Table) []store.Put {
-		var puts []store.Put
-		puts, conflict = rollout.AcceptManifest(state, manifest, s.wallTime())
-		accepted = len(puts) > 0
+		puts, err := rollout.AcceptManifest(state, manifest, s.wallTime())
+		accepted, conflict = len(puts) > 0, errors.Is(err, rollout.ErrVersionConflict)
 		return puts
 	}, func(submitted consensus.SubmitResult) {
 		if !submitted.Committed {
--- a/internal/app/control/operations.go
+++ b/internal/app/control/operations.go
@@ -7,6 +7,7 @@
 	"strings"
 	"time"
 
+	"github.com/juju/errors"
 	"github.com/valyala/fastjson"
 
 	"tansyseam/internal/app/admin"
@@ -153,11 +154,12 @@
 	}
 	expected := call.value.GetUint64("expected")
 	s.applyOnce(call, func(state *store.Table, wallTime int64) (message.OperatorCallResult, []store.Put) {
-		puts, current := rollout.AcceptBindings(state, expected, set, "call "+call.id(), wallTime)
-		if len(puts) == 0 {
-			return conflicting(fmt.Sprintf("sequence %d was expected, %d is current", expected, current), current), nil
+		puts, err := rollout.AcceptBindings(state, expected, set, "call "+call.id(), wallTime)
+		var conflict *rollout.SequenceError
+		if errors.As(err, &conflict) {
+			return conflicting(fmt.Sprintf("sequence %d was expected, %d is current", expected, conflict.Newest), conflict.Newest), nil
 		}
-		return newCallResult(http.StatusOK, putBindingsAnswer{Sequence: current + 1}), puts
+		return newCallResult(http.StatusOK, putBindingsAnswer{Sequence: expected + 1}), puts
 	})
 }
 
@@ -169,11 +171,12 @@
 		if len(violations) > 0 {
 			return rejected(http.StatusUnprocessableEntity, "the change is broken; nothing of it was taken", violations...), nil
 		}
-		puts, pending := rollout.Schedule(state, call.id(), at, set, wallTime)
-		if len(puts) == 0 {
+		puts, err := rollout.Schedule(state, call.id(), at, set, wallTime)
+		var conflict *rollout.OrderError
+		if errors.As(err, &conflict) {
 			reason := fmt.Sprintf("sequence %d, due at %d, is on its way already: book for that moment or later",
-				pending.Sequence, millis(pending.NotBefore))
-			return conflicting(reason, pending.Sequence), nil
+				conflict.Set.Sequence, millis(conflict.Set.NotBefore))
+			return conflicting(reason, conflict.Set.Sequence), nil
 		}
 		return newCallResult(http.StatusOK, scheduleChangeAnswer{EffectiveAtMillis: millis(at), ID: call.id()}), puts
 	})
--- a/internal/coordination/rollout/manifest.go
+++ b/internal/coordination/rollout/manifest.go
@@ -26,17 +26,20 @@
 }
 
 // AcceptManifest returns the puts that accept a manifest. It returns none if the
-// current version is not below the manifest's own; conflict then says whether
-// another content was accepted under the manifest's version.
-func AcceptManifest(state *store.Table, sent Manifest, wall int64) (puts []store.Put, conflict bool) {
+// manifest's version was accepted before or has been overtaken, and ErrVersionConflict
+// if it was accepted with other content.
+func AcceptManifest(state *store.Table, sent Manifest, wall int64) ([]store.Put, error) {
 	newest := model.ReadSnapshot(state).NewestSet()
 	if newest.Version >= sent.Version {
-		return nil, differsFromAccepted(state, sent.Version, sent.Digest)
+		if differsFromAccepted(state, sent.Version, sent.Digest) {
+			return nil, ErrVersionConflict
+		}
+		return nil, nil
 	}
 	set := sent.Set
 	set.Version, set.AcceptedAt, set.Source = sent.Version, wall, sent.Source
 	set = successor(newest, set)
-	puts = []store.Put{setPut(set)}
+	puts := []store.Put{setPut(set)}
 	if len(sent.Compressed) > 0 {
 		puts = append(puts, store.Put{Key: ManifestKey(set.Sequence), Data: sent.Compressed})
 	}
@@ -46,7 +49,7 @@
 		Subject:  auditSubject,
 		Action:   fmt.Sprintf("version %d taken as sequence %d", sent.Version, set.Sequence),
 		Evidence: sent.Source,
-	})...), false
+	})...), nil
 }
 
 // NewestManifest returns the set that the newest manifest became, and its
--- a/internal/coordination/rollout/rollout.go
+++ b/internal/coordination/rollout/rollout.go
@@ -1,7 +1,7 @@
 // Package rollout decides how binding sets change: how a set is accepted from an
 // operator or from the schedule, at what time it takes effect on all nodes, and when
 // it is deleted. Its functions return the puts that carry out a decision against a
-// copy of the control state; a decision that no longer applies returns none.
+// copy of the control state; where that no longer applies, they return none or an error.
 //
 // A set passes through these states: scheduled (a model.ScheduledChange), pending
 // (accepted under a sequence, without an effective time, while it is distributed to
@@ -22,12 +22,12 @@
 const auditSubject = "bindings"
 
 // AcceptBindings returns the puts that accept a set of bindings as the successor of
-// the sequence that the caller expects to be the newest, and the newest sequence
-// before it. It returns no puts if another sequence is the newest.
-func AcceptBindings(state *store.Table, expected uint64, bindings []model.Binding, source string, wall int64) ([]store.Put, uint64) {
+// the sequence that the caller expects to be the newest. It returns a SequenceError if
+// another one is.
+func AcceptBindings(state *store.Table, expected uint64, bindings []model.Binding, source string, wall int64) ([]store.Put, error) {
 	newest := model.ReadSnapshot(state).NewestSet()
 	if newest.Sequence != expected {
-		return nil, newest.Sequence
+		return nil, &SequenceError{Expected: expected, Newest: newest.Sequence}
 	}
 	set := successor(newest, model.BindingSet{Bindings: bindings, AcceptedAt: wall, Source: source})
 	return append([]store.Put{setPut(set)}, audit.Puts(state, model.AuditEntry{
@@ -35,7 +35,7 @@
 		Subject:  auditSubject,
 		Action:   fmt.Sprintf("sequence %d taken", set.Sequence),
 		Evidence: source,
-	})...), newest.Sequence
+	})...), nil
 }
 
 // successor gives a set the sequence after the newest. A set that is not of a
--- a/internal/coordination/rollout/scheduled.go
+++ b/internal/coordination/rollout/scheduled.go
@@ -11,13 +11,13 @@
 )
 
 // Schedule returns the puts that store a change of the bindings for a later time.
-// Sets take effect in the order of their sequences, so it returns no puts, and the
-// set in the way, if a set with a later effective time is already being distributed.
-func Schedule(state *store.Table, id string, effectiveAt int64, bindings []model.Binding, wall int64) ([]store.Put, model.BindingSet) {
+// Sets take effect in the order of their sequences, so it returns an OrderError if a
+// set with a later effective time is already being distributed.
+func Schedule(state *store.Table, id string, effectiveAt int64, bindings []model.Binding, wall int64) ([]store.Put, error) {
 	for _, set := range model.ReadSnapshot(state).Sets {
 		isActive := set.EffectiveAt != 0 && set.EffectiveAt <= wall
 		if set.NotBefore > effectiveAt && !isActive {
-			return nil, set
+			return nil, &OrderError{Set: set}
 		}
 	}
 	change := model.ScheduledChange{ID: id, EffectiveAt: effectiveAt, Bindings: bindings, Order: state.Version.Sequence}
@@ -27,7 +27,7 @@
 		Subject:  auditSubject,
 		Action:   "change booked: " + id,
 		Evidence: fmt.Sprintf("for %d", milliseconds(effectiveAt)),
-	})...), model.BindingSet{}
+	})...), nil
 }
 
 // NextScheduled returns the scheduled change that is due to be accepted.
--- a/internal/coordination/rollout/versions_test.go
+++ b/internal/coordination/rollout/versions_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"github.com/juju/errors"
 	. "github.com/smartystreets/goconvey/convey"
 
 	"tansyseam/internal/state/model"
@@ -18,11 +19,11 @@
 	Convey("Of two contents under one version the first is accepted, and the other rejected; the first is acknowledged again", t, func() {
 		state := store.New()
 		put := func(sent Manifest) (accepted, conflict bool) {
-			puts, conflict := AcceptManifest(state, sent, 1)
+			puts, err := AcceptManifest(state, sent, 1)
 			if len(puts) > 0 {
 				state.Apply(store.Version{Epoch: 1, Sequence: state.Version.Sequence + 1}, puts)
 			}
-			return len(puts) > 0, conflict
+			return len(puts) > 0, errors.Is(err, ErrVersionConflict)
 		}
 		for version := uint64(3); version <= 60; version += 3 {
 			accepted, _ := put(manifestOf(version, "first"))
--- a/test/simulation/fleet.go
+++ b/test/simulation/fleet.go
@@ -5,6 +5,8 @@
 	"slices"
 	"time"
 
+	"github.com/juju/errors"
+
 	"tansyseam/internal/coordination/callresult"
 	"tansyseam/internal/coordination/consensus"
 	"tansyseam/internal/coordination/rollout"
@@ -276,19 +278,20 @@
 			return nil
 		}
 		if due != 0 {
-			puts, _ := rollout.Schedule(held, id, due, set, control.wallNow())
-			if len(puts) == 0 {
+			puts, err := rollout.Schedule(held, id, due, set, control.wallNow())
+			if err != nil {
 				conflict = true
 				return nil
 			}
 			return callresult.Record(held, id, callresult.Result{}, puts)
 		}
-		puts, newest := rollout.AcceptBindings(held, expected, set, id, control.wallNow())
-		if len(puts) == 0 {
-			conflict, sequence = true, newest
+		puts, err := rollout.AcceptBindings(held, expected, set, id, control.wallNow())
+		var stale *rollout.SequenceError
+		if errors.As(err, &stale) {
+			conflict, sequence = true, stale.Newest
 			return nil
 		}
-		sequence = newest + 1
+		sequence = expected + 1
 		return callresult.Record(held, id, callresult.Result{Status: int(sequence)}, puts)
 	}, func(done consensus.SubmitResult) {
 		f.simulator.send(&control.machine, operator, func() {
