--- a/internal/state/versionfile/format.go
+++ b/internal/state/versionfile/format.go
@@ -12,13 +12,13 @@
 // A version file holds, with numbers in big-endian order: the magic bytes, the kind
 // (16-bit length and text), the sequence (64 bits), the data (32-bit length and
 // bytes), and the SHA-256 checksum of all that.
-var magic = []byte("seamv001")
+const magic = "seamv001"
 
 const (
 	kindLengthSize = 2
 	sequenceSize   = 8
 	dataLengthSize = 4
-	minFileSize    = 8 + kindLengthSize + sequenceSize + dataLengthSize + sha256.Size
+	minFileSize    = len(magic) + kindLengthSize + sequenceSize + dataLengthSize + sha256.Size
 
 	versionSuffix = ".v"
 )
@@ -41,7 +41,7 @@
 
 // encodeVersion gives the content of a version's file.
 func encodeVersion(kind string, sequence uint64, data []byte) []byte {
-	content := bytes.Clone(magic)
+	content := []byte(magic)
 	content = binary.BigEndian.AppendUint16(content, uint16(len(kind)))
 	content = append(content, kind...)
 	content = binary.BigEndian.AppendUint64(content, sequence)
@@ -54,7 +54,7 @@
 // decodeVersion gives the data in a version's file, or false where the content is
 // damaged or is another version's.
 func decodeVersion(content []byte, kind string, sequence uint64) ([]byte, bool) {
-	if len(content) < minFileSize || !bytes.HasPrefix(content, magic) {
+	if len(content) < minFileSize || !bytes.HasPrefix(content, []byte(magic)) {
 		return nil, false
 	}
 	body, checksum := content[:len(content)-sha256.Size], content[len(content)-sha256.Size:]
--- a/test/modelcheck/host.go
+++ b/test/modelcheck/host.go
@@ -44,7 +44,7 @@
 	// delayedSave is what Defect.VotesUnsynced has not synced yet.
 	delayedSave consensus.Effect
 
-	// For the invariants: the highest epoch that it told of, the incarnations that it
+	// For the invariants: the highest epoch that it reported, the incarnations that it
 	// voted with before it lost a disk, and its votes by epoch.
 	reportedEpoch uint64
 	retired       map[uint64]bool
--- a/test/modelcheck/invariants.go
+++ b/test/modelcheck/invariants.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		if primary != "" {
-			w.violate("%s and %s hold primacy at once", primary, h.name)
+			w.violate("%s and %s hold the lease at once", primary, h.name)
 		}
 		primary = h.name
 		w.checkServed(h)
@@ -35,7 +35,7 @@
 func (w *world) checkServed(h *host) {
 	for _, key := range slices.Concat(w.acked, w.published) {
 		if !slices.Contains(h.published, key) {
-			w.violate("%s serves without %s, which was acknowledged or shown", h.name, key)
+			w.violate("%s serves without %s, which was acknowledged or served before", h.name, key)
 		}
 	}
 	for _, key := range h.published {
@@ -100,10 +100,10 @@
 	}
 }
 
-// checkEpochRises checks that a node does not forget an epoch that it has told of.
+// checkEpochRises checks that a node does not forget an epoch that it has reported.
 func (w *world) checkEpochRises(h *host, epoch uint64) {
 	if epoch < h.reportedEpoch {
-		w.violate("%s tells epoch %d after %d", h.name, epoch, h.reportedEpoch)
+		w.violate("%s reports epoch %d after %d", h.name, epoch, h.reportedEpoch)
 	}
 	h.reportedEpoch = max(h.reportedEpoch, epoch)
 }
