--- /dev/null
+++ b/internal/coordination/membership/gossip_test.go
@@ -0,0 +1,90 @@
+package membership
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+)
+
+func TestGossipCost(t *testing.T) {
+	Convey("Without changes the messages of a node do not grow with the number of nodes, and carry no entries", t, func() {
+		for _, count := range []int{8, 40} {
+			cluster := newCluster(count)
+			cluster.advance(8 * time.Second)
+			cluster.messagesSent, cluster.entriesSent = 0, 0
+			cluster.advance(5 * time.Second)
+			So(cluster.entriesSent, ShouldEqual, 0)
+			SoMsg("a heartbeat to each watcher, and a subscription with its answer at each eighth", cluster.messagesSent, ShouldBeLessThan, count*(5*1000/350+1)*WatchersPerNode*3/2)
+		}
+	})
+	Convey("Nodes that start together receive each other's entries a few times, not in each message of the gossip period", t, func() {
+		cluster := newCluster(40)
+		cluster.advance(4 * time.Second)
+		for _, name := range cluster.names {
+			So(cluster.countHolding(name, StatusLive), ShouldEqual, 39)
+		}
+		SoMsg("entries sent to each node of each other", cluster.entriesSent/(40*39), ShouldBeLessThan, 12)
+	})
+	Convey("A live seed is contacted seldom, a missing one at every eighth heartbeat", t, func() {
+		cluster := newCluster(40)
+		cluster.advance(10 * time.Second)
+		countContacts := func(seed string) int {
+			count := 0
+			for _, name := range cluster.names {
+				if name != seed && !slices.Contains(cluster.machines[name].Watched(), seed) {
+					cluster.machines[name].effects = nil
+					cluster.machines[name].onTick(cluster.now + DefaultTiming().HeartbeatInterval)
+					for _, effect := range cluster.machines[name].effects {
+						send, ok := effect.(Send)
+						if ok && send.Address == seed && !send.Gossip.Reply {
+							count++
+						}
+					}
+				}
+			}
+			return count
+		}
+		all := 0
+		for range 16 {
+			all += countContacts("n01")
+			cluster.advance(DefaultTiming().HeartbeatInterval)
+		}
+		So(all, ShouldBeLessThan, 40)
+	})
+}
+
+func TestRepair(t *testing.T) {
+	Convey("A node that was partitioned while others joined and left is repaired by digests, after the gossip period", t, func() {
+		cluster := newCluster(14)
+		cluster.advance(4 * time.Second)
+		cluster.blocked = func(from, to string) bool { return (from == "n07") != (to == "n07") }
+		cluster.advance(4 * time.Second)
+		cluster.machines["n05"].Leave()
+		cluster.add("n99")
+		cluster.advance(6 * time.Second)
+		So(cluster.machines["n07"].Status("n99"), ShouldEqual, "")
+		cluster.blocked = func(string, string) bool { return false }
+		cluster.advance(6 * time.Second)
+		So(cluster.machines["n07"].Status("n99"), ShouldEqual, StatusLive)
+		So(cluster.machines["n07"].Status("n05"), ShouldEqual, StatusLeft)
+		So(cluster.countHolding("n07", StatusLive), ShouldEqual, 14)
+	})
+	Convey("A wrong suspicion is refuted by the next heartbeats of the node", t, func() {
+		cluster := newCluster(14)
+		cluster.advance(4 * time.Second)
+		for _, name := range cluster.names {
+			if name != "n07" {
+				heartbeat := cluster.machines["n07"].Self().Heartbeat
+				cluster.machines[name].Step(GossipReceived{Gossip: Gossip{
+					From: cluster.machines["n01"].Self(), Suspicions: []Suspicion{{Node: "n07", Reporter: "n01", Heartbeat: heartbeat, Incarnation: cluster.machines["n07"].Self().Incarnation}},
+				}}, cluster.now)
+			}
+		}
+		cluster.advance(6 * time.Second)
+		for _, name := range cluster.names {
+			So(len(cluster.machines[name].suspicions), ShouldEqual, 0)
+		}
+	})
+}
