--- a/internal/app/node/calls.go
+++ b/internal/app/node/calls.go
@@ -8,6 +8,7 @@
 
 	"github.com/valyala/fastjson"
 
+	"tansyseam/internal/protocol/adapter"
 	"tansyseam/internal/protocol/schema"
 	"tansyseam/internal/transport/httpserver"
 )
@@ -69,20 +70,26 @@
 		return
 	}
 	path := r.URL.Path
-	convertAnswer := func(status int, answer []byte) (int, []byte) { return status, answer }
-	if n.Translate != nil {
-		if translation, ok := n.Translate(r.Method, path, body); ok {
-			path, body = translation.Path, translation.Body
-			if translation.Answer != nil {
-				convertAnswer = translation.Answer
-			}
-		}
+	translation, translated := n.translate(r.Method, path, body)
+	if translated {
+		path, body = translation.Path, translation.Body
 	}
 	status, answer := n.encode(n.dispatchCall(path, body, r))
-	status, answer = convertAnswer(status, answer)
+	if translated && translation.Answer != nil {
+		status, answer = translation.Answer(status, answer)
+	}
 	n.WriteResponse(w, status, answer)
 }
 
+// translate returns a call of another API as one of the product, or false if it
+// is none.
+func (n *Node) translate(method, path string, body []byte) (adapter.Translation, bool) {
+	if n.Translate == nil {
+		return adapter.Translation{}, false
+	}
+	return n.Translate(method, path, body)
+}
+
 func (n *Node) dispatchCall(path string, raw []byte, r *http.Request) (int, any) {
 	handle, known := n.callHandlers[path]
 	if !known {
--- a/internal/app/node/forward.go
+++ b/internal/app/node/forward.go
@@ -42,7 +42,7 @@
 				outcome = OutcomeUnknown
 			}
 		}
-		worker.Await(make(chan struct{}), forwardBackoff)
+		worker.Await(n.Workers.Stopping(), forwardBackoff)
 	}
 	response := NewErrorResponse("no control primary answered in time")
 	response.Outcome, response.RetryAfterMillis = outcome, forwardRetryMillis
--- a/internal/app/node/membership.go
+++ b/internal/app/node/membership.go
@@ -15,7 +15,7 @@
 	n.stepMembership(membership.GossipReceived{Gossip: gossip})
 }
 
-func (n *Node) stepMembership(event any) {
+func (n *Node) stepMembership(event membership.Event) {
 	n.mutex.Lock()
 	effects := n.membership.Step(event, n.Now())
 	n.mutex.Unlock()
--- a/internal/coordination/membership/cluster_test.go
+++ b/internal/coordination/membership/cluster_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func (t *cluster) deliver(from string, effects []any) {
+func (t *cluster) deliver(from string, effects []Effect) {
 	for _, effect := range effects {
 		send, ok := effect.(Send)
 		if ok {
--- a/internal/coordination/membership/event.go
+++ b/internal/coordination/membership/event.go
@@ -1,6 +1,20 @@
 package membership
 
-import "tansyseam/internal/state/model"
+import (
+	"time"
+
+	"tansyseam/internal/state/model"
+)
+
+// Event is what Machine.Step handles: GossipReceived or Tick.
+type Event interface {
+	apply(m *Machine, now time.Duration)
+}
+
+// Effect is what Machine.Step wants done: Send or StatusChanged.
+type Effect interface {
+	isEffect()
+}
 
 // GossipReceived is the event that another node's gossip arrived.
 type GossipReceived struct {
@@ -25,6 +39,14 @@
 	Reason string
 }
 
+func (e GossipReceived) apply(m *Machine, now time.Duration) { m.onGossip(e.Gossip, now) }
+
+func (Tick) apply(m *Machine, now time.Duration) { m.onTick(now) }
+
+func (Send) isEffect() {}
+
+func (StatusChanged) isEffect() {}
+
 // The statuses of a known node.
 const (
 	// StatusLive is that of a node whose heartbeats arrive.
--- a/internal/coordination/membership/machine.go
+++ b/internal/coordination/membership/machine.go
@@ -33,7 +33,7 @@
 	liveByKind      map[string]int
 	liveByKindValid bool
 
-	effects []any
+	effects []Effect
 }
 
 // New returns the machine of a node. The seeds are RPC addresses.
@@ -49,15 +49,10 @@
 	}
 }
 
-// Step handles an event, GossipReceived or Tick, and returns its effects, Send
-// and StatusChanged. They are valid until the next call.
-func (m *Machine) Step(event any, now time.Duration) []any {
+// Step handles an event and returns its effects, to be carried out in order.
+func (m *Machine) Step(event Event, now time.Duration) []Effect {
 	m.effects = nil
-	if received, ok := event.(GossipReceived); ok {
-		m.onGossip(received.Gossip, now)
-		return m.effects
-	}
-	m.onTick(now)
+	event.apply(m, now)
 	return m.effects
 }
 
