--- a/internal/coordination/balancer/balancer.go
+++ b/internal/coordination/balancer/balancer.go
@@ -1,25 +1,34 @@
-// Package balancer picks, among the instances fresh enough for a read, one
-// with room in its window, near by zone and least pressed.
+// Package balancer chooses the instance that a read is sent to: one that is
+// fresh enough and has capacity, with the lowest expected cost.
 package balancer
 
 import "time"
 
-// Choice is one instance as the node sees it at this moment.
+// An instance in another zone costs otherZoneFactor times as much, and
+// otherZoneCost on top, so that the own zone wins unless it is much slower.
+const (
+	otherZoneFactor = 2
+	otherZoneCost   = 1.5
+)
+
+// Candidate is the current state of one instance.
 type Candidate struct {
-	Rank        int
+	// HasCapacity says that a connection and a place in the concurrency window
+	// are free.
 	HasCapacity bool
 	SameZone    bool
+	// FreshEnough says that the instance's data meets the read's freshness.
 	FreshEnough bool
-	// Pressure is the part of the window in use.
+	// Utilization is the used share of the concurrency window.
 	Utilization float64
-	Latency     time.Duration
-	// Factor is by how much dearer its failures make it, 1 at least; 0 counts
-	// as 1.
+	// Latency is the time that a statement takes at an idle instance.
+	Latency time.Duration
+	// CostFactor multiplies the cost, for past failures. Below 1 counts as 1.
 	CostFactor float64
 }
 
-// Select gives the index of the best choice, or -1 where none may be used
-// now. Near ones win while they have room and are not much slower.
+// Pick returns the index of the candidate with the lowest cost, the first of
+// equal ones, or -1 where none can be used now.
 func Pick(candidates []Candidate) int {
 	best := -1
 	for index, candidate := range candidates {
@@ -33,11 +42,12 @@
 	return best
 }
 
+// cost is about the expected time of a statement, in milliseconds.
 func cost(candidate Candidate) float64 {
 	total := float64(candidate.Latency)/float64(time.Millisecond) + 1
 	total *= 1 + candidate.Utilization
 	if !candidate.SameZone {
-		total = total*2 + 1.5
+		total = total*otherZoneFactor + otherZoneCost
 	}
 	return total * max(candidate.CostFactor, 1)
 }
--- a/internal/coordination/connquota/quota.go
+++ b/internal/coordination/connquota/quota.go
@@ -1,96 +1,96 @@
-// Package connquota says how many connections a node may have at an instance
-// whose cap all nodes share. Nodes that know the same names come to the same
-// rights without a word between them.
+// Package connquota divides the connection limit of an instance among the nodes.
+// Nodes that know the same members agree on the quotas without communication.
 //
-// Where the cap gives each node two or more, each has that share. Where it
-// gives less, half of the cap is kept: rendezvous hashing names, for each
-// instance, the nodes that may keep one connection at rest there. The other
-// half is spare: any node opens what a statement waits for, and gives it back
-// once it rests.
+// Where the limit allows each node two connections or more, each gets an equal
+// share. Where it allows less, half of the limit is assigned: for each instance,
+// rendezvous hashing selects the nodes that may keep one idle connection. The
+// other half is shared: any node opens a connection that a statement waits for,
+// and closes it once it is idle.
 package connquota
 
 import (
+	"maps"
 	"slices"
 	"time"
 
 	"tansyseam/internal/coordination/rendezvous"
 )
 
-// Plenty is the share from which a node has connections of its own only: one
-// that rests inside a transaction then leaves it another.
+// MinExclusive is the smallest share, in connections, that makes a quota
+// exclusive: while one connection is held by an open transaction, another is left.
 const MinExclusive = 2
 
-// Share is what one node may have at one instance: Kept connections at rest,
-// Most in all.
+const (
+	// retention is how long a node that is not live any more counts as a member.
+	retention = time.Minute
+	// refreshInterval is how often an unchanged list of live nodes is processed.
+	refreshInterval = time.Second
+)
+
+// Quota is how many connections one node may have at one instance.
 type Quota struct {
+	// MaxIdle limits the idle connections, MaxOpen all connections.
 	MaxIdle int
 	MaxOpen int
 }
 
-// IsScarce says whether connections over the kept ones are given back.
-func (s Quota) IsScarce() bool { return s.MaxIdle < s.MaxOpen }
+// IsScarce says whether connections beyond MaxIdle are closed once they are idle.
+func (q Quota) IsScarce() bool { return q.MaxIdle < q.MaxOpen }
 
-// Names are the nodes that share: those that lived in the last minute, so that
-// one that comes back finds its rights free. The zero value knows none.
+// Members are the nodes that share the limits: all that were live in the last
+// minute, so that a node that restarts finds its quota free. The zero value has
+// no members.
 type Members struct {
-	lastSeen  map[string]time.Duration
+	lastLive  map[string]time.Duration
 	names     []string
 	live      []string
 	updatedAt time.Duration
 }
 
-const (
-	retention = time.Minute
-	// looked is how often the same names are gone through again.
-	refreshInterval = time.Second
-)
-
-// Note takes the names of the nodes that live now, and says whether those that
-// share have changed.
+// Update takes the names of the live nodes, and says whether the members changed.
 func (m *Members) Update(live []string, now time.Duration) bool {
-	if m.lastSeen != nil && now-m.updatedAt < refreshInterval && slices.Equal(live, m.live) {
+	if m.lastLive != nil && now-m.updatedAt < refreshInterval && slices.Equal(live, m.live) {
 		return false
 	}
-	if m.lastSeen == nil {
-		m.lastSeen = map[string]time.Duration{}
+	if m.lastLive == nil {
+		m.lastLive = map[string]time.Duration{}
 	}
-	m.live, m.updatedAt = append(m.live[:0], live...), now
+	m.live = append(m.live[:0], live...)
+	m.updatedAt = now
 	changed := false
 	for _, name := range live {
-		_, known := m.lastSeen[name]
+		_, known := m.lastLive[name]
 		changed = changed || !known
-		m.lastSeen[name] = now
+		m.lastLive[name] = now
 	}
-	for name, at := range m.lastSeen {
+	for name, at := range m.lastLive {
 		if now-at >= retention {
-			delete(m.lastSeen, name)
+			delete(m.lastLive, name)
 			changed = true
 		}
 	}
 	if changed {
-		m.names = m.names[:0]
-		for name := range m.lastSeen {
-			m.names = append(m.names, name)
-		}
+		m.names = slices.AppendSeq(m.names[:0], maps.Keys(m.lastLive))
 		slices.Sort(m.names)
 	}
 	return changed
 }
 
-// Count is how many nodes share, one at least.
+// Count returns the number of members, at least one.
 func (m *Members) Count() int { return max(len(m.names), 1) }
 
-// Of gives the share of a node at an instance with a cap; one connection is
-// left to the control primary. A cap below two is not known yet.
-func (m *Members) Quota(node, instance string, connections int) Quota {
-	if connections < MinExclusive {
+// Quota returns the quota of a node at an instance with a connection limit. One
+// share is reserved for the control primary. A limit below two means that it is
+// not known yet, and allows one connection.
+func (m *Members) Quota(node, instance string, limit int) Quota {
+	if limit < MinExclusive {
 		return Quota{MaxIdle: 1, MaxOpen: 1}
 	}
-	if own := connections / (m.Count() + 1); own >= MinExclusive {
-		return Quota{MaxIdle: own, MaxOpen: own}
+	if share := limit / (m.Count() + 1); share >= MinExclusive {
+		return Quota{MaxIdle: share, MaxOpen: share}
 	}
 	quota := Quota{MaxOpen: MinExclusive}
-	if half := connections / 2; half >= m.Count() || rendezvous.IsSelected(m.names, instance, node, half) {
+	if half := limit / 2; half >= m.Count() || rendezvous.IsSelected(m.names, instance, node, half) {
 		quota.MaxIdle = 1
 	}
 	return quota
--- a/internal/coordination/connquota/quota_test.go
+++ b/internal/coordination/connquota/quota_test.go
@@ -10,8 +10,8 @@
 
 func nodeNames(count int) []string {
 	names := make([]string, count)
-	for at := range names {
-		names[at] = fmt.Sprintf("n%d", at)
+	for index := range names {
+		names[index] = fmt.Sprintf("n%d", index)
 	}
 	return names
 }
@@ -22,7 +22,8 @@
 	return m
 }
 
-// kept sums what all nodes may keep at an instance, and names who keeps.
+// idleQuotas sums the idle connections of all nodes at an instance, and says which
+// nodes have one.
 func idleQuotas(names []string, instance string, connections int) (sum int, who map[string]bool) {
 	m, who := newMembers(names), map[string]bool{}
 	for _, name := range names {
@@ -34,37 +35,37 @@
 }
 
 func TestQuotas(t *testing.T) {
-	Convey("Where each node's share is two or more, all have it, and none gives back", t, func() {
-		for _, shape := range [][3]int{{1, 20, 10}, {4, 20, 4}, {9, 20, 2}, {90, 420, 4}} {
-			m := newMembers(nodeNames(shape[0]))
-			quota := m.Quota("n0", "a", shape[1])
-			So(quota, ShouldResemble, Quota{MaxIdle: shape[2], MaxOpen: shape[2]})
+	Convey("Where each node's share is two or more, all have it exclusively", t, func() {
+		for _, limits := range [][3]int{{1, 20, 10}, {4, 20, 4}, {9, 20, 2}, {90, 420, 4}} {
+			m := newMembers(nodeNames(limits[0]))
+			quota := m.Quota("n0", "a", limits[1])
+			So(quota, ShouldResemble, Quota{MaxIdle: limits[2], MaxOpen: limits[2]})
 			So(quota.IsScarce(), ShouldBeFalse)
 		}
 	})
-	Convey("Where it is less, never more than half is kept, and nearly that is", t, func() {
-		for _, shape := range [][2]int{{60, 51}, {60, 110}, {30, 20}, {200, 51}, {930, 110}, {10, 2}, {60, 60}} {
+	Convey("Where it is less, half of the limit is assigned as idle connections", t, func() {
+		for _, limits := range [][2]int{{60, 51}, {60, 110}, {30, 20}, {200, 51}, {930, 110}, {10, 2}, {60, 60}} {
 			for instance := range 20 {
-				sum, _ := idleQuotas(nodeNames(shape[0]), fmt.Sprint("i", instance), shape[1])
-				So(sum, ShouldEqual, min(shape[1]/2, shape[0]))
+				sum, _ := idleQuotas(nodeNames(limits[0]), fmt.Sprint("i", instance), limits[1])
+				So(sum, ShouldEqual, min(limits[1]/2, limits[0]))
 			}
 		}
 	})
-	Convey("Rights at many instances fall evenly on the nodes", t, func() {
-		held := map[string]int{}
+	Convey("Quotas at many instances are spread evenly over the nodes", t, func() {
+		idleByNode := map[string]int{}
 		for instance := range 90 {
 			_, who := idleQuotas(nodeNames(60), fmt.Sprint("i", instance), 51)
 			for name, idle := range who {
 				if idle {
-					held[name]++
+					idleByNode[name]++
 				}
 			}
 		}
-		for _, count := range held {
+		for _, count := range idleByNode {
 			So(count, ShouldBeBetween, 18, 57)
 		}
 	})
-	Convey("A node that leaves moves its own right alone", t, func() {
+	Convey("A node that leaves moves only its own quota", t, func() {
 		names := nodeNames(60)
 		_, before := idleQuotas(names, "a", 51)
 		_, after := idleQuotas(names[1:], "a", 51)
@@ -76,11 +77,11 @@
 		}
 		So(moved, ShouldBeLessThanOrEqualTo, 1)
 	})
-	Convey("An instance whose cap is not known yet takes one connection", t, func() {
+	Convey("An instance whose limit is not known yet takes one connection", t, func() {
 		So(newMembers(nodeNames(60)).Quota("n0", "a", 0), ShouldResemble, Quota{MaxIdle: 1, MaxOpen: 1})
 		So(newMembers(nodeNames(60)).Quota("n0", "a", 1), ShouldResemble, Quota{MaxIdle: 1, MaxOpen: 1})
 	})
-	Convey("A node keeps its rights for a minute", t, func() {
+	Convey("A node keeps its quota for a minute", t, func() {
 		m := newMembers(nodeNames(20))
 		So(m.Count(), ShouldEqual, 20)
 		So(m.Update(nodeNames(10), time.Hour+30*time.Second), ShouldBeFalse)
--- a/internal/coordination/outlier/outlier.go
+++ b/internal/coordination/outlier/outlier.go
@@ -1,7 +1,7 @@
-// Package outlier grades an instance by what came of the statements that this
-// node itself sent there. A grade ranks: it makes an instance dearer than the
-// others, never unusable, so that a database has always one left, and it
-// fades, so that the instance is tried again.
+// Package outlier tracks the failure rate of an instance, from the outcomes of
+// the statements that this node sent there. The rate raises the instance's cost
+// for the load balancer, but never ejects it, so that a database always has an
+// instance left. It decays with time, so that the instance is tried again.
 package outlier
 
 import (
@@ -10,36 +10,37 @@
 )
 
 const (
-	// Weight is what one outcome counts against those before.
+	// SampleWeight is the weight of one outcome in the moving average, from 0 to 1.
 	SampleWeight = 0.3
-	// Fading is the time in which half of a grade is forgotten.
+	// HalfLife is the time in which the rate decays to half without outcomes.
 	HalfLife = 2 * time.Second
 )
 
-// Grade is one instance's; the zero value is that of one that never failed.
+// FailureRate is the exponentially weighted failure rate of one instance. The
+// zero value is that of an instance that never failed.
 type FailureRate struct {
 	rate       float64
 	observedAt time.Duration
 }
 
-// Failing is the part of the late outcomes that were failures, from 0 to
-// below 1.
+// Rate returns the failure rate, from 0 to below 1.
 func (r *FailureRate) Rate(now time.Duration) float64 {
 	return r.rate * math.Exp2(-float64(max(now-r.observedAt, 0))/float64(HalfLife))
 }
 
-// Note takes one outcome.
+// Observe adds one outcome.
 func (r *FailureRate) Observe(failed bool, now time.Duration) {
 	next := r.Rate(now) * (1 - SampleWeight)
 	if failed {
 		next += SampleWeight
 	}
-	r.rate, r.observedAt = next, now
+	r.rate = next
+	r.observedAt = now
 }
 
-// Factor is by how much dearer the instance is than one that never failed:
-// 1 at least.
+// CostFactor returns the factor, at least 1, by which failures raise the cost of
+// the instance: the inverse square of its success rate.
 func (r *FailureRate) CostFactor(now time.Duration) float64 {
-	good := 1 - r.Rate(now)
-	return 1 / (good * good)
+	successRate := 1 - r.Rate(now)
+	return 1 / (successRate * successRate)
 }
--- a/internal/coordination/outlier/outlier_test.go
+++ b/internal/coordination/outlier/outlier_test.go
@@ -8,14 +8,14 @@
 )
 
 func TestFailureRate(t *testing.T) {
-	Convey("An instance that never failed costs what it costs", t, func() {
+	Convey("An instance that never failed has a cost factor of 1", t, func() {
 		r := FailureRate{}
-		for at := range 10 {
-			r.Observe(false, time.Duration(at)*time.Second)
+		for second := range 10 {
+			r.Observe(false, time.Duration(second)*time.Second)
 		}
 		So(r.CostFactor(time.Minute), ShouldEqual, 1)
 	})
-	Convey("Each failure makes it dearer, each good answer cheaper, without an end to either", t, func() {
+	Convey("Each failure raises the cost factor, each success lowers it", t, func() {
 		r, last := FailureRate{}, 1.0
 		for range 50 {
 			r.Observe(true, time.Hour)
@@ -31,7 +31,7 @@
 			last = r.CostFactor(time.Hour)
 		}
 	})
-	Convey("It is tried again: half of what is held against it fades in a while", t, func() {
+	Convey("The rate decays to half within the half-life", t, func() {
 		r := FailureRate{}
 		r.Observe(true, time.Hour)
 		before := r.Rate(time.Hour)
--- a/internal/coordination/rendezvous/rendezvous.go
+++ b/internal/coordination/rendezvous/rendezvous.go
@@ -1,5 +1,6 @@
-// Package rendezvous names, by highest random weight, the few others that
-// each node knows and watches.
+// Package rendezvous assigns names to keys by rendezvous hashing (highest random
+// weight): all who know the same names agree, and a name that leaves moves only
+// what was assigned to it.
 package rendezvous
 
 import (
@@ -8,21 +9,30 @@
 	"slices"
 )
 
+// Parameters of the 64-bit finalizer of MurmurHash3.
+const (
+	mixFactor1 = 0xff51afd7ed558ccd
+	mixFactor2 = 0xc4ceb9fe1a85ec53
+	mixShift   = 33
+)
+
+// score is the weight of a name for a key: an FNV-1a hash, mixed so that similar
+// names spread evenly.
 func score(name, key string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(name))
 	_, _ = hash.Write([]byte{0})
 	_, _ = hash.Write([]byte(key))
 	mixed := hash.Sum64()
-	mixed ^= mixed >> 33
-	mixed *= 0xff51afd7ed558ccd
-	mixed ^= mixed >> 33
-	mixed *= 0xc4ceb9fe1a85ec53
-	return mixed ^ mixed>>33
+	mixed ^= mixed >> mixShift
+	mixed *= mixFactor1
+	mixed ^= mixed >> mixShift
+	mixed *= mixFactor2
+	return mixed ^ mixed>>mixShift
 }
 
-// Select gives the count names that score highest for a key, the key itself
-// left out.
+// Select returns the count names with the highest score for a key, best first.
+// The key itself is left out, and fewer are returned where there are fewer.
 func Select(names []string, key string, count int) []string {
 	ranked := make([]string, 0, len(names))
 	for _, name := range names {
@@ -36,18 +46,21 @@
 	return ranked[:min(count, len(ranked))]
 }
 
-// IsAmong says whether a name is one of the count that Select gives, without
-// ranking all: it looks only until enough others are found that score higher.
+// IsSelected says whether a name is one of the count that Select returns. It
+// stops once count others with a higher score are found, and ranks none.
 func IsSelected(names []string, key, name string, count int) bool {
-	own, higher := score(name, key), 0
+	ownScore, higher := score(name, key), 0
 	for _, other := range names {
 		if other == key || other == name {
 			continue
 		}
-		if theirs := score(other, key); theirs > own || (theirs == own && other < name) {
-			if higher++; higher >= count {
-				return false
-			}
+		otherScore := score(other, key)
+		if otherScore < ownScore || (otherScore == ownScore && other > name) {
+			continue
+		}
+		higher++
+		if higher >= count {
+			return false
 		}
 	}
 	return name != key
--- a/internal/coordination/rendezvous/rendezvous_test.go
+++ b/internal/coordination/rendezvous/rendezvous_test.go
@@ -9,16 +9,16 @@
 )
 
 func TestIsSelected(t *testing.T) {
-	Convey("Who is among the few is what Select says, for every key and name", t, func() {
+	Convey("IsSelected agrees with Select for every key and name", t, func() {
 		for _, size := range []int{1, 2, 3, 4, 9, 40} {
 			var names []string
-			for at := range size {
-				names = append(names, fmt.Sprintf("n%02d", at))
+			for index := range size {
+				names = append(names, fmt.Sprintf("n%02d", index))
 			}
 			for _, key := range append(slices.Clone(names), "elsewhere") {
-				few := Select(names, key, 3)
+				selected := Select(names, key, 3)
 				for _, name := range names {
-					SoMsg(key+" "+name, IsSelected(names, key, name, 3), ShouldEqual, slices.Contains(few, name))
+					SoMsg(key+" "+name, IsSelected(names, key, name, 3), ShouldEqual, slices.Contains(selected, name))
 				}
 			}
 		}
--- a/internal/coordination/singleton/singleton.go
+++ b/internal/coordination/singleton/singleton.go
@@ -1,6 +1,13 @@
-// Package singleton is the machine by which a control machine seeks the duties of
-// moving writer roles, keeps those that it wins, and says when the databases
-// they are for are to be attended to.
+// Package singleton is the state machine by which a control server campaigns for
+// the singleton roles of deciding on failovers, and keeps those that it wins.
+//
+// There is a role for each database with asynchronous replication, and one for
+// all databases with synchronous replication. A role is held by a lease, which a
+// majority of the voters grants. The control primary campaigns for all roles;
+// another voter campaigns for a role only once it has been vacant for a while.
+//
+// The machine is pure: the caller passes the time, as a duration on its
+// monotonic clock, and executes the effects.
 package singleton
 
 import (
@@ -13,51 +20,64 @@
 	"tansyseam/internal/coordination/proposal"
 )
 
-// Term is how long a vote for a duty binds.
+// LeaseDuration is how long a vote for a role binds the voter.
 const LeaseDuration = 1200 * time.Millisecond
 
-// Pace is how often the machine is to be asked, at most, what is due.
+// TickInterval is the time between calls of Due.
 const TickInterval = 25 * time.Millisecond
 
 const (
-	campaignInterval       = 100 * time.Millisecond
-	refreshInterval        = time.Second
+	// campaignInterval is the time between campaigns while no failover is active.
+	campaignInterval = 100 * time.Millisecond
+	// refreshInterval is the time between requests for the list of databases at a
+	// control server that is not the primary.
+	refreshInterval = time.Second
+	// remoteEvaluateInterval is the time between evaluations of the databases with
+	// synchronous replication at a leader that is not the control primary, and
+	// has to fetch the evidence from there.
 	remoteEvaluateInterval = 300 * time.Millisecond
+	// takeoverDelay is how long a role must be vacant before a control server
+	// that is not the primary campaigns for it.
+	takeoverDelay = 2 * LeaseDuration
 )
 
-// The duty of all synced databases is one.
+// Names of the roles as they are sent and shown.
 const (
 	syncRole        = "takeover"
 	asyncRolePrefix = "failover/"
 )
 
-// Situation is what the machine must know of its own control machine.
+// NodeState is what the machine depends on of its own control server.
 type NodeState struct {
+	// Primary says that it is the control primary.
 	Primary bool
-	// IsMoving says whether a writer role is on its way, so that each step of
-	// it is taken as soon as it can be.
+	// FailoverActive says that a writer role is being moved, so that each step is
+	// to be taken as soon as possible.
 	FailoverActive bool
 }
 
-// Canvass is an effect: ask the voters, this machine among them, for votes.
+// RequestVotes is the effect of sending a request to all voters, this control
+// server included.
 type RequestVotes struct {
 	Request proposal.VoteRequest
 	Voters  []string
 }
 
-// Attend is an effect: decide on a database as the holder of its duty.
+// Evaluate is the effect of deciding on a database as leader of its role.
 type Evaluate struct {
 	Database string
-	Synced   bool
+	// Synced says that the database replicates synchronously.
+	Synced bool
 }
 
-// Machine is one control machine's part.
+// Machine is the part of one control server. It is not safe for concurrent use.
 type Machine struct {
-	self               string
-	voters             consensus.Electorate
-	grantor            *proposal.Grantor
-	candidates         map[string]*proposal.Candidate
-	evaluating         map[string]bool
+	self       string
+	voters     consensus.Electorate
+	grantor    *proposal.Grantor
+	candidates map[string]*proposal.Candidate
+	evaluating map[string]bool
+	// databases lists all databases, synced those with synchronous replication.
 	databases          []string
 	synced             []string
 	nextCampaign       time.Duration
@@ -65,14 +85,20 @@
 	nextRemoteEvaluate time.Duration
 }
 
-// New makes one that knows of no database, and votes once a term has passed.
+// New returns a machine without databases. It grants no vote until one lease
+// duration has passed, since a lease it granted before a restart may still bind.
 func New(self string, now time.Duration) *Machine {
-	return &Machine{self: self, grantor: proposal.NewGrantor(LeaseDuration, now), candidates: map[string]*proposal.Candidate{}, evaluating: map[string]bool{}}
+	return &Machine{
+		self:       self,
+		grantor:    proposal.NewGrantor(LeaseDuration, now),
+		candidates: map[string]*proposal.Candidate{},
+		evaluating: map[string]bool{},
+	}
 }
 
-// Elect takes the voters as they are known now. A machine that has come to be one
-// of them gives no vote for a term: what the one that it replaced has granted may
-// bind until then.
+// SetVoters sets the current voters. A control server that becomes a voter grants
+// no vote for one lease duration: the votes of the one that it replaced may bind
+// until then.
 func (m *Machine) SetVoters(voters consensus.Electorate, now time.Duration) {
 	if voters.IncludesSelf && !m.voters.IncludesSelf {
 		m.grantor.Suspend(now + LeaseDuration)
@@ -80,45 +106,48 @@
 	m.voters = voters
 }
 
-// Due says whether duties are to be sought now, and whether the control
-// primary is to be asked first which databases there are.
-func (m *Machine) Due(at NodeState, now time.Duration) (campaign, refresh bool) {
+// Due says whether to campaign now, and whether to refresh the list of databases
+// from the control primary before.
+func (m *Machine) Due(state NodeState, now time.Duration) (campaign, refresh bool) {
 	if now < m.nextCampaign {
 		return false, false
 	}
 	m.nextCampaign = now + campaignInterval
-	if at.FailoverActive {
+	if state.FailoverActive {
 		m.nextCampaign = now + TickInterval
 	}
-	refresh = at.Primary || now >= m.nextRefresh
+	refresh = state.Primary || now >= m.nextRefresh
 	if refresh {
 		m.nextRefresh = now + refreshInterval
 	}
 	return true, refresh
 }
 
-// Learn takes all databases, and those that are synced.
-func (m *Machine) SetDatabases(databases, synced []string) { m.databases, m.synced = databases, synced }
+// SetDatabases sets the list of all databases, and of those among them with
+// synchronous replication.
+func (m *Machine) SetDatabases(databases, synced []string) {
+	m.databases = databases
+	m.synced = synced
+}
 
-// Seek gives the effects of seeking every duty there is.
-func (m *Machine) Campaign(at NodeState, now time.Duration) []any {
+// Campaign returns the effects of campaigning for all roles and of evaluating the
+// databases of those that this control server leads.
+func (m *Machine) Campaign(state NodeState, now time.Duration) []any {
 	var effects []any
 	for _, database := range m.databases {
 		if slices.Contains(m.synced, database) {
 			continue
 		}
-		requests, leading := m.campaignFor(asyncRolePrefix+database, at, now)
-		effects = append(effects, requests...)
-		if leading {
+		effects = append(effects, m.requestVotes(asyncRolePrefix+database, state, now)...)
+		if m.isLeader(asyncRolePrefix+database, now) {
 			effects = append(effects, Evaluate{Database: database})
 		}
 	}
 	if len(m.synced) == 0 {
 		return effects
 	}
-	requests, leading := m.campaignFor(syncRole, at, now)
-	effects = append(effects, requests...)
-	if !leading || (!at.Primary && now < m.nextRemoteEvaluate) {
+	effects = append(effects, m.requestVotes(syncRole, state, now)...)
+	if !m.isLeader(syncRole, now) || (!state.Primary && now < m.nextRemoteEvaluate) {
 		return effects
 	}
 	m.nextRemoteEvaluate = now + remoteEvaluateInterval
@@ -128,31 +157,48 @@
 	return effects
 }
 
-func (m *Machine) campaignFor(role string, at NodeState, now time.Duration) (requests []any, leading bool) {
-	candidate, known := m.candidates[role]
-	names := m.voters.Voters.Names()
-	if rank := slices.Index(names, m.self); !known && rank >= 0 {
-		candidate = proposal.NewCandidate(role, len(names), (rank+len(m.candidates))%len(names), LeaseDuration)
-		m.candidates[role] = candidate
+// requestVotes gives the vote request for a role that is due now, if any.
+func (m *Machine) requestVotes(role string, state NodeState, now time.Duration) []any {
+	candidate, found := m.candidate(role)
+	if !found || !m.voters.IncludesSelf {
+		return nil
 	}
-	if candidate == nil {
-		return nil, false
+	if !state.Primary && m.grantor.VacantFor(role, now) <= takeoverDelay {
+		return nil
 	}
-	leading = candidate.IsLeader(now)
-	if !m.voters.IncludesSelf || (!at.Primary && m.grantor.VacantFor(role, now) <= 2*LeaseDuration) {
-		return nil, leading
+	request, due := candidate.Tick(now)
+	if !due {
+		return nil
 	}
-	if request, isDue := candidate.Tick(now); isDue {
-		request.Voters = string(m.voters.Voters)
-		requests = append(requests, RequestVotes{Request: request, Voters: names})
+	request.Voters = string(m.voters.Voters)
+	return []any{RequestVotes{Request: request, Voters: m.voters.Voters.Names()}}
+}
+
+// candidate gives the candidate for a role, which is made once this control
+// server is a voter. Ranks differ by role, so that they spread the backoff.
+func (m *Machine) candidate(role string) (*proposal.Candidate, bool) {
+	if candidate, found := m.candidates[role]; found {
+		return candidate, true
 	}
-	return requests, leading
+	names := m.voters.Voters.Names()
+	rank := slices.Index(names, m.self)
+	if rank < 0 {
+		return nil, false
+	}
+	candidate := proposal.NewCandidate(role, len(names), (rank+len(m.candidates))%len(names), LeaseDuration)
+	m.candidates[role] = candidate
+	return candidate, true
+}
+
+func (m *Machine) isLeader(role string, now time.Duration) bool {
+	candidate, found := m.candidates[role]
+	return found && candidate.IsLeader(now)
 }
 
-// OnAsk gives this machine's vote. It votes only for one that counts the same
-// voters, and not while a change of them may be settled: a majority of the old ones
-// has accepted each change, so that none of them can lengthen a duty once another
-// may be won among the new ones.
+// OnVoteRequest returns the vote of this control server. It grants a vote only to
+// a candidate that counts the same voters, and none while a change of voters may
+// be decided: a majority of the old voters has accepted each change, so that none
+// of them can extend a lease once another may be won among the new ones.
 func (m *Machine) OnVoteRequest(from string, request proposal.VoteRequest, now time.Duration) proposal.Vote {
 	eligible := m.voters.IncludesSelf && !m.voters.Changing && request.Voters == string(m.voters.Voters)
 	if !eligible {
@@ -163,33 +209,40 @@
 	return vote
 }
 
-// OnVote counts a vote; true when it wins the duty anew. A vote that another machine
-// gave than the one that was asked is none.
+// OnVote counts a vote, and says whether it newly wins the role. A vote of another
+// control server than the one that was asked is ignored.
 func (m *Machine) OnVote(from string, vote proposal.Vote, now time.Duration) bool {
-	candidate, known := m.candidates[vote.Role]
-	return known && vote.Voter == from && candidate.OnVote(from, vote, now)
+	candidate, found := m.candidates[vote.Role]
+	return found && vote.Voter == from && candidate.OnVote(from, vote, now)
 }
 
-// Sought is what the machine shows of a duty.
+// RoleStatus is the state of a role as it is shown to operators.
 type RoleStatus struct {
 	Role     string `json:"duty"`
 	Database string `json:"database"`
-	Leading  bool   `json:"is_held"`
-	Leader   string `json:"seen_held_by"`
+	// Leading says that this control server leads the role.
+	Leading bool `json:"is_held"`
+	// Leader is the other leader that a voter named last, if any.
+	Leader string `json:"seen_held_by"`
 }
 
-// Show lists the duties sought, by name.
+// Roles lists the roles that this control server is a candidate for, by name.
 func (m *Machine) Roles(now time.Duration) []RoleStatus {
 	list := []RoleStatus{}
-	for _, name := range slices.Sorted(maps.Keys(m.candidates)) {
-		candidate := m.candidates[name]
-		list = append(list, RoleStatus{Role: name, Database: strings.TrimPrefix(name, asyncRolePrefix), Leading: candidate.IsLeader(now), Leader: candidate.Leader()})
+	for _, role := range slices.Sorted(maps.Keys(m.candidates)) {
+		candidate := m.candidates[role]
+		list = append(list, RoleStatus{
+			Role:     role,
+			Database: strings.TrimPrefix(role, asyncRolePrefix),
+			Leading:  candidate.IsLeader(now),
+			Leader:   candidate.Leader(),
+		})
 	}
 	return list
 }
 
-// Begin says whether a database may be attended to now: one attendance at a
-// time, until End.
+// BeginEvaluation says whether an evaluation of a database may begin: one runs at
+// a time, until EndEvaluation.
 func (m *Machine) BeginEvaluation(database string) bool {
 	if m.evaluating[database] {
 		return false
@@ -198,5 +251,5 @@
 	return true
 }
 
-// End tells that the attendance is over.
+// EndEvaluation ends the evaluation of a database.
 func (m *Machine) EndEvaluation(database string) { delete(m.evaluating, database) }
