--- a/internal/app/lineproxy/drain.go
+++ b/internal/app/lineproxy/drain.go
@@ -21,7 +21,7 @@
 		if elapsed > p.minDrain && p.isDrained() {
 			break
 		}
-		sleep(drainPollInterval)
+		time.Sleep(drainPollInterval)
 	}
 	p.log.Info("sessions closed", "sessions_left", p.sessionCount())
 	p.server.Stop()
--- a/internal/app/lineproxy/proxy.go
+++ b/internal/app/lineproxy/proxy.go
@@ -22,7 +22,6 @@
 	"tansyseam/internal/state/lineproto"
 	"tansyseam/internal/state/model"
 	"tansyseam/internal/transport/lineserver"
-	"tansyseam/internal/transport/worker"
 )
 
 const (
@@ -139,5 +138,3 @@
 	}
 	return depths
 }
-
-func sleep(duration time.Duration) { worker.Await(make(chan struct{}), duration) }
--- a/internal/app/lineproxy/updates.go
+++ b/internal/app/lineproxy/updates.go
@@ -29,13 +29,13 @@
 	for !p.node.Workers.IsStopping() {
 		request, ok := p.nextRequest()
 		if !ok {
-			sleep(strandedPollInterval)
+			time.Sleep(strandedPollInterval)
 			continue
 		}
 		sent := p.now()
 		update, received := p.node.RequestUpdate(request, search, updateTimeout)
 		if !received {
-			sleep(updateRetryDelay)
+			time.Sleep(updateRetryDelay)
 			continue
 		}
 		p.apply(func(now time.Duration) { p.pool.ApplyUpdate(update, sent, now) })
@@ -64,7 +64,7 @@
 }
 
 func (p *Proxy) sendReport() {
-	sleep(reportDelay)
+	time.Sleep(reportDelay)
 	var report distribution.NodeReport
 	p.apply(func(now time.Duration) {
 		p.reportScheduled = false
--- a/internal/coordination/pool/backoff.go
+++ b/internal/coordination/pool/backoff.go
@@ -16,7 +16,7 @@
 	b.until = now + b.delay
 }
 
-// Succeed ends the row of failed attempts. A pause that has begun goes on.
+// Succeed ends the row of failed attempts. It does not cut a pause short.
 func (b *Backoff) Succeed() { b.delay = 0 }
 
 // Over reports whether the next attempt may be made.
--- a/internal/coordination/pool/linepool/answer.go
+++ b/internal/coordination/pool/linepool/answer.go
@@ -94,8 +94,8 @@
 	m.dispatch(instance.database, now)
 }
 
-// onBeginAnswered takes the answer to the begin that goes before a
-// transaction's first statement, which is sent only now.
+// onBeginAnswered takes the answer to the begin of a transaction, and sends the
+// transaction's first statement.
 func (m *Machine) onBeginAnswered(attempt *requestAttempt, ready lineproto.Message, now time.Duration) {
 	request, conn := attempt.request, attempt.conn
 	began := attempt.result.Kind == lineproto.KindDone && ready.State == lineproto.StateInTransaction
@@ -140,7 +140,7 @@
 	}
 }
 
-// complete takes the whole answer to a statement.
+// complete takes the complete answer to a statement.
 func (m *Machine) complete(attempt *requestAttempt, ready lineproto.Message, now time.Duration) {
 	conn := attempt.conn
 	if !attempt.isCurrent() {
--- a/internal/coordination/pool/linepool/conn.go
+++ b/internal/coordination/pool/linepool/conn.go
@@ -189,7 +189,7 @@
 	m.dispatch(instance.database, now)
 }
 
-// onAttemptLost goes on with a request whose connection ended before the
+// onAttemptLost requeues or ends a request whose connection ended before the
 // answer came.
 func (m *Machine) onAttemptLost(attempt *requestAttempt, now time.Duration) {
 	request := attempt.request
--- a/internal/coordination/pool/linepool/machine.go
+++ b/internal/coordination/pool/linepool/machine.go
@@ -61,8 +61,7 @@
 	return m
 }
 
-// database returns the state of a database, which is new if nothing has been
-// heard of it.
+// database returns the state of a database, and adds one that is not known.
 func (m *Machine) database(name string) *databaseState {
 	return m.databases.GetOrAdd(name, func() *databaseState { return &databaseState{name: name} })
 }
--- a/internal/coordination/pool/linepool/query.go
+++ b/internal/coordination/pool/linepool/query.go
@@ -8,7 +8,7 @@
 
 // Query is one query of a client.
 type Query struct {
-	// ID is the client's; it goes along to the instance.
+	// ID is the client's; it is sent to the instance with the statement.
 	ID string
 	// Text is the query as the client wrote it, Statement what it asks for.
 	Text      string
@@ -36,8 +36,8 @@
 	client.pipelined = append(client.pipelined, query)
 }
 
-// handlePipelined goes on with the queries that the client has sent ahead, up
-// to the first that has to wait for an instance.
+// handlePipelined serves the queries that the client has sent ahead, up to the
+// first that has to wait for an instance.
 func (m *Machine) handlePipelined(client *Client, now time.Duration) {
 	client.lastUsed = now
 	for len(client.pipelined) > 0 && client.request == nil && !client.closed {
--- a/internal/coordination/pool/linepool/queue.go
+++ b/internal/coordination/pool/linepool/queue.go
@@ -42,8 +42,8 @@
 	// writerClosedAt is when the primary's term was seen to close; 0 while it
 	// is open.
 	writerClosedAt time.Duration
-	// closeReported says that the control primary may have been told that the
-	// node confirms no more commits of the closing term.
+	// closeReported says that the node may have reported to the control primary
+	// that it confirms no more commits of the closing term.
 	closeReported bool
 }
 
--- a/internal/coordination/pool/linepool/request.go
+++ b/internal/coordination/pool/linepool/request.go
@@ -18,8 +18,8 @@
 	phaseQueued
 	// phaseInFlight: it has been sent to an instance.
 	phaseInFlight
-	// phaseUnconfirmed: the instance has committed it; the client is told once
-	// the node holds a lease.
+	// phaseUnconfirmed: the instance has committed it; the client is answered
+	// once the node holds a lease.
 	phaseUnconfirmed
 	// phaseEnded: the client has been answered, or is gone.
 	phaseEnded
--- a/internal/coordination/pool/linepool/timeout.go
+++ b/internal/coordination/pool/linepool/timeout.go
@@ -48,9 +48,9 @@
 	return now >= request.arrivedAt+m.timing.UnavailableWait && m.isTargetUnavailable(database, request, now)
 }
 
-// queueDeadline is until when a request may be queued: its client is told
-// while it has time left to try elsewhere. A transaction that has begun waits
-// to the end, since its work would be lost.
+// queueDeadline is until when a request may be queued. It is rejected early
+// enough for its client to retry in time. A transaction that has begun waits
+// to its deadline, since its work would be lost.
 func (m *Machine) queueDeadline(request *Request) time.Duration {
 	if request.transaction.isOpenAtInstance() {
 		return request.deadline
--- a/internal/coordination/pool/linepool/timing.go
+++ b/internal/coordination/pool/linepool/timing.go
@@ -7,8 +7,8 @@
 	// DefaultTimeout bounds a statement whose binding gives no timeout.
 	DefaultTimeout time.Duration
 	// UnavailableWait is how long a statement is queued when the lease or the
-	// writer role is missing, rather than capacity. After it the client is told
-	// to come back later.
+	// writer role is missing, rather than capacity. After it the statement is
+	// rejected.
 	UnavailableWait time.Duration
 	// QueueFraction is the part of its timeout that a statement may spend in
 	// the queue, from 0 to 1.
