--- a/internal/app/admin/api_test.go
+++ b/internal/app/admin/api_test.go
@@ -93,7 +93,7 @@
 
 func TestAPI(t *testing.T) {
 	apis := newAPIs(t)
-	Convey("Both kinds of data plane show the same, and one without a lease is unready and says why", t, func() {
+	Convey("Both kinds of data plane give the same answers, and one without a lease is not ready and says why", t, func() {
 		for _, kind := range slices.Sorted(maps.Keys(apis)) {
 			api := apis[kind]
 			api.QueueDepths = func(time.Duration) map[string]int { return map[string]int{"line": 3} }
--- a/internal/app/config/config.go
+++ b/internal/app/config/config.go
@@ -16,8 +16,8 @@
 	Name string
 	// Zone is the failure domain of the machine.
 	Zone string
-	// RPCAddress and HTTPAddress are listened on, as IP:port; others are told
-	// the advertised ones.
+	// RPCAddress and HTTPAddress are listened on, as IP:port; other nodes
+	// connect to the advertised ones.
 	RPCAddress           string
 	HTTPAddress          string
 	AdvertiseRPCAddress  string
@@ -40,8 +40,7 @@
 	// Weight is a proxy's share of each instance's capacity, relative to the
 	// weights of the other proxies.
 	Weight float64
-	// ShutdownGrace is how long a proxy that was told to stop may take before
-	// it is killed.
+	// ShutdownGrace is how long a proxy may take to stop before it is killed.
 	ShutdownGrace time.Duration
 	// InstanceDrain is how long an instance still serves once it announced
 	// that it leaves.
--- a/internal/app/control/consensus.go
+++ b/internal/app/control/consensus.go
@@ -12,7 +12,7 @@
 	"tansyseam/internal/state/store"
 )
 
-// peersRefreshInterval is how often the consensus machine is told which other
+// peersRefreshInterval is how often the consensus machine learns which other
 // control nodes there are.
 const peersRefreshInterval = 300 * time.Millisecond
 
--- a/internal/app/control/disk_fault_test.go
+++ b/internal/app/control/disk_fault_test.go
@@ -5,11 +5,11 @@
 	"testing"
 	"time"
 
-	. "github.com/smartystreets/goconvey/convey"
-
 	"github.com/hashicorp/go-hclog"
 	"github.com/juju/errors"
 
+	. "github.com/smartystreets/goconvey/convey"
+
 	"tansyseam/internal/app/admin"
 	"tansyseam/internal/app/node"
 	"tansyseam/internal/coordination/consensus"
@@ -50,7 +50,7 @@
 }
 
 func TestFailingDiskWrites(t *testing.T) {
-	Convey("A write that the disk refuses is not acknowledged and ends nothing; once the disk takes it, it is", t, func() {
+	Convey("A write that fails on disk is not acknowledged, and the node goes on; once the disk works, it is acknowledged", t, func() {
 		s, disk := newServerOnFaultyDisk(t)
 		s.runPending()
 		So(s.isPrimary(), ShouldBeTrue)
@@ -71,7 +71,7 @@
 }
 
 func TestHangingDiskWrite(t *testing.T) {
-	Convey("While a sync is under way, the loop goes on hearing and answering what rests on no file, and nothing else", t, func() {
+	Convey("While a sync is in flight, the loop handles messages and replies to what depends on no file, and to nothing else", t, func() {
 		s, _ := newServerOnFaultyDisk(t)
 		s.runPending()
 		var work []func()
@@ -82,12 +82,12 @@
 		So(first.Status, ShouldEqual, 0)
 		So(s.isPrimary(), ShouldBeTrue)
 		So(s.gate.SyncPending(s.node.Now()), ShouldBeGreaterThan, 0)
-		owed := s.gate.SyncPending(s.node.Now() + time.Second)
+		pending := s.gate.SyncPending(s.node.Now() + time.Second)
 		now := s.node.Now() + time.Second
-		s.consensus.Step(consensus.Tick{WallNanos: 1, SyncPending: owed}, now)
+		s.consensus.Step(consensus.Tick{WallNanos: 1, SyncPending: pending}, now)
 		So(s.consensus.IsPrimary(now), ShouldBeFalse)
-		refused := s.consensus.Step(consensus.Submit{Token: 99}, now)
-		So(refused, ShouldResemble, []consensus.Effect{consensus.SubmitResult{Token: 99}})
+		rejected := s.consensus.Step(consensus.Submit{Token: 99}, now)
+		So(rejected, ShouldResemble, []consensus.Effect{consensus.SubmitResult{Token: 99}})
 		work[0]()
 		s.runPending()
 		So(first.Status, ShouldEqual, http.StatusOK)
--- a/internal/app/control/evidence_test.go
+++ b/internal/app/control/evidence_test.go
@@ -11,15 +11,15 @@
 )
 
 func TestEvidenceSizeIndependentOfDatabases(t *testing.T) {
-	Convey("A case carries no list of the databases, and takes as much from memory however many there are", t, func() {
-		taken := func(databases int) float64 {
+	Convey("Evidence on a database holds no list of the databases, and allocates as much however many there are", t, func() {
+		allocations := func(databases int) float64 {
 			h := newHarness(t, t.TempDir())
 			h.runPending()
 			for number := range databases {
 				for _, name := range []string{"a", "b", "c"} {
-					one := announced(fmt.Sprintf("i-%s-%d", name, number), model.RoleReplica, 1)
-					one.Database = fmt.Sprintf("db%d", number)
-					h.node.Announce(one)
+					instance := announced(fmt.Sprintf("i-%s-%d", name, number), model.RoleReplica, 1)
+					instance.Database = fmt.Sprintf("db%d", number)
+					h.node.Announce(instance)
 				}
 			}
 			answer := h.onEvidenceRequest(message.EvidenceRequest{Database: "db1"})
@@ -29,6 +29,6 @@
 			So(len(h.onEvidenceRequest(message.EvidenceRequest{}).SyncedDatabases), ShouldEqual, databases)
 			return testing.AllocsPerRun(20, func() { h.onEvidenceRequest(message.EvidenceRequest{Database: "db1"}) })
 		}
-		So(taken(40), ShouldAlmostEqual, taken(4), 2)
+		So(allocations(40), ShouldAlmostEqual, allocations(4), 2)
 	})
 }
--- a/internal/app/control/instances_test.go
+++ b/internal/app/control/instances_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestAnnouncementsAtControl(t *testing.T) {
-	Convey("The control primary takes a synced instance's announcement; a late one changes nothing; a machine that reaches no primary refuses", t, func() {
+	Convey("The control primary accepts the announcement of a synchronously replicated instance; a late one changes nothing; a node that reaches no primary rejects it", t, func() {
 		h := newHarness(t, t.TempDir())
 		status, _ := h.node.Announce(announced("i-1", model.RoleReplica, 4))
 		So(status, ShouldEqual, http.StatusServiceUnavailable)
--- a/internal/app/control/manifests_test.go
+++ b/internal/app/control/manifests_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestManifestCalls(t *testing.T) {
-	Convey("A manifest is taken by version, refused when broken, and given back as it was sent, also after a restart", t, func() {
+	Convey("A manifest is accepted by version, rejected when broken, and returned as it was sent, also after a restart", t, func() {
 		folder := t.TempDir()
 		h := newHarness(t, folder)
 		status, _ := h.operate("/v1/manifest/fetch", "")
@@ -33,8 +33,8 @@
 		}
 		status, _ = h.operate("/v1/manifest/replace", `{"version":`)
 		So(status, ShouldEqual, http.StatusBadRequest)
-		for _, one := range []*harness{h, newHarness(t, folder)} {
-			status, answer = one.operate("/v1/manifest/fetch", "")
+		for _, reader := range []*harness{h, newHarness(t, folder)} {
+			status, answer = reader.operate("/v1/manifest/fetch", "")
 			So(status, ShouldEqual, http.StatusOK)
 			So(answer.GetInt("version"), ShouldEqual, 7)
 			raw, _ := base64.StdEncoding.DecodeString(string(answer.GetStringBytes("raw")))
--- a/internal/app/control/platform_test.go
+++ b/internal/app/control/platform_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestPromoteCallNotSent(t *testing.T) {
-	Convey("A promote call to an address where nobody takes it is told as not sent", t, func() {
+	Convey("A promote call to an address where nothing listens is reported as not sent", t, func() {
 		h := newHarness(t, t.TempDir())
 		cfg := h.node.Config()
 		cfg.PlatformAddress = "127.0.0.1:1"
--- a/internal/app/control/syncfailover_test.go
+++ b/internal/app/control/syncfailover_test.go
@@ -16,79 +16,83 @@
 )
 
 func TestInstanceEvidence(t *testing.T) {
-	at := func(phase string, since int64) syncrepl.Evidence {
-		return syncrepl.Evidence{Database: "db", Known: true, Settled: true, GapSequence: 3, Tenure: "c1@1", Writer: model.WriterRole{Database: "db", Term: 3, Primary: "a", Phase: phase, LastTransitionAt: since, SyncReplication: true}}
+	// An episode is known by the time of the last transition.
+	evidenceOf := func(phase string, lastTransitionAt int64) syncrepl.Evidence {
+		return syncrepl.Evidence{
+			Database: "db", Known: true, Settled: true, GapSequence: 3, Tenure: "c1@1",
+			Writer: model.WriterRole{Database: "db", Term: 3, Primary: "a", Phase: phase, LastTransitionAt: lastTransitionAt, SyncReplication: true},
+		}
 	}
-	shown := func(h *harness, one syncrepl.Evidence) syncrepl.Evidence {
+	augment := func(h *harness, evidence syncrepl.Evidence) syncrepl.Evidence {
 		h.mutex.Lock()
 		defer h.mutex.Unlock()
-		return h.evidence.Augment(one, h.node.Now())
+		return h.evidence.Augment(evidence, h.node.Now())
 	}
-	Convey("What an instance answered counts as seen after the settling only in the episode in which it was asked, and settled", t, func() {
+	Convey("A status counts as read after the settling only in the episode in which it was queried, and only if that was settled", t, func() {
 		h := newHarness(t, t.TempDir())
 		h.replies["b"] = CommandReply{Role: model.RoleReplica, Term: 3, Position: model.Position{Term: 3, Index: 9}}
-		one := shown(h, at(model.PhaseClosing, 5))
-		h.sendCommand(one, statusCommand("b"))
-		unsettled := one
+		evidence := augment(h, evidenceOf(model.PhaseClosing, 5))
+		h.sendCommand(evidence, statusCommand("b"))
+		unsettled := evidence
 		unsettled.Settled = false
 		h.sendCommand(unsettled, statusCommand("c"))
 		h.finish()
-		one = shown(h, at(model.PhaseClosing, 5))
-		So(one.Probes["b"].AfterSettled, ShouldBeTrue)
-		So(one.Probes["b"].Answered, ShouldBeTrue)
-		So(one.Probes["b"].Position, ShouldResemble, model.Position{Term: 3, Index: 9})
-		So(one.Probes["b"].GapSequence, ShouldEqual, 3)
-		So(one.Probes["c"].AfterSettled, ShouldBeFalse)
-		So(shown(h, at(model.PhaseClosing, 6)).Probes["b"].AfterSettled, ShouldBeFalse)
-		So(shown(h, at(model.PhaseClosing, 5)).Probes["b"].AfterSettled, ShouldBeFalse)
+		evidence = augment(h, evidenceOf(model.PhaseClosing, 5))
+		So(evidence.Probes["b"].AfterSettled, ShouldBeTrue)
+		So(evidence.Probes["b"].Answered, ShouldBeTrue)
+		So(evidence.Probes["b"].Position, ShouldResemble, model.Position{Term: 3, Index: 9})
+		So(evidence.Probes["b"].GapSequence, ShouldEqual, 3)
+		So(evidence.Probes["c"].AfterSettled, ShouldBeFalse)
+		So(augment(h, evidenceOf(model.PhaseClosing, 6)).Probes["b"].AfterSettled, ShouldBeFalse)
+		So(augment(h, evidenceOf(model.PhaseClosing, 5)).Probes["b"].AfterSettled, ShouldBeFalse)
 	})
-	Convey("An answer that comes once the episode is over is not of the next; none comes twice at once", t, func() {
+	Convey("A reply that comes after its episode does not count in the next; one instance gets one command at a time", t, func() {
 		h := newHarness(t, t.TempDir())
-		hold := make(chan struct{})
+		release := make(chan struct{})
 		send := h.adapters.SendCommand
 		h.adapters.SendCommand = func(command Command) CommandReply {
-			<-hold
+			<-release
 			return send(command)
 		}
 		h.replies["b"] = CommandReply{Role: model.RoleReplica, Term: 3}
-		one := shown(h, at(model.PhaseClosing, 5))
-		h.sendCommand(one, statusCommand("b"))
-		h.sendCommand(one, statusCommand("b"))
-		So(shown(h, at(model.PhaseClosing, 6)).Probes, ShouldBeEmpty)
-		close(hold)
+		evidence := augment(h, evidenceOf(model.PhaseClosing, 5))
+		h.sendCommand(evidence, statusCommand("b"))
+		h.sendCommand(evidence, statusCommand("b"))
+		So(augment(h, evidenceOf(model.PhaseClosing, 6)).Probes, ShouldBeEmpty)
+		close(release)
 		h.finish()
 		So(len(h.commands), ShouldEqual, 1)
-		So(shown(h, at(model.PhaseClosing, 6)).Probes["b"].AfterSettled, ShouldBeFalse)
+		So(augment(h, evidenceOf(model.PhaseClosing, 6)).Probes["b"].AfterSettled, ShouldBeFalse)
 	})
-	Convey("Silence, a busy answer and a name that is not there are told apart", t, func() {
+	Convey("No reply, a busy instance and an instance that is gone are distinguished", t, func() {
 		h := newHarness(t, t.TempDir())
 		h.replies = map[string]CommandReply{"s": {Err: errors.New("refused")}, "b": {Busy: true}, "g": {Gone: true}}
-		one := shown(h, at(model.PhaseOpen, 5))
+		evidence := augment(h, evidenceOf(model.PhaseOpen, 5))
 		for name := range h.replies {
-			h.sendCommand(one, statusCommand(name))
+			h.sendCommand(evidence, statusCommand(name))
 		}
 		h.finish()
-		seen := shown(h, at(model.PhaseOpen, 5)).Probes
-		So(seen["s"].Answered || seen["s"].Busy || seen["s"].Gone, ShouldBeFalse)
-		So(seen["b"].Busy, ShouldBeTrue)
-		So(seen["g"].Gone, ShouldBeTrue)
+		probes := augment(h, evidenceOf(model.PhaseOpen, 5)).Probes
+		So(probes["s"].Answered || probes["s"].Busy || probes["s"].Gone, ShouldBeFalse)
+		So(probes["b"].Busy, ShouldBeTrue)
+		So(probes["g"].Gone, ShouldBeTrue)
 	})
-	Convey("The outcome of a promote call is kept for its intent only, and one that was not read stays unknown", t, func() {
+	Convey("The status of a promote call is retained for its promotion only, and is unknown where the response was not read", t, func() {
 		h := newHarness(t, t.TempDir())
-		intent := at(model.PhasePromoting, 5)
-		intent.Writer.Promoting = "b"
-		shown(h, intent)
+		promoting := evidenceOf(model.PhasePromoting, 5)
+		promoting.Writer.Promoting = "b"
+		augment(h, promoting)
 		h.status, h.err = http.StatusConflict, errors.New("cut")
 		h.promoteSync(syncrepl.Promote{Database: "db", Instance: "b", LeaseHolder: "c1", FencingToken: 2})
 		So(worker.Await(h.promotions, time.Second), ShouldBeTrue)
 		h.finish()
-		So(shown(h, intent).PromoteCalls[0].Status, ShouldEqual, 0)
-		So(shown(h, at(model.PhaseClosing, 9)).PromoteCalls, ShouldBeEmpty)
+		So(augment(h, promoting).PromoteCalls[0].Status, ShouldEqual, 0)
+		So(augment(h, evidenceOf(model.PhaseClosing, 9)).PromoteCalls, ShouldBeEmpty)
 	})
 }
 
 func TestSyncFailoverEndToEnd(t *testing.T) {
-	Convey("From the first announcement to a new term: met, left, closed, asked, intended, promoted, open", t, func() {
+	Convey("From the first announcement to a new term: registered, leaving, closed, queried, promoting, promoted, open", t, func() {
 		h := newHarness(t, t.TempDir())
 		h.runPending()
 		h.replies["a"] = CommandReply{Role: model.RolePrimary, Term: 3, Position: model.Position{Term: 3, Index: 50}}
--- a/internal/app/shell/shell_test.go
+++ b/internal/app/shell/shell_test.go
@@ -6,9 +6,9 @@
 	"strings"
 	"testing"
 
-	. "github.com/smartystreets/goconvey/convey"
-
 	"github.com/juju/errors"
+
+	. "github.com/smartystreets/goconvey/convey"
 )
 
 const nodesJSON = `"nodes":[
