--- a/internal/coordination/distribution/activation.go
+++ b/internal/coordination/distribution/activation.go
@@ -16,12 +16,12 @@
 // is due: a scheduled change is accepted shortly before its time, an effective time
 // that lies too far ahead is brought forward, and a set that every leased node has
 // applied gets its effective time.
-func (m *Machine) NextActivation(wall int64, now time.Duration) (Write, bool) {
+func (m *Machine) NextActivation(wallNanos int64, now time.Duration) (Write, bool) {
 	if m.activating {
 		return Write{}, false
 	}
-	m.ensureTenure(wall)
-	build := m.buildActivation(wall, now)
+	m.ensureTenure(wallNanos)
+	build := m.buildActivation(wallNanos, now)
 	if build == nil {
 		return Write{}, false
 	}
@@ -33,20 +33,20 @@
 }
 
 // buildActivation returns nil if nothing is due.
-func (m *Machine) buildActivation(wall int64, now time.Duration) func(*store.Table) []store.Put {
-	if _, due := rollout.NextScheduled(m.state, wall); due {
-		return func(state *store.Table) []store.Put { return rollout.AcceptScheduled(state, wall) }
+func (m *Machine) buildActivation(wallNanos int64, now time.Duration) func(*store.Table) []store.Put {
+	if _, due := rollout.NextScheduled(m.state, wallNanos); due {
+		return func(state *store.Table) []store.Put { return rollout.AcceptScheduled(state, wallNanos) }
 	}
-	if overdue := m.overdueSets(wall); len(overdue) > 0 && m.mayActivate(overdue, now) {
+	if overdue := m.overdueSets(wallNanos); len(overdue) > 0 && m.mayActivate(overdue, now) {
 		return func(state *store.Table) []store.Put { return rollout.ReplaceSets(state, overdue) }
 	}
 	if !m.snapshot.HasPendingSet() || !m.grantor.AllAcknowledged(m.setVersion(m.snapshot.NewestSet()), now) {
 		return nil
 	}
-	effectiveAt := wall + int64(m.freezeLeases(now)-now)
+	effectiveAt := wallNanos + int64(m.freezeLeases(now)-now)
 	seen, tenure := m.snapshot.Version, m.tenure
 	return func(state *store.Table) []store.Put {
-		return rollout.AssignEffectiveTimes(state, seen, effectiveAt, wall, tenure)
+		return rollout.AssignEffectiveTimes(state, seen, effectiveAt, wallNanos, tenure)
 	}
 }
 
@@ -69,13 +69,13 @@
 // overdueSets returns, with an effective time that has passed, the sets whose own lies
 // ahead although it should not: a node has activated the set already, or an earlier
 // tenure assigned the time by a clock that was set wrong.
-func (m *Machine) overdueSets(wall int64) []model.BindingSet {
+func (m *Machine) overdueSets(wallNanos int64) []model.BindingSet {
 	var overdue []model.BindingSet
 	for _, set := range m.snapshot.Sets {
-		if set.EffectiveAt <= wall {
+		if set.EffectiveAt <= wallNanos {
 			continue
 		}
-		isWrong := set.ScheduledBy != m.tenure && wall >= set.NotBefore && !m.trustsEffectiveTime(set, wall)
+		isWrong := set.ScheduledBy != m.tenure && wallNanos >= set.NotBefore && !m.trustsEffectiveTime(set, wallNanos)
 		if set.Sequence <= m.highestActive || isWrong {
 			set.EffectiveAt = effectiveAtOnce
 			overdue = append(overdue, set)
@@ -95,6 +95,6 @@
 // trustsEffectiveTime says whether an effective time assigned by an earlier tenure is
 // plausible: it is not further ahead than times are assigned, and then every node with
 // a lease past it knows it.
-func (m *Machine) trustsEffectiveTime(set model.BindingSet, wall int64) bool {
-	return m.clockTrusted && time.Duration(set.EffectiveAt-wall) < m.timing.LeaseDuration+m.timing.ActivationMargin
+func (m *Machine) trustsEffectiveTime(set model.BindingSet, wallNanos int64) bool {
+	return m.clockTrusted && time.Duration(set.EffectiveAt-wallNanos) < m.timing.LeaseDuration+m.timing.ActivationMargin
 }
--- a/internal/coordination/distribution/activation_test.go
+++ b/internal/coordination/distribution/activation_test.go
@@ -30,13 +30,13 @@
 		h.request("d1", store.Version{})
 		h.putSet(0)
 		next := newHarness(2, h.stored)
-		_, due := next.NextActivation(next.wall, next.now)
+		_, due := next.NextActivation(next.wallNanos, next.now)
 		So(due, ShouldBeFalse)
 		next.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: next.stored.Version}, 1, next.now)
-		write, due := next.NextActivation(next.wall, next.now)
+		write, due := next.NextActivation(next.wallNanos, next.now)
 		So(due, ShouldBeTrue)
 		So(next.write(write), ShouldBeGreaterThan, 0)
-		So(next.Snapshot().NewestSet().EffectiveAt, ShouldBeGreaterThan, next.wall)
+		So(next.Snapshot().NewestSet().EffectiveAt, ShouldBeGreaterThan, next.wallNanos)
 	})
 	Convey("While a set waits for a node, leases end early enough for its activation deadline; past that none is granted", t, func() {
 		h := newHarness(1, store.New())
@@ -44,11 +44,11 @@
 		h.request("d2", store.Version{})
 		h.request("d1", h.stored.Version)
 		h.putSet(0)
-		acceptedAt := h.wall
-		for h.wall < acceptedAt+int64(lease.DefaultTiming().PendingSetLimit()) {
+		acceptedAt := h.wallNanos
+		for h.wallNanos < acceptedAt+int64(lease.DefaultTiming().PendingSetLimit()) {
 			h.Machine.grantor.Acknowledge("d2", store.Version{}, h.now)
 			h.Machine.grantor.Grant("d2", time.Minute, h.now)
-			left := time.Duration(acceptedAt + int64(lease.DefaultTiming().PendingSetLimit()) - h.wall)
+			left := time.Duration(acceptedAt + int64(lease.DefaultTiming().PendingSetLimit()) - h.wallNanos)
 			So(h.request("d1", h.stored.Version).LeaseDuration, ShouldBeLessThanOrEqualTo, min(lease.DefaultTiming().LeaseDuration, left))
 		}
 		h.Machine.grantor.Acknowledge("d2", store.Version{}, h.now)
@@ -65,8 +65,8 @@
 				h.request("d2", h.stored.Version)
 			}
 			h.putSet(0)
-			acceptedAt := h.wall
-			for h.Snapshot().NewestSet().EffectiveAt == 0 && h.wall < acceptedAt+int64(time.Minute) {
+			acceptedAt := h.wallNanos
+			for h.Snapshot().NewestSet().EffectiveAt == 0 && h.wallNanos < acceptedAt+int64(time.Minute) {
 				h.request("d1", h.stored.Version)
 				h.runWrites()
 				h.advance(50 * time.Millisecond)
@@ -82,16 +82,16 @@
 		h.runWrites()
 		So(h.Snapshot().NewestSet().EffectiveAt, ShouldBeGreaterThan, 0)
 		next := newHarness(1, h.stored)
-		next.wall = h.Snapshot().NewestSet().EffectiveAt - int64(3*time.Second)
-		So(next.maxLease(next.wall), ShouldEqual, 0)
+		next.wallNanos = h.Snapshot().NewestSet().EffectiveAt - int64(3*time.Second)
+		So(next.maxLease(next.wallNanos), ShouldEqual, 0)
 		next.runWrites()
-		So(next.Snapshot().ActiveSet(next.wall).Sequence, ShouldEqual, 0)
-		So(next.maxLease(next.wall), ShouldEqual, 0)
+		So(next.Snapshot().ActiveSet(next.wallNanos).Sequence, ShouldEqual, 0)
+		So(next.maxLease(next.wallNanos), ShouldEqual, 0)
 		next.now += lease.DefaultTiming().LeaseDuration
-		So(next.maxLease(next.wall), ShouldEqual, 0)
+		So(next.maxLease(next.wallNanos), ShouldEqual, 0)
 		next.runWrites()
-		So(next.Snapshot().ActiveSet(next.wall).Sequence, ShouldEqual, 1)
-		So(next.maxLease(next.wall), ShouldBeGreaterThan, 0)
+		So(next.Snapshot().ActiveSet(next.wallNanos).Sequence, ShouldEqual, 1)
+		So(next.maxLease(next.wallNanos), ShouldBeGreaterThan, 0)
 	})
 }
 
@@ -99,16 +99,16 @@
 	Convey("A primary that cannot trust its clock grants no lease beside a pending set that it has inherited", t, func() {
 		first := newHarness(1, store.New())
 		first.request("d1", store.Version{})
-		puts, _ := rollout.AcceptBindings(first.stored, 0, []model.Binding{{Name: "x", Database: "x"}}, "call", first.wall)
+		puts, _ := rollout.AcceptBindings(first.stored, 0, []model.Binding{{Name: "x", Database: "x"}}, "call", first.wallNanos)
 		first.put(puts...)
 		for _, trusted := range []bool{false, true} {
 			second := newHarness(1, first.stored)
 			second.Machine = New("c2", lease.DefaultTiming(), consensus.Record{Epoch: 1, Primary: "c1"}, first.stored, second.now)
-			second.wall -= int64(4 * time.Second)
+			second.wallNanos -= int64(4 * time.Second)
 			second.EpochChanged(consensus.Record{Epoch: 2, Primary: "c2"}, first.stored, second.now)
 			second.SetClockTrusted(trusted)
 			second.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy}, 1, second.now)
-			replies := second.Flush(true, second.wall, second.now)
+			replies := second.Flush(true, second.wallNanos, second.now)
 			So(len(replies), ShouldEqual, 1)
 			So(replies[0].Update.LeaseDuration > 0, ShouldEqual, trusted)
 		}
@@ -116,15 +116,15 @@
 	Convey("Nor does one that restarted and is primary by the same record as before", t, func() {
 		first := newHarness(1, store.New())
 		first.request("d1", store.Version{})
-		puts, _ := rollout.AcceptBindings(first.stored, 0, []model.Binding{{Name: "x", Database: "x"}}, "call", first.wall)
+		puts, _ := rollout.AcceptBindings(first.stored, 0, []model.Binding{{Name: "x", Database: "x"}}, "call", first.wallNanos)
 		first.put(puts...)
 		for _, trusted := range []bool{false, true} {
 			again := newHarness(1, first.stored)
-			again.wall -= int64(4 * time.Second)
+			again.wallNanos -= int64(4 * time.Second)
 			again.EpochChanged(consensus.Record{Epoch: 2, Primary: "c1"}, first.stored, again.now)
 			again.SetClockTrusted(trusted)
 			again.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy}, 1, again.now)
-			replies := again.Flush(true, again.wall, again.now)
+			replies := again.Flush(true, again.wallNanos, again.now)
 			So(len(replies), ShouldEqual, 1)
 			So(replies[0].Update.LeaseDuration > 0, ShouldEqual, trusted)
 		}
@@ -132,9 +132,9 @@
 }
 
 func TestScheduledChangesActivateInOrder(t *testing.T) {
-	at := func(h *harness, span time.Duration) int64 { return h.wall + int64(span) }
+	at := func(h *harness, span time.Duration) int64 { return h.wallNanos + int64(span) }
 	scheduleAt := func(h *harness, id string, effectiveAt int64) bool {
-		puts, _ := rollout.Schedule(h.stored, id, effectiveAt, []model.Binding{{Name: id, Database: "x"}}, h.wall)
+		puts, _ := rollout.Schedule(h.stored, id, effectiveAt, []model.Binding{{Name: id, Database: "x"}}, h.wallNanos)
 		return h.put(puts...) > 0
 	}
 	Convey("A change for an earlier time than that of a set already being distributed is rejected, and a later one is not", t, func() {
@@ -154,7 +154,7 @@
 	Convey("A change scheduled between the choice and the write of another, for an earlier time, is accepted first", t, func() {
 		h := newHarness(1, store.New())
 		So(scheduleAt(h, "later", at(h, time.Second)), ShouldBeTrue)
-		acceptance, due := h.NextActivation(h.wall, h.now)
+		acceptance, due := h.NextActivation(h.wallNanos, h.now)
 		So(due, ShouldBeTrue)
 		So(scheduleAt(h, "earlier", at(h, 500*time.Millisecond)), ShouldBeTrue)
 		h.write(acceptance)
@@ -171,7 +171,7 @@
 		h.request("d1", h.stored.Version)
 		h.putSet(0)
 		h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: store.Version{}}, 1, h.now)
-		replies := h.Flush(true, h.wall, h.now)
+		replies := h.Flush(true, h.wallNanos, h.now)
 		So(replies[0].Update.Snapshot.HasPendingSet(), ShouldBeTrue)
 		So(replies[0].Update.LeaseDuration, ShouldEqual, full)
 	})
@@ -194,7 +194,7 @@
 						continue
 					}
 					h.HandleRequest(UpdateRequest{Node: node, Kind: model.KindProxy, Version: store.Version{}}, 1, h.now)
-					for _, reply := range h.Flush(true, h.wall, h.now) {
+					for _, reply := range h.Flush(true, h.wallNanos, h.now) {
 						lastExpiry = max(lastExpiry, h.now+reply.Update.LeaseDuration)
 					}
 					h.HandleRequest(UpdateRequest{Node: node, Kind: model.KindProxy, Version: h.stored.Version}, 1, h.now)
@@ -202,7 +202,7 @@
 				h.advance(pace)
 				h.runWrites()
 			}
-			effectiveAt := h.now + time.Duration(h.Snapshot().NewestSet().EffectiveAt-h.wall)
+			effectiveAt := h.now + time.Duration(h.Snapshot().NewestSet().EffectiveAt-h.wallNanos)
 			So(effectiveAt, ShouldBeGreaterThan, lastExpiry)
 			So(effectiveAt, ShouldBeLessThan, acceptedAt+2600*time.Millisecond)
 		}
@@ -213,7 +213,7 @@
 		h.putSet(0)
 		h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version}, 1, h.now)
 		h.runWrites()
-		So(h.Snapshot().NewestSet().EffectiveAt-h.wall, ShouldBeLessThan, int64(full/2))
+		So(h.Snapshot().NewestSet().EffectiveAt-h.wallNanos, ShouldBeLessThan, int64(full/2))
 	})
 }
 
@@ -221,24 +221,24 @@
 	Convey("With a trusted clock a plausible effective time of an earlier tenure is kept, since every leased node knows it; with one that is not trusted no lease is granted", t, func() {
 		first := newHarnessWithSetAhead(1)
 		effectiveAt := first.Snapshot().NewestSet().EffectiveAt
-		So(effectiveAt, ShouldBeGreaterThan, first.wall)
+		So(effectiveAt, ShouldBeGreaterThan, first.wallNanos)
 		for _, trusted := range []bool{true, false} {
 			next := newHarness(2, first.stored)
-			next.wall = effectiveAt - int64(time.Second)
+			next.wallNanos = effectiveAt - int64(time.Second)
 			next.SetClockTrusted(trusted)
-			next.ensureTenure(next.wall)
+			next.ensureTenure(next.wallNanos)
 			if !trusted {
-				So(next.maxLease(next.wall), ShouldEqual, 0)
+				So(next.maxLease(next.wallNanos), ShouldEqual, 0)
 				continue
 			}
-			So(next.overdueSets(next.wall), ShouldBeEmpty)
-			So(next.maxLease(next.wall), ShouldBeGreaterThan, 0)
-			next.wall = effectiveAt - int64(3*time.Second)
-			So(len(next.overdueSets(next.wall)), ShouldEqual, 1)
-			So(next.maxLease(next.wall), ShouldEqual, 0)
+			So(next.overdueSets(next.wallNanos), ShouldBeEmpty)
+			So(next.maxLease(next.wallNanos), ShouldBeGreaterThan, 0)
+			next.wallNanos = effectiveAt - int64(3*time.Second)
+			So(len(next.overdueSets(next.wallNanos)), ShouldEqual, 1)
+			So(next.maxLease(next.wallNanos), ShouldEqual, 0)
 			next.runWrites()
 			So(next.Snapshot().NewestSet().EffectiveAt, ShouldEqual, effectiveAt)
-			So(next.maxLease(next.wall), ShouldEqual, 0)
+			So(next.maxLease(next.wallNanos), ShouldEqual, 0)
 			next.now += lease.DefaultTiming().LeaseDuration
 			next.runWrites()
 			So(next.Snapshot().NewestSet().EffectiveAt, ShouldEqual, 1)
@@ -252,15 +252,15 @@
 		h.request("d1", store.Version{})
 		h.putSet(0)
 		h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version}, 5, h.now)
-		write, due := h.NextActivation(h.wall, h.now)
+		write, due := h.NextActivation(h.wallNanos, h.now)
 		So(due, ShouldBeTrue)
 		h.stored = h.stored.Clone()
 		h.stored.Apply(store.Version{Epoch: 3, Sequence: h.stored.Version.Sequence + 1}, write.Build(h.stored))
 		h.Publish(h.stored)
 		So(h.Snapshot().HasPendingSet(), ShouldBeFalse)
-		replies := h.Flush(true, h.wall, h.now)
+		replies := h.Flush(true, h.wallNanos, h.now)
 		So(len(replies), ShouldEqual, 1)
-		So(replies[0].Update.LeaseDuration, ShouldBeGreaterThan, time.Duration(h.Snapshot().NewestSet().EffectiveAt-h.wall))
+		So(replies[0].Update.LeaseDuration, ShouldBeGreaterThan, time.Duration(h.Snapshot().NewestSet().EffectiveAt-h.wallNanos))
 		write.Done()
 	})
 }
@@ -268,16 +268,16 @@
 func TestRequestsEndWithActivation(t *testing.T) {
 	Convey("A request received before a set's effective time is answered when that is past, with a full lease again", t, func() {
 		h := newHarnessWithSetAhead(3)
-		left := time.Duration(h.Snapshot().NewestSet().EffectiveAt - h.wall)
+		left := time.Duration(h.Snapshot().NewestSet().EffectiveAt - h.wallNanos)
 		So(left, ShouldBeGreaterThan, 0)
 		h.advance(left - time.Millisecond)
 		h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version}, 8, h.now)
-		So(len(h.Flush(true, h.wall, h.now)), ShouldEqual, 0)
+		So(len(h.Flush(true, h.wallNanos, h.now)), ShouldEqual, 0)
 		h.advance(2 * time.Millisecond)
-		replies := h.Flush(true, h.wall, h.now)
+		replies := h.Flush(true, h.wallNanos, h.now)
 		So(len(replies), ShouldEqual, 1)
 		So(replies[0].Update.LeaseDuration, ShouldEqual, lease.DefaultTiming().LeaseDuration)
 		h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version}, 9, h.now)
-		So(len(h.Flush(true, h.wall, h.now)), ShouldEqual, 0)
+		So(len(h.Flush(true, h.wallNanos, h.now)), ShouldEqual, 0)
 	})
 }
--- a/internal/coordination/distribution/allocation_test.go
+++ b/internal/coordination/distribution/allocation_test.go
@@ -16,7 +16,7 @@
 			request := UpdateRequest{Node: "d0", Kind: model.KindProxy, Version: h.Snapshot().Version}
 			return testing.AllocsPerRun(100, func() {
 				h.HandleRequest(request, 1, h.now)
-				h.Flush(true, h.wall, h.now+DefaultPollTimeout)
+				h.Flush(true, h.wallNanos, h.now+DefaultPollTimeout)
 			})
 		}
 		So(allocations(many), ShouldEqual, allocations(few))
@@ -26,8 +26,8 @@
 			observed := instance("a0", model.RolePrimary)
 			observed.Database = "db0"
 			return testing.AllocsPerRun(100, func() {
-				h.SyncFailoverEvidence("db0", []Observation{{Instance: observed, ObservedAt: h.now}}, h.wall, h.now)
-				h.AsyncFailoverEvidence("db0", []Observation{{Instance: observed, ObservedAt: h.now}}, h.wall, h.now)
+				h.SyncFailoverEvidence("db0", []Observation{{Instance: observed, ObservedAt: h.now}}, h.wallNanos, h.now)
+				h.AsyncFailoverEvidence("db0", []Observation{{Instance: observed, ObservedAt: h.now}}, h.wallNanos, h.now)
 			})
 		}
 		So(allocations(many), ShouldEqual, allocations(few))
--- a/internal/coordination/distribution/asyncfailover.go
+++ b/internal/coordination/distribution/asyncfailover.go
@@ -21,13 +21,13 @@
 
 // AsyncFailoverEvidence returns the evidence on a database with asynchronous
 // replication.
-func (m *Machine) AsyncFailoverEvidence(database string, observations []Observation, wall int64, now time.Duration) asyncrepl.Evidence {
+func (m *Machine) AsyncFailoverEvidence(database string, observations []Observation, wallNanos int64, now time.Duration) asyncrepl.Evidence {
 	role, known := m.writerRole(database)
 	evidence := asyncrepl.Evidence{
 		Database:    database,
 		Writer:      role,
 		Known:       known,
-		WallNanos:   wall,
+		WallNanos:   wallNanos,
 		GatheredFor: now - m.grantor.StartedAt(),
 	}
 	for node, receivedAt := range m.reports.lastReceived {
--- a/internal/coordination/distribution/asyncfailover_test.go
+++ b/internal/coordination/distribution/asyncfailover_test.go
@@ -22,12 +22,12 @@
 		h.HandleReport(NodeReport{Node: "d1", Reports: report(9, 80*time.Millisecond, 80*time.Millisecond)}, h.now)
 		h.HandleReport(NodeReport{Node: "d2", Reports: report(4, 10*time.Millisecond, 390*time.Millisecond)}, h.now)
 		observations := []Observation{{Instance: report(4, 0, 0)[0].Instance, ObservedAt: h.now - 390*time.Millisecond}}
-		observation := h.AsyncFailoverEvidence("x", observations, h.wall, h.now).Observations[0]
+		observation := h.AsyncFailoverEvidence("x", observations, h.wallNanos, h.now).Observations[0]
 		So(observation.Instance.Position.Index, ShouldEqual, 9)
 		So(observation.ContactAge, ShouldEqual, 10*time.Millisecond)
 		So(observation.PositionAge, ShouldEqual, 80*time.Millisecond)
 		h.HandleReport(NodeReport{Node: "d1"}, h.now)
 		late := []Observation{{Instance: observations[0].Instance, ObservedAt: h.now}}
-		So(h.AsyncFailoverEvidence("x", late, h.wall, h.now).Observations[0].PositionAge, ShouldEqual, time.Hour)
+		So(h.AsyncFailoverEvidence("x", late, h.wallNanos, h.now).Observations[0].PositionAge, ShouldEqual, time.Hour)
 	})
 }
--- a/internal/coordination/distribution/collection.go
+++ b/internal/coordination/distribution/collection.go
@@ -9,11 +9,11 @@
 
 // NextCollection returns the write that deletes the sets that every leased node has
 // replaced by later ones, if there are any.
-func (m *Machine) NextCollection(wall int64, now time.Duration) (Write, bool) {
+func (m *Machine) NextCollection(wallNanos int64, now time.Duration) (Write, bool) {
 	if m.collecting || now <= m.grantor.StartedAt()+m.timing.LeaseDuration {
 		return Write{}, false
 	}
-	lowest := m.snapshot.ActiveSet(wall).Sequence
+	lowest := m.snapshot.ActiveSet(wallNanos).Sequence
 	if !m.hasSetBelow(lowest) {
 		return Write{}, false
 	}
--- a/internal/coordination/distribution/coverage_test.go
+++ b/internal/coordination/distribution/coverage_test.go
@@ -16,7 +16,7 @@
 		h.HandleRequest(UpdateRequest{Node: node, Kind: model.KindProxy, Version: h.stored.Version, Incarnation: incarnation, HighWatermarks: map[string]model.Position{"db": {Term: 3, Index: high}}}, 1, h.now)
 		h.runWrites()
 		h.advance(DefaultPollTimeout)
-		h.Flush(true, h.wall, h.now)
+		h.Flush(true, h.wallNanos, h.now)
 	}
 	cover := func(h *harness) {
 		evidence := h.evidence()
--- a/internal/coordination/distribution/delta_test.go
+++ b/internal/coordination/distribution/delta_test.go
@@ -80,15 +80,15 @@
 			h.EpochChanged(consensus.Record{Epoch: 3, Primary: "c1"}, h.stored, h.now)
 			h.put(syncWriterPut(model.WriterRole{Database: "db0", Term: 1, Phase: model.PhaseOpen}))
 			h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.Snapshot().Version, AcceptsDelta: true}, 1, h.now)
-			answers := len(h.Flush(true, h.wall, h.now))
+			answers := len(h.Flush(true, h.wallNanos, h.now))
 			for range 10 {
 				h.put(write.puts...)
 				h.advance(5 * time.Millisecond)
-				answers += len(h.Flush(true, h.wall, h.now))
+				answers += len(h.Flush(true, h.wallNanos, h.now))
 			}
 			So(answers == 0, ShouldEqual, write.mayDelay)
 			h.advance(settleDelay)
-			So(answers+len(h.Flush(true, h.wall, h.now)), ShouldEqual, 1)
+			So(answers+len(h.Flush(true, h.wallNanos, h.now)), ShouldEqual, 1)
 		}
 	})
 	Convey("The snapshot that results from deltas is the complete one", t, func() {
--- a/internal/coordination/distribution/doc.go
+++ b/internal/coordination/distribution/doc.go
@@ -5,8 +5,8 @@
 // into effect.
 //
 // The machine is pure: it has no clock, no connections and no disk of its own. Times
-// named now are monotonic times since the process started; times named wall are Unix
-// times in nanoseconds by the clock of the machine it runs on. What it wants written
+// named now are monotonic times since the process started; wallNanos is the
+// Unix time in nanoseconds by the clock of the machine it runs on. What it wants written
 // to the control state it returns as a Write.
 //
 // All that the machine knows beside the control state belongs to one tenure, which is
--- a/internal/coordination/distribution/harness_test.go
+++ b/internal/coordination/distribution/harness_test.go
@@ -18,9 +18,9 @@
 // its writes are applied to.
 type harness struct {
 	*Machine
-	stored *store.Table
-	now    time.Duration
-	wall   int64
+	stored    *store.Table
+	now       time.Duration
+	wallNanos int64
 }
 
 func newHarness(epoch uint64, stored *store.Table) *harness {
@@ -28,7 +28,7 @@
 }
 
 func newHarnessWithTiming(timing lease.Timing, epoch uint64, stored *store.Table) *harness {
-	h := &harness{stored: stored, now: time.Hour, wall: int64(1000 * time.Hour)}
+	h := &harness{stored: stored, now: time.Hour, wallNanos: int64(1000 * time.Hour)}
 	h.Machine = New("c1", timing, consensus.Record{Epoch: epoch, Primary: "c1", Backup: "c2"}, stored, h.now)
 	return h
 }
@@ -49,7 +49,7 @@
 		}, 1, h.now)
 	}
 	h.advance(DefaultPollTimeout)
-	h.Flush(true, h.wall, h.now)
+	h.Flush(true, h.wallNanos, h.now)
 	return h
 }
 
@@ -66,7 +66,9 @@
 	return h
 }
 
-func (h *harness) advance(span time.Duration) { h.now, h.wall = h.now+span, h.wall+int64(span) }
+func (h *harness) advance(span time.Duration) {
+	h.now, h.wallNanos = h.now+span, h.wallNanos+int64(span)
+}
 
 // write carries out a write and returns the number of its puts.
 func (h *harness) write(write Write) int {
@@ -85,7 +87,7 @@
 }
 
 func (h *harness) putSet(expected uint64) {
-	puts, _ := rollout.AcceptBindings(h.stored, expected, []model.Binding{{Name: "b", Database: "db"}}, "test", h.wall)
+	puts, _ := rollout.AcceptBindings(h.stored, expected, []model.Binding{{Name: "b", Database: "db"}}, "test", h.wallNanos)
 	h.put(puts...)
 }
 
@@ -101,7 +103,7 @@
 	for range maxRounds {
 		progressed := false
 		for _, next := range []func(int64, time.Duration) (Write, bool){h.RegisterNodes, h.NextActivation, h.NextCollection} {
-			if write, due := next(h.wall, h.now); due {
+			if write, due := next(h.wallNanos, h.now); due {
 				progressed = h.write(write) > 0 || progressed
 				writes++
 			}
@@ -118,7 +120,7 @@
 	h.HandleRequest(UpdateRequest{Node: node, Kind: model.KindProxy, Version: version}, 1, h.now)
 	h.runWrites()
 	h.advance(DefaultPollTimeout)
-	replies := h.Flush(true, h.wall, h.now)
+	replies := h.Flush(true, h.wallNanos, h.now)
 	So(len(replies), ShouldBeGreaterThan, 0)
 	return replies[len(replies)-1].Update
 }
@@ -127,7 +129,7 @@
 func (h *harness) requestSnapshot(version store.Version, acceptsDelta bool) *model.Snapshot {
 	h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: version, AcceptsDelta: acceptsDelta}, 1, h.now)
 	h.advance(DefaultPollTimeout)
-	return h.Flush(true, h.wall, h.now)[0].Update.Snapshot
+	return h.Flush(true, h.wallNanos, h.now)[0].Update.Snapshot
 }
 
 // observe updates the instances by those that were observed just now.
@@ -145,7 +147,7 @@
 		{Instance: instance("a", model.RolePrimary), ObservedAt: h.now},
 		{Instance: instance("b", model.RoleReplica), ObservedAt: h.now},
 	}
-	return h.SyncFailoverEvidence("db", observations, h.wall, h.now)
+	return h.SyncFailoverEvidence("db", observations, h.wallNanos, h.now)
 }
 
 func instance(name, role string) model.Instance {
--- a/internal/coordination/distribution/instances.go
+++ b/internal/coordination/distribution/instances.go
@@ -83,8 +83,8 @@
 	return m.instances.register(instance)
 }
 
-func (m *Machine) listVersion(wall int64) ListVersion {
-	return ListVersion{Tenure: m.ensureTenure(wall), Number: m.instances.number}
+func (m *Machine) listVersion(wallNanos int64) ListVersion {
+	return ListVersion{Tenure: m.ensureTenure(wallNanos), Number: m.instances.number}
 }
 
 // knownNumber returns the number of this tenure's list that a node has, 0 for none.
@@ -95,6 +95,6 @@
 	return version.Number
 }
 
-func (m *Machine) hasInstanceUpdate(request UpdateRequest, wall int64) bool {
-	return request.Kind == model.KindProxy && m.instances.number > 0 && request.ListVersion != m.listVersion(wall)
+func (m *Machine) hasInstanceUpdate(request UpdateRequest, wallNanos int64) bool {
+	return request.Kind == model.KindProxy && m.instances.number > 0 && request.ListVersion != m.listVersion(wallNanos)
 }
--- a/internal/coordination/distribution/leaselimit.go
+++ b/internal/coordination/distribution/leaselimit.go
@@ -8,23 +8,23 @@
 
 // maxLease returns the longest lease that may be granted beside sets that have yet to
 // take effect: a node whose lease lapses before need not be waited for.
-func (m *Machine) maxLease(wall int64) time.Duration {
-	if len(m.overdueSets(wall)) > 0 {
+func (m *Machine) maxLease(wallNanos int64) time.Duration {
+	if len(m.overdueSets(wallNanos)) > 0 {
 		return 0
 	}
 	longest := m.timing.LeaseDuration
 	for _, set := range m.snapshot.Sets {
 		isPending := set.EffectiveAt == 0
-		isAhead := set.EffectiveAt > wall
+		isAhead := set.EffectiveAt > wallNanos
 		if !isPending && !isAhead {
 			continue
 		}
 		if !m.clockTrusted && m.isInherited(set) {
 			return 0
 		}
-		longest = min(longest, remaining(max(set.AcceptedAt, set.NotBefore), m.timing.PreviousSetLimit(), wall))
+		longest = min(longest, remaining(max(set.AcceptedAt, set.NotBefore), m.timing.PreviousSetLimit(), wallNanos))
 		if isPending {
-			longest = min(longest, remaining(set.AcceptedAt, m.timing.PendingSetLimit(), wall))
+			longest = min(longest, remaining(set.AcceptedAt, m.timing.PendingSetLimit(), wallNanos))
 		}
 	}
 	return longest
@@ -40,6 +40,6 @@
 }
 
 // remaining returns what is left at a time of a span that started at another.
-func remaining(startedAt int64, span time.Duration, wall int64) time.Duration {
-	return max(time.Duration(startedAt-wall)+span, 0)
+func remaining(startedAt int64, span time.Duration, wallNanos int64) time.Duration {
+	return max(time.Duration(startedAt-wallNanos)+span, 0)
 }
--- a/internal/coordination/distribution/machine.go
+++ b/internal/coordination/distribution/machine.go
@@ -132,9 +132,9 @@
 }
 
 // ensureTenure returns the identifier of the tenure, which its first use assigns.
-func (m *Machine) ensureTenure(wall int64) string {
+func (m *Machine) ensureTenure(wallNanos int64) string {
 	if m.tenure == "" {
-		m.tenure = fmt.Sprintf("%s@%d", m.self, wall)
+		m.tenure = fmt.Sprintf("%s@%d", m.self, wallNanos)
 		hash := fnv.New64a()
 		_, _ = hash.Write([]byte(m.tenure))
 		m.tenureNumber = hash.Sum64() | 1
--- a/internal/coordination/distribution/manifests_test.go
+++ b/internal/coordination/distribution/manifests_test.go
@@ -15,7 +15,7 @@
 	put := func(h *harness, version uint64, text string) bool {
 		return h.write(Write{Build: func(state *store.Table) []store.Put {
 			set := model.BindingSet{Bindings: []model.Binding{{Name: "b", Database: "db"}}, Databases: []model.Database{{Name: "db", MaxConnections: 80}}}
-			puts, _ := rollout.AcceptManifest(state, rollout.Manifest{Version: version, Set: set, Compressed: []byte(text), Digest: rollout.DigestOf(set, []byte(text)), Source: "test"}, h.wall)
+			puts, _ := rollout.AcceptManifest(state, rollout.Manifest{Version: version, Set: set, Compressed: []byte(text), Digest: rollout.DigestOf(set, []byte(text)), Source: "test"}, h.wallNanos)
 			return puts
 		}, Done: func() {}}) > 0
 	}
@@ -37,10 +37,10 @@
 		put(h, 1, "one")
 		put(h, 2, "two")
 		for range 8 {
-			h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version, ActiveSequence: h.Snapshot().ActiveSet(h.wall).Sequence}, 1, h.now)
+			h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version, ActiveSequence: h.Snapshot().ActiveSet(h.wallNanos).Sequence}, 1, h.now)
 			h.runWrites()
 			h.advance(time.Second)
-			h.Flush(true, h.wall, h.now)
+			h.Flush(true, h.wallNanos, h.now)
 		}
 		So(len(h.Snapshot().Sets), ShouldEqual, 1)
 		So(h.stored.Keys(model.PrefixManifest), ShouldResemble, []string{rollout.ManifestKey(2)})
@@ -53,10 +53,10 @@
 		h.putSet(1)
 		So(h.Snapshot().NewestSet().Version, ShouldEqual, 9)
 		for range 8 {
-			h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version, ActiveSequence: h.Snapshot().ActiveSet(h.wall).Sequence}, 1, h.now)
+			h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version, ActiveSequence: h.Snapshot().ActiveSet(h.wallNanos).Sequence}, 1, h.now)
 			h.runWrites()
 			h.advance(time.Second)
-			h.Flush(true, h.wall, h.now)
+			h.Flush(true, h.wallNanos, h.now)
 		}
 		So(len(h.Snapshot().Sets), ShouldEqual, 1)
 		set, text, _ := rollout.NewestManifest(h.stored)
--- a/internal/coordination/distribution/nodes.go
+++ b/internal/coordination/distribution/nodes.go
@@ -27,7 +27,7 @@
 // RegisterNodes returns the write that registers the nodes with a pending request,
 // and removes those whose lease lapsed long ago. A node gets a lease only once it is
 // registered, so that the next primary knows who may hold one.
-func (m *Machine) RegisterNodes(wall int64, now time.Duration) (Write, bool) {
+func (m *Machine) RegisterNodes(wallNanos int64, now time.Duration) (Write, bool) {
 	var puts []store.Put
 	var names []string
 	add := func(node string, put store.Put) {
@@ -38,7 +38,7 @@
 	for _, pending := range m.pending {
 		node := pending.request.Node
 		if pending.request.Kind == model.KindProxy && !m.isRegistered(node) && !m.registering[node] {
-			add(node, store.Put{Key: model.PrefixNode + node, Data: store.EncodePlain(wall)})
+			add(node, store.Put{Key: model.PrefixNode + node, Data: store.EncodePlain(wallNanos)})
 		}
 	}
 	for _, node := range m.grantor.LapsedNodes(now, nodeRetention) {
--- a/internal/coordination/distribution/reports_test.go
+++ b/internal/coordination/distribution/reports_test.go
@@ -15,7 +15,7 @@
 		old.Database, old.Address, old.Position = "db0", "old:1", model.Position{Term: 1, Index: 8}
 		h.HandleReport(NodeReport{Node: "d0", Reports: []InstanceReport{{Instance: old, RefusedConnections: 2}}}, h.now)
 		h.HandleReport(NodeReport{Node: "d0", Reports: []InstanceReport{{Instance: model.Instance{Name: "unknown"}}}}, h.now)
-		evidence := h.SyncFailoverEvidence("db0", nil, h.wall, h.now)
+		evidence := h.SyncFailoverEvidence("db0", nil, h.wallNanos, h.now)
 		So(len(evidence.Observations), ShouldEqual, 1)
 		So(evidence.Observations[0].Instance.Address, ShouldEqual, "a0:1")
 		So(evidence.Observations[0].Instance.Position.Index, ShouldEqual, 8)
--- a/internal/coordination/distribution/requests.go
+++ b/internal/coordination/distribution/requests.go
@@ -62,17 +62,17 @@
 
 // Flush returns the replies to the requests for which there is an update, and to
 // those that have waited long enough.
-func (m *Machine) Flush(isPrimary bool, wall int64, now time.Duration) []Reply {
+func (m *Machine) Flush(isPrimary bool, wallNanos int64, now time.Duration) []Reply {
 	var replies []Reply
 	var waiting []pendingRequest
 	for _, pending := range m.pending {
-		if isPrimary && !m.isIncomplete(pending) && m.mayWait(pending, wall, now) {
+		if isPrimary && !m.isIncomplete(pending) && m.mayWait(pending, wallNanos, now) {
 			waiting = append(waiting, pending)
 			continue
 		}
-		update := Update{FromPrimary: isPrimary, Record: m.record, PrimaryTime: wall, QueuedFor: now - pending.receivedAt}
+		update := Update{FromPrimary: isPrimary, Record: m.record, PrimaryTime: wallNanos, QueuedFor: now - pending.receivedAt}
 		if isPrimary {
-			m.fillUpdate(&update, pending, wall, now)
+			m.fillUpdate(&update, pending, wallNanos, now)
 		}
 		replies = append(replies, Reply{Token: pending.token, Update: update})
 	}
@@ -87,8 +87,8 @@
 }
 
 // mayWait says whether there is no update yet for a request, or none that is urgent.
-func (m *Machine) mayWait(pending pendingRequest, wall int64, now time.Duration) bool {
-	if now >= pending.receivedAt+m.pollTimeout() || m.activatedSince(pending.receivedAt, wall, now) {
+func (m *Machine) mayWait(pending pendingRequest, wallNanos int64, now time.Duration) bool {
+	if now >= pending.receivedAt+m.pollTimeout() || m.activatedSince(pending.receivedAt, wallNanos, now) {
 		return false
 	}
 	request := pending.request
@@ -96,7 +96,7 @@
 	if request.Version.IsBefore(m.snapshot.Version) && (delayElapsed || m.isUrgent(request)) {
 		return false
 	}
-	if !m.hasInstanceUpdate(request, wall) {
+	if !m.hasInstanceUpdate(request, wallNanos) {
 		return true
 	}
 	isFirstList := request.ListVersion.Tenure != m.tenure
@@ -105,8 +105,8 @@
 
 // fillUpdate adds to an update what only the primary can tell. A lease is granted
 // together with the newest snapshot only.
-func (m *Machine) fillUpdate(update *Update, pending pendingRequest, wall int64, now time.Duration) {
-	m.ensureTenure(wall)
+func (m *Machine) fillUpdate(update *Update, pending pendingRequest, wallNanos int64, now time.Duration) {
+	m.ensureTenure(wallNanos)
 	update.Tenure = m.tenureNumber
 	if m.isIncomplete(pending) {
 		return
@@ -115,12 +115,12 @@
 	if request.Version.IsBefore(m.snapshot.Version) {
 		update.Snapshot = m.snapshotFor(request)
 	}
-	if m.hasInstanceUpdate(request, wall) {
-		update.ListVersion = m.listVersion(wall)
+	if m.hasInstanceUpdate(request, wallNanos) {
+		update.ListVersion = m.listVersion(wallNanos)
 		update.Instances = m.instances.since(m.knownNumber(request.ListVersion))
 	}
 	if request.Kind == model.KindProxy && m.isRegistered(request.Node) && !m.registering[request.Node] {
-		update.LeaseDuration = m.grantor.Grant(request.Node, m.maxLease(wall), now)
+		update.LeaseDuration = m.grantor.Grant(request.Node, m.maxLease(wallNanos), now)
 	}
 }
 
@@ -133,12 +133,12 @@
 
 // activatedSince says whether the newest set has taken effect since a request came:
 // its effective time bounded the leases, and no longer does.
-func (m *Machine) activatedSince(receivedAt time.Duration, wall int64, now time.Duration) bool {
+func (m *Machine) activatedSince(receivedAt time.Duration, wallNanos int64, now time.Duration) bool {
 	effectiveAt := m.snapshot.NewestSet().EffectiveAt
-	if effectiveAt == 0 || effectiveAt > wall {
+	if effectiveAt == 0 || effectiveAt > wallNanos {
 		return false
 	}
-	return receivedAt < now-time.Duration(wall-effectiveAt)
+	return receivedAt < now-time.Duration(wallNanos-effectiveAt)
 }
 
 // isUrgent says whether something that nodes must learn at once was written after a
--- a/internal/coordination/distribution/retention_test.go
+++ b/internal/coordination/distribution/retention_test.go
@@ -54,7 +54,7 @@
 					h.request(fmt.Sprintf("d%d", at/2+offset), h.stored.Version)
 				}
 				h.write(Write{Build: func(state *store.Table) []store.Put {
-					puts, _ := rollout.AcceptManifest(state, rollout.Manifest{Version: uint64(at + 1), Set: bindings(3, at), Compressed: []byte("raw"), Source: "operator"}, h.wall)
+					puts, _ := rollout.AcceptManifest(state, rollout.Manifest{Version: uint64(at + 1), Set: bindings(3, at), Compressed: []byte("raw"), Source: "operator"}, h.wallNanos)
 					return callresult.Record(state, fmt.Sprint("call", at), callresult.Result{Status: 200, Path: "/v1/manifest/replace"}, puts)
 				}, Done: func() {}})
 				for range 5 {
@@ -79,7 +79,7 @@
 		for at := range 12 {
 			h.request("d1", store.Version{})
 			h.write(Write{Build: func(state *store.Table) []store.Put {
-				puts, _ := rollout.AcceptManifest(state, rollout.Manifest{Version: uint64(at + 1), Set: bindings(8000, at), Compressed: text, Source: "operator"}, h.wall)
+				puts, _ := rollout.AcceptManifest(state, rollout.Manifest{Version: uint64(at + 1), Set: bindings(8000, at), Compressed: text, Source: "operator"}, h.wallNanos)
 				return puts
 			}, Done: func() {}})
 			h.runWrites()
@@ -104,18 +104,18 @@
 				var want, got []string
 				for at := range 6 {
 					id := fmt.Sprintf("b%d", at)
-					puts, _ := rollout.Schedule(h.stored, id, h.wall+int64(time.Duration(2*at+2)*time.Second), []model.Binding{{Name: id, Database: "x"}}, h.wall)
+					puts, _ := rollout.Schedule(h.stored, id, h.wallNanos+int64(time.Duration(2*at+2)*time.Second), []model.Binding{{Name: id, Database: "x"}}, h.wallNanos)
 					So(h.put(puts...), ShouldBeGreaterThan, 0)
 					want = append(want, "booking "+id)
 				}
 				seen := uint64(0)
 				for at := range 400 {
 					if at%40 == 20 {
-						h.wall += int64(jumps[at/40%len(jumps)])
+						h.wallNanos += int64(jumps[at/40%len(jumps)])
 					}
 					if restarts && at%100 == 60 {
 						next := newHarness(h.Record().Epoch+1, h.stored)
-						next.now, next.wall = h.now, h.wall
+						next.now, next.wallNanos = h.now, h.wallNanos
 						h = next
 						h.advance(2 * time.Second)
 					}
--- a/internal/coordination/distribution/syncfailover.go
+++ b/internal/coordination/distribution/syncfailover.go
@@ -25,7 +25,7 @@
 
 // SyncFailoverEvidence returns the evidence on a database with synchronous
 // replication.
-func (m *Machine) SyncFailoverEvidence(database string, observations []Observation, wall int64, now time.Duration) syncrepl.Evidence {
+func (m *Machine) SyncFailoverEvidence(database string, observations []Observation, wallNanos int64, now time.Duration) syncrepl.Evidence {
 	m.coverage.noteLapses(m.grantor.LapseCount(now))
 	role, known := m.writerRole(database)
 	evidence := syncrepl.Evidence{
@@ -33,9 +33,9 @@
 		Writer:          role,
 		Known:           known,
 		Version:         m.state.Records[model.PrefixWriterRole+database].Version,
-		WallNanos:       wall,
+		WallNanos:       wallNanos,
 		GatheredFor:     now - m.grantor.StartedAt(),
-		Tenure:          m.ensureTenure(wall),
+		Tenure:          m.ensureTenure(wallNanos),
 		GapSequence:     m.coverage.gapSequence,
 		CoveredSequence: m.coverage.covered[database],
 		CommitBound:     m.coverage.bounds[database].Max(role.HighWatermark),
--- a/internal/coordination/distribution/syncfailover_test.go
+++ b/internal/coordination/distribution/syncfailover_test.go
@@ -15,7 +15,7 @@
 		observed.Instance = instance("a", model.RolePrimary)
 		h.HandleRequest(UpdateRequest{Node: node, Kind: model.KindProxy, Version: h.stored.Version, Reports: []InstanceReport{observed}}, 1, h.now)
 		h.runWrites()
-		h.Flush(true, h.wall, h.now)
+		h.Flush(true, h.wallNanos, h.now)
 	}
 	Convey("Leased nodes with evidence of the last second are counted, by what they observed", t, func() {
 		h := newHarness(1, store.New())
@@ -26,7 +26,7 @@
 			report(h, "d3", InstanceReport{ResponseAge: 400 * time.Millisecond})
 			report(h, "d4", InstanceReport{ResponseAge: time.Hour})
 			h.advance(DefaultPollTimeout)
-			h.Flush(true, h.wall, h.now)
+			h.Flush(true, h.wallNanos, h.now)
 		}
 		observation := h.evidence().Observations[0]
 		So(observation.ReportingNodes, ShouldEqual, 3)
@@ -47,7 +47,7 @@
 		h := newHarness(1, store.New())
 		h.openTerm(3)
 		report(h, "d1", InstanceReport{ResponseAge: 100 * time.Millisecond})
-		evidence := h.SyncFailoverEvidence("db", nil, h.wall, h.now)
+		evidence := h.SyncFailoverEvidence("db", nil, h.wallNanos, h.now)
 		So(len(evidence.Observations), ShouldEqual, 1)
 		So(evidence.Observations[0].Instance.Address, ShouldEqual, "a:1")
 	})
--- a/internal/coordination/distribution/writerrole.go
+++ b/internal/coordination/distribution/writerrole.go
@@ -8,7 +8,7 @@
 
 // WriterRolePuts returns the puts that carry out a change of a writer role. It returns
 // none if the stored role is no longer the one that the change was decided on.
-func WriterRolePuts(state *store.Table, change WriterRoleChange, wall int64) []store.Put {
+func WriterRolePuts(state *store.Table, change WriterRoleChange, wallNanos int64) []store.Put {
 	key := model.PrefixWriterRole + change.Next.Database
 	stored, exists := store.Get(state, key, model.WriterRoleFrom)
 	if exists != change.PreviousExists || !isSameDecision(stored, change.Previous) {
@@ -16,7 +16,7 @@
 	}
 	puts := []store.Put{{Key: key, Data: store.Encode(change.Next)}}
 	return append(puts, audit.Puts(state, model.AuditEntry{
-		At:       wall,
+		At:       wallNanos,
 		Subject:  "database " + change.Next.Database,
 		Action:   change.Action,
 		Evidence: change.Evidence + " (duty held by " + change.RequestedBy + ")",
--- a/internal/coordination/lease/lease.go
+++ b/internal/coordination/lease/lease.go
@@ -42,8 +42,7 @@
 
 // Grant is what an answer of the primary says.
 type Grant struct {
-	Epoch   uint64
-	Primary string
+	Epoch uint64
 	// Duration counts from when the request was sent.
 	Duration time.Duration
 	// PrimaryTime is the primary's Unix time, in nanoseconds, of the answer.
--- a/internal/coordination/lease/lease_test.go
+++ b/internal/coordination/lease/lease_test.go
@@ -11,8 +11,8 @@
 
 func TestLease(t *testing.T) {
 	timing := DefaultTiming()
-	grant := func(epoch uint64, wall int64) Grant {
-		return Grant{Epoch: epoch, Primary: "c1", Duration: timing.LeaseDuration, PrimaryTime: wall, QueuedFor: 250 * time.Millisecond}
+	grant := func(epoch uint64, primaryTime int64) Grant {
+		return Grant{Epoch: epoch, Duration: timing.LeaseDuration, PrimaryTime: primaryTime, QueuedFor: 250 * time.Millisecond}
 	}
 	Convey("A lease counts from when its request was sent, less the allowance for drift", t, func() {
 		l := NewLease(timing)
@@ -27,8 +27,8 @@
 	})
 	Convey("A slow answer neither changes the estimate of the primary's time nor, if nothing better is known, brings a lease", t, func() {
 		l := NewLease(timing)
-		slow := func(epoch uint64, wall int64) Grant {
-			return Grant{Epoch: epoch, Primary: "c1", Duration: timing.LeaseDuration, PrimaryTime: wall}
+		slow := func(epoch uint64, primaryTime int64) Grant {
+			return Grant{Epoch: epoch, Duration: timing.LeaseDuration, PrimaryTime: primaryTime}
 		}
 		So(l.Accept(slow(1, 0), time.Second, 1580*time.Millisecond), ShouldBeFalse)
 		So(l.IsValid(1580*time.Millisecond), ShouldBeFalse)
--- a/internal/coordination/rollout/manifest.go
+++ b/internal/coordination/rollout/manifest.go
@@ -28,7 +28,7 @@
 // AcceptManifest returns the puts that accept a manifest. It returns none if the
 // manifest's version was accepted before or has been overtaken, and ErrVersionConflict
 // if it was accepted with other content.
-func AcceptManifest(state *store.Table, sent Manifest, wall int64) ([]store.Put, error) {
+func AcceptManifest(state *store.Table, sent Manifest, wallNanos int64) ([]store.Put, error) {
 	newest := model.ReadSnapshot(state).NewestSet()
 	if newest.Version >= sent.Version {
 		if differsFromAccepted(state, sent.Version, sent.Digest) {
@@ -37,7 +37,7 @@
 		return nil, nil
 	}
 	set := sent.Set
-	set.Version, set.AcceptedAt, set.Source = sent.Version, wall, sent.Source
+	set.Version, set.AcceptedAt, set.Source = sent.Version, wallNanos, sent.Source
 	set = successor(newest, set)
 	puts := []store.Put{setPut(set)}
 	if len(sent.Compressed) > 0 {
@@ -45,7 +45,7 @@
 	}
 	puts = append(puts, versionPuts(state, set.Sequence, acceptedVersion{Version: sent.Version, Digest: sent.Digest})...)
 	return append(puts, audit.Puts(state, model.AuditEntry{
-		At:       wall,
+		At:       wallNanos,
 		Subject:  auditSubject,
 		Action:   fmt.Sprintf("version %d taken as sequence %d", sent.Version, set.Sequence),
 		Evidence: sent.Source,
--- a/internal/coordination/rollout/rollout.go
+++ b/internal/coordination/rollout/rollout.go
@@ -7,7 +7,8 @@
 // (accepted under a sequence, without an effective time, while it is distributed to
 // the nodes), waiting for its effective time, active, and obsolete.
 //
-// Times named wall are the control primary's Unix time in nanoseconds.
+// The parameter wallNanos is the control primary's Unix time in nanoseconds, and so are
+// effective times.
 package rollout
 
 import (
@@ -24,14 +25,14 @@
 // AcceptBindings returns the puts that accept a set of bindings as the successor of
 // the sequence that the caller expects to be the newest. It returns a SequenceError if
 // another one is.
-func AcceptBindings(state *store.Table, expected uint64, bindings []model.Binding, source string, wall int64) ([]store.Put, error) {
+func AcceptBindings(state *store.Table, expected uint64, bindings []model.Binding, source string, wallNanos int64) ([]store.Put, error) {
 	newest := model.ReadSnapshot(state).NewestSet()
 	if newest.Sequence != expected {
 		return nil, &SequenceError{Expected: expected, Newest: newest.Sequence}
 	}
-	set := successor(newest, model.BindingSet{Bindings: bindings, AcceptedAt: wall, Source: source})
+	set := successor(newest, model.BindingSet{Bindings: bindings, AcceptedAt: wallNanos, Source: source})
 	return append([]store.Put{setPut(set)}, audit.Puts(state, model.AuditEntry{
-		At:       wall,
+		At:       wallNanos,
 		Subject:  auditSubject,
 		Action:   fmt.Sprintf("sequence %d taken", set.Sequence),
 		Evidence: source,
--- a/internal/coordination/rollout/scheduled.go
+++ b/internal/coordination/rollout/scheduled.go
@@ -13,9 +13,9 @@
 // Schedule returns the puts that store a change of the bindings for a later time.
 // Sets take effect in the order of their sequences, so it returns an OrderError if a
 // set with a later effective time is already being distributed.
-func Schedule(state *store.Table, id string, effectiveAt int64, bindings []model.Binding, wall int64) ([]store.Put, error) {
+func Schedule(state *store.Table, id string, effectiveAt int64, bindings []model.Binding, wallNanos int64) ([]store.Put, error) {
 	for _, set := range model.ReadSnapshot(state).Sets {
-		isActive := set.EffectiveAt != 0 && set.EffectiveAt <= wall
+		isActive := set.EffectiveAt != 0 && set.EffectiveAt <= wallNanos
 		if set.NotBefore > effectiveAt && !isActive {
 			return nil, &OrderError{Set: set}
 		}
@@ -23,7 +23,7 @@
 	change := model.ScheduledChange{ID: id, EffectiveAt: effectiveAt, Bindings: bindings, Order: state.Version.Sequence}
 	puts := []store.Put{{Key: model.PrefixScheduledChange + id, Data: store.Encode(change)}}
 	return append(puts, audit.Puts(state, model.AuditEntry{
-		At:       wall,
+		At:       wallNanos,
 		Subject:  auditSubject,
 		Action:   "change booked: " + id,
 		Evidence: fmt.Sprintf("for %d", milliseconds(effectiveAt)),
@@ -31,31 +31,31 @@
 }
 
 // NextScheduled returns the scheduled change that is due to be accepted.
-func NextScheduled(state *store.Table, wall int64) (model.ScheduledChange, bool) {
+func NextScheduled(state *store.Table, wallNanos int64) (model.ScheduledChange, bool) {
 	var changes []model.ScheduledChange
 	for _, key := range state.Keys(model.PrefixScheduledChange) {
 		if change, found := store.Get(state, key, model.ScheduledChangeFrom); found {
 			changes = append(changes, change)
 		}
 	}
-	return schedule.NextDue(changes, wall)
+	return schedule.NextDue(changes, wallNanos)
 }
 
 // AcceptScheduled returns the puts that accept the scheduled change that is due.
-func AcceptScheduled(state *store.Table, wall int64) []store.Put {
-	change, due := NextScheduled(state, wall)
+func AcceptScheduled(state *store.Table, wallNanos int64) []store.Put {
+	change, due := NextScheduled(state, wallNanos)
 	if !due {
 		return nil
 	}
 	set := successor(model.ReadSnapshot(state).NewestSet(), model.BindingSet{
 		Bindings:   change.Bindings,
 		NotBefore:  change.EffectiveAt,
-		AcceptedAt: wall,
+		AcceptedAt: wallNanos,
 		Source:     "booking " + change.ID,
 	})
 	puts := []store.Put{{Key: model.PrefixScheduledChange + change.ID, Deleted: true}, setPut(set)}
 	return append(puts, audit.Puts(state, model.AuditEntry{
-		At:       wall,
+		At:       wallNanos,
 		Subject:  auditSubject,
 		Action:   fmt.Sprintf("booked change %s taken as sequence %d", change.ID, set.Sequence),
 		Evidence: "its moment is near",
@@ -66,7 +66,7 @@
 // time, which is earliest or later. Sets written after the version seen are left
 // out, since not every node is known to have them. Tenure identifies the primary's
 // tenure that assigns the times.
-func AssignEffectiveTimes(state *store.Table, seen store.Version, earliest, wall int64, tenure string) []store.Put {
+func AssignEffectiveTimes(state *store.Table, seen store.Version, earliest, wallNanos int64, tenure string) []store.Put {
 	var puts []store.Put
 	newest := uint64(0)
 	for _, set := range schedule.AssignEffectiveTimes(model.ReadSnapshot(state).Sets, earliest) {
@@ -82,7 +82,7 @@
 		return nil
 	}
 	return append(puts, audit.Puts(state, model.AuditEntry{
-		At:       wall,
+		At:       wallNanos,
 		Subject:  auditSubject,
 		Action:   fmt.Sprintf("sequence %d takes effect at %d", newest, milliseconds(earliest)),
 		Evidence: "every leased node has taken it up",
@@ -90,4 +90,4 @@
 }
 
 // milliseconds converts a Unix time in nanoseconds.
-func milliseconds(wall int64) int64 { return wall / int64(time.Millisecond) }
+func milliseconds(wallNanos int64) int64 { return wallNanos / int64(time.Millisecond) }
--- a/internal/coordination/routing/reporter_test.go
+++ b/internal/coordination/routing/reporter_test.go
@@ -22,8 +22,8 @@
 
 // newPrimary returns a primary at which node d1 is registered, with one instance of each
 // database as its primary.
-func newPrimary(name string, wall int64, now time.Duration) *distribution.Machine {
-	puts := []store.Put{{Key: model.PrefixNode + "d1", Data: store.EncodePlain(wall)}}
+func newPrimary(name string, wallNanos int64, now time.Duration) *distribution.Machine {
+	puts := []store.Put{{Key: model.PrefixNode + "d1", Data: store.EncodePlain(wallNanos)}}
 	for number := range databases {
 		role := model.WriterRole{Database: fmt.Sprintf("db%d", number), Term: 1, Primary: fmt.Sprintf("i%d", number), Phase: model.PhaseOpen, SyncReplication: true}
 		puts = append(puts, store.Put{Key: model.PrefixWriterRole + role.Database, Data: store.Encode(role)})
@@ -39,7 +39,7 @@
 type exchange struct {
 	dice                *rand.Rand
 	now                 time.Duration
-	wall                int64
+	wallNanos           int64
 	node                *Machine
 	actual, reference   *distribution.Machine
 	report              distribution.NodeReport
@@ -51,7 +51,7 @@
 
 func newExchange(seed int64) *exchange {
 	e := &exchange{
-		dice: rand.New(rand.NewSource(seed)), now: time.Hour, wall: int64(1000 * time.Hour),
+		dice: rand.New(rand.NewSource(seed)), now: time.Hour, wallNanos: int64(1000 * time.Hour),
 		node:         New("d1", lease.DefaultTiming()),
 		report:       distribution.NodeReport{Node: "d1", HighWatermarks: map[string]model.Position{}},
 		lastResponse: map[string]time.Duration{},
@@ -67,7 +67,7 @@
 func (e *exchange) oneIn(count int) bool { return e.dice.Intn(count) == 0 }
 
 func (e *exchange) replacePrimary(name string) {
-	e.actual, e.reference = newPrimary(name, e.wall, e.now), newPrimary(name, e.wall, e.now)
+	e.actual, e.reference = newPrimary(name, e.wallNanos, e.now), newPrimary(name, e.wallNanos, e.now)
 }
 
 // changeReport changes one fact about one instance.
@@ -90,13 +90,13 @@
 
 func (e *exchange) send(primary *distribution.Machine, request distribution.UpdateRequest) distribution.Update {
 	primary.HandleRequest(request, 1, e.now)
-	return primary.Flush(true, e.wall, e.now+distribution.DefaultPollTimeout)[0].Update
+	return primary.Flush(true, e.wallNanos, e.now+distribution.DefaultPollTimeout)[0].Update
 }
 
 // step makes one request. It returns true if the node got an answer that both primaries
 // must agree after.
 func (e *exchange) step() bool {
-	e.now, e.wall = e.now+50*ms, e.wall+int64(50*ms)
+	e.now, e.wallNanos = e.now+50*ms, e.wallNanos+int64(50*ms)
 	e.changeReport()
 	if e.oneIn(40) {
 		e.replacePrimary("c2")
@@ -135,7 +135,7 @@
 func (e *exchange) evidence(primary *distribution.Machine) string {
 	var all []syncrepl.Evidence
 	for number := range databases {
-		evidence := primary.SyncFailoverEvidence(fmt.Sprintf("db%d", number), nil, e.wall, e.now)
+		evidence := primary.SyncFailoverEvidence(fmt.Sprintf("db%d", number), nil, e.wallNanos, e.now)
 		evidence.GapSequence, evidence.Tenure = 0, ""
 		for index := range evidence.Observations {
 			evidence.Observations[index].UnobservedFor = 0
--- a/internal/coordination/routing/updates.go
+++ b/internal/coordination/routing/updates.go
@@ -88,7 +88,6 @@
 	}
 	m.lease.Accept(lease.Grant{
 		Epoch:       update.Record.Epoch,
-		Primary:     update.Record.Primary,
 		Duration:    update.LeaseDuration,
 		PrimaryTime: update.PrimaryTime,
 		QueuedFor:   update.QueuedFor,
--- a/internal/coordination/schedule/schedule.go
+++ b/internal/coordination/schedule/schedule.go
@@ -17,15 +17,16 @@
 
 // NextDue returns the scheduled change that is to be accepted now, if one is due. Order
 // is by effective time, then by the order in which changes were scheduled; a change
-// whose time has passed is due at once. The Unix time wall is in nanoseconds.
-func NextDue(changes []model.ScheduledChange, wall int64) (model.ScheduledChange, bool) {
+// whose time has passed is due at once. The time wallNanos is a Unix time
+// in nanoseconds.
+func NextDue(changes []model.ScheduledChange, wallNanos int64) (model.ScheduledChange, bool) {
 	if len(changes) == 0 {
 		return model.ScheduledChange{}, false
 	}
 	first := slices.MinFunc(changes, func(a, b model.ScheduledChange) int {
 		return cmp.Or(cmp.Compare(a.EffectiveAt, b.EffectiveAt), cmp.Compare(a.Order, b.Order))
 	})
-	return first, first.EffectiveAt-int64(LeadTime) <= wall
+	return first, first.EffectiveAt-int64(LeadTime) <= wallNanos
 }
 
 // AssignEffectiveTimes returns the pending sets with the effective time that each gets:
--- a/internal/state/model/snapshot.go
+++ b/internal/state/model/snapshot.go
@@ -133,10 +133,10 @@
 func compareSequences(a, b BindingSet) int { return cmp.Compare(a.Sequence, b.Sequence) }
 
 // ActiveSet returns the set in effect at a time of the primary's clock.
-func (s Snapshot) ActiveSet(wall int64) BindingSet {
+func (s Snapshot) ActiveSet(wallNanos int64) BindingSet {
 	var active BindingSet
 	for _, set := range s.Sets {
-		if set.EffectiveAt != 0 && set.EffectiveAt <= wall {
+		if set.EffectiveAt != 0 && set.EffectiveAt <= wallNanos {
 			active = set
 		}
 	}
