--- a/test/history/rules.go
+++ b/test/history/rules.go
@@ -2,6 +2,23 @@
 
 import "fmt"
 
+// Names of the rules.
+const (
+	RuleDuplicateEffects  = "effect once per go"
+	RuleRefusedButKept    = "told not kept, yet kept"
+	RuleLostCommits       = "confirmed commit lost"
+	RuleStaleReads        = "read misses a confirmed commit"
+	RuleMixedSessions     = "statement in another's transaction or settings"
+	RuleUnsentStatements  = "statement that no caller sent, or with its text changed"
+	RuleOldPrimaryCommits = "old primary confirms after a promotion"
+	RuleIgnoredChanges    = "binding change ignored or undone"
+	RuleInconsistentSets  = "broken set taken, or a taken one lost"
+	RuleWorkAfterLeaving  = "work reaches a leaving instance"
+	RuleCutRequests       = "planned restart cuts a request off"
+	RuleFailedRecoveries  = "service stays down after a closing fault"
+	RuleQuietRefusals     = "a calm fleet refuses, or does not know"
+)
+
 // Rule is something that must never happen.
 type Rule struct {
 	Name string
@@ -12,19 +29,19 @@
 // Rules lists all rules.
 func Rules() []Rule {
 	return []Rule{
-		{"effect once per go", DuplicateEffects},
-		{"told not kept, yet kept", RefusedButKept},
-		{"confirmed commit lost", LostCommits},
-		{"read misses a confirmed commit", StaleReads},
-		{"statement in another's transaction or settings", MixedSessions},
-		{"statement that no caller sent, or with its text changed", UnsentStatements},
-		{"old primary confirms after a promotion", OldPrimaryCommits},
-		{"binding change ignored or undone", IgnoredChanges},
-		{"broken set taken, or a taken one lost", InconsistentSets},
-		{"work reaches a leaving instance", WorkAfterLeaving},
-		{"planned restart cuts a request off", CutRequests},
-		{"service stays down after a closing fault", FailedRecoveries},
-		{"a calm fleet refuses, or does not know", QuietRefusals},
+		{RuleDuplicateEffects, DuplicateEffects},
+		{RuleRefusedButKept, RefusedButKept},
+		{RuleLostCommits, LostCommits},
+		{RuleStaleReads, StaleReads},
+		{RuleMixedSessions, MixedSessions},
+		{RuleUnsentStatements, UnsentStatements},
+		{RuleOldPrimaryCommits, OldPrimaryCommits},
+		{RuleIgnoredChanges, IgnoredChanges},
+		{RuleInconsistentSets, InconsistentSets},
+		{RuleWorkAfterLeaving, WorkAfterLeaving},
+		{RuleCutRequests, CutRequests},
+		{RuleFailedRecoveries, FailedRecoveries},
+		{RuleQuietRefusals, QuietRefusals},
 	}
 }
 
--- a/test/simulation/admission.go
+++ b/test/simulation/admission.go
@@ -7,48 +7,40 @@
 	"tansyseam/internal/coordination/flowcontrol"
 )
 
-// Load is an admission experiment: nodes that share one server.
-type Load struct {
-	Name        string
-	Weights     []float64
-	Slots       int
-	ServiceTime time.Duration
-	// Rate is statements a second over all nodes; the server does Slots /
-	// Service of them.
-	StatementsPerSecond float64
-	// Burst is how many arrive at once.
-	Burst int
-	// Slow is a part of the span in which the server is slower by a factor.
-	SlowFrom, SlowUntil time.Duration
-	SlowFactor          float64
-	// Bimodal is the part of statements that take ten times as long.
-	LongFraction float64
-	MaxWindow    float64
-	Duration     time.Duration
-	// IsOpen lets every statement through, as without admission.
-	Unlimited bool
-	Tuning    func(*flowcontrol.Parameters)
-}
-
-// Share is what one node got.
+const (
+	// longStatementFactor is how much longer a long statement takes.
+	longStatementFactor = 10
+	// A statement takes from minServiceFactor of the service time on, within
+	// a range.
+	minServiceFactor    = 0.6
+	serviceFactorRange  = 0.8
+	admissionTickPeriod = 20 * time.Millisecond
+	windowSamplePeriod  = time.Second
+)
+
+// NodeShare is what one node got in an experiment.
 type NodeShare struct {
-	Weight       float64
-	Served       int
+	Weight float64
+	Served int
+	// Window and Cal are the window and its calculated average latency at the
+	// end.
 	Window       float64
 	Cal          time.Duration
 	QueueTimeP99 time.Duration
 }
 
-// Outcome is what an experiment showed.
+// AdmissionResult is what an experiment showed. Capacity and Served are
+// statements per second.
 type AdmissionResult struct {
 	Name     string
 	Capacity float64
 	Served   float64
-	// Latency is at the server, Wait in the node's line.
+	// Latency is that at the server, QueueTime that in the node's queue; both
+	// have the median and the 99th percentile.
 	Latency, LatencyP99     time.Duration
 	QueueTime, QueueTimeP99 time.Duration
 	Shares                  []NodeShare
-	// Windows is the sum of all windows at the end of each period.
+	// Windows is the sum of all windows at the end of each second.
 	Windows []float64
 }
 
@@ -57,6 +49,7 @@
 	long          bool
 }
 
+// admissionNode queues the statements of one node until its window has room.
 type admissionNode struct {
 	window     *flowcontrol.Window
 	queue      []*admissionStatement
@@ -64,154 +57,161 @@
 	served     int
 }
 
-// Admit plays an experiment in virtual time.
+// sharedServer runs as many statements at once as it has slots.
+type sharedServer struct {
+	simulator *simulator
+	load      Load
+	start     time.Duration
+	busySlots int
+	queue     []func()
+}
+
+// admissionRun is one run of an experiment.
+type admissionRun struct {
+	simulator  *simulator
+	load       Load
+	start      time.Duration
+	server     *sharedServer
+	nodes      []*admissionNode
+	latencies  []time.Duration
+	queueTimes []time.Duration
+	windows    []float64
+}
+
+// RunAdmission runs an experiment in virtual time.
 func RunAdmission(seed uint64, load Load) AdmissionResult {
-	w := newSimulator(seed)
-	start := w.now
-	tuning := flowcontrol.DefaultParameters()
-	tuning.MaxWindow = load.MaxWindow
-	if load.Tuning != nil {
-		load.Tuning(&tuning)
+	s := newSimulator(seed)
+	run := &admissionRun{simulator: s, load: load, start: s.now, server: &sharedServer{simulator: s, load: load, start: s.now}}
+	run.createNodes()
+	for _, node := range run.nodes {
+		s.after(time.Duration(s.random.Float64()*float64(run.arrivalInterval())), func() { run.arrive(node) })
 	}
-	var nodes []*admissionNode
-	for _, weight := range load.Weights {
-		tuned := tuning
-		tuned.Beta = weight
-		nodes = append(nodes, &admissionNode{window: flowcontrol.NewWindow(tuned)})
+	run.tick()
+	s.runUntil(run.start + load.Duration)
+	return run.result()
+}
+
+func (r *admissionRun) createNodes() {
+	parameters := flowcontrol.DefaultParameters()
+	parameters.MaxWindow = r.load.MaxWindow
+	if r.load.Tuning != nil {
+		r.load.Tuning(&parameters)
 	}
-	outcome := AdmissionResult{Name: load.Name, Capacity: float64(load.Slots) / load.ServiceTime.Seconds() / (1 + 9*load.LongFraction)}
-	var latencies, waits []time.Duration
-	busy := 0
-	var queue []func()
-	var pump func(*admissionNode)
-	serve := func(isLong bool, done func()) {
-		begin := func() {
-			busy++
-			span := time.Duration(float64(load.ServiceTime) * (0.6 + 0.8*w.random.Float64()))
-			if isLong {
-				span *= 10
-			}
-			if at := w.now - start; load.SlowFactor > 0 && at >= load.SlowFrom && at < load.SlowUntil {
-				span = time.Duration(float64(span) * load.SlowFactor)
-			}
-			w.after(span, func() {
-				busy--
-				if len(queue) > 0 {
-					next := queue[0]
-					queue = queue[1:]
-					next()
-				}
-				done()
-			})
-		}
-		if busy < load.Slots {
-			begin()
-			return
-		}
-		queue = append(queue, begin)
+	for _, weight := range r.load.Weights {
+		parameters.Beta = weight
+		r.nodes = append(r.nodes, &admissionNode{window: flowcontrol.NewWindow(parameters)})
 	}
-	pump = func(n *admissionNode) {
-		for len(n.queue) > 0 && (load.Unlimited || n.window.HasRoom()) {
-			r := n.queue[0]
-			n.queue = n.queue[1:]
-			n.window.Acquire()
-			r.sent = w.now
-			waits = append(waits, w.now-r.arrived)
-			n.queueTimes = append(n.queueTimes, w.now-r.arrived)
-			serve(r.long, func() {
-				n.window.Release(flowcontrol.Completed, w.now-r.sent)
-				latencies = append(latencies, w.now-r.sent)
-				n.served++
-				pump(n)
-			})
-		}
+}
+
+// burst is how many statements arrive at once.
+func (r *admissionRun) burst() int { return max(r.load.Burst, 1) }
+
+// arrivalInterval is the mean time between arrivals at one node.
+func (r *admissionRun) arrivalInterval() time.Duration {
+	return time.Duration(float64(time.Second) * float64(r.burst()) * float64(len(r.nodes)) / r.load.StatementsPerSecond)
+}
+
+func (r *admissionRun) arrive(node *admissionNode) {
+	for range r.burst() {
+		node.queue = append(node.queue, &admissionStatement{arrived: r.simulator.now, long: r.simulator.chance(r.load.LongFraction)})
 	}
-	every := time.Duration(float64(time.Second) * float64(max(load.Burst, 1)) * float64(len(nodes)) / load.StatementsPerSecond)
-	for _, n := range nodes {
-		var arrive func()
-		arrive = func() {
-			for range max(load.Burst, 1) {
-				n.queue = append(n.queue, &admissionStatement{arrived: w.now, long: w.chance(load.LongFraction)})
-			}
-			pump(n)
-			w.after(time.Duration(w.random.ExpFloat64()*float64(every)), arrive)
-		}
-		w.after(time.Duration(w.random.Float64()*float64(every)), arrive)
+	r.forward(node)
+	r.simulator.after(time.Duration(r.simulator.random.ExpFloat64()*float64(r.arrivalInterval())), func() { r.arrive(node) })
+}
+
+// forward sends what a node's window has room for.
+func (r *admissionRun) forward(node *admissionNode) {
+	for len(node.queue) > 0 && (r.load.Unlimited || node.window.HasRoom()) {
+		next := node.queue[0]
+		node.queue = node.queue[1:]
+		node.window.Acquire()
+		next.sent = r.simulator.now
+		r.queueTimes = append(r.queueTimes, next.sent-next.arrived)
+		node.queueTimes = append(node.queueTimes, next.sent-next.arrived)
+		r.server.run(next.long, func() { r.onDone(node, next) })
 	}
-	var tick func()
-	tick = func() {
-		for _, n := range nodes {
-			n.window.Tick(w.now)
-			pump(n)
-		}
-		if at := (w.now - start) % time.Second; at < 20*time.Millisecond {
-			sum := 0.0
-			for _, n := range nodes {
-				sum += n.window.Reading().Size
-			}
-			outcome.Windows = append(outcome.Windows, sum)
+}
+
+func (r *admissionRun) onDone(node *admissionNode, statement *admissionStatement) {
+	latency := r.simulator.now - statement.sent
+	node.window.Release(flowcontrol.Completed, latency)
+	r.latencies = append(r.latencies, latency)
+	node.served++
+	r.forward(node)
+}
+
+func (r *admissionRun) tick() {
+	for _, node := range r.nodes {
+		node.window.Tick(r.simulator.now)
+		r.forward(node)
+	}
+	if sincePeriod := (r.simulator.now - r.start) % windowSamplePeriod; sincePeriod < admissionTickPeriod {
+		sum := 0.0
+		for _, node := range r.nodes {
+			sum += node.window.Reading().Size
 		}
-		w.after(20*time.Millisecond, tick)
+		r.windows = append(r.windows, sum)
+	}
+	r.simulator.after(admissionTickPeriod, r.tick)
+}
+
+func (r *admissionRun) result() AdmissionResult {
+	result := AdmissionResult{
+		Name:     r.load.Name,
+		Capacity: float64(r.load.Slots) / r.load.ServiceTime.Seconds() / (1 + (longStatementFactor-1)*r.load.LongFraction),
+		Latency:  percentile(r.latencies, 50), LatencyP99: percentile(r.latencies, 99),
+		QueueTime: percentile(r.queueTimes, 50), QueueTimeP99: percentile(r.queueTimes, 99),
+		Windows: r.windows,
 	}
-	tick()
-	w.runUntil(start + load.Duration)
 	total := 0
-	for at, n := range nodes {
-		reading := n.window.Reading()
-		total += n.served
-		outcome.Shares = append(outcome.Shares, NodeShare{
-			Weight: load.Weights[at], Served: n.served, Window: reading.Size, Cal: reading.AverageLatency, QueueTimeP99: percentile(n.queueTimes, 99),
+	for index, node := range r.nodes {
+		reading := node.window.Reading()
+		total += node.served
+		result.Shares = append(result.Shares, NodeShare{
+			Weight: r.load.Weights[index], Served: node.served, Window: reading.Size, Cal: reading.AverageLatency, QueueTimeP99: percentile(node.queueTimes, 99),
 		})
 	}
-	outcome.Served = float64(total) / load.Duration.Seconds()
-	outcome.Latency, outcome.LatencyP99 = percentile(latencies, 50), percentile(latencies, 99)
-	outcome.QueueTime, outcome.QueueTimeP99 = percentile(waits, 50), percentile(waits, 99)
-	return outcome
+	result.Served = float64(total) / r.load.Duration.Seconds()
+	return result
 }
 
-func percentile(spans []time.Duration, hundredth int) time.Duration {
-	if len(spans) == 0 {
-		return 0
+// run runs a statement once a slot is free.
+func (s *sharedServer) run(long bool, done func()) {
+	begin := func() {
+		s.busySlots++
+		s.simulator.after(s.serviceTime(long), func() {
+			s.busySlots--
+			if len(s.queue) > 0 {
+				next := s.queue[0]
+				s.queue = s.queue[1:]
+				next()
+			}
+			done()
+		})
+	}
+	if s.busySlots < s.load.Slots {
+		begin()
+		return
 	}
-	sorted := slices.Clone(spans)
-	slices.Sort(sorted)
-	return sorted[len(sorted)*hundredth/100]
+	s.queue = append(s.queue, begin)
 }
 
-func equalWeights(count int) []float64 {
-	weights := make([]float64, count)
-	for at := range weights {
-		weights[at] = 1
+func (s *sharedServer) serviceTime(long bool) time.Duration {
+	service := time.Duration(float64(s.load.ServiceTime) * (minServiceFactor + serviceFactorRange*s.simulator.random.Float64()))
+	if long {
+		service *= longStatementFactor
 	}
-	return weights
-}
-
-// Loads lists the experiments: Magnolia's counts, at several loads.
-func Loads() []Load {
-	const service = 6 * time.Millisecond
-	capacity := 10 / service.Seconds()
-	base := Load{Weights: equalWeights(8), Slots: 10, ServiceTime: service, MaxWindow: 12, Duration: 120 * time.Second}
-	with := func(name string, change func(*Load)) Load {
-		load := base
-		load.Name = name
-		change(&load)
-		return load
+	elapsed := s.simulator.now - s.start
+	if s.load.SlowFactor > 0 && elapsed >= s.load.SlowFrom && elapsed < s.load.SlowUntil {
+		service = time.Duration(float64(service) * s.load.SlowFactor)
 	}
-	return []Load{
-		with("a tenth of capacity", func(l *Load) { l.StatementsPerSecond = capacity / 10 }),
-		with("nine tenths", func(l *Load) { l.StatementsPerSecond = capacity * 0.9 }),
-		with("one and a half", func(l *Load) { l.StatementsPerSecond = capacity * 1.5 }),
-		with("one and a half, no admission", func(l *Load) { l.StatementsPerSecond = capacity * 1.5; l.Unlimited = true }),
-		with("bursts of 12, half", func(l *Load) { l.StatementsPerSecond = capacity / 2; l.Burst = 12 }),
-		with("bimodal, nine tenths", func(l *Load) { l.LongFraction = 0.05; l.StatementsPerSecond = capacity * 0.9 / 1.45 }),
-		with("weights 1 1 1 1 2 2 2 2, twice", func(l *Load) { l.Weights = []float64{1, 1, 1, 1, 2, 2, 2, 2}; l.StatementsPerSecond = capacity * 2 }),
-		with("weights 1 2 4, 50 slots, twice", func(l *Load) {
-			l.Weights = []float64{1, 2, 4}
-			l.Slots, l.MaxWindow, l.StatementsPerSecond = 50, 200, capacity*5*2
-		}),
-		with("slow by 8 from 40 s to 60 s, half", func(l *Load) {
-			l.StatementsPerSecond = capacity / 2
-			l.SlowFrom, l.SlowUntil, l.SlowFactor = 40*time.Second, 60*time.Second, 8
-		}),
+	return service
+}
+
+func percentile(durations []time.Duration, percent int) time.Duration {
+	if len(durations) == 0 {
+		return 0
 	}
+	sorted := slices.Sorted(slices.Values(durations))
+	return sorted[len(sorted)*percent/100]
 }
--- /dev/null
+++ b/test/simulation/async_failover.go
@@ -0,0 +1,50 @@
+package simulation
+
+import (
+	"slices"
+
+	"tansyseam/internal/coordination/failover"
+	"tansyseam/internal/coordination/failover/asyncrepl"
+	"tansyseam/internal/coordination/failover/syncrepl"
+)
+
+// decideAsync has a control server decide on a database, and calls the
+// platform where that promotes an instance.
+func (f *fleet) decideAsync(control, primary *controlServer, evidence asyncrepl.Evidence) {
+	effects := asyncrepl.Step(evidence, asyncrepl.DefaultTiming())
+	if f.defects.PromoteWorstReplica && len(effects) == 2 {
+		effects = withWorstReplica(evidence, effects[0].(failover.Record))
+	}
+	step := failoverStep{
+		primary: primary, database: evidence.Database, previous: evidence.Writer, previousExists: evidence.Known,
+		act: func(effect any) {
+			if promote, ok := effect.(asyncrepl.Promote); ok {
+				f.platform.requestPromotion(control, promote)
+			}
+		},
+		recorded: func(failover.Record) {},
+	}
+	control.applyFailover(step, effects)
+}
+
+// decideSync finds that control takes a database for one whose instances
+// replicate synchronously, which none of this fleet do.
+func (f *fleet) decideSync(control, _ *controlServer, evidence syncrepl.Evidence) {
+	f.recorder.addViolation("%s is evaluated as if it replicated synchronously", evidence.Database)
+	control.singleton.EndEvaluation(evidence.Database)
+}
+
+// withWorstReplica changes a promotion to one of the replica that is furthest
+// behind.
+func withWorstReplica(evidence asyncrepl.Evidence, record failover.Record) []any {
+	primary := evidence.Writer.Primary
+	worst := slices.MinFunc(evidence.Observations, func(a, b asyncrepl.Observation) int {
+		worse := a.Instance.Name != primary && (b.Instance.Name == primary || a.Instance.Position.IsBefore(b.Instance.Position))
+		if worse {
+			return -1
+		}
+		return 1
+	}).Instance.Name
+	record.Writer.Promoting = worst
+	return []any{record, asyncrepl.Promote{Database: evidence.Database, Instance: worst, Term: evidence.Writer.Term + 1}}
+}
--- a/test/simulation/caller.go
+++ b/test/simulation/caller.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"encoding/json"
 	"fmt"
 	"maps"
 	"math/rand/v2"
@@ -14,65 +13,71 @@
 	"tansyseam/test/standin"
 )
 
+const (
+	meanThinkTime       = 60 * time.Millisecond
+	maxCallerStartDelay = 100 * time.Millisecond
+	openTimeout         = time.Second
+	openRetryDelay      = 50 * time.Millisecond
+	// disconnectDelay is how soon a caller sees that its node is gone.
+	disconnectDelay = time.Millisecond
+	// One of so many times a caller leaves before its next operation.
+	operationsPerLeave = 60
+	// callerRandomStream separates the random numbers of callers.
+	callerRandomStream = 99
+)
+
+// caller is a client of the product's own protocol: one session at a time, and
+// one request after the other.
 type caller struct {
 	machine
-	fleet           *fleet
-	database        string
-	stalenessMS     int
+	fleet       *fleet
+	database    string
+	stalenessMS int
+	random      *rand.Rand
+	// readOnly callers neither write nor begin transactions.
+	readOnly bool
+	// decks hold the shuffled operations that are still to be drawn, by the
+	// size of the deck.
+	decks map[int][]int
+
+	// node and remoteAddress are those of the connection; node is nil for
+	// none.
 	node            *node
 	remoteAddress   string
 	connectionsMade int
 	session         string
 	requestsMade    int
-	minPositions    map[string]model.Position
-	setting         string
-	prepared        string
-	random          *rand.Rand
-	disconnect      func()
-	readOnly        bool
-	resetByRun      bool
-	decks           map[int][]int
+	// setting and prepared are the state of the session.
+	setting  string
+	prepared string
+	// minPositions are what the caller's reads must see, by database; they
+	// outlast the session.
+	minPositions map[string]model.Position
+	// disconnect ends the request that is pending; nil for none.
+	disconnect func()
+	// resetByRun says that a fault reset the caller's own end.
+	resetByRun bool
 }
 
 func (f *fleet) startCallers(seed uint64) {
-	for at := range f.config.Callers {
-		one := &caller{
-			machine: machine{simulator: f.simulator, name: fmt.Sprintf("caller%d", at), running: true}, fleet: f,
-			database: f.databases[at%len(f.databases)], stalenessMS: stalenessBoundsMS[at%len(stalenessBoundsMS)], random: rand.New(rand.NewPCG(seed, uint64(at)+99)),
-			minPositions: map[string]model.Position{}, decks: map[int][]int{}, readOnly: at%6 == 1 || at%6 == 2,
+	for index := range f.config.Callers {
+		started := &caller{
+			machine: machine{simulator: f.simulator, name: fmt.Sprintf("caller%d", index), running: true}, fleet: f,
+			database: f.databases[index%len(f.databases)], stalenessMS: stalenessBoundsMS[index%len(stalenessBoundsMS)],
+			random:       rand.New(rand.NewPCG(seed, uint64(index)+callerRandomStream)),
+			minPositions: map[string]model.Position{}, decks: map[int][]int{}, readOnly: index%6 == 1 || index%6 == 2,
 		}
-		one.after(f.simulator.randomDuration(0, 100*time.Millisecond), one.run)
+		started.after(f.simulator.randomDuration(0, maxCallerStartDelay), started.run)
 	}
 }
 
 func (c *caller) thinkTime() time.Duration {
-	return time.Duration(c.random.ExpFloat64() * float64(60*time.Millisecond) / c.fleet.loadFactor)
-}
-
-func (c *caller) leave() {
-	if c.node == nil {
-		return
-	}
-	home, remote := c.node, c.remoteAddress
-	home.callers = slices.DeleteFunc(home.callers, func(one *caller) bool { return one == c })
-	c.node, c.session, c.setting, c.prepared = nil, "", "", ""
-	c.simulator.sendReliable(&c.machine, &home.machine, func() {
-		home.step(func(now time.Duration) { home.pool.ClientLost(remote, now) })
-	})
-}
-
-func (c *caller) onNodeCrash(home *node, vanished bool) {
-	if c.node != home {
-		return
-	}
-	c.node, c.session, c.setting, c.prepared = nil, "", "", ""
-	if cut := c.disconnect; cut != nil && !vanished {
-		c.after(time.Millisecond, cut)
-	}
+	return time.Duration(c.random.ExpFloat64() * float64(meanThinkTime) / c.fleet.loadFactor)
 }
 
+// run does the next operation, after opening a session where there is none.
 func (c *caller) run() {
-	if c.node != nil && c.random.IntN(60) == 0 {
+	if c.node != nil && c.random.IntN(operationsPerLeave) == 0 {
 		c.leave()
 	}
 	if c.session == "" {
@@ -82,232 +87,103 @@
 	c.runOperation()
 }
 
-func (c *caller) runNext() { c.after(c.thinkTime(), c.run) }
+func (c *caller) runAfterThinking() { c.after(c.thinkTime(), c.run) }
 
-func (c *caller) openSession(then func()) {
-	c.leave()
-	home := c.fleet.nodes[c.random.IntN(len(c.fleet.nodes))]
-	if !home.running || home.stopping || c.fleet.removedNodes[home.name] {
-		c.after(50*time.Millisecond, then)
-		return
-	}
-	c.connectionsMade++
-	remote := fmt.Sprintf("%s#%d", c.name, c.connectionsMade)
-	c.node, c.remoteAddress = home, remote
-	home.callers = append(home.callers, c)
-	finished, sent := false, int64(c.simulator.now)
-	over := func(session string, sequence uint64, wait time.Duration) {
-		if finished {
-			return
-		}
-		finished = true
-		c.disconnect = nil
-		if session != "" && c.node == home && c.remoteAddress == remote {
-			c.session, c.requestsMade = session, 0
-			event := c.newEvent("open", "", "")
-			event.Sent, event.Outcome, event.Sequence = sent, "done", sequence
-			event.Got = int64(c.simulator.now)
-			c.fleet.events = append(c.fleet.events, event)
-			then()
-			return
-		}
-		c.leave()
-		c.after(wait, then)
-	}
-	c.disconnect = func() { over("", 0, 50*time.Millisecond) }
-	c.after(time.Second, c.disconnect)
-	marks := maps.Clone(c.minPositions)
-	binding := bindingName(c.database, c.stalenessMS)
-	c.simulator.sendReliable(&c.machine, &home.machine, func() {
-		home.step(func(now time.Duration) {
-			opened, refusal, _ := home.pool.OpenSession(binding, remote, marks, now)
-			c.simulator.sendReliable(&home.machine, &c.machine, func() {
-				over(opened.ID, opened.BindingSequence, refusal.RetryAfter+c.thinkTime())
-			})
-		})
-	})
+// runAfterRetry goes on after the pause that an answer asks for.
+func (c *caller) runAfterRetry(event standin.Event) {
+	c.after(time.Duration(event.RetryMS)*time.Millisecond+c.thinkTime(), c.run)
 }
 
-func (c *caller) newEvent(kind, id, text string) standin.Event {
-	event := standin.Event{
-		Caller: c.name, Session: c.session, Kind: kind, Database: c.database, FreshMS: c.stalenessMS, Go: id, Text: text,
-		Sent: int64(c.simulator.now), WantSet: c.setting,
-	}
-	if c.node != nil {
-		event.Door = c.node.name
+// leave closes the connection.
+func (c *caller) leave() {
+	if c.node == nil {
+		return
 	}
-	return event
+	node, remote := c.node, c.remoteAddress
+	node.callers = slices.DeleteFunc(node.callers, func(other *caller) bool { return other == c })
+	c.forgetSession()
+	c.simulator.sendReliable(&node.machine, func() {
+		node.step(func(now time.Duration) { node.pool.ClientLost(remote, now) })
+	})
 }
 
-func (c *caller) nextRequestID() string {
-	c.requestsMade++
-	return fmt.Sprintf("%s.%d", c.session, c.requestsMade)
+func (c *caller) forgetSession() {
+	c.node, c.session, c.setting, c.prepared = nil, "", "", ""
 }
 
-const requestTimeout = 6500 * time.Millisecond
-
-func (c *caller) request(event standin.Event, op httppool.Op, done func(standin.Event, bool)) {
-	f := c.fleet
-	finished := false
-	f.lastRequest++
-	number := f.lastRequest
-	f.outstanding[number] = event
-	home, remote := c.node, c.remoteAddress
-	finish := func(told httppool.Result, isCut bool) {
-		if finished {
-			return
-		}
-		finished = true
-		c.disconnect = nil
-		delete(f.outstanding, number)
-		event.Outcome, event.Error, event.Sequence, event.Got = string(told.Outcome), told.Error, told.BindingSequence, int64(c.simulator.now)
-		event.RetryMS = told.RetryAfter.Milliseconds()
-		event.Position = standin.Position{Term: told.Position.Term, Index: told.Position.Index}
-		if isCut {
-			event.Outcome = "cut"
-			if c.resetByRun {
-				event.Error = history.ErrorResetByRun
-			}
-		}
-		c.resetByRun = false
-		var got answerRows
-		if len(told.Rows) > 0 && json.Unmarshal(told.Rows, &got) == nil {
-			event.Upto, event.Settings, event.RanText = got.Upto, got.Settings, got.Text
-		}
-		f.events = append(f.events, event)
-		c.simulator.record("%s %s %s %s %v upto %v seq %d via %s: %s", c.name, event.Kind, event.Go, event.Outcome, event.Position, event.Upto, event.Sequence, event.Door, event.Error)
-		for database, position := range told.MinPositions {
-			c.minPositions[database] = c.minPositions[database].Max(position)
-		}
-		isOn := !isCut && !told.SessionClosed && told.Cause != httppool.ErrNoSession && told.Cause != httppool.ErrNoBinding
-		if !isOn && c.remoteAddress == remote {
-			c.leave()
-		}
-		done(event, isOn)
-	}
-	c.disconnect = func() { finish(httppool.Result{}, true) }
-	c.after(requestTimeout, c.disconnect)
-	if home == nil || !home.running {
-		c.after(time.Millisecond, c.disconnect)
+func (c *caller) onNodeCrash(crashed *node, vanished bool) {
+	if c.node != crashed {
 		return
 	}
-	life, session := home.incarnation, c.session
-	bound := time.Duration(0)
-	if !c.fleet.modelsWindows && c.random.IntN(12) == 0 {
-		bound = time.Duration(5+c.random.IntN(400)) * time.Millisecond
-		event.DeadMS = bound.Milliseconds()
+	c.forgetSession()
+	if c.disconnect != nil && !vanished {
+		c.after(disconnectDelay, c.disconnect)
 	}
-	c.simulator.sendReliable(&c.machine, &home.machine, func() {
-		home.execute(session, op, bound, func(told httppool.Result) {
-			if home.incarnation == life {
-				c.simulator.sendReliable(&home.machine, &c.machine, func() {
-					if c.node == home && c.remoteAddress == remote {
-						finish(told, false)
-					}
-				})
-			}
-		})
-	})
 }
 
-func (c *caller) drawFromDeck(count int) int {
-	if c.fleet.config.IndependentDraws {
-		return c.random.IntN(count)
-	}
-	if len(c.decks[count]) == 0 {
-		c.decks[count] = c.random.Perm(count)
-	}
-	first := c.decks[count][0]
-	c.decks[count] = c.decks[count][1:]
-	return first
+// isConnectedBy reports whether a connection is still the caller's.
+func (c *caller) isConnectedBy(node *node, remote string) bool {
+	return c.node == node && c.remoteAddress == remote
 }
 
-func (c *caller) drawPercent() int {
-	if c.fleet.config.IndependentDraws {
-		return c.random.IntN(100)
+// connect begins a connection to a random node; nil where that takes none.
+func (c *caller) connect() *node {
+	c.leave()
+	chosen := c.fleet.nodes[c.random.IntN(len(c.fleet.nodes))]
+	if !chosen.running || chosen.stopping || c.fleet.removedNodes[chosen.name] {
+		return nil
 	}
-	return c.drawFromDeck(10)*10 + c.random.IntN(10)
+	c.connectionsMade++
+	c.node, c.remoteAddress = chosen, fmt.Sprintf("%s#%d", c.name, c.connectionsMade)
+	chosen.callers = append(chosen.callers, c)
+	return chosen
 }
 
-func (c *caller) runOperation() {
-	draw := c.drawPercent()
-	ways := []struct {
-		part int
-		act  func()
-	}{{42, c.read}, {40, c.write}, {10, c.beginTransaction}, {3, c.set}, {3, c.prepare}, {100, c.usePrepared}}
-	if c.readOnly {
-		ways[1].part, ways[2].part, ways[0].part = 0, 0, 92
+// openSession tries to open a session, and goes on also where it fails.
+func (c *caller) openSession(then func()) {
+	node := c.connect()
+	if node == nil {
+		c.after(openRetryDelay, then)
+		return
 	}
-	for _, way := range ways {
-		if draw < way.part {
-			way.act()
+	remote := c.remoteAddress
+	finished, sent := false, c.simulator.now
+	finish := func(session string, sequence uint64, retryAfter time.Duration) {
+		if finished {
 			return
 		}
-		draw -= way.part
-	}
-}
-
-func (c *caller) runAfterRetry(event standin.Event) {
-	c.after(time.Duration(event.RetryMS)*time.Millisecond+c.thinkTime(), c.run)
-}
-
-func (c *caller) read() {
-	text := fmt.Sprintf("look by %s %d", c.name, c.random.IntN(1e6))
-	c.request(c.newEvent("read", "", text), httppool.Op{Kind: httppool.OpRun, Text: text}, func(event standin.Event, _ bool) { c.runAfterRetry(event) })
-}
-
-func (c *caller) set() {
-	value := c.session
-	c.request(c.newEvent("set", "", ""), httppool.Op{Kind: httppool.OpSet, Name: "app", Value: value}, func(event standin.Event, isOn bool) {
-		if isOn && event.Outcome == "done" {
-			c.setting = value
-		}
-		c.runAfterRetry(event)
-	})
-}
-
-func (c *caller) prepare() {
-	text := fmt.Sprintf("look by %s prepared %d", c.name, c.random.IntN(1e6))
-	c.request(c.newEvent("prepare", "", ""), httppool.Op{Kind: httppool.OpPrepare, Name: "p", Text: text}, func(event standin.Event, isOn bool) {
-		if isOn && event.Outcome == "done" {
-			c.prepared = text
-		}
-		c.runAfterRetry(event)
-	})
-}
-
-func (c *caller) usePrepared() {
-	if c.prepared == "" {
-		c.read()
-		return
-	}
-	c.request(c.newEvent("read", "", c.prepared), httppool.Op{Kind: httppool.OpRun, Prepared: "p"}, func(event standin.Event, _ bool) { c.runAfterRetry(event) })
-}
-
-func (c *caller) write() {
-	id := c.nextRequestID()
-	text := fmt.Sprintf("book %s by %s x", id, c.name)
-	c.attemptWrite(id, text, 0)
-}
-
-func (c *caller) attemptWrite(id, text string, again int) {
-	event := c.newEvent("write", id, text)
-	event.IsAgain = again > 0
-	c.request(event, httppool.Op{Kind: httppool.OpRun, Text: text, Write: true, RequestID: id}, func(event standin.Event, _ bool) {
-		isOpen := event.Outcome == "unknown" || event.Outcome == "cut"
-		if !isOpen || again >= 3 {
-			c.runAfterRetry(event)
+		finished = true
+		c.disconnect = nil
+		if session != "" && c.isConnectedBy(node, remote) {
+			c.onSessionOpened(session, sequence, sent)
+			then()
 			return
 		}
-		c.after(time.Duration(event.RetryMS)*time.Millisecond/4+c.simulator.randomDuration(20*time.Millisecond, 300*time.Millisecond), func() {
-			if c.random.IntN(3) > 0 {
-				c.leave()
-			}
-			c.withSession(func() { c.attemptWrite(id, text, again+1) })
+		c.leave()
+		c.after(retryAfter, then)
+	}
+	c.disconnect = func() { finish("", 0, openRetryDelay) }
+	c.after(openTimeout, c.disconnect)
+	minPositions, binding := maps.Clone(c.minPositions), bindingName(c.database, c.stalenessMS)
+	c.simulator.sendReliable(&node.machine, func() {
+		node.step(func(now time.Duration) {
+			opened, refusal, _ := node.pool.OpenSession(binding, remote, minPositions, now)
+			c.simulator.sendReliable(&c.machine, func() {
+				finish(opened.ID, opened.BindingSequence, refusal.RetryAfter+c.thinkTime())
+			})
 		})
 	})
 }
 
+func (c *caller) onSessionOpened(session string, sequence uint64, sent time.Duration) {
+	c.session, c.requestsMade = session, 0
+	event := c.newEvent(history.KindOpen)
+	event.Sent, event.Got = int64(sent), int64(c.simulator.now)
+	event.Outcome, event.Sequence = history.OutcomeDone, sequence
+	c.fleet.recorder.addEvent(event)
+}
+
+// withSession goes on once there is a session.
 func (c *caller) withSession(then func()) {
 	if c.session != "" {
 		then()
@@ -316,82 +192,31 @@
 	c.openSession(func() { c.withSession(then) })
 }
 
-func (c *caller) beginTransaction() {
-	c.request(c.newEvent("begin", "", ""), httppool.Op{Kind: httppool.OpBegin}, func(event standin.Event, isOn bool) {
-		if !isOn || event.Outcome != "done" {
-			c.runAfterRetry(event)
-			return
-		}
-		c.runInTransaction(nil, 1+c.random.IntN(3))
-	})
-}
-
-func (c *caller) runInTransaction(requestIDs []string, left int) {
-	if left == 0 {
-		c.endTransaction(requestIDs)
-		return
-	}
-	if c.drawFromDeck(25) == 0 {
-		c.fleet.recordAbandoned(c, requestIDs)
-		c.leave()
-		c.runNext()
-		return
+// newEvent gives the event of a request that is sent now.
+func (c *caller) newEvent(kind string) standin.Event {
+	event := standin.Event{
+		Caller: c.name, Session: c.session, Kind: kind, Database: c.database, FreshMS: c.stalenessMS,
+		Sent: int64(c.simulator.now), WantSet: c.setting,
 	}
-	id := c.nextRequestID()
-	text := fmt.Sprintf("hold %s by %s x", id, c.name)
-	c.request(c.newEvent("inside", id, text), httppool.Op{Kind: httppool.OpRun, Text: text, Write: true, RequestID: id}, func(event standin.Event, isOn bool) {
-		requestIDs = append(requestIDs, id)
-		if !isOn {
-			c.fleet.recordAbandoned(c, requestIDs)
-			c.runAfterRetry(event)
-			return
-		}
-		if event.Outcome != "done" {
-			c.rollback(requestIDs)
-			return
-		}
-		c.after(c.thinkTime()/4, func() { c.runInTransaction(requestIDs, left-1) })
-	})
-}
-
-func (c *caller) rollback(requestIDs []string) {
-	event := c.newEvent("rollback", "", "")
-	event.Gos = requestIDs
-	c.request(event, httppool.Op{Kind: httppool.OpRollback}, func(event standin.Event, _ bool) { c.onTransactionEnd(event) })
-}
-
-func (c *caller) endTransaction(requestIDs []string) {
-	if c.drawFromDeck(8) == 0 {
-		c.rollback(requestIDs)
-		return
+	if c.node != nil {
+		event.Door = c.node.name
 	}
-	c.commit(c.nextRequestID(), requestIDs, 0)
+	return event
 }
 
-func (c *caller) commit(id string, requestIDs []string, again int) {
-	event := c.newEvent("commit", id, "")
-	event.Gos, event.IsAgain = requestIDs, again > 0
-	c.request(event, httppool.Op{Kind: httppool.OpCommit, RequestID: id}, func(event standin.Event, _ bool) {
-		isOpen := event.Outcome == "unknown" || event.Outcome == "cut"
-		if !isOpen || again >= 3 {
-			c.onTransactionEnd(event)
-			return
-		}
-		c.after(c.simulator.randomDuration(20*time.Millisecond, 300*time.Millisecond), func() {
-			c.withSession(func() { c.commit(id, requestIDs, again+1) })
-		})
-	})
+// newStatementEvent gives the event of a statement; reads have no request ID.
+func (c *caller) newStatementEvent(kind, requestID, text string) standin.Event {
+	event := c.newEvent(kind)
+	event.Go, event.Text = requestID, text
+	return event
 }
 
-func (c *caller) onTransactionEnd(event standin.Event) {
-	if !c.fleet.config.IndependentDraws && event.Outcome != "done" && event.Outcome != "kept" {
-		c.leave()
-	}
-	c.runAfterRetry(event)
+func (c *caller) nextRequestID() string {
+	c.requestsMade++
+	return fmt.Sprintf("%s.%d", c.session, c.requestsMade)
 }
 
-func (f *fleet) recordAbandoned(c *caller, requestIDs []string) {
-	event := c.newEvent("rollback", "", "")
-	event.Gos, event.Got, event.Outcome = requestIDs, int64(c.simulator.now), "left"
-	f.events = append(f.events, event)
+// acceptsSession reports whether the session outlasts a result.
+func acceptsSession(result httppool.Result) bool {
+	return !result.SessionClosed && result.Cause != httppool.ErrNoSession && result.Cause != httppool.ErrNoBinding
 }
--- /dev/null
+++ b/test/simulation/caller_request.go
@@ -0,0 +1,110 @@
+package simulation
+
+import (
+	"encoding/json"
+	"time"
+
+	"tansyseam/internal/coordination/pool/httppool"
+	"tansyseam/test/history"
+	"tansyseam/test/standin"
+)
+
+const (
+	requestTimeout = 6500 * time.Millisecond
+	// One of so many requests has a deadline of its own.
+	requestsPerDeadline = 12
+	minDeadlineMS       = 5
+	deadlineRangeMS     = 400
+)
+
+// callerRequest is a request that is pending.
+type callerRequest struct {
+	caller *caller
+	number uint64
+	event  standin.Event
+	// node and remote are those of the connection that it was sent by.
+	node     *node
+	remote   string
+	finished bool
+	// done receives the event of the answer, and whether the session is still
+	// open.
+	done func(event standin.Event, open bool)
+}
+
+// request sends an operation, and records what becomes of it.
+func (c *caller) request(event standin.Event, op httppool.Op, done func(event standin.Event, open bool)) {
+	number := c.fleet.recorder.beginRequest(event)
+	r := &callerRequest{caller: c, number: number, event: event, node: c.node, remote: c.remoteAddress, done: done}
+	c.disconnect = func() { r.finish(httppool.Result{}, true) }
+	c.after(requestTimeout, c.disconnect)
+	if r.node == nil || !r.node.running {
+		c.after(disconnectDelay, c.disconnect)
+		return
+	}
+	deadline := c.drawDeadline()
+	if deadline != 0 {
+		r.event.DeadMS = deadline.Milliseconds()
+	}
+	incarnation, session := r.node.incarnation, c.session
+	c.simulator.sendReliable(&r.node.machine, func() {
+		r.node.execute(session, op, deadline, func(result httppool.Result) {
+			if r.node.incarnation == incarnation {
+				c.simulator.sendReliable(&c.machine, func() { r.onResult(result) })
+			}
+		})
+	})
+}
+
+// drawDeadline gives a deadline to some of the requests; 0 for none.
+func (c *caller) drawDeadline() time.Duration {
+	if c.fleet.modelsWindows || c.random.IntN(requestsPerDeadline) != 0 {
+		return 0
+	}
+	return time.Duration(minDeadlineMS+c.random.IntN(deadlineRangeMS)) * time.Millisecond
+}
+
+func (r *callerRequest) onResult(result httppool.Result) {
+	if r.caller.isConnectedBy(r.node, r.remote) {
+		r.finish(result, false)
+	}
+}
+
+// finish ends the request by its result, or by the loss of the connection.
+func (r *callerRequest) finish(result httppool.Result, cut bool) {
+	if r.finished {
+		return
+	}
+	r.finished = true
+	c := r.caller
+	c.disconnect = nil
+	r.fillEvent(result, cut)
+	c.resetByRun = false
+	c.fleet.recorder.finishRequest(r.number, r.event)
+	event := r.event
+	c.simulator.record("%s %s %s %s %v upto %v seq %d via %s: %s", c.name, event.Kind, event.Go, event.Outcome, event.Position, event.Upto, event.Sequence, event.Door, event.Error)
+	for database, position := range result.MinPositions {
+		c.minPositions[database] = c.minPositions[database].Max(position)
+	}
+	open := !cut && acceptsSession(result)
+	if !open && c.remoteAddress == r.remote {
+		c.leave()
+	}
+	r.done(event, open)
+}
+
+func (r *callerRequest) fillEvent(result httppool.Result, cut bool) {
+	event := &r.event
+	event.Outcome, event.Error, event.Sequence, event.Got = string(result.Outcome), result.Error, result.BindingSequence, int64(r.caller.simulator.now)
+	event.RetryMS = result.RetryAfter.Milliseconds()
+	event.Position = standin.Position{Term: result.Position.Term, Index: result.Position.Index}
+	if cut {
+		event.Outcome = history.OutcomeCut
+		if r.caller.resetByRun {
+			event.Error = history.ErrorResetByRun
+		}
+	}
+	var rows answerRows
+	if len(result.Rows) > 0 && json.Unmarshal(result.Rows, &rows) == nil {
+		event.Upto, event.Settings, event.RanText = rows.Upto, rows.Settings, rows.Text
+	}
+}
--- a/test/simulation/control_failover.go
+++ b/test/simulation/control_failover.go
@@ -2,135 +2,140 @@
 
 import (
 	"slices"
-	"sync"
 	"time"
 
 	"tansyseam/internal/coordination/consensus"
 	"tansyseam/internal/state/store"
+	"tansyseam/test/history"
 )
 
-// Takeover is how control came back after its primary was lost.
+const (
+	// primaryLossDuration is how long each loss lasts, and how long is looked
+	// for what comes after.
+	primaryLossDuration = 4 * time.Second
+	failoverCheckPeriod = time.Millisecond
+	probeWriteInterval  = 50 * time.Millisecond
+)
+
+// ControlFailover is how control came back after its primary was lost.
 type ControlFailover struct {
 	Seed uint64
-	// Primacy is the time until another machine held primacy, Kept until a write
-	// that was asked for again and again was kept by it and a backup. Both are
-	// in virtual time and -1 where it did not come within 4 s.
+	// Primacy is the time until another server was primary, FirstWrite until
+	// one of the writes that were submitted again and again was committed by
+	// it and a backup. Both are in virtual time, and -1 for what did not come
+	// within 4 s.
 	Primacy, FirstWrite time.Duration
-	// Faults counts two primaries at once and sets lost; the level of service is
-	// not judged with so few callers.
+	// Violations counts those of a single primary and of sets; the level of
+	// service is not judged with so few callers.
 	Violations int
 }
 
-// Loss is a way to lose the control primary.
+// PrimaryLoss is a way to lose the control primary.
 type PrimaryLoss struct {
 	Name   string
 	inject func(f *fleet, primary *controlServer)
 }
 
-// Losses lists them; each lasts for 4 s.
+// PrimaryLosses lists the ways; each lasts for 4 s.
 func PrimaryLosses() []PrimaryLoss {
-	const long = 4 * time.Second
 	return []PrimaryLoss{
-		{"crash", func(f *fleet, primary *controlServer) { f.crashAndRestart(&primary.machine, primary.start, long) }},
-		{"freeze", func(f *fleet, primary *controlServer) {
-			primary.freeze()
-			f.simulator.after(long, primary.thaw)
-		}},
+		{"crash", func(_ *fleet, primary *controlServer) { primary.crashAndRestart(primary.start, primaryLossDuration) }},
+		{"freeze", func(_ *fleet, primary *controlServer) { primary.freezeFor(primaryLossDuration) }},
 		{"cut off", func(f *fleet, primary *controlServer) {
 			for _, other := range f.controls {
 				if other != primary {
-					f.blockLink([2]string{primary.name, other.name}, long)
-					f.blockLink([2]string{other.name, primary.name}, long)
+					f.simulator.blockBothWays(link{primary.name, other.name}, primaryLossDuration)
 				}
 			}
 		}},
-		{"disk hangs", func(f *fleet, primary *controlServer) { primary.disk.hangsUntil = f.simulator.now + long }},
-		{"disk refuses", func(f *fleet, primary *controlServer) {
-			primary.disk.failing = true
-			f.simulator.after(long, func() { primary.disk.failing = false })
-		}},
+		{"disk hangs", func(_ *fleet, primary *controlServer) { primary.hangDisk(primaryLossDuration) }},
+		{"disk refuses", func(_ *fleet, primary *controlServer) { primary.fillDisk(primaryLossDuration) }},
 	}
 }
 
-// MeasureTakeover loses the control primary of a fleet at rest, while writes
-// are asked for, and measures what comes after.
-func MeasureControlFailover(seed uint64, shape Config, loss PrimaryLoss) ControlFailover {
-	const horizon = 4 * time.Second
+// failoverProbe measures the failover that follows a loss.
+type failoverProbe struct {
+	fleet  *fleet
+	lost   *controlServer
+	lostAt time.Duration
+	writes int
+	found  *ControlFailover
+}
+
+// MeasureControlFailover loses the control primary of a fleet without other
+// faults, and measures what follows.
+func MeasureControlFailover(seed uint64, config Config, loss PrimaryLoss) ControlFailover {
 	found := ControlFailover{Seed: seed, Primacy: -1, FirstWrite: -1}
-	shape.WarmUp, shape.FaultDuration, shape.RecoveryDuration, shape.Callers = time.Second, 6*time.Second, 6*time.Second, 2
-	shape.Script = func(f *fleet) {
-		f.simulator.after(f.simulator.randomDuration(0, time.Second), func() {
-			at := slices.IndexFunc(f.controls, func(one *controlServer) bool { return one.running && one.isPrimary() })
-			if at < 0 {
-				return
-			}
-			old, began := f.controls[at], f.simulator.now
-			loss.inject(f, old)
-			number := 0
-			request := func(one *controlServer) {
-				number++
-				one.submit(func(*store.Table) []store.Put {
-					return []store.Put{{Key: "measured/" + time.Duration(number).String(), Data: []byte("x")}}
-				}, func(answer consensus.SubmitResult) {
-					if answer.Committed && one != old && found.FirstWrite < 0 {
-						found.FirstWrite = f.simulator.now - began
-					}
-				})
-			}
-			var look func()
-			look = func() {
-				for _, one := range f.controls {
-					if !one.running || one.frozen || !one.isPrimary() {
-						continue
-					}
-					if one != old && found.Primacy < 0 {
-						found.Primacy = f.simulator.now - began
-					}
-					if (f.simulator.now-began)%(50*time.Millisecond) == 0 {
-						request(one)
-					}
-				}
-				if f.simulator.now-began < horizon && found.FirstWrite < 0 {
-					f.simulator.after(time.Millisecond, look)
-				}
-			}
-			look()
-		})
+	config.WarmUp, config.FaultDuration, config.RecoveryDuration, config.Callers = time.Second, 6*time.Second, 6*time.Second, 2
+	config.Script = func(f *fleet) {
+		f.simulator.after(f.simulator.randomDuration(0, time.Second), func() { probeFailover(f, loss, &found) })
 	}
-	result := Run(seed, shape, Defects{}, nil)
-	for _, rule := range []string{"simulation", "broken set taken, or a taken one lost"} {
+	result := Run(seed, config, Defects{}, nil)
+	for _, rule := range []string{ownRule, history.RuleInconsistentSets} {
 		found.Violations += len(result.Violations[rule])
 	}
 	return found
 }
 
-// MeasureTakeovers measures many seeds, so many at once, and counts what the
-// checks found.
-func MeasureControlFailovers(from, count uint64, shape Config, loss PrimaryLoss, jobs int) (primacy, kept []time.Duration, faults int) {
-	results := make([]ControlFailover, count)
-	slots := make(chan struct{}, jobs)
-	var group sync.WaitGroup
-	for at := range count {
-		group.Add(1)
-		go func() {
-			defer group.Done()
-			slots <- struct{}{}
-			defer func() { <-slots }()
-			results[at] = MeasureControlFailover(from+at, shape, loss)
-		}()
+func probeFailover(f *fleet, loss PrimaryLoss, found *ControlFailover) {
+	index := slices.IndexFunc(f.controls, func(control *controlServer) bool { return control.running && control.isPrimary() })
+	if index < 0 {
+		return
+	}
+	probe := &failoverProbe{fleet: f, lost: f.controls[index], lostAt: f.simulator.now, found: found}
+	loss.inject(f, probe.lost)
+	probe.check()
+}
+
+func (p *failoverProbe) elapsed() time.Duration { return p.fleet.simulator.now - p.lostAt }
+
+// check looks for another primary, and submits writes to each that is one.
+func (p *failoverProbe) check() {
+	for _, control := range p.fleet.controls {
+		if !control.running || control.frozen || !control.isPrimary() {
+			continue
+		}
+		if control != p.lost && p.found.Primacy < 0 {
+			p.found.Primacy = p.elapsed()
+		}
+		if p.elapsed()%probeWriteInterval == 0 {
+			p.submitWrite(control)
+		}
 	}
-	group.Wait()
-	for _, one := range results {
-		primacy, kept, faults = append(primacy, one.Primacy), append(kept, one.FirstWrite), faults+one.Violations
+	if p.elapsed() < primaryLossDuration && p.found.FirstWrite < 0 {
+		p.fleet.simulator.after(failoverCheckPeriod, p.check)
+	}
+}
+
+func (p *failoverProbe) submitWrite(control *controlServer) {
+	p.writes++
+	control.submit(func(*store.Table) []store.Put {
+		return []store.Put{{Key: "measured/" + time.Duration(p.writes).String(), Data: []byte("x")}}
+	}, func(result consensus.SubmitResult) {
+		if result.Committed && control != p.lost && p.found.FirstWrite < 0 {
+			p.found.FirstWrite = p.elapsed()
+		}
+	})
+}
+
+// MeasureControlFailovers measures consecutive seeds, so many at once as there
+// are jobs, and counts the violations.
+func MeasureControlFailovers(from, count uint64, config Config, loss PrimaryLoss, jobs int) (primacy, firstWrites []time.Duration, violations int) {
+	results := runConcurrently(count, jobs, func(index uint64) ControlFailover { return MeasureControlFailover(from+index, config, loss) })
+	for _, result := range results {
+		primacy = append(primacy, result.Primacy)
+		firstWrites = append(firstWrites, result.FirstWrite)
+		violations += result.Violations
 	}
-	return primacy, kept, faults
+	return primacy, firstWrites, violations
 }
 
-// Quantile gives the least of the spans that the part q of all do not exceed.
-func Quantile(spans []time.Duration, q float64) time.Duration {
-	if len(spans) == 0 {
+// Quantile gives the smallest of the durations that a part of all, from 0 to
+// 1, do not exceed; -1 for none.
+func Quantile(durations []time.Duration, part float64) time.Duration {
+	if len(durations) == 0 {
 		return -1
 	}
-	sorted := slices.Sorted(slices.Values(spans))
-	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
+	sorted := slices.Sorted(slices.Values(durations))
+	return sorted[min(int(part*float64(len(sorted))), len(sorted)-1)]
 }
--- /dev/null
+++ b/test/simulation/control_plane.go
@@ -0,0 +1,117 @@
+package simulation
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"tansyseam/internal/coordination/failover/asyncrepl"
+	"tansyseam/internal/coordination/failover/syncrepl"
+)
+
+// primaryCheckInterval is how often it is checked that there is one primary.
+const primaryCheckInterval = 5 * time.Millisecond
+
+// backends are the database instances that control looks after.
+type backends interface {
+	// instanceNames lists the instances in the order of their making.
+	instanceNames() []string
+	// decideAsync and decideSync have a control server decide on evidence
+	// that the control primary gathered.
+	decideAsync(control, primary *controlServer, evidence asyncrepl.Evidence)
+	decideSync(control, primary *controlServer, evidence syncrepl.Evidence)
+}
+
+// controlPlane is the control servers of a fleet, and what both kinds of
+// fleets have beside them.
+type controlPlane struct {
+	simulator *simulator
+	backends  backends
+	databases []string
+	recorder  recorder
+	faults    faultState
+	// foundingServers is how many servers the fleet was founded with.
+	foundingServers int
+	controls        []*controlServer
+	// removedControls were replaced for good.
+	removedControls []*controlServer
+}
+
+func newControlPlane(s *simulator, foundingServers, maxFollowUps int) controlPlane {
+	return controlPlane{simulator: s, foundingServers: foundingServers, recorder: newRecorder(), faults: newFaultState(maxFollowUps)}
+}
+
+func (p *controlPlane) createControls() {
+	for number := range p.foundingServers {
+		p.controls = append(p.controls, p.createControl(number+1))
+	}
+}
+
+func (p *controlPlane) createControl(number int) *controlServer {
+	return &controlServer{machine: newMachine(p.simulator, fmt.Sprintf("c%d", number)), plane: p, disk: newDisk()}
+}
+
+// findControl gives a control server by its name, also one that was removed;
+// nil for none.
+func (p *controlPlane) findControl(name string) *controlServer {
+	for _, control := range slices.Concat(p.controls, p.removedControls) {
+		if control.name == name {
+			return control
+		}
+	}
+	return nil
+}
+
+// activePrimary gives the first control server that runs as primary; nil for
+// none.
+func (p *controlPlane) activePrimary() *controlServer {
+	for _, control := range p.controls {
+		if control.running && !control.frozen && control.isPrimary() {
+			return control
+		}
+	}
+	return nil
+}
+
+// checkSinglePrimaryUntil checks that at most one control server is primary.
+func (p *controlPlane) checkSinglePrimaryUntil(until time.Duration) {
+	var primaries []string
+	for _, control := range p.controls {
+		if control.running && control.isPrimary() {
+			primaries = append(primaries, control.name)
+		}
+	}
+	if len(primaries) > 1 {
+		p.recorder.addViolation("%v hold primacy at once at %v", primaries, p.simulator.now)
+	}
+	if p.simulator.now < until {
+		p.simulator.after(primaryCheckInterval, func() { p.checkSinglePrimaryUntil(until) })
+	}
+}
+
+// isControlHealthy reports whether every voter is a running member at rest
+// that knows of a backup, so that the fleet survives the loss of one.
+func (p *controlPlane) isControlHealthy() bool {
+	var voters []string
+	for _, control := range p.controls {
+		if control.running && control.isPrimary() {
+			voters = control.consensus.Voters()
+		}
+	}
+	return len(voters) > 0 && !slices.ContainsFunc(voters, func(name string) bool { return !p.isHealthyVoter(p.findControl(name)) })
+}
+
+func (p *controlPlane) isHealthyVoter(control *controlServer) bool {
+	present := slices.Contains(p.controls, control) && control.running
+	return present && control.consensus.IsMember() && control.consensus.Record().Backup != "" && control.consensus.IsSettled()
+}
+
+// repairControls ends all faults of control servers.
+func (p *controlPlane) repairControls() {
+	for _, control := range p.controls {
+		control.disk.repair()
+		control.writesUntilCrash = 0
+		control.thaw()
+		control.ensureRunning(control.start)
+	}
+}
--- a/test/simulation/control_replacement.go
+++ b/test/simulation/control_replacement.go
@@ -1,82 +1,82 @@
 package simulation
 
 import (
-	"fmt"
 	"slices"
 	"time"
 
 	"tansyseam/internal/coordination/consensus"
 )
 
-// mostReplaced bounds how many control machines of a run are replaced.
-const maxReplacedControls = 6
-
-// leaveBound is how long a control machine that is told to end waits for others to
-// take its roles over.
-const controlStopTimeout = 5 * time.Second
+const (
+	// maxReplacedControls bounds how many control servers of a run are
+	// replaced.
+	maxReplacedControls = 6
+	// controlStopTimeout is how long a control server that is stopped waits
+	// for others to take over its roles.
+	controlStopTimeout       = 5 * time.Second
+	controlStopCheckInterval = 20 * time.Millisecond
+)
 
-// replaceControl takes a control machine of a whole fleet away for good, and starts one
-// with a blank disk after a while; where that is planned, the new one first.
-func (f *fleet) replaceControl(old *controlServer, span time.Duration, planned bool) {
-	if !f.isControlHealthy() || len(f.removedControls) >= maxReplacedControls {
+// replaceControl removes a control server of a healthy fleet for good, and
+// starts one with a blank disk after a span. Where that is planned, the new
+// one is started first.
+func (p *controlPlane) replaceControl(old *controlServer, span time.Duration, planned bool) {
+	if !p.isControlHealthy() || len(p.removedControls) >= maxReplacedControls {
 		return
 	}
-	f.simulator.record("%s is replaced, planned %v", old.name, planned)
+	p.simulator.record("%s is replaced, planned %v", old.name, planned)
 	if !planned {
 		old.crash()
-		f.removeControl(old)
-		f.afterUnlessRepaired(span, f.addControl)
+		p.removeControl(old)
+		p.afterUnlessRepaired(span, p.addControl)
 		return
 	}
-	f.addControl()
-	f.afterUnlessRepaired(span, func() {
-		old.stop(func() { f.removeControl(old) })
+	p.addControl()
+	p.afterUnlessRepaired(span, func() {
+		old.stop(func() { p.removeControl(old) })
 	})
 }
 
-// stopControl ends a control machine as planned and starts it again after a while.
-func (f *fleet) stopControl(old *controlServer, span time.Duration) {
-	old.stop(func() {
-		f.simulator.after(span, func() {
-			if !old.running {
-				old.start()
-			}
-		})
+// restartControl stops a control server as planned, and starts it again after
+// a span.
+func (p *controlPlane) restartControl(control *controlServer, span time.Duration) {
+	control.stop(func() {
+		p.simulator.after(span, func() { control.ensureRunning(control.start) })
 	})
 }
 
-// end tells a control machine to end, which it does once it holds no role, or after
-// a bound.
+// stop tells a control server to stop, which it does once it has no role, or
+// after a time-out.
 func (c *controlServer) stop(then func()) {
 	if !c.running || c.frozen {
 		return
 	}
 	c.simulator.record("%s is told to end", c.name)
-	life, from := c.incarnation, c.simulator.now
+	incarnation, since := c.incarnation, c.simulator.now
 	c.step(consensus.Leave{})
-	var look func()
-	look = func() {
-		if !c.running || c.incarnation != life {
+	var check func()
+	check = func() {
+		if !c.running || c.incarnation != incarnation {
 			return
 		}
-		if !c.consensus.MayStop() && c.simulator.now < from+controlStopTimeout {
-			c.simulator.after(20*time.Millisecond, look)
+		if !c.consensus.MayStop() && c.simulator.now < since+controlStopTimeout {
+			c.simulator.after(controlStopCheckInterval, check)
 			return
 		}
 		c.crash()
 		then()
 	}
-	look()
+	check()
 }
 
-func (f *fleet) removeControl(old *controlServer) {
-	f.controls = slices.DeleteFunc(f.controls, func(one *controlServer) bool { return one == old })
-	f.removedControls = append(f.removedControls, old)
+func (p *controlPlane) removeControl(old *controlServer) {
+	p.controls = slices.DeleteFunc(p.controls, func(control *controlServer) bool { return control == old })
+	p.removedControls = append(p.removedControls, old)
 }
 
-func (f *fleet) addControl() {
-	name := fmt.Sprintf("c%d", len(f.controls)+len(f.removedControls)+1)
-	one := &controlServer{machine: f.newMachine(name), fleet: f, disk: newDisk(), joinedLater: true}
-	f.controls = append(f.controls, one)
-	one.start()
+func (p *controlPlane) addControl() {
+	added := p.createControl(len(p.controls) + len(p.removedControls) + 1)
+	added.joinedLater = true
+	p.controls = append(p.controls, added)
+	added.start()
 }
--- /dev/null
+++ b/test/simulation/control_roles.go
@@ -0,0 +1,113 @@
+package simulation
+
+import (
+	"time"
+
+	"tansyseam/internal/coordination/singleton"
+	"tansyseam/internal/state/model"
+)
+
+// runSingletons does what is due at the control server itself, and then what
+// the singleton roles ask for.
+func (c *controlServer) runSingletons() {
+	c.after(singleton.TickInterval, c.runSingletons)
+	c.flushUpdates()
+	c.submitDueWrites()
+	state := c.nodeState()
+	campaignDue, databasesDue := c.singleton.Due(state, c.clock())
+	if !campaignDue {
+		return
+	}
+	if databasesDue {
+		c.refreshDatabases()
+	}
+	c.campaign(state)
+}
+
+// refreshDatabases learns the databases from the primary, which may be this
+// server.
+func (c *controlServer) refreshDatabases() {
+	primary := c.plane.findControl(c.consensus.Record().Primary)
+	if primary == nil {
+		return
+	}
+	if primary == c {
+		c.singleton.SetDatabases(c.databases())
+		return
+	}
+	c.simulator.send(&c.machine, &primary.machine, func() {
+		if !primary.isPrimary() {
+			return
+		}
+		all, synchronous := primary.databases()
+		c.simulator.send(&primary.machine, &c.machine, func() { c.singleton.SetDatabases(all, synchronous) })
+	})
+}
+
+func (c *controlServer) nodeState() singleton.NodeState {
+	state := singleton.NodeState{Primary: c.isPrimary()}
+	for _, writer := range c.distributor.Snapshot().Writers {
+		state.FailoverActive = state.FailoverActive || (writer.SyncReplication && writer.Phase != model.PhaseOpen)
+	}
+	return state
+}
+
+// databases names the databases that this server knows of, and those of them
+// whose instances replicate synchronously.
+func (c *controlServer) databases() (all, synchronous []string) {
+	announced := c.announcementList()
+	all = c.distributor.Databases(announced)
+	for _, database := range all {
+		if c.distributor.UsesSyncReplication(database, announced) {
+			synchronous = append(synchronous, database)
+		}
+	}
+	return all, synchronous
+}
+
+// campaign stands for singleton roles, and attends to those that are held.
+func (c *controlServer) campaign(state singleton.NodeState) {
+	for _, effect := range c.singleton.Campaign(state, c.clock()) {
+		if request, ok := effect.(singleton.RequestVotes); ok {
+			c.requestVotes(request)
+		}
+		if evaluate, ok := effect.(singleton.Evaluate); ok && c.singleton.BeginEvaluation(evaluate.Database) {
+			c.requestEvidence(evaluate)
+		}
+	}
+}
+
+func (c *controlServer) requestVotes(request singleton.RequestVotes) {
+	for _, name := range request.Voters {
+		voter := c.plane.findControl(name)
+		c.simulator.send(&c.machine, &voter.machine, func() {
+			vote := voter.singleton.OnVoteRequest(c.name, request.Request, voter.clock())
+			c.simulator.send(&voter.machine, &c.machine, func() {
+				if c.singleton.OnVote(voter.name, vote, c.clock()) {
+					c.simulator.record("%s won %s", c.name, vote.Role)
+				}
+			})
+		})
+	}
+}
+
+// awaitAnswer begins to wait for an answer about a database under evaluation,
+// and ends the evaluation when it does not come. The function that it gives
+// says of an answer whether it came in time.
+func (c *controlServer) awaitAnswer(database string, timeout time.Duration) (inTime func() bool) {
+	c.lastAwaited[database]++
+	number := c.lastAwaited[database]
+	inTime = func() bool {
+		current := c.lastAwaited[database] == number
+		if current {
+			c.lastAwaited[database]++
+		}
+		return current
+	}
+	c.after(timeout, func() {
+		if inTime() {
+			c.singleton.EndEvaluation(database)
+		}
+	})
+	return inTime
+}
--- a/test/simulation/disk.go
+++ b/test/simulation/disk.go
@@ -6,35 +6,42 @@
 	"time"
 )
 
+var (
+	errDiskFull     = errors.New("no space left on device")
+	errFileNotFound = errors.New("no such file")
+)
+
+// disk is the simulated disk of a control server. Its files outlast a crash.
 type disk struct {
-	files      map[string][]byte
-	failing    bool
+	files map[string][]byte
+	// failing says that writes are refused.
+	failing bool
+	// writeDelay is added to each write, and no write ends before hangsUntil.
 	writeDelay time.Duration
 	hangsUntil time.Duration
-	writes     int
 }
 
 func newDisk() *disk { return &disk{files: map[string][]byte{}} }
 
-var errDiskFull = errors.New("no space left on device")
-
+// Write replaces a file. It fails with errDiskFull on a disk that is failing.
 func (d *disk) Write(name string, data []byte) error {
 	if d.failing {
 		return errDiskFull
 	}
-	d.writes++
 	d.files[name] = slices.Clone(data)
 	return nil
 }
 
+// Read gives a file's data, or errFileNotFound.
 func (d *disk) Read(name string) ([]byte, error) {
 	data, found := d.files[name]
 	if !found {
-		return nil, errors.New("no such file")
+		return nil, errFileNotFound
 	}
 	return data, nil
 }
 
+// Names lists the files in order.
 func (d *disk) Names() ([]string, error) {
 	var names []string
 	for name := range d.files {
@@ -44,11 +51,13 @@
 	return names, nil
 }
 
+// Remove removes a file, if it is there.
 func (d *disk) Remove(name string) error {
 	delete(d.files, name)
 	return nil
 }
 
+// tear cuts the last file in half, as a crash in the middle of a write may.
 func (d *disk) tear() {
 	names, _ := d.Names()
 	if len(names) > 0 {
--- /dev/null
+++ b/test/simulation/faults_control.go
@@ -0,0 +1,100 @@
+package simulation
+
+import "time"
+
+const (
+	minSlowDiskDelay = 20 * time.Millisecond
+	maxSlowDiskDelay = 300 * time.Millisecond
+	maxClockError    = 3 * time.Second
+	// isolationProbability is that of a control server that is cut off being
+	// cut off both ways from another.
+	isolationProbability = 0.7
+)
+
+func (p *controlPlane) randomControl() *controlServer { return pickRandom(p.simulator, p.controls) }
+
+func (p *controlPlane) crashControl(span time.Duration) {
+	control := p.randomControl()
+	control.crashAndRestart(control.start, span)
+}
+
+func (p *controlPlane) crashControlPrimary(span time.Duration) {
+	for _, control := range p.controls {
+		if control.running && control.isPrimary() {
+			control.crashAndRestart(control.start, span)
+			return
+		}
+	}
+}
+
+func (p *controlPlane) crashControlBetweenSyncs(time.Duration) {
+	p.randomControl().writesUntilCrash = 1 + p.simulator.random.IntN(maxWritesUntilCrash)
+}
+
+func (p *controlPlane) loseControlDisk(span time.Duration) {
+	if !p.isControlHealthy() {
+		return
+	}
+	control := p.randomControl()
+	control.crashAndRestart(control.start, span)
+	control.disk = newDisk()
+	p.simulator.record("%s lost its disk", control.name)
+}
+
+func (p *controlPlane) tearControlFile(span time.Duration) {
+	if !p.isControlHealthy() {
+		return
+	}
+	control := p.randomControl()
+	control.crashAndRestart(control.start, span)
+	control.disk.tear()
+	p.simulator.record("%s has a torn file", control.name)
+}
+
+func (p *controlPlane) fillControlDisk(span time.Duration) { p.randomControl().fillDisk(span) }
+
+// fillDisk has the disk refuse writes for a span.
+func (c *controlServer) fillDisk(span time.Duration) {
+	c.disk.failing = true
+	c.simulator.after(span, func() { c.disk.failing = false })
+}
+
+// hangDisk has writes take until the end of a span.
+func (c *controlServer) hangDisk(span time.Duration) { c.disk.hangsUntil = c.simulator.now + span }
+
+func (p *controlPlane) hangControlPrimaryDisk(span time.Duration) {
+	for _, control := range p.controls {
+		if control.running && control.isPrimary() {
+			control.hangDisk(span)
+		}
+	}
+}
+
+func (p *controlPlane) slowControlDisk(span time.Duration) {
+	control := p.randomControl()
+	control.disk.writeDelay = p.simulator.randomDuration(minSlowDiskDelay, maxSlowDiskDelay)
+	p.simulator.after(span, func() { control.disk.writeDelay = 0 })
+}
+
+// isolateControl cuts a control server off from the others, from some of them
+// one way only.
+func (p *controlPlane) isolateControl(span time.Duration) {
+	isolated := p.randomControl()
+	for _, control := range p.controls {
+		if control == isolated {
+			continue
+		}
+		way := link{isolated.name, control.name}
+		p.simulator.blockLink(way, span)
+		if p.simulator.chance(isolationProbability) {
+			p.simulator.blockLink(way.reversed(), span)
+		}
+	}
+}
+
+func (p *controlPlane) setClockWrong(span time.Duration) {
+	control := p.randomControl()
+	skew := control.wallClockSkew
+	control.wallClockSkew += p.simulator.randomDuration(-maxClockError, maxClockError)
+	p.simulator.after(span, func() { control.wallClockSkew = skew })
+}
--- /dev/null
+++ b/test/simulation/faults_instance.go
@@ -0,0 +1,185 @@
+package simulation
+
+import (
+	"slices"
+	"time"
+
+	"tansyseam/internal/state/model"
+)
+
+const (
+	maxCrashDelay  = 2 * time.Second
+	minLag         = 200 * time.Millisecond
+	maxLag         = 3 * time.Second
+	minSlowService = 50 * time.Millisecond
+	maxSlowService = 900 * time.Millisecond
+	// A replaced instance leaves first, is then down for a while, and has
+	// some time to catch up before the next is replaced.
+	replacementLeavingTime = 4 * time.Second
+	replacementDownTime    = time.Second
+	replacementInterval    = 9 * time.Second
+)
+
+func (f *fleet) randomInstance() *instance { return pickRandom(f.simulator, f.instances) }
+
+// randomPrimary gives the primary of a random database; nil for none.
+func (f *fleet) randomPrimary() *instance {
+	return f.currentPrimary(pickRandom(f.simulator, f.databases))
+}
+
+// instancesOf gives the instances of a database.
+func (f *fleet) instancesOf(database string) []*instance {
+	var found []*instance
+	for _, instance := range f.instances {
+		if instance.database == database {
+			found = append(found, instance)
+		}
+	}
+	return found
+}
+
+func (f *fleet) crashInstance(span time.Duration) {
+	instance := f.randomInstance()
+	instance.crashAndRestart(instance.start, span)
+}
+
+func (f *fleet) crashPrimary(span time.Duration) {
+	if primary := f.randomPrimary(); primary != nil {
+		primary.crashAndRestart(primary.start, span)
+	}
+}
+
+func (f *fleet) freezePrimary(span time.Duration) {
+	if primary := f.randomPrimary(); primary != nil {
+		primary.freezeFor(span)
+	}
+}
+
+func (f *fleet) resetConnections(time.Duration) {
+	for _, connection := range slices.Clone(f.randomInstance().connections) {
+		connection.reset()
+	}
+}
+
+// isolateReplicaAndCrashPrimary crashes a primary that one of its replicas has
+// not received the last entries from.
+func (f *fleet) isolateReplicaAndCrashPrimary(span time.Duration) {
+	database := pickRandom(f.simulator, f.databases)
+	primary := f.currentPrimary(database)
+	if primary == nil {
+		return
+	}
+	for _, replica := range f.instancesOf(database) {
+		if replica != primary {
+			f.simulator.blockLink(link{primary.name, replica.name}, span)
+			break
+		}
+	}
+	f.afterUnlessRepaired(f.simulator.randomDuration(0, maxCrashDelay), func() { primary.crashAndRestart(primary.start, span) })
+}
+
+// isolateReplica blocks what an instance receives from the others of its
+// database.
+func (f *fleet) isolateReplica(span time.Duration) {
+	isolated := f.randomInstance()
+	for _, other := range f.instancesOf(isolated.database) {
+		if other != isolated {
+			f.simulator.blockLink(link{other.name, isolated.name}, span)
+		}
+	}
+}
+
+func (f *fleet) delayReplication(span time.Duration) {
+	instance := f.randomInstance()
+	instance.replicationDelay = f.simulator.randomDuration(minLag, maxLag)
+	f.simulator.after(span, func() { instance.replicationDelay = defaultReplicationDelay })
+}
+
+func (f *fleet) slowInstance(span time.Duration) {
+	instance := f.randomInstance()
+	instance.serviceTime = f.simulator.randomDuration(minSlowService, maxSlowService)
+	f.simulator.after(span, func() { instance.serviceTime = defaultServiceTime })
+}
+
+func (f *fleet) haveInstanceLeave(span time.Duration) {
+	instance := f.randomInstance()
+	if instance.leavingSince != 0 {
+		return
+	}
+	instance.leavingSince = int64(f.simulator.now)
+	f.simulator.after(span, func() { instance.leavingSince = 0 })
+}
+
+func (f *fleet) silenceInstance(span time.Duration) {
+	instance := f.randomInstance()
+	instance.silent = true
+	f.simulator.after(span, func() { instance.silent = false })
+}
+
+// loseInstanceData crashes one instance of the run with its data, where its
+// database has another candidate.
+func (f *fleet) loseInstanceData(span time.Duration) {
+	instance := f.randomInstance()
+	if f.hasLostData() || !f.isHealthy(instance.database) || len(f.writerRole(instance.database).Candidates) < 2 {
+		return
+	}
+	instance.crashAndRestart(instance.start, span)
+	instance.loseData()
+	for _, other := range f.instancesOf(instance.database) {
+		if other != instance && instance.upstream == nil {
+			instance.upstream = other
+		}
+	}
+}
+
+func (f *fleet) hasLostData() bool {
+	return slices.ContainsFunc(f.instances, func(i *instance) bool { return i.dataLosses > 0 })
+}
+
+// isHealthy reports whether the primary of a database is settled, and all its
+// instances run and are in its term.
+func (f *fleet) isHealthy(database string) bool {
+	writer, primary := f.writerRole(database), f.currentPrimary(database)
+	if primary == nil || writer.Phase != model.PhaseOpen || primary.term != writer.Term {
+		return false
+	}
+	for _, instance := range f.instancesOf(database) {
+		if !instance.running || instance.frozen || instance.position().Term != primary.position().Term {
+			return false
+		}
+	}
+	return true
+}
+
+func (f *fleet) replaceInstancesInTurn(time.Duration) {
+	if f.faults.replacingInstances {
+		return
+	}
+	f.faults.replacingInstances = true
+	delay := time.Duration(0)
+	for _, instance := range f.instancesOf(pickRandom(f.simulator, f.databases)) {
+		f.afterUnlessRepaired(delay, func() { f.replaceInstance(instance) })
+		delay += replacementInterval
+	}
+}
+
+// replaceInstance has an instance leave, and then replaces it by a blank one,
+// unless its database needs its data by then.
+func (f *fleet) replaceInstance(instance *instance) {
+	if !f.isHealthy(instance.database) {
+		return
+	}
+	instance.leavingSince = int64(f.simulator.now)
+	f.afterUnlessRepaired(replacementLeavingTime, func() {
+		writer := f.writerRole(instance.database)
+		_, candidate := writer.Candidates[instance.name]
+		needed := writer.Primary == instance.name || (candidate && len(writer.Candidates) < 2)
+		instance.leavingSince = 0
+		if needed || !f.isHealthy(instance.database) {
+			return
+		}
+		instance.crashAndRestart(instance.start, replacementDownTime)
+		instance.loseData()
+		instance.upstream = f.findInstance(writer.Primary)
+	})
+}
--- /dev/null
+++ b/test/simulation/faults_network.go
@@ -0,0 +1,42 @@
+package simulation
+
+import "time"
+
+const (
+	faultLossRate      = 0.02
+	minSlowLinkDelay   = 20 * time.Millisecond
+	maxSlowLinkDelay   = 250 * time.Millisecond
+	reverseProbability = 0.5
+)
+
+func (p *controlPlane) slowLinks(span time.Duration) {
+	network := &p.simulator.network
+	network.extraDelay = p.simulator.randomDuration(minSlowLinkDelay, maxSlowLinkDelay)
+	p.simulator.after(span, func() { network.extraDelay = 0 })
+}
+
+func (p *controlPlane) loseMessages(span time.Duration) {
+	network := &p.simulator.network
+	network.lossRate = faultLossRate
+	p.simulator.after(span, func() { network.lossRate = 0 })
+}
+
+// blockOneWay blocks one direction between a node and a control server.
+func (f *fleet) blockOneWay(span time.Duration) {
+	way := link{f.randomNode().name, f.randomControl().name}
+	if f.simulator.chance(reverseProbability) {
+		way = way.reversed()
+	}
+	f.simulator.blockLink(way, span)
+}
+
+// blockNode blocks all links of a node to control servers, and to peers, both
+// ways.
+func (p *controlPlane) blockNode(isolated string, peers []string, span time.Duration) {
+	for _, control := range p.controls {
+		p.simulator.blockBothWays(link{isolated, control.name}, span)
+	}
+	for _, peer := range peers {
+		p.simulator.blockBothWays(link{isolated, peer}, span)
+	}
+}
--- /dev/null
+++ b/test/simulation/faults_node.go
@@ -0,0 +1,110 @@
+package simulation
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// maxAddedNodes bounds the nodes that are added to those of the
+	// configuration, maxRemovedNodes those that are removed for good.
+	maxAddedNodes   = 2
+	maxRemovedNodes = 2
+	// A restart of all nodes in turn has each down for a while, and waits
+	// before the next.
+	restartDownTime = 300 * time.Millisecond
+	restartInterval = 1200 * time.Millisecond
+	rushLoadFactor  = 8
+	minNodeWeight   = 0.5
+	nodeWeightRange = 3.5
+)
+
+func (f *fleet) randomNode() *node { return pickRandom(f.simulator, f.nodes) }
+
+func (f *fleet) isAnyNodeStopping() bool {
+	return slices.ContainsFunc(f.nodes, func(n *node) bool { return n.stopping })
+}
+
+func (f *fleet) crashNode(span time.Duration) {
+	node := f.randomNode()
+	node.crashAndRestart(node.start, span)
+}
+
+func (f *fleet) stopNode(span time.Duration) {
+	if !f.isAnyNodeStopping() {
+		f.randomNode().stop(span)
+	}
+}
+
+func (f *fleet) restartNodesInTurn(time.Duration) {
+	if f.isAnyNodeStopping() {
+		return
+	}
+	delay := time.Duration(0)
+	for _, node := range f.nodes {
+		f.afterUnlessRepaired(delay, func() { node.stop(restartDownTime) })
+		delay += restartInterval
+	}
+}
+
+// resetCallers resets the connections of a node's callers, whether they wait
+// for an answer or not.
+func (f *fleet) resetCallers(time.Duration) {
+	for _, caller := range slices.Clone(f.randomNode().callers) {
+		disconnect := caller.disconnect
+		caller.resetByRun = disconnect != nil
+		caller.leave()
+		if disconnect != nil {
+			caller.after(disconnectDelay, disconnect)
+		}
+	}
+}
+
+// haveCallersLeave has those of a node's callers leave that wait for no answer.
+func (f *fleet) haveCallersLeave(time.Duration) {
+	for _, caller := range slices.Clone(f.randomNode().callers) {
+		if caller.disconnect == nil {
+			caller.leave()
+		}
+	}
+}
+
+func (f *fleet) raiseLoad(span time.Duration) {
+	f.loadFactor = rushLoadFactor
+	f.simulator.after(span, func() { f.loadFactor = 1 })
+}
+
+func (f *fleet) addNode(time.Duration) {
+	if len(f.nodes) < f.config.Nodes+maxAddedNodes {
+		f.createNode().start()
+	}
+}
+
+// replaceNode removes a node for good, and starts another after a span.
+func (f *fleet) replaceNode(span time.Duration) {
+	if len(f.nodes) >= f.config.Nodes+maxAddedNodes || len(f.removedNodes) >= maxRemovedNodes {
+		return
+	}
+	old := f.randomNode()
+	if old.running && !f.removedNodes[old.name] {
+		f.removedNodes[old.name] = true
+		old.crash()
+		f.simulator.after(span, f.createNode().start)
+	}
+}
+
+func (f *fleet) changeNodeWeight(span time.Duration) {
+	node := f.randomNode()
+	node.weight = minNodeWeight + nodeWeightRange*f.simulator.random.Float64()
+	f.simulator.after(span, func() { node.weight = 1 })
+}
+
+// isolateNode cuts a node off from control and from all nodes.
+func (f *fleet) isolateNode(span time.Duration) {
+	isolated := f.randomNode()
+	var peers []string
+	for _, node := range f.nodes {
+		peers = append(peers, node.name)
+	}
+	f.blockNode(isolated.name, peers, span)
+}
--- a/test/simulation/instance.go
+++ b/test/simulation/instance.go
@@ -2,150 +2,184 @@
 
 import (
 	"fmt"
+	"slices"
 	"time"
 
 	"tansyseam/internal/coordination/distribution"
-	"tansyseam/internal/coordination/failover/asyncrepl"
 	"tansyseam/internal/state/model"
 	"tansyseam/test/standin"
 )
 
+const (
+	instanceStartDelay   = time.Millisecond
+	announcementInterval = 400 * time.Millisecond
+	// outdatedPositionAge is that of the defect OutdatedPrimaryPositions.
+	outdatedPositionAge = 4 * time.Second
+	// replicationHold is how long a primary holds a replica's request that
+	// has nothing new, replicationTimeout how long the replica waits.
+	replicationHold    = 300 * time.Millisecond
+	replicationTimeout = 700 * time.Millisecond
+	noUpstreamDelay    = 100 * time.Millisecond
+	// lostWithoutResetProbability is that of a lost answer after which the
+	// connection stays.
+	lostWithoutResetProbability = 0.5
+)
+
+// instance is a simulated back end that pushes its position: a log, which
+// replicas pull from the primary, and sessions that run statements on it.
 type instance struct {
 	machine
-	fleet            *fleet
-	database         string
-	role             string
-	term             uint64
-	incarnationName  string
-	dataLosses       int
+	fleet    *fleet
+	database string
+	role     string
+	term     uint64
+	entries  []standin.Entry
+	// incarnationName changes when the data is lost.
+	incarnationName string
+	dataLosses      int
+	// upstream is the instance that a replica follows.
 	upstream         *instance
-	entries          []standin.Entry
 	replicationDelay time.Duration
 	serviceTime      time.Duration
-	leavingSince     int64
-	silent           bool
-	answersToLose    int
-	appendWaiters    []func()
-	executions       []standin.Ran
-	claimsClean      bool
-	positionHistory  []positionSample
-
-	connections        []*connection
-	connectionsMade    int
-	openConnections    int
-	maxOpenConnections int
-	busySlots          int
-	queue              []func()
-	transactionsMade   int
-}
-
-func (x *instance) position() model.Position {
-	if len(x.entries) == 0 {
+	// leavingSince is when the instance was told to leave; 0 for not.
+	leavingSince int64
+	// silent says that the instance announces nothing.
+	silent bool
+	// answersToLose counts the answers that a fault loses.
+	answersToLose int
+	// claimsClean is the defect DirtyConnections.
+	claimsClean     bool
+	logWaiters      logWaiters
+	executions      []standin.Ran
+	positionHistory []positionSample
+
+	connections      []*connection
+	connectionsMade  int
+	openConnections  int
+	busySlots        int
+	queue            []func()
+	transactionsMade int
+}
+
+func (i *instance) position() model.Position {
+	if len(i.entries) == 0 {
 		return model.Position{}
 	}
-	end := x.entries[len(x.entries)-1]
-	return model.Position{Term: end.Term, Index: end.Index}
+	last := i.entries[len(i.entries)-1]
+	return model.Position{Term: last.Term, Index: last.Index}
 }
 
-func (x *instance) info() model.Instance {
+func (i *instance) info() model.Instance {
 	return model.Instance{
-		Name: x.name, Database: x.database, Address: x.name, Zone: x.zone, Role: x.role, Incarnation: x.incarnationName, Position: x.position(),
-		Term: x.term, Leaving: x.leavingSince != 0, Connections: x.fleet.config.Connections, Slots: x.fleet.config.Slots,
+		Name: i.name, Database: i.database, Address: i.name, Zone: i.zone, Role: i.role, Incarnation: i.incarnationName, Position: i.position(),
+		Term: i.term, Leaving: i.leavingSince != 0, Connections: i.fleet.config.Connections, Slots: i.fleet.config.Slots,
 	}
 }
 
-func (x *instance) start() {
-	x.running, x.frozen, x.deferred, x.appendWaiters = true, false, nil, nil
-	x.simulator.record("%s up as %s of term %d at %v", x.name, x.role, x.term, x.position())
-	x.after(time.Millisecond, x.announce)
-	x.after(time.Millisecond, x.replicate)
+func (i *instance) start() {
+	i.markStarted()
+	i.logWaiters = logWaiters{}
+	i.simulator.record("%s up as %s of term %d at %v", i.name, i.role, i.term, i.position())
+	i.after(instanceStartDelay, i.announce)
+	i.after(instanceStartDelay, i.replicate)
 }
 
-func (x *instance) loseData() {
-	x.dataLosses++
-	x.incarnationName = fmt.Sprintf("%s.%d", x.name, x.dataLosses)
-	x.entries, x.role = nil, model.RoleReplica
-	x.simulator.record("%s lost its data", x.name)
+// loseData makes the instance a blank replica.
+func (i *instance) loseData() {
+	i.dataLosses++
+	i.incarnationName = fmt.Sprintf("%s.%d", i.name, i.dataLosses)
+	i.entries, i.role = nil, model.RoleReplica
+	i.simulator.record("%s lost its data", i.name)
 }
 
-func (x *instance) append(entry standin.Entry) {
-	x.entries = append(x.entries, entry)
-	waiting := x.appendWaiters
-	x.appendWaiters = nil
-	for _, wake := range waiting {
+// append adds an entry of the instance's own term to its log.
+func (i *instance) append(requestIDs, texts []string) {
+	i.addEntry(standin.Entry{Term: i.term, Index: uint64(len(i.entries)) + 1, Gos: requestIDs, Texts: texts})
+}
+
+func (i *instance) addEntry(entry standin.Entry) {
+	i.entries = append(i.entries, entry)
+	i.logWaiters.wakeAll()
+}
+
+// awaitBeyond calls a function once the log is past a position, or after a
+// time-out.
+func (i *instance) awaitBeyond(after model.Position, timeout time.Duration, wake func()) {
+	if after.IsBefore(i.position()) {
 		wake()
+		return
 	}
+	i.logWaiters.add(&i.machine, timeout, wake)
 }
 
+// positionSample is where the log ended at a time.
 type positionSample struct {
 	at       time.Duration
 	position model.Position
 }
 
-func (x *instance) positionBefore(span time.Duration) model.Position {
-	for at := len(x.positionHistory) - 1; at >= 0; at-- {
-		if x.positionHistory[at].at <= x.simulator.now-span {
-			return x.positionHistory[at].position
+// positionBefore gives where the log ended a span ago.
+func (i *instance) positionBefore(age time.Duration) model.Position {
+	for _, sample := range slices.Backward(i.positionHistory) {
+		if sample.at <= i.simulator.now-age {
+			return sample.position
 		}
 	}
 	return model.Position{}
 }
 
-func (x *instance) announce() {
-	x.positionHistory = append(x.positionHistory, positionSample{x.simulator.now, x.position()})
-	x.after(400*time.Millisecond, x.announce)
-	if x.silent {
+// announce tells all nodes and control servers of the instance, again and
+// again.
+func (i *instance) announce() {
+	i.positionHistory = append(i.positionHistory, positionSample{i.simulator.now, i.position()})
+	i.after(announcementInterval, i.announce)
+	if i.silent {
 		return
 	}
-	info := x.info()
-	for _, node := range x.fleet.nodes {
-		x.simulator.send(&x.machine, &node.machine, func() { node.onAnnouncement(info) })
+	info := i.info()
+	for _, node := range i.fleet.nodes {
+		i.simulator.send(&i.machine, &node.machine, func() { node.onAnnouncement(info) })
 	}
-	for _, control := range x.fleet.controls {
-		x.simulator.send(&x.machine, &control.machine, func() {
+	for _, control := range i.fleet.controls {
+		i.simulator.send(&i.machine, &control.machine, func() {
 			control.announcements[info.Name] = distribution.Observation{Instance: info, ObservedAt: control.clock()}
 		})
 	}
 }
 
-func (x *instance) awaitBeyond(after model.Position, wait time.Duration, wake func()) {
-	woken := false
-	once := func() {
-		if !woken {
-			woken = true
-			wake()
-		}
-	}
-	if after.IsBefore(x.position()) {
-		once()
-		return
-	}
-	x.appendWaiters = append(x.appendWaiters, once)
-	x.after(wait, once)
+// logSuffix is what a replica has to do to follow: cut its log back, or append
+// entries.
+type logSuffix struct {
+	entries []standin.Entry
+	// truncate says that the log is to be cut to a length.
+	truncate bool
+	length   int
+	term     uint64
 }
 
-func (x *instance) replicate() {
-	if x.role != model.RoleReplica || x.upstream == nil {
-		x.after(100*time.Millisecond, x.replicate)
+// replicate pulls from the upstream instance, again and again.
+func (i *instance) replicate() {
+	if i.role != model.RoleReplica || i.upstream == nil {
+		i.after(noUpstreamDelay, i.replicate)
 		return
 	}
-	up, after := x.upstream, x.position()
+	upstream, position := i.upstream, i.position()
 	finished := false
 	again := func() {
 		if !finished {
 			finished = true
-			x.replicate()
+			i.replicate()
 		}
 	}
-	x.after(700*time.Millisecond, again)
-	x.simulator.send(&x.machine, &up.machine, func() {
-		up.awaitBeyond(after, 300*time.Millisecond, func() {
-			entries, cut, isCut := up.entriesAfter(after)
-			term := up.term
-			x.simulator.send(&up.machine, &x.machine, func() {
-				x.after(x.replicationDelay, func() {
-					if !finished && x.role == model.RoleReplica && x.upstream == up && x.position() == after {
-						x.apply(entries, cut, isCut, term)
+	i.after(replicationTimeout, again)
+	i.simulator.send(&i.machine, &upstream.machine, func() {
+		upstream.awaitBeyond(position, replicationHold, func() {
+			suffix := upstream.suffixAfter(position)
+			i.simulator.send(&upstream.machine, &i.machine, func() {
+				i.after(i.replicationDelay, func() {
+					current := i.role == model.RoleReplica && i.upstream == upstream && i.position() == position
+					if !finished && current {
+						i.apply(suffix)
 					}
 					again()
 				})
@@ -154,94 +188,32 @@
 	})
 }
 
-func (x *instance) entriesAfter(after model.Position) ([]standin.Entry, int, bool) {
-	at := int(after.Index)
-	if x.role != model.RolePrimary && (at > len(x.entries) || (at > 0 && x.entries[at-1].Term != after.Term)) {
-		return nil, 0, false
-	}
-	if at > len(x.entries) {
-		return nil, len(x.entries), true
+// suffixAfter gives what a replica whose log ends at a position has to do. A
+// replica that is asked does not have others cut their logs.
+func (i *instance) suffixAfter(position model.Position) logSuffix {
+	length := int(position.Index)
+	tooLong := length > len(i.entries)
+	diverged := !tooLong && length > 0 && i.entries[length-1].Term != position.Term
+	if (tooLong || diverged) && i.role != model.RolePrimary {
+		return logSuffix{term: i.term}
 	}
-	if at > 0 && x.entries[at-1].Term != after.Term {
-		return nil, at - 1, true
-	}
-	return append([]standin.Entry(nil), x.entries[at:]...), 0, false
-}
-
-func (x *instance) apply(entries []standin.Entry, cut int, isCut bool, term uint64) {
-	if isCut {
-		x.simulator.record("%s cuts its log from %d back to %d", x.name, len(x.entries), cut)
-		x.entries = x.entries[:cut]
-		return
+	if tooLong {
+		return logSuffix{truncate: true, length: len(i.entries), term: i.term}
 	}
-	for _, entry := range entries {
-		x.append(entry)
+	if diverged {
+		return logSuffix{truncate: true, length: length - 1, term: i.term}
 	}
-	x.term = max(x.term, term)
+	return logSuffix{entries: slices.Clone(i.entries[length:]), term: i.term}
 }
 
-type platform struct {
-	machine
-	fleet           *fleet
-	delay           time.Duration
-	refusals        int
-	cutOff          bool
-	calls           int
-	keepsOldPrimary bool
-}
-
-func (p *platform) promote(from *controlServer, call asyncrepl.Promote) {
-	p.simulator.record("%s calls for %s to be promoted to term %d", from.name, call.Instance, call.Term)
-	p.simulator.send(&from.machine, &p.machine, func() {
-		if p.cutOff {
-			return
-		}
-		if p.refusals > 0 {
-			p.refusals--
-			return
-		}
-		p.calls++
-		p.after(p.delay, func() { p.applyPromotion(call) })
-	})
-}
-
-func (p *platform) applyPromotion(call asyncrepl.Promote) {
-	target := p.fleet.findInstance(call.Instance)
-	p.simulator.send(&p.machine, &target.machine, func() {
-		if target.term >= call.Term {
-			return
-		}
-		target.role, target.term, target.upstream = model.RolePrimary, call.Term, nil
-		target.append(standin.Entry{Term: call.Term, Index: uint64(len(target.entries)) + 1})
-		target.executions = append(target.executions, standin.Ran{At: int64(p.simulator.now), Instance: target.name, Database: target.database, Act: "promote", Term: call.Term})
-		p.simulator.record("%s promoted to term %d at %v", target.name, target.term, target.position())
-		for _, other := range p.fleet.instances {
-			if other.database == target.database && other != target {
-				p.redirectReplica(other, target, call.Term, 400)
-			}
-		}
-	})
-}
-
-func (p *platform) redirectReplica(other, target *instance, term uint64, goes int) {
-	if goes == 0 {
+func (i *instance) apply(suffix logSuffix) {
+	if suffix.truncate {
+		i.simulator.record("%s cuts its log from %d back to %d", i.name, len(i.entries), suffix.length)
+		i.entries = i.entries[:suffix.length]
 		return
 	}
-	if p.keepsOldPrimary {
-		p.after(200*time.Millisecond, func() { p.redirectReplica(other, target, term, goes-1) })
-		return
+	for _, entry := range suffix.entries {
+		i.addEntry(entry)
 	}
-	isHeard := false
-	p.simulator.send(&p.machine, &other.machine, func() {
-		isHeard = true
-		if term < other.term || (other.role == model.RolePrimary && other.term == term) {
-			return
-		}
-		other.role, other.upstream, other.term = model.RoleReplica, target, term
-	})
-	p.after(200*time.Millisecond, func() {
-		if !isHeard {
-			p.redirectReplica(other, target, term, goes-1)
-		}
-	})
+	i.term = max(i.term, suffix.term)
 }
--- /dev/null
+++ b/test/simulation/lines_failover.go
@@ -0,0 +1,138 @@
+package simulation
+
+import (
+	"time"
+
+	"tansyseam/internal/coordination/failover"
+	"tansyseam/internal/coordination/failover/asyncrepl"
+	"tansyseam/internal/coordination/failover/syncrepl"
+	"tansyseam/internal/state/model"
+)
+
+const (
+	probeTimeout          = 400 * time.Millisecond
+	refusedProbeDelay     = 3 * time.Millisecond
+	busyProbability       = 0.05
+	unreachableTerm       = 1 << 60
+	noStepDown            = 0
+	statusDone            = 200
+	statusConflict        = 409
+	statusTooManyRequests = 429
+)
+
+// decideSync has a control server decide on a database.
+func (l *lineFleet) decideSync(control, primary *controlServer, evidence syncrepl.Evidence) {
+	evidence.FencingEnforced = l.config.FencesChecked
+	evidence = control.syncFailover.Augment(evidence, control.clock())
+	effects := syncrepl.Step(evidence, syncrepl.DefaultTiming())
+	if l.defects.PromoteWorstReplica {
+		promoteWorst(effects, worstReplica(evidence))
+	}
+	step := failoverStep{
+		primary: primary, database: evidence.Database, previous: evidence.Writer, previousExists: evidence.Known,
+		act:      func(effect any) { l.applySyncFailover(control, primary, evidence, effect) },
+		recorded: control.syncFailover.RecordCommitted,
+	}
+	control.applyFailover(step, effects)
+}
+
+// decideAsync decides as for instances that push their positions, where
+// control does not know better yet. That cannot promote any.
+func (l *lineFleet) decideAsync(control, primary *controlServer, evidence asyncrepl.Evidence) {
+	step := failoverStep{
+		primary: primary, database: evidence.Database, previous: evidence.Writer, previousExists: evidence.Known,
+		act: func(effect any) {
+			if promote, ok := effect.(asyncrepl.Promote); ok {
+				l.recorder.addViolation("%s is promoted as if it pushed its position", promote.Instance)
+			}
+		},
+		recorded: func(failover.Record) {},
+	}
+	control.applyFailover(step, asyncrepl.Step(evidence, asyncrepl.DefaultTiming()))
+}
+
+func (l *lineFleet) applySyncFailover(control, primary *controlServer, evidence syncrepl.Evidence, effect any) {
+	if status, ok := effect.(syncrepl.QueryStatus); ok {
+		l.probeInstance(control, evidence, status.Instance, status.Address, noStepDown)
+	}
+	if down, ok := effect.(syncrepl.StepDown); ok {
+		l.probeInstance(control, evidence, down.Instance, down.Address, down.Term)
+	}
+	if bound, ok := effect.(syncrepl.ReportBound); ok {
+		l.simulator.send(&control.machine, &primary.machine, func() {
+			if primary.isPrimary() {
+				primary.distributor.ConfirmCoverage(bound)
+			}
+		})
+	}
+	if promote, ok := effect.(syncrepl.Promote); ok {
+		l.platform.requestPromotion(control, promote)
+	}
+}
+
+// promoteWorst changes promotions to one of the worst replica.
+func promoteWorst(effects []any, worst string) {
+	for index, effect := range effects {
+		if record, ok := effect.(failover.Record); ok && record.Writer.Phase == model.PhasePromoting {
+			record.Writer.Promoting = worst
+			effects[index] = record
+		}
+		if promote, ok := effect.(syncrepl.Promote); ok {
+			promote.Instance = worst
+			effects[index] = promote
+		}
+	}
+}
+
+// worstReplica names the replica that answered from furthest behind.
+func worstReplica(evidence syncrepl.Evidence) string {
+	name, least := "", model.Position{Term: unreachableTerm}
+	for _, observation := range evidence.Observations {
+		probe := evidence.Probes[observation.Instance.Name]
+		if probe.Answered && probe.Role == model.RoleReplica && probe.Position.IsBefore(least) {
+			name, least = observation.Instance.Name, probe.Position
+		}
+	}
+	return name
+}
+
+// probeInstance asks an instance for its status, and orders it to step down
+// for a term where one is given.
+func (l *lineFleet) probeInstance(control *controlServer, evidence syncrepl.Evidence, name, address string, stepDownTerm uint64) {
+	report := control.syncFailover.BeginProbe(evidence, name)
+	if report == nil {
+		return
+	}
+	finished := false
+	finish := func(result syncrepl.ProbeResult) {
+		if !finished {
+			finished = true
+			report(result, control.clock())
+		}
+	}
+	fail := func() { finish(syncrepl.ProbeResult{}) }
+	control.after(probeTimeout, fail)
+	target := l.instancesByAddress[address]
+	if !target.running && !target.vanished {
+		control.after(refusedProbeDelay, fail)
+		return
+	}
+	l.simulator.send(&control.machine, &target.machine, func() {
+		if stepDownTerm != noStepDown && target.name == name {
+			target.stepDown(stepDownTerm, l.primaryOf(evidence.Database))
+		}
+		result := target.probeResult(name)
+		l.simulator.send(&target.machine, &control.machine, func() { finish(result) })
+	})
+}
+
+// probeResult answers a probe for the instance of a name.
+func (i *lineInstance) probeResult(name string) syncrepl.ProbeResult {
+	if i.name != name {
+		return syncrepl.ProbeResult{Gone: true}
+	}
+	if i.isOverloaded() || i.simulator.chance(busyProbability) {
+		return syncrepl.ProbeResult{Busy: true}
+	}
+	return syncrepl.ProbeResult{Answered: true, Role: i.role, Term: i.term, Position: i.position()}
+}
--- a/test/simulation/lines_faults.go
+++ b/test/simulation/lines_faults.go
@@ -1,251 +1,259 @@
 package simulation
 
 import (
-	"fmt"
 	"slices"
-	"strings"
 	"time"
 
 	"tansyseam/internal/state/model"
 )
 
-type lineFaultKind struct {
-	name   string
-	inject func(l *lineFleet, span time.Duration)
-}
+const (
+	maxLineFaultDuration        = 4 * time.Second
+	minLineFaultInterval        = 300 * time.Millisecond
+	defaultMaxLineFaultInterval = 3 * time.Second
+	lineFollowUpProbability     = 0.2
+	maxLineFollowUpDuration     = 3 * time.Second
 
-func (l *lineFleet) randomInstance() *lineInstance {
-	return pickRandom(l.fleet, l.instancesOf(pickRandom(l.fleet, l.databases)))
+	lostLineAnswers      = 6
+	minSlowLineService   = 40 * time.Millisecond
+	maxSlowLineService   = 600 * time.Millisecond
+	minLineLag           = 100 * time.Millisecond
+	maxLineLag           = 2 * time.Second
+	minLineCrashDelay    = 200 * time.Millisecond
+	maxLineCrashDelay    = 2 * time.Second
+	minPlatformDelay     = 500 * time.Millisecond
+	maxPlatformDelay     = 4 * time.Second
+	linePlatformRefusals = 2
+)
+
+// lineFaultCatalog has the faults of RunLines. Faults are drawn by their place
+// in it, so that another order gives other histories.
+var lineFaultCatalog = []faultKind[*lineFleet]{
+	{"instance crash", func(l *lineFleet, span time.Duration) { l.crashInstance(l.randomInstance(), span) }},
+	{"instance dark", func(l *lineFleet, span time.Duration) { l.randomInstance().freezeFor(span) }},
+	{"primary crash", func(l *lineFleet, span time.Duration) { l.crashInstance(l.randomPrimary(), span) }},
+	{"primary dark", func(l *lineFleet, span time.Duration) { l.randomPrimary().freezeFor(span) }},
+	{"primary leaving", func(l *lineFleet, _ time.Duration) { l.haveInstanceLeave(l.randomPrimary()) }},
+	{"instance leaving", func(l *lineFleet, _ time.Duration) { l.haveInstanceLeave(l.randomInstance()) }},
+	{"instance slow", (*lineFleet).slowInstance},
+	{"replica lag", (*lineFleet).delayReplication},
+	{"replica deaf", func(l *lineFleet, span time.Duration) { l.isolateReplica(l.randomInstance(), span) }},
+	{"replica deaf, primary crash", (*lineFleet).isolateReplicaAndCrashPrimary},
+	{"replica gone for good", (*lineFleet).replaceReplica},
+	{"control machine replaced", func(l *lineFleet, span time.Duration) { l.replaceControl(l.randomControl(), span, false) }},
+	{"control machine replaced as planned", func(l *lineFleet, span time.Duration) { l.replaceControl(l.randomControl(), span, true) }},
+	{"control stopped as planned", func(l *lineFleet, span time.Duration) { l.restartControl(l.randomControl(), span) }},
+	{"answers lost", func(l *lineFleet, _ time.Duration) { l.randomInstance().answersToLose = lostLineAnswers }},
+	{"connections reset", (*lineFleet).resetConnections},
+	{"node kill", (*lineFleet).crashNode},
+	{"node freeze", func(l *lineFleet, span time.Duration) { l.randomNode().freezeFor(span) }},
+	{"node stopped as planned", func(l *lineFleet, span time.Duration) { l.randomNode().stop(span) }},
+	{"node cut off", (*lineFleet).isolateNode},
+	{"platform late", (*lineFleet).delayPlatform},
+	{"platform refuses", func(l *lineFleet, _ time.Duration) { l.platform.refusals = linePlatformRefusals }},
+	{"platform doubles", (*lineFleet).repeatPlatformCalls},
+	{"platform cut off", (*lineFleet).cutOffPlatform},
+	{"control crash", (*lineFleet).crashControl},
+	{"control primary crash", (*lineFleet).crashControlPrimary},
+	{"control crash between syncs", (*lineFleet).crashControlBetweenSyncs},
+	{"control freeze", func(l *lineFleet, span time.Duration) { l.randomControl().freezeFor(span) }},
+	{"control cut off", (*lineFleet).isolateControl},
+	{"control disk lost", (*lineFleet).loseControlDisk},
+	{"control disk full", (*lineFleet).fillControlDisk},
+	{"control primary's disk hangs", (*lineFleet).hangControlPrimaryDisk},
+	{"control disk slow", (*lineFleet).slowControlDisk},
+	{"drops", (*lineFleet).loseMessages},
+	{"links slow", (*lineFleet).slowLinks},
 }
 
-func (l *lineFleet) randomPrimary() *lineInstance {
-	if head := l.primaryOf(pickRandom(l.fleet, l.databases)); head != nil {
-		return head
+// LineFaultNames lists the kinds of faults of RunLines.
+func LineFaultNames() []string { return faultNames(lineFaultCatalog) }
+
+// injectFaultsUntil injects random faults.
+func (l *lineFleet) injectFaultsUntil(until time.Duration) {
+	schedule := faultSchedule[*lineFleet]{
+		simulator: l.simulator, catalog: lineFaultCatalog, allowed: l.config.AllowedFaults, maxDuration: maxLineFaultDuration,
+		minInterval: minLineFaultInterval, maxInterval: defaultMaxLineFaultInterval, inject: l.injectFault,
 	}
-	return l.randomInstance()
+	if l.config.MaxFaultInterval != 0 {
+		schedule.maxInterval = l.config.MaxFaultInterval
+	}
+	if len(l.config.AllowedFaults) > 0 {
+		schedule.maxDuration = l.config.MaxFaultDuration
+	}
+	schedule.runUntil(until)
 }
 
-func (l *lineFleet) crashInstance(one *lineInstance, span time.Duration) {
-	if !one.ended {
-		l.crashAndRestart(&one.machine, one.start, span)
-	}
+func (l *lineFleet) injectFault(kind faultKind[*lineFleet], span time.Duration) {
+	l.recordFault(kind.name, span, l.writerPhases())
+	l.faultyUntil = max(l.faultyUntil, l.simulator.now+span)
+	kind.inject(l, span)
 }
 
-func (l *lineFleet) freezeFor(one *lineInstance, span time.Duration) {
-	one.freeze()
-	l.simulator.after(span, one.thaw)
+// maybeInjectFollowUp may inject another fault soon, as the writer role of a
+// database moves.
+func (l *lineFleet) maybeInjectFollowUp() {
+	disabled := l.faults.followUpsLeft == 0 || l.config.Script != nil || len(l.config.AllowedFaults) > 0
+	if disabled || !l.simulator.chance(lineFollowUpProbability) {
+		return
+	}
+	l.faults.followUpsLeft--
+	l.afterUnlessRepaired(l.simulator.randomDuration(0, maxFollowUpDelay), func() {
+		l.injectFault(pickRandom(l.simulator, lineFaultCatalog), l.simulator.randomDuration(minFaultDuration, maxLineFollowUpDuration))
+	})
 }
 
-func (l *lineFleet) isolateReplica(one *lineInstance, span time.Duration) {
-	for _, other := range l.instancesOf(one.database) {
-		if other != one {
-			l.blockLink([2]string{other.name, one.name}, span)
-		}
+// repairAll ends all faults.
+func (l *lineFleet) repairAll() {
+	l.faults.repaired = true
+	l.simulator.record("all is mended")
+	l.simulator.repairNetwork()
+	l.platform.repair()
+	l.faultyUntil = l.simulator.now
+	l.repairControls()
+	for _, node := range l.nodes {
+		node.thaw()
+		node.ensureRunning(node.start)
+	}
+	for _, instance := range l.instances {
+		instance.repair()
 	}
 }
 
-var lineFaultCatalog []lineFaultKind
-
-func init() {
-	lineFaultCatalog = []lineFaultKind{
-		{"instance crash", func(l *lineFleet, span time.Duration) { l.crashInstance(l.randomInstance(), span) }},
-		{"instance dark", func(l *lineFleet, span time.Duration) { l.freezeFor(l.randomInstance(), span) }},
-		{"primary crash", func(l *lineFleet, span time.Duration) { l.crashInstance(l.randomPrimary(), span) }},
-		{"primary dark", func(l *lineFleet, span time.Duration) { l.freezeFor(l.randomPrimary(), span) }},
-		{"primary leaving", func(l *lineFleet, _ time.Duration) { l.drainInstance(l.randomPrimary()) }},
-		{"instance leaving", func(l *lineFleet, _ time.Duration) { l.drainInstance(l.randomInstance()) }},
-		{"instance slow", func(l *lineFleet, span time.Duration) {
-			one := l.randomInstance()
-			one.serviceTime = l.simulator.randomDuration(40*time.Millisecond, 600*time.Millisecond)
-			l.simulator.after(span, func() { one.serviceTime = 5 * time.Millisecond })
-		}},
-		{"replica lag", func(l *lineFleet, span time.Duration) {
-			one := l.randomInstance()
-			one.replicationDelay = l.simulator.randomDuration(100*time.Millisecond, 2*time.Second)
-			l.simulator.after(span, func() { one.replicationDelay = 2 * time.Millisecond })
-		}},
-		{"replica deaf", func(l *lineFleet, span time.Duration) { l.isolateReplica(l.randomInstance(), span) }},
-		{"replica deaf, primary crash", func(l *lineFleet, span time.Duration) {
-			head := l.randomPrimary()
-			for _, one := range l.instancesOf(head.database) {
-				if one != head {
-					l.isolateReplica(one, span)
-					break
-				}
-			}
-			l.afterUnlessRepaired(l.simulator.randomDuration(200*time.Millisecond, 2*time.Second), func() { l.crashInstance(head, span) })
-		}},
-		{"replica gone for good", func(l *lineFleet, span time.Duration) {
-			one := l.randomInstance()
-			if one.role == model.RolePrimary {
-				return
-			}
-			for _, other := range l.instancesOf(one.database) {
-				isWell := other.running && !other.frozen && other.leavingSince == 0 && other.position() == one.position()
-				if !isWell || l.replicaReplaced[one.database] {
-					return
-				}
-			}
-			l.replicaReplaced[one.database] = true
-			one.ended = true
-			one.crash()
-			l.afterUnlessRepaired(span, func() { l.replaceLineInstance(one) })
-		}},
-		{"control machine replaced", func(l *lineFleet, span time.Duration) { l.replaceControl(pickRandom(l.fleet, l.controls), span, false) }},
-		{"control machine replaced as planned", func(l *lineFleet, span time.Duration) { l.replaceControl(pickRandom(l.fleet, l.controls), span, true) }},
-		{"control stopped as planned", func(l *lineFleet, span time.Duration) { l.stopControl(pickRandom(l.fleet, l.controls), span) }},
-		{"answers lost", func(l *lineFleet, _ time.Duration) { l.randomInstance().answersToLose = 6 }},
-		{"connections reset", func(l *lineFleet, _ time.Duration) {
-			for _, one := range slices.Clone(l.randomInstance().sessions) {
-				one.close()
-				one.connection.breakOff()
-			}
-		}},
-		{"node kill", func(l *lineFleet, span time.Duration) {
-			one := pickRandom(l.fleet, l.lineNodes)
-			l.crashAndRestart(&one.machine, one.start, span)
-		}},
-		{"node freeze", func(l *lineFleet, span time.Duration) {
-			one := pickRandom(l.fleet, l.lineNodes)
-			one.freeze()
-			l.simulator.after(span, func() {
-				if one.frozen {
-					one.thawedAt = l.simulator.now
-				}
-				one.thaw()
-			})
-		}},
-		{"node stopped as planned", func(l *lineFleet, span time.Duration) { pickRandom(l.fleet, l.lineNodes).stop(span) }},
-		{"node cut off", func(l *lineFleet, span time.Duration) {
-			isolated := pickRandom(l.fleet, l.lineNodes)
-			for _, control := range l.controls {
-				l.blockLink([2]string{isolated.name, control.name}, span)
-				l.blockLink([2]string{control.name, isolated.name}, span)
-			}
-			for _, other := range l.lineNodes {
-				l.blockLink([2]string{isolated.name, other.name}, span)
-				l.blockLink([2]string{other.name, isolated.name}, span)
-			}
-		}},
-		{"platform late", func(l *lineFleet, span time.Duration) {
-			l.platformDelay = l.simulator.randomDuration(500*time.Millisecond, 4*time.Second)
-			l.simulator.after(span, func() { l.platformDelay = 0 })
-		}},
-		{"platform refuses", func(l *lineFleet, _ time.Duration) { l.platformRefusals = 2 }},
-		{"platform doubles", func(l *lineFleet, span time.Duration) {
-			l.platformRepeats = true
-			l.simulator.after(span, func() { l.platformRepeats = false })
-		}},
-		{"platform cut off", func(l *lineFleet, span time.Duration) {
-			l.platformCutOff = true
-			l.simulator.after(span, func() { l.platformCutOff = false })
-		}},
+func (p *linePlatform) repair() { p.delay, p.refusals, p.cutOff, p.repeats = 0, 0, false, false }
+
+func (i *lineInstance) repair() {
+	i.replicationDelay, i.serviceTime, i.answersToLose = defaultLineReplicationDelay, defaultLineServiceTime, 0
+	i.thaw()
+	if !i.ended {
+		i.ensureRunning(i.start)
 	}
-	for _, name := range []string{"control crash", "control primary crash", "control crash between syncs", "control freeze", "control cut off", "control disk lost", "control disk full", "control primary's disk hangs", "control disk slow", "drops", "links slow"} {
-		at := slices.IndexFunc(faultCatalog, func(one faultKind) bool { return one.name == name })
-		lineFaultCatalog = append(lineFaultCatalog, lineFaultKind{name, func(l *lineFleet, span time.Duration) { faultCatalog[at].inject(l.fleet, span) }})
+}
+
+func (l *lineFleet) randomNode() *lineNode { return pickRandom(l.simulator, l.nodes) }
+
+// randomInstance gives a random instance of a random database.
+func (l *lineFleet) randomInstance() *lineInstance {
+	return pickRandom(l.simulator, l.instancesOf(pickRandom(l.simulator, l.databases)))
+}
+
+// randomPrimary gives the primary of a random database, or any instance where
+// it has none.
+func (l *lineFleet) randomPrimary() *lineInstance {
+	if primary := l.primaryOf(pickRandom(l.simulator, l.databases)); primary != nil {
+		return primary
 	}
+	return l.randomInstance()
 }
 
-// replaceServer brings a blank replica to the address of one that is gone for good.
-func (l *lineFleet) replaceLineInstance(old *lineInstance) {
-	l.lastNumber++
-	next := l.addInstance(old.database, fmt.Sprintf("%s.%d", strings.Split(old.name, ".")[0], l.lastNumber), old.address, old.zone)
-	next.role, next.upstream = model.RoleReplica, l.primaryOf(old.database)
-	next.start()
+func (l *lineFleet) crashInstance(instance *lineInstance, span time.Duration) {
+	if !instance.ended {
+		instance.crashAndRestart(instance.start, span)
+	}
 }
 
-// depart plays a planned end, where another of the database is there.
-func (l *lineFleet) drainInstance(one *lineInstance) {
-	for _, other := range l.instancesOf(one.database) {
+// haveInstanceLeave has an instance leave where all others of its database run
+// and stay.
+func (l *lineFleet) haveInstanceLeave(instance *lineInstance) {
+	for _, other := range l.instancesOf(instance.database) {
 		if other.leavingSince != 0 || !other.running {
 			return
 		}
 	}
-	one.leave()
+	instance.leave()
 }
 
-func (l *lineFleet) injectLineFaultsUntil(until time.Duration) {
-	pace := l.lineConfig.MaxFaultInterval
-	if pace == 0 {
-		pace = 3 * time.Second
-	}
-	var act func()
-	act = func() {
-		if l.simulator.now >= until {
-			return
-		}
-		next := pickRandom(l.fleet, lineFaultCatalog)
-		longest := 4 * time.Second
-		if len(l.lineConfig.AllowedFaults) > 0 {
-			name := pickRandom(l.fleet, l.lineConfig.AllowedFaults)
-			next = lineFaultCatalog[slices.IndexFunc(lineFaultCatalog, func(one lineFaultKind) bool { return one.name == name })]
-			longest = l.lineConfig.MaxFaultDuration
+func (l *lineFleet) slowInstance(span time.Duration) {
+	instance := l.randomInstance()
+	instance.serviceTime = l.simulator.randomDuration(minSlowLineService, maxSlowLineService)
+	l.simulator.after(span, func() { instance.serviceTime = defaultLineServiceTime })
+}
+
+func (l *lineFleet) delayReplication(span time.Duration) {
+	instance := l.randomInstance()
+	instance.replicationDelay = l.simulator.randomDuration(minLineLag, maxLineLag)
+	l.simulator.after(span, func() { instance.replicationDelay = defaultLineReplicationDelay })
+}
+
+// isolateReplica blocks what an instance receives from the others of its
+// database.
+func (l *lineFleet) isolateReplica(isolated *lineInstance, span time.Duration) {
+	for _, other := range l.instancesOf(isolated.database) {
+		if other != isolated {
+			l.simulator.blockLink(link{other.name, isolated.name}, span)
 		}
-		l.injectLineFault(next, l.simulator.randomDuration(100*time.Millisecond, longest))
-		l.simulator.after(l.simulator.randomDuration(300*time.Millisecond, pace), act)
 	}
-	act()
 }
 
-func (l *lineFleet) injectLineFault(next lineFaultKind, span time.Duration) {
-	l.simulator.record("trouble: %s for %v", next.name, span)
-	for _, phase := range l.currentPhases() {
-		l.faultPhases[next.name+" / "+phase]++
+// isolateReplicaAndCrashPrimary crashes a primary that one of its replicas has
+// not received the last commits from.
+func (l *lineFleet) isolateReplicaAndCrashPrimary(span time.Duration) {
+	primary := l.randomPrimary()
+	for _, replica := range l.instancesOf(primary.database) {
+		if replica != primary {
+			l.isolateReplica(replica, span)
+			break
+		}
 	}
-	l.faultyUntil = max(l.faultyUntil, l.simulator.now+span)
-	next.inject(l, span)
+	l.afterUnlessRepaired(l.simulator.randomDuration(minLineCrashDelay, maxLineCrashDelay), func() { l.crashInstance(primary, span) })
 }
 
-func (l *lineFleet) maybeInjectLineFollowUp() {
-	isOff := l.followUpsLeft == 0 || l.lineConfig.Script != nil || len(l.lineConfig.AllowedFaults) > 0
-	if isOff || !l.simulator.chance(0.2) {
+// replaceReplica ends a replica without notice, and replaces it by a blank one
+// after a span. It does so once for a database, while all its instances have
+// the same log.
+func (l *lineFleet) replaceReplica(span time.Duration) {
+	replica := l.randomInstance()
+	if replica.role == model.RolePrimary || l.replicaReplaced[replica.database] || !l.isInStepWith(replica) {
 		return
 	}
-	l.followUpsLeft--
-	l.afterUnlessRepaired(l.simulator.randomDuration(0, 600*time.Millisecond), func() {
-		l.injectLineFault(pickRandom(l.fleet, lineFaultCatalog), l.simulator.randomDuration(100*time.Millisecond, 3*time.Second))
+	l.replicaReplaced[replica.database] = true
+	replica.ended = true
+	replica.crash()
+	l.afterUnlessRepaired(span, func() { l.startReplacement(replica) })
+}
+
+// isInStepWith reports whether all instances of a database run and stay, with
+// the log of one of them.
+func (l *lineFleet) isInStepWith(instance *lineInstance) bool {
+	return !slices.ContainsFunc(l.instancesOf(instance.database), func(other *lineInstance) bool {
+		return !other.running || other.frozen || other.leavingSince != 0 || other.position() != instance.position()
 	})
 }
 
-func (l *lineFleet) repairLines() {
-	l.repaired = true
-	l.simulator.record("all is mended")
-	l.simulator.blockedLinks = map[[2]string]bool{}
-	l.simulator.lossRate, l.simulator.extraDelay = 0, 0
-	l.platformDelay, l.platformRefusals, l.platformCutOff, l.platformRepeats = 0, 0, false, false
-	l.faultyUntil = l.simulator.now
-	for _, control := range l.controls {
-		control.disk.repair()
-		control.writesUntilCrash = 0
-		control.thaw()
-		if !control.running {
-			control.start()
-		}
-	}
-	for _, one := range l.lineNodes {
-		if one.frozen {
-			one.thawedAt = l.simulator.now
-		}
-		one.thaw()
-		if !one.running {
-			one.start()
-		}
-	}
-	for _, one := range l.lineInstances {
-		one.replicationDelay, one.serviceTime, one.answersToLose = 2*time.Millisecond, 5*time.Millisecond, 0
-		one.thaw()
-		if !one.running && !one.ended {
-			one.start()
-		}
+func (l *lineFleet) resetConnections(time.Duration) {
+	for _, session := range slices.Clone(l.randomInstance().sessions) {
+		session.close()
+		session.connection.breakOff()
 	}
 }
 
-// LineTroubleNames lists the troubles.
-func LineFaultNames() []string {
-	var names []string
-	for _, one := range lineFaultCatalog {
-		names = append(names, one.name)
+func (l *lineFleet) crashNode(span time.Duration) {
+	node := l.randomNode()
+	node.crashAndRestart(node.start, span)
+}
+
+// isolateNode cuts a node off from control and from all nodes.
+func (l *lineFleet) isolateNode(span time.Duration) {
+	isolated := l.randomNode()
+	var peers []string
+	for _, node := range l.nodes {
+		peers = append(peers, node.name)
 	}
-	return names
+	l.blockNode(isolated.name, peers, span)
+}
+
+// delayPlatform has calls of the platform take longer for a span.
+func (l *lineFleet) delayPlatform(span time.Duration) {
+	l.platform.delay = l.simulator.randomDuration(minPlatformDelay, maxPlatformDelay)
+	l.simulator.after(span, func() { l.platform.delay = 0 })
+}
+
+func (l *lineFleet) repeatPlatformCalls(span time.Duration) {
+	l.platform.repeats = true
+	l.simulator.after(span, func() { l.platform.repeats = false })
+}
+
+func (l *lineFleet) cutOffPlatform(span time.Duration) {
+	l.platform.cutOff = true
+	l.simulator.after(span, func() { l.platform.cutOff = false })
 }
--- a/test/simulation/lines_instance.go
+++ b/test/simulation/lines_instance.go
@@ -1,292 +1,237 @@
 package simulation
 
 import (
-	"fmt"
-	"maps"
 	"slices"
-	"strings"
 	"time"
 
 	"tansyseam/internal/coordination/distribution"
-	"tansyseam/internal/coordination/pool/linepool"
-	words "tansyseam/internal/state/lineproto"
 	"tansyseam/internal/state/model"
 )
 
+const (
+	lineAnnouncementTimeout = 200 * time.Millisecond
+	announcementRetries     = 2
+	lineReplicationHold     = 120 * time.Millisecond
+	lineReplicationTimeout  = 300 * time.Millisecond
+	lineNoUpstreamDelay     = 50 * time.Millisecond
+	// maxQueueLength bounds the statements that wait for a slot.
+	maxQueueLength = 12
+
+	lineRedirectInterval = 200 * time.Millisecond
+	lineRedirectAttempts = 200
+	// stepDownDelay is how long an old primary takes to follow a new one.
+	stepDownDelay = time.Second
+)
+
+// logEntry is one commit in the log of an instance.
 type logEntry struct {
-	term uint64
-	ids  []string
+	term     uint64
+	writeIDs []string
 }
 
+// pendingCommit is a commit that no replica has received yet.
 type pendingCommit struct {
 	position model.Position
 	done     func()
 }
 
-// server is a synced instance: its log is numbered, and a commit is answered
-// once one replica has received it.
+// lineInstance is an instance that replicates synchronously: its log is
+// numbered, and a commit is acknowledged once one replica has received it.
 type lineInstance struct {
 	machine
-	fleet               *lineFleet
-	database            string
-	address             string
-	role                string
-	term                uint64
-	entries             []logEntry
-	upstream            *lineInstance
-	replicationDelay    time.Duration
-	serviceTime         time.Duration
-	sessions            []*serverSession
-	busySlots           int
-	queue               []func()
-	pendingCommits      []pendingCommit
-	appendWaiters       []func()
-	announcementsMade   uint64
+	fleet    *lineFleet
+	database string
+	address  string
+	role     string
+	term     uint64
+	entries  []logEntry
+	// upstream is the instance that a replica follows.
+	upstream         *lineInstance
+	replicationDelay time.Duration
+	serviceTime      time.Duration
+	sessions         []*serverSession
+	busySlots        int
+	queue            []func()
+	pendingCommits   []pendingCommit
+	logWaiters       logWaiters
+	// announcementsMade numbers the announcements.
+	announcementsMade uint64
+	// leavingSince is when the instance was told to leave, and
+	// leavingAcknowledged when control knew it; 0 for not.
 	leavingSince        time.Duration
 	leavingAcknowledged time.Duration
-	ended               bool
-	answersToLose       int
-	statementsMade      int
-}
-
-func (l *lineFleet) addInstance(database, name, address, zone string) *lineInstance {
-	one := &lineInstance{machine: l.newMachine(name), fleet: l, database: database, address: address, replicationDelay: 2 * time.Millisecond, serviceTime: 5 * time.Millisecond}
-	one.zone, one.crashHandler = zone, one.onCrash
-	l.lineInstances = append(l.lineInstances, one)
-	l.instancesByAddress[address] = one
-	return one
+	// ended says that the instance is gone for good.
+	ended bool
+	// answersToLose counts the answers that a fault loses.
+	answersToLose  int
+	statementsMade int
 }
 
-func (s *lineInstance) position() model.Position {
-	if len(s.entries) == 0 {
+func (i *lineInstance) position() model.Position {
+	if len(i.entries) == 0 {
 		return model.Position{}
 	}
-	return model.Position{Term: s.entries[len(s.entries)-1].term, Index: uint64(len(s.entries))}
+	return model.Position{Term: i.entries[len(i.entries)-1].term, Index: uint64(len(i.entries))}
 }
 
-func (s *lineInstance) holds(position model.Position) bool {
-	at := int(position.Index)
-	return at == 0 || (at <= len(s.entries) && s.entries[at-1].term == position.Term)
+// holds reports whether the log has the entry at a position.
+func (i *lineInstance) holds(position model.Position) bool {
+	index := int(position.Index)
+	return index == 0 || (index <= len(i.entries) && i.entries[index-1].term == position.Term)
 }
 
-func (s *lineInstance) start() {
-	s.running, s.frozen, s.deferred, s.appendWaiters = true, false, nil, nil
-	s.sessions, s.busySlots, s.queue, s.pendingCommits = nil, 0, nil, nil
-	if s.fleet.newestTerms[s.database] > s.term {
-		s.role = model.RoleReplica
+func (i *lineInstance) start() {
+	i.markStarted()
+	i.logWaiters = logWaiters{}
+	i.sessions, i.busySlots, i.queue, i.pendingCommits = nil, 0, nil, nil
+	if i.fleet.newestTerms[i.database] > i.term {
+		i.role = model.RoleReplica
 	}
-	s.simulator.record("%s up as %s of term %d at %v", s.name, s.role, s.term, s.position())
-	s.after(time.Millisecond, s.heartbeat)
-	s.after(time.Millisecond, s.replicate)
-	if s.role == model.RolePrimary && s.term > 1 {
-		s.redirectReplicas()
+	i.simulator.record("%s up as %s of term %d at %v", i.name, i.role, i.term, i.position())
+	i.after(instanceStartDelay, i.heartbeat)
+	i.after(instanceStartDelay, i.replicate)
+	if i.role == model.RolePrimary && i.term > 1 {
+		i.redirectReplicas()
 	}
-	if s.leavingSince != 0 {
-		s.drain(max(s.leavingSince+drainDuration-s.simulator.now, 0))
+	if i.leavingSince != 0 {
+		i.drain(max(i.leavingSince+drainDuration-i.simulator.now, 0))
 	}
 }
 
-func (s *lineInstance) onCrash(vanished bool) {
-	for _, one := range slices.Clone(s.sessions) {
-		one.closed = true
+func (i *lineInstance) onCrash(vanished bool) {
+	for _, session := range slices.Clone(i.sessions) {
+		session.closed = true
 		if !vanished {
-			one.connection.breakOff()
+			session.connection.breakOff()
 		}
 	}
-	s.sessions = nil
+	i.sessions = nil
 }
 
-func (s *lineInstance) info() model.Instance {
-	s.announcementsMade++
+// info gives the next announcement of the instance.
+func (i *lineInstance) info() model.Instance {
+	i.announcementsMade++
 	return model.Instance{
-		Name: s.name, Database: s.database, Address: s.address, Zone: s.zone, Role: s.role, Leaving: s.leavingSince != 0,
-		Slots: s.fleet.lineConfig.Slots, SyncReplication: true, AnnouncementNumber: s.announcementsMade,
+		Name: i.name, Database: i.database, Address: i.address, Zone: i.zone, Role: i.role, Leaving: i.leavingSince != 0,
+		Slots: i.fleet.config.Slots, SyncReplication: true, AnnouncementNumber: i.announcementsMade,
 	}
 }
 
-func (s *lineInstance) heartbeat() {
-	s.after(400*time.Millisecond, s.heartbeat)
-	s.announce(s.info(), 2)
+func (i *lineInstance) heartbeat() {
+	i.after(announcementInterval, i.heartbeat)
+	i.announce(i.info(), announcementRetries)
 }
 
-// announce brings an announcement to any control machine, which passes it to
-// the primary before it answers.
-func (s *lineInstance) announce(info model.Instance, goes int) {
-	first := pickRandom(s.fleet.fleet, s.fleet.controls)
+// announce sends an announcement to any control server, which passes it to the
+// primary before it answers.
+func (i *lineInstance) announce(info model.Instance, retries int) {
+	first := pickRandom(i.simulator, i.fleet.controls)
 	answered := false
-	s.simulator.send(&s.machine, &first.machine, func() {
-		primary := first.fleet.findControl(first.consensus.Record().Primary)
+	i.simulator.send(&i.machine, &first.machine, func() {
+		primary := i.fleet.findControl(first.consensus.Record().Primary)
 		if primary == nil {
 			return
 		}
-		s.simulator.send(&first.machine, &primary.machine, func() {
+		i.simulator.send(&first.machine, &primary.machine, func() {
 			if !primary.isPrimary() {
 				return
 			}
 			primary.onAnnouncement(info)
-			s.simulator.send(&primary.machine, &first.machine, func() {
-				s.simulator.send(&first.machine, &s.machine, func() {
-					answered = true
-					if info.Leaving && s.leavingAcknowledged == 0 {
-						s.leavingAcknowledged = s.simulator.now
-					}
-				})
+			i.simulator.sendAlong([]*machine{&primary.machine, &first.machine, &i.machine}, func() {
+				answered = true
+				if info.Leaving && i.leavingAcknowledged == 0 {
+					i.leavingAcknowledged = i.simulator.now
+				}
 			})
 		})
 	})
-	s.after(200*time.Millisecond, func() {
-		if !answered && goes > 0 {
-			s.announce(info, goes-1)
+	i.after(lineAnnouncementTimeout, func() {
+		if !answered && retries > 0 {
+			i.announce(info, retries-1)
 		}
 	})
 }
 
+// onAnnouncement takes in an announcement, unless a newer one is known.
 func (c *controlServer) onAnnouncement(info model.Instance) {
 	if last, known := c.announcements[info.Name]; known && info.AnnouncementNumber <= last.Instance.AnnouncementNumber {
 		return
 	}
 	c.announcements[info.Name] = distribution.Observation{Instance: info, ObservedAt: c.clock()}
-	var list []distribution.Observation
-	for _, name := range slices.Sorted(maps.Keys(c.announcements)) {
-		list = append(list, c.announcements[name])
-	}
-	if c.distributor.UpdateInstances(list) {
+	if c.distributor.UpdateInstances(c.announcementsByName()) {
 		c.flushUpdates()
 	}
 }
 
-// leave plays a planned end: what comes after has its log and address.
-func (s *lineInstance) leave() {
-	if s.leavingSince != 0 || s.ended {
-		return
-	}
-	s.leavingSince = s.simulator.now
-	s.simulator.record("%s is leaving", s.name)
-	s.announce(s.info(), 2)
-	s.drain(drainDuration)
-}
-
-const drainDuration = drainTimeout + 1500*time.Millisecond
-
-// drain ends the server after a span; a crash does not call the end off.
-func (s *lineInstance) drain(span time.Duration) {
-	s.after(span, func() {
-		info := s.info()
-		info.Stopped = true
-		s.announce(info, 2)
-		s.after(500*time.Millisecond, s.end)
-	})
-}
-
-func (s *lineInstance) end() {
-	s.simulator.record("%s ends", s.name)
-	s.crash()
-	s.ended = true
-	s.fleet.lastNumber++
-	s.simulator.after(300*time.Millisecond, func() {
-		next := s.fleet.addInstance(s.database, fmt.Sprintf("%s.%d", strings.Split(s.name, ".")[0], s.fleet.lastNumber), s.address, s.zone)
-		next.role, next.term, next.entries, next.upstream = model.RoleReplica, s.term, slices.Clone(s.entries), s.upstream
-		if s.role == model.RolePrimary && s.fleet.newestTerms[s.database] == s.term {
-			next.role = model.RolePrimary
-		}
-		for _, other := range s.fleet.instancesOf(s.database) {
-			if other.upstream == s {
-				other.upstream = next
-			}
-		}
-		next.start()
-	})
-}
-
-// append adds a commit, and answers once a replica has received it.
-func (s *lineInstance) append(ids []string, done func()) model.Position {
-	s.entries = append(s.entries, logEntry{term: s.term, ids: ids})
-	position := s.position()
-	l := s.fleet
-	for _, id := range ids {
-		if before, isThere := l.commitPositions[id]; isThere {
-			l.addRuleViolation(RuleTwice, "%s is at %v and at %v", id, before, position)
-		}
-		l.commitPositions[id] = position
-		if word := l.refusedIDs[id]; word != "" {
-			l.addRuleViolation(RuleRefused, "%s was told %s, and is kept at %v", id, word, position)
-		}
-	}
-	s.pendingCommits = append(s.pendingCommits, pendingCommit{position: position, done: done})
-	s.wakeAppendWaiters()
+// append adds a commit to the log; done is called once a replica has received
+// it.
+func (i *lineInstance) append(writeIDs []string, done func()) model.Position {
+	i.entries = append(i.entries, logEntry{term: i.term, writeIDs: writeIDs})
+	position := i.position()
+	i.fleet.checker.checkCommit(writeIDs, position)
+	i.pendingCommits = append(i.pendingCommits, pendingCommit{position: position, done: done})
+	i.logWaiters.wakeAll()
 	return position
 }
 
-func (s *lineInstance) wakeAppendWaiters() {
-	waiting := s.appendWaiters
-	s.appendWaiters = nil
-	for _, wake := range waiting {
-		wake()
-	}
-}
-
-func (s *lineInstance) onReceived(position model.Position) {
-	if s.role != model.RolePrimary {
+// onReceived takes in that a replica has received the log up to a position.
+func (i *lineInstance) onReceived(position model.Position) {
+	if i.role != model.RolePrimary {
 		return
 	}
-	var kept []pendingCommit
-	for _, one := range s.pendingCommits {
-		if one.position.Index <= position.Index && s.holds(position) {
-			one.done()
+	var pending []pendingCommit
+	for _, commit := range i.pendingCommits {
+		if commit.position.Index <= position.Index && i.holds(position) {
+			commit.done()
 			continue
 		}
-		kept = append(kept, one)
+		pending = append(pending, commit)
 	}
-	s.pendingCommits = kept
+	i.pendingCommits = pending
 }
 
-func (s *lineInstance) awaitBeyond(size int, wait time.Duration, wake func()) {
-	woken := false
-	once := func() {
-		if !woken {
-			woken = true
-			wake()
-		}
-	}
-	if len(s.entries) > size {
-		once()
+// awaitLonger calls a function once the log is longer than a size, or after a
+// time-out.
+func (i *lineInstance) awaitLonger(size int, timeout time.Duration, wake func()) {
+	if len(i.entries) > size {
+		wake()
 		return
 	}
-	s.appendWaiters = append(s.appendWaiters, once)
-	s.after(wait, once)
+	i.logWaiters.add(&i.machine, timeout, wake)
 }
 
-// pull follows the primary known: what it has received it says at once.
-func (s *lineInstance) replicate() {
-	if s.role != model.RoleReplica || s.upstream == nil || s.upstream == s {
-		s.after(50*time.Millisecond, s.replicate)
+// replicate pulls from the primary that is known, again and again. The request
+// acknowledges what has been received.
+func (i *lineInstance) replicate() {
+	if i.role != model.RoleReplica || i.upstream == nil || i.upstream == i {
+		i.after(lineNoUpstreamDelay, i.replicate)
 		return
 	}
-	up, after := s.upstream, s.position()
+	upstream, position := i.upstream, i.position()
 	finished := false
 	again := func() {
 		if !finished {
 			finished = true
-			s.replicate()
+			i.replicate()
 		}
 	}
-	s.after(300*time.Millisecond, again)
-	s.simulator.send(&s.machine, &up.machine, func() {
-		if up.role != model.RolePrimary {
+	i.after(lineReplicationTimeout, again)
+	i.simulator.send(&i.machine, &upstream.machine, func() {
+		if upstream.role != model.RolePrimary {
 			return
 		}
-		up.onReceived(after)
-		isCut := !up.holds(after)
-		size := len(s.entries)
-		if isCut {
-			size = 0
+		upstream.onReceived(position)
+		size := 0
+		if upstream.holds(position) {
+			size = len(i.entries)
 		}
-		up.awaitBeyond(size, 120*time.Millisecond, func() {
-			entries, term := up.entries, up.term
-			up.simulator.send(&up.machine, &s.machine, func() {
-				s.after(s.replicationDelay, func() {
-					if !finished && s.role == model.RoleReplica && s.upstream == up && s.position() == after && term >= s.term {
-						s.adoptLog(entries, term)
+		upstream.awaitLonger(size, lineReplicationHold, func() {
+			entries, term := upstream.entries, upstream.term
+			i.simulator.send(&upstream.machine, &i.machine, func() {
+				i.after(i.replicationDelay, func() {
+					current := i.role == model.RoleReplica && i.upstream == upstream && i.position() == position
+					if !finished && current && term >= i.term {
+						i.adoptLog(entries, term)
 					}
 					again()
 				})
@@ -295,358 +240,110 @@
 	})
 }
 
-func (s *lineInstance) adoptLog(entries []logEntry, term uint64) {
-	same := min(len(entries), len(s.entries))
-	for same > 0 && entries[same-1].term != s.entries[same-1].term {
-		same--
+// adoptLog makes the log that of the primary, and acknowledges it.
+func (i *lineInstance) adoptLog(entries []logEntry, term uint64) {
+	common := min(len(entries), len(i.entries))
+	for common > 0 && entries[common-1].term != i.entries[common-1].term {
+		common--
 	}
-	if same < len(s.entries) {
-		s.simulator.record("%s is cut back from %d to %d", s.name, len(s.entries), same)
-		s.entries = slices.Clone(s.entries[:same])
+	if common < len(i.entries) {
+		i.simulator.record("%s is cut back from %d to %d", i.name, len(i.entries), common)
+		i.entries = slices.Clone(i.entries[:common])
 	}
-	s.entries = append(s.entries, entries[same:]...)
-	s.term = max(s.term, term)
-	up := s.upstream
-	position := s.position()
-	s.simulator.send(&s.machine, &up.machine, func() { up.onReceived(position) })
+	i.entries = append(i.entries, entries[common:]...)
+	i.term = max(i.term, term)
+	upstream, position := i.upstream, i.position()
+	i.simulator.send(&i.machine, &upstream.machine, func() { upstream.onReceived(position) })
 }
 
-// lead makes the server primary of a term, and has the others follow.
-func (s *lineInstance) becomePrimary(term uint64) {
-	l := s.fleet
-	s.role, s.term, s.pendingCommits = model.RolePrimary, term, nil
-	l.newestTerms[s.database] = term
-	s.simulator.record("%s leads term %d at %v", s.name, term, s.position())
-	l.checkComplete(s, "the promoted one")
-	s.announce(s.info(), 2)
-	s.redirectReplicas()
+// becomePrimary makes the instance primary of a term, and has the others
+// follow.
+func (i *lineInstance) becomePrimary(term uint64) {
+	i.role, i.term, i.pendingCommits = model.RolePrimary, term, nil
+	i.fleet.newestTerms[i.database] = term
+	i.simulator.record("%s leads term %d at %v", i.name, term, i.position())
+	i.fleet.checker.checkComplete(i, "the promoted one")
+	i.announce(i.info(), announcementRetries)
+	i.redirectReplicas()
 }
 
-// gather has the others follow; a primary that starts again does so anew.
-func (s *lineInstance) redirectReplicas() {
-	for _, other := range s.fleet.instancesOf(s.database) {
-		if other != s {
-			s.redirectReplica(other, s.term, 200)
+// redirectReplicas has the others follow; a primary that starts again does so
+// anew.
+func (i *lineInstance) redirectReplicas() {
+	for _, other := range i.fleet.instancesOf(i.database) {
+		if other != i {
+			i.redirect(other, i.term, lineRedirectAttempts)
 		}
 	}
 }
 
-func (s *lineInstance) redirectReplica(other *lineInstance, term uint64, goes int) {
-	if goes == 0 || s.term != term || other.ended {
+// redirect has an instance follow, and tries again until it has received it.
+func (i *lineInstance) redirect(other *lineInstance, term uint64, attempts int) {
+	if attempts == 0 || i.term != term || other.ended {
 		return
 	}
-	isHeard := false
-	s.simulator.send(&s.machine, &other.machine, func() {
-		isHeard = true
+	delivered := false
+	i.simulator.send(&i.machine, &other.machine, func() {
+		delivered = true
 		if other.term >= term {
 			return
 		}
 		if other.role == model.RolePrimary {
-			other.after(time.Second, func() { other.stepDown(term, s) })
+			other.after(stepDownDelay, func() { other.stepDown(term, i) })
 			return
 		}
-		other.term, other.upstream = term, s
+		other.term, other.upstream = term, i
 	})
-	s.after(200*time.Millisecond, func() {
-		if !isHeard {
-			s.redirectReplica(other, term, goes-1)
+	i.after(lineRedirectInterval, func() {
+		if !delivered {
+			i.redirect(other, term, attempts-1)
 		}
 	})
 }
 
-func (s *lineInstance) stepDown(term uint64, to *lineInstance) {
-	if s.term >= term {
+// stepDown makes a primary follow that of a newer term. Sessions with a commit
+// in flight end.
+func (i *lineInstance) stepDown(term uint64, primary *lineInstance) {
+	if i.term >= term {
 		return
 	}
-	s.simulator.record("%s steps down for term %d", s.name, term)
-	s.role, s.term, s.upstream, s.pendingCommits = model.RoleReplica, term, to, nil
-	for _, one := range slices.Clone(s.sessions) {
-		if one.committing {
-			one.close()
-			one.connection.breakOff()
+	i.simulator.record("%s steps down for term %d", i.name, term)
+	i.role, i.term, i.upstream, i.pendingCommits = model.RoleReplica, term, primary, nil
+	for _, session := range slices.Clone(i.sessions) {
+		if session.committing {
+			session.close()
+			session.connection.breakOff()
 		}
 	}
-	s.announce(s.info(), 2)
+	i.announce(i.info(), announcementRetries)
 }
 
-// take has work wait for a slot; it gives false where the line is too long.
-func (s *lineInstance) runInSlot(work func(done func())) bool {
-	if len(s.queue) > 12 {
+// isOverloaded reports whether the instance takes no more work.
+func (i *lineInstance) isOverloaded() bool { return len(i.queue) > maxQueueLength }
+
+// runInSlot runs work once a slot is free; it gives false where too much work
+// waits. The slot is free again when the work calls release.
+func (i *lineInstance) runInSlot(work func(release func())) bool {
+	if i.isOverloaded() {
 		return false
 	}
-	var run func()
-	run = func() {
-		s.busySlots++
-		finished := false
-		work(func() {
-			if finished {
-				return
-			}
-			finished = true
-			s.busySlots--
-			if len(s.queue) > 0 {
-				next := s.queue[0]
-				s.queue = s.queue[1:]
-				next()
-			}
-		})
+	run := func() {
+		i.busySlots++
+		work(once(i.releaseSlot))
 	}
-	if s.busySlots >= s.fleet.lineConfig.Slots {
-		s.queue = append(s.queue, run)
+	if i.busySlots >= i.fleet.config.Slots {
+		i.queue = append(i.queue, run)
 		return true
 	}
 	run()
 	return true
 }
 
-// lineTurn is a transaction at a server.
-type lineTransaction struct {
-	readOnly bool
-	failed   bool
-	term     uint64
-	logSize  int
-	writeIDs []string
-	owner    *clientTransaction
-}
-
-// session is the server's end of a connection.
-type serverSession struct {
-	instance          *lineInstance
-	connection        *lineConnection
-	values            map[string]string
-	shapes            map[string]string
-	beforeTransaction [2]map[string]string
-	transaction       *lineTransaction
-	queue             []linepool.Command
-	busy              bool
-	closed            bool
-	committing        bool
-	releaseSlot       func()
-}
-
-func (x *serverSession) close() {
-	if x.closed {
-		return
+func (i *lineInstance) releaseSlot() {
+	i.busySlots--
+	if len(i.queue) > 0 {
+		next := i.queue[0]
+		i.queue = i.queue[1:]
+		next()
 	}
-	x.closed, x.transaction = true, nil
-	x.instance.sessions = slices.DeleteFunc(x.instance.sessions, func(other *serverSession) bool { return other == x })
-	if x.releaseSlot != nil {
-		x.releaseSlot()
-	}
-}
-
-// far drops the session for its far end's closing; what came before may still
-// be run.
-func (x *serverSession) closeFromPeer() {
-	if x.closed {
-		return
-	}
-	if x.instance.simulator.chance(0.5) {
-		x.queue = nil
-	}
-	if len(x.queue) == 0 && !x.busy {
-		x.close()
-		return
-	}
-	x.instance.after(20*time.Millisecond, x.closeFromPeer)
-}
-
-func (x *serverSession) state() byte {
-	if x.transaction == nil {
-		return words.StateIdle
-	}
-	if x.transaction.failed {
-		return words.StateFailed
-	}
-	return words.StateInTransaction
-}
-
-func (x *serverSession) answer(messages ...words.Message) {
-	messages = append(messages, words.Message{Kind: words.KindReady, State: x.state(), Position: x.instance.position()})
-	if x.instance.answersToLose > 0 && x.instance.simulator.chance(0.3) {
-		x.instance.answersToLose--
-		x.instance.simulator.record("%s loses an answer", x.instance.name)
-		messages = messages[:x.instance.simulator.random.IntN(len(messages))]
-		x.connection.deliverMessages(messages)
-		x.close()
-		x.connection.breakOff()
-		return
-	}
-	x.connection.deliverMessages(messages)
-}
-
-func doneMessage(tail string) words.Message {
-	return words.Message{Kind: words.KindDone, Payload: tail}
-}
-
-func errorMessage(code words.Code, tail string) words.Message {
-	return words.Message{Kind: words.KindError, Code: code, Payload: tail}
-}
-
-func (x *serverSession) runNext() {
-	if x.busy || x.closed || len(x.queue) == 0 {
-		return
-	}
-	out := x.queue[0]
-	x.queue = x.queue[1:]
-	own, isOwn := localStatements[out.Kind]
-	if isOwn {
-		x.answer(own(x, out))
-		x.runNext()
-		return
-	}
-	x.busy = true
-	accepted := x.instance.runInSlot(func(done func()) {
-		x.releaseSlot = done
-		if x.closed {
-			done()
-			return
-		}
-		x.instance.after(x.instance.simulator.randomDuration(x.instance.serviceTime/2, x.instance.serviceTime*3/2), func() { x.run(out) })
-	})
-	if !accepted {
-		x.finish(errorMessage(words.CodeBusy, "BUSY"))
-	}
-}
-
-func (x *serverSession) finish(messages ...words.Message) {
-	x.busy, x.committing = false, false
-	if x.releaseSlot != nil {
-		free := x.releaseSlot
-		x.releaseSlot = nil
-		free()
-	}
-	if x.closed {
-		return
-	}
-	x.answer(messages...)
-	x.runNext()
-}
-
-var localStatements map[linepool.CommandKind]func(*serverSession, linepool.Command) words.Message
-
-func init() {
-	localStatements = map[linepool.CommandKind]func(*serverSession, linepool.Command) words.Message{
-		linepool.CommandReset: func(x *serverSession, _ linepool.Command) words.Message {
-			if !x.instance.fleet.defects.IgnoredResets {
-				x.values, x.shapes = map[string]string{}, map[string]string{}
-			}
-			return doneMessage("-")
-		},
-		linepool.CommandSet: func(x *serverSession, out linepool.Command) words.Message {
-			x.values[out.Name] = out.Value
-			return doneMessage("-")
-		},
-		linepool.CommandPrepare: func(x *serverSession, out linepool.Command) words.Message {
-			x.shapes[out.Name] = out.Value
-			return doneMessage("-")
-		},
-		linepool.CommandRollback: func(x *serverSession, _ linepool.Command) words.Message {
-			if x.transaction == nil {
-				return errorMessage(words.CodeMalformed, "MALFORMED")
-			}
-			x.rollBack()
-			return doneMessage("-")
-		},
-		linepool.CommandBegin:         func(x *serverSession, out linepool.Command) words.Message { return x.begin(out, false) },
-		linepool.CommandBeginReadOnly: func(x *serverSession, out linepool.Command) words.Message { return x.begin(out, true) },
-	}
-}
-
-func (x *serverSession) rollBack() {
-	if x.beforeTransaction[0] != nil {
-		x.values, x.shapes = x.beforeTransaction[0], x.beforeTransaction[1]
-	}
-	x.transaction, x.beforeTransaction = nil, [2]map[string]string{}
-}
-
-func (x *serverSession) begin(out linepool.Command, isRead bool) words.Message {
-	s := x.instance
-	if x.transaction != nil {
-		return errorMessage(words.CodeMalformed, "MALFORMED")
-	}
-	if !isRead && s.role != model.RolePrimary {
-		return errorMessage(words.CodeReadOnly, "READONLY "+s.name)
-	}
-	if s.position().IsBefore(out.MinPosition) {
-		return errorMessage(words.CodeLagging, "LAGGING")
-	}
-	x.transaction = &lineTransaction{readOnly: isRead, term: s.term, logSize: len(s.entries)}
-	x.beforeTransaction = [2]map[string]string{maps.Clone(x.values), maps.Clone(x.shapes)}
-	return doneMessage("-")
-}
-
-// run runs a statement of a client's.
-func (x *serverSession) run(out linepool.Command) {
-	s, l := x.instance, x.instance.fleet
-	if x.closed {
-		return
-	}
-	text := out.Text
-	if out.Kind == linepool.CommandExecute {
-		shape, found := x.shapes[out.Name]
-		if !found {
-			x.finish(errorMessage(words.CodeNotFound, "NOTFOUND"))
-			return
-		}
-		text = shape + out.Value
-	}
-	isWrite, isCommit := strings.HasPrefix(text, "write"), text == "commit"
-	isLost := x.transaction != nil && !x.transaction.readOnly && (s.role != model.RolePrimary || s.term != x.transaction.term)
-	isLost = isLost || (isWrite && (s.role != model.RolePrimary || (x.transaction != nil && x.transaction.readOnly)))
-	if isLost && !(isCommit && len(x.transaction.writeIDs) == 0) {
-		if isCommit {
-			x.rollBack()
-		} else if x.transaction != nil {
-			x.transaction.failed = true
-		}
-		x.finish(errorMessage(words.CodeReadOnly, "READONLY "+s.name))
-		return
-	}
-	if x.transaction == nil && s.position().IsBefore(out.MinPosition) {
-		x.finish(errorMessage(words.CodeLagging, "LAGGING"))
-		return
-	}
-	one := l.checkStatement(x, out.ID, text)
-	if one == nil {
-		x.finish(errorMessage(words.CodeOther, "OTHER"))
-		return
-	}
-	s.statementsMade++
-	stamp := fmt.Sprintf("%s.%s.%d", out.ID, s.name, s.statementsMade)
-	l.stampOwners[stamp] = out.ID
-	if isCommit {
-		x.commit(one, stamp)
-		return
-	}
-	if isWrite && x.transaction == nil {
-		x.appendCommit(one, []string{out.ID}, stamp)
-		return
-	}
-	if isWrite {
-		x.transaction.writeIDs = append(x.transaction.writeIDs, out.ID)
-	}
-	x.finish(words.Message{Kind: words.KindRow, Payload: "row " + stamp}, doneMessage(stamp))
-}
-
-func (x *serverSession) commit(one *query, stamp string) {
-	ids := x.transaction.writeIDs
-	x.transaction, x.beforeTransaction = nil, [2]map[string]string{}
-	if len(ids) == 0 {
-		x.finish(doneMessage(stamp))
-		return
-	}
-	x.appendCommit(one, ids, stamp)
-}
-
-func (x *serverSession) appendCommit(one *query, ids []string, stamp string) {
-	s := x.instance
-	x.committing = true
-	one.byOldPrimary = s.fleet.newestTerms[s.database] > s.term
-	one.database = s.database
-	one.position = s.append(ids, func() {
-		if !x.closed {
-			x.finish(doneMessage(stamp))
-		}
-	})
 }
--- /dev/null
+++ b/test/simulation/lines_operations.go
@@ -0,0 +1,347 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"tansyseam/internal/state/lineproto"
+)
+
+const (
+	// operationTimeout is how long after its start an operation is tried
+	// again.
+	operationTimeout   = 2 * time.Second
+	minOperationRetry  = 20 * time.Millisecond
+	maxOperationRetry  = 200 * time.Millisecond
+	minStatementPause  = time.Millisecond
+	maxStatementPause  = 30 * time.Millisecond
+	maxLineStatements  = 4
+	settingNames       = 2
+	settingValues      = 5
+	preparedNames      = 3
+	sessionEndsPerFail = 2
+)
+
+// Of so many statements or transactions, one does something else.
+const (
+	statementsPerDisconnect     = 40
+	statementsPerSet            = 10
+	lineTransactionsPerRollback = 8
+)
+
+// localText is that of statements which nodes answer themselves.
+const localText = "own"
+
+// preparedTexts are those that clients prepare.
+var preparedTexts = []string{"read q", "write q", "read z"}
+
+// operation is an operation of a client, which is tried again where that is
+// safe.
+type operation struct {
+	client *lineClient
+	// run begins an attempt.
+	run       func(*operation)
+	startedAt time.Duration
+	// readOnly says that trying again is always safe.
+	readOnly bool
+	// writeIDs are the writes of this attempt; writeSent says that they may
+	// take effect.
+	writeIDs  []string
+	writeSent bool
+	// counted says that the operation is one of those that must be served
+	// after the last fault.
+	counted bool
+}
+
+// runOperation draws the next operation.
+func (c *lineClient) runOperation() {
+	runWeighted([]weightedOperation{
+		{36, c.begins((*operation).read)},
+		{20, c.begins((*operation).write)},
+		{22, c.begins((*operation).transact)},
+		{8, c.begins((*operation).transactReadOnly)},
+		{5, c.begins((*operation).set)},
+		{4, c.begins((*operation).prepare)},
+		{5, c.begins((*operation).execute)},
+		{100, c.endSession},
+	}, c.random.IntN(100))
+}
+
+// begins gives the function that begins an operation.
+func (c *lineClient) begins(run func(*operation)) func() {
+	return func() {
+		begun := &operation{client: c, run: run, startedAt: c.simulator.now, counted: c.fleet.checker.countsRecovery()}
+		if begun.counted {
+			c.fleet.checker.recoveryBegun++
+		}
+		begun.start()
+	}
+}
+
+// countsRecovery reports whether operations that begin now must be served, as
+// the last fault has ended long enough ago.
+func (c *lineChecker) countsRecovery() bool {
+	from, now := c.recoveryCheckFrom, c.simulator.now
+	return from != 0 && now > from && now < from+recoveryCheckSpan
+}
+
+func (c *lineClient) endSession() {
+	c.closeSession()
+	c.pause()
+}
+
+func (o *operation) start() {
+	o.writeIDs, o.writeSent = nil, false
+	o.run(o)
+}
+
+func (o *operation) succeed() {
+	checker := o.client.fleet.checker
+	checker.served++
+	if o.counted {
+		checker.recoveryServed++
+	}
+	o.client.pause()
+}
+
+func (o *operation) read() {
+	o.readOnly = true
+	o.runSingle("read "+o.client.randomKey(), lineproto.Statement{Action: lineproto.ActionRead})
+}
+
+func (o *operation) write() {
+	o.runSingle("write "+o.client.randomKey(), lineproto.Statement{Action: lineproto.ActionWrite})
+}
+
+func (o *operation) transact() { o.beginTransaction("begin", lineproto.ActionBegin) }
+
+func (o *operation) transactReadOnly() {
+	o.readOnly = true
+	o.beginTransaction("begin read", lineproto.ActionBeginReadOnly)
+}
+
+func (o *operation) set() {
+	random := o.client.random
+	name, value := fmt.Sprintf("v%d", random.IntN(settingNames)), fmt.Sprint(random.IntN(settingValues))
+	o.runLocal(lineproto.Statement{Action: lineproto.ActionSet, Name: name, Value: value}, func() { o.client.state.values[name] = value })
+}
+
+func (o *operation) prepare() {
+	name := preparedName(o.client.random.IntN(preparedNames))
+	text := preparedTexts[o.client.random.IntN(len(preparedTexts))]
+	statement := lineproto.Statement{Action: lineproto.ActionPrepare, Name: name, PreparedText: text, Write: isWriteText(text)}
+	o.runLocal(statement, func() { o.client.state.prepared[name] = text })
+}
+
+func preparedName(number int) string { return fmt.Sprintf("s%d", number) }
+
+// execute runs the first prepared statement, or reads where there is none.
+func (o *operation) execute() {
+	for number := range preparedNames {
+		name := preparedName(number)
+		if text, found := o.client.state.prepared[name]; found {
+			o.readOnly = isReadText(text)
+			o.runSingle("run", lineproto.Statement{Action: lineproto.ActionExecute, Name: name, Arguments: " " + o.client.randomKey()})
+			return
+		}
+	}
+	o.read()
+}
+
+// runLocal sends what the node answers itself.
+func (o *operation) runLocal(statement lineproto.Statement, then func()) {
+	o.readOnly = true
+	o.client.sendQuery(localText, statement, nil, func(_ *query, answer response) {
+		if !answer.succeeded() {
+			o.fail(answer)
+			return
+		}
+		then()
+		o.succeed()
+	})
+}
+
+// runSingle sends a statement outside of a transaction.
+func (o *operation) runSingle(text string, statement lineproto.Statement) {
+	write, rows := !o.readOnly, 1
+	if write {
+		rows = 0
+	}
+	o.writeSent = write
+	o.client.sendQuery(text, statement, nil, func(sent *query, answer response) {
+		if write {
+			o.writeIDs = []string{sent.id}
+		}
+		if !answer.succeeded() {
+			o.fail(answer)
+			return
+		}
+		checker := o.client.fleet.checker
+		checker.checkAnswer(sent, answer, rows)
+		if write {
+			checker.checkAcknowledgement(sent)
+		}
+		o.succeed()
+	})
+}
+
+func (o *operation) beginTransaction(text string, action lineproto.Action) {
+	transaction := &clientTransaction{sentAt: o.client.simulator.now}
+	o.client.sendQuery(text, lineproto.Statement{Action: action}, nil, func(_ *query, answer response) {
+		if !answer.succeeded() {
+			o.fail(answer)
+			return
+		}
+		o.runInTransaction(transaction, 1+o.client.random.IntN(maxLineStatements))
+	})
+}
+
+// runInTransaction runs so many statements more, and ends the transaction.
+func (o *operation) runInTransaction(transaction *clientTransaction, remaining int) {
+	random := o.client.random
+	if remaining == 0 {
+		o.endTransaction(transaction)
+		return
+	}
+	if random.IntN(statementsPerDisconnect) == 0 {
+		o.client.endSession()
+		return
+	}
+	if random.IntN(statementsPerSet) == 0 {
+		o.setInTransaction(transaction, remaining)
+		return
+	}
+	write := !o.readOnly && random.IntN(2) == 0
+	text, action := "read "+o.client.randomKey(), lineproto.ActionRead
+	if write {
+		text, action = "write "+o.client.randomKey(), lineproto.ActionWrite
+	}
+	o.client.sendQuery(text, lineproto.Statement{Action: action}, transaction, func(sent *query, answer response) {
+		if write {
+			o.writeIDs = append(o.writeIDs, sent.id)
+		}
+		if !answer.succeeded() {
+			o.fail(answer)
+			return
+		}
+		o.client.fleet.checker.checkAnswer(sent, answer, 1)
+		o.client.after(o.client.randomDuration(minStatementPause, maxStatementPause), func() {
+			if o.client.node == nil || o.client.transactionState != lineproto.StateInTransaction {
+				o.fail(response{disconnected: true})
+				return
+			}
+			o.runInTransaction(transaction, remaining-1)
+		})
+	})
+}
+
+func (o *operation) setInTransaction(transaction *clientTransaction, remaining int) {
+	name, value := "v1", fmt.Sprint(o.client.random.IntN(settingValues))
+	o.client.sendQuery(localText, lineproto.Statement{Action: lineproto.ActionSet, Name: name, Value: value}, transaction, func(_ *query, answer response) {
+		if !answer.succeeded() {
+			o.fail(answer)
+			return
+		}
+		o.client.state.values[name] = value
+		o.runInTransaction(transaction, remaining)
+	})
+}
+
+func (o *operation) endTransaction(transaction *clientTransaction) {
+	if o.client.random.IntN(lineTransactionsPerRollback) == 0 {
+		o.rollBack(transaction)
+		return
+	}
+	o.writeSent = len(o.writeIDs) > 0
+	o.client.sendQuery(commitText, lineproto.Statement{Action: lineproto.ActionCommit}, transaction, func(sent *query, answer response) {
+		if !answer.succeeded() {
+			o.fail(answer)
+			return
+		}
+		checker := o.client.fleet.checker
+		checker.checkAnswer(sent, answer, 0)
+		if len(o.writeIDs) > 0 {
+			checker.checkAcknowledgement(sent)
+		}
+		o.succeed()
+	})
+}
+
+func (o *operation) rollBack(transaction *clientTransaction) {
+	o.client.sendQuery("rollback", lineproto.Statement{Action: lineproto.ActionRollback}, transaction, func(_ *query, answer response) {
+		if !answer.succeeded() {
+			o.fail(answer)
+			return
+		}
+		o.succeed()
+	})
+}
+
+// fail takes in a failed attempt, brings the session back to where the next
+// operation can begin, and tries again where that is safe.
+func (o *operation) fail(answer response) {
+	c := o.client
+	o.recordFailure(answer)
+	next := c.pause
+	if o.mayRetry(answer) && c.simulator.now-o.startedAt < operationTimeout {
+		next = func() { c.after(c.randomDuration(minOperationRetry, maxOperationRetry), o.retry) }
+	}
+	if c.node == nil || answer.disconnected {
+		c.closeSession()
+		next()
+		return
+	}
+	if c.transactionState == lineproto.StateIdle {
+		next()
+		return
+	}
+	if c.random.IntN(sessionEndsPerFail) == 0 {
+		c.closeSession()
+		next()
+		return
+	}
+	c.sendQuery("rollback", lineproto.Statement{Action: lineproto.ActionRollback}, nil, func(_ *query, answer response) {
+		if !answer.succeeded() {
+			c.closeSession()
+		}
+		next()
+	})
+}
+
+// recordFailure counts a failure, and takes in what its code promises.
+func (o *operation) recordFailure(answer response) {
+	checker := o.client.fleet.checker
+	code := "cut"
+	if answer.failed {
+		code = fmt.Sprint("code ", int(answer.code))
+	}
+	checker.failureCodes[code]++
+	if answer.guaranteesNoEffect() {
+		for _, id := range o.writeIDs {
+			checker.refuse(id, code)
+		}
+	}
+}
+
+func (r response) guaranteesNoEffect() bool { return r.failed && r.code.GuaranteesNoEffect() }
+
+// mayRetry reports whether a failed attempt cannot have taken effect, so that
+// another is safe.
+func (o *operation) mayRetry(answer response) bool {
+	if answer.guaranteesNoEffect() {
+		return true
+	}
+	statementFailed := answer.code == lineproto.CodeFailed
+	if o.readOnly && answer.failed && statementFailed {
+		return true
+	}
+	return !o.writeSent && (answer.disconnected || !statementFailed)
+}
+
+func (o *operation) retry() {
+	if o.client.node == nil {
+		o.client.openSession(o.retry)
+		return
+	}
+	o.start()
+}
--- /dev/null
+++ b/test/simulation/lines_session.go
@@ -0,0 +1,358 @@
+package simulation
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"tansyseam/internal/coordination/pool/linepool"
+	"tansyseam/internal/state/lineproto"
+	"tansyseam/internal/state/model"
+)
+
+const (
+	lineLostAnswerProbability = 0.3
+	// discardProbability is that of an instance discarding what it has not
+	// yet run for a session whose peer has closed it.
+	discardProbability  = 0.5
+	peerCloseCheckDelay = 20 * time.Millisecond
+	commitText          = "commit"
+	readPrefix          = "read"
+	writePrefix         = "write"
+)
+
+func isReadText(text string) bool  { return strings.HasPrefix(text, readPrefix) }
+func isWriteText(text string) bool { return strings.HasPrefix(text, writePrefix) }
+
+// lineTransaction is a transaction at an instance.
+type lineTransaction struct {
+	readOnly bool
+	// failed says that nothing but a rollback is accepted.
+	failed bool
+	term   uint64
+	// logSize is the length of the log that the transaction sees.
+	logSize  int
+	writeIDs []string
+	// owner is the client's transaction.
+	owner *clientTransaction
+}
+
+// sessionState is the state that a reset clears.
+type sessionState struct {
+	values map[string]string
+	// prepared has the texts of prepared statements.
+	prepared map[string]string
+}
+
+func newSessionState() sessionState {
+	return sessionState{values: map[string]string{}, prepared: map[string]string{}}
+}
+
+func (s sessionState) clone() *sessionState {
+	return &sessionState{values: maps.Clone(s.values), prepared: maps.Clone(s.prepared)}
+}
+
+// serverSession is the instance's end of a connection. It runs commands one
+// after the other.
+type serverSession struct {
+	instance   *lineInstance
+	connection *lineConnection
+	state      sessionState
+	// stateBefore is the state to which a rollback returns; nil outside of a
+	// transaction.
+	stateBefore *sessionState
+	transaction *lineTransaction
+	queue       []linepool.Command
+	busy        bool
+	closed      bool
+	// committing says that a commit waits for a replica.
+	committing  bool
+	releaseSlot func()
+}
+
+func newServerSession(instance *lineInstance, connection *lineConnection) *serverSession {
+	return &serverSession{instance: instance, connection: connection, state: newSessionState()}
+}
+
+func (s *serverSession) close() {
+	if s.closed {
+		return
+	}
+	s.closed, s.transaction = true, nil
+	s.instance.sessions = slices.DeleteFunc(s.instance.sessions, func(other *serverSession) bool { return other == s })
+	if s.releaseSlot != nil {
+		s.releaseSlot()
+	}
+}
+
+// closeFromPeer closes the session for its peer's closing. What came before
+// may still be run.
+func (s *serverSession) closeFromPeer() {
+	if s.closed {
+		return
+	}
+	if s.instance.simulator.chance(discardProbability) {
+		s.queue = nil
+	}
+	if len(s.queue) == 0 && !s.busy {
+		s.close()
+		return
+	}
+	s.instance.after(peerCloseCheckDelay, s.closeFromPeer)
+}
+
+// transactionState gives the state that each answer ends with.
+func (s *serverSession) transactionState() byte {
+	if s.transaction == nil {
+		return lineproto.StateIdle
+	}
+	if s.transaction.failed {
+		return lineproto.StateFailed
+	}
+	return lineproto.StateInTransaction
+}
+
+// answer sends messages, and that the session is ready. A fault may lose a
+// part of them, and the connection.
+func (s *serverSession) answer(messages ...lineproto.Message) {
+	instance := s.instance
+	messages = append(messages, lineproto.Message{Kind: lineproto.KindReady, State: s.transactionState(), Position: instance.position()})
+	if instance.answersToLose > 0 && instance.simulator.chance(lineLostAnswerProbability) {
+		instance.answersToLose--
+		instance.simulator.record("%s loses an answer", instance.name)
+		s.connection.deliverMessages(messages[:instance.simulator.random.IntN(len(messages))]...)
+		s.close()
+		s.connection.breakOff()
+		return
+	}
+	s.connection.deliverMessages(messages...)
+}
+
+func doneMessage(payload string) lineproto.Message {
+	return lineproto.Message{Kind: lineproto.KindDone, Payload: payload}
+}
+
+func errorMessage(code lineproto.Code, payload string) lineproto.Message {
+	return lineproto.Message{Kind: lineproto.KindError, Code: code, Payload: payload}
+}
+
+// receive queues commands.
+func (s *serverSession) receive(commands []linepool.Command) {
+	s.queue = append(s.queue, commands...)
+	s.runNext()
+}
+
+// runNext runs the next command: at once where it changes the session only,
+// and otherwise in a slot.
+func (s *serverSession) runNext() {
+	if s.busy || s.closed || len(s.queue) == 0 {
+		return
+	}
+	command := s.queue[0]
+	s.queue = s.queue[1:]
+	if run, local := sessionCommands[command.Kind]; local {
+		s.answer(run(s, command))
+		s.runNext()
+		return
+	}
+	s.busy = true
+	instance := s.instance
+	accepted := instance.runInSlot(func(release func()) {
+		s.releaseSlot = release
+		if s.closed {
+			release()
+			return
+		}
+		service := instance.simulator.randomDuration(instance.serviceTime/2, instance.serviceTime*3/2)
+		instance.after(service, func() { s.runStatement(command) })
+	})
+	if !accepted {
+		s.fail(lineproto.CodeBusy, "BUSY")
+	}
+}
+
+// finish ends a statement with its answer, and goes on with the next command.
+func (s *serverSession) finish(messages ...lineproto.Message) {
+	s.busy, s.committing = false, false
+	if s.releaseSlot != nil {
+		release := s.releaseSlot
+		s.releaseSlot = nil
+		release()
+	}
+	if s.closed {
+		return
+	}
+	s.answer(messages...)
+	s.runNext()
+}
+
+func (s *serverSession) fail(code lineproto.Code, payload string) {
+	s.finish(errorMessage(code, payload))
+}
+
+func (s *serverSession) readOnlyMessage() lineproto.Message {
+	return errorMessage(lineproto.CodeReadOnly, "READONLY "+s.instance.name)
+}
+
+// sessionCommands run the commands that change the session only.
+var sessionCommands = map[linepool.CommandKind]func(*serverSession, linepool.Command) lineproto.Message{
+	linepool.CommandReset:         (*serverSession).reset,
+	linepool.CommandSet:           (*serverSession).set,
+	linepool.CommandPrepare:       (*serverSession).prepare,
+	linepool.CommandRollback:      (*serverSession).rollBack,
+	linepool.CommandBegin:         (*serverSession).begin,
+	linepool.CommandBeginReadOnly: (*serverSession).beginReadOnly,
+}
+
+func (s *serverSession) reset(linepool.Command) lineproto.Message {
+	if !s.instance.fleet.defects.IgnoredResets {
+		s.state = newSessionState()
+	}
+	return doneMessage(noPayload)
+}
+
+func (s *serverSession) set(command linepool.Command) lineproto.Message {
+	s.state.values[command.Name] = command.Value
+	return doneMessage(noPayload)
+}
+
+func (s *serverSession) prepare(command linepool.Command) lineproto.Message {
+	s.state.prepared[command.Name] = command.Value
+	return doneMessage(noPayload)
+}
+
+func (s *serverSession) rollBack(linepool.Command) lineproto.Message {
+	if s.transaction == nil {
+		return errorMessage(lineproto.CodeMalformed, "MALFORMED")
+	}
+	s.undoTransaction()
+	return doneMessage(noPayload)
+}
+
+func (s *serverSession) undoTransaction() {
+	if s.stateBefore != nil {
+		s.state = *s.stateBefore
+	}
+	s.transaction, s.stateBefore = nil, nil
+}
+
+func (s *serverSession) begin(command linepool.Command) lineproto.Message {
+	if s.transaction == nil && s.instance.role != model.RolePrimary {
+		return s.readOnlyMessage()
+	}
+	return s.beginTransaction(command, false)
+}
+
+func (s *serverSession) beginReadOnly(command linepool.Command) lineproto.Message {
+	return s.beginTransaction(command, true)
+}
+
+func (s *serverSession) beginTransaction(command linepool.Command, readOnly bool) lineproto.Message {
+	if s.transaction != nil {
+		return errorMessage(lineproto.CodeMalformed, "MALFORMED")
+	}
+	if s.instance.position().IsBefore(command.MinPosition) {
+		return errorMessage(lineproto.CodeLagging, "LAGGING")
+	}
+	s.transaction = &lineTransaction{readOnly: readOnly, term: s.instance.term, logSize: len(s.instance.entries)}
+	s.stateBefore = s.state.clone()
+	return doneMessage(noPayload)
+}
+
+// runStatement runs a client's statement.
+func (s *serverSession) runStatement(command linepool.Command) {
+	if s.closed {
+		return
+	}
+	text := command.Text
+	if command.Kind == linepool.CommandExecute {
+		prepared, found := s.state.prepared[command.Name]
+		if !found {
+			s.fail(lineproto.CodeNotFound, "NOTFOUND")
+			return
+		}
+		text = prepared + command.Value
+	}
+	if s.refusesForRole(text) {
+		return
+	}
+	instance := s.instance
+	if s.transaction == nil && instance.position().IsBefore(command.MinPosition) {
+		s.fail(lineproto.CodeLagging, "LAGGING")
+		return
+	}
+	sent := instance.fleet.checkStatement(s, command.ID, text)
+	if sent == nil {
+		s.fail(lineproto.CodeOther, "OTHER")
+		return
+	}
+	instance.statementsMade++
+	stamp := fmt.Sprintf("%s.%s.%d", command.ID, instance.name, instance.statementsMade)
+	instance.fleet.checker.stampOwners[stamp] = command.ID
+	s.execute(sent, text, stamp)
+}
+
+// execute carries a statement out that was accepted.
+func (s *serverSession) execute(sent *query, text, stamp string) {
+	if text == commitText {
+		s.commit(sent, stamp)
+		return
+	}
+	if isWriteText(text) && s.transaction == nil {
+		s.appendCommit(sent, []string{sent.id}, stamp)
+		return
+	}
+	if isWriteText(text) {
+		s.transaction.writeIDs = append(s.transaction.writeIDs, sent.id)
+	}
+	s.finish(lineproto.Message{Kind: lineproto.KindRow, Payload: rowPayload(stamp)}, doneMessage(stamp))
+}
+
+// refusesForRole refuses writes at an instance that is not primary, or in a
+// read-only transaction, and all statements of a transaction whose instance
+// lost the role. A commit of no writes passes.
+func (s *serverSession) refusesForRole(text string) bool {
+	primary := s.instance.role == model.RolePrimary
+	transaction := s.transaction
+	lostRole := transaction != nil && !transaction.readOnly && (!primary || s.instance.term != transaction.term)
+	misplacedWrite := isWriteText(text) && (!primary || (transaction != nil && transaction.readOnly))
+	commit := text == commitText
+	if !lostRole && !misplacedWrite {
+		return false
+	}
+	if commit && len(transaction.writeIDs) == 0 {
+		return false
+	}
+	if commit {
+		s.undoTransaction()
+	} else if transaction != nil {
+		transaction.failed = true
+	}
+	s.finish(s.readOnlyMessage())
+	return true
+}
+
+func (s *serverSession) commit(sent *query, stamp string) {
+	writeIDs := s.transaction.writeIDs
+	s.transaction, s.stateBefore = nil, nil
+	if len(writeIDs) == 0 {
+		s.finish(doneMessage(stamp))
+		return
+	}
+	s.appendCommit(sent, writeIDs, stamp)
+}
+
+// appendCommit commits writes, and answers once a replica has received them.
+func (s *serverSession) appendCommit(sent *query, writeIDs []string, stamp string) {
+	instance := s.instance
+	s.committing = true
+	sent.byOldPrimary = instance.fleet.newestTerms[instance.database] > instance.term
+	sent.database = instance.database
+	sent.position = instance.append(writeIDs, func() {
+		if !s.closed {
+			s.finish(doneMessage(stamp))
+		}
+	})
+}
--- a/test/simulation/lines_test.go
+++ b/test/simulation/lines_test.go
@@ -2,40 +2,28 @@
 
 import (
 	"fmt"
-	"sync"
 	"testing"
 	"time"
 
 	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/test/linehistory"
 )
 
-func runManyLines(from, count uint64, size LineConfig, defects LineDefects) []LineResult {
-	results := make([]LineResult, count)
-	slots := make(chan bool, 5)
-	var group sync.WaitGroup
-	for at := range count {
-		group.Add(1)
-		go func() {
-			defer group.Done()
-			slots <- true
-			results[at] = RunLines(from+at, size, defects, nil)
-			<-slots
-		}()
-	}
-	group.Wait()
-	return results
+func runManyLines(from, count uint64, config LineConfig, defects LineDefects) []LineResult {
+	return runConcurrently(count, concurrentRuns, func(index uint64) LineResult { return RunLines(from+index, config, defects, nil) })
 }
 
 func shortLines() LineConfig {
-	size := SmallLineConfig()
-	size.FaultDuration = 10 * time.Second
-	return size
+	config := SmallLineConfig()
+	config.FaultDuration = 10 * time.Second
+	return config
 }
 
 func TestLinesSameSeedSameHistory(t *testing.T) {
 	Convey("The same seed gives the same history of a fleet of synced instances, and another another", t, func() {
-		size := shortLines()
-		first, again, other := RunLines(3, size, LineDefects{}, nil), RunLines(3, size, LineDefects{}, nil), RunLines(4, size, LineDefects{}, nil)
+		config := shortLines()
+		first, again, other := RunLines(3, config, LineDefects{}, nil), RunLines(3, config, LineDefects{}, nil), RunLines(4, config, LineDefects{}, nil)
 		So(first.HistoryDigest, ShouldEqual, again.HistoryDigest)
 		So(first.HistoryDigest, ShouldNotEqual, other.HistoryDigest)
 	})
@@ -43,9 +31,9 @@
 
 func TestLinesFixedSeeds(t *testing.T) {
 	Convey("Without trouble all is served, and without a promise or a cut", t, func() {
-		size := shortLines()
-		size.Script = func(*lineFleet) {}
-		result := RunLines(1, size, LineDefects{}, nil)
+		config := shortLines()
+		config.Script = func(*lineFleet) {}
+		result := RunLines(1, config, LineDefects{}, nil)
 		So(result.Violations, ShouldBeEmpty)
 		So(result.FailureCodes, ShouldBeEmpty)
 		So(result.Terms, ShouldEqual, 1)
@@ -68,9 +56,9 @@
 
 func TestLinesCrowded(t *testing.T) {
 	Convey("With more nodes than an instance takes connections all is served, and without a promise or a cut", t, func() {
-		size := CrowdedLineConfig()
-		size.Script = func(*lineFleet) {}
-		result := RunLines(1, size, LineDefects{}, nil)
+		config := CrowdedLineConfig()
+		config.Script = func(*lineFleet) {}
+		result := RunLines(1, config, LineDefects{}, nil)
 		So(result.Violations, ShouldBeEmpty)
 		So(result.FailureCodes, ShouldBeEmpty)
 		So(result.Terms, ShouldEqual, 1)
@@ -88,9 +76,9 @@
 func TestLinesSeedsOnceBroken(t *testing.T) {
 	onlyWithoutRace(t)
 	seeds := []struct {
-		why  string
-		seed uint64
-		size LineConfig
+		why    string
+		seed   uint64
+		config LineConfig
 	}{
 		{"a late promote call of an earlier intent, of the same holder and fence, was taken", 8000170, SmallLineConfig()},
 		{"a primary that started again never had the others follow, and one that crashed while leaving never ended", 8000029, SmallLineConfig()},
@@ -98,9 +86,9 @@
 		{"the holder of a duty did not renew it in time, and never saw an instance's answer while it was fresh", 8006071, LargeLineConfig()},
 	}
 	Convey("Seeds of lines on which a rule was broken once break none", t, func() {
-		for _, one := range seeds {
-			Convey(fmt.Sprintf("%d: %s", one.seed, one.why), func() {
-				So(RunLines(one.seed, one.size, LineDefects{}, nil).Violations, ShouldBeEmpty)
+		for _, known := range seeds {
+			Convey(fmt.Sprintf("%d: %s", known.seed, known.why), func() {
+				So(RunLines(known.seed, known.config, LineDefects{}, nil).Violations, ShouldBeEmpty)
 			})
 		}
 	})
@@ -108,13 +96,13 @@
 
 func TestLinesStartsAgain(t *testing.T) {
 	Convey("A primary that crashed before the others heard of its term has them follow when it is back", t, func() {
-		size := shortLines()
-		size.Script = func(l *lineFleet) {
+		config := shortLines()
+		config.Script = func(l *lineFleet) {
 			old := l.instancesByAddress["db1-a:1"]
 			l.crashInstance(old, 6*time.Second)
 			for _, one := range []string{"db1-b", "db1-c"} {
 				for _, other := range l.instancesOf("db1") {
-					l.blockLink([2]string{one, other.name}, 5*time.Second)
+					l.simulator.blockLink(link{one, other.name}, 5*time.Second)
 				}
 			}
 			var watch func()
@@ -127,40 +115,41 @@
 			}
 			watch()
 		}
-		result := RunLines(1, size, LineDefects{}, nil)
+		result := RunLines(1, config, LineDefects{}, nil)
 		So(result.Terms, ShouldEqual, 2)
 		So(result.Violations, ShouldBeEmpty)
 	})
 	Convey("An instance that crashed while it was leaving ends all the same", t, func() {
-		size := shortLines()
+		config := shortLines()
 		var one *lineInstance
-		size.Script = func(l *lineFleet) {
+		config.Script = func(l *lineFleet) {
 			one = l.instancesByAddress["db1-c:1"]
 			one.leave()
 			l.simulator.after(time.Second, func() { l.crashInstance(one, time.Second) })
 		}
-		So(RunLines(1, size, LineDefects{}, nil).Violations, ShouldBeEmpty)
+		So(RunLines(1, config, LineDefects{}, nil).Violations, ShouldBeEmpty)
 		So(one.ended, ShouldBeTrue)
 	})
 }
 
-// mirrored plays fleets at work in which one instance is slow for a while, one
-// loses answers and one lags, and holds each window to the paper.
-func mirrored(defects LineDefects, isBusy bool) (result LineResult, moves, blind int, widest, slowest float64) {
-	size := shortLines()
-	size.FaultDuration, size.RecoveryDuration, size.Connections, size.StaleLatencyTarget = 18*time.Second, 13*time.Second, 48, 800*time.Millisecond
+// runWithWindowModels runs fleets at work in which one instance is slow for a
+// while, one loses answers and one lags, with each window checked against the
+// paper's equations.
+func runWithWindowModels(defects LineDefects, busy bool) (LineResult, lineWindowChecks) {
+	config := shortLines()
+	config.FaultDuration, config.RecoveryDuration, config.Connections, config.StaleLatencyTarget = 18*time.Second, 13*time.Second, 48, 800*time.Millisecond
 	var fleet *lineFleet
-	size.Script = func(l *lineFleet) {
+	config.Script = func(l *lineFleet) {
 		fleet = l
-		l.modelsWindows = true
-		for _, one := range l.clients {
-			if isBusy {
-				one.pace = 4 * time.Millisecond
+		l.windows.enabled = true
+		for _, client := range l.clients {
+			if busy {
+				client.pace = 4 * time.Millisecond
 			}
 		}
-		for _, one := range l.lineNodes {
-			one.crash()
-			one.start()
+		for _, node := range l.nodes {
+			node.crash()
+			node.start()
 		}
 		slow, losing, lagging := l.instancesByAddress["db1-a:1"], l.instancesByAddress["db2-b:1"], l.instancesByAddress["db2-c:1"]
 		l.simulator.after(9*time.Second, func() {
@@ -168,24 +157,24 @@
 		})
 		l.simulator.after(14*time.Second, func() { slow.serviceTime, lagging.replicationDelay = 5*time.Millisecond, 2*time.Millisecond })
 	}
-	result = RunLines(5, size, defects, nil)
-	return result, fleet.windowUpdates, fleet.uncertainWindows, fleet.maxWindow, fleet.maxLatency
+	result := RunLines(5, config, defects, nil)
+	return result, fleet.windows
 }
 
 func TestLineWindowsFollowThePaper(t *testing.T) {
 	Convey("On a whole fleet of synced instances, every window and CAL of each node is what the paper's equations give for the latencies that its connections saw, and no more is out than that", t, func() {
-		for _, isBusy := range []bool{false, true} {
-			result, moves, blind, widest, slowest := mirrored(LineDefects{}, isBusy)
+		for _, busy := range []bool{false, true} {
+			result, windows := runWithWindowModels(LineDefects{}, busy)
 			So(result.Violations, ShouldBeEmpty)
-			So(moves, ShouldBeGreaterThan, 20)
-			So(blind, ShouldBeLessThan, 5)
-			So(widest, ShouldBeGreaterThan, 2.5)
-			So(slowest, ShouldBeGreaterThan, float64(30*time.Millisecond))
+			So(windows.updates, ShouldBeGreaterThan, 20)
+			So(windows.uncertain, ShouldBeLessThan, 5)
+			So(windows.maxWindow, ShouldBeGreaterThan, 2.5)
+			So(windows.maxLatency, ShouldBeGreaterThan, float64(30*time.Millisecond))
 		}
 	})
 	Convey("A node that takes answers for later than they are, or grows by another's weight, is found", t, func() {
 		for _, defects := range []LineDefects{{LateAnswers: true}, {WrongWeight: true}} {
-			result, _, _, _, _ := mirrored(defects, true)
+			result, _ := runWithWindowModels(defects, true)
 			So(len(result.Violations[RuleWindow]), ShouldBeGreaterThan, 10)
 		}
 	})
@@ -194,36 +183,36 @@
 func TestLinesPlantedDefects(t *testing.T) {
 	onlyWithoutRace(t)
 	with := func(longest time.Duration, only ...string) LineConfig {
-		size := shortLines()
-		size.AllowedFaults, size.MaxFaultDuration = only, longest
-		return size
+		config := shortLines()
+		config.AllowedFaults, config.MaxFaultDuration = only, longest
+		return config
 	}
 	cutOff := shortLines()
 	cutOff.Script = func(l *lineFleet) {
-		isolated := l.lineNodes[0]
+		isolated := l.nodes[0]
 		for _, control := range l.controls {
-			l.blockLink([2]string{isolated.name, control.name}, 9*time.Second)
-			l.blockLink([2]string{control.name, isolated.name}, 9*time.Second)
+			l.simulator.blockLink(link{isolated.name, control.name}, 9*time.Second)
+			l.simulator.blockLink(link{control.name, isolated.name}, 9*time.Second)
 		}
-		for _, other := range l.lineNodes[1:] {
-			l.blockLink([2]string{other.name, isolated.name}, 9*time.Second)
+		for _, other := range l.nodes[1:] {
+			l.simulator.blockLink(link{other.name, isolated.name}, 9*time.Second)
 		}
 		old := l.primaryOf(l.databases[0])
 		for _, control := range l.controls {
-			l.blockLink([2]string{old.name, control.name}, 8*time.Second)
-			l.blockLink([2]string{control.name, old.name}, 8*time.Second)
+			l.simulator.blockLink(link{old.name, control.name}, 8*time.Second)
+			l.simulator.blockLink(link{control.name, old.name}, 8*time.Second)
 		}
 		next, last := l.instancesByAddress["db1-b:1"], l.instancesByAddress["db1-c:1"]
 		last.replicationDelay = 60 * time.Millisecond
-		for _, way := range [][2]string{{next.name, last.name}, {last.name, next.name}, {next.name, old.name}} {
-			l.simulator.after(1500*time.Millisecond, func() { l.blockLink(way, 8*time.Second) })
+		for _, way := range []link{{next.name, last.name}, {last.name, next.name}, {next.name, old.name}} {
+			l.simulator.after(1500*time.Millisecond, func() { l.simulator.blockLink(way, 8*time.Second) })
 		}
 		l.simulator.after(time.Second, func() {
-			for _, one := range l.lineNodes[1:] {
-				for _, link := range one.links {
-					if link.instance == old {
-						link.session.close()
-						link.breakOff()
+			for _, node := range l.nodes[1:] {
+				for _, connection := range node.connections {
+					if connection.instance == old {
+						connection.session.close()
+						connection.breakOff()
 					}
 				}
 			}
@@ -238,25 +227,25 @@
 		name   string
 		defect LineDefects
 		rule   string
-		size   LineConfig
+		config LineConfig
 	}{
-		{"a node changes texts", LineDefects{AlteredTexts: true}, RuleUnasked, with(time.Second, "replica lag")},
-		{"a node mixes answers up", LineDefects{SwappedAnswers: true}, RuleMixed, with(time.Second, "replica lag")},
-		{"instances do not reset", LineDefects{IgnoredResets: true}, RulePinned, with(time.Second, "replica lag")},
-		{"a node sends writes twice", LineDefects{DuplicatedWrites: true}, RuleTwice, with(time.Second, "replica lag")},
-		{"a node promises what it does not know", LineDefects{UnknownReportedAsBusy: true}, RuleRefused, with(time.Second, "answers lost", "connections reset")},
-		{"floors are lost", LineDefects{DroppedMinPositions: true}, RuleStale, with(8*time.Second, "replica lag", "replica deaf")},
-		{"leases are too long", LineDefects{OverlongLeases: true}, RuleOne, cutOff},
-		{"the worst replica is promoted", LineDefects{PromoteWorstReplica: true}, RuleLost, with(6*time.Second, "replica deaf, primary crash")},
-		{"nobody hears that an instance leaves", LineDefects{IgnoreLeaving: true}, RuleDrain, with(time.Second, "instance leaving")},
-		{"leases are too long for a set that comes", LineDefects{OverlongLeases: true}, RuleConfig, with(9*time.Second, "node cut off")},
-		{"a planned stop ends sessions at once", LineDefects{AbruptStop: true}, RuleLost, with(time.Second, "node stopped as planned")},
-		{"nodes that start again ask for nothing", LineDefects{NoUpdatesAfterRestart: true}, RuleRecover, with(time.Second, "node kill")},
+		{"a node changes texts", LineDefects{AlteredTexts: true}, linehistory.RuleUnrequested, with(time.Second, "replica lag")},
+		{"a node mixes answers up", LineDefects{SwappedAnswers: true}, linehistory.RuleMixedAnswers, with(time.Second, "replica lag")},
+		{"instances do not reset", LineDefects{IgnoredResets: true}, linehistory.RuleWrongSession, with(time.Second, "replica lag")},
+		{"a node sends writes twice", LineDefects{DuplicatedWrites: true}, linehistory.RuleDuplicateWrites, with(time.Second, "replica lag")},
+		{"a node promises what it does not know", LineDefects{UnknownReportedAsBusy: true}, linehistory.RuleRefusedButKept, with(time.Second, "answers lost", "connections reset")},
+		{"floors are lost", LineDefects{DroppedMinPositions: true}, linehistory.RuleStaleReads, with(8*time.Second, "replica lag", "replica deaf")},
+		{"leases are too long", LineDefects{OverlongLeases: true}, linehistory.RuleOldPrimaryCommits, cutOff},
+		{"the worst replica is promoted", LineDefects{PromoteWorstReplica: true}, linehistory.RuleLostCommits, with(6*time.Second, "replica deaf, primary crash")},
+		{"nobody hears that an instance leaves", LineDefects{IgnoreLeaving: true}, linehistory.RuleWorkAfterLeaving, with(time.Second, "instance leaving")},
+		{"leases are too long for a set that comes", LineDefects{OverlongLeases: true}, linehistory.RuleWrongConfiguration, with(9*time.Second, "node cut off")},
+		{"a planned stop ends sessions at once", LineDefects{AbruptStop: true}, linehistory.RuleLostCommits, with(time.Second, "node stopped as planned")},
+		{"nodes that start again ask for nothing", LineDefects{NoUpdatesAfterRestart: true}, linehistory.RuleFailedRecoveries, with(time.Second, "node kill")},
 	}
 	Convey("Each planted defect breaks its rule on some of a few seeds, and the same seeds pass without it", t, func() {
 		for _, one := range defects {
 			count, others := 0, map[string]int{}
-			for _, result := range runManyLines(1, 4, one.size, one.defect) {
+			for _, result := range runManyLines(1, 4, one.config, one.defect) {
 				if _, broken := result.Violations[one.rule]; broken {
 					count++
 				}
@@ -265,7 +254,7 @@
 				}
 			}
 			So(fmt.Sprintf("%s: %v, broke %v", one.name, count > 0, others), ShouldStartWith, one.name+": true")
-			for _, result := range runManyLines(1, 1, one.size, LineDefects{}) {
+			for _, result := range runManyLines(1, 1, one.config, LineDefects{}) {
 				SoMsg(one.name+": without", result.Violations, ShouldBeEmpty)
 			}
 		}
--- a/test/simulation/lines_window.go
+++ b/test/simulation/lines_window.go
@@ -2,165 +2,191 @@
 
 import (
 	"math"
-	"strings"
 	"time"
 
 	"tansyseam/internal/coordination/flowcontrol"
 	"tansyseam/internal/coordination/pool/linepool"
-	words "tansyseam/internal/state/lineproto"
+	"tansyseam/internal/state/lineproto"
 )
 
-// owedAnswer is what an instance still has to answer on a link. Scored ones
-// hold a place in the window, a begin until the statement that follows ends.
+// expectedAnswer is what an instance still has to answer on a connection.
 type expectedAnswer struct {
+	// scored answers hold a slot of the window; that of a begin is held until
+	// the statement that follows has ended.
 	scored, begin bool
-	scale         float64
+	// scale brings latencies to the reference target.
+	scale float64
 }
 
-// placed is a link's place in the window of its instance.
+// windowSlot is a connection's slot in the window of its instance.
 type windowSlot struct {
 	taken, begin, begun bool
 	takenAt             time.Duration
 	scale               float64
 }
 
-const referenceLatencyTarget = 200 * time.Millisecond
+// connectionWindow is what the model of the window knows of a connection.
+type connectionWindow struct {
+	expectedAnswers []expectedAnswer
+	slot            windowSlot
+	lastResult      lineproto.Message
+}
+
+// codesWithoutWork are those of statements that an instance did not work on,
+// whose latency does not count.
+var codesWithoutWork = map[lineproto.Code]bool{
+	lineproto.CodeBusy: true, lineproto.CodeLagging: true, lineproto.CodeReadOnly: true, lineproto.CodeNotFound: true,
+}
 
 func (n *lineNode) admissionReading(name string) (flowcontrol.Reading, bool) {
 	instances, _ := n.pool.Status(n.clock())
-	for _, one := range instances {
-		if one.Instance.Name == name {
-			return one.Window, true
+	for _, instance := range instances {
+		if instance.Instance.Name == name {
+			return instance.Window, true
 		}
 	}
 	return flowcontrol.Reading{}, false
 }
 
+// windowModelFor gives the model of the window for an instance; nil where the
+// run models none, or the node knows no such instance.
 func (n *lineNode) windowModelFor(name string) *windowModel {
-	if !n.fleet.modelsWindows {
+	if !n.fleet.windows.enabled {
 		return nil
 	}
 	reading, found := n.admissionReading(name)
 	if !found {
 		return nil
 	}
-	held := n.windowModels[name]
-	if held == nil {
-		held = newWindowModel(1, reading.MaxWindow)
-		n.windowModels[name] = held
+	model := n.windowModels[name]
+	if model == nil {
+		model = newWindowModel(1, reading.MaxWindow)
+		n.windowModels[name] = model
 	}
-	held.maxWindow = reading.MaxWindow
-	held.window = math.Min(held.window, held.maxWindow)
-	if held.updates == 0 && held.samples == 0 && held.inFlight == 0 {
-		held.window = math.Min(2, held.maxWindow)
+	model.limit(reading.MaxWindow)
+	if model.isUnused() {
+		model.window = math.Min(initialWindow, model.maxWindow)
 	}
-	return held
+	return model
 }
 
-func (n *lineNode) modelSend(link *lineConnection, outs []linepool.Command) {
-	if !n.fleet.modelsWindows {
+func (m *windowModel) isUnused() bool { return m.updates == 0 && m.samples == 0 && m.inFlight == 0 }
+
+// modelSend takes in commands that are sent. The last one may take a slot; the
+// others only prepare the session.
+func (n *lineNode) modelSend(connection *lineConnection, commands []linepool.Command) {
+	if !n.fleet.windows.enabled {
 		return
 	}
-	link.expectedAnswers = append(link.expectedAnswers, make([]expectedAnswer, len(outs)-1)...)
-	last := outs[len(outs)-1]
-	one := expectedAnswer{begin: last.Kind == linepool.CommandBegin || last.Kind == linepool.CommandBeginReadOnly}
-	one.scored = one.begin || last.Kind == linepool.CommandText || last.Kind == linepool.CommandExecute
-	if asked := n.fleet.queries[last.ID]; asked != nil {
-		one.scale = referenceLatencyTarget.Seconds() / n.fleet.latencyTarget(asked.client.route).Seconds()
-	}
-	link.expectedAnswers = append(link.expectedAnswers, one)
-	held := n.windowModelFor(link.instance.name)
-	if !one.scored || held == nil {
+	window, last := &connection.window, commands[len(commands)-1]
+	expected := n.expectedAnswerTo(last)
+	window.expectedAnswers = append(window.expectedAnswers, make([]expectedAnswer, len(commands)-1)...)
+	window.expectedAnswers = append(window.expectedAnswers, expected)
+	model := n.windowModelFor(connection.instance.name)
+	if !expected.scored || model == nil {
 		return
 	}
-	if !link.slot.taken {
-		if room := int(math.Max(1, math.Floor(held.window+1e-9))); held.inFlight >= room {
-			n.fleet.addRuleViolation(RuleWindow, "%s has %d out at %s, with a window of %v", n.name, held.inFlight+1, link.instance.name, held.window)
-		}
-		held.begin()
+	if !window.slot.taken {
+		n.checkRoom(connection.instance.name, model)
+		model.begin()
+	}
+	window.slot = windowSlot{taken: true, begin: expected.begin, takenAt: n.clock(), scale: expected.scale}
+}
+
+func (n *lineNode) expectedAnswerTo(command linepool.Command) expectedAnswer {
+	begin := command.Kind == linepool.CommandBegin || command.Kind == linepool.CommandBeginReadOnly
+	expected := expectedAnswer{begin: begin, scored: begin || command.Kind == linepool.CommandText || command.Kind == linepool.CommandExecute}
+	if sent := n.fleet.checker.queries[command.ID]; sent != nil {
+		expected.scale = referenceLatencyTarget.Seconds() / n.fleet.latencyTarget(sent.client.route).Seconds()
 	}
-	link.slot = windowSlot{taken: true, begin: one.begin, takenAt: n.clock(), scale: one.scale}
+	return expected
 }
 
-var codesWithoutWork = map[words.Code]bool{words.CodeBusy: true, words.CodeLagging: true, words.CodeReadOnly: true, words.CodeNotFound: true}
+// checkRoom checks that the window has room for one more.
+func (n *lineNode) checkRoom(instance string, model *windowModel) {
+	room := int(math.Max(1, math.Floor(model.window+roundingMargin)))
+	if model.inFlight >= room {
+		n.fleet.checker.addViolation(RuleWindow, "%s has %d out at %s, with a window of %v", n.name, model.inFlight+1, instance, model.window)
+	}
+}
 
-func (n *lineNode) modelAnswer(link *lineConnection, message words.Message) {
-	if len(link.expectedAnswers) == 0 {
+// modelAnswer takes in a message from an instance.
+func (n *lineNode) modelAnswer(connection *lineConnection, message lineproto.Message) {
+	window := &connection.window
+	if len(window.expectedAnswers) == 0 {
 		return
 	}
-	first := link.expectedAnswers[0]
-	if message.Kind == words.KindDone || message.Kind == words.KindError {
-		link.lastResult = message
+	if message.Kind == lineproto.KindDone || message.Kind == lineproto.KindError {
+		window.lastResult = message
 	}
-	if message.Kind != words.KindReady {
+	if message.Kind != lineproto.KindReady {
 		return
 	}
-	link.expectedAnswers = link.expectedAnswers[1:]
-	held := n.windowModelFor(link.instance.name)
-	if !first.scored || held == nil {
+	expected := window.expectedAnswers[0]
+	window.expectedAnswers = window.expectedAnswers[1:]
+	model := n.windowModelFor(connection.instance.name)
+	if !expected.scored || model == nil {
 		return
 	}
-	if first.begin && link.lastResult.Kind == words.KindDone && message.State == words.StateInTransaction {
-		link.slot.begun = true
+	result := window.lastResult
+	if expected.begin && result.Kind == lineproto.KindDone && message.State == lineproto.StateInTransaction {
+		window.slot.begun = true
 		return
 	}
-	age := n.clock() - link.slot.takenAt
-	isWorked := !first.begin && (link.lastResult.Kind != words.KindError || !codesWithoutWork[link.lastResult.Code])
-	link.slot = windowSlot{}
-	held.inFlight--
-	if isWorked {
-		held.addSample(time.Duration(float64(age) * first.scale))
+	latency := n.clock() - window.slot.takenAt
+	worked := !expected.begin && (result.Kind != lineproto.KindError || !codesWithoutWork[result.Code])
+	window.slot = windowSlot{}
+	model.inFlight--
+	if worked {
+		model.addSample(time.Duration(float64(latency) * expected.scale))
 	}
 }
 
-// mirrorShut takes in that a link is over: what was out there counts its age,
-// and no less than the threshold. Whose begin was out is not known from here:
-// that window is taken as the node shows it.
-func (n *lineNode) modelClose(link *lineConnection) {
-	place := link.slot
-	link.slot = windowSlot{}
-	held := n.windowModelFor(link.instance.name)
-	if !place.taken || held == nil {
+// modelClose takes in that a connection is closed. A statement that was in
+// flight counts with its age, and no less than the threshold. Whether a begin
+// that was in flight counts is not known from here, so that the window is
+// taken over from the product once.
+func (n *lineNode) modelClose(connection *lineConnection) {
+	slot := connection.window.slot
+	connection.window.slot = windowSlot{}
+	model := n.windowModelFor(connection.instance.name)
+	if !slot.taken || model == nil {
 		return
 	}
-	held.inFlight--
-	if place.begin && !place.begun {
-		held.uncertain = true
-		n.fleet.uncertainWindows++
+	model.inFlight--
+	if slot.begin && !slot.begun {
+		model.uncertain = true
+		n.fleet.windows.uncertain++
 	}
-	if !place.begin {
-		held.addSample(max(time.Duration(float64(n.clock()-place.takenAt)*place.scale), 30*time.Millisecond))
+	if !slot.begin {
+		age := time.Duration(float64(n.clock()-slot.takenAt) * slot.scale)
+		model.addSample(max(age, time.Duration(paperThresholdNanos)))
 	}
 }
 
+// checkWindows compares each window of the node with its model.
 func (n *lineNode) checkWindows(now time.Duration) {
-	if !n.fleet.modelsWindows {
+	if !n.fleet.windows.enabled {
 		return
 	}
-	for _, one := range n.fleet.lineInstances {
-		held := n.windowModelFor(one.name)
-		if held == nil {
-			continue
+	for _, instance := range n.fleet.instances {
+		if model := n.windowModelFor(instance.name); model != nil {
+			n.checkWindow(instance.name, model, now)
 		}
-		reading, _ := n.admissionReading(one.name)
-		before := held.updates
-		held.tick(now)
-		isFar := math.Abs(held.window-reading.Size) > 1e-6 || math.Abs(held.cal-float64(reading.AverageLatency)) > 2
-		if isFar && !held.uncertain {
-			n.fleet.addRuleViolation(RuleWindow, "%s for %s: window %v and CAL %v, by the equations %v and %v", n.name, one.name, reading.Size, reading.AverageLatency, held.window, time.Duration(held.cal))
-		}
-		if isFar {
-			held.window, held.cal = reading.Size, float64(reading.AverageLatency)
-		}
-		held.uncertain = held.uncertain && held.updates == before
-		n.fleet.windowUpdates = max(n.fleet.windowUpdates, held.updates)
-		n.fleet.maxWindow, n.fleet.maxLatency = math.Max(n.fleet.maxWindow, held.window), math.Max(n.fleet.maxLatency, held.cal)
 	}
 }
 
-func (l *lineFleet) latencyTarget(route string) time.Duration {
-	if l.lineConfig.StaleLatencyTarget > 0 && strings.HasSuffix(route, "-stale") {
-		return l.lineConfig.StaleLatencyTarget
-	}
-	return referenceLatencyTarget
+func (n *lineNode) checkWindow(instance string, model *windowModel, now time.Duration) {
+	reading, _ := n.admissionReading(instance)
+	updates := model.updates
+	model.tick(now)
+	differs := model.differsFrom(reading)
+	if differs && !model.uncertain {
+		n.fleet.checker.addViolation(RuleWindow, "%s for %s: window %v and CAL %v, by the equations %v and %v", n.name, instance, reading.Size, reading.AverageLatency, model.window, time.Duration(model.averageLatency))
+	}
+	if differs {
+		model.adopt(reading)
+	}
+	model.uncertain = model.uncertain && model.updates == updates
+	n.fleet.windows.observe(model)
 }
--- /dev/null
+++ b/test/simulation/node_stop.go
@@ -0,0 +1,100 @@
+package simulation
+
+import (
+	"time"
+
+	"tansyseam/internal/coordination/idempotency"
+)
+
+const (
+	// nodeStopTimeout is how long a node that is stopped waits for the work
+	// in flight.
+	nodeStopTimeout       = 5500 * time.Millisecond
+	nodeStopCheckInterval = 20 * time.Millisecond
+	// nodeLingerTime is how long a node stays after its last work, for
+	// answers that are still on their way.
+	nodeLingerTime = 700 * time.Millisecond
+	// nodeStopOvertime is how long after the time-out a stop is over in any
+	// case.
+	nodeStopOvertime = 2 * time.Second
+)
+
+// stop stops a node as planned, and starts it again after a span.
+func (n *node) stop(downTime time.Duration) {
+	if !n.running || n.frozen || n.stopping {
+		return
+	}
+	n.stopping = true
+	incarnation := n.incarnation
+	n.simulator.record("%s told to stop", n.name)
+	n.step(n.pool.Drain)
+	n.awaitDrained(downTime)
+	n.simulator.after(nodeStopTimeout+nodeStopOvertime, func() {
+		if n.incarnation != incarnation {
+			n.stopping = false
+		}
+	})
+}
+
+// awaitDrained waits until no session is active, or for the time-out.
+func (n *node) awaitDrained(downTime time.Duration) {
+	since, freezes := n.simulator.now, n.freezeCount
+	var check func()
+	check = func() {
+		if n.pool.ActiveSessions() == 0 || n.fleet.defects.AbruptStop || n.simulator.now >= since+nodeStopTimeout {
+			n.finishStop(since, freezes, downTime)
+			return
+		}
+		n.after(nodeStopCheckInterval, check)
+	}
+	check()
+}
+
+// finishStop ends all sessions, hands the records of requests over and crashes
+// the node. A stop during which the node was frozen does not count as one that
+// went as planned.
+func (n *node) finishStop(since time.Duration, freezes int, downTime time.Duration) {
+	n.step(func(time.Duration) { n.pool.DisconnectSessions() })
+	n.handOverRecords()
+	linger := nodeLingerTime
+	if n.fleet.defects.AbruptStop {
+		linger = 0
+	}
+	n.after(linger, func() {
+		n.stopping = false
+		if n.freezeCount == freezes {
+			n.fleet.recorder.addRestart(n.name, since, n.simulator.now)
+		}
+		n.crashAndRestart(n.start, downTime)
+	})
+}
+
+// handOverRecords sends the records of requests to another node, and tells the
+// rest which one that is.
+func (n *node) handOverRecords() {
+	successor := n.findSuccessor()
+	if successor == nil {
+		return
+	}
+	complete := n.pool.RequestLog().Export(successor.name)
+	notice := idempotency.Handover{Node: complete.Node, Incarnation: complete.Incarnation, Successor: complete.Successor}
+	for _, other := range n.fleet.nodes {
+		if other == n {
+			continue
+		}
+		handover := notice
+		if other == successor {
+			handover = complete
+		}
+		n.simulator.send(&n.machine, &other.machine, func() { other.pool.ImportHandover(handover, other.clock()) })
+	}
+}
+
+func (n *node) findSuccessor() *node {
+	for _, other := range n.fleet.nodes {
+		if other != n && other.running && !other.stopping {
+			return other
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/test/simulation/run.go
@@ -0,0 +1,165 @@
+package simulation
+
+import (
+	"time"
+
+	"tansyseam/test/history"
+	"tansyseam/test/standin"
+)
+
+const (
+	// electionTime is how long after its start a fleet has a control primary.
+	electionTime = 1500 * time.Millisecond
+	// firstSetAttempts and firstSetInterval are those of the operator who
+	// submits the first set.
+	firstSetAttempts = 10
+	firstSetInterval = 300 * time.Millisecond
+	// setUpTime is how long after its start a fleet serves callers.
+	setUpTime = 5500 * time.Millisecond
+	// callerStartTime is how long callers take to open their sessions.
+	callerStartTime = 500 * time.Millisecond
+	// operatorOvertime is how long operators go on after the last fault.
+	operatorOvertime = 2 * time.Second
+	// settleTime is how long after the last fault requests may still fail.
+	settleTime = 12 * time.Second
+)
+
+// ownRule names the rule of the violations that the simulator finds itself.
+const ownRule = "simulation"
+
+// Result is what one simulated run showed.
+type Result struct {
+	Seed uint64
+	// Violations has what the checks found, by the name of the rule.
+	Violations map[string][]string
+	Events     int
+	Writes     int
+	Reads      int
+	// HistoryDigest covers every line of the history.
+	HistoryDigest string
+	// Terms is the highest term of any database, Epochs the highest epoch of
+	// control.
+	Terms  uint64
+	Epochs uint64
+	// FaultPhases counts how often each fault met each phase, under "fault /
+	// phase".
+	FaultPhases map[string]int
+}
+
+// Run simulates one seed. Log, where given, receives every line of the
+// history.
+func Run(seed uint64, config Config, defects Defects, log func(string, ...any)) Result {
+	f := newFleet(seed, config, defects)
+	s := f.simulator
+	if log != nil {
+		s.log = log
+	}
+	f.setUp()
+	f.startCallers(seed)
+	warmUp := s.now
+	s.runUntil(warmUp + config.WarmUp)
+	faults := s.now
+	f.runFaults()
+	recovery := s.now
+	f.recorder.addQuietSpan(warmUp+callerStartTime, faults)
+	f.recorder.addQuietSpan(recovery+settleTime, recovery+config.RecoveryDuration)
+	f.recorder.addClosedFault(history.ClosedFault{
+		Name: "all faults", BeforeFrom: int64(warmUp + callerStartTime), BeforeUntil: int64(faults), At: int64(recovery),
+	})
+	s.runUntil(recovery + config.RecoveryDuration)
+	return f.result(seed)
+}
+
+// setUp runs until the fleet has a control primary and its first set.
+func (f *fleet) setUp() {
+	s := f.simulator
+	start := s.now
+	s.runUntil(start + electionTime)
+	for range firstSetAttempts {
+		f.submitSet(setSubmission{id: "first"})
+		s.runUntil(s.now + firstSetInterval)
+	}
+	s.runUntil(start + setUpTime)
+}
+
+// runFaults runs the span of faults, in which operators submit and read sets.
+func (f *fleet) runFaults() {
+	s := f.simulator
+	end := s.now + f.config.FaultDuration
+	if f.config.Script != nil {
+		f.config.Script(f)
+	} else {
+		f.injectFaultsUntil(end)
+	}
+	f.submitSetsUntil(end + operatorOvertime)
+	f.checkReadsUntil(end + operatorOvertime)
+	f.checkSinglePrimaryUntil(end + f.config.RecoveryDuration)
+	s.runUntil(end)
+	if f.config.Script == nil {
+		f.repairAll()
+	}
+	f.endFaultPhase()
+}
+
+func (f *fleet) result(seed uint64) Result {
+	result := Result{Seed: seed, FaultPhases: f.faults.phaseCounts, HistoryDigest: f.simulator.historyDigest()}
+	for _, event := range f.recorder.evidence.Events {
+		result.Events++
+		if event.Outcome == history.OutcomeKept {
+			result.Writes++
+		}
+		if event.Outcome == history.OutcomeRead {
+			result.Reads++
+		}
+	}
+	for _, control := range f.controls {
+		if control.consensus != nil {
+			result.Epochs = max(result.Epochs, control.consensus.Record().Epoch)
+		}
+	}
+	evidence := f.finalEvidence()
+	routing := f.bestInformedNode().pool.Routing()
+	for _, instance := range f.instances {
+		if writer := routing.WriterRole(instance.database); writer.Primary != "" {
+			evidence.Writers[instance.database] = writer.Primary
+			result.Terms = max(result.Terms, writer.Term)
+		}
+	}
+	result.Violations = history.Violations(evidence)
+	if len(f.recorder.violations) > 0 {
+		result.Violations[ownRule] = f.recorder.violations
+	}
+	return result
+}
+
+// finalEvidence adds to the evidence what the instances hold at the end;
+// requests that are still outstanding count as cut off.
+func (f *fleet) finalEvidence() history.Evidence {
+	evidence := f.recorder.evidence
+	evidence.End = int64(f.simulator.now)
+	evidence.Logs, evidence.Writers = map[string]map[string][]standin.Entry{}, map[string]string{}
+	for _, event := range f.recorder.outstanding {
+		event.Outcome, event.Got = history.OutcomeCut, int64(f.simulator.now)
+		evidence.Events = append(evidence.Events, event)
+	}
+	for _, instance := range f.instances {
+		if evidence.Logs[instance.database] == nil {
+			evidence.Logs[instance.database] = map[string][]standin.Entry{}
+		}
+		evidence.Logs[instance.database][instance.name] = instance.entries
+		evidence.Executions = append(evidence.Executions, instance.executions...)
+	}
+	return evidence
+}
+
+// bestInformedNode gives the running node with the newest version of the
+// routing.
+func (f *fleet) bestInformedNode() *node {
+	var best *node
+	for _, node := range f.nodes {
+		if node.running && (best == nil || best.pool.Routing().Version().IsBefore(node.pool.Routing().Version())) {
+			best = node
+		}
+	}
+	return best
+}
