--- a/test/simulation/simulator.go
+++ b/test/simulation/simulator.go
@@ -1,6 +1,3 @@
-// Package simulation runs a whole fleet in one thread under a virtual clock: the
-// product's own coordination and state code on simulated links, disks,
-// clocks and instances. The same seed gives the same history.
 package simulation
 
 import (
@@ -12,157 +9,111 @@
 	"time"
 )
 
+// startTime is the virtual time at which each run begins. It is not zero, so
+// that code which subtracts spans from it stays in positive times.
+const startTime = time.Hour
+
+// randomStream separates the random numbers of the simulator from those of
+// its callers and clients, which are drawn from the same seed.
+const randomStream = 0x5ea7
+
 type scheduledEvent struct {
-	at    time.Duration
+	at time.Duration
+	// order breaks ties: events of one time run in the order in which they
+	// were scheduled.
 	order uint64
 	run   func()
 }
 
+// eventQueue is a heap of events by time.
 type eventQueue []scheduledEvent
 
-func (a eventQueue) Len() int { return len(a) }
-func (a eventQueue) Less(i, j int) bool {
-	return a[i].at < a[j].at || (a[i].at == a[j].at && a[i].order < a[j].order)
+func (q eventQueue) Len() int { return len(q) }
+
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].order < q[j].order)
 }
-func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *eventQueue) Push(x any)   { *a = append(*a, x.(scheduledEvent)) }
-func (a *eventQueue) Pop() any {
-	last := (*a)[len(*a)-1]
-	*a = (*a)[:len(*a)-1]
+
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+func (q *eventQueue) Push(event any) { *q = append(*q, event.(scheduledEvent)) }
+
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
+// simulator holds the virtual clock, the events to come, the random numbers
+// and the state of the network. All machines of a run share it.
 type simulator struct {
-	now          time.Duration
-	queue        eventQueue
-	lastOrder    uint64
-	random       *rand.Rand
-	blockedLinks map[[2]string]bool
-	lossRate     float64
-	extraDelay   time.Duration
-	trace        hash.Hash
-	log          func(format string, parts ...any)
+	now       time.Duration
+	queue     eventQueue
+	lastOrder uint64
+	random    *rand.Rand
+	network   network
+	// trace is the digest of the history so far.
+	trace hash.Hash
+	log   func(format string, parts ...any)
 }
 
 func newSimulator(seed uint64) *simulator {
 	return &simulator{
-		now: time.Hour, random: rand.New(rand.NewPCG(seed, 0x5ea7)), blockedLinks: map[[2]string]bool{}, trace: sha256.New(),
+		now: startTime, random: rand.New(rand.NewPCG(seed, randomStream)), network: newNetwork(), trace: sha256.New(),
 		log: func(string, ...any) {},
 	}
 }
 
-func (w *simulator) record(format string, parts ...any) {
-	line := fmt.Sprintf("%9.3f ", (w.now-time.Hour).Seconds()*1000) + fmt.Sprintf(format, parts...)
-	_, _ = w.trace.Write([]byte(line + "\n"))
-	w.log("%s", line)
-}
-
-func (w *simulator) after(span time.Duration, act func()) {
-	w.lastOrder++
-	heap.Push(&w.queue, scheduledEvent{at: w.now + span, order: w.lastOrder, run: act})
-}
-
-func (w *simulator) runUntil(end time.Duration) {
-	for w.queue.Len() > 0 && w.queue[0].at <= end {
-		next := heap.Pop(&w.queue).(scheduledEvent)
-		w.now = next.at
-		next.run()
-	}
-	w.now = end
-}
-
-func (w *simulator) randomDuration(low, high time.Duration) time.Duration {
-	return low + time.Duration(w.random.Int64N(int64(high-low)+1))
+// record adds a line to the history.
+func (s *simulator) record(format string, parts ...any) {
+	line := fmt.Sprintf("%9.3f ", sinceStartMS(s.now)) + fmt.Sprintf(format, parts...)
+	_, _ = s.trace.Write([]byte(line + "\n"))
+	s.log("%s", line)
 }
 
-func (w *simulator) chance(part float64) bool { return w.random.Float64() < part }
-
-type machine struct {
-	simulator     *simulator
-	name          string
-	running       bool
-	frozen        bool
-	incarnation   int
-	deferred      []func()
-	clockDrift    float64
-	wallClockSkew time.Duration
-	zone          string
-	vanished      bool
-	crashHandler  func(vanished bool)
-	freezeCount   int
-}
-
-func (m *machine) clock() time.Duration {
-	return time.Hour + time.Duration(float64(m.simulator.now-time.Hour)*(1+m.clockDrift))
-}
-
-func (m *machine) wallClock() int64 { return int64(m.simulator.now+m.wallClockSkew) + wallClockEpoch }
+func (s *simulator) historyDigest() string { return fmt.Sprintf("%x", s.trace.Sum(nil)) }
 
-const wallClockEpoch = 1_700_000_000_000_000_000
+// sinceStartMS gives a virtual time in milliseconds since the run began.
+func sinceStartMS(at time.Duration) float64 { return (at - startTime).Seconds() * 1000 }
 
-func (m *machine) after(span time.Duration, work func()) {
-	life := m.incarnation
-	m.simulator.after(span, func() { m.runDuring(life, work) })
+// after schedules an event.
+func (s *simulator) after(delay time.Duration, run func()) {
+	s.lastOrder++
+	heap.Push(&s.queue, scheduledEvent{at: s.now + delay, order: s.lastOrder, run: run})
 }
 
-func (m *machine) runDuring(life int, work func()) {
-	if !m.running || m.incarnation != life {
-		return
-	}
-	if m.frozen {
-		m.deferred = append(m.deferred, func() { m.runDuring(life, work) })
-		return
+// runUntil runs all events up to a time, and sets the clock to it.
+func (s *simulator) runUntil(end time.Duration) {
+	for s.queue.Len() > 0 && s.queue[0].at <= end {
+		next := heap.Pop(&s.queue).(scheduledEvent)
+		s.now = next.at
+		next.run()
 	}
-	work()
+	s.now = end
 }
 
-func (m *machine) crash() {
-	m.running, m.frozen, m.deferred = false, false, nil
-	m.incarnation++
-	m.vanished = m.simulator.chance(0.4)
-	m.simulator.record("%s down, vanished %v", m.name, m.vanished)
-	if m.crashHandler != nil {
-		m.crashHandler(m.vanished)
-	}
+// randomDuration draws evenly between two durations, both included.
+func (s *simulator) randomDuration(low, high time.Duration) time.Duration {
+	return drawDuration(s.random, low, high)
 }
 
-func (m *machine) freeze() {
-	if m.running {
-		m.frozen = true
-		m.freezeCount++
-		m.simulator.record("%s frozen", m.name)
-	}
-}
+// chance is true with a probability.
+func (s *simulator) chance(probability float64) bool { return s.random.Float64() < probability }
 
-func (m *machine) thaw() {
-	if !m.frozen {
-		return
-	}
-	m.frozen = false
-	m.simulator.record("%s thawed", m.name)
-	backlog := m.deferred
-	m.deferred = nil
-	for _, work := range backlog {
-		work()
-	}
+func drawDuration(random *rand.Rand, low, high time.Duration) time.Duration {
+	return low + time.Duration(random.Int64N(int64(high-low)+1))
 }
 
-func (w *simulator) sendReliable(from, to *machine, act func()) {
-	trip := w.randomDuration(200*time.Microsecond, 2500*time.Microsecond)
-	if w.lossRate > 0 && w.chance(w.lossRate) {
-		trip += w.randomDuration(200*time.Millisecond, 400*time.Millisecond)
-	}
-	life := to.incarnation
-	w.after(trip, func() { to.runDuring(life, act) })
-}
+// pickRandom draws one of a list.
+func pickRandom[T any](s *simulator, list []T) T { return list[s.random.IntN(len(list))] }
 
-func (w *simulator) send(from, to *machine, act func()) {
-	if !from.running {
-		return
-	}
-	if w.blockedLinks[[2]string{from.name, to.name}] || (w.lossRate > 0 && w.chance(w.lossRate)) {
-		return
+// once gives a function that acts on its first call only.
+func once(act func()) func() {
+	called := false
+	return func() {
+		if !called {
+			called = true
+			act()
+		}
 	}
-	life := to.incarnation
-	w.after(w.extraDelay+w.randomDuration(200*time.Microsecond, 2500*time.Microsecond), func() { to.runDuring(life, act) })
 }
--- a/test/simulation/window.go
+++ b/test/simulation/window.go
@@ -3,63 +3,118 @@
 import (
 	"math"
 	"time"
+
+	"tansyseam/internal/coordination/flowcontrol"
+)
+
+// Constants of the paper on flow control (docs/paper.md): the weights of the
+// averages, and the latency threshold in nanoseconds.
+const (
+	paperAlpha          = 0.9
+	paperGamma          = 0.2
+	paperThresholdNanos = 30e6
+)
+
+const (
+	windowPeriod  = time.Second
+	initialWindow = 2
+	// roundingMargin makes up for rounding when a window is compared with a
+	// count.
+	roundingMargin = 1e-9
+	// windowTolerance and latencyTolerance are how far the product's figures
+	// may be from the model's; the latter is in nanoseconds.
+	windowTolerance  = 1e-6
+	latencyTolerance = 2
 )
 
+// windowModel is the paper's equations for one window of one node, written a
+// second time to check the product's. It shares no code with the product.
 type windowModel struct {
-	cal, window, beta, maxWindow float64
-	periodStart                  time.Duration
-	started, saturated           bool
-	latencySum                   float64
-	samples, inFlight            int
-	updates                      int
-	uncertain                    bool
+	// averageLatency is the paper's CAL, in nanoseconds.
+	averageLatency          float64
+	window, beta, maxWindow float64
+	periodStart             time.Duration
+	started                 bool
+	// saturated says that the window was full in this period.
+	saturated  bool
+	latencySum float64
+	samples    int
+	inFlight   int
+	updates    int
+	// uncertain says that the model lacks what the product saw in this
+	// period.
+	uncertain bool
+}
+
+func newWindowModel(beta, maxWindow float64) *windowModel {
+	return &windowModel{window: math.Min(initialWindow, maxWindow), beta: beta, maxWindow: maxWindow}
 }
 
-func newWindowModel(beta, most float64) *windowModel {
-	return &windowModel{window: math.Min(2, most), beta: beta, maxWindow: most}
+func (m *windowModel) isFull() bool { return m.inFlight >= int(m.window+roundingMargin) }
+
+func (m *windowModel) begin() {
+	m.inFlight++
+	m.saturated = m.saturated || m.isFull()
 }
 
-func (x *windowModel) begin() {
-	x.inFlight++
-	x.saturated = x.saturated || x.inFlight >= int(x.window+1e-9)
+func (m *windowModel) finish(latency time.Duration) {
+	m.inFlight--
+	m.addSample(latency)
 }
 
-func (x *windowModel) finish(latency time.Duration) {
-	x.inFlight--
-	x.addSample(latency)
+func (m *windowModel) addSample(latency time.Duration) {
+	m.latencySum += float64(latency)
+	m.samples++
 }
 
-func (x *windowModel) addSample(latency time.Duration) {
-	x.latencySum += float64(latency)
-	x.samples++
+// limit applies a new largest window.
+func (m *windowModel) limit(maxWindow float64) {
+	m.maxWindow = maxWindow
+	m.window = math.Min(m.window, maxWindow)
 }
 
-func (x *windowModel) tick(now time.Duration) {
-	if !x.started {
-		x.periodStart, x.started = now, true
+// tick updates the window at the end of each period that has samples.
+func (m *windowModel) tick(now time.Duration) {
+	if !m.started {
+		m.periodStart, m.started = now, true
 		return
 	}
-	if now-x.periodStart < time.Second {
+	if now-m.periodStart < windowPeriod {
 		return
 	}
-	x.periodStart = now
-	if x.samples == 0 {
-		return
+	m.periodStart = now
+	if m.samples > 0 {
+		m.update()
 	}
-	const alpha, gamma, threshold = 0.9, 0.2, 30e6
-	l := x.latencySum / float64(x.samples)
-	x.cal = (1-alpha)*l + alpha*x.cal
-	if x.updates == 0 {
-		x.cal = l
+}
+
+func (m *windowModel) update() {
+	latency := m.latencySum / float64(m.samples)
+	m.averageLatency = (1-paperAlpha)*latency + paperAlpha*m.averageLatency
+	if m.updates == 0 {
+		m.averageLatency = latency
 	}
-	x.updates++
-	moved := (1-gamma)*x.window + gamma*(threshold/x.cal*x.window+x.beta)
-	if x.saturated || moved < x.window {
-		x.window = math.Min(math.Max(moved, 1), x.maxWindow)
+	m.updates++
+	next := (1-paperGamma)*m.window + paperGamma*(paperThresholdNanos/m.averageLatency*m.window+m.beta)
+	if m.saturated || next < m.window {
+		m.window = math.Min(math.Max(next, 1), m.maxWindow)
 	}
-	x.latencySum, x.samples, x.saturated = 0, 0, x.inFlight >= int(x.window+1e-9)
+	m.latencySum, m.samples, m.saturated = 0, 0, m.isFull()
+}
+
+// differsFrom reports whether the product's figures are not the model's.
+func (m *windowModel) differsFrom(reading flowcontrol.Reading) bool {
+	return math.Abs(m.window-reading.Size) > windowTolerance || math.Abs(m.averageLatency-float64(reading.AverageLatency)) > latencyTolerance
+}
+
+// adopt takes the product's figures over, so that one difference is found
+// once.
+func (m *windowModel) adopt(reading flowcontrol.Reading) {
+	m.window, m.averageLatency = reading.Size, float64(reading.AverageLatency)
 }
 
+// windowModelFor gives the model of the window for an instance; nil where the
+// run models none, or the node knows no such instance.
 func (n *node) windowModelFor(name string) *windowModel {
 	reading, found := n.pool.WindowReading(name)
 	if !n.fleet.modelsWindows || !found {
@@ -71,22 +126,22 @@
 	return n.windowModels[name]
 }
 
+// checkWindows compares each window of the node with its model.
 func (n *node) checkWindows(now time.Duration) {
-	for _, one := range n.fleet.instances {
-		held := n.windowModelFor(one.name)
-		if held == nil {
+	for _, instance := range n.fleet.instances {
+		model := n.windowModelFor(instance.name)
+		if model == nil {
 			continue
 		}
-		reading, _ := n.pool.WindowReading(one.name)
-		held.beta, held.maxWindow = reading.Beta, reading.MaxWindow
-		held.window = math.Min(held.window, held.maxWindow)
-		held.tick(now)
-		isFar := math.Abs(held.window-reading.Size) > 1e-6 || math.Abs(held.cal-float64(reading.AverageLatency)) > 2
-		if isFar {
-			n.fleet.addViolation("%s for %s: window %v and CAL %v, by the equations %v and %v", n.name, one.name, reading.Size, reading.AverageLatency, held.window, time.Duration(held.cal))
-			held.window, held.cal = reading.Size, float64(reading.AverageLatency)
+		reading, _ := n.pool.WindowReading(instance.name)
+		model.beta = reading.Beta
+		model.limit(reading.MaxWindow)
+		model.tick(now)
+		if model.differsFrom(reading) {
+			n.fleet.recorder.addViolation("%s for %s: window %v and CAL %v, by the equations %v and %v", n.name, instance.name, reading.Size, reading.AverageLatency, model.window, time.Duration(model.averageLatency))
+			model.adopt(reading)
 		}
-		n.fleet.windowUpdates = max(n.fleet.windowUpdates, held.updates)
-		n.fleet.maxWindow = math.Max(n.fleet.maxWindow, held.window)
+		n.fleet.windowUpdates = max(n.fleet.windowUpdates, model.updates)
+		n.fleet.maxWindow = math.Max(n.fleet.maxWindow, model.window)
 	}
 }
