--- a/internal/protocol/adapter/adapter.go
+++ b/internal/protocol/adapter/adapter.go
@@ -1,29 +1,34 @@
-// Package adapter says how calls of another manner of speaking are met: a
-// Translation turns one into a call of the product and its answer back.
+// Package adapter holds the types by which the API of a platform is translated
+// to the product's own, and the platform's calls are made.
 package adapter
 
-// Translation is one request as a call of the product.
+// Translation is one request of a platform as a call of the product.
 type Translation struct {
-	// Path is that of the product's call.
+	// Path and Body are those of the product's call.
 	Path string
 	Body []byte
-	// Answer turns the product's answer back; nil leaves it as it is.
+	// Answer translates the HTTP status and the body of the product's answer back.
+	// Where it is nil, the answer is left unchanged.
 	Answer func(status int, body []byte) (int, []byte)
 }
 
-// Translate gives a request's translation, or false where it is none of that
-// manner.
+// TranslateFunc translates a request, or returns false for a request that is not
+// of the platform's API.
 type TranslateFunc func(method, path string, body []byte) (Translation, bool)
 
-// Promotion is the platform's one call that makes a replica the primary.
+// Promotion is a call that asks a platform to make a replica the primary.
 type Promotion struct {
-	Database, Instance, LeaseHolder string
-	FencingToken                    uint64
+	Database string
+	Instance string
+	// LeaseHolder is the control server that calls, FencingToken its token.
+	LeaseHolder  string
+	FencingToken uint64
 }
 
-// Request is an HTTP request ready to be sent.
+// Request is an HTTP request to be sent.
 type Request struct {
-	Method, Path string
-	Header       map[string]string
-	Body         []byte
+	Method string
+	Path   string
+	Header map[string]string
+	Body   []byte
 }
--- a/internal/protocol/promotion/promotion.go
+++ b/internal/protocol/promotion/promotion.go
@@ -1,16 +1,23 @@
-// Package promotion is the narrow way in which the fleet meets its platform:
-// the one call that makes a replica the new primary.
+// Package promotion writes the call that asks the product's own platform
+// interface to make a replica the primary.
 package promotion
 
-import "encoding/json"
+import (
+	"encoding/json"
 
-// Promote writes the call. Its outcome is never read from the answer, which
-// may be lost, but learned by looking at the instance.
-func NewRequest(database, instance string, term uint64) (string, []byte) {
-	body, _ := json.Marshal(struct {
-		Database string `json:"database"`
-		Instance string `json:"instance"`
-		Term     uint64 `json:"term"`
-	}{database, instance, term})
-	return "/platform/promote", body
+	"tansyseam/internal/protocol/adapter"
+)
+
+type body struct {
+	Database string `json:"database"`
+	Instance string `json:"instance"`
+	Term     uint64 `json:"term"`
+}
+
+// NewRequest returns the call that makes an instance the primary of a term. Its
+// outcome is learned by observing the instance: the answer may be lost.
+func NewRequest(database, instance string, term uint64) adapter.Request {
+	// Strings and numbers always encode.
+	encoded, _ := json.Marshal(body{Database: database, Instance: instance, Term: term})
+	return adapter.Request{Method: "POST", Path: "/platform/promote", Body: encoded}
 }
