--- a/internal/app/control/asyncfailover.go
+++ b/internal/app/control/asyncfailover.go
@@ -38,8 +38,8 @@
 		return
 	}
 	defer conn.Close()
-	path, body := promotion.NewRequest(call.Database, call.Instance, call.Term)
-	response := conn.Post(path, body, promoteTimeout)
+	request := promotion.NewRequest(call.Database, call.Instance, call.Term)
+	response := conn.Send(request, promoteTimeout)
 	s.logger.Info("promote call made", "database", call.Database, "instance", call.Instance,
 		"status", response.Status, "error", response.Err)
 }
