--- a/internal/coordination/failover/syncrepl/observer_test.go
+++ b/internal/coordination/failover/syncrepl/observer_test.go
@@ -17,7 +17,7 @@
 		return evidence
 	}
 	replica := ProbeResult{Answered: true, Role: model.RoleReplica, Term: 3, Position: positionAt(3, 99)}
-	Convey("An answer is seen after the settling only where it was asked settled, and in the episode it came in", t, func() {
+	Convey("A result counts as after settling only if the order was sent settled, and in the current episode", t, func() {
 		observer := NewObserver("c2")
 		evidence := observer.Augment(closingTerm(nil), now)
 		So(evidence.Self, ShouldEqual, "c2")
@@ -37,7 +37,7 @@
 		So(later.Probes["b"].Answered, ShouldBeTrue)
 		So(observer.Augment(closingTerm(nil), now+time.Second).Probes["b"].AfterSettled, ShouldBeFalse)
 	})
-	Convey("Nor does an answer that comes once the episode is over; one order is under way at a time", t, func() {
+	Convey("A result that comes after its episode does not count, and one order per instance is in flight", t, func() {
 		observer := NewObserver("c1")
 		evidence := observer.Augment(closingTerm(nil), now)
 		finish := observer.BeginProbe(evidence, "b")
@@ -48,7 +48,7 @@
 		So(observer.Augment(moved(closingTerm(nil), time.Millisecond), now).Probes["b"].AfterSettled, ShouldBeFalse)
 		So(observer.BeginProbe(evidence, "b"), ShouldNotBeNil)
 	})
-	Convey("Nor one that was asked before the record was kept; the call made on it is of the new episode", t, func() {
+	Convey("A result of an order from before a committed record does not count; the call after it belongs to the new episode", t, func() {
 		observer := NewObserver("c1")
 		evidence := observer.Augment(closingTerm(nil), now)
 		finish := observer.BeginProbe(evidence, "b")
@@ -61,7 +61,7 @@
 		So(next.Probes["c"].AfterSettled, ShouldBeFalse)
 		So(next.PromoteCalls, ShouldResemble, []PromoteCall{{Instance: "b", Status: 200}})
 	})
-	Convey("A repeated call is of the same episode; the calls of one that is over are not shown", t, func() {
+	Convey("A repeated call belongs to the same episode; calls of an earlier episode are dropped", t, func() {
 		observer := NewObserver("c1")
 		observer.Augment(promotingTerm(nil, 2*time.Second), now)
 		observer.BeginPromote(Promote{Database: "db", Instance: "b"}, now)(409, false)
@@ -70,7 +70,7 @@
 		So(observer.Augment(promotingTerm(nil, 0), now+time.Second).PromoteCalls, ShouldResemble, []PromoteCall{{Instance: "b", Age: time.Second, Status: 409}, {Instance: "b"}})
 		So(observer.Augment(closingTerm(nil), now).PromoteCalls, ShouldBeEmpty)
 	})
-	Convey("Silence is seen as such; what was seen is forgotten in the end, but for an order that is under way", t, func() {
+	Convey("A failed order gives an empty result; results are dropped after the retention, unless an order is in flight", t, func() {
 		observer := NewObserver("c1")
 		evidence := observer.Augment(openTerm(), now)
 		observer.BeginProbe(evidence, "b")(ProbeResult{}, now)
@@ -84,7 +84,7 @@
 		finish(replica, now+probeRetention+1)
 		So(observer.Augment(openTerm(), now+probeRetention+1).Probes["c"].Age, ShouldEqual, 0)
 	})
-	Convey("What was seen of one database is not shown of another", t, func() {
+	Convey("Results of one database are not used for another", t, func() {
 		observer := NewObserver("c1")
 		observer.BeginProbe(observer.Augment(closingTerm(nil), now), "b")(replica, now)
 		other := closingTerm(nil)
--- /dev/null
+++ b/internal/coordination/failover/syncrepl/open_test.go
@@ -0,0 +1,62 @@
+package syncrepl
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/internal/state/model"
+)
+
+func TestOpenTerm(t *testing.T) {
+	Convey("A confirmed primary of an earlier term is ordered to step down, at an interval; a recent probe takes precedence over an announcement", t, func() {
+		evidence := openTerm()
+		evidence.Observations[1].Instance.Role = model.RolePrimary
+		So(effectsOf[QueryStatus](evidence), ShouldResemble, []QueryStatus{{Instance: "b", Address: "b:1"}})
+		probe := answeredProbe(model.RolePrimary, 2, 80)
+		probe.Age = 600 * time.Millisecond
+		evidence.Probes["b"] = probe
+		So(effectsOf[StepDown](evidence), ShouldResemble, []StepDown{{Instance: "b", Address: "b:1", Term: 3}})
+		probe.Age = 100 * time.Millisecond
+		evidence.Probes["b"] = probe
+		So(effectsOf[StepDown](evidence), ShouldBeEmpty)
+		evidence.Probes["b"] = answeredProbe(model.RoleReplica, 3, 80)
+		So(effectsOf[StepDown](evidence), ShouldBeEmpty)
+		evidence.Probes, evidence.Observations[1].ContactAge = map[string]ProbeResult{}, 4*time.Second
+		So(Step(evidence, DefaultTiming()), ShouldBeEmpty)
+	})
+	Convey("After a reporting gap the primary is probed; its position covers the gap only if probed after it, in the same tenure", t, func() {
+		evidence := openTerm()
+		evidence.GapSequence, evidence.Probes["a"] = 2, answeredProbe(model.RolePrimary, 3, 99)
+		So(effectsOf[ReportBound](evidence), ShouldBeEmpty)
+		old := evidence.Probes["a"]
+		old.Age = 2 * time.Second
+		evidence.Probes["a"] = old
+		So(effectsOf[QueryStatus](evidence), ShouldResemble, []QueryStatus{{Instance: "a", Address: "a:1"}})
+		probe := answeredProbe(model.RolePrimary, 3, 99)
+		probe.GapSequence = 2
+		evidence.Probes["a"] = probe
+		So(effectsOf[ReportBound](evidence), ShouldResemble, []ReportBound{{Database: "db", Tenure: "c1@1", GapSequence: 2, Position: positionAt(3, 99)}})
+		probe.Tenure = "c2@1"
+		evidence.Probes["a"] = probe
+		So(effectsOf[ReportBound](evidence), ShouldBeEmpty)
+	})
+	Convey("New replicas are recorded; one without contact is forgotten after the retention, and only while the bound is complete", t, func() {
+		evidence := openTerm()
+		evidence.GatheredFor = time.Hour
+		evidence.Observations = append(evidence.Observations, newObservation("d", model.RoleReplica))
+		writer, _ := recordedWriter(evidence)
+		So(writer.RequiredReplicas, ShouldContainKey, "d")
+		evidence = openTerm()
+		evidence.GatheredFor, evidence.Observations[2].ContactAge = time.Hour, 30*time.Second
+		_, recorded := recordedWriter(evidence)
+		So(recorded, ShouldBeFalse)
+		evidence.Observations[2].ContactAge = 2 * time.Minute
+		writer, _ = recordedWriter(evidence)
+		So(writer.RequiredReplicas, ShouldResemble, map[string]string{"b": ""})
+		evidence.GapSequence = 2
+		_, recorded = recordedWriter(evidence)
+		So(recorded, ShouldBeFalse)
+	})
+}
--- /dev/null
+++ b/internal/coordination/failover/syncrepl/promoting_test.go
@@ -0,0 +1,193 @@
+package syncrepl
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/internal/coordination/failover"
+	"tansyseam/internal/state/model"
+)
+
+func TestOutcome(t *testing.T) {
+	replica := func() map[string]ProbeResult {
+		return map[string]ProbeResult{"b": answeredProbe(model.RoleReplica, 3, 99)}
+	}
+	down := func() map[string]ProbeResult { return map[string]ProbeResult{"b": failedProbe()} }
+	Convey("The outcome is learned by probing the instance at the fast interval", t, func() {
+		evidence := promotingTerm(replica(), 300*time.Millisecond)
+		So(Step(evidence, DefaultTiming()), ShouldBeEmpty)
+		probe := evidence.Probes["b"]
+		probe.Age = 200 * time.Millisecond
+		evidence.Probes["b"] = probe
+		So(effectsOf[QueryStatus](evidence), ShouldResemble, []QueryStatus{{Instance: "b", Address: "b:1"}})
+		evidence.Probes["b"] = answeredProbe(model.RolePrimary, 3, 99)
+		_, recorded := recordedWriter(evidence)
+		So(recorded, ShouldBeFalse)
+		evidence.Probes["b"] = answeredProbe(model.RolePrimary, 4, 100)
+		writer, _ := recordedWriter(evidence)
+		So(writer.Phase, ShouldEqual, model.PhaseOpen)
+		So(writer.Term, ShouldEqual, 4)
+		So(writer.Primary, ShouldEqual, "b")
+		So(writer.PreviousTerm, ShouldEqual, 3)
+		So(writer.TermStart, ShouldResemble, positionAt(4, 100))
+		So(writer.HighWatermark, ShouldResemble, positionAt(3, 99))
+		So(writer.MinPosition, ShouldResemble, model.Position{})
+		So(writer.FencingToken, ShouldEqual, 4)
+		So(writer.Promoter, ShouldEqual, "c1")
+	})
+	Convey("The call is repeated for the same instance only, while it is a replica, after the retry interval", t, func() {
+		So(effectsOf[Promote](promotingTerm(replica(), time.Second)), ShouldBeEmpty)
+		evidence := promotingTerm(replica(), 2*time.Second)
+		So(effectsOf[Promote](evidence), ShouldResemble, []Promote{{Database: "db", Instance: "b", LeaseHolder: "c1", FencingToken: 4}})
+		writer, _ := recordedWriter(evidence)
+		So(writer.PromoteCalls, ShouldEqual, 2)
+		evidence.Self = "c2"
+		So(effectsOf[Promote](evidence)[0].FencingToken, ShouldEqual, 5)
+		evidence.Probes = map[string]ProbeResult{}
+		So(effectsOf[Promote](evidence), ShouldBeEmpty)
+	})
+	Convey("A call that was refused for its rate is repeated soon", t, func() {
+		evidence := promotingTerm(replica(), 400*time.Millisecond)
+		evidence.PromoteCalls = []PromoteCall{{Instance: "b", Status: 429}}
+		So(len(effectsOf[Promote](evidence)), ShouldEqual, 1)
+		evidence.Writer.LastTransitionAt = wallTime - int64(200*time.Millisecond)
+		So(effectsOf[Promote](evidence), ShouldBeEmpty)
+	})
+	Convey("The promotion is abandoned only if every call was refused and the instance is down, or it is gone", t, func() {
+		evidence := promotingTerm(down(), 400*time.Millisecond)
+		evidence.PromoteCalls = []PromoteCall{{Instance: "b", Status: 409}}
+		writer, _ := recordedWriter(evidence)
+		So(writer.Phase, ShouldEqual, model.PhaseClosing)
+		So(writer.Promoting, ShouldEqual, "")
+		So(writer.MinPosition, ShouldResemble, model.Position{})
+		evidence.Writer.PromoteCalls = 2
+		_, recorded := recordedWriter(evidence)
+		So(recorded, ShouldBeFalse)
+		for _, status := range []int{0, 500, 200} {
+			evidence.PromoteCalls = []PromoteCall{{Instance: "b", Status: 409}, {Instance: "b", Status: status}}
+			_, recorded = recordedWriter(evidence)
+			So(recorded, ShouldBeFalse)
+		}
+		evidence = promotingTerm(replica(), 400*time.Millisecond)
+		evidence.PromoteCalls = []PromoteCall{{Instance: "b", Status: 409}}
+		_, recorded = recordedWriter(evidence)
+		So(recorded, ShouldBeFalse)
+		evidence = promotingTerm(map[string]ProbeResult{"b": {Gone: true, Age: 50 * time.Millisecond}}, 400*time.Millisecond)
+		writer, _ = recordedWriter(evidence)
+		So(writer.Phase, ShouldEqual, model.PhaseClosing)
+	})
+	Convey("No second instance is called while the outcome at the first is unknown, however long that lasts", t, func() {
+		for _, probe := range []map[string]ProbeResult{down(), replica(), {}} {
+			for _, since := range []time.Duration{time.Second, 5 * time.Second, time.Hour} {
+				evidence := promotingTerm(probe, since)
+				evidence.PromoteCalls = []PromoteCall{{Instance: "b"}}
+				evidence.SettledFor = time.Hour
+				writer, recorded := recordedWriter(evidence)
+				So(recorded && writer.Promoting != "b", ShouldBeFalse)
+				for _, call := range effectsOf[Promote](evidence) {
+					So(call.Instance, ShouldEqual, "b")
+				}
+			}
+		}
+	})
+}
+
+func TestUnknownPromoteOutcome(t *testing.T) {
+	down := func(calls ...PromoteCall) Evidence {
+		evidence := promotingTerm(map[string]ProbeResult{"b": failedProbe()}, time.Second)
+		evidence.PromoteCalls, evidence.Writer.PromoteCalls = calls, len(calls)
+		return evidence
+	}
+	abandoned := func(evidence Evidence) bool {
+		writer, recorded := recordedWriter(evidence)
+		return recorded && writer.Phase == model.PhaseClosing && writer.Promoting == ""
+	}
+	fenced := func(calls ...PromoteCall) Evidence {
+		evidence := down(calls...)
+		evidence.FencingEnforced, evidence.Writer.FencingToken = true, calls[len(calls)-1].FencingToken
+		return evidence
+	}
+	lost := func(fence uint64) PromoteCall {
+		return PromoteCall{Instance: "b", Age: 3 * time.Second, FencingToken: fence}
+	}
+	answered := func(fence uint64, status int) PromoteCall {
+		return PromoteCall{Instance: "b", Age: 200 * time.Millisecond, FencingToken: fence, Status: status}
+	}
+	Convey("A call that was never sent counts as refused", t, func() {
+		So(abandoned(down(PromoteCall{Instance: "b", Unsent: true}, answered(4, 409))), ShouldBeTrue)
+		So(abandoned(down(PromoteCall{Instance: "b", Unsent: true})), ShouldBeTrue)
+		So(abandoned(down(PromoteCall{Instance: "b"}, answered(4, 409))), ShouldBeFalse)
+	})
+	Convey("Where fencing is enforced, the refusal of a higher token bars every earlier call, of any control server", t, func() {
+		So(abandoned(fenced(lost(4), answered(5, 409))), ShouldBeTrue)
+		evidence := fenced(lost(4), answered(5, 409))
+		evidence.PromoteCalls, evidence.Writer.PromoteCalls = evidence.PromoteCalls[1:], 7
+		So(abandoned(evidence), ShouldBeTrue)
+		evidence = fenced(lost(4), answered(5, 409))
+		evidence.FencingEnforced = false
+		So(abandoned(evidence), ShouldBeFalse)
+	})
+	Convey("A lower or equal token, another status, another instance, or an instance that answers bars nothing", t, func() {
+		So(abandoned(fenced(lost(5), answered(5, 409))), ShouldBeFalse)
+		So(abandoned(fenced(answered(4, 409), lost(5))), ShouldBeFalse)
+		for _, status := range []int{0, 200, 429, 500} {
+			So(abandoned(fenced(lost(4), answered(5, status))), ShouldBeFalse)
+		}
+		evidence := fenced(lost(4), answered(5, 409))
+		evidence.PromoteCalls[1].Instance = "c"
+		So(abandoned(evidence), ShouldBeFalse)
+		evidence = fenced(lost(4), answered(5, 409))
+		evidence.Writer.FencingToken = 6
+		So(abandoned(evidence), ShouldBeFalse)
+		evidence = fenced(lost(4), answered(5, 409))
+		evidence.Probes["b"] = answeredProbe(model.RoleReplica, 3, 99)
+		So(abandoned(evidence), ShouldBeFalse)
+		evidence.Probes["b"] = ProbeResult{Busy: true, AfterSettled: true, Age: 50 * time.Millisecond}
+		So(abandoned(evidence), ShouldBeFalse)
+	})
+	Convey("An accepted call is over once a call was refused that was made a retry interval later", t, func() {
+		accepted := PromoteCall{Instance: "b", Age: 200*time.Millisecond + DefaultTiming().PromoteRetryInterval, FencingToken: 4, Status: 200}
+		So(abandoned(down(accepted, answered(4, 409))), ShouldBeTrue)
+		accepted.Age -= time.Millisecond
+		So(abandoned(down(accepted, answered(4, 409))), ShouldBeFalse)
+	})
+	Convey("Each further call gets a higher token where fencing is enforced, and else only at another control server", t, func() {
+		for _, fenced := range []bool{true, false} {
+			evidence := promotingTerm(map[string]ProbeResult{"b": failedProbe()}, 2*time.Second)
+			evidence.PromoteCalls, evidence.FencingEnforced = []PromoteCall{lost(4)}, fenced
+			call := effectsOf[Promote](evidence)
+			So(len(call), ShouldEqual, 1)
+			So(call[0].Instance, ShouldEqual, "b")
+			So(call[0].FencingToken, ShouldEqual, map[bool]int{true: 5, false: 4}[fenced])
+		}
+	})
+	Convey("After a lost promotion another replica is promoted in time, though the first never returns", t, func() {
+		now, lostFence := time.Duration(0), uint64(4)
+		evidence := promotingTerm(map[string]ProbeResult{"b": failedProbe(), "c": answeredProbe(model.RoleReplica, 3, 99)}, time.Millisecond)
+		evidence.FencingEnforced, evidence.PromoteCalls = true, []PromoteCall{{Instance: "b", FencingToken: lostFence}}
+		chosen := ""
+		for ; now < 10*time.Second && chosen == ""; now += 50 * time.Millisecond {
+			evidence.WallNanos = wallTime + int64(now)
+			evidence.SettledFor = now
+			for _, effect := range Step(evidence, DefaultTiming()) {
+				if record, ok := effect.(failover.Record); ok {
+					if record.Writer.Phase != model.PhasePromoting {
+						evidence.PromoteCalls = nil
+					}
+					evidence.Writer = record.Writer
+				}
+				if call, ok := effect.(Promote); ok {
+					status := map[bool]int{true: 409, false: 200}[call.Instance == "b"]
+					evidence.PromoteCalls = append(evidence.PromoteCalls, PromoteCall{Instance: call.Instance, FencingToken: call.FencingToken, Status: status})
+				}
+			}
+			if evidence.Writer.Phase == model.PhasePromoting && evidence.Writer.Promoting != "b" {
+				chosen = evidence.Writer.Promoting
+			}
+		}
+		So(chosen, ShouldEqual, "c")
+		So(now, ShouldBeLessThan, 2*DefaultTiming().PromoteRetryInterval+DefaultTiming().ReplicaWait)
+	})
+}
