--- a/internal/app/config/settings.go
+++ b/internal/app/config/settings.go
@@ -42,23 +42,39 @@
 	stringSetting(both, "zone", "failure domain of this machine", func(c *Config) *string { return &c.Zone }),
 	stringSetting(both, "link", "IP:port on which other nodes connect", func(c *Config) *string { return &c.RPCAddress }),
 	stringSetting(both, "door", "IP:port on which calls over HTTP are taken", func(c *Config) *string { return &c.HTTPAddress }),
-	stringSetting(both, "advertise_link", "IP:port advertised to others in place of link", func(c *Config) *string { return &c.AdvertiseRPCAddress }),
-	stringSetting(both, "advertise_door", "IP:port advertised to others in place of door", func(c *Config) *string { return &c.AdvertiseHTTPAddress }),
-	reloadable(listSetting(both, "seeds", "three link addresses of other nodes, with commas between", func(c *Config) *[]string { return &c.Seeds })),
+	stringSetting(both, "advertise_link", "IP:port advertised to others in place of link",
+		func(c *Config) *string { return &c.AdvertiseRPCAddress }),
+	stringSetting(both, "advertise_door", "IP:port advertised to others in place of door",
+		func(c *Config) *string { return &c.AdvertiseHTTPAddress }),
+	reloadable(listSetting(both, "seeds", "three link addresses of other nodes, with commas between",
+		func(c *Config) *[]string { return &c.Seeds })),
 	stringSetting(controlOnly, "data", "data directory on the small disk", func(c *Config) *string { return &c.DataDir }),
-	intSetting(controlOnly, "disks", "number of nodes that form the control plane", func(c *Config) *int { return &c.ControlNodes }),
-	intSetting(controlOnly, "losses", "control nodes that may be lost at once, in place of disks", func(c *Config) *int { return &c.TolerableLosses }),
-	boolSetting(controlOnly, "founder", "true where a node with an empty disk may form a new cluster", func(c *Config) *bool { return &c.Bootstrap }),
-	boolSetting(controlOnly, "fenced", "true where the platform checks the fencing tokens of promote calls", func(c *Config) *bool { return &c.PlatformChecksFences }),
-	stringSetting(both, "manner", "protocols spoken with the outside: empty for the product's own, or platform", func(c *Config) *string { return &c.Mode }),
-	stringSetting(proxyOnly, "sessions", "IP:port on which clients' line sessions are taken", func(c *Config) *string { return &c.LineAddress }),
-	intSetting(both, "seed_port", "port of the seeds' links, where seeds names other ports", func(c *Config) *int { return &c.SeedRPCPort }),
-	durationSetting(controlOnly, "in_force_ms", "ms from a set's acceptance until it is in force everywhere, at most", time.Millisecond, func(c *Config) *time.Duration { return &c.ActivationBound }),
-	durationSetting(proxyOnly, "grace_s", "s that a stop may take before the process is killed", time.Second, func(c *Config) *time.Duration { return &c.ShutdownGrace }),
-	durationSetting(proxyOnly, "drain_ms", "ms that an instance still serves once it announced that it leaves", time.Millisecond, func(c *Config) *time.Duration { return &c.InstanceDrain }),
-	reloadable(stringSetting(controlOnly, "platform", "IP:port of the platform's promote call", func(c *Config) *string { return &c.PlatformAddress })),
-	reloadable(floatSetting(proxyOnly, "weight", "weight of this node among the proxies", func(c *Config) *float64 { return &c.Weight })),
-	reloadable(stringSetting(both, "log_level", "trace, debug, info, warn or error", func(c *Config) *string { return &c.LogLevel })),
+	intSetting(controlOnly, "disks", "number of nodes that form the control plane",
+		func(c *Config) *int { return &c.ControlNodes }),
+	intSetting(controlOnly, "losses", "control nodes that may be lost at once, in place of disks",
+		func(c *Config) *int { return &c.TolerableLosses }),
+	boolSetting(controlOnly, "founder", "true where a node with an empty disk may form a new cluster",
+		func(c *Config) *bool { return &c.Bootstrap }),
+	boolSetting(controlOnly, "fenced", "true where the platform checks the fencing tokens of promote calls",
+		func(c *Config) *bool { return &c.PlatformChecksFences }),
+	stringSetting(both, "manner", "protocols spoken with the outside: empty for the product's own, or platform",
+		func(c *Config) *string { return &c.Mode }),
+	stringSetting(proxyOnly, "sessions", "IP:port on which clients' line sessions are taken",
+		func(c *Config) *string { return &c.LineAddress }),
+	intSetting(both, "seed_port", "port of the seeds' links, where seeds names other ports",
+		func(c *Config) *int { return &c.SeedRPCPort }),
+	durationSetting(controlOnly, "in_force_ms", "ms from a set's acceptance until it is in force everywhere, at most",
+		time.Millisecond, func(c *Config) *time.Duration { return &c.ActivationBound }),
+	durationSetting(proxyOnly, "grace_s", "s that a stop may take before the process is killed",
+		time.Second, func(c *Config) *time.Duration { return &c.ShutdownGrace }),
+	durationSetting(proxyOnly, "drain_ms", "ms that an instance still serves once it announced that it leaves",
+		time.Millisecond, func(c *Config) *time.Duration { return &c.InstanceDrain }),
+	reloadable(stringSetting(controlOnly, "platform", "IP:port of the platform's promote call",
+		func(c *Config) *string { return &c.PlatformAddress })),
+	reloadable(floatSetting(proxyOnly, "weight", "weight of this node among the proxies",
+		func(c *Config) *float64 { return &c.Weight })),
+	reloadable(stringSetting(both, "log_level", "trace, debug, info, warn or error",
+		func(c *Config) *string { return &c.LogLevel })),
 	boolSetting(both, "log_json", "true for logs as JSON lines", func(c *Config) *bool { return &c.LogJSON }),
 }
 
@@ -80,94 +96,90 @@
 	return s
 }
 
-func stringSetting(programs []Program, name, help string, field func(*Config) *string) setting {
+// newSetting makes the setting of one field. An error of parse is the reason why
+// a text cannot be read.
+func newSetting[T any](
+	programs []Program, name, help string, field func(*Config) *T, parse func(string) (T, error), format func(T) string,
+) setting {
 	return setting{
 		name: name, programs: programs, help: help,
-		parse: func(c *Config, value string) error {
+		parse: func(c *Config, text string) error {
+			value, err := parse(text)
+			if err != nil {
+				return err
+			}
 			*field(c) = value
 			return nil
 		},
-		format: func(c Config) string { return *field(&c) },
+		format: func(c Config) string { return format(*field(&c)) },
 	}
 }
 
+func stringSetting(programs []Program, name, help string, field func(*Config) *string) setting {
+	same := func(text string) string { return text }
+	return newSetting(programs, name, help, field, func(text string) (string, error) { return text, nil }, same)
+}
+
 // listSetting is a list of texts with commas between.
 func listSetting(programs []Program, name, help string, field func(*Config) *[]string) setting {
-	return setting{
-		name: name, programs: programs, help: help,
-		parse: func(c *Config, value string) error {
-			var items []string
-			for _, item := range strings.Split(value, ",") {
-				if item = strings.TrimSpace(item); item != "" {
-					items = append(items, item)
-				}
-			}
-			*field(c) = items
-			return nil
-		},
-		format: func(c Config) string { return strings.Join(*field(&c), ",") },
+	join := func(items []string) string { return strings.Join(items, ",") }
+	return newSetting(programs, name, help, field, parseList, join)
+}
+
+func parseList(text string) ([]string, error) {
+	var items []string
+	for _, item := range strings.Split(text, ",") {
+		if item = strings.TrimSpace(item); item != "" {
+			items = append(items, item)
+		}
 	}
+	return items, nil
 }
 
 func intSetting(programs []Program, name, help string, field func(*Config) *int) setting {
-	return setting{
-		name: name, programs: programs, help: help,
-		parse: func(c *Config, value string) error {
-			number, err := strconv.Atoi(value)
-			if err != nil {
-				return errNotInteger
-			}
-			*field(c) = number
-			return nil
-		},
-		format: func(c Config) string { return strconv.Itoa(*field(&c)) },
+	return newSetting(programs, name, help, field, parseInt, strconv.Itoa)
+}
+
+func parseInt(text string) (int, error) {
+	number, err := strconv.Atoi(text)
+	if err != nil {
+		return 0, errNotInteger
 	}
+	return number, nil
 }
 
 func floatSetting(programs []Program, name, help string, field func(*Config) *float64) setting {
-	return setting{
-		name: name, programs: programs, help: help,
-		parse: func(c *Config, value string) error {
-			number, err := strconv.ParseFloat(value, 64)
-			if err != nil {
-				return errNotNumber
-			}
-			*field(c) = number
-			return nil
-		},
-		format: func(c Config) string { return formatFloat(*field(&c)) },
+	return newSetting(programs, name, help, field, parseFloat, formatFloat)
+}
+
+func parseFloat(text string) (float64, error) {
+	number, err := strconv.ParseFloat(text, 64)
+	if err != nil {
+		return 0, errNotNumber
 	}
+	return number, nil
 }
 
+func formatFloat(number float64) string { return strconv.FormatFloat(number, 'g', -1, 64) }
+
 // durationSetting is a duration whose text is a number of units.
 func durationSetting(programs []Program, name, help string, unit time.Duration, field func(*Config) *time.Duration) setting {
-	return setting{
-		name: name, programs: programs, help: help,
-		parse: func(c *Config, value string) error {
-			number, err := strconv.ParseFloat(value, 64)
-			if err != nil {
-				return errNotNumber
-			}
-			*field(c) = time.Duration(number * float64(unit))
-			return nil
-		},
-		format: func(c Config) string { return formatFloat(float64(*field(&c)) / float64(unit)) },
+	parse := func(text string) (time.Duration, error) {
+		number, err := parseFloat(text)
+		return time.Duration(number * float64(unit)), err
 	}
+	format := func(duration time.Duration) string { return formatFloat(float64(duration) / float64(unit)) }
+	return newSetting(programs, name, help, field, parse, format)
 }
 
 func boolSetting(programs []Program, name, help string, field func(*Config) *bool) setting {
-	return setting{
-		name: name, programs: programs, help: help,
-		parse: func(c *Config, value string) error {
-			parsed, err := strconv.ParseBool(value)
-			if err != nil {
-				return errNotBoolean
-			}
-			*field(c) = parsed
-			return nil
-		},
-		format: func(c Config) string { return strconv.FormatBool(*field(&c)) },
-	}
+	return newSetting(programs, name, help, field, parseBool, strconv.FormatBool)
 }
 
-func formatFloat(number float64) string { return strconv.FormatFloat(number, 'g', -1, 64) }
+func parseBool(text string) (bool, error) {
+	value, err := strconv.ParseBool(text)
+	if err != nil {
+		return false, errNotBoolean
+	}
+	return value, nil
+}
--- a/internal/app/control/consensus.go
+++ b/internal/app/control/consensus.go
@@ -80,7 +80,7 @@
 	s.distributor.SetClockTrusted(s.consensus.IsClockConfirmed())
 	s.voters = s.consensus.Voters()
 	s.singletons.SetVoters(s.consensus.Electorate(), now)
-	s.appliedStamp = s.consensus.ReplicaTable().Version
+	s.appliedVersion = s.consensus.ReplicaTable().Version
 }
 
 // checkReleased ends a wait to leave, once no role is held and no file waits
--- a/internal/app/control/endpoints.go
+++ b/internal/app/control/endpoints.go
@@ -33,7 +33,7 @@
 	record := s.distributor.Record()
 	return http.StatusOK, healthAnswer{
 		Backup: record.Backup, Epoch: record.Epoch, Ready: ready, Node: s.node.Config().Name, Primary: record.Primary,
-		Sequence: s.appliedStamp.Sequence, Reason: reason,
+		Sequence: s.appliedVersion.Sequence, Reason: reason,
 	}
 }
 
--- a/internal/app/control/server.go
+++ b/internal/app/control/server.go
@@ -55,14 +55,14 @@
 
 	mutex sync.Mutex
 	// lastToken is the last one given to a submitted write or a request.
-	lastToken     uint64
-	writeWaiters  map[uint64]func(consensus.SubmitResult)
-	updateWaiters map[uint64]func(any)
-	distributor   *distribution.Machine
-	singletons    *singleton.Machine
-	evidence      *syncrepl.Observer
-	voters        []string
-	appliedStamp  store.Version
+	lastToken      uint64
+	writeWaiters   map[uint64]func(consensus.SubmitResult)
+	updateWaiters  map[uint64]func(any)
+	distributor    *distribution.Machine
+	singletons     *singleton.Machine
+	evidence       *syncrepl.Observer
+	voters         []string
+	appliedVersion store.Version
 	// primaryUntil is when this node stops to act as the control primary.
 	primaryUntil time.Duration
 	// wall is the cluster's wall time in ns since 1970, as of wallReadAt.
