--- a/test/cmd/measure/main.go
+++ b/test/cmd/measure/main.go
@@ -16,18 +16,18 @@
 
 func main() { os.Exit(run()) }
 
-type figure struct {
-	name string
-	of   func(e2e.Result) float64
+type metric struct {
+	name  string
+	value func(e2e.Result) float64
 }
 
-var figures = []figure{
-	{"longest gap without a kept write, ms", func(r e2e.Result) float64 { return r.GapMS }},
-	{"worst second, part of the median second", func(r e2e.Result) float64 { return r.Worst }},
+var metrics = []metric{
+	{"longest gap without a kept write, ms", func(r e2e.Result) float64 { return r.LongestGapMS }},
+	{"worst second, part of the median second", func(r e2e.Result) float64 { return r.WorstSecond }},
 	{"single write p50, ms", func(r e2e.Result) float64 { return r.P50 }},
 	{"single write p99, ms", func(r e2e.Result) float64 { return r.P99 }},
 	{"spread of a change over fronts, ms", func(r e2e.Result) float64 { return r.SpreadMS }},
-	{"broken rules", func(r e2e.Result) float64 { return float64(len(r.Faults)) }},
+	{"broken rules", func(r e2e.Result) float64 { return float64(len(r.Violations)) }},
 }
 
 func run() int {
@@ -38,32 +38,32 @@
 	root := flag.String("root", ".", "the workspace")
 	scale := flag.Float64("scale", 1, "part of the deployment's load")
 	flag.Parse()
-	shape, isShape := e2e.Shapes()[*shapeName]
-	at := slices.IndexFunc(e2e.Scenarios(), func(one e2e.Scenario) bool { return one.Name == *name })
-	if !isShape || at < 0 || *repeat < 1 || *repeat > 50 {
+	shape, found := e2e.Shapes()[*shapeName]
+	at := slices.IndexFunc(e2e.Scenarios(), func(metric e2e.Scenario) bool { return metric.Name == *name })
+	if !found || at < 0 || *repeat < 1 || *repeat > 50 {
 		fmt.Fprintln(os.Stderr, "no such run or shape, or repeat not from 1 to 50")
 		return 2
 	}
-	folder, err := os.MkdirTemp("", "seam-measure")
+	directory, err := os.MkdirTemp("", "seam-measure")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	defer func() { _ = os.RemoveAll(folder) }()
-	list := strings.Split(*versions, ",")
-	bins := map[string]e2e.Programs{}
-	for _, version := range list {
-		bin, err := build(*root, folder, version)
+	defer func() { _ = os.RemoveAll(directory) }()
+	revisions := strings.Split(*versions, ",")
+	programs := map[string]e2e.Programs{}
+	for _, version := range revisions {
+		bin, err := build(*root, directory, version)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			return 1
 		}
-		bins[version] = e2e.Programs{Folder: bin}
+		programs[version] = e2e.Programs{Directory: bin}
 	}
 	results := map[string][]e2e.Result{}
-	for turn := range *repeat {
-		for _, version := range list {
-			result, err := e2e.Play(e2e.Scenarios()[at], shape, bins[version], filepath.Join(folder, "run"), uint64(turn+1), *scale)
+	for round := range *repeat {
+		for _, version := range revisions {
+			result, err := e2e.RunScenario(e2e.Scenarios()[at], shape, programs[version], filepath.Join(directory, "run"), uint64(round+1), *scale)
 			if err != nil {
 				fmt.Fprintln(os.Stderr, err)
 				return 1
@@ -72,12 +72,12 @@
 		}
 	}
 	fmt.Printf("%s on %s, %d turns each: median (least to most)\n", *name, shape.Name, *repeat)
-	for _, one := range figures {
-		fmt.Printf("  %-44s", one.name)
-		for _, version := range list {
+	for _, metric := range metrics {
+		fmt.Printf("  %-44s", metric.name)
+		for _, version := range revisions {
 			var values []float64
 			for _, result := range results[version] {
-				values = append(values, one.of(result))
+				values = append(values, metric.value(result))
 			}
 			slices.Sort(values)
 			fmt.Printf("  %s %.2f (%.2f to %.2f)", version, values[len(values)/2], values[0], values[len(values)-1])
@@ -87,12 +87,12 @@
 	return 0
 }
 
-func build(root, folder, version string) (string, error) {
-	bin := filepath.Join(folder, "bin-"+strings.ReplaceAll(version, "/", "_"))
+func build(root, directory, version string) (string, error) {
+	bin := filepath.Join(directory, "bin-"+strings.ReplaceAll(version, "/", "_"))
 	if err := e2e.Build(root, bin, false); err != nil || version == "" {
 		return bin, err
 	}
-	tree := filepath.Join(folder, "tree-"+strings.ReplaceAll(version, "/", "_"))
+	tree := filepath.Join(directory, "tree-"+strings.ReplaceAll(version, "/", "_"))
 	if out, err := exec.Command("git", "-C", root, "worktree", "add", "--detach", tree, version).CombinedOutput(); err != nil {
 		return bin, fmt.Errorf("%s: %w: %s", version, err, out)
 	}
--- a/test/e2e/brief_test.go
+++ b/test/e2e/brief_test.go
@@ -30,7 +30,7 @@
 	return found
 }
 
-func known() map[string]map[string]bool {
+func knownNames() map[string]map[string]bool {
 	names := map[string]map[string]bool{"test": testNames(), "run": {}, "trouble": {}, "rule": {}, "plant": {}}
 	for _, scenario := range Scenarios() {
 		names["run"][scenario.Name] = true
@@ -42,13 +42,13 @@
 		names["rule"][rule.Name] = true
 	}
 	plant := reflect.TypeFor[simulation.Defects]()
-	for at := range plant.NumField() {
-		names["plant"][plant.Field(at).Name] = true
+	for index := range plant.NumField() {
+		names["plant"][plant.Field(index).Name] = true
 	}
 	return names
 }
 
-func faultsOf(page string, names map[string]map[string]bool) []string {
+func pageFaults(page string, names map[string]map[string]bool) []string {
 	var faults []string
 	cited := map[string]bool{}
 	for _, match := range regexp.MustCompile("`(test|run|trouble|rule|plant):([^`]+)`").FindAllStringSubmatch(page, -1) {
@@ -76,10 +76,10 @@
 	Convey("Each test, run, trouble, rule, planted defect and package that docs/brief.md names exists, and none is left out", t, func() {
 		page, err := os.ReadFile("../../docs/brief.md")
 		So(err, ShouldBeNil)
-		names := known()
+		names := knownNames()
 		So(len(names["test"]), ShouldBeGreaterThan, 20)
-		So(faultsOf(string(page), names), ShouldBeEmpty)
-		So(faultsOf(string(page)+"`run:nosuch` `app/nosuch`", names), ShouldHaveLength, 2)
-		So(faultsOf(strings.ReplaceAll(string(page), "`trouble:rush`", ""), names), ShouldHaveLength, 1)
+		So(pageFaults(string(page), names), ShouldBeEmpty)
+		So(pageFaults(string(page)+"`run:nosuch` `app/nosuch`", names), ShouldHaveLength, 2)
+		So(pageFaults(strings.ReplaceAll(string(page), "`trouble:rush`", ""), names), ShouldHaveLength, 1)
 	})
 }
--- a/test/e2e/outside.go
+++ b/test/e2e/checks.go
@@ -19,8 +19,8 @@
 	"tansyseam/test/standin"
 )
 
-func (r *Run) raw(door, path string, body []byte) (int, []byte) {
-	response, err := r.client.Post("http://"+door+path, "application/json", bytes.NewReader(body))
+func (r *Run) postRaw(address, path string, body []byte) (int, []byte) {
+	response, err := r.client.Post("http://"+address+path, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return 0, []byte(err.Error())
 	}
@@ -29,22 +29,22 @@
 	return response.StatusCode, data
 }
 
-func actCalls(r *Run) {
-	book, err := schema.NewValidator()
+func runCallChecks(r *Run) {
+	validator, err := schema.NewValidator()
 	if err != nil {
-		r.Miss("%v", err)
+		r.Errorf("%v", err)
 		return
 	}
-	front := r.Fronts[0].Door
+	proxy := r.Proxies[0].HTTPAddress
 	check := func(path string, body any, want int) map[string]any {
 		data, _ := json.Marshal(body)
-		code, answer := r.raw(front, path, data)
+		code, answer := r.postRaw(proxy, path, data)
 		if code != want {
-			r.Miss("%s: %d, wanted %d: %s", path, code, want, answer)
+			r.Errorf("%s: %d, wanted %d: %s", path, code, want, answer)
 		}
-		isRefusal := code >= 400 && !bytes.Contains(answer, []byte(`"outcome":"`)) && path != "/v1/ready"
-		if faults := book.ValidateAnswer(path, answer, isRefusal); len(faults) > 0 {
-			r.Miss("%s: answer is not of its shape: %v: %s", path, faults, answer)
+		refusal := code >= 400 && !bytes.Contains(answer, []byte(`"outcome":"`)) && path != "/v1/ready"
+		if faults := validator.ValidateAnswer(path, answer, refusal); len(faults) > 0 {
+			r.Errorf("%s: answer is not of its shape: %v: %s", path, faults, answer)
 		}
 		found := map[string]any{}
 		_ = json.Unmarshal(answer, &found)
@@ -54,29 +54,29 @@
 	for _, path := range []string{"/v1/bindings/list", "/v1/changes/list", "/v1/fleet", "/v1/vitals", "/v1/counters", "/v1/ready"} {
 		check(path, none, http.StatusOK)
 	}
-	for _, disk := range r.Disks {
+	for _, control := range r.Controls {
 		for _, path := range []string{"/v1/bindings/list", "/v1/changes/list", "/v1/fleet", "/v1/vitals", "/v1/counters", "/v1/ready"} {
-			if code, answer := r.raw(disk.Door, path, nil); code != http.StatusOK || len(book.ValidateAnswer(path, answer, false)) > 0 {
-				r.Miss("%s of %s: %d %s", path, disk.Name, code, answer)
+			if code, answer := r.postRaw(control.HTTPAddress, path, nil); code != http.StatusOK || len(validator.ValidateAnswer(path, answer, false)) > 0 {
+				r.Errorf("%s of %s: %d %s", path, control.Name, code, answer)
 			}
 		}
 	}
-	r.consume(check)
-	r.abuse(front)
-	r.die()
-	r.askShell()
+	r.checkSessionCalls(check)
+	r.checkBadInput(proxy)
+	r.checkClientDeath()
+	r.checkShell()
 }
 
-func (r *Run) die() {
-	front := r.Fronts[1]
-	before := r.counter(front, "sessions_lost")
+func (r *Run) checkClientDeath() {
+	proxy := r.Proxies[1]
+	before := r.counter(proxy, "sessions_lost")
 	client := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
 	call := func(path string, body map[string]any) map[string]any {
 		data, _ := json.Marshal(body)
 		found := map[string]any{}
-		response, err := client.Post("http://"+front.Door+path, "application/json", bytes.NewReader(data))
+		response, err := client.Post("http://"+proxy.HTTPAddress+path, "application/json", bytes.NewReader(data))
 		if err != nil {
-			r.Miss("%v", err)
+			r.Errorf("%v", err)
 			return found
 		}
 		defer func() { _ = response.Body.Close() }()
@@ -88,28 +88,28 @@
 	call("/v1/begin", map[string]any{"session": session})
 	inside := call("/v1/statement", map[string]any{"session": session, "kind": "write", "text": text, "go": session + ".1"})
 	if inside["outcome"] != "done" {
-		r.Miss("a statement in a transaction: %v", inside)
+		r.Errorf("a statement in a transaction: %v", inside)
 	}
-	r.History.Add(standin.Event{Caller: "dying", Session: session, Kind: "rollback", Database: r.database(), Text: text, Go: session + ".1"})
+	r.History.Add(standin.Event{Caller: "dying", Session: session, Kind: "rollback", Database: r.database(), Text: text, RequestID: session + ".1"})
 	client.CloseIdleConnections()
-	if !Until(5*time.Second, func() bool { return r.counter(front, "sessions_lost") > before }) {
-		r.Miss("a consumer's death did not close its session")
+	if !WaitUntil(5*time.Second, func() bool { return r.counter(proxy, "sessions_lost") > before }) {
+		r.Errorf("a consumer's death did not close its session")
 	}
 }
 
-func (r *Run) consume(check func(string, any, int) map[string]any) {
+func (r *Run) checkSessionCalls(check func(string, any, int) map[string]any) {
 	binding := r.Shape.Mix.Roles[0].Binding + "-" + r.database()
 	session, _ := check("/v1/session/open", map[string]any{"binding": binding}, http.StatusOK)["session"].(string)
 	with := func(parts ...any) map[string]any {
 		body := map[string]any{"session": session}
-		for at := 0; at+1 < len(parts); at += 2 {
-			body[parts[at].(string)] = parts[at+1]
+		for index := 0; index+1 < len(parts); index += 2 {
+			body[parts[index].(string)] = parts[index+1]
 		}
 		return body
 	}
 	probe := "by probe x"
 	noted := func(kind, verb, id string) {
-		r.History.Add(standin.Event{Caller: "probe", Session: session, Kind: kind, Database: r.database(), Text: verb + " " + probe, Go: id})
+		r.History.Add(standin.Event{Caller: "probe", Session: session, Kind: kind, Database: r.database(), Text: verb + " " + probe, RequestID: id})
 	}
 	noted("set", "set", "")
 	noted("probe", "look", "")
@@ -120,7 +120,7 @@
 	first := check("/v1/statement", with("kind", "write", "text", "book "+probe, "go", session+".1"), http.StatusOK)
 	again := check("/v1/statement", with("kind", "write", "text", "book "+probe, "go", session+".1"), http.StatusOK)
 	if fmt.Sprint(first["position"]) != fmt.Sprint(again["position"]) || first["outcome"] != "kept" {
-		r.Miss("a repeat must get the first outcome: %v, %v", first, again)
+		r.Errorf("a repeat must get the first outcome: %v, %v", first, again)
 	}
 	check("/v1/setting", with("name", "app", "value", session), http.StatusOK)
 	check("/v1/prepare", with("name", "p1", "text", "look "+probe), http.StatusOK)
@@ -135,9 +135,9 @@
 	check("/v1/statement", with("kind", "write", "text", "x "+probe, "go", "nonsense"), http.StatusBadRequest)
 	check("/v1/statement", with("kind", "write", "text", "x "+probe, "go", "proxy9~1~1.5"), http.StatusServiceUnavailable)
 	data, _ := json.Marshal(with("kind", "write", "text", "x "+probe, "go", "proxy9~1~1.5"))
-	response, err := r.client.Post("http://"+r.Fronts[0].Door+"/v1/statement", "application/json", bytes.NewReader(data))
+	response, err := r.client.Post("http://"+r.Proxies[0].HTTPAddress+"/v1/statement", "application/json", bytes.NewReader(data))
 	if err != nil || response.Header.Get("Retry-After") == "" {
-		r.Miss("503 must say when to come back: %v", err)
+		r.Errorf("503 must say when to come back: %v", err)
 	}
 	if err == nil {
 		_, _ = io.Copy(io.Discard, response.Body)
@@ -151,7 +151,7 @@
 	made := base64.RawURLEncoding.EncodeToString([]byte(`{"nowhere":{"term":9,"index":9},"` + r.database() + `":{"term":99,"index":1}}`))
 	opened := check("/v1/session/open", map[string]any{"binding": binding, "mark": made}, http.StatusOK)
 	if kept, _ := base64.RawURLEncoding.DecodeString(fmt.Sprint(opened["mark"])); strings.Contains(string(kept), "nowhere") {
-		r.Miss("a mark of a database that nobody knows was kept: %s", kept)
+		r.Errorf("a mark of a database that nobody knows was kept: %s", kept)
 	}
 	check("/v1/announce", map[string]any{
 		"instance": r.database() + "-b", "database": "elsewhere", "address": "127.0.0.1:9", "zone": "za", "role": "primary", "birth": "x",
@@ -161,80 +161,80 @@
 	check("/v1/changes/book", map[string]any{"id": "late", "at_ms": 5, "bindings": r.Shape.Mix.Bindings()}, http.StatusUnprocessableEntity)
 }
 
-func (r *Run) abuse(front string) {
+func (r *Run) checkBadInput(proxy string) {
 	bad := map[string][]byte{
 		"malformed": []byte(`{"id":`), "not an object": []byte(`[1,2]`), "twice": []byte(`{"session":"a","session":"b"}`),
 		"deep": []byte(strings.Repeat("[", 100000)), "binary": {0, 1, 2, 0xff},
 	}
 	for name, body := range bad {
 		for _, path := range []string{"/v1/bindings/put", "/v1/statement", "/v1/announce"} {
-			if code, answer := r.raw(front, path, body); code != http.StatusBadRequest || !bytes.Contains(answer, []byte(`"path"`)) {
-				r.Miss("%s at %s: %d %s", name, path, code, answer)
+			if code, answer := r.postRaw(proxy, path, body); code != http.StatusBadRequest || !bytes.Contains(answer, []byte(`"path"`)) {
+				r.Errorf("%s at %s: %d %s", name, path, code, answer)
 			}
 		}
 	}
-	if code, _ := r.raw(front, "/v1/statement", bytes.Repeat([]byte("a"), 1500000)); code != http.StatusRequestEntityTooLarge {
-		r.Miss("an oversized body: %d", code)
+	if code, _ := r.postRaw(proxy, "/v1/statement", bytes.Repeat([]byte("a"), 1500000)); code != http.StatusRequestEntityTooLarge {
+		r.Errorf("an oversized body: %d", code)
 	}
-	if code, _ := r.raw(front, "/v1/nowhere", nil); code != http.StatusNotFound {
-		r.Miss("an unknown call: %d", code)
+	if code, _ := r.postRaw(proxy, "/v1/nowhere", nil); code != http.StatusNotFound {
+		r.Errorf("an unknown call: %d", code)
 	}
-	for _, process := range append(append([]*Process(nil), r.Fronts...), r.Disks...) {
+	for _, process := range append(append([]*Process(nil), r.Proxies...), r.Controls...) {
 		for _, garbage := range [][]byte{[]byte("GET / HTTP/1.1\r\n\r\n"), {'s', 'm', 'L', 1, 0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0}, {'s', 'm', 'L', 77, 0, 0, 0, 0, 0, 0, 0, 0}} {
-			conn, err := net.DialTimeout("tcp", process.Link, time.Second)
+			conn, err := net.DialTimeout("tcp", process.RPCAddress, time.Second)
 			if err != nil {
-				r.Miss("%s does not listen: %v", process.Name, err)
+				r.Errorf("%s does not listen: %v", process.Name, err)
 				continue
 			}
 			_, _ = conn.Write(garbage)
 			_ = conn.SetReadDeadline(time.Now().Add(3 * time.Second))
 			if _, err := conn.Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
-				r.Miss("%s did not close a link that spoke garbage", process.Name)
+				r.Errorf("%s did not close a link that spoke garbage", process.Name)
 			}
 			_ = conn.Close()
 		}
 	}
 }
 
-func (r *Run) askShell() {
+func (r *Run) checkShell() {
 	ask := func(want int, words ...string) string {
-		command := exec.Command(r.Programs.Own("tansyseamctl"), words...)
+		command := exec.Command(r.Programs.CurrentPath("tansyseamctl"), words...)
 		out, _ := command.CombinedOutput()
 		if code := command.ProcessState.ExitCode(); code != want {
-			r.Miss("tansyseamctl %v ended with %d, wanted %d: %s", words, code, want, out)
+			r.Errorf("tansyseamctl %v ended with %d, wanted %d: %s", words, code, want, out)
 		}
 		return string(out)
 	}
-	at := r.Disks[0].Door
+	index := r.Controls[0].HTTPAddress
 	expected := map[string]string{
 		"nodes": "proxy1", "vitals": "control1", "instances": r.database() + "-a", "windows": "threshold", "bindings": "in force", "changes": "at",
 		"epochs": "control2", "duties": "failover/" + r.database(), "leases": "proxy1", "writers": "open", "why": "sequence 1 taken", "counters": "announcements", "help": "epochs",
 	}
 	for query, part := range expected {
-		if out := strings.ToLower(ask(0, "--at", at, query)); !strings.Contains(out, part) {
-			r.Miss("tansyseamctl %s does not show %q: %s", query, part, out)
+		if out := strings.ToLower(ask(0, "--at", index, query)); !strings.Contains(out, part) {
+			r.Errorf("tansyseamctl %s does not show %q: %s", query, part, out)
 		}
 	}
-	if out := ask(0, "--at", at, "--json", "why", r.database()); !json.Valid([]byte(out)) {
-		r.Miss("tansyseamctl --json gives no JSON: %s", out)
+	if out := ask(0, "--at", index, "--json", "why", r.database()); !json.Valid([]byte(out)) {
+		r.Errorf("tansyseamctl --json gives no JSON: %s", out)
 	}
-	ask(0, "--at", at, "counters", "proxy1")
-	for _, words := range [][]string{{"--at", at, "whatever"}, {"--at", at, "nodes", "too", "many"}, {"--at", at, "counters", "nobody"}, {"--at", at, "why", "nothing"}, {"nodes"}} {
+	ask(0, "--at", index, "counters", "proxy1")
+	for _, words := range [][]string{{"--at", index, "whatever"}, {"--at", index, "nodes", "too", "many"}, {"--at", index, "counters", "nobody"}, {"--at", index, "why", "nothing"}, {"nodes"}} {
 		ask(2, words...)
 	}
 	ask(1, "--at", "127.1.9.9:9", "nodes")
-	command := exec.Command(r.Programs.Own("tansyseamctl"), "--at", at)
+	command := exec.Command(r.Programs.CurrentPath("tansyseamctl"), "--at", index)
 	command.Stdin = strings.NewReader("epochs\nnonsense\nnodes\nquit\n")
 	out, _ := command.CombinedOutput()
 	for _, part := range []string{"tansyseamctl>", "no query \"nonsense\"", "proxy1"} {
 		if !strings.Contains(string(out), part) {
-			r.Miss("the prompt does not show %q: %s", part, out)
+			r.Errorf("the prompt does not show %q: %s", part, out)
 		}
 	}
 }
 
 func (r *Run) counter(process *Process, name string) int {
-	_, raw, err := r.Post(process.Door, "/v1/counters", map[string]any{})
+	_, raw, err := r.Post(process.HTTPAddress, "/v1/counters", map[string]any{})
 	var answer struct {
 		Counters map[string]int `json:"counters"`
 	}
@@ -244,8 +244,8 @@
 	return answer.Counters[name]
 }
 
-func (r *Run) weight(front *Process) float64 {
-	_, raw, err := r.Post(front.Door, "/v1/fleet", map[string]any{})
+func (r *Run) weight(proxy *Process) float64 {
+	_, raw, err := r.Post(proxy.HTTPAddress, "/v1/fleet", map[string]any{})
 	var answer struct {
 		Weight float64 `json:"weight"`
 	}
@@ -255,53 +255,53 @@
 	return answer.Weight
 }
 
-func actSettings(r *Run) {
-	front := r.Fronts[0]
+func runSettings(r *Run) {
+	proxy := r.Proxies[0]
 	write := func(text string) {
-		if err := os.WriteFile(front.File, []byte(text), 0o644); err != nil {
-			r.Miss("%v", err)
+		if err := os.WriteFile(proxy.ConfigFile, []byte(text), 0o644); err != nil {
+			r.Errorf("%v", err)
 		}
 	}
-	expect := func(what string, isSo func() bool) {
-		if !Until(5*time.Second, isSo) {
-			r.Miss("%s did not come", what)
+	expect := func(what string, condition func() bool) {
+		if !WaitUntil(5*time.Second, condition) {
+			r.Errorf("%s did not come", what)
 		}
 	}
 	write(`{"weight": 2}`)
-	expect("weight 2, without a signal", func() bool { return r.weight(front) == 2 })
+	expect("weight 2, without a signal", func() bool { return r.weight(proxy) == 2 })
 	write(`{"weight": 3}`)
-	front.Signal(syscall.SIGHUP)
-	expect("weight 3, with a signal", func() bool { return r.weight(front) == 3 })
+	proxy.Signal(syscall.SIGHUP)
+	expect("weight 3, with a signal", func() bool { return r.weight(proxy) == 3 })
 	write(`{"weight": "heavy", "nonsense": 1}`)
-	expect("the refusal of a broken file", func() bool { return r.counter(front, "settings_refused") > 0 })
-	if r.weight(front) != 3 {
-		r.Miss("a broken file must leave the old settings in force")
+	expect("the refusal of a broken file", func() bool { return r.counter(proxy, "settings_refused") > 0 })
+	if r.weight(proxy) != 3 {
+		r.Errorf("a broken file must leave the old settings in force")
 	}
 	write(`{"weight": 1, "log_json": true}`)
-	expect("weight 1 again", func() bool { return r.weight(front) == 1 })
-	expect("the count of a setting that needs a restart", func() bool { return r.counter(front, "settings_need_restart") > 0 })
+	expect("weight 1 again", func() bool { return r.weight(proxy) == 1 })
+	expect("the count of a setting that needs a restart", func() bool { return r.counter(proxy, "settings_need_restart") > 0 })
 }
 
-func actGrow(r *Run) {
-	front, err := r.AddFront()
+func runScaling(r *Run) {
+	proxy, err := r.AddProxy()
 	if err != nil {
-		r.Miss("%v", err)
+		r.Errorf("%v", err)
 		return
 	}
-	if !Until(8*time.Second, func() bool { return r.Platform.Ready() >= len(r.Fronts) }) {
-		r.Miss("%s is not ready", front.Name)
-	}
-	r.Put(1)
-	r.Hold(3 * time.Second)
-	old := r.Fronts[slices.IndexFunc(r.Fronts, func(one *Process) bool { return one.Zone == front.Zone })]
-	r.Platform.DropDoor(old.Door)
-	old.Signal(syscall.SIGTERM)
-	if !old.Ended(8*time.Second) || old.Code() != 0 {
-		r.Miss("%s did not end in good order", old.Name)
-	}
-	r.Put(2)
-	r.Hold(2 * time.Second)
-	if served := r.counter(front, "passed_on"); served <= 0 {
-		r.Miss("the added front served nothing")
+	if !WaitUntil(8*time.Second, func() bool { return r.Platform.ReadyCount() >= len(r.Proxies) }) {
+		r.Errorf("%s is not ready", proxy.Name)
+	}
+	r.ReplaceBindings(1)
+	r.Sleep(3 * time.Second)
+	target := r.Proxies[slices.IndexFunc(r.Proxies, func(candidate *Process) bool { return candidate.Zone == proxy.Zone })]
+	r.Platform.RemoveProxy(target.HTTPAddress)
+	target.Signal(syscall.SIGTERM)
+	if !target.AwaitExit(8*time.Second) || target.ExitCode() != 0 {
+		r.Errorf("%s did not end in good order", target.Name)
+	}
+	r.ReplaceBindings(2)
+	r.Sleep(2 * time.Second)
+	if served := r.counter(proxy, "passed_on"); served <= 0 {
+		r.Errorf("the added front served nothing")
 	}
 }
--- a/test/e2e/fleet.go
+++ b/test/e2e/fleet.go
@@ -23,24 +23,24 @@
 
 // Shape is a deployment's counts.
 type Shape struct {
-	Name        string
-	Fronts      int
-	Disks       int
-	Databases   []string
-	Instances   int
-	Connections int
-	Slots       int
-	ServiceUS   int
-	Zones       []string
-	Mix         standin.Mix
+	Name                 string
+	Proxies              int
+	Controls             int
+	Databases            []string
+	InstancesPerDatabase int
+	Connections          int
+	Slots                int
+	ServiceTimeUS        int
+	Zones                []string
+	Mix                  standin.Mix
 }
 
 // Magnolia gives the desk-booking deployment.
 func Magnolia() Shape {
 	mix := standin.Magnolia()
 	return Shape{
-		Name: "magnolia", Fronts: 8, Disks: 3, Databases: mix.Databases, Instances: 3, Connections: 110, Slots: 10,
-		ServiceUS: 6000, Zones: mix.Zones, Mix: mix,
+		Name: "magnolia", Proxies: 8, Controls: 3, Databases: mix.Databases, InstancesPerDatabase: 3, Connections: 110, Slots: 10,
+		ServiceTimeUS: 6000, Zones: mix.Zones, Mix: mix,
 	}
 }
 
@@ -48,15 +48,15 @@
 func Chile() Shape {
 	mix := standin.Chile()
 	return Shape{
-		Name: "chile", Fronts: 6, Disks: 5, Databases: mix.Databases, Instances: 3, Connections: 80, Slots: 7,
-		ServiceUS: 5000, Zones: mix.Zones, Mix: mix,
+		Name: "chile", Proxies: 6, Controls: 5, Databases: mix.Databases, InstancesPerDatabase: 3, Connections: 80, Slots: 7,
+		ServiceTimeUS: 5000, Zones: mix.Zones, Mix: mix,
 	}
 }
 
 // Small gives a fleet for short runs: fewer of everything.
 func Small() Shape {
 	shape := Magnolia()
-	shape.Name, shape.Fronts, shape.Databases = "small", 3, shape.Databases[:1]
+	shape.Name, shape.Proxies, shape.Databases = "small", 3, shape.Databases[:1]
 	shape.Mix.Databases = shape.Databases
 	return shape
 }
@@ -68,34 +68,34 @@
 
 // Process is one started program.
 type Process struct {
-	Name    string
-	Program string
-	Args    []string
-	Link    string
-	Door    string
-	Zone    string
-	Data    string
-	IP      string
-	File    string
-
-	mutex   sync.Mutex
-	command *exec.Cmd
-	ended   chan struct{}
-	code    int
+	Name          string
+	Program       string
+	Args          []string
+	RPCAddress    string
+	HTTPAddress   string
+	Zone          string
+	DataDirectory string
+	IP            string
+	ConfigFile    string
+
+	mutex    sync.Mutex
+	command  *exec.Cmd
+	exited   chan struct{}
+	exitCode int
 }
 
 // Fleet is a running deployment.
 type Fleet struct {
-	Shape    Shape
-	Folder   string
-	Programs Programs
-	Fronts   []*Process
-	Disks    []*Process
-	Backs    []*Process
-	Platform *standin.Platform
-	History  *standin.History
-	Seeds    string
-	Relays   map[string]*standin.Relay
+	Shape     Shape
+	Directory string
+	Programs  Programs
+	Proxies   []*Process
+	Controls  []*Process
+	Instances []*Process
+	Platform  *standin.Platform
+	History   *standin.History
+	Seeds     string
+	Relays    map[string]*standin.Relay
 
 	cancel context.CancelFunc
 	ctx    context.Context
@@ -104,12 +104,12 @@
 }
 
 // Build compiles the programs into a folder.
-func Build(root, folder string, isRace bool) error {
+func Build(root, directory string, race bool) error {
 	args := []string{"build"}
-	if isRace {
+	if race {
 		args = append(args, "-race")
 	}
-	args = append(args, "-o", folder+"/", "./cmd/...", "./test/cmd/standin")
+	args = append(args, "-o", directory+"/", "./cmd/...", "./test/cmd/standin")
 	command := exec.Command("go", args...)
 	command.Dir = root
 	if out, err := command.CombinedOutput(); err != nil {
@@ -118,48 +118,48 @@
 	return nil
 }
 
-func ip(group, number int) string { return fmt.Sprintf("127.1.%d.%d", group, number+1) }
+func loopbackIP(group, number int) string { return fmt.Sprintf("127.1.%d.%d", group, number+1) }
 
-func freePort(host string) (string, error) {
+func allocateAddress(ip string) (string, error) {
 	for {
-		listener, err := net.Listen("tcp", host+":0")
+		listener, err := net.Listen("tcp", ip+":0")
 		if err != nil {
 			return "", err
 		}
 		address := listener.Addr().String()
 		_ = listener.Close()
-		if _, isUsed := handedOut.LoadOrStore(address, true); !isUsed {
+		if _, used := allocatedAddresses.LoadOrStore(address, true); !used {
 			return address, nil
 		}
 	}
 }
 
-var handedOut sync.Map
+var allocatedAddresses sync.Map
 
 // Options change how a fleet is started.
 type Options struct {
-	HasRelays bool
-	Scale     float64
-	Weights   []float64
-	LogLevel  string
-	// HasFiles gives each front a settings file of its own.
-	HasFiles bool
+	Relays   bool
+	Scale    float64
+	Weights  []float64
+	LogLevel string
+	// ConfigFiles gives each front a settings file of its own.
+	ConfigFiles bool
 }
 
 // Start starts instances, control plane and data plane, in that order.
-func Start(shape Shape, programs Programs, folder string, options Options) (*Fleet, error) {
+func Start(shape Shape, programs Programs, directory string, options Options) (*Fleet, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &Fleet{
-		Shape: shape, Folder: folder, Programs: programs, History: &standin.History{}, Relays: map[string]*standin.Relay{},
-		ctx: ctx, cancel: cancel, client: &http.Client{Timeout: 5 * time.Second}, origin: ip(9, 0),
+		Shape: shape, Directory: directory, Programs: programs, History: &standin.History{}, Relays: map[string]*standin.Relay{},
+		ctx: ctx, cancel: cancel, client: &http.Client{Timeout: 5 * time.Second}, origin: loopbackIP(9, 0),
 	}
-	if err := f.plan(options); err != nil {
+	if err := f.planProcesses(options); err != nil {
 		f.Stop()
 		return nil, err
 	}
-	for _, list := range [][]*Process{f.Backs, f.Disks, f.Fronts} {
+	for _, list := range [][]*Process{f.Instances, f.Controls, f.Proxies} {
 		for _, process := range list {
-			if err := process.Start(f.Folder); err != nil {
+			if err := process.Start(f.Directory); err != nil {
 				f.Stop()
 				return nil, err
 			}
@@ -168,8 +168,8 @@
 	return f, nil
 }
 
-func (f *Fleet) plan(options Options) error {
-	address := func(group, number int) (string, error) { return freePort(ip(group, number)) }
+func (f *Fleet) planProcesses(options Options) error {
+	address := func(group, number int) (string, error) { return allocateAddress(loopbackIP(group, number)) }
 	platformAt, err := address(9, 0)
 	if err != nil {
 		return err
@@ -178,116 +178,116 @@
 	if logLevel == "" {
 		logLevel = "info"
 	}
-	make_ := func(program string, group, count int) ([]*Process, error) {
+	newProcesses := func(program string, group, count int) ([]*Process, error) {
 		var list []*Process
-		for at := range count {
-			link, err := address(group, at)
+		for index := range count {
+			link, err := address(group, index)
 			if err != nil {
 				return nil, err
 			}
-			door, err := address(group, at)
+			address, err := address(group, index)
 			if err != nil {
 				return nil, err
 			}
-			name := fmt.Sprintf("%s%d", strings.TrimPrefix(program, "tansyseam-"), at+1)
+			name := fmt.Sprintf("%s%d", strings.TrimPrefix(program, "tansyseam-"), index+1)
 			list = append(list, &Process{
-				Name: name, Program: f.Programs.Path(program, at), Link: link, Door: door, IP: ip(group, at),
-				Zone: f.Shape.Zones[at%len(f.Shape.Zones)], Data: filepath.Join(f.Folder, name),
+				Name: name, Program: f.Programs.Path(program, index), RPCAddress: link, HTTPAddress: address, IP: loopbackIP(group, index),
+				Zone: f.Shape.Zones[index%len(f.Shape.Zones)], DataDirectory: filepath.Join(f.Directory, name),
 			})
 		}
 		return list, nil
 	}
-	if f.Disks, err = make_("tansyseam-control", 2, f.Shape.Disks); err != nil {
+	if f.Controls, err = newProcesses("tansyseam-control", 2, f.Shape.Controls); err != nil {
 		return err
 	}
-	if f.Fronts, err = make_("tansyseam-proxy", 1, f.Shape.Fronts); err != nil {
+	if f.Proxies, err = newProcesses("tansyseam-proxy", 1, f.Shape.Proxies); err != nil {
 		return err
 	}
-	all := append(append([]*Process(nil), f.Disks...), f.Fronts...)
+	all := append(append([]*Process(nil), f.Controls...), f.Proxies...)
 	advertised := map[string]string{}
 	for _, process := range all {
-		advertised[process.Name] = process.Link
-		if options.HasRelays {
-			at, err := freePort("127.2.0.1")
+		advertised[process.Name] = process.RPCAddress
+		if options.Relays {
+			index, err := allocateAddress("127.2.0.1")
 			if err != nil {
 				return err
 			}
-			relay, err := standin.OpenRelay(at, process.Link)
+			relay, err := standin.OpenRelay(index, process.RPCAddress)
 			if err != nil {
 				return err
 			}
 			f.Relays[process.Name] = relay
-			advertised[process.Name] = at
+			advertised[process.Name] = index
 		}
 	}
-	f.Seeds = advertised[f.Disks[0].Name] + "," + advertised[f.Disks[1].Name] + "," + advertised[f.Fronts[0].Name]
-	for at, process := range all {
+	f.Seeds = advertised[f.Controls[0].Name] + "," + advertised[f.Controls[1].Name] + "," + advertised[f.Proxies[0].Name]
+	for index, process := range all {
 		process.Args = []string{
-			"--name", process.Name, "--zone", process.Zone, "--link", process.Link, "--door", process.Door,
+			"--name", process.Name, "--zone", process.Zone, "--link", process.RPCAddress, "--door", process.HTTPAddress,
 			"--seeds", f.Seeds, "--log-level", logLevel, "--advertise-link", advertised[process.Name],
 		}
-		if at < len(f.Disks) {
-			process.Args = append(process.Args, "--data", process.Data, "--disks", fmt.Sprint(f.Shape.Disks), "--platform", platformAt)
-		} else if front := at - len(f.Disks); front < len(options.Weights) {
-			process.Args = append(process.Args, "--weight", fmt.Sprint(options.Weights[front]))
+		if index < len(f.Controls) {
+			process.Args = append(process.Args, "--data", process.DataDirectory, "--disks", fmt.Sprint(f.Shape.Controls), "--platform", platformAt)
+		} else if proxy := index - len(f.Controls); proxy < len(options.Weights) {
+			process.Args = append(process.Args, "--weight", fmt.Sprint(options.Weights[proxy]))
 		}
-		if options.HasFiles && at >= len(f.Disks) {
-			process.File = filepath.Join(f.Folder, process.Name+".settings.json")
-			if err := os.WriteFile(process.File, []byte(`{"weight": 1}`), 0o644); err != nil {
+		if options.ConfigFiles && index >= len(f.Controls) {
+			process.ConfigFile = filepath.Join(f.Directory, process.Name+".settings.json")
+			if err := os.WriteFile(process.ConfigFile, []byte(`{"weight": 1}`), 0o644); err != nil {
 				return err
 			}
-			process.Args = append(process.Args, "--config", process.File)
+			process.Args = append(process.Args, "--config", process.ConfigFile)
 		}
 	}
-	return f.planBacks(platformAt)
+	return f.planInstances(platformAt)
 }
 
-func (f *Fleet) planBacks(platformAt string) error {
-	doors := []string{f.Disks[0].Door, f.Disks[1].Door, f.Fronts[0].Door}
-	var places []standin.Place
+func (f *Fleet) planInstances(platformAt string) error {
+	doors := []string{f.Controls[0].HTTPAddress, f.Controls[1].HTTPAddress, f.Proxies[0].HTTPAddress}
+	var places []standin.InstanceInfo
 	number := 0
 	for _, database := range f.Shape.Databases {
 		primary := ""
-		for at := range f.Shape.Instances {
-			where, err := freePort(ip(3, number))
+		for index := range f.Shape.InstancesPerDatabase {
+			where, err := allocateAddress(loopbackIP(3, number))
 			if err != nil {
 				return err
 			}
 			config := standin.InstanceConfig{
-				Name: fmt.Sprintf("%s-%c", database, 'a'+at), Database: database, Address: where, Zone: f.Shape.Zones[at%len(f.Shape.Zones)],
-				Role: "replica", Upstream: primary, Doors: doors, Connections: f.Shape.Connections, Slots: f.Shape.Slots,
-				ServiceUS: f.Shape.ServiceUS, DelayMS: 3, Seed: uint64(number + 1),
+				Name: fmt.Sprintf("%s-%c", database, 'a'+index), Database: database, Address: where, Zone: f.Shape.Zones[index%len(f.Shape.Zones)],
+				Role: "replica", Upstream: primary, AnnounceAddresses: doors, Connections: f.Shape.Connections, Slots: f.Shape.Slots,
+				ServiceTimeUS: f.Shape.ServiceTimeUS, ReplicationDelayMS: 3, Seed: uint64(number + 1),
 			}
-			config.Folder = filepath.Join(f.Folder, config.Name)
-			if at == 0 {
+			config.Directory = filepath.Join(f.Directory, config.Name)
+			if index == 0 {
 				config.Role, primary = "primary", where
 			}
-			path := filepath.Join(f.Folder, config.Name+".json")
+			path := filepath.Join(f.Directory, config.Name+".json")
 			data, _ := json.Marshal(config)
 			if err := os.WriteFile(path, data, 0o644); err != nil {
 				return err
 			}
-			f.Backs = append(f.Backs, &Process{
-				Name: config.Name, Program: f.Programs.Own("standin"), Args: []string{path}, Link: where, Door: where,
-				Zone: config.Zone, Data: config.Folder, IP: ip(3, number),
+			f.Instances = append(f.Instances, &Process{
+				Name: config.Name, Program: f.Programs.CurrentPath("standin"), Args: []string{path}, RPCAddress: where, HTTPAddress: where,
+				Zone: config.Zone, DataDirectory: config.Directory, IP: loopbackIP(3, number),
 			})
-			places = append(places, standin.Place{Name: config.Name, Database: database, Address: where})
+			places = append(places, standin.InstanceInfo{Name: config.Name, Database: database, Address: where})
 			number++
 		}
 	}
 	zones := map[string]string{}
-	for _, front := range f.Fronts {
-		zones[front.Door] = front.Zone
+	for _, proxy := range f.Proxies {
+		zones[proxy.HTTPAddress] = proxy.Zone
 	}
 	f.Platform = standin.NewPlatform(f.ctx, places, zones)
 	return f.Platform.Serve(platformAt)
 }
 
 // Start starts the process; its log goes to a file of its name.
-func (p *Process) Start(folder string) error {
+func (p *Process) Start(directory string) error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	log, err := os.OpenFile(filepath.Join(folder, p.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	log, err := os.OpenFile(filepath.Join(directory, p.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
@@ -298,13 +298,13 @@
 		_ = log.Close()
 		return err
 	}
-	p.ended = make(chan struct{})
-	command, ended := p.command, p.ended
+	p.exited = make(chan struct{})
+	command, ended := p.command, p.exited
 	go func() {
 		_ = command.Wait()
 		_ = log.Close()
 		p.mutex.Lock()
-		p.code = command.ProcessState.ExitCode()
+		p.exitCode = command.ProcessState.ExitCode()
 		p.mutex.Unlock()
 		close(ended)
 	}()
@@ -330,15 +330,15 @@
 	return p.command.Process.Pid
 }
 
-// Ended waits, for a bound, until the process has ended.
-func (p *Process) Ended(bound time.Duration) bool {
+// AwaitExit waits, for a bound, until the process has ended.
+func (p *Process) AwaitExit(timeout time.Duration) bool {
 	p.mutex.Lock()
-	ended := p.ended
+	ended := p.exited
 	p.mutex.Unlock()
 	if ended == nil {
 		return true
 	}
-	timer := time.NewTimer(bound)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-ended:
@@ -348,28 +348,28 @@
 	}
 }
 
-// Code gives the exit code of an ended process.
-func (p *Process) Code() int {
+// ExitCode gives the exit code of an ended process.
+func (p *Process) ExitCode() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.code
+	return p.exitCode
 }
 
 // Kill ends the process at once.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
-	p.Ended(5 * time.Second)
+	p.AwaitExit(5 * time.Second)
 }
 
 // Stop ends all that the fleet started.
 func (f *Fleet) Stop() {
-	all := append(append(append([]*Process(nil), f.Fronts...), f.Disks...), f.Backs...)
+	all := append(append(append([]*Process(nil), f.Proxies...), f.Controls...), f.Instances...)
 	for _, process := range all {
 		process.Signal(syscall.SIGCONT)
 		process.Signal(syscall.SIGKILL)
 	}
 	for _, process := range all {
-		process.Ended(5 * time.Second)
+		process.AwaitExit(5 * time.Second)
 	}
 	for _, relay := range f.Relays {
 		relay.Close()
@@ -377,38 +377,38 @@
 	f.cancel()
 }
 
-// AddFront starts one more front than was planned.
-func (f *Fleet) AddFront() (*Process, error) {
-	number := len(f.Fronts)
-	host := ip(1, number)
+// AddProxy starts one more front than was planned.
+func (f *Fleet) AddProxy() (*Process, error) {
+	number := len(f.Proxies)
+	ip := loopbackIP(1, number)
 	var addresses [2]string
-	for at := range addresses {
-		address, err := freePort(host)
+	for index := range addresses {
+		address, err := allocateAddress(ip)
 		if err != nil {
 			return nil, err
 		}
-		addresses[at] = address
+		addresses[index] = address
 	}
-	front := &Process{
-		Name: fmt.Sprintf("proxy%d", number+1), Program: f.Programs.Path("tansyseam-proxy", number), Link: addresses[0], Door: addresses[1], IP: host,
+	proxy := &Process{
+		Name: fmt.Sprintf("proxy%d", number+1), Program: f.Programs.Path("tansyseam-proxy", number), RPCAddress: addresses[0], HTTPAddress: addresses[1], IP: ip,
 		Zone: f.Shape.Zones[number%len(f.Shape.Zones)],
 	}
-	front.Args = []string{"--name", front.Name, "--zone", front.Zone, "--link", front.Link, "--door", front.Door, "--seeds", f.Seeds}
-	if err := front.Start(f.Folder); err != nil {
+	proxy.Args = []string{"--name", proxy.Name, "--zone", proxy.Zone, "--link", proxy.RPCAddress, "--door", proxy.HTTPAddress, "--seeds", f.Seeds}
+	if err := proxy.Start(f.Directory); err != nil {
 		return nil, err
 	}
-	f.Fronts = append(f.Fronts, front)
-	f.Platform.AddDoor(front.Door, front.Zone)
-	return front, nil
+	f.Proxies = append(f.Proxies, proxy)
+	f.Platform.AddProxy(proxy.HTTPAddress, proxy.Zone)
+	return proxy, nil
 }
 
 // Post makes a remote call to a door.
-func (f *Fleet) Post(door, path string, body any) (int, []byte, error) {
+func (f *Fleet) Post(address, path string, body any) (int, []byte, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return 0, nil, err
 	}
-	response, err := f.client.Post("http://"+door+path, "application/json", bytes.NewReader(data))
+	response, err := f.client.Post("http://"+address+path, "application/json", bytes.NewReader(data))
 	if err != nil {
 		return 0, nil, err
 	}
@@ -417,20 +417,20 @@
 	return response.StatusCode, raw, err
 }
 
-// Fault tells an instance what to do wrong.
-func (f *Fleet) Fault(instance string, fault standin.Fault) error {
-	for _, back := range f.Backs {
-		if back.Name == instance {
-			_, _, err := f.Post(back.Door, "/admin/fault", map[string]any{"fault": fault})
+// SetFault tells an instance what to do wrong.
+func (f *Fleet) SetFault(instance string, fault standin.Fault) error {
+	for _, process := range f.Instances {
+		if process.Name == instance {
+			_, _, err := f.Post(process.HTTPAddress, "/admin/fault", map[string]any{"fault": fault})
 			return err
 		}
 	}
 	return fmt.Errorf("no instance %s", instance)
 }
 
-// Find gives a process by name.
-func (f *Fleet) Find(name string) *Process {
-	for _, list := range [][]*Process{f.Fronts, f.Disks, f.Backs} {
+// FindProcess gives a process by name.
+func (f *Fleet) FindProcess(name string) *Process {
+	for _, list := range [][]*Process{f.Proxies, f.Controls, f.Instances} {
 		for _, process := range list {
 			if process.Name == name {
 				return process
@@ -440,11 +440,11 @@
 	return nil
 }
 
-// Until asks again and again, for a bound, whether something is so.
-func Until(bound time.Duration, isSo func() bool) bool {
-	deadline := time.Now().Add(bound)
+// WaitUntil asks again and again, for a bound, whether something is so.
+func WaitUntil(timeout time.Duration, condition func() bool) bool {
+	deadline := time.Now().Add(timeout)
 	for {
-		if isSo() {
+		if condition() {
 			return true
 		}
 		if time.Now().After(deadline) {
@@ -460,29 +460,29 @@
 	var code int
 	var raw []byte
 	var err error
-	for _, front := range f.Fronts {
-		if code, raw, err = f.Post(front.Door, "/v1/bindings/put", body); err == nil {
+	for _, proxy := range f.Proxies {
+		if code, raw, err = f.Post(proxy.HTTPAddress, "/v1/bindings/put", body); err == nil {
 			break
 		}
 	}
 	return code, raw, err
 }
 
-// Settle waits until the fleet has formed, put its first bindings and has
+// AwaitReady waits until the fleet has formed, put its first bindings and has
 // all doors ready.
-func (f *Fleet) Settle(bound time.Duration) error {
-	isPut := Until(bound, func() bool {
+func (f *Fleet) AwaitReady(timeout time.Duration) error {
+	accepted := WaitUntil(timeout, func() bool {
 		code, _, err := f.PutBindings("first", 0, f.Shape.Mix.Bindings())
 		return err == nil && code == http.StatusOK
 	})
-	if !isPut {
+	if !accepted {
 		code, raw, err := f.PutBindings("first", 0, f.Shape.Mix.Bindings())
 		return fmt.Errorf("first bindings not taken: %d %s %v", code, raw, err)
 	}
-	if !Until(bound, func() bool { return f.Platform.Ready() >= len(f.Fronts) }) {
-		return fmt.Errorf("%d of %d doors ready", f.Platform.Ready(), len(f.Fronts))
+	if !WaitUntil(timeout, func() bool { return f.Platform.ReadyCount() >= len(f.Proxies) }) {
+		return fmt.Errorf("%d of %d doors ready", f.Platform.ReadyCount(), len(f.Proxies))
 	}
-	if !Until(bound, func() bool { return f.isServing() }) {
+	if !WaitUntil(timeout, func() bool { return f.allServing() }) {
 		return fmt.Errorf("writer roles not open")
 	}
 	return nil
@@ -500,8 +500,8 @@
 }
 
 // Writers asks a node for the writer roles.
-func (f *Fleet) Writers(door string) map[string]Writer {
-	_, raw, err := f.Post(door, "/v1/fleet", map[string]any{})
+func (f *Fleet) Writers(address string) map[string]Writer {
+	_, raw, err := f.Post(address, "/v1/fleet", map[string]any{})
 	if err != nil {
 		return nil
 	}
@@ -518,12 +518,12 @@
 	return found
 }
 
-func (f *Fleet) isServing() bool {
-	for _, front := range f.Fronts {
-		writers := f.Writers(front.Door)
+func (f *Fleet) allServing() bool {
+	for _, proxy := range f.Proxies {
+		writers := f.Writers(proxy.HTTPAddress)
 		for _, database := range f.Shape.Databases {
 			writer := writers[database]
-			if writer.Phase != "open" || len(writer.Candidates) < f.Shape.Instances-1 {
+			if writer.Phase != "open" || len(writer.Candidates) < f.Shape.InstancesPerDatabase-1 {
 				return false
 			}
 		}
@@ -531,7 +531,7 @@
 	return true
 }
 
-// Callers starts the shape's load.
-func (f *Fleet) Callers(seed uint64, scale float64) *standin.Callers {
-	return standin.RunCallers(f.ctx, f.Shape.Mix, f.Platform, f.History, seed, scale)
+// StartCallers starts the shape's load.
+func (f *Fleet) StartCallers(seed uint64, scale float64) *standin.Callers {
+	return standin.StartCallers(f.ctx, f.Shape.Mix, f.Platform, f.History, seed, scale)
 }
--- a/test/e2e/programs.go
+++ b/test/e2e/programs.go
@@ -4,23 +4,23 @@
 
 // Programs says where the programs of a fleet are.
 type Programs struct {
-	// Folder has the programs of this build.
-	Folder string
-	// Beside, if given, has tansyseam-proxy and tansyseam-control of another
+	// Directory has the programs of this build.
+	Directory string
+	// OtherBuild, if given, has tansyseam-proxy and tansyseam-control of another
 	// build. Every second process of a kind runs it, as during a roll-out.
-	Beside string
+	OtherBuild string
 	// OtherFirst says that the first process of a kind is of the other build.
 	OtherFirst bool
 }
 
 // Path gives the program of the process with an index among those of its kind.
 func (p Programs) Path(program string, index int) string {
-	isOther := (index%2 == 1) != p.OtherFirst
-	if p.Beside != "" && isOther {
-		return filepath.Join(p.Beside, program)
+	other := (index%2 == 1) != p.OtherFirst
+	if p.OtherBuild != "" && other {
+		return filepath.Join(p.OtherBuild, program)
 	}
-	return filepath.Join(p.Folder, program)
+	return filepath.Join(p.Directory, program)
 }
 
-// Own gives a program of this build.
-func (p Programs) Own(program string) string { return filepath.Join(p.Folder, program) }
+// CurrentPath gives a program of this build.
+func (p Programs) CurrentPath(program string) string { return filepath.Join(p.Directory, program) }
--- a/test/e2e/programs_test.go
+++ b/test/e2e/programs_test.go
@@ -15,9 +15,9 @@
 			}
 			return list
 		}
-		So(paths(Programs{Folder: "new"}), ShouldResemble, []string{"new/x", "new/x", "new/x"})
-		So(paths(Programs{Folder: "new", Beside: "old"}), ShouldResemble, []string{"new/x", "old/x", "new/x"})
-		So(paths(Programs{Folder: "new", Beside: "old", OtherFirst: true}), ShouldResemble, []string{"old/x", "new/x", "old/x"})
-		So(Programs{Folder: "new", Beside: "old", OtherFirst: true}.Own("x"), ShouldEqual, "new/x")
+		So(paths(Programs{Directory: "new"}), ShouldResemble, []string{"new/x", "new/x", "new/x"})
+		So(paths(Programs{Directory: "new", OtherBuild: "old"}), ShouldResemble, []string{"new/x", "old/x", "new/x"})
+		So(paths(Programs{Directory: "new", OtherBuild: "old", OtherFirst: true}), ShouldResemble, []string{"old/x", "new/x", "old/x"})
+		So(Programs{Directory: "new", OtherBuild: "old", OtherFirst: true}.CurrentPath("x"), ShouldEqual, "new/x")
 	})
 }
--- a/test/history/availability.go
+++ b/test/history/availability.go
@@ -33,7 +33,7 @@
 func Rate(events []standin.Event, from, until int64) float64 {
 	count := 0
 	for _, event := range events {
-		if isServed(event) && event.Got >= from && event.Got < until {
+		if isServed(event) && event.AnsweredAt >= from && event.AnsweredAt < until {
 			count++
 		}
 	}
@@ -59,10 +59,10 @@
 	byClass := map[string]servedTimes{}
 	end := int64(0)
 	for _, event := range e.Events {
-		end = max(end, event.Got)
+		end = max(end, event.AnsweredAt)
 		if class, ok := workClasses[event.Kind]; ok && isServed(event) {
 			key := event.Database + " " + class
-			byClass[key] = append(byClass[key], event.Got)
+			byClass[key] = append(byClass[key], event.AnsweredAt)
 		}
 	}
 	var found violations
@@ -97,7 +97,7 @@
 	var found violations
 	for _, span := range e.QuietSpans {
 		for _, event := range e.Events {
-			during := event.Sent >= span.From && event.Got < span.Until && event.Got > 0
+			during := event.SentAt >= span.From && event.AnsweredAt < span.Until && event.AnsweredAt > 0
 			if during && !isServed(event) && !mayFail(event) {
 				found.add("%s of %s: %s (%s) in a calm of the fleet", event.Kind, event.Caller, event.Outcome, event.Error)
 			}
@@ -109,7 +109,7 @@
 // mayFail reports whether a request may fail by what its caller, or the run,
 // did to it.
 func mayFail(event standin.Event) bool {
-	shortDeadline := event.DeadMS != 0 && event.DeadMS < shortDeadlineMS
-	sentElsewhere := event.IsAgain || strings.HasPrefix(event.Error, noSuchSessionError)
+	shortDeadline := event.DeadlineMS != 0 && event.DeadlineMS < shortDeadlineMS
+	sentElsewhere := event.Retry || strings.HasPrefix(event.Error, noSuchSessionError)
 	return shortDeadline || sentElsewhere || event.Error == ErrorResetByRun || event.Kind == KindOpen || event.Outcome == OutcomeLeft
 }
--- a/test/history/commits.go
+++ b/test/history/commits.go
@@ -87,10 +87,10 @@
 			continue
 		}
 		for term, at := range promoted[event.Database] {
-			sentLate := !event.IsAgain && event.Sent > at
-			executedLate := lastRun[requestInTerm{event.Go, event.Position.Term}] > at
+			sentLate := !event.Retry && event.SentAt > at
+			executedLate := lastRun[requestInTerm{event.RequestID, event.Position.Term}] > at
 			if term > event.Position.Term && (sentLate || executedLate) {
-				found.add("%s: %s kept in term %d after the promotion to term %d", event.Database, event.Go, event.Position.Term, term)
+				found.add("%s: %s kept in term %d after the promotion to term %d", event.Database, event.RequestID, event.Position.Term, term)
 			}
 		}
 	}
@@ -101,7 +101,7 @@
 func (e Evidence) promotionTimes() map[string]map[uint64]int64 {
 	promoted := map[string]map[uint64]int64{}
 	for _, execution := range e.Executions {
-		if execution.Act != actPromote {
+		if execution.Action != actPromote {
 			continue
 		}
 		if promoted[execution.Database] == nil {
@@ -115,10 +115,10 @@
 func (e Evidence) lastRunTimes() map[requestInTerm]int64 {
 	lastRun := map[requestInTerm]int64{}
 	for _, execution := range e.Executions {
-		if execution.Act == actPromote || execution.Go == "" {
+		if execution.Action == actPromote || execution.RequestID == "" {
 			continue
 		}
-		key := requestInTerm{execution.Go, execution.Term}
+		key := requestInTerm{execution.RequestID, execution.Term}
 		lastRun[key] = max(lastRun[key], execution.At)
 	}
 	return lastRun
--- a/test/history/evidence.go
+++ b/test/history/evidence.go
@@ -49,7 +49,7 @@
 	// Writers names, by database, the primary at the end.
 	Writers map[string]string
 	// Executions are the statements as the instances ran them.
-	Executions   []standin.Ran
+	Executions   []standin.Execution
 	AcceptedSets []AcceptedSet
 	// Restarts are the planned ones only.
 	Restarts     []Restart
@@ -128,7 +128,7 @@
 func (e Evidence) effectPositions(database string) map[string][]standin.Position {
 	positions := map[string][]standin.Position{}
 	for _, entry := range e.finalLog(database) {
-		for _, id := range entry.Gos {
+		for _, id := range entry.RequestIDs {
 			positions[id] = append(positions[id], standin.Position{Term: entry.Term, Index: entry.Index})
 		}
 	}
@@ -150,6 +150,8 @@
 }
 
 // requestIDs gives the IDs of a request and of the writes inside it.
-func requestIDs(event standin.Event) []string { return append([]string{event.Go}, event.Gos...) }
+func requestIDs(event standin.Event) []string {
+	return append([]string{event.RequestID}, event.RequestIDs...)
+}
 
 func milliseconds(span int64) int64 { return span / int64(time.Millisecond) }
--- a/test/history/history_test.go
+++ b/test/history/history_test.go
@@ -14,20 +14,20 @@
 
 func soundEvidence() Evidence {
 	entries := []standin.Entry{
-		{Term: 1, Index: 1, Gos: []string{"s.1"}, Texts: []string{`book "s.1" by ann x`}},
-		{Term: 1, Index: 2, Gos: []string{"s.2", "s.3"}, Texts: []string{`hold "s.2" by ann x`}},
+		{Term: 1, Index: 1, RequestIDs: []string{"s.1"}, Statements: []string{`book "s.1" by ann x`}},
+		{Term: 1, Index: 2, RequestIDs: []string{"s.2", "s.3"}, Statements: []string{`hold "s.2" by ann x`}},
 	}
 	return Evidence{
 		Logs: map[string]map[string][]standin.Entry{"d": {"a": entries}}, Writers: map[string]string{"d": "a"},
 		Events: []standin.Event{
-			{Caller: "ann", Database: "d", Kind: "write", Go: "s.1", Text: `book "s.1" by ann x`, Outcome: "kept", Position: standin.Position{Term: 1, Index: 1}, Sent: nanos(0), Got: nanos(10), Sequence: 1, Door: "x"},
-			{Caller: "ann", Database: "d", Kind: "inside", Go: "s.2", Text: `hold "s.2" by ann x`, Outcome: "done", Sent: nanos(20), Got: nanos(30), Sequence: 1},
-			{Caller: "ann", Database: "d", Kind: "commit", Go: "s.3", Gos: []string{"s.2"}, Outcome: "kept", Position: standin.Position{Term: 1, Index: 2}, Sent: nanos(40), Got: nanos(50), Sequence: 1},
-			{Caller: "bob", Database: "d", Kind: "read", Text: `look "d" by bob x`, Outcome: "read", Upto: standin.Position{Term: 1, Index: 2}, Sent: nanos(60), Got: nanos(70), Sequence: 1, FreshMS: 0},
+			{Caller: "ann", Database: "d", Kind: "write", RequestID: "s.1", Text: `book "s.1" by ann x`, Outcome: "kept", Position: standin.Position{Term: 1, Index: 1}, SentAt: nanos(0), AnsweredAt: nanos(10), Sequence: 1, Address: "x"},
+			{Caller: "ann", Database: "d", Kind: "inside", RequestID: "s.2", Text: `hold "s.2" by ann x`, Outcome: "done", SentAt: nanos(20), AnsweredAt: nanos(30), Sequence: 1},
+			{Caller: "ann", Database: "d", Kind: "commit", RequestID: "s.3", RequestIDs: []string{"s.2"}, Outcome: "kept", Position: standin.Position{Term: 1, Index: 2}, SentAt: nanos(40), AnsweredAt: nanos(50), Sequence: 1},
+			{Caller: "bob", Database: "d", Kind: "read", Text: `look "d" by bob x`, Outcome: "read", AppliedPosition: standin.Position{Term: 1, Index: 2}, SentAt: nanos(60), AnsweredAt: nanos(70), Sequence: 1, FreshnessMS: 0},
 		},
-		Executions: []standin.Ran{
-			{Instance: "a", Text: `book "s.1" by ann x`, Go: "s.1", IsWrite: true, At: nanos(5)},
-			{Instance: "a", Text: `hold "s.2" by ann x`, Go: "s.2", Turn: "t1", IsWrite: true, At: nanos(25)},
+		Executions: []standin.Execution{
+			{Instance: "a", Text: `book "s.1" by ann x`, RequestID: "s.1", Write: true, At: nanos(5)},
+			{Instance: "a", Text: `hold "s.2" by ann x`, RequestID: "s.2", Transaction: "t1", Write: true, At: nanos(25)},
 			{Instance: "a", Text: `look "d" by bob x`, At: nanos(65)},
 		},
 	}
@@ -36,7 +36,7 @@
 func TestCheckersCatchPlantedViolations(t *testing.T) {
 	plants := map[string]func(*Evidence){
 		"effect once per go": func(e *Evidence) {
-			e.Logs["d"]["a"] = append(e.Logs["d"]["a"], standin.Entry{Term: 1, Index: 3, Gos: []string{"s.1"}})
+			e.Logs["d"]["a"] = append(e.Logs["d"]["a"], standin.Entry{Term: 1, Index: 3, RequestIDs: []string{"s.1"}})
 		},
 		"told not kept, yet kept": func(e *Evidence) {
 			e.Events[0].Outcome = "not_kept"
@@ -45,42 +45,42 @@
 			e.Logs["d"]["a"] = e.Logs["d"]["a"][:1]
 		},
 		"read misses a confirmed commit": func(e *Evidence) {
-			e.Events[3].Upto = standin.Position{Term: 1, Index: 1}
+			e.Events[3].AppliedPosition = standin.Position{Term: 1, Index: 1}
 		},
 		"statement in another's transaction or settings": func(e *Evidence) {
-			e.Executions = append(e.Executions, standin.Ran{Text: `look "d" by bob x`, Turn: "t1"})
+			e.Executions = append(e.Executions, standin.Execution{Text: `look "d" by bob x`, Transaction: "t1"})
 			e.Events = append(e.Events, e.Events[3])
 		},
 		"statement that no caller sent, or with its text changed": func(e *Evidence) {
 			e.Executions[0].Text += " "
 		},
 		"old primary confirms after a promotion": func(e *Evidence) {
-			e.Executions = append(e.Executions, standin.Ran{Instance: "b", Database: "d", Act: "promote", Term: 2, At: nanos(4)})
+			e.Executions = append(e.Executions, standin.Execution{Instance: "b", Database: "d", Action: "promote", Term: 2, At: nanos(4)})
 		},
 		"binding change ignored or undone": func(e *Evidence) {
 			e.Events[0].Sequence = 2
-			e.Events = append(e.Events, standin.Event{Caller: "bob", Kind: "read", Outcome: "read", Sent: nanos(300), Got: nanos(310), Sequence: 1})
+			e.Events = append(e.Events, standin.Event{Caller: "bob", Kind: "read", Outcome: "read", SentAt: nanos(300), AnsweredAt: nanos(310), Sequence: 1})
 		},
 		"broken set taken, or a taken one lost": func(e *Evidence) {
 			e.SubmittedSets = []SubmittedSet{{ID: "one", Content: "a"}}
 			e.ServedSets = []ServedSet{{Node: "d1", Sequence: 1, Content: "b"}}
 		},
 		"work reaches a leaving instance": func(e *Evidence) {
-			e.Executions[2].Leaving, e.Executions[2].At = nanos(1), nanos(7002)
+			e.Executions[2].LeavingSince, e.Executions[2].At = nanos(1), nanos(7002)
 		},
 		"planned restart cuts a request off": func(e *Evidence) {
 			e.Restarts = []Restart{{Address: "x", From: nanos(0), Until: nanos(100)}}
-			e.Events = append(e.Events, standin.Event{Door: "x", Kind: "read", Text: `look "d" by bob x`, Outcome: "cut", Sent: nanos(62), Got: nanos(80)})
+			e.Events = append(e.Events, standin.Event{Address: "x", Kind: "read", Text: `look "d" by bob x`, Outcome: "cut", SentAt: nanos(62), AnsweredAt: nanos(80)})
 		},
 		"service stays down after a closing fault": func(e *Evidence) {
 			for ms := range int64(100) {
-				e.Events = append(e.Events, standin.Event{Database: "d", Kind: "read", Outcome: "read", Upto: standin.Position{Term: 9}, Sent: nanos(10 * ms), Got: nanos(10*ms + 5)})
+				e.Events = append(e.Events, standin.Event{Database: "d", Kind: "read", Outcome: "read", AppliedPosition: standin.Position{Term: 9}, SentAt: nanos(10 * ms), AnsweredAt: nanos(10*ms + 5)})
 			}
 			e.ClosedFaults = []ClosedFault{{Name: "rush", BeforeFrom: nanos(0), BeforeUntil: nanos(1000), At: nanos(2000)}}
 		},
 		"a calm fleet refuses, or does not know": func(e *Evidence) {
 			e.QuietSpans = []Span{{From: nanos(0), Until: nanos(200)}}
-			e.Events = append(e.Events, standin.Event{Database: "d", Kind: "write", Outcome: "unknown", Sent: nanos(80), Got: nanos(90)})
+			e.Events = append(e.Events, standin.Event{Database: "d", Kind: "write", Outcome: "unknown", SentAt: nanos(80), AnsweredAt: nanos(90)})
 		},
 	}
 	Convey("A sound history passes every rule", t, func() {
@@ -100,15 +100,15 @@
 			e := Evidence{ClosedFaults: []ClosedFault{{Name: "zone", BeforeFrom: nanos(0), BeforeUntil: nanos(3000), At: nanos(6000)}}}
 			for _, kind := range kinds {
 				for ms := int64(0); ms < 25000; ms += 20 {
-					e.Events = append(e.Events, standin.Event{Database: "d", Kind: kind, Outcome: "done", Sent: nanos(ms), Got: nanos(ms)})
+					e.Events = append(e.Events, standin.Event{Database: "d", Kind: kind, Outcome: "done", SentAt: nanos(ms), AnsweredAt: nanos(ms)})
 				}
 			}
 			return e
 		}
 		So(FailedRecoveries(history("read", "write")), ShouldBeEmpty)
 		for _, gone := range []func(standin.Event) bool{
-			func(event standin.Event) bool { return event.Kind == "write" && event.Sent > nanos(6000) },
-			func(event standin.Event) bool { return event.Sent > nanos(21000) && event.Sent < nanos(24000) },
+			func(event standin.Event) bool { return event.Kind == "write" && event.SentAt > nanos(6000) },
+			func(event standin.Event) bool { return event.SentAt > nanos(21000) && event.SentAt < nanos(24000) },
 		} {
 			e := history("read", "write")
 			e.Events = slices.DeleteFunc(e.Events, gone)
@@ -118,10 +118,10 @@
 	Convey("A commit that took effect and a door that was closed are told apart", t, func() {
 		evidence := soundEvidence()
 		evidence.Restarts = []Restart{{Address: "x", From: nanos(0), Until: nanos(100)}}
-		evidence.Events = append(evidence.Events, standin.Event{Door: "x", Kind: "set", Outcome: "cut", Sent: nanos(5), Got: nanos(6)})
+		evidence.Events = append(evidence.Events, standin.Event{Address: "x", Kind: "set", Outcome: "cut", SentAt: nanos(5), AnsweredAt: nanos(6)})
 		So(CutRequests(evidence), ShouldBeEmpty)
-		evidence.Events = append(evidence.Events, standin.Event{Door: "x", Database: "d", Kind: "commit", Go: "s.3", Outcome: "cut", Sent: nanos(40), Got: nanos(50)})
-		evidence.Executions = append(evidence.Executions, standin.Ran{Act: "commit", Go: "s.3", At: nanos(45)})
+		evidence.Events = append(evidence.Events, standin.Event{Address: "x", Database: "d", Kind: "commit", RequestID: "s.3", Outcome: "cut", SentAt: nanos(40), AnsweredAt: nanos(50)})
+		evidence.Executions = append(evidence.Executions, standin.Execution{Action: "commit", RequestID: "s.3", At: nanos(45)})
 		So(CutRequests(evidence), ShouldNotBeEmpty)
 	})
 	Convey("Sets: each way in which one may be lost, doubled, mixed up or put out of order is caught", t, func() {
@@ -159,7 +159,7 @@
 	Convey("A set that is taken and then ignored for 3 s is caught, and one that comes early", t, func() {
 		evidence := soundEvidence()
 		evidence.AcceptedSets = []AcceptedSet{{Sequence: 2, AcknowledgedAt: nanos(0)}}
-		evidence.Events = append(evidence.Events, standin.Event{Kind: "read", Sent: nanos(3100), Got: nanos(3110), Sequence: 1})
+		evidence.Events = append(evidence.Events, standin.Event{Kind: "read", SentAt: nanos(3100), AnsweredAt: nanos(3110), Sequence: 1})
 		So(IgnoredChanges(evidence), ShouldNotBeEmpty)
 		early := soundEvidence()
 		early.AcceptedSets = []AcceptedSet{{Sequence: 1, AcknowledgedAt: 0, EffectiveAt: nanos(500)}}
--- a/test/history/load.go
+++ b/test/history/load.go
@@ -22,7 +22,7 @@
 			evidence.Logs[database] = map[string][]standin.Entry{}
 		}
 		evidence.Logs[database][instance] = readJSONLines[standin.Entry](filepath.Join(folder, instance, "log.jsonl"))
-		evidence.Executions = append(evidence.Executions, readJSONLines[standin.Ran](filepath.Join(folder, instance, "ran.jsonl"))...)
+		evidence.Executions = append(evidence.Executions, readJSONLines[standin.Execution](filepath.Join(folder, instance, "ran.jsonl"))...)
 	}
 	for database, logs := range evidence.Logs {
 		evidence.Writers[database] = furthestLog(logs)
--- a/test/history/reads.go
+++ b/test/history/reads.go
@@ -19,7 +19,7 @@
 }
 
 func newCommitHistory(commits []standin.Event) commitHistory {
-	slices.SortFunc(commits, func(a, b standin.Event) int { return cmp.Compare(a.Got, b.Got) })
+	slices.SortFunc(commits, func(a, b standin.Event) int { return cmp.Compare(a.AnsweredAt, b.AnsweredAt) })
 	history := commitHistory{commits: commits, byCaller: map[string][]standin.Event{}}
 	var highWatermark standin.Position
 	for _, commit := range commits {
@@ -35,7 +35,7 @@
 // acknowledgedBefore gives the furthest position that was acknowledged before
 // a time.
 func (c commitHistory) acknowledgedBefore(at int64) standin.Position {
-	count, _ := slices.BinarySearchFunc(c.commits, at, func(commit standin.Event, at int64) int { return cmp.Compare(commit.Got, at) })
+	count, _ := slices.BinarySearchFunc(c.commits, at, func(commit standin.Event, at int64) int { return cmp.Compare(commit.AnsweredAt, at) })
 	if count == 0 {
 		return standin.Position{}
 	}
@@ -58,13 +58,13 @@
 }
 
 func (c commitHistory) checkRead(read standin.Event, found *violations) {
-	bound := read.Sent - int64(read.FreshMS)*int64(time.Millisecond)
-	if position := c.acknowledgedBefore(bound); isAfter(position, read.Upto) {
-		found.add("%s: read by %s at %d (bound %d ms) saw %v, but %v was confirmed before", read.Database, read.Caller, read.Sent, read.FreshMS, read.Upto, position)
+	bound := read.SentAt - int64(read.FreshnessMS)*int64(time.Millisecond)
+	if position := c.acknowledgedBefore(bound); isAfter(position, read.AppliedPosition) {
+		found.add("%s: read by %s at %d (bound %d ms) saw %v, but %v was confirmed before", read.Database, read.Caller, read.SentAt, read.FreshnessMS, read.AppliedPosition, position)
 	}
 	for _, own := range c.byCaller[read.Caller] {
-		if own.Got < read.Sent && isAfter(own.Position, read.Upto) {
-			found.add("%s: %s does not see its own write %s at %v, saw %v", read.Database, read.Caller, own.Go, own.Position, read.Upto)
+		if own.AnsweredAt < read.SentAt && isAfter(own.Position, read.AppliedPosition) {
+			found.add("%s: %s does not see its own write %s at %v, saw %v", read.Database, read.Caller, own.RequestID, own.Position, read.AppliedPosition)
 		}
 	}
 }
--- a/test/history/restarts.go
+++ b/test/history/restarts.go
@@ -19,8 +19,8 @@
 func WorkAfterLeaving(e Evidence) []string {
 	var found violations
 	for _, execution := range e.Executions {
-		if execution.Leaving != 0 && execution.At > execution.Leaving+drainTimeout {
-			found.add("%s ran %q %d ms after it said it was leaving", execution.Instance, execution.Text, milliseconds(execution.At-execution.Leaving))
+		if execution.LeavingSince != 0 && execution.At > execution.LeavingSince+drainTimeout {
+			found.add("%s ran %q %d ms after it said it was leaving", execution.Instance, execution.Text, milliseconds(execution.At-execution.LeavingSince))
 		}
 	}
 	return found
@@ -32,22 +32,22 @@
 func CutRequests(e Evidence) []string {
 	runTimes := map[statement][]int64{}
 	for _, execution := range e.Executions {
-		if execution.Act != actPromote {
-			key := statement{execution.Go, execution.Text}
+		if execution.Action != actPromote {
+			key := statement{execution.RequestID, execution.Text}
 			runTimes[key] = append(runTimes[key], execution.At)
 		}
 	}
 	var found violations
 	for _, restart := range e.Restarts {
 		for _, event := range e.Events {
-			during := event.Got >= restart.From && event.Sent <= restart.Until
-			if event.Door != restart.Address || !during || event.Outcome != OutcomeCut || event.Error == ErrorResetByRun {
+			during := event.AnsweredAt >= restart.From && event.SentAt <= restart.Until
+			if event.Address != restart.Address || !during || event.Outcome != OutcomeCut || event.Error == ErrorResetByRun {
 				continue
 			}
-			since := max(event.Sent, restart.From-restartMargin)
-			executed := slices.ContainsFunc(runTimes[statement{event.Go, event.Text}], func(at int64) bool { return at >= since && at <= event.Got })
+			since := max(event.SentAt, restart.From-restartMargin)
+			executed := slices.ContainsFunc(runTimes[statement{event.RequestID, event.Text}], func(at int64) bool { return at >= since && at <= event.AnsweredAt })
 			if executed {
-				found.add("%s of %s ran, but was cut off at %s: %s", event.Kind, event.Caller, event.Door, event.Error)
+				found.add("%s of %s ran, but was cut off at %s: %s", event.Kind, event.Caller, event.Address, event.Error)
 			}
 		}
 	}
--- a/test/history/sessions.go
+++ b/test/history/sessions.go
@@ -25,14 +25,14 @@
 func (e Evidence) checkTransactionOwners(found *violations) {
 	owners := map[string]string{}
 	for _, execution := range e.Executions {
-		if execution.Turn == "" || execution.Act == actCommit {
+		if execution.Transaction == "" || execution.Action == actCommit {
 			continue
 		}
 		caller := callerOf(execution.Text)
-		if owner, ok := owners[execution.Turn]; ok && owner != caller {
-			found.add("transaction %s holds statements of %s and %s", execution.Turn, owner, caller)
+		if owner, ok := owners[execution.Transaction]; ok && owner != caller {
+			found.add("transaction %s holds statements of %s and %s", execution.Transaction, owner, caller)
 		}
-		owners[execution.Turn] = caller
+		owners[execution.Transaction] = caller
 	}
 }
 
@@ -46,7 +46,7 @@
 	for _, execution := range e.Executions {
 		session, ok := execution.Settings[sessionSetting]
 		caller := callerOf(execution.Text)
-		if ok && execution.Act != actCommit && callerOfSession[session] != caller {
+		if ok && execution.Action != actCommit && callerOfSession[session] != caller {
 			found.add("a statement of %s ran under the settings of %s", caller, callerOfSession[session])
 		}
 	}
@@ -58,11 +58,11 @@
 	if !readOutside && !ranInside {
 		return
 	}
-	if event.RanText != "" && event.RanText != event.Text {
-		found.add("%s asked for %q, and %q was run", event.Caller, event.Text, event.RanText)
+	if event.ExecutedText != "" && event.ExecutedText != event.Text {
+		found.add("%s asked for %q, and %q was run", event.Caller, event.Text, event.ExecutedText)
 	}
-	if event.Settings[sessionSetting] != event.WantSet {
-		found.add("%s read under settings %q, its own are %q", event.Caller, event.Settings[sessionSetting], event.WantSet)
+	if event.Settings[sessionSetting] != event.ExpectedSetting {
+		found.add("%s read under settings %q, its own are %q", event.Caller, event.Settings[sessionSetting], event.ExpectedSetting)
 	}
 }
 
@@ -85,13 +85,13 @@
 	sent := map[statement]int{}
 	for _, event := range e.Events {
 		if event.Text != "" {
-			sent[statement{event.Go, event.Text}]++
+			sent[statement{event.RequestID, event.Text}]++
 		}
 	}
 	executed := map[statement]int{}
 	for _, execution := range e.Executions {
-		if execution.Act != actCommit && execution.Act != actPromote {
-			executed[statement{execution.Go, execution.Text}]++
+		if execution.Action != actCommit && execution.Action != actPromote {
+			executed[statement{execution.RequestID, execution.Text}]++
 		}
 	}
 	var found violations
--- a/test/history/sets.go
+++ b/test/history/sets.go
@@ -28,16 +28,16 @@
 			continue
 		}
 		for sequence, at := range firstServed {
-			if sequence > event.Sequence && event.Sent > at+downgradeTolerance {
-				found.add("%s was served under sequence %d, %d ms after %d had shown effect", event.Caller, event.Sequence, milliseconds(event.Sent-at), sequence)
+			if sequence > event.Sequence && event.SentAt > at+downgradeTolerance {
+				found.add("%s was served under sequence %d, %d ms after %d had shown effect", event.Caller, event.Sequence, milliseconds(event.SentAt-at), sequence)
 			}
 		}
 	}
 	for _, accepted := range e.AcceptedSets {
 		since := max(accepted.AcknowledgedAt, accepted.EffectiveAt)
 		for _, event := range e.Events {
-			if event.Sequence != 0 && event.Sequence < accepted.Sequence && event.Sent > since+changeTimeout {
-				found.add("%s was served under sequence %d, %d ms after %d was due", event.Caller, event.Sequence, milliseconds(event.Sent-since), accepted.Sequence)
+			if event.Sequence != 0 && event.Sequence < accepted.Sequence && event.SentAt > since+changeTimeout {
+				found.add("%s was served under sequence %d, %d ms after %d was due", event.Caller, event.Sequence, milliseconds(event.SentAt-since), accepted.Sequence)
 			}
 		}
 		at, served := firstServed[accepted.Sequence]
@@ -56,8 +56,8 @@
 		if event.Sequence == 0 || event.Outcome == OutcomeCut {
 			continue
 		}
-		if at, ok := first[event.Sequence]; !ok || event.Got < at {
-			first[event.Sequence] = event.Got
+		if at, ok := first[event.Sequence]; !ok || event.AnsweredAt < at {
+			first[event.Sequence] = event.AnsweredAt
 		}
 	}
 	return first
--- a/test/platforme2e/fill_test.go
+++ b/test/platforme2e/template_test.go
@@ -17,20 +17,20 @@
 		"cloud_api": map[string]any{"address": "127.0.0.1:4"}, "seed_nodes": []any{"127.0.0.1:5"},
 	}
 	Convey("Gaps are filled by path, plain and as JSON", t, func() {
-		text, err := Fill(`{{ip}}:{{internal_ports.1}} {{ip|json}} {{seed_nodes|json}} {{bootstrap}}`, fields)
+		text, err := FillTemplate(`{{ip}}:{{internal_ports.1}} {{ip|json}} {{seed_nodes|json}} {{bootstrap}}`, fields)
 		So(err, ShouldBeNil)
 		So(text, ShouldEqual, `127.0.0.1:7455 "127.0.0.1" ["127.0.0.1:5"] true`)
 	})
 	Convey("A section stands where its value is true or given, and nowhere else", t, func() {
-		text, err := Fill(`a{{#bounds.fence_checked}}b{{ip}}{{/bounds.fence_checked}}c{{#bounds.other}}d{{other}}{{/bounds.other}}e`, fields)
+		text, err := FillTemplate(`a{{#bounds.fence_checked}}b{{ip}}{{/bounds.fence_checked}}c{{#bounds.other}}d{{other}}{{/bounds.other}}e`, fields)
 		So(err, ShouldBeNil)
 		So(text, ShouldEqual, "ab127.0.0.1ce")
-		_, err = Fill("{{#bounds.fence_checked}}x", fields)
+		_, err = FillTemplate("{{#bounds.fence_checked}}x", fields)
 		So(err, ShouldNotBeNil)
 	})
 	Convey("A gap without a field is told", t, func() {
 		for _, text := range []string{"{{other}}", "{{listen.other}}", "{{seed_nodes.1}}", "{{ip.a}}"} {
-			_, err := Fill(text, fields)
+			_, err := FillTemplate(text, fields)
 			So(err, ShouldNotBeNil)
 		}
 	})
@@ -40,7 +40,7 @@
 			for _, name := range []string{"tansyseam-proxy", "tansyseam-control"} {
 				data, err := os.ReadFile(filepath.Join("..", "..", "deploy", name+".json.tmpl"))
 				So(err, ShouldBeNil)
-				text, err := Fill(string(data), fields)
+				text, err := FillTemplate(string(data), fields)
 				So(err, ShouldBeNil)
 				So(json.Valid([]byte(text)), ShouldBeTrue)
 				So(strings.Contains(text, "grace_s") || strings.Contains(text, "in_force_ms"), ShouldEqual, len(bounds) == 4)
--- a/test/platformstandin/client.go
+++ b/test/platformstandin/client.go
@@ -17,242 +17,242 @@
 type Mix struct {
 	Route
 	Zone string
-	// Writes and Turns are parts of the operations; the rest are reads.
-	Writes, Turns float64
-	// Think is the mean pause between operations.
-	Think time.Duration
+	// WriteShare and Turns are parts of the operations; the rest are reads.
+	WriteShare, TransactionShare float64
+	// ThinkTime is the mean pause between operations.
+	ThinkTime time.Duration
 }
 
 // Clients runs sessions until its crew stops.
 type Clients struct {
-	crew     *worker.Group
+	group    *worker.Group
 	platform *Platform
 	history  *History
 }
 
 // NewClients makes one; the crew is theirs alone, so that they end first.
-func NewClients(crew *worker.Group, platform *Platform, history *History) *Clients {
-	return &Clients{crew: crew, platform: platform, history: history}
+func NewClients(group *worker.Group, platform *Platform, history *History) *Clients {
+	return &Clients{group: group, platform: platform, history: history}
 }
 
 // Add starts a client.
 func (c *Clients) Add(mix Mix, seed, number uint64) {
-	one := &client{all: c, mix: mix, name: fmt.Sprintf("u%d", number), random: rand.New(rand.NewPCG(seed, number))}
-	c.crew.Go(one.live)
+	one := &client{clients: c, mix: mix, name: fmt.Sprintf("u%d", number), random: rand.New(rand.NewPCG(seed, number))}
+	c.group.Go(one.run)
 }
 
 type client struct {
-	all     *Clients
-	mix     Mix
-	name    string
-	random  *rand.Rand
-	conn    net.Conn
-	reader  *bufio.Reader
-	session string
-	state   string
-	values  map[string]string
-	shape   string
-	count   int
-	turns   int
+	clients          *Clients
+	mix              Mix
+	name             string
+	random           *rand.Rand
+	conn             net.Conn
+	reader           *bufio.Reader
+	session          string
+	state            string
+	values           map[string]string
+	preparedText     string
+	queryCount       int
+	transactionCount int
 }
 
 func (c *client) pause(mean time.Duration) {
-	worker.Await(c.all.crew.Stopping(), time.Duration(c.random.ExpFloat64()*float64(mean)))
+	worker.Await(c.clients.group.Stopping(), time.Duration(c.random.ExpFloat64()*float64(mean)))
 }
 
-func (c *client) live() {
-	c.pause(c.mix.Think)
-	for !c.all.crew.IsStopping() {
+func (c *client) run() {
+	c.pause(c.mix.ThinkTime)
+	for !c.clients.group.IsStopping() {
 		c.operate()
-		c.pause(c.mix.Think)
+		c.pause(c.mix.ThinkTime)
 		if c.random.Float64() < 0.02 {
-			c.close(true)
+			c.closeSession(true)
 		}
 	}
-	c.close(true)
+	c.closeSession(true)
 }
 
-func (c *client) close(isPolite bool) {
+func (c *client) closeSession(sayGoodbye bool) {
 	if c.conn == nil {
 		return
 	}
-	if isPolite {
+	if sayGoodbye {
 		_, _ = c.conn.Write([]byte("BYE\r\n"))
 	}
 	_ = c.conn.Close()
 	c.conn = nil
 }
 
-func (c *client) now() time.Duration { return c.all.history.crew.Now() }
+func (c *client) now() time.Duration { return c.clients.history.group.Now() }
 
-const answerBound = 5 * time.Second
+const answerTimeout = 5 * time.Second
 
-func (c *client) open() bool {
+func (c *client) openSession() bool {
 	if c.conn != nil {
 		return true
 	}
-	conn, err := net.DialTimeout("tcp", c.all.platform.Pass(c.mix.Zone), time.Second)
+	conn, err := net.DialTimeout("tcp", c.clients.platform.SessionAddress(c.mix.Zone), time.Second)
 	if err != nil {
 		return false
 	}
-	c.count++
-	c.conn, c.reader, c.session = conn, bufio.NewReader(conn), fmt.Sprintf("%s.%d", c.name, c.count)
-	c.values, c.shape, c.state = nil, "", "I"
+	c.queryCount++
+	c.conn, c.reader, c.session = conn, bufio.NewReader(conn), fmt.Sprintf("%s.%d", c.name, c.queryCount)
+	c.values, c.preparedText, c.state = nil, "", "I"
 	_ = conn.SetDeadline(time.Now().Add(2 * time.Second))
 	_, _ = conn.Write([]byte("CONNECT " + c.mix.Host + " " + c.name + "\r\n"))
 	line, err := c.reader.ReadString('\n')
 	if err != nil || !strings.HasPrefix(line, "READY I ") {
 		code := strings.Fields(strings.TrimPrefix(line, "ERROR ") + " -")[0]
-		asked := linehistory.Query{Session: c.session, Host: c.mix.Host, Kind: c.mix.Kind, ID: c.session, Sent: c.now(), Answered: c.now(), Code: code}
+		query := linehistory.Query{Session: c.session, Host: c.mix.Host, Kind: c.mix.Kind, ID: c.session, Sent: c.now(), Answered: c.now(), Code: code}
 		if line != "" {
-			c.all.history.Note(func(h *linehistory.History) { h.Queries = append(h.Queries, asked) })
+			c.clients.history.Update(func(h *linehistory.History) { h.Queries = append(h.Queries, query) })
 		}
-		c.close(false)
+		c.closeSession(false)
 		return false
 	}
 	return true
 }
 
-// ask sends one query and takes its answer.
-func (c *client) ask(asked linehistory.Query, text string) linehistory.Query {
-	c.count++
-	asked.ID = fmt.Sprintf("%s.%d", c.session, c.count)
-	asked.Session, asked.Host, asked.Kind, asked.Staleness = c.session, c.mix.Host, c.mix.Kind, c.mix.Staleness
-	asked.Values, asked.Sent = maps.Clone(c.values), c.now()
-	if asked.Shape == "" {
-		asked.Text = text
+// query sends one query and takes its answer.
+func (c *client) query(query linehistory.Query, text string) linehistory.Query {
+	c.queryCount++
+	query.ID = fmt.Sprintf("%s.%d", c.session, c.queryCount)
+	query.Session, query.Host, query.Kind, query.Staleness = c.session, c.mix.Host, c.mix.Kind, c.mix.Staleness
+	query.Values, query.Sent = maps.Clone(c.values), c.now()
+	if query.Shape == "" {
+		query.Text = text
 	}
-	_ = c.conn.SetDeadline(time.Now().Add(answerBound))
-	_, err := c.conn.Write([]byte("QUERY " + asked.ID + " " + text + "\r\n"))
-	hasEnd := false
+	_ = c.conn.SetDeadline(time.Now().Add(answerTimeout))
+	_, err := c.conn.Write([]byte("QUERY " + query.ID + " " + text + "\r\n"))
+	complete := false
 	for err == nil {
 		var line string
 		if line, err = c.reader.ReadString('\n'); err != nil {
 			break
 		}
-		word, tail, _ := strings.Cut(strings.TrimSuffix(line, "\r\n"), " ")
-		if act, isKnown := answers[word]; isKnown {
-			hasEnd = act(&asked, tail) || hasEnd
+		code, tail, _ := strings.Cut(strings.TrimSuffix(line, "\r\n"), " ")
+		if act, known := answerParsers[code]; known {
+			complete = act(&query, tail) || complete
 		}
-		if word == "READY" {
+		if code == "READY" {
 			c.state, _, _ = strings.Cut(tail, " ")
 			break
 		}
 	}
-	asked.Answered, asked.Cut = c.now(), err != nil || !hasEnd
-	if asked.Cut {
-		c.close(false)
+	query.Answered, query.Cut = c.now(), err != nil || !complete
+	if query.Cut {
+		c.closeSession(false)
 	}
-	c.all.history.Note(func(h *linehistory.History) { h.Queries = append(h.Queries, asked) })
-	return asked
+	c.clients.history.Update(func(h *linehistory.History) { h.Queries = append(h.Queries, query) })
+	return query
 }
 
-var answers = map[string]func(asked *linehistory.Query, tail string) bool{
-	"ROW":  func(asked *linehistory.Query, tail string) bool { asked.Rows = append(asked.Rows, tail); return false },
-	"DONE": func(asked *linehistory.Query, tail string) bool { asked.Stamp = tail; return true },
-	"ERROR": func(asked *linehistory.Query, tail string) bool {
-		asked.Code, _, _ = strings.Cut(tail, " ")
+var answerParsers = map[string]func(query *linehistory.Query, tail string) bool{
+	"ROW":  func(query *linehistory.Query, tail string) bool { query.Rows = append(query.Rows, tail); return false },
+	"DONE": func(query *linehistory.Query, tail string) bool { query.Stamp = tail; return true },
+	"ERROR": func(query *linehistory.Query, tail string) bool {
+		query.Code, _, _ = strings.Cut(tail, " ")
 		return true
 	},
 }
 
-func isGood(asked linehistory.Query) bool { return !asked.Cut && asked.Code == "" }
+func succeeded(query linehistory.Query) bool { return !query.Cut && query.Code == "" }
 
-var promised = map[string]bool{"BUSY": true, "ABORTED": true, "LAGGING": true, "READONLY": true, "WRONGHOST": true, "FULL": true}
+var retryable = map[string]bool{"BUSY": true, "ABORTED": true, "LAGGING": true, "READONLY": true, "WRONGHOST": true, "FULL": true}
 
 // operate does one operation, again where that is allowed.
 func (c *client) operate() {
-	draw := c.random.Float64()
+	drawn := c.random.Float64()
 	act := c.read
-	if draw < c.mix.Writes {
+	if drawn < c.mix.WriteShare {
 		act = c.write
-	} else if draw < c.mix.Writes+c.mix.Turns {
-		act = c.transact
+	} else if drawn < c.mix.WriteShare+c.mix.TransactionShare {
+		act = c.runTransaction
 	}
-	for try := 0; try < 3 && !c.all.crew.IsStopping(); try++ {
-		if !c.open() {
+	for attempt := 0; attempt < 3 && !c.clients.group.IsStopping(); attempt++ {
+		if !c.openSession() {
 			c.pause(100 * time.Millisecond)
 			continue
 		}
-		if !c.dress() || !act() {
+		if !c.setSessionState() || !act() {
 			return
 		}
 		c.pause(30 * time.Millisecond)
 	}
 }
 
-// dress sets values and prepares a shape now and then; false where that
+// setSessionState sets values and prepares a shape now and then; false where that
 // failed.
-func (c *client) dress() bool {
+func (c *client) setSessionState() bool {
 	if c.values == nil && c.random.Float64() < 0.2 {
 		value := c.session
-		if got := c.ask(linehistory.Query{}, "SET app "+value); !isGood(got) {
-			c.close(true)
+		if got := c.query(linehistory.Query{}, "SET app "+value); !succeeded(got) {
+			c.closeSession(true)
 			return false
 		}
 		c.values = map[string]string{"app": value}
 	}
-	if c.shape == "" && c.random.Float64() < 0.3 {
-		shape := "FETCH q" + fmt.Sprint(c.random.IntN(5))
-		if got := c.ask(linehistory.Query{}, "PREPARE s1 "+shape); !isGood(got) {
-			c.close(true)
+	if c.preparedText == "" && c.random.Float64() < 0.3 {
+		text := "FETCH q" + fmt.Sprint(c.random.IntN(5))
+		if got := c.query(linehistory.Query{}, "PREPARE s1 "+text); !succeeded(got) {
+			c.closeSession(true)
 			return false
 		}
-		c.shape = shape
+		c.preparedText = text
 	}
 	return true
 }
 
-func (c *client) thing() string { return fmt.Sprintf("t%d", c.random.IntN(40)) }
+func (c *client) randomKey() string { return fmt.Sprintf("t%d", c.random.IntN(40)) }
 
 // read says whether to try again.
 func (c *client) read() bool {
-	asked, text := linehistory.Query{Act: linehistory.ActRead}, "FETCH "+c.thing()
-	if c.shape != "" && c.random.Float64() < 0.5 {
-		asked.Shape, asked.Rest = c.shape, " "+c.thing()
-		text = "RUN s1" + asked.Rest
+	query, text := linehistory.Query{Act: linehistory.ActRead}, "FETCH "+c.randomKey()
+	if c.preparedText != "" && c.random.Float64() < 0.5 {
+		query.Shape, query.Rest = c.preparedText, " "+c.randomKey()
+		text = "RUN s1" + query.Rest
 	}
-	got := c.ask(asked, text)
-	return !isGood(got)
+	got := c.query(query, text)
+	return !succeeded(got)
 }
 
 func (c *client) write() bool {
-	got := c.ask(linehistory.Query{Act: linehistory.ActWrite}, fmt.Sprintf("PUT %s %s.%d  é", c.thing(), c.session, c.count))
-	return promised[got.Code]
+	got := c.query(linehistory.Query{Act: linehistory.ActWrite}, fmt.Sprintf("PUT %s %s.%d  é", c.randomKey(), c.session, c.queryCount))
+	return retryable[got.Code]
 }
 
-func (c *client) transact() bool {
-	c.turns++
-	began, turn := c.now(), fmt.Sprintf("%s.t%d", c.session, c.turns)
-	isReading := c.mix.Writes == 0
-	begin := map[bool]string{true: "BEGIN FETCH", false: "BEGIN"}[isReading]
-	if got := c.ask(linehistory.Query{}, begin); !isGood(got) {
+func (c *client) runTransaction() bool {
+	c.transactionCount++
+	began, transaction := c.now(), fmt.Sprintf("%s.t%d", c.session, c.transactionCount)
+	readOnly := c.mix.WriteShare == 0
+	begin := map[bool]string{true: "BEGIN FETCH", false: "BEGIN"}[readOnly]
+	if got := c.query(linehistory.Query{}, begin); !succeeded(got) {
 		return true
 	}
 	for at := range 2 + c.random.IntN(3) {
-		asked := linehistory.Query{Act: linehistory.ActRead, Transaction: turn, Began: began, First: at == 0}
-		text := "FETCH " + c.thing()
-		if !isReading && at > 0 {
-			asked.Act, text = linehistory.ActWrite, fmt.Sprintf("PUT %s %s.%d", c.thing(), c.session, c.count)
+		query := linehistory.Query{Act: linehistory.ActRead, Transaction: transaction, Began: began, First: at == 0}
+		text := "FETCH " + c.randomKey()
+		if !readOnly && at > 0 {
+			query.Act, text = linehistory.ActWrite, fmt.Sprintf("PUT %s %s.%d", c.randomKey(), c.session, c.queryCount)
 		}
-		got := c.ask(asked, text)
+		got := c.query(query, text)
 		if got.Cut {
 			return true
 		}
 		if got.Code != "" {
-			c.ask(linehistory.Query{}, "ROLLBACK")
-			return promised[got.Code] || got.Code == "FAILED"
+			c.query(linehistory.Query{}, "ROLLBACK")
+			return retryable[got.Code] || got.Code == "FAILED"
 		}
 		c.pause(5 * time.Millisecond)
 	}
 	if c.random.Float64() < 0.1 {
-		c.ask(linehistory.Query{}, "ROLLBACK")
+		c.query(linehistory.Query{}, "ROLLBACK")
 		return false
 	}
 	if c.random.Float64() < 0.02 {
-		c.close(false)
+		c.closeSession(false)
 		return false
 	}
-	got := c.ask(linehistory.Query{Act: linehistory.ActCommit, Transaction: turn, Began: began}, "COMMIT")
-	return promised[got.Code]
+	got := c.query(linehistory.Query{Act: linehistory.ActCommit, Transaction: transaction, Began: began}, "COMMIT")
+	return retryable[got.Code]
 }
--- a/test/platformstandin/instance.go
+++ b/test/platformstandin/instance.go
@@ -17,38 +17,38 @@
 	"tansyseam/test/linehistory"
 )
 
-type waiting struct {
-	at   linehistory.Position
-	done chan struct{}
+type commitWaiter struct {
+	position linehistory.Position
+	done     chan struct{}
 }
 
 // Instance is one stand-in server; its state is guarded by the service's lock.
 type Instance struct {
-	Place
-	service  *Service
-	beats    func() []string
-	slots    chan struct{}
-	listener net.Listener
-	conns    map[*session]bool
-	life     int
-	serial   int
-
-	isUp, isDark, isPrimary, isDraining bool
-	follows                             *Instance
-	term, paused                        uint64
-	log                                 []entry
-	applied                             int
-	things                              map[string]string
-	waits                               []waiting
-	lag                                 time.Duration
-	slow                                float64
-	lose, refuse                        int
-	busyUntil                           time.Duration
-	leaving                             time.Duration
-	isLeft                              bool
-	calls                               int
-	beatTo                              string
-	told                                chan struct{}
+	Location
+	service          *Service
+	controlAddresses func() []string
+	slots            chan struct{}
+	listener         net.Listener
+	sessions         map[*session]bool
+	incarnation      int
+	connectionCount  int
+
+	running, hung, primary, draining  bool
+	upstream                          *Instance
+	term, pausedTerm                  uint64
+	log                               []logEntry
+	applied                           int
+	values                            map[string]string
+	commitWaiters                     []commitWaiter
+	extraDelay                        time.Duration
+	slowdown                          float64
+	answersToLose, statementsToRefuse int
+	busyUntil                         time.Duration
+	leaveAcknowledgedAt               time.Duration
+	isLeft                            bool
+	callCount                         int
+	heartbeatTarget                   string
+	heartbeatDue                      chan struct{}
 }
 
 // Start listens and begins to beat.
@@ -58,76 +58,80 @@
 		return err
 	}
 	s := i.service
-	s.do(func() {
-		i.isUp, i.isDark, i.isDraining, i.isLeft, i.leaving, i.listener, i.told = true, false, false, false, 0, listener, make(chan struct{}, 1)
-		i.life++
-		if s.leader != i {
-			i.follow(s.leader)
+	s.withLock(func() {
+		i.running, i.hung, i.draining, i.isLeft, i.leaveAcknowledgedAt, i.listener, i.heartbeatDue = true, false, false, false, 0, listener, make(chan struct{}, 1)
+		i.incarnation++
+		if s.primary != i {
+			i.follow(s.primary)
 		}
-		i.applied, i.things = 0, map[string]string{}
-		i.apply()
+		i.applied, i.values = 0, map[string]string{}
+		i.applyLog()
 	})
-	life := i.life
-	s.crew.Go(func() { i.accept(listener) })
-	s.crew.Go(func() { i.beat(life) })
+	incarnation := i.incarnation
+	s.group.Go(func() { i.acceptLoop(listener) })
+	s.group.Go(func() { i.heartbeatLoop(incarnation) })
 	return nil
 }
 
 // Crash ends it at once; its log stays.
 func (i *Instance) Crash() {
-	i.service.do(func() {
-		i.isUp = false
-		i.life++
+	i.service.withLock(func() {
+		i.running = false
+		i.incarnation++
 		_ = i.listener.Close()
-		for one := range i.conns {
-			_ = one.conn.Close()
+		for one := range i.sessions {
+			_ = one.connection.Close()
 		}
 	})
 }
 
-// Dark makes it take and say nothing more, with all connections open.
-func (i *Instance) Dark() { i.service.do(func() { i.isDark = true }) }
+// Hang makes it take and say nothing more, with all connections open.
+func (i *Instance) Hang() { i.service.withLock(func() { i.hung = true }) }
 
-// Lag delays what it receives, Slow multiplies its work, Lose has it lose so
+// SetReplicationDelay delays what it receives, Slow multiplies its work, Lose has it lose so
 // many answers, Refuse refuse so many statements as busy.
-func (i *Instance) Lag(lag time.Duration) { i.service.do(func() { i.lag = lag }) }
+func (i *Instance) SetReplicationDelay(lag time.Duration) {
+	i.service.withLock(func() { i.extraDelay = lag })
+}
 
-// Slow multiplies its work.
-func (i *Instance) Slow(factor float64) { i.service.do(func() { i.slow = factor }) }
+// SetSlowdown multiplies its work.
+func (i *Instance) SetSlowdown(factor float64) { i.service.withLock(func() { i.slowdown = factor }) }
 
-// Lose has it lose so many answers.
-func (i *Instance) Lose(count int) { i.service.do(func() { i.lose = count }) }
+// LoseAnswers has it lose so many answers.
+func (i *Instance) LoseAnswers(count int) { i.service.withLock(func() { i.answersToLose = count }) }
 
-// Refuse has it refuse so many statements as busy.
-func (i *Instance) Refuse(count int) { i.service.do(func() { i.refuse = count }) }
+// RefuseStatements has it refuse so many statements as busy.
+func (i *Instance) RefuseStatements(count int) {
+	i.service.withLock(func() { i.statementsToRefuse = count })
+}
 
 // Drain has it report that it leaves.
 func (i *Instance) Drain() {
-	i.service.do(func() {
-		i.isDraining = true
-		i.tell()
+	i.service.withLock(func() {
+		i.draining = true
+		i.triggerHeartbeat()
 	})
 }
 
-// Left says when its leaving was acknowledged, 0 for not yet.
-func (i *Instance) Left() time.Duration {
+// LeaveAcknowledgedAt says when its leaving was acknowledged, 0 for not yet.
+func (i *Instance) LeaveAcknowledgedAt() time.Duration {
 	i.service.mutex.Lock()
 	defer i.service.mutex.Unlock()
-	return i.leaving
+	return i.leaveAcknowledgedAt
 }
 
 // IsPrimary says whether it holds itself to be the primary.
 func (i *Instance) IsPrimary() bool {
 	i.service.mutex.Lock()
 	defer i.service.mutex.Unlock()
-	return i.isPrimary
+	return i.primary
 }
 
 // Leave says that it is gone, and ends it; the status answered is given.
 func (i *Instance) Leave() int {
 	status := 0
-	for _, door := range i.doors() {
-		if status, _ = i.post(door, "leave", []byte("{}")); status/100 == 2 {
+	for _, address := range i.heartbeatAddresses() {
+		if status, _ = i.post(address, "leave", []byte("{}")); status/100 == 2 {
 			break
 		}
 	}
@@ -135,80 +139,80 @@
 	return status
 }
 
-func (i *Instance) end() linehistory.Position {
+func (i *Instance) lastPosition() linehistory.Position {
 	if len(i.log) == 0 {
 		return linehistory.Position{}
 	}
-	return i.log[len(i.log)-1].at
+	return i.log[len(i.log)-1].position
 }
 
-func (i *Instance) shown() linehistory.Position {
+func (i *Instance) appliedPosition() linehistory.Position {
 	if i.applied == 0 {
 		return linehistory.Position{}
 	}
-	return i.log[i.applied-1].at
+	return i.log[i.applied-1].position
 }
 
-func (i *Instance) apply() {
+func (i *Instance) applyLog() {
 	for i.applied < len(i.log) {
-		maps.Copy(i.things, i.log[i.applied].things)
+		maps.Copy(i.values, i.log[i.applied].values)
 		i.applied++
 	}
 }
 
-func (i *Instance) received(upto linehistory.Position) {
-	kept := i.waits[:0]
-	for _, one := range i.waits {
-		if upto.Covers(one.at) && upto.Term == one.at.Term {
+func (i *Instance) onReplicated(position linehistory.Position) {
+	kept := i.commitWaiters[:0]
+	for _, one := range i.commitWaiters {
+		if position.Covers(one.position) && position.Term == one.position.Term {
 			close(one.done)
 			continue
 		}
 		kept = append(kept, one)
 	}
-	i.waits = kept
+	i.commitWaiters = kept
 }
 
 // follow makes it a replica of another; what it has beyond that is cut back.
 func (i *Instance) follow(primary *Instance) {
-	i.isPrimary, i.follows, i.paused = false, primary, 0
-	if same := common(i.log, primary.log); same < len(i.log) {
-		i.log, i.applied, i.things = i.log[:same:same], 0, map[string]string{}
-		i.apply()
-		i.busyUntil = i.service.crew.Now() + 50*time.Millisecond
+	i.primary, i.upstream, i.pausedTerm = false, primary, 0
+	if same := commonPrefix(i.log, primary.log); same < len(i.log) {
+		i.log, i.applied, i.values = i.log[:same:same], 0, map[string]string{}
+		i.applyLog()
+		i.busyUntil = i.service.group.Now() + 50*time.Millisecond
 	}
-	i.waits = nil
-	i.service.send(primary, i)
-	i.tell()
+	i.commitWaiters = nil
+	i.service.replicateTo(primary, i)
+	i.triggerHeartbeat()
 }
 
 func (i *Instance) stepDown() {
-	if s := i.service; s.leader != i {
-		i.follow(s.leader)
-		i.term = max(i.term, s.leader.term)
+	if s := i.service; s.primary != i {
+		i.follow(s.primary)
+		i.term = max(i.term, s.primary.term)
 	}
 }
 
-func (i *Instance) tell() {
+func (i *Instance) triggerHeartbeat() {
 	select {
-	case i.told <- struct{}{}:
+	case i.heartbeatDue <- struct{}{}:
 	default:
 	}
 }
 
-func (i *Instance) doors() []string {
+func (i *Instance) heartbeatAddresses() []string {
 	i.service.mutex.Lock()
-	first := i.beatTo
+	first := i.heartbeatTarget
 	i.service.mutex.Unlock()
 	if first == "" {
-		return i.beats()
+		return i.controlAddresses()
 	}
-	return append([]string{first}, i.beats()...)
+	return append([]string{first}, i.controlAddresses()...)
 }
 
-var beats = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var heartbeatClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-func (i *Instance) post(door, word string, body []byte) (int, []byte) {
-	response, err := beats.Post("http://"+door+"/instances/"+i.ID+"/"+word, "application/json", bytes.NewReader(body))
+func (i *Instance) post(address, code string, body []byte) (int, []byte) {
+	response, err := heartbeatClient.Post("http://"+address+"/instances/"+i.ID+"/"+code, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
@@ -220,116 +224,116 @@
 	return response.StatusCode, data
 }
 
-const beatEvery = 400 * time.Millisecond
+const heartbeatInterval = 400 * time.Millisecond
 
-func (i *Instance) beat(life int) {
+func (i *Instance) heartbeatLoop(incarnation int) {
 	s := i.service
-	for !s.crew.IsStopping() {
-		isOver, isSilent, isLeaving := false, false, false
+	for !s.group.IsStopping() {
+		ended, hung, draining := false, false, false
 		var body []byte
-		s.do(func() {
-			isOver, isSilent, isLeaving = i.life != life, i.isDark, i.isDraining
-			i.calls++
+		s.withLock(func() {
+			ended, hung, draining = i.incarnation != incarnation, i.hung, i.draining
+			i.callCount++
 			body, _ = json.Marshal(map[string]any{
 				"service": s.Name, "address": i.Address, "zone": i.Zone, "version": "v1", "slots": s.Slots,
-				"state": map[bool]string{true: "draining", false: "ready"}[i.isDraining], "cold_left_ms": 0,
-				"db_role": map[bool]string{true: "primary", false: "replica"}[i.isPrimary], "call_count": i.calls,
+				"state": map[bool]string{true: "draining", false: "ready"}[i.draining], "cold_left_ms": 0,
+				"db_role": map[bool]string{true: "primary", false: "replica"}[i.primary], "call_count": i.callCount,
 			})
 		})
-		if isOver {
+		if ended {
 			return
 		}
-		if !isSilent {
-			i.beatOnce(body, isLeaving)
+		if !hung {
+			i.sendHeartbeat(body, draining)
 		}
-		timer := time.NewTimer(beatEvery)
-		worker.Receive(i.told, timer.C)
+		timer := time.NewTimer(heartbeatInterval)
+		worker.Receive(i.heartbeatDue, timer.C)
 		timer.Stop()
 	}
 }
 
-func (i *Instance) beatOnce(body []byte, isLeaving bool) {
-	for _, door := range i.doors() {
-		status, answer := i.post(door, "heartbeat", body)
-		isTaken := status/100 == 2
-		i.service.do(func() {
-			i.beatTo = ""
-			if !isTaken {
+func (i *Instance) sendHeartbeat(body []byte, draining bool) {
+	for _, address := range i.heartbeatAddresses() {
+		status, answer := i.post(address, "heartbeat", body)
+		accepted := status/100 == 2
+		i.service.withLock(func() {
+			i.heartbeatTarget = ""
+			if !accepted {
 				return
 			}
-			var told struct {
+			var message struct {
 				BeatTo string `json:"beat_to"`
 			}
-			_ = json.Unmarshal(answer, &told)
-			i.beatTo = told.BeatTo
-			if isLeaving && i.leaving == 0 {
-				i.leaving = i.service.crew.Now()
+			_ = json.Unmarshal(answer, &message)
+			i.heartbeatTarget = message.BeatTo
+			if draining && i.leaveAcknowledgedAt == 0 {
+				i.leaveAcknowledgedAt = i.service.group.Now()
 			}
 		})
-		if isTaken {
+		if accepted {
 			return
 		}
 	}
 }
 
-func (i *Instance) accept(listener net.Listener) {
+func (i *Instance) acceptLoop(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		i.service.crew.Go(func() {
-			one := &session{instance: i, conn: conn, values: map[string]string{}, shapes: map[string]string{}}
+		i.service.group.Go(func() {
+			one := &session{instance: i, connection: conn, values: map[string]string{}, preparedTexts: map[string]string{}}
 			defer func() { _ = conn.Close() }()
 			one.serve()
-			i.service.do(func() { delete(i.conns, one) })
+			i.service.withLock(func() { delete(i.sessions, one) })
 		})
 	}
 }
 
 // session is one connection at an instance.
 type session struct {
-	instance *Instance
-	conn     net.Conn
-	name     string
-	isMet    bool
-	values   map[string]string
-	shapes   map[string]string
-	turns    int
-	turn     *turn
+	instance         *Instance
+	connection       net.Conn
+	name             string
+	connected        bool
+	values           map[string]string
+	preparedTexts    map[string]string
+	transactionCount int
+	transaction      *transaction
 }
 
-type turn struct {
+type transaction struct {
 	number           int
-	isRead, isFailed bool
+	readOnly, failed bool
 	term             uint64
 	ids              []string
-	things           map[string]string
+	values           map[string]string
 }
 
 func (c *session) state() string {
-	if c.turn == nil {
+	if c.transaction == nil {
 		return "I"
 	}
-	return map[bool]string{true: "E", false: "T"}[c.turn.isFailed]
+	return map[bool]string{true: "E", false: "T"}[c.transaction.failed]
 }
 
 func (c *session) serve() {
-	reader := bufio.NewReaderSize(c.conn, 64<<10)
+	reader := bufio.NewReaderSize(c.connection, 64<<10)
 	for {
 		line, err := reader.ReadString('\n')
 		if err != nil {
 			return
 		}
-		isDark := false
-		c.instance.service.do(func() { isDark = c.instance.isDark })
-		if isDark {
+		hung := false
+		c.instance.service.withLock(func() { hung = c.instance.hung })
+		if hung {
 			continue
 		}
-		word, tail, _ := strings.Cut(strings.TrimSuffix(line, "\r\n"), " ")
-		act, isKnown := heard[word]
-		if !isKnown || (!c.isMet && word != "CONNECT") {
-			c.say("ERROR MALFORMED")
+		code, tail, _ := strings.Cut(strings.TrimSuffix(line, "\r\n"), " ")
+		act, known := commands[code]
+		if !known || (!c.connected && code != "CONNECT") {
+			c.write("ERROR MALFORMED")
 			return
 		}
 		if !act(c, tail) {
@@ -338,285 +342,292 @@
 	}
 }
 
-func (c *session) say(lines ...string) bool {
-	_, err := c.conn.Write([]byte(strings.Join(lines, "\r\n") + "\r\n"))
+func (c *session) write(lines ...string) bool {
+	_, err := c.connection.Write([]byte(strings.Join(lines, "\r\n") + "\r\n"))
 	return err == nil
 }
 
-func (c *session) ready() string {
+func (c *session) readyLine() string {
 	position := linehistory.Position{}
-	c.instance.service.do(func() { position = c.instance.shown() })
-	return "READY " + c.state() + " " + textOf(position)
+	c.instance.service.withLock(func() { position = c.instance.appliedPosition() })
+	return "READY " + c.state() + " " + formatPosition(position)
 }
 
-func textOf(position linehistory.Position) string {
+func formatPosition(position linehistory.Position) string {
 	if position == (linehistory.Position{}) {
 		return "-"
 	}
 	return fmt.Sprintf("%d.%d", position.Term, position.Index)
 }
 
-var heard = map[string]func(c *session, tail string) bool{
+var commands = map[string]func(c *session, tail string) bool{
 	"CONNECT": func(c *session, tail string) bool {
 		parts := strings.Fields(tail)
-		i, s, word := c.instance, c.instance.service, ""
-		s.do(func() {
-			isWrong := len(parts) < 2 || parts[0] != s.Name || (len(parts) > 2 && parts[2] != i.ID)
-			if isWrong {
-				word = "WRONGHOST " + i.ID
+		i, s, code := c.instance, c.instance.service, ""
+		s.withLock(func() {
+			wrong := len(parts) < 2 || parts[0] != s.Name || (len(parts) > 2 && parts[2] != i.ID)
+			if wrong {
+				code = "WRONGHOST " + i.ID
 				return
 			}
-			if len(i.conns) >= s.Conns {
-				word = "FULL"
+			if len(i.sessions) >= s.MaxConnections {
+				code = "FULL"
 				return
 			}
-			i.serial++
-			c.name = fmt.Sprintf("%d.%d", i.life, i.serial)
-			i.conns[c] = true
+			i.connectionCount++
+			c.name = fmt.Sprintf("%d.%d", i.incarnation, i.connectionCount)
+			i.sessions[c] = true
 		})
-		if word != "" {
-			c.say("ERROR " + word)
+		if code != "" {
+			c.write("ERROR " + code)
 			return false
 		}
-		c.isMet = true
-		return c.say(c.ready())
+		c.connected = true
+		return c.write(c.readyLine())
 	},
 	"BYE": func(*session, string) bool { return false },
 	"QUERY": func(c *session, tail string) bool {
 		id, text, _ := strings.Cut(tail, " ")
-		floor := linehistory.Position{}
-		if rest, hasFloor := strings.CutPrefix(text, "AFTER "); hasFloor {
+		minPosition := linehistory.Position{}
+		if rest, found := strings.CutPrefix(text, "AFTER "); found {
 			at, after, _ := strings.Cut(rest, " ")
 			term, number, _ := strings.Cut(at, ".")
-			floor.Term, _ = strconv.ParseUint(term, 10, 64)
-			floor.Index, _ = strconv.ParseUint(number, 10, 64)
+			minPosition.Term, _ = strconv.ParseUint(term, 10, 64)
+			minPosition.Index, _ = strconv.ParseUint(number, 10, 64)
 			text = after
 		}
-		word, rest, _ := strings.Cut(text, " ")
-		act, isKnown := asked[word]
-		if !isKnown || (c.turn != nil && c.turn.isFailed && word != "ROLLBACK" && word != "COMMIT") {
-			return c.fail("MALFORMED " + word)
+		code, rest, _ := strings.Cut(text, " ")
+		act, known := statementHandlers[code]
+		if !known || (c.transaction != nil && c.transaction.failed && code != "ROLLBACK" && code != "COMMIT") {
+			return c.fail("MALFORMED " + code)
 		}
-		return act(c, &query{id: id, text: text, rest: rest, floor: floor})
+		return act(c, &statement{id: id, text: text, rest: rest, minPosition: minPosition})
 	},
 }
 
-type query struct {
+type statement struct {
 	id, text, rest string
-	floor          linehistory.Position
+	minPosition    linehistory.Position
 }
 
 func (c *session) fail(what string) bool {
-	if c.turn != nil {
-		c.turn.isFailed = true
+	if c.transaction != nil {
+		c.transaction.failed = true
 	}
-	return c.say("ERROR "+what, c.ready())
+	return c.write("ERROR "+what, c.readyLine())
 }
 
-func (c *session) done() bool { return c.say("DONE -", c.ready()) }
+func (c *session) writeDone() bool { return c.write("DONE -", c.readyLine()) }
 
-var asked map[string]func(c *session, q *query) bool
+var statementHandlers map[string]func(c *session, statement *statement) bool
 
 func init() {
-	asked = map[string]func(c *session, q *query) bool{
-		"BEGIN": func(c *session, q *query) bool {
-			i, isRead, word := c.instance, q.rest == "FETCH", ""
-			if c.turn != nil {
+	statementHandlers = map[string]func(c *session, statement *statement) bool{
+		"BEGIN": func(c *session, statement *statement) bool {
+			i, readOnly, code := c.instance, statement.rest == "FETCH", ""
+			if c.transaction != nil {
 				return c.fail("MALFORMED")
 			}
-			i.service.do(func() {
-				if !isRead && !i.isPrimary {
-					word = "READONLY " + i.ID
-				} else if !i.shown().Covers(q.floor) {
-					word = "LAGGING"
+			i.service.withLock(func() {
+				if !readOnly && !i.primary {
+					code = "READONLY " + i.ID
+				} else if !i.appliedPosition().Covers(statement.minPosition) {
+					code = "LAGGING"
 				}
 			})
-			if word != "" {
-				return c.fail(word)
+			if code != "" {
+				return c.fail(code)
 			}
-			c.turns++
-			c.turn = &turn{number: c.turns, isRead: isRead, term: i.term, things: map[string]string{}}
-			return c.done()
+			c.transactionCount++
+			c.transaction = &transaction{number: c.transactionCount, readOnly: readOnly, term: i.term, values: map[string]string{}}
+			return c.writeDone()
 		},
-		"COMMIT": func(c *session, q *query) bool {
-			held := c.turn
-			if held == nil {
+		"COMMIT": func(c *session, statement *statement) bool {
+			transaction := c.transaction
+			if transaction == nil {
 				return c.fail("MALFORMED")
 			}
-			if held.isFailed {
-				c.turn = nil
-				return c.say("ERROR ABORTED", c.ready())
+			if transaction.failed {
+				c.transaction = nil
+				return c.write("ERROR ABORTED", c.readyLine())
 			}
-			return c.work(q, linehistory.ActCommit, "", "", "")
+			return c.execute(statement, linehistory.ActCommit, "", "", "")
+		},
+		"ROLLBACK": func(c *session, _ *statement) bool { c.transaction = nil; return c.writeDone() },
+		"FETCH": func(c *session, statement *statement) bool {
+			return c.execute(statement, linehistory.ActRead, statement.rest, "", "")
 		},
-		"ROLLBACK": func(c *session, _ *query) bool { c.turn = nil; return c.done() },
-		"FETCH":    func(c *session, q *query) bool { return c.work(q, linehistory.ActRead, q.rest, "", "") },
-		"PUT":      func(c *session, q *query) bool { return c.work(q, linehistory.ActWrite, q.rest, "", "") },
-		"SET": func(c *session, q *query) bool {
-			name, value, _ := strings.Cut(q.rest, " ")
+		"PUT": func(c *session, statement *statement) bool {
+			return c.execute(statement, linehistory.ActWrite, statement.rest, "", "")
+		},
+		"SET": func(c *session, statement *statement) bool {
+			name, value, _ := strings.Cut(statement.rest, " ")
 			c.values[name] = value
-			return c.done()
+			return c.writeDone()
+		},
+		"RESET": func(c *session, _ *statement) bool {
+			c.values, c.preparedTexts = map[string]string{}, map[string]string{}
+			return c.writeDone()
 		},
-		"RESET": func(c *session, _ *query) bool {
-			c.values, c.shapes = map[string]string{}, map[string]string{}
-			return c.done()
+		"PREPARE": func(c *session, statement *statement) bool {
+			name, text, _ := strings.Cut(statement.rest, " ")
+			c.preparedTexts[name] = text
+			return c.writeDone()
 		},
-		"PREPARE": func(c *session, q *query) bool {
-			name, shape, _ := strings.Cut(q.rest, " ")
-			c.shapes[name] = shape
-			return c.done()
+		"FORGET": func(c *session, statement *statement) bool {
+			delete(c.preparedTexts, statement.rest)
+			return c.writeDone()
 		},
-		"FORGET": func(c *session, q *query) bool { delete(c.shapes, q.rest); return c.done() },
-		"RUN": func(c *session, q *query) bool {
-			name, rest, _ := strings.Cut(q.rest, " ")
-			shape, isHeld := c.shapes[name]
-			if !isHeld {
+		"RUN": func(c *session, statement *statement) bool {
+			name, rest, _ := strings.Cut(statement.rest, " ")
+			text, found := c.preparedTexts[name]
+			if !found {
 				return c.fail("NOTFOUND " + name)
 			}
-			kind, _, _ := strings.Cut(shape, " ")
+			kind, _, _ := strings.Cut(text, " ")
 			act := map[string]string{"FETCH": linehistory.ActRead, "PUT": linehistory.ActWrite}[kind]
-			return c.work(q, act, rest, shape, " "+rest)
+			return c.execute(statement, act, rest, text, " "+rest)
 		},
-		"STATUS":   func(c *session, _ *query) bool { return c.status(func(*Instance) {}) },
-		"RESUME":   func(c *session, _ *query) bool { return c.status(resume) },
-		"STEPDOWN": func(c *session, q *query) bool { return c.order(q, (*Instance).stepDown) },
-		"PAUSE": func(c *session, q *query) bool {
-			return c.order(q, func(i *Instance) { i.paused, _ = strconv.ParseUint(q.rest, 10, 64) })
+		"STATUS":   func(c *session, _ *statement) bool { return c.writeStatus(func(*Instance) {}) },
+		"RESUME":   func(c *session, _ *statement) bool { return c.writeStatus(resume) },
+		"STEPDOWN": func(c *session, statement *statement) bool { return c.applyOrder(statement, (*Instance).stepDown) },
+		"PAUSE": func(c *session, statement *statement) bool {
+			return c.applyOrder(statement, func(i *Instance) { i.pausedTerm, _ = strconv.ParseUint(statement.rest, 10, 64) })
 		},
 	}
 }
 
 func resume(i *Instance) {
-	i.paused = 0
-	if i.follows != nil {
-		i.service.send(i.follows, i)
+	i.pausedTerm = 0
+	if i.upstream != nil {
+		i.service.replicateTo(i.upstream, i)
 	}
 }
 
-func (c *session) order(q *query, act func(*Instance)) bool {
-	term, _ := strconv.ParseUint(q.rest, 10, 64)
-	return c.status(func(i *Instance) {
+func (c *session) applyOrder(statement *statement, act func(*Instance)) bool {
+	term, _ := strconv.ParseUint(statement.rest, 10, 64)
+	return c.writeStatus(func(i *Instance) {
 		if term > i.term {
 			act(i)
 		}
 	})
 }
 
-func (c *session) status(act func(*Instance)) bool {
+func (c *session) writeStatus(act func(*Instance)) bool {
 	row, i := "", c.instance
-	i.service.do(func() {
+	i.service.withLock(func() {
 		act(i)
-		role := map[bool]string{true: "primary", false: "replica"}[i.isPrimary]
-		row = fmt.Sprintf("ROW %s %d %s %d %d %d %d", role, i.term, textOf(i.end()), i.paused, i.lag.Milliseconds(), len(i.slots), len(i.conns))
+		role := map[bool]string{true: "primary", false: "replica"}[i.primary]
+		row = fmt.Sprintf("ROW %s %d %s %d %d %d %d", role, i.term, formatPosition(i.lastPosition()), i.pausedTerm, i.extraDelay.Milliseconds(), len(i.slots), len(i.sessions))
 	})
-	return c.say(row, "DONE -", c.ready())
+	return c.write(row, "DONE -", c.readyLine())
 }
 
-// work runs a statement that holds a slot.
-func (c *session) work(q *query, act, rest, shape, tail string) bool {
+// execute runs a statement that holds a slot.
+func (c *session) execute(statement *statement, act, rest, text, tail string) bool {
 	i, s := c.instance, c.instance.service
-	word, isBusy, isRaised := "", false, false
-	s.do(func() {
-		isBusy = i.refuse > 0 || i.busyUntil > s.crew.Now()
-		i.refuse = max(i.refuse-1, 0)
-		isRaised = c.turn == nil && !i.shown().Covers(q.floor)
+	code, busy, lagging := "", false, false
+	s.withLock(func() {
+		busy = i.statementsToRefuse > 0 || i.busyUntil > s.group.Now()
+		i.statementsToRefuse = max(i.statementsToRefuse-1, 0)
+		lagging = c.transaction == nil && !i.appliedPosition().Covers(statement.minPosition)
 	})
 	timer := time.NewTimer(500 * time.Millisecond)
 	defer timer.Stop()
-	if !isBusy && !isRaised {
+	if !busy && !lagging {
 		select {
 		case i.slots <- struct{}{}:
 		case <-timer.C:
-			isBusy = true
+			busy = true
 		}
 	}
-	if isBusy {
+	if busy {
 		return c.refuse(act, "BUSY")
 	}
-	if isRaised {
+	if lagging {
 		return c.refuse(act, "LAGGING")
 	}
 	defer func() { <-i.slots }()
 	slow := 1.0
-	s.do(func() { slow = max(i.slow, 1) })
-	if worker.Await(s.crew.Stopping(), time.Duration(slow*float64(s.Work))) {
+	s.withLock(func() { slow = max(i.slowdown, 1) })
+	if worker.Await(s.group.Stopping(), time.Duration(slow*float64(s.StatementTime))) {
 		return false
 	}
-	ran := linehistory.Execution{Instance: i.ID, Service: s.Name, Conn: c.name, ID: q.id, Act: act, Text: q.text, Shape: shape, Rest: tail, Values: maps.Clone(c.values)}
-	if shape != "" {
-		ran.Text = ""
+	execution := linehistory.Execution{Instance: i.ID, Service: s.Name, Conn: c.name, ID: statement.id, Act: act, Text: statement.text, Shape: text, Rest: tail, Values: maps.Clone(c.values)}
+	if text != "" {
+		execution.Text = ""
 	}
-	thing, data, _ := strings.Cut(rest, " ")
+	key, data, _ := strings.Cut(rest, " ")
 	var wait chan struct{}
-	isLost, isCut := false, false
-	s.do(func() {
-		if !i.isUp || i.isDark {
-			isCut = true
+	lost, aborted := false, false
+	s.withLock(func() {
+		if !i.running || i.hung {
+			aborted = true
 			return
 		}
-		held := c.turn
-		isPlain := held != nil && !held.isRead
-		isEmpty := act == linehistory.ActCommit && len(held.ids) == 0
-		isOff := (act == linehistory.ActWrite || isPlain) && !isEmpty && (!i.isPrimary || (isPlain && i.term != held.term) || (held != nil && held.isRead && act == linehistory.ActWrite))
-		if isOff {
-			word = "READONLY " + i.ID
+		transaction := c.transaction
+		writing := transaction != nil && !transaction.readOnly
+		empty := act == linehistory.ActCommit && len(transaction.ids) == 0
+		readOnly := (act == linehistory.ActWrite || writing) && !empty && (!i.primary || (writing && i.term != transaction.term) || (transaction != nil && transaction.readOnly && act == linehistory.ActWrite))
+		if readOnly {
+			code = "READONLY " + i.ID
 			return
 		}
-		ran.At, ran.Stamp, ran.LeavingAcknowledged = s.crew.Now(), s.stamp(i), i.leaving
-		if held != nil {
-			ran.Transaction = held.number
+		execution.At, execution.Stamp, execution.LeavingAcknowledged = s.group.Now(), s.newStamp(i), i.leaveAcknowledgedAt
+		if transaction != nil {
+			execution.Transaction = transaction.number
 		}
 		if act == linehistory.ActRead {
-			ran.Rows = []string{thing + "=" + i.things[thing]}
+			execution.Rows = []string{key + "=" + i.values[key]}
 		}
-		isKeeping := (act == linehistory.ActWrite && held == nil) || (act == linehistory.ActCommit && len(held.ids) > 0)
-		if act == linehistory.ActWrite && held != nil {
-			held.ids = append(held.ids, q.id)
-			held.things[thing] = data
+		committing := (act == linehistory.ActWrite && transaction == nil) || (act == linehistory.ActCommit && len(transaction.ids) > 0)
+		if act == linehistory.ActWrite && transaction != nil {
+			transaction.ids = append(transaction.ids, statement.id)
+			transaction.values[key] = data
 		}
-		if isKeeping {
-			ids, things := []string{q.id}, map[string]string{thing: data}
-			if held != nil {
-				ids, things = append(held.ids, q.id), held.things
+		if committing {
+			ids, values := []string{statement.id}, map[string]string{key: data}
+			if transaction != nil {
+				ids, values = append(transaction.ids, statement.id), transaction.values
 			}
-			ran.CommittedAt, wait = s.commit(i, ids, things)
+			execution.CommittedAt, wait = s.commit(i, ids, values)
 		}
-		ran.LogEnd = i.shown()
+		execution.LogEnd = i.appliedPosition()
 		if act == linehistory.ActCommit {
-			c.turn = nil
+			c.transaction = nil
 		}
-		if i.lose > 0 {
-			i.lose--
-			isLost = true
+		if i.answersToLose > 0 {
+			i.answersToLose--
+			lost = true
 		}
-		s.history.Note(func(h *linehistory.History) { h.Executions = append(h.Executions, ran) })
+		s.history.Update(func(h *linehistory.History) { h.Executions = append(h.Executions, execution) })
 	})
-	if isCut {
+	if aborted {
 		return false
 	}
-	if word != "" {
-		return c.refuse(act, word)
+	if code != "" {
+		return c.refuse(act, code)
 	}
 	if wait != nil {
-		bound := time.NewTimer(2 * time.Second)
-		defer bound.Stop()
-		if _, isLate := worker.Receive(bound.C, wait); isLate {
-			return c.say("ERROR TIMEOUT", c.ready())
+		timeout := time.NewTimer(2 * time.Second)
+		defer timeout.Stop()
+		if _, timedOut := worker.Receive(timeout.C, wait); timedOut {
+			return c.write("ERROR TIMEOUT", c.readyLine())
 		}
 	}
-	if isLost {
+	if lost {
 		return false
 	}
 	lines := []string{}
-	for _, row := range ran.Rows {
+	for _, row := range execution.Rows {
 		lines = append(lines, "ROW "+row)
 	}
-	return c.say(append(lines, "DONE "+ran.Stamp, c.ready())...)
+	return c.write(append(lines, "DONE "+execution.Stamp, c.readyLine())...)
 }
 
-func (c *session) refuse(act, word string) bool {
+func (c *session) refuse(act, code string) bool {
 	if act == linehistory.ActCommit {
-		c.turn = nil
+		c.transaction = nil
 	}
-	return c.fail(word)
+	return c.fail(code)
 }
--- a/test/platformstandin/operator.go
+++ b/test/platformstandin/operator.go
@@ -21,23 +21,23 @@
 
 // Operator sends configurations to the nodes that serve it.
 type Operator struct {
-	crew     *worker.Group
-	history  *History
-	doors    []string
-	services []*Service
-	client   *http.Client
+	group     *worker.Group
+	history   *History
+	addresses []string
+	services  []*Service
+	client    *http.Client
 }
 
 // NewOperator makes one.
-func NewOperator(crew *worker.Group, history *History, doors []string, services ...*Service) *Operator {
+func NewOperator(group *worker.Group, history *History, addresses []string, services ...*Service) *Operator {
 	return &Operator{
-		crew: crew, history: history, doors: doors, services: services,
+		group: group, history: history, addresses: addresses, services: services,
 		client: &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 }
 
-// Body writes a configuration.
-func (o *Operator) Body(version uint64, routes []Route) string {
+// ConfigurationBody writes a configuration.
+func (o *Operator) ConfigurationBody(version uint64, routes []Route) string {
 	var list, services []map[string]any
 	for at, route := range routes {
 		one := map[string]any{
@@ -51,7 +51,7 @@
 	}
 	for _, service := range o.services {
 		services = append(services, map[string]any{
-			"name": service.Name, "health_path": "/health", "max_conns": service.Conns, "protocol": "h1", "use_tls": false, "sync_replicas": service.Sync,
+			"name": service.Name, "health_path": "/health", "max_conns": service.MaxConnections, "protocol": "h1", "use_tls": false, "sync_replicas": service.SyncReplicas,
 		})
 	}
 	body, _ := json.Marshal(map[string]any{
@@ -61,11 +61,11 @@
 	return string(body)
 }
 
-func (o *Operator) call(method, path, body string, first int, bound time.Duration) (int, string) {
+func (o *Operator) request(method, path, body string, first int, timeout time.Duration) (int, string) {
 	status, answer := 0, ""
-	until := o.crew.Now() + bound
-	for at := first; o.crew.Now() < until && !o.crew.IsStopping(); at++ {
-		request, err := http.NewRequest(method, "http://"+o.doors[at%len(o.doors)]+path, bytes.NewReader([]byte(body)))
+	until := o.group.Now() + timeout
+	for at := first; o.group.Now() < until && !o.group.IsStopping(); at++ {
+		request, err := http.NewRequest(method, "http://"+o.addresses[at%len(o.addresses)]+path, bytes.NewReader([]byte(body)))
 		if err != nil {
 			return 0, err.Error()
 		}
@@ -79,7 +79,7 @@
 				return status, answer
 			}
 		}
-		worker.Await(o.crew.Stopping(), 50*time.Millisecond)
+		worker.Await(o.group.Stopping(), 50*time.Millisecond)
 	}
 	return status, answer
 }
@@ -87,35 +87,35 @@
 // Replace sends a configuration, beginning with one of the doors, until it is
 // answered clearly.
 func (o *Operator) Replace(version uint64, routes []Route, first int) int {
-	sent := linehistory.Version{Number: version, Sent: o.crew.Now(), Hosts: map[string]string{}, Body: o.Body(version, routes)}
+	sent := linehistory.Version{Number: version, Sent: o.group.Now(), Hosts: map[string]string{}, Body: o.ConfigurationBody(version, routes)}
 	for _, route := range routes {
 		sent.Hosts[route.Host] = route.Service
 	}
 	at := 0
-	o.history.Note(func(h *linehistory.History) { at, h.Versions = len(h.Versions), append(h.Versions, sent) })
-	status, _ := o.call(http.MethodPost, "/config/replace", sent.Body, first, 15*time.Second)
+	o.history.Update(func(h *linehistory.History) { at, h.Versions = len(h.Versions), append(h.Versions, sent) })
+	status, _ := o.request(http.MethodPost, "/config/replace", sent.Body, first, 15*time.Second)
 	if status == http.StatusOK {
-		o.history.Note(func(h *linehistory.History) { h.Versions[at].AcknowledgedAt = o.crew.Now() })
+		o.history.Update(func(h *linehistory.History) { h.Versions[at].AcknowledgedAt = o.group.Now() })
 	}
 	return status
 }
 
-// Break sends what must not be taken.
-func (o *Operator) Break(version uint64, body string, first int) int {
-	sent := linehistory.Version{Number: version, Sent: o.crew.Now(), Body: body, Invalid: true}
-	status, _ := o.call(http.MethodPost, "/config/replace", body, first, 15*time.Second)
+// ReplaceInvalid sends what must not be taken.
+func (o *Operator) ReplaceInvalid(version uint64, body string, first int) int {
+	sent := linehistory.Version{Number: version, Sent: o.group.Now(), Body: body, Invalid: true}
+	status, _ := o.request(http.MethodPost, "/config/replace", body, first, 15*time.Second)
 	if status == http.StatusOK {
-		sent.AcknowledgedAt = o.crew.Now()
+		sent.AcknowledgedAt = o.group.Now()
 	}
-	o.history.Note(func(h *linehistory.History) { h.Versions = append(h.Versions, sent) })
+	o.history.Update(func(h *linehistory.History) { h.Versions = append(h.Versions, sent) })
 	return status
 }
 
 // Fetch reads the newest configuration back.
 func (o *Operator) Fetch() int {
-	status, body := o.call(http.MethodGet, "/config/fetch", "", 0, 15*time.Second)
+	status, body := o.request(http.MethodGet, "/config/fetch", "", 0, 15*time.Second)
 	if status == http.StatusOK {
-		o.history.Note(func(h *linehistory.History) { h.Fetched = body })
+		o.history.Update(func(h *linehistory.History) { h.Fetched = body })
 	}
 	return status
 }
--- a/test/platformstandin/platform.go
+++ b/test/platformstandin/platform.go
@@ -11,36 +11,36 @@
 	"tansyseam/internal/transport/worker"
 )
 
-// Call is one promote call that was taken or refused.
-type Call struct {
-	Service, Instance, Holder string
-	Fence                     uint64
-	Status                    int
+// PromoteCall is one promote call that was taken or refused.
+type PromoteCall struct {
+	Service, Instance, LeaseHolder string
+	FencingToken                   uint64
+	Status                         int
 }
 
 // Platform is the stand-in that takes the promote call and looks which nodes
 // are ready.
 type Platform struct {
-	crew     *worker.Group
-	services []*Service
-	mutex    sync.Mutex
-	fences   map[string]uint64
-	calls    []Call
-	wait     time.Duration
-	refusals int
-	isCut    bool
-	fronts   map[string]*front
-	next     int
+	group         *worker.Group
+	services      []*Service
+	mutex         sync.Mutex
+	fencingTokens map[string]uint64
+	promoteCalls  []PromoteCall
+	promoteDelay  time.Duration
+	refusals      int
+	partitioned   bool
+	nodes         map[string]*node
+	nextNode      int
 }
 
-type front struct {
-	sessions, zone string
-	misses         int
+type node struct {
+	sessionAddress, zone string
+	failedProbes         int
 }
 
 // NewPlatform makes one for services; it ends with the crew.
-func NewPlatform(crew *worker.Group, services ...*Service) *Platform {
-	return &Platform{crew: crew, services: services, fences: map[string]uint64{}, fronts: map[string]*front{}}
+func NewPlatform(group *worker.Group, services ...*Service) *Platform {
+	return &Platform{group: group, services: services, fencingTokens: map[string]uint64{}, nodes: map[string]*node{}}
 }
 
 // Serve listens at an address.
@@ -50,140 +50,140 @@
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /promote", p.promote)
+	mux.HandleFunc("POST /promote", p.handlePromote)
 	server := &http.Server{Handler: mux}
-	p.crew.Go(func() { _ = server.Serve(listener) })
-	p.crew.Go(func() { <-p.crew.Stopping(); _ = server.Close() })
-	p.crew.Loop(nil, 150*time.Millisecond, p.look)
+	p.group.Go(func() { _ = server.Serve(listener) })
+	p.group.Go(func() { <-p.group.Stopping(); _ = server.Close() })
+	p.group.Loop(nil, 150*time.Millisecond, p.probeReadiness)
 	return nil
 }
 
-// Misbehave makes the promote call slow, refused so many times, or cut off.
-func (p *Platform) Misbehave(wait time.Duration, refusals int, isCut bool) {
+// SetPromoteFaults makes the promote call slow, refused so many times, or cut off.
+func (p *Platform) SetPromoteFaults(wait time.Duration, refusals int, aborted bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.wait, p.refusals, p.isCut = wait, refusals, isCut
+	p.promoteDelay, p.refusals, p.partitioned = wait, refusals, aborted
 }
 
-// Calls gives the promote calls so far.
-func (p *Platform) Calls() []Call {
+// PromoteCalls gives the promote calls so far.
+func (p *Platform) PromoteCalls() []PromoteCall {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return append([]Call(nil), p.calls...)
+	return append([]PromoteCall(nil), p.promoteCalls...)
 }
 
-func (p *Platform) judge(call Call) (int, *Service, time.Duration) {
+func (p *Platform) checkCall(call PromoteCall) (int, *Service, time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.refusals > 0 {
 		p.refusals--
 		return http.StatusTooManyRequests, nil, 0
 	}
-	if call.Fence < p.fences[call.Service] || call.Holder == "" {
+	if call.FencingToken < p.fencingTokens[call.Service] || call.LeaseHolder == "" {
 		return http.StatusConflict, nil, 0
 	}
-	p.fences[call.Service] = call.Fence
+	p.fencingTokens[call.Service] = call.FencingToken
 	for _, service := range p.services {
 		if service.Name == call.Service {
-			return http.StatusOK, service, p.wait
+			return http.StatusOK, service, p.promoteDelay
 		}
 	}
 	return http.StatusConflict, nil, 0
 }
 
-func (p *Platform) promote(w http.ResponseWriter, r *http.Request) {
-	var told struct{ Service, ID string }
-	if json.NewDecoder(r.Body).Decode(&told) != nil {
+func (p *Platform) handlePromote(w http.ResponseWriter, r *http.Request) {
+	var message struct{ Service, ID string }
+	if json.NewDecoder(r.Body).Decode(&message) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	p.mutex.Lock()
-	isCut := p.isCut
+	aborted := p.partitioned
 	p.mutex.Unlock()
-	if isCut {
+	if aborted {
 		panic(http.ErrAbortHandler)
 	}
-	call := Call{Service: told.Service, Instance: told.ID, Holder: r.Header.Get("X-Duty-Holder")}
-	call.Fence, _ = strconv.ParseUint(r.Header.Get("X-Fence"), 10, 64)
-	status, service, wait := p.judge(call)
+	call := PromoteCall{Service: message.Service, Instance: message.ID, LeaseHolder: r.Header.Get("X-Duty-Holder")}
+	call.FencingToken, _ = strconv.ParseUint(r.Header.Get("X-Fence"), 10, 64)
+	status, service, wait := p.checkCall(call)
 	if service != nil {
-		worker.Await(p.crew.Stopping(), wait+service.Shape.Promote)
-		if !service.Promote(told.ID) {
+		worker.Await(p.group.Stopping(), wait+service.ServiceConfig.PromoteDelay)
+		if !service.Promote(message.ID) {
 			status = http.StatusConflict
 		}
 	}
 	call.Status = status
 	p.mutex.Lock()
-	p.calls = append(p.calls, call)
+	p.promoteCalls = append(p.promoteCalls, call)
 	p.mutex.Unlock()
 	w.WriteHeader(status)
 }
 
-// AddFront makes a node known by its readiness address.
-func (p *Platform) AddFront(readiness, sessions, zone string) {
+// AddNode makes a node known by its readiness address.
+func (p *Platform) AddNode(readiness, sessions, zone string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.fronts[readiness] = &front{sessions: sessions, zone: zone, misses: 2}
+	p.nodes[readiness] = &node{sessionAddress: sessions, zone: zone, failedProbes: 2}
 }
 
-var probes = &http.Client{Timeout: 400 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
+var probeClient = &http.Client{Timeout: 400 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 
-func (p *Platform) look() {
+func (p *Platform) probeReadiness() {
 	p.mutex.Lock()
-	var doors []string
-	for door := range p.fronts {
-		doors = append(doors, door)
+	var addresses []string
+	for address := range p.nodes {
+		addresses = append(addresses, address)
 	}
 	p.mutex.Unlock()
-	for _, door := range doors {
-		p.crew.Go(func() {
-			response, err := probes.Get("http://" + door + "/ready")
-			isReady := err == nil && response.StatusCode == http.StatusOK
+	for _, address := range addresses {
+		p.group.Go(func() {
+			response, err := probeClient.Get("http://" + address + "/ready")
+			ready := err == nil && response.StatusCode == http.StatusOK
 			if err == nil {
 				_ = response.Body.Close()
 			}
 			p.mutex.Lock()
 			defer p.mutex.Unlock()
-			p.fronts[door].misses++
-			if isReady {
-				p.fronts[door].misses = 0
+			p.nodes[address].failedProbes++
+			if ready {
+				p.nodes[address].failedProbes = 0
 			}
 		})
 	}
 }
 
-// Ready counts the nodes that are in.
-func (p *Platform) Ready() int {
+// ReadyCount counts the nodes that are in.
+func (p *Platform) ReadyCount() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	count := 0
-	for _, one := range p.fronts {
-		if one.misses < 2 {
+	for _, one := range p.nodes {
+		if one.failedProbes < 2 {
 			count++
 		}
 	}
 	return count
 }
 
-// Pass gives the sessions address of a node for a client of a zone.
-func (p *Platform) Pass(zone string) string {
+// SessionAddress gives the sessions address of a node for a client of a zone.
+func (p *Platform) SessionAddress(zone string) string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	var near, far, all []string
-	for _, one := range p.fronts {
-		all = append(all, one.sessions)
-		if one.misses >= 2 {
+	for _, one := range p.nodes {
+		all = append(all, one.sessionAddress)
+		if one.failedProbes >= 2 {
 			continue
 		}
 		if one.zone == zone {
-			near = append(near, one.sessions)
+			near = append(near, one.sessionAddress)
 		}
-		far = append(far, one.sessions)
+		far = append(far, one.sessionAddress)
 	}
-	p.next++
+	p.nextNode++
 	for _, list := range [][]string{near, far, all} {
 		if len(list) > 0 {
-			return list[p.next%len(list)]
+			return list[p.nextNode%len(list)]
 		}
 	}
 	return ""
--- a/test/platformstandin/service.go
+++ b/test/platformstandin/service.go
@@ -15,82 +15,82 @@
 
 // History gathers what the stand-ins see.
 type History struct {
-	mutex sync.Mutex
-	crew  *worker.Group
-	held  linehistory.History
+	mutex    sync.Mutex
+	group    *worker.Group
+	recorded linehistory.History
 }
 
 // NewHistory makes one whose clock is the crew's.
-func NewHistory(crew *worker.Group) *History { return &History{crew: crew} }
+func NewHistory(group *worker.Group) *History { return &History{group: group} }
 
-// Note changes the history.
-func (h *History) Note(act func(*linehistory.History)) {
+// Update changes the history.
+func (h *History) Update(act func(*linehistory.History)) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	act(&h.held)
+	act(&h.recorded)
 }
 
 // Copy gives what was seen so far.
 func (h *History) Copy() linehistory.History {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	copied := h.held
+	copied := h.recorded
 	copied.Executions, copied.Queries = slices.Clone(copied.Executions), slices.Clone(copied.Queries)
 	copied.Versions, copied.Promotions = slices.Clone(copied.Versions), slices.Clone(copied.Promotions)
 	return copied
 }
 
-// Shape is how a service's instances are.
-type Shape struct {
+// ServiceConfig is how a service's instances are.
+type ServiceConfig struct {
 	Name string
-	// Sync is how many replicas must have received a commit before it is
+	// SyncReplicas is how many replicas must have received a commit before it is
 	// answered.
-	Sync int
-	// Lag is the way to a replica, Apply what a replica takes to apply, Work
+	SyncReplicas int
+	// ReplicationDelay is the way to a replica, Apply what a replica takes to apply, Work
 	// what a statement takes, Promote what a promote takes.
-	Lag, Apply, Work, Promote time.Duration
-	Slots, Conns              int
+	ReplicationDelay, ApplyDelay, StatementTime, PromoteDelay time.Duration
+	Slots, MaxConnections                                     int
 }
 
-type entry struct {
-	at     linehistory.Position
-	ids    []string
-	things map[string]string
+type logEntry struct {
+	position linehistory.Position
+	ids      []string
+	values   map[string]string
 }
 
 // Service is one primary with its replicas.
 type Service struct {
-	Shape
-	crew      *worker.Group
-	history   *History
-	mutex     sync.Mutex
-	instances []*Instance
-	stamps    int
-	leader    *Instance
+	ServiceConfig
+	group      *worker.Group
+	history    *History
+	mutex      sync.Mutex
+	instances  []*Instance
+	stampCount int
+	primary    *Instance
 }
 
 // NewService makes a service without instances.
-func NewService(crew *worker.Group, history *History, shape Shape) *Service {
-	return &Service{Shape: shape, crew: crew, history: history}
+func NewService(group *worker.Group, history *History, text ServiceConfig) *Service {
+	return &Service{ServiceConfig: text, group: group, history: history}
 }
 
-func (s *Service) do(act func()) {
+func (s *Service) withLock(act func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	act()
 }
 
-// after does something later, unless all is over by then.
-func (s *Service) after(wait time.Duration, act func()) {
-	s.crew.Go(func() {
-		if !worker.Await(s.crew.Stopping(), wait) {
-			s.do(act)
+// schedule does something later, unless all is over by then.
+func (s *Service) schedule(wait time.Duration, act func()) {
+	s.group.Go(func() {
+		if !worker.Await(s.group.Stopping(), wait) {
+			s.withLock(act)
 		}
 	})
 }
 
-// Find gives an instance by id.
-func (s *Service) Find(id string) *Instance {
+// FindInstance gives an instance by id.
+func (s *Service) FindInstance(id string) *Instance {
 	for _, one := range s.instances {
 		if one.ID == id {
 			return one
@@ -106,7 +106,7 @@
 func (s *Service) Primary() *Instance {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.leader
+	return s.primary
 }
 
 // Log gives the leader's log.
@@ -114,73 +114,73 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var log []linehistory.LogEntry
-	for _, one := range s.leader.log {
-		log = append(log, linehistory.LogEntry{Position: one.at, IDs: one.ids})
+	for _, one := range s.primary.log {
+		log = append(log, linehistory.LogEntry{Position: one.position, IDs: one.ids})
 	}
 	return log
 }
 
 // commit appends to a primary's log and sends it on; the channel is closed
 // once enough replicas have received it.
-func (s *Service) commit(primary *Instance, ids []string, things map[string]string) (linehistory.Position, chan struct{}) {
-	at := linehistory.Position{Term: primary.term, Index: primary.end().Index + 1}
-	primary.log = append(primary.log, entry{at, ids, things})
-	primary.apply()
+func (s *Service) commit(primary *Instance, ids []string, values map[string]string) (linehistory.Position, chan struct{}) {
+	at := linehistory.Position{Term: primary.term, Index: primary.lastPosition().Index + 1}
+	primary.log = append(primary.log, logEntry{at, ids, values})
+	primary.applyLog()
 	done := make(chan struct{})
-	if s.Sync == 0 {
+	if s.SyncReplicas == 0 {
 		close(done)
 	} else {
-		primary.waits = append(primary.waits, waiting{at, done})
+		primary.commitWaiters = append(primary.commitWaiters, commitWaiter{at, done})
 	}
-	s.spread(primary)
+	s.replicate(primary)
 	return at, done
 }
 
-func (s *Service) spread(primary *Instance) {
+func (s *Service) replicate(primary *Instance) {
 	for _, one := range s.instances {
-		if one != primary && one.follows == primary {
-			s.send(primary, one)
+		if one != primary && one.upstream == primary {
+			s.replicateTo(primary, one)
 		}
 	}
 }
 
-// send brings a replica's log to where the primary's is now.
-func (s *Service) send(from, to *Instance) {
-	upto, life := len(from.log), to.life
-	s.after(s.Lag+to.lag, func() {
-		isLinked := to.follows == from && to.life == life && to.isUp && !to.isDark && from.isUp && !from.isDark && to.paused == 0
-		if !isLinked || upto > len(from.log) {
+// replicateTo brings a replica's log to where the primary's is now.
+func (s *Service) replicateTo(from, to *Instance) {
+	position, incarnation := len(from.log), to.incarnation
+	s.schedule(s.ReplicationDelay+to.extraDelay, func() {
+		linked := to.upstream == from && to.incarnation == incarnation && to.running && !to.hung && from.running && !from.hung && to.pausedTerm == 0
+		if !linked || position > len(from.log) {
 			return
 		}
-		same := common(from.log, to.log)
-		to.log = append(to.log[:same:same], from.log[same:max(upto, same)]...)
+		same := commonPrefix(from.log, to.log)
+		to.log = append(to.log[:same:same], from.log[same:max(position, same)]...)
 		to.term = max(to.term, from.term)
-		if to.lag == 0 {
-			from.received(to.end())
+		if to.extraDelay == 0 {
+			from.onReplicated(to.lastPosition())
 		}
-		s.after(s.Apply, to.apply)
+		s.schedule(s.ApplyDelay, to.applyLog)
 	})
 }
 
-func common(a, b []entry) int {
+func commonPrefix(a, b []logEntry) int {
 	at := min(len(a), len(b))
-	for at > 0 && a[at-1].at != b[at-1].at {
+	for at > 0 && a[at-1].position != b[at-1].position {
 		at--
 	}
 	return at
 }
 
-// Place says how an instance stands in the world.
-type Place struct{ ID, Address, Zone string }
+// Location says how an instance stands in the world.
+type Location struct{ ID, Address, Zone string }
 
 // Add starts an instance; the first is the primary.
-func (s *Service) Add(place Place, beats func() []string) (*Instance, error) {
-	one := &Instance{Place: place, service: s, slots: make(chan struct{}, s.Slots), beats: beats, conns: map[*session]bool{}}
-	s.do(func() {
-		if s.leader == nil {
-			s.leader, one.isPrimary, one.term = one, true, 1
+func (s *Service) Add(place Location, controlAddresses func() []string) (*Instance, error) {
+	one := &Instance{Location: place, service: s, slots: make(chan struct{}, s.Slots), controlAddresses: controlAddresses, sessions: map[*session]bool{}}
+	s.withLock(func() {
+		if s.primary == nil {
+			s.primary, one.primary, one.term = one, true, 1
 		} else {
-			one.follows, one.term = s.leader, s.leader.term
+			one.upstream, one.term = s.primary, s.primary.term
 		}
 		s.instances = append(s.instances, one)
 	})
@@ -190,41 +190,41 @@
 // Promote makes an instance the primary of the next term; false where it is
 // not running.
 func (s *Service) Promote(id string) bool {
-	isGood := false
-	s.do(func() {
-		target := s.Find(id)
-		if target == nil || !target.isUp || target.isDark {
+	promoted := false
+	s.withLock(func() {
+		target := s.FindInstance(id)
+		if target == nil || !target.running || target.hung {
 			return
 		}
-		isGood = true
-		if target.isPrimary {
+		promoted = true
+		if target.primary {
 			return
 		}
 		term := uint64(0)
 		for _, one := range s.instances {
 			term = max(term, one.term)
 		}
-		old := s.leader
-		target.isPrimary, target.follows, target.term, target.paused, s.leader = true, nil, term+1, 0, target
+		old := s.primary
+		target.primary, target.upstream, target.term, target.pausedTerm, s.primary = true, nil, term+1, 0, target
 		for _, one := range s.instances {
-			if one != target && !one.isPrimary {
+			if one != target && !one.primary {
 				one.follow(target)
 			}
 		}
-		s.history.Note(func(h *linehistory.History) {
-			h.Promotions = append(h.Promotions, linehistory.Promotion{At: s.crew.Now(), Service: s.Name, Instance: id, Term: term + 1})
+		s.history.Update(func(h *linehistory.History) {
+			h.Promotions = append(h.Promotions, linehistory.Promotion{At: s.group.Now(), Service: s.Name, Instance: id, Term: term + 1})
 		})
-		target.tell()
-		s.after(time.Second, func() {
-			if old.isUp && !old.isDark && old.isPrimary && old.term < s.leader.term {
+		target.triggerHeartbeat()
+		s.schedule(time.Second, func() {
+			if old.running && !old.hung && old.primary && old.term < s.primary.term {
 				old.stepDown()
 			}
 		})
 	})
-	return isGood
+	return promoted
 }
 
-func (s *Service) stamp(one *Instance) string {
-	s.stamps++
-	return fmt.Sprintf("%s.%d.%x", one.ID, s.stamps, s.stamps*2654435761%1000003)
+func (s *Service) newStamp(one *Instance) string {
+	s.stampCount++
+	return fmt.Sprintf("%s.%d.%x", one.ID, s.stampCount, s.stampCount*2654435761%1000003)
 }
--- a/test/platformstandin/session.go
+++ b/test/platformstandin/session.go
@@ -22,7 +22,7 @@
 		return nil, err
 	}
 	s := &Session{conn: conn, reader: bufio.NewReaderSize(conn, 512)}
-	if err := s.ask("CONNECT " + host + " " + who); err != nil {
+	if err := s.request("CONNECT " + host + " " + who); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
@@ -30,22 +30,22 @@
 }
 
 // Read reads one thing.
-func (s *Session) Read(thing string) error {
+func (s *Session) Read(key string) error {
 	s.count++
-	return s.ask(fmt.Sprintf("QUERY q%d FETCH %s", s.count, thing))
+	return s.request(fmt.Sprintf("QUERY q%d FETCH %s", s.count, key))
 }
 
 // Write writes one thing.
-func (s *Session) Write(thing string) error {
+func (s *Session) Write(key string) error {
 	s.count++
-	return s.ask(fmt.Sprintf("QUERY q%d PUT %s x", s.count, thing))
+	return s.request(fmt.Sprintf("QUERY q%d PUT %s x", s.count, key))
 }
 
 // Close ends it.
 func (s *Session) Close() { _ = s.conn.Close() }
 
-func (s *Session) ask(line string) error {
-	_ = s.conn.SetDeadline(time.Now().Add(answerBound))
+func (s *Session) request(line string) error {
+	_ = s.conn.SetDeadline(time.Now().Add(answerTimeout))
 	if _, err := s.conn.Write([]byte(line + "\r\n")); err != nil {
 		return err
 	}
@@ -55,11 +55,11 @@
 		if err != nil {
 			return err
 		}
-		word, tail, _ := strings.Cut(strings.TrimSuffix(line, "\r\n"), " ")
-		if word == "ERROR" {
+		code, tail, _ := strings.Cut(strings.TrimSuffix(line, "\r\n"), " ")
+		if code == "ERROR" {
 			fault = fmt.Errorf("%s", tail)
 		}
-		if word == "READY" {
+		if code == "READY" {
 			return fault
 		}
 	}
--- a/test/simulation/caller.go
+++ b/test/simulation/caller.go
@@ -91,7 +91,7 @@
 
 // runAfterRetry goes on after the pause that an answer asks for.
 func (c *caller) runAfterRetry(event standin.Event) {
-	c.after(time.Duration(event.RetryMS)*time.Millisecond+c.thinkTime(), c.run)
+	c.after(time.Duration(event.RetryAfterMS)*time.Millisecond+c.thinkTime(), c.run)
 }
 
 // leave closes the connection.
@@ -178,7 +178,7 @@
 func (c *caller) onSessionOpened(session string, sequence uint64, sent time.Duration) {
 	c.session, c.requestsMade = session, 0
 	event := c.newEvent(history.KindOpen)
-	event.Sent, event.Got = int64(sent), int64(c.simulator.now)
+	event.SentAt, event.AnsweredAt = int64(sent), int64(c.simulator.now)
 	event.Outcome, event.Sequence = history.OutcomeDone, sequence
 	c.fleet.recorder.addEvent(event)
 }
@@ -195,11 +195,11 @@
 // newEvent gives the event of a request that is sent now.
 func (c *caller) newEvent(kind string) standin.Event {
 	event := standin.Event{
-		Caller: c.name, Session: c.session, Kind: kind, Database: c.database, FreshMS: c.stalenessMS,
-		Sent: int64(c.simulator.now), WantSet: c.setting,
+		Caller: c.name, Session: c.session, Kind: kind, Database: c.database, FreshnessMS: c.stalenessMS,
+		SentAt: int64(c.simulator.now), ExpectedSetting: c.setting,
 	}
 	if c.node != nil {
-		event.Door = c.node.name
+		event.Address = c.node.name
 	}
 	return event
 }
@@ -207,7 +207,7 @@
 // newStatementEvent gives the event of a statement; reads have no request ID.
 func (c *caller) newStatementEvent(kind, requestID, text string) standin.Event {
 	event := c.newEvent(kind)
-	event.Go, event.Text = requestID, text
+	event.RequestID, event.Text = requestID, text
 	return event
 }
 
--- a/test/simulation/caller_operations.go
+++ b/test/simulation/caller_operations.go
@@ -130,13 +130,13 @@
 // its outcome is unknown.
 func (c *caller) attemptWrite(id, text string, repeats int) {
 	event := c.newStatementEvent(history.KindWrite, id, text)
-	event.IsAgain = repeats > 0
+	event.Retry = repeats > 0
 	c.request(event, httppool.Op{Kind: httppool.OpRun, Text: text, Write: true, RequestID: id}, func(event standin.Event, _ bool) {
 		if !isUnknown(event) || repeats >= maxRepeats {
 			c.runAfterRetry(event)
 			return
 		}
-		c.after(time.Duration(event.RetryMS)*time.Millisecond/4+c.simulator.randomDuration(minRepeatWait, maxRepeatWait), func() {
+		c.after(time.Duration(event.RetryAfterMS)*time.Millisecond/4+c.simulator.randomDuration(minRepeatWait, maxRepeatWait), func() {
 			if c.random.IntN(repeatsPerSameSession) > 0 {
 				c.leave()
 			}
@@ -199,7 +199,7 @@
 
 func (c *caller) rollBack(requestIDs []string) {
 	event := c.newEvent(history.KindRollback)
-	event.Gos = requestIDs
+	event.RequestIDs = requestIDs
 	c.request(event, httppool.Op{Kind: httppool.OpRollback}, func(event standin.Event, _ bool) { c.onTransactionEnd(event) })
 }
 
@@ -207,7 +207,7 @@
 // while its outcome is unknown.
 func (c *caller) attemptCommit(id string, requestIDs []string, repeats int) {
 	event := c.newStatementEvent(history.KindCommit, id, "")
-	event.Gos, event.IsAgain = requestIDs, repeats > 0
+	event.RequestIDs, event.Retry = requestIDs, repeats > 0
 	c.request(event, httppool.Op{Kind: httppool.OpCommit, RequestID: id}, func(event standin.Event, _ bool) {
 		if !isUnknown(event) || repeats >= maxRepeats {
 			c.onTransactionEnd(event)
@@ -231,6 +231,6 @@
 // not take effect.
 func (c *caller) recordAbandoned(requestIDs []string) {
 	event := c.newEvent(history.KindRollback)
-	event.Gos, event.Got, event.Outcome = requestIDs, int64(c.simulator.now), history.OutcomeLeft
+	event.RequestIDs, event.AnsweredAt, event.Outcome = requestIDs, int64(c.simulator.now), history.OutcomeLeft
 	c.fleet.recorder.addEvent(event)
 }
--- a/test/simulation/caller_request.go
+++ b/test/simulation/caller_request.go
@@ -43,7 +43,7 @@
 	}
 	deadline := c.drawDeadline()
 	if deadline != 0 {
-		r.event.DeadMS = deadline.Milliseconds()
+		r.event.DeadlineMS = deadline.Milliseconds()
 	}
 	incarnation, session := r.node.incarnation, c.session
 	c.simulator.sendReliable(&r.node.machine, func() {
@@ -81,7 +81,7 @@
 	c.resetByRun = false
 	c.fleet.recorder.finishRequest(r.number, r.event)
 	event := r.event
-	c.simulator.record("%s %s %s %s %v upto %v seq %d via %s: %s", c.name, event.Kind, event.Go, event.Outcome, event.Position, event.Upto, event.Sequence, event.Door, event.Error)
+	c.simulator.record("%s %s %s %s %v upto %v seq %d via %s: %s", c.name, event.Kind, event.RequestID, event.Outcome, event.Position, event.AppliedPosition, event.Sequence, event.Address, event.Error)
 	for database, position := range result.MinPositions {
 		c.minPositions[database] = c.minPositions[database].Max(position)
 	}
@@ -94,8 +94,8 @@
 
 func (r *callerRequest) fillEvent(result httppool.Result, cut bool) {
 	event := &r.event
-	event.Outcome, event.Error, event.Sequence, event.Got = string(result.Outcome), result.Error, result.BindingSequence, int64(r.caller.simulator.now)
-	event.RetryMS = result.RetryAfter.Milliseconds()
+	event.Outcome, event.Error, event.Sequence, event.AnsweredAt = string(result.Outcome), result.Error, result.BindingSequence, int64(r.caller.simulator.now)
+	event.RetryAfterMS = result.RetryAfter.Milliseconds()
 	event.Position = standin.Position{Term: result.Position.Term, Index: result.Position.Index}
 	if cut {
 		event.Outcome = history.OutcomeCut
@@ -105,6 +105,6 @@
 	}
 	var rows answerRows
 	if len(result.Rows) > 0 && json.Unmarshal(result.Rows, &rows) == nil {
-		event.Upto, event.Settings, event.RanText = rows.Upto, rows.Settings, rows.Text
+		event.AppliedPosition, event.Settings, event.ExecutedText = rows.Upto, rows.Settings, rows.Text
 	}
 }
--- a/test/simulation/instance.go
+++ b/test/simulation/instance.go
@@ -50,7 +50,7 @@
 	// claimsClean is the defect DirtyConnections.
 	claimsClean     bool
 	logWaiters      logWaiters
-	executions      []standin.Ran
+	executions      []standin.Execution
 	positionHistory []positionSample
 
 	connections      []*connection
@@ -94,7 +94,7 @@
 
 // append adds an entry of the instance's own term to its log.
 func (i *instance) append(requestIDs, texts []string) {
-	i.addEntry(standin.Entry{Term: i.term, Index: uint64(len(i.entries)) + 1, Gos: requestIDs, Texts: texts})
+	i.addEntry(standin.Entry{Term: i.term, Index: uint64(len(i.entries)) + 1, RequestIDs: requestIDs, Statements: texts})
 }
 
 func (i *instance) addEntry(entry standin.Entry) {
--- a/test/simulation/instance_session.go
+++ b/test/simulation/instance_session.go
@@ -157,12 +157,12 @@
 }
 
 func (i *instance) recordExecution(c *connection, op httppool.Op, text string) {
-	execution := standin.Ran{
-		At: int64(i.simulator.now), Instance: i.name, Conn: c.session.id, Act: string(op.Kind), Text: text, Go: op.RequestID, IsWrite: op.Write, Term: i.term,
-		Role: i.role, Leaving: i.leavingSince, Settings: maps.Clone(c.session.settings),
+	execution := standin.Execution{
+		At: int64(i.simulator.now), Instance: i.name, Connection: c.session.id, Action: string(op.Kind), Text: text, RequestID: op.RequestID, Write: op.Write, Term: i.term,
+		Role: i.role, LeavingSince: i.leavingSince, Settings: maps.Clone(c.session.settings),
 	}
 	if c.session.transaction != nil {
-		execution.Turn = c.session.transaction.id
+		execution.Transaction = c.session.transaction.id
 	}
 	i.executions = append(i.executions, execution)
 }
--- a/test/simulation/run.go
+++ b/test/simulation/run.go
@@ -139,7 +139,7 @@
 	evidence.End = int64(f.simulator.now)
 	evidence.Logs, evidence.Writers = map[string]map[string][]standin.Entry{}, map[string]string{}
 	for _, event := range f.recorder.outstanding {
-		event.Outcome, event.Got = history.OutcomeCut, int64(f.simulator.now)
+		event.Outcome, event.AnsweredAt = history.OutcomeCut, int64(f.simulator.now)
 		evidence.Events = append(evidence.Events, event)
 	}
 	for _, instance := range f.instances {
--- a/test/standin/instance.go
+++ b/test/standin/instance.go
@@ -27,129 +27,131 @@
 // Entry is one commit in an instance's log. A commit of a transaction holds
 // all its writes.
 type Entry struct {
-	Term  uint64   `json:"term"`
-	Index uint64   `json:"index"`
-	Gos   []string `json:"gos"`
-	Texts []string `json:"texts"`
-}
-
-// Ran is one statement that an instance ran.
-type Ran struct {
-	At        int64             `json:"at"`
-	Instance  string            `json:"instance"`
-	Database  string            `json:"database,omitempty"`
-	Conn      string            `json:"conn"`
-	Turn      string            `json:"turn"`
-	Act       string            `json:"act,omitempty"`
-	Text      string            `json:"text"`
-	Arguments []string          `json:"arguments,omitempty"`
-	Go        string            `json:"go"`
-	IsWrite   bool              `json:"write"`
-	Settings  map[string]string `json:"settings,omitempty"`
-	Prepared  []string          `json:"prepared,omitempty"`
-	Term      uint64            `json:"term"`
-	Role      string            `json:"role"`
-	Leaving   int64             `json:"leaving,omitempty"`
+	Term       uint64   `json:"term"`
+	Index      uint64   `json:"index"`
+	RequestIDs []string `json:"gos"`
+	Statements []string `json:"texts"`
+}
+
+// Execution is one statement that an instance ran.
+type Execution struct {
+	At           int64             `json:"at"`
+	Instance     string            `json:"instance"`
+	Database     string            `json:"database,omitempty"`
+	Connection   string            `json:"conn"`
+	Transaction  string            `json:"turn"`
+	Action       string            `json:"act,omitempty"`
+	Text         string            `json:"text"`
+	Arguments    []string          `json:"arguments,omitempty"`
+	RequestID    string            `json:"go"`
+	Write        bool              `json:"write"`
+	Settings     map[string]string `json:"settings,omitempty"`
+	Prepared     []string          `json:"prepared,omitempty"`
+	Term         uint64            `json:"term"`
+	Role         string            `json:"role"`
+	LeavingSince int64             `json:"leaving,omitempty"`
 }
 
 // InstanceConfig places an instance.
 type InstanceConfig struct {
-	Name        string   `json:"name"`
-	Database    string   `json:"database"`
-	Address     string   `json:"address"`
-	Zone        string   `json:"zone"`
-	Role        string   `json:"role"`
-	Upstream    string   `json:"upstream"`
-	Doors       []string `json:"doors"`
-	Folder      string   `json:"folder"`
-	Connections int      `json:"connections"`
-	Slots       int      `json:"slots"`
-	ServiceUS   int      `json:"service_us"`
-	DelayMS     int      `json:"delay_ms"`
-	Seed        uint64   `json:"seed"`
+	Name               string   `json:"name"`
+	Database           string   `json:"database"`
+	Address            string   `json:"address"`
+	Zone               string   `json:"zone"`
+	Role               string   `json:"role"`
+	Upstream           string   `json:"upstream"`
+	AnnounceAddresses  []string `json:"doors"`
+	Directory          string   `json:"folder"`
+	Connections        int      `json:"connections"`
+	Slots              int      `json:"slots"`
+	ServiceTimeUS      int      `json:"service_us"`
+	ReplicationDelayMS int      `json:"delay_ms"`
+	Seed               uint64   `json:"seed"`
 }
 
 // Fault is what an instance is told to do wrong.
 type Fault struct {
-	Slow     *float64 `json:"slow,omitempty"`
-	DelayMS  *int     `json:"delay_ms,omitempty"`
-	Lose     *int     `json:"lose,omitempty"`
-	Reset    *int     `json:"reset,omitempty"`
-	IsSilent *bool    `json:"silent,omitempty"`
-	IsLeave  *bool    `json:"leaving,omitempty"`
-	// IsLying calls every session clean, whatever state it holds.
-	IsLying *bool `json:"lying,omitempty"`
+	Slowdown           *float64 `json:"slow,omitempty"`
+	ReplicationDelayMS *int     `json:"delay_ms,omitempty"`
+	LoseAnswers        *int     `json:"lose,omitempty"`
+	ResetConnections   *int     `json:"reset,omitempty"`
+	Silent             *bool    `json:"silent,omitempty"`
+	Leaving            *bool    `json:"leaving,omitempty"`
+	// MisreportClean calls every session clean, whatever state it holds.
+	MisreportClean *bool `json:"lying,omitempty"`
 }
 
-type turn struct {
-	id    string
-	gos   []string
-	texts []string
+type transaction struct {
+	id         string
+	requestIDs []string
+	statements []string
 }
 
-type conn struct {
-	id       string
-	isOpen   bool
-	settings map[string]string
-	prepared map[string]string
-	turn     *turn
-	raw      net.Conn
+type connection struct {
+	id          string
+	open        bool
+	settings    map[string]string
+	prepared    map[string]string
+	transaction *transaction
+	raw         net.Conn
 }
 
-func (c *conn) isClean() bool { return c.turn == nil && len(c.settings) == 0 && len(c.prepared) == 0 }
+func (c *connection) isClean() bool {
+	return c.transaction == nil && len(c.settings) == 0 && len(c.prepared) == 0
+}
 
 // Instance is a stand-in database server.
 type Instance struct {
 	config InstanceConfig
 	slots  chan struct{}
 
-	mutex    sync.Mutex
-	role     string
-	term     uint64
-	upstream string
-	birth    string
-	entries  []Entry
-	moved    chan struct{}
-	doors    map[string]bool
-	opened   int
-	busy     int
-	waiting  int
-	slow     float64
-	delay    time.Duration
-	lose     int
-	reset    int
-	isSilent bool
-	isLying  bool
-	leaving  int64
-	conns    int
-	turns    int
-	random   *rand.Rand
-	log      *os.File
-	ran      *os.File
-}
-
-type state struct {
-	Role     string `json:"role"`
-	Term     uint64 `json:"term"`
-	Upstream string `json:"upstream"`
-	Birth    string `json:"birth"`
+	mutex             sync.Mutex
+	role              string
+	term              uint64
+	upstream          string
+	incarnation       string
+	entries           []Entry
+	appended          chan struct{}
+	announceAddresses map[string]bool
+	openCount         int
+	busy              int
+	waiting           int
+	slowdown          float64
+	replicationDelay  time.Duration
+	loseAnswers       int
+	resetConnections  int
+	silent            bool
+	misreportClean    bool
+	leavingSince      int64
+	connectionCount   int
+	transactionCount  int
+	random            *rand.Rand
+	logFile           *os.File
+	executionFile     *os.File
+}
+
+type persistentState struct {
+	Role        string `json:"role"`
+	Term        uint64 `json:"term"`
+	Upstream    string `json:"upstream"`
+	Incarnation string `json:"birth"`
 }
 
 // RunInstance serves until the context ends.
 func RunInstance(ctx context.Context, config InstanceConfig) error {
 	x := &Instance{
 		config: config, slots: make(chan struct{}, config.Slots), role: config.Role, term: 1, upstream: config.Upstream,
-		moved: make(chan struct{}), doors: map[string]bool{}, slow: 1, delay: time.Duration(config.DelayMS) * time.Millisecond,
-		random: rand.New(rand.NewPCG(config.Seed, 7)), birth: fmt.Sprintf("%s-%d", config.Name, time.Now().UnixNano()),
+		appended: make(chan struct{}), announceAddresses: map[string]bool{}, slowdown: 1, replicationDelay: time.Duration(config.ReplicationDelayMS) * time.Millisecond,
+		random: rand.New(rand.NewPCG(config.Seed, 7)), incarnation: fmt.Sprintf("%s-%d", config.Name, time.Now().UnixNano()),
 	}
-	if err := x.load(); err != nil {
+	if err := x.loadFiles(); err != nil {
 		return err
 	}
-	for _, door := range config.Doors {
-		x.doors[door] = true
+	for _, address := range config.AnnounceAddresses {
+		x.announceAddresses[address] = true
 	}
 	mux := http.NewServeMux()
-	for path, act := range map[string]func(*conn, request) (int, any){
+	for path, act := range map[string]func(*connection, instanceRequest) (int, any){
 		"/db/open": x.onOpen, "/db/run": x.onRun, "/db/begin": x.onBegin, "/db/commit": x.onCommit,
 		"/db/rollback": x.onRollback, "/db/set": x.onSet, "/db/prepare": x.onPrepare, "/db/status": x.onStatus,
 		"/db/pull": x.onPull, "/admin/fault": x.onFault, "/admin/promote": x.onPromote, "/admin/follow": x.onFollow,
@@ -163,14 +165,14 @@
 	server := &http.Server{Handler: mux, ConnContext: func(ctx context.Context, raw net.Conn) context.Context {
 		x.mutex.Lock()
 		defer x.mutex.Unlock()
-		x.conns++
-		made := &conn{id: fmt.Sprintf("%s#%d#%d", config.Name, os.Getpid(), x.conns), settings: map[string]string{}, prepared: map[string]string{}, raw: raw}
-		held.Store(raw, made)
-		return context.WithValue(ctx, connKey{}, made)
+		x.connectionCount++
+		accepted := &connection{id: fmt.Sprintf("%s#%d#%d", config.Name, os.Getpid(), x.connectionCount), settings: map[string]string{}, prepared: map[string]string{}, raw: raw}
+		connections.Store(raw, accepted)
+		return context.WithValue(ctx, connectionKey{}, accepted)
 	}, ConnState: func(raw net.Conn, to http.ConnState) {
 		if to == http.StateClosed || to == http.StateHijacked {
-			if made, isHeld := held.LoadAndDelete(raw); isHeld {
-				x.gone(made.(*conn))
+			if accepted, found := connections.LoadAndDelete(raw); found {
+				x.onConnectionClosed(accepted.(*connection))
 			}
 		}
 	}}
@@ -183,22 +185,22 @@
 	return nil
 }
 
-type connKey struct{}
+type connectionKey struct{}
 
-var held sync.Map
+var connections sync.Map
 
-func (x *Instance) load() error {
-	if err := os.MkdirAll(x.config.Folder, 0o755); err != nil {
+func (x *Instance) loadFiles() error {
+	if err := os.MkdirAll(x.config.Directory, 0o755); err != nil {
 		return err
 	}
-	statePath := filepath.Join(x.config.Folder, "state.json")
+	statePath := filepath.Join(x.config.Directory, "state.json")
 	if data, err := os.ReadFile(statePath); err == nil {
-		var s state
+		var s persistentState
 		if json.Unmarshal(data, &s) == nil {
-			x.role, x.term, x.upstream, x.birth = s.Role, s.Term, s.Upstream, s.Birth
+			x.role, x.term, x.upstream, x.incarnation = s.Role, s.Term, s.Upstream, s.Incarnation
 		}
 	}
-	if file, err := os.Open(filepath.Join(x.config.Folder, "log.jsonl")); err == nil {
+	if file, err := os.Open(filepath.Join(x.config.Directory, "log.jsonl")); err == nil {
 		lines := bufio.NewScanner(file)
 		lines.Buffer(nil, 1<<22)
 		for lines.Scan() {
@@ -210,11 +212,11 @@
 		}
 		_ = file.Close()
 	}
-	if err := x.rewrite(); err != nil {
+	if err := x.rewriteLog(); err != nil {
 		return err
 	}
 	var err error
-	x.ran, err = os.OpenFile(filepath.Join(x.config.Folder, "ran.jsonl"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	x.executionFile, err = os.OpenFile(filepath.Join(x.config.Directory, "ran.jsonl"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
@@ -223,17 +225,17 @@
 }
 
 func (x *Instance) saveState() {
-	data, _ := json.Marshal(state{x.role, x.term, x.upstream, x.birth})
-	path := filepath.Join(x.config.Folder, "state.json")
+	data, _ := json.Marshal(persistentState{x.role, x.term, x.upstream, x.incarnation})
+	path := filepath.Join(x.config.Directory, "state.json")
 	_ = os.WriteFile(path+".new", data, 0o644)
 	_ = os.Rename(path+".new", path)
 }
 
-func (x *Instance) rewrite() error {
-	if x.log != nil {
-		_ = x.log.Close()
+func (x *Instance) rewriteLog() error {
+	if x.logFile != nil {
+		_ = x.logFile.Close()
 	}
-	path := filepath.Join(x.config.Folder, "log.jsonl")
+	path := filepath.Join(x.config.Directory, "log.jsonl")
 	var buffer bytes.Buffer
 	for _, entry := range x.entries {
 		line, _ := json.Marshal(entry)
@@ -246,7 +248,7 @@
 		return err
 	}
 	var err error
-	x.log, err = os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0o644)
+	x.logFile, err = os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0o644)
 	return err
 }
 
@@ -260,36 +262,36 @@
 
 func (x *Instance) appendEntry(entry Entry) {
 	line, _ := json.Marshal(entry)
-	_, _ = x.log.Write(append(line, '\n'))
+	_, _ = x.logFile.Write(append(line, '\n'))
 	x.entries = append(x.entries, entry)
-	close(x.moved)
-	x.moved = make(chan struct{})
+	close(x.appended)
+	x.appended = make(chan struct{})
 }
 
-type request struct {
+type instanceRequest struct {
 	Text      string   `json:"text"`
 	Prepared  string   `json:"prepared"`
 	Arguments []string `json:"arguments"`
-	IsWrite   bool     `json:"write"`
+	Write     bool     `json:"write"`
 	Name      string   `json:"name"`
 	Value     string   `json:"value"`
-	Go        string   `json:"go"`
+	RequestID string   `json:"go"`
 	Term      uint64   `json:"term"`
-	Act       string   `json:"-"`
+	Action    string   `json:"-"`
 	After     Position `json:"after"`
 	WaitMS    int      `json:"wait_ms"`
 	Upstream  string   `json:"upstream"`
 	Fault     *Fault   `json:"fault"`
 }
 
-func (x *Instance) handle(w http.ResponseWriter, r *http.Request, act func(*conn, request) (int, any)) {
-	made := r.Context().Value(connKey{}).(*conn)
-	var asked request
-	if err := json.NewDecoder(io.LimitReader(r.Body, 4<<20)).Decode(&asked); err != nil {
+func (x *Instance) handle(w http.ResponseWriter, r *http.Request, act func(*connection, instanceRequest) (int, any)) {
+	accepted := r.Context().Value(connectionKey{}).(*connection)
+	var request instanceRequest
+	if err := json.NewDecoder(io.LimitReader(r.Body, 4<<20)).Decode(&request); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	code, body := act(made, asked)
+	code, body := act(accepted, request)
 	if code == 0 {
 		panic(http.ErrAbortHandler)
 	}
@@ -299,10 +301,10 @@
 	_, _ = w.Write(data)
 }
 
-func (x *Instance) reply(c *conn, extra map[string]any) map[string]any {
+func (x *Instance) reply(c *connection, extra map[string]any) map[string]any {
 	body := map[string]any{
-		"position": x.position(), "clean": c.isClean() || x.isLying, "inside": c.turn != nil,
-		"role": x.role, "term": x.term, "birth": x.birth, "leaving": x.leaving != 0,
+		"position": x.position(), "clean": c.isClean() || x.misreportClean, "inside": c.transaction != nil,
+		"role": x.role, "term": x.term, "birth": x.incarnation, "leaving": x.leavingSince != 0,
 	}
 	for key, value := range extra {
 		body[key] = value
@@ -310,34 +312,34 @@
 	return body
 }
 
-func (x *Instance) refuse(c *conn, code int, text string) (int, any) {
+func (x *Instance) reject(c *connection, code int, text string) (int, any) {
 	return code, x.reply(c, map[string]any{"error": text})
 }
 
-func (x *Instance) gone(c *conn) {
+func (x *Instance) onConnectionClosed(c *connection) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	if c.isOpen {
-		x.opened--
-		c.isOpen = false
+	if c.open {
+		x.openCount--
+		c.open = false
 	}
-	c.turn = nil
+	c.transaction = nil
 }
 
-func (x *Instance) onOpen(c *conn, asked request) (int, any) {
+func (x *Instance) onOpen(c *connection, request instanceRequest) (int, any) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	if !c.isOpen && x.opened >= x.config.Connections {
-		return x.refuse(c, http.StatusTooManyRequests, "connections are capped")
+	if !c.open && x.openCount >= x.config.Connections {
+		return x.reject(c, http.StatusTooManyRequests, "connections are capped")
 	}
-	if !c.isOpen {
-		c.isOpen = true
-		x.opened++
+	if !c.open {
+		c.open = true
+		x.openCount++
 	}
 	return http.StatusOK, x.reply(c, nil)
 }
 
-func (x *Instance) work(isWrite bool) {
+func (x *Instance) occupySlot(write bool) {
 	x.mutex.Lock()
 	x.waiting++
 	x.mutex.Unlock()
@@ -345,9 +347,9 @@
 	x.mutex.Lock()
 	x.waiting--
 	x.busy++
-	service := float64(x.config.ServiceUS) * x.slow * (0.6 + 0.8*x.random.Float64())
+	service := float64(x.config.ServiceTimeUS) * x.slowdown * (0.6 + 0.8*x.random.Float64())
 	service *= 1 + 0.5*float64(x.busy)/float64(x.config.Slots) + 0.02*float64(x.waiting)
-	if !isWrite {
+	if !write {
 		service /= 2
 	}
 	x.mutex.Unlock()
@@ -358,273 +360,273 @@
 	<-x.slots
 }
 
-func (x *Instance) note(c *conn, asked request, text string) {
-	ran := Ran{
-		At: time.Now().UnixNano(), Instance: x.config.Name, Database: x.config.Database, Conn: c.id, Text: text, Arguments: asked.Arguments, Go: asked.Go,
-		Act: asked.Act, IsWrite: asked.IsWrite, Term: x.term, Role: x.role, Leaving: x.leaving,
+func (x *Instance) recordExecution(c *connection, request instanceRequest, text string) {
+	execution := Execution{
+		At: time.Now().UnixNano(), Instance: x.config.Name, Database: x.config.Database, Connection: c.id, Text: text, Arguments: request.Arguments, RequestID: request.RequestID,
+		Action: request.Action, Write: request.Write, Term: x.term, Role: x.role, LeavingSince: x.leavingSince,
 	}
-	if c.turn != nil {
-		ran.Turn = c.turn.id
+	if c.transaction != nil {
+		execution.Transaction = c.transaction.id
 	}
 	if len(c.settings) > 0 {
-		ran.Settings = map[string]string{}
+		execution.Settings = map[string]string{}
 		for name, value := range c.settings {
-			ran.Settings[name] = value
+			execution.Settings[name] = value
 		}
 	}
 	for name := range c.prepared {
-		ran.Prepared = append(ran.Prepared, name)
+		execution.Prepared = append(execution.Prepared, name)
 	}
-	line, _ := json.Marshal(ran)
-	_, _ = x.ran.Write(append(line, '\n'))
+	line, _ := json.Marshal(execution)
+	_, _ = x.executionFile.Write(append(line, '\n'))
 }
 
-func (x *Instance) guard(c *conn, asked request, isWrite bool) (int, any) {
-	if !c.isOpen {
-		return x.refuse(c, http.StatusConflict, "session not open")
+func (x *Instance) checkRequest(c *connection, request instanceRequest, write bool) (int, any) {
+	if !c.open {
+		return x.reject(c, http.StatusConflict, "session not open")
 	}
-	if asked.Term != 0 && asked.Term != x.term {
-		return x.refuse(c, http.StatusConflict, "another term")
+	if request.Term != 0 && request.Term != x.term {
+		return x.reject(c, http.StatusConflict, "another term")
 	}
-	if isWrite && x.role != "primary" {
-		return x.refuse(c, http.StatusConflict, "not primary")
+	if write && x.role != "primary" {
+		return x.reject(c, http.StatusConflict, "not primary")
 	}
 	return 0, nil
 }
 
-func (x *Instance) answered(body map[string]any) (int, any) {
-	if x.lose > 0 {
-		x.lose--
+func (x *Instance) answerOrLose(body map[string]any) (int, any) {
+	if x.loseAnswers > 0 {
+		x.loseAnswers--
 		return 0, nil
 	}
 	return http.StatusOK, body
 }
 
-func (x *Instance) onRun(c *conn, asked request) (int, any) {
+func (x *Instance) onRun(c *connection, request instanceRequest) (int, any) {
 	x.mutex.Lock()
-	if x.reset > 0 {
-		x.reset--
+	if x.resetConnections > 0 {
+		x.resetConnections--
 		x.mutex.Unlock()
 		return 0, nil
 	}
-	if code, body := x.guard(c, asked, asked.IsWrite); code != 0 {
+	if code, body := x.checkRequest(c, request, request.Write); code != 0 {
 		x.mutex.Unlock()
 		return code, body
 	}
-	text := asked.Text
-	if asked.Prepared != "" {
-		prepared, isHeld := c.prepared[asked.Prepared]
-		if !isHeld {
-			code, body := x.refuse(c, http.StatusUnprocessableEntity, "no such prepared statement")
+	text := request.Text
+	if request.Prepared != "" {
+		prepared, found := c.prepared[request.Prepared]
+		if !found {
+			code, body := x.reject(c, http.StatusUnprocessableEntity, "no such prepared statement")
 			x.mutex.Unlock()
 			return code, body
 		}
 		text = prepared
 	}
-	turn := c.turn
+	transaction := c.transaction
 	x.mutex.Unlock()
-	x.work(asked.IsWrite)
+	x.occupySlot(request.Write)
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	if c.turn != turn {
+	if c.transaction != transaction {
 		return 0, nil
 	}
-	if asked.IsWrite && x.role != "primary" {
-		return x.refuse(c, http.StatusConflict, "not primary any more")
+	if request.Write && x.role != "primary" {
+		return x.reject(c, http.StatusConflict, "not primary any more")
 	}
-	x.note(c, asked, text)
-	if !asked.IsWrite {
-		return x.answered(x.reply(c, map[string]any{"rows": map[string]any{"upto": x.position(), "settings": c.settings, "text": text}}))
+	x.recordExecution(c, request, text)
+	if !request.Write {
+		return x.answerOrLose(x.reply(c, map[string]any{"rows": map[string]any{"upto": x.position(), "settings": c.settings, "text": text}}))
 	}
-	if c.turn != nil {
-		c.turn.gos = append(c.turn.gos, asked.Go)
-		c.turn.texts = append(c.turn.texts, text)
-		return x.answered(x.reply(c, map[string]any{"rows": map[string]any{"settings": c.settings, "text": text}}))
+	if c.transaction != nil {
+		c.transaction.requestIDs = append(c.transaction.requestIDs, request.RequestID)
+		c.transaction.statements = append(c.transaction.statements, text)
+		return x.answerOrLose(x.reply(c, map[string]any{"rows": map[string]any{"settings": c.settings, "text": text}}))
 	}
-	x.appendEntry(Entry{Term: x.term, Index: x.position().Index + 1, Gos: []string{asked.Go}, Texts: []string{text}})
-	return x.answered(x.reply(c, map[string]any{"rows": map[string]any{"settings": c.settings, "text": text}}))
+	x.appendEntry(Entry{Term: x.term, Index: x.position().Index + 1, RequestIDs: []string{request.RequestID}, Statements: []string{text}})
+	return x.answerOrLose(x.reply(c, map[string]any{"rows": map[string]any{"settings": c.settings, "text": text}}))
 }
 
-func (x *Instance) onBegin(c *conn, asked request) (int, any) {
+func (x *Instance) onBegin(c *connection, request instanceRequest) (int, any) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	if code, body := x.guard(c, asked, false); code != 0 {
+	if code, body := x.checkRequest(c, request, false); code != 0 {
 		return code, body
 	}
-	if c.turn != nil {
-		return x.refuse(c, http.StatusUnprocessableEntity, "a transaction is open")
+	if c.transaction != nil {
+		return x.reject(c, http.StatusUnprocessableEntity, "a transaction is open")
 	}
-	x.turns++
-	c.turn = &turn{id: fmt.Sprintf("%s/%d", c.id, x.turns)}
-	return x.answered(x.reply(c, nil))
+	x.transactionCount++
+	c.transaction = &transaction{id: fmt.Sprintf("%s/%d", c.id, x.transactionCount)}
+	return x.answerOrLose(x.reply(c, nil))
 }
 
-func (x *Instance) onCommit(c *conn, asked request) (int, any) {
+func (x *Instance) onCommit(c *connection, request instanceRequest) (int, any) {
 	x.mutex.Lock()
-	if code, body := x.guard(c, asked, true); code != 0 {
+	if code, body := x.checkRequest(c, request, true); code != 0 {
 		x.mutex.Unlock()
 		return code, body
 	}
-	if c.turn == nil {
-		code, body := x.refuse(c, http.StatusUnprocessableEntity, "no transaction is open")
+	if c.transaction == nil {
+		code, body := x.reject(c, http.StatusUnprocessableEntity, "no transaction is open")
 		x.mutex.Unlock()
 		return code, body
 	}
-	done := c.turn
+	done := c.transaction
 	x.mutex.Unlock()
-	x.work(true)
+	x.occupySlot(true)
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	if x.role != "primary" {
-		return x.refuse(c, http.StatusConflict, "not primary any more")
+		return x.reject(c, http.StatusConflict, "not primary any more")
 	}
-	asked.Act = "commit"
-	x.note(c, asked, "")
-	c.turn = nil
-	x.appendEntry(Entry{Term: x.term, Index: x.position().Index + 1, Gos: append(done.gos, asked.Go), Texts: done.texts})
-	return x.answered(x.reply(c, nil))
+	request.Action = "commit"
+	x.recordExecution(c, request, "")
+	c.transaction = nil
+	x.appendEntry(Entry{Term: x.term, Index: x.position().Index + 1, RequestIDs: append(done.requestIDs, request.RequestID), Statements: done.statements})
+	return x.answerOrLose(x.reply(c, nil))
 }
 
-func (x *Instance) onRollback(c *conn, asked request) (int, any) {
+func (x *Instance) onRollback(c *connection, request instanceRequest) (int, any) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	if code, body := x.guard(c, asked, false); code != 0 {
+	if code, body := x.checkRequest(c, request, false); code != 0 {
 		return code, body
 	}
-	c.turn = nil
-	return x.answered(x.reply(c, nil))
+	c.transaction = nil
+	return x.answerOrLose(x.reply(c, nil))
 }
 
-func (x *Instance) onSet(c *conn, asked request) (int, any) {
+func (x *Instance) onSet(c *connection, request instanceRequest) (int, any) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	if code, body := x.guard(c, asked, false); code != 0 {
+	if code, body := x.checkRequest(c, request, false); code != 0 {
 		return code, body
 	}
-	c.settings[asked.Name] = asked.Value
-	return x.answered(x.reply(c, nil))
+	c.settings[request.Name] = request.Value
+	return x.answerOrLose(x.reply(c, nil))
 }
 
-func (x *Instance) onPrepare(c *conn, asked request) (int, any) {
+func (x *Instance) onPrepare(c *connection, request instanceRequest) (int, any) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	if code, body := x.guard(c, asked, false); code != 0 {
+	if code, body := x.checkRequest(c, request, false); code != 0 {
 		return code, body
 	}
-	c.prepared[asked.Name] = asked.Text
-	return x.answered(x.reply(c, nil))
+	c.prepared[request.Name] = request.Text
+	return x.answerOrLose(x.reply(c, nil))
 }
 
-func before(a, b Position) bool { return a.Term < b.Term || (a.Term == b.Term && a.Index < b.Index) }
+func precedes(a, b Position) bool { return a.Term < b.Term || (a.Term == b.Term && a.Index < b.Index) }
 
-func (x *Instance) awaitPast(after Position, wait time.Duration) {
-	timer := time.NewTimer(wait)
+func (x *Instance) awaitAppend(after Position, delay time.Duration) {
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	for {
 		x.mutex.Lock()
-		isPast, moved := before(after, x.position()), x.moved
+		appended, changed := precedes(after, x.position()), x.appended
 		x.mutex.Unlock()
-		if isPast {
+		if appended {
 			return
 		}
 		select {
-		case <-moved:
+		case <-changed:
 		case <-timer.C:
 			return
 		}
 	}
 }
 
-func (x *Instance) onStatus(c *conn, asked request) (int, any) {
-	x.awaitPast(asked.After, time.Duration(min(asked.WaitMS, 2000))*time.Millisecond)
+func (x *Instance) onStatus(c *connection, request instanceRequest) (int, any) {
+	x.awaitAppend(request.After, time.Duration(min(request.WaitMS, 2000))*time.Millisecond)
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	return http.StatusOK, x.reply(c, nil)
 }
 
-type pulled struct {
+type pullResponse struct {
 	Entries  []Entry `json:"entries"`
 	Truncate *uint64 `json:"truncate"`
 	Term     uint64  `json:"term"`
 }
 
-func (x *Instance) onPull(_ *conn, asked request) (int, any) {
-	x.awaitPast(asked.After, time.Duration(min(asked.WaitMS, 2000))*time.Millisecond)
+func (x *Instance) onPull(_ *connection, request instanceRequest) (int, any) {
+	x.awaitAppend(request.After, time.Duration(min(request.WaitMS, 2000))*time.Millisecond)
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	answer := pulled{Term: x.term}
-	at := int(asked.After.Index)
-	isApart := at > len(x.entries) || (at > 0 && x.entries[at-1].Term != asked.After.Term)
-	if x.role != "primary" && isApart {
+	answer := pullResponse{Term: x.term}
+	index := int(request.After.Index)
+	diverged := index > len(x.entries) || (index > 0 && x.entries[index-1].Term != request.After.Term)
+	if x.role != "primary" && diverged {
 		return http.StatusOK, answer
 	}
-	if at > len(x.entries) {
+	if index > len(x.entries) {
 		cut := uint64(len(x.entries))
 		answer.Truncate = &cut
 		return http.StatusOK, answer
 	}
-	if at > 0 && x.entries[at-1].Term != asked.After.Term {
-		cut := uint64(at - 1)
+	if index > 0 && x.entries[index-1].Term != request.After.Term {
+		cut := uint64(index - 1)
 		answer.Truncate = &cut
 		return http.StatusOK, answer
 	}
-	answer.Entries = append(answer.Entries, x.entries[at:min(len(x.entries), at+500)]...)
+	answer.Entries = append(answer.Entries, x.entries[index:min(len(x.entries), index+500)]...)
 	return http.StatusOK, answer
 }
 
-func (x *Instance) onFault(_ *conn, asked request) (int, any) {
+func (x *Instance) onFault(_ *connection, request instanceRequest) (int, any) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	fault := asked.Fault
+	fault := request.Fault
 	if fault == nil {
 		return http.StatusBadRequest, map[string]any{}
 	}
-	set(fault.Slow, &x.slow)
-	set(fault.Lose, &x.lose)
-	set(fault.Reset, &x.reset)
-	set(fault.IsSilent, &x.isSilent)
-	set(fault.IsLying, &x.isLying)
-	if fault.DelayMS != nil {
-		x.delay = time.Duration(*fault.DelayMS) * time.Millisecond
-	}
-	if fault.IsLeave != nil {
-		x.leaving = 0
-		if *fault.IsLeave {
-			x.leaving = time.Now().UnixNano()
+	setIfGiven(fault.Slowdown, &x.slowdown)
+	setIfGiven(fault.LoseAnswers, &x.loseAnswers)
+	setIfGiven(fault.ResetConnections, &x.resetConnections)
+	setIfGiven(fault.Silent, &x.silent)
+	setIfGiven(fault.MisreportClean, &x.misreportClean)
+	if fault.ReplicationDelayMS != nil {
+		x.replicationDelay = time.Duration(*fault.ReplicationDelayMS) * time.Millisecond
+	}
+	if fault.Leaving != nil {
+		x.leavingSince = 0
+		if *fault.Leaving {
+			x.leavingSince = time.Now().UnixNano()
 		}
 	}
 	return http.StatusOK, map[string]any{}
 }
 
-func set[T any](from, to *T) {
+func setIfGiven[T any](from, to *T) {
 	if from != nil {
 		*to = *from
 	}
 }
 
-func (x *Instance) onPromote(_ *conn, asked request) (int, any) {
+func (x *Instance) onPromote(_ *connection, request instanceRequest) (int, any) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	if x.term >= asked.Term && x.role != "primary" {
+	if x.term >= request.Term && x.role != "primary" {
 		return http.StatusConflict, map[string]any{"role": x.role, "term": x.term}
 	}
-	if x.term >= asked.Term {
+	if x.term >= request.Term {
 		return http.StatusOK, map[string]any{"role": x.role, "term": x.term}
 	}
-	x.role, x.term, x.upstream = "primary", asked.Term, ""
+	x.role, x.term, x.upstream = "primary", request.Term, ""
 	x.saveState()
-	x.note(&conn{}, request{Act: "promote"}, "")
+	x.recordExecution(&connection{}, instanceRequest{Action: "promote"}, "")
 	x.appendEntry(Entry{Term: x.term, Index: x.position().Index + 1})
 	return http.StatusOK, map[string]any{"role": x.role, "term": x.term}
 }
 
-func (x *Instance) onFollow(_ *conn, asked request) (int, any) {
+func (x *Instance) onFollow(_ *connection, request instanceRequest) (int, any) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	if asked.Term < x.term || (x.role == "primary" && asked.Term == x.term) {
+	if request.Term < x.term || (x.role == "primary" && request.Term == x.term) {
 		return http.StatusConflict, map[string]any{}
 	}
-	x.role, x.upstream, x.term = "replica", asked.Upstream, asked.Term
+	x.role, x.upstream, x.term = "replica", request.Upstream, request.Term
 	x.saveState()
 	return http.StatusOK, map[string]any{}
 }
@@ -649,32 +651,32 @@
 	return json.Unmarshal(raw, into)
 }
 
-func clientFrom(address string, bound time.Duration) *http.Client {
+func newClient(address string, bound time.Duration) *http.Client {
 	host, _, _ := net.SplitHostPort(address)
 	dialer := &net.Dialer{Timeout: bound, LocalAddr: &net.TCPAddr{IP: net.ParseIP(host)}}
 	return &http.Client{Timeout: bound, Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 64}}
 }
 
 func (x *Instance) announceLoop(ctx context.Context) {
-	client := clientFrom(x.config.Address, 800*time.Millisecond)
+	client := newClient(x.config.Address, 800*time.Millisecond)
 	ticker := time.NewTicker(400 * time.Millisecond)
 	defer ticker.Stop()
 	for {
 		x.mutex.Lock()
 		body := map[string]any{
 			"instance": x.config.Name, "database": x.config.Database, "address": x.config.Address, "zone": x.config.Zone,
-			"role": x.role, "birth": x.birth, "term": x.term, "position": x.position(), "leaving": x.leaving != 0,
+			"role": x.role, "birth": x.incarnation, "term": x.term, "position": x.position(), "leaving": x.leavingSince != 0,
 			"connections": x.config.Connections, "slots": x.config.Slots,
 		}
-		doors := []string{}
-		for door := range x.doors {
-			doors = append(doors, door)
+		addresses := []string{}
+		for address := range x.announceAddresses {
+			addresses = append(addresses, address)
 		}
-		isSilent := x.isSilent
+		silent := x.silent
 		x.mutex.Unlock()
-		if !isSilent {
-			for _, door := range doors {
-				go x.announce(client, door, body)
+		if !silent {
+			for _, address := range addresses {
+				go x.announce(client, address, body)
 			}
 		}
 		select {
@@ -685,70 +687,70 @@
 	}
 }
 
-func (x *Instance) announce(client *http.Client, door string, body map[string]any) {
+func (x *Instance) announce(client *http.Client, address string, body map[string]any) {
 	var answer struct {
 		Nodes []string `json:"nodes"`
 	}
-	if post(client, door, "/v1/announce", body, &answer) != nil {
+	if post(client, address, "/v1/announce", body, &answer) != nil {
 		return
 	}
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	for _, node := range answer.Nodes {
-		x.doors[node] = true
+		x.announceAddresses[node] = true
 	}
 }
 
 func (x *Instance) pullLoop(ctx context.Context) {
-	client := clientFrom(x.config.Address, 3*time.Second)
+	client := newClient(x.config.Address, 3*time.Second)
 	for ctx.Err() == nil {
 		x.mutex.Lock()
-		role, upstream, after, delay := x.role, x.upstream, x.position(), x.delay
+		role, upstream, after, delay := x.role, x.upstream, x.position(), x.replicationDelay
 		x.mutex.Unlock()
 		if role != "replica" || upstream == "" {
-			pause(ctx, 50*time.Millisecond)
+			wait(ctx, 50*time.Millisecond)
 			continue
 		}
-		var got pulled
-		if err := post(client, upstream, "/db/pull", map[string]any{"after": after, "wait_ms": 500}, &got); err != nil {
-			pause(ctx, 100*time.Millisecond)
+		var answer pullResponse
+		if err := post(client, upstream, "/db/pull", map[string]any{"after": after, "wait_ms": 500}, &answer); err != nil {
+			wait(ctx, 100*time.Millisecond)
 			continue
 		}
-		if len(got.Entries) > 0 || got.Truncate != nil {
-			pause(ctx, delay)
+		if len(answer.Entries) > 0 || answer.Truncate != nil {
+			wait(ctx, delay)
 		}
 		x.mutex.Lock()
 		if x.role == "replica" && x.upstream == upstream && x.position() == after {
-			x.apply(got)
+			x.apply(answer)
 		}
 		x.mutex.Unlock()
 	}
 }
 
-func (x *Instance) apply(got pulled) {
-	if got.Truncate != nil {
-		file, err := os.OpenFile(filepath.Join(x.config.Folder, "discarded.jsonl"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+func (x *Instance) apply(answer pullResponse) {
+	if answer.Truncate != nil {
+		file, err := os.OpenFile(filepath.Join(x.config.Directory, "discarded.jsonl"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err == nil {
-			for _, entry := range x.entries[*got.Truncate:] {
+			for _, entry := range x.entries[*answer.Truncate:] {
 				line, _ := json.Marshal(entry)
 				_, _ = file.Write(append(line, '\n'))
 			}
 			_ = file.Close()
 		}
-		x.entries = x.entries[:*got.Truncate]
-		_ = x.rewrite()
+		x.entries = x.entries[:*answer.Truncate]
+		_ = x.rewriteLog()
 		return
 	}
-	for _, entry := range got.Entries {
+	for _, entry := range answer.Entries {
 		x.appendEntry(entry)
 	}
-	if got.Term > x.term {
-		x.term = got.Term
+	if answer.Term > x.term {
+		x.term = answer.Term
 		x.saveState()
 	}
 }
 
-func pause(ctx context.Context, span time.Duration) {
+func wait(ctx context.Context, span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
--- a/test/standin/platform.go
+++ b/test/standin/platform.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Place is one instance as the platform knows it.
-type Place struct {
+// InstanceInfo is one instance as the platform knows it.
+type InstanceInfo struct {
 	Name     string
 	Database string
 	Address  string
@@ -20,28 +20,28 @@
 // Platform is the stand-in platform: it hands out doors that are ready and
 // takes the promote call.
 type Platform struct {
-	mutex     sync.Mutex
-	places    map[string]Place
-	doors     map[string]string
-	ready     map[string]bool
-	next      int
-	wait      time.Duration
-	refusals  int
-	lost      int
-	isCut     bool
-	Calls     []string
-	followers context.Context
+	mutex        sync.Mutex
+	instances    map[string]InstanceInfo
+	proxies      map[string]string
+	ready        map[string]bool
+	nextProxy    int
+	promoteDelay time.Duration
+	refusals     int
+	lostAnswers  int
+	partitioned  bool
+	PromoteCalls []string
+	ctx          context.Context
 }
 
 // NewPlatform makes a platform that knows the instances and the data-plane
 // doors with their zones.
-func NewPlatform(ctx context.Context, places []Place, doors map[string]string) *Platform {
-	p := &Platform{places: map[string]Place{}, doors: map[string]string{}, ready: map[string]bool{}, followers: ctx}
-	for _, place := range places {
-		p.places[place.Name] = place
+func NewPlatform(ctx context.Context, instances []InstanceInfo, addresses map[string]string) *Platform {
+	p := &Platform{instances: map[string]InstanceInfo{}, proxies: map[string]string{}, ready: map[string]bool{}, ctx: ctx}
+	for _, instance := range instances {
+		p.instances[instance.Name] = instance
 	}
-	for door, zone := range doors {
-		p.doors[door] = zone
+	for address, zone := range addresses {
+		p.proxies[address] = zone
 	}
 	return p
 }
@@ -53,165 +53,165 @@
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("/platform/promote", p.promote)
+	mux.HandleFunc("/platform/promote", p.handlePromote)
 	server := &http.Server{Handler: mux}
 	go func() { _ = server.Serve(listener) }()
-	go func() { <-p.followers.Done(); _ = server.Close() }()
-	go p.look()
+	go func() { <-p.ctx.Done(); _ = server.Close() }()
+	go p.probeLoop()
 	return nil
 }
 
-// Misbehave sets how the promote call goes wrong: slow, refused so many
+// SetPromoteFaults sets how the promote call goes wrong: slow, refused so many
 // times, its answer lost so many times, cut off.
-func (p *Platform) Misbehave(wait time.Duration, refusals, lost int, isCut bool) {
+func (p *Platform) SetPromoteFaults(delay time.Duration, refusals, lost int, partitioned bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.wait, p.refusals, p.lost, p.isCut = wait, refusals, lost, isCut
+	p.promoteDelay, p.refusals, p.lostAnswers, p.partitioned = delay, refusals, lost, partitioned
 }
 
-// AddDoor makes a further door known.
-func (p *Platform) AddDoor(door, zone string) {
+// AddProxy makes a further door known.
+func (p *Platform) AddProxy(address, zone string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.doors[door] = zone
+	p.proxies[address] = zone
 }
 
-// DropDoor forgets a door.
-func (p *Platform) DropDoor(door string) {
+// RemoveProxy forgets a door.
+func (p *Platform) RemoveProxy(address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	delete(p.doors, door)
+	delete(p.proxies, address)
 }
 
-func (p *Platform) look() {
+func (p *Platform) probeLoop() {
 	client := &http.Client{Timeout: 400 * time.Millisecond}
 	ticker := time.NewTicker(150 * time.Millisecond)
 	defer ticker.Stop()
 	for {
 		p.mutex.Lock()
-		doors := []string{}
-		for door := range p.doors {
-			doors = append(doors, door)
+		addresses := []string{}
+		for address := range p.proxies {
+			addresses = append(addresses, address)
 		}
 		p.mutex.Unlock()
 		var group sync.WaitGroup
-		for _, door := range doors {
+		for _, address := range addresses {
 			group.Add(1)
 			go func() {
 				defer group.Done()
-				response, err := client.Post("http://"+door+"/v1/ready", "application/json", nil)
-				isReady := err == nil && response.StatusCode == http.StatusOK
+				response, err := client.Post("http://"+address+"/v1/ready", "application/json", nil)
+				ready := err == nil && response.StatusCode == http.StatusOK
 				if err == nil {
 					_ = response.Body.Close()
 				}
 				p.mutex.Lock()
-				p.ready[door] = isReady
+				p.ready[address] = ready
 				p.mutex.Unlock()
 			}()
 		}
 		group.Wait()
 		select {
-		case <-p.followers.Done():
+		case <-p.ctx.Done():
 			return
 		case <-ticker.C:
 		}
 	}
 }
 
-// Ready counts the doors that are ready.
-func (p *Platform) Ready() int {
+// ReadyCount counts the doors that are ready.
+func (p *Platform) ReadyCount() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	count := 0
-	for door := range p.doors {
-		if p.ready[door] {
+	for address := range p.proxies {
+		if p.ready[address] {
 			count++
 		}
 	}
 	return count
 }
 
-// Door hands out a ready door, one of the zone where there is one.
-func (p *Platform) Door(zone string) (string, bool) {
+// ReadyProxy hands out a ready door, one of the zone where there is one.
+func (p *Platform) ReadyProxy(zone string) (string, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	near, far := []string{}, []string{}
-	for door, at := range p.doors {
-		if !p.ready[door] {
+	for address, index := range p.proxies {
+		if !p.ready[address] {
 			continue
 		}
-		if at == zone {
-			near = append(near, door)
+		if index == zone {
+			near = append(near, address)
 		} else {
-			far = append(far, door)
+			far = append(far, address)
 		}
 	}
-	p.next++
+	p.nextProxy++
 	if len(near) > 0 {
-		return near[p.next%len(near)], true
+		return near[p.nextProxy%len(near)], true
 	}
 	if len(far) > 0 {
-		return far[p.next%len(far)], true
+		return far[p.nextProxy%len(far)], true
 	}
 	return "", false
 }
 
-func (p *Platform) promote(w http.ResponseWriter, r *http.Request) {
-	var asked struct {
+func (p *Platform) handlePromote(w http.ResponseWriter, r *http.Request) {
+	var request struct {
 		Database string `json:"database"`
 		Instance string `json:"instance"`
 		Term     uint64 `json:"term"`
 	}
-	if json.NewDecoder(r.Body).Decode(&asked) != nil {
+	if json.NewDecoder(r.Body).Decode(&request) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	p.mutex.Lock()
-	wait, isRefused, isLost, isCut := p.wait, p.refusals > 0, p.lost > 0, p.isCut
-	if isCut {
+	delay, refused, lost, partitioned := p.promoteDelay, p.refusals > 0, p.lostAnswers > 0, p.partitioned
+	if partitioned {
 		p.mutex.Unlock()
 		panic(http.ErrAbortHandler)
 	}
-	if isRefused {
+	if refused {
 		p.refusals--
 		p.mutex.Unlock()
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if isLost {
-		p.lost--
+	if lost {
+		p.lostAnswers--
 	}
-	p.Calls = append(p.Calls, fmt.Sprintf("%s %s %d", asked.Database, asked.Instance, asked.Term))
-	target := p.places[asked.Instance]
-	var others []Place
-	for _, place := range p.places {
-		if place.Database == asked.Database && place.Name != asked.Instance {
-			others = append(others, place)
+	p.PromoteCalls = append(p.PromoteCalls, fmt.Sprintf("%s %s %d", request.Database, request.Instance, request.Term))
+	target := p.instances[request.Instance]
+	var others []InstanceInfo
+	for _, instance := range p.instances {
+		if instance.Database == request.Database && instance.Name != request.Instance {
+			others = append(others, instance)
 		}
 	}
 	p.mutex.Unlock()
-	pause(p.followers, wait)
+	wait(p.ctx, delay)
 	client := &http.Client{Timeout: time.Second}
-	if err := post(client, target.Address, "/admin/promote", map[string]any{"term": asked.Term}, nil); err != nil {
+	if err := post(client, target.Address, "/admin/promote", map[string]any{"term": request.Term}, nil); err != nil {
 		w.WriteHeader(http.StatusBadGateway)
 		return
 	}
 	for _, other := range others {
-		go p.follow(other, target.Address, asked.Term)
+		go p.follow(other, target.Address, request.Term)
 	}
-	if isLost {
+	if lost {
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-func (p *Platform) follow(other Place, upstream string, term uint64) {
+func (p *Platform) follow(other InstanceInfo, upstream string, term uint64) {
 	client := &http.Client{Timeout: time.Second}
 	for range 300 {
 		err := post(client, other.Address, "/admin/follow", map[string]any{"upstream": upstream, "term": term}, nil)
-		if err == nil || p.followers.Err() != nil {
+		if err == nil || p.ctx.Err() != nil {
 			return
 		}
-		pause(p.followers, 200*time.Millisecond)
+		wait(p.ctx, 200*time.Millisecond)
 	}
 }
--- a/test/standin/relay.go
+++ b/test/standin/relay.go
@@ -15,12 +15,12 @@
 	target   string
 	local    net.IP
 
-	mutex sync.Mutex
-	to    map[string]bool
-	from  map[string]bool
-	conns map[net.Conn]string
-	delay time.Duration
-	drop  float64
+	mutex       sync.Mutex
+	blockedTo   map[string]bool
+	blockedFrom map[string]bool
+	connections map[net.Conn]string
+	delay       time.Duration
+	dropRate    float64
 }
 
 // OpenRelay listens at an address and passes on to the target.
@@ -29,31 +29,31 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{listener: listener, target: target, to: map[string]bool{}, from: map[string]bool{}, conns: map[net.Conn]string{}}
+	r := &Relay{listener: listener, target: target, blockedTo: map[string]bool{}, blockedFrom: map[string]bool{}, connections: map[net.Conn]string{}}
 	go r.accept()
 	return r, nil
 }
 
-// Cut bars what a source IP sends to the target, and what the target sends
+// Block bars what a source IP sends to the target, and what the target sends
 // back, as asked. Bytes on a barred way wait or are lost with the session.
-func (r *Relay) Cut(source string, isTo, isFrom bool) {
+func (r *Relay) Block(source string, blockTo, blockFrom bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.to[source], r.from[source] = isTo, isFrom
+	r.blockedTo[source], r.blockedFrom[source] = blockTo, blockFrom
 }
 
-// Trouble delays each piece and, for a part of them, resets the session.
-func (r *Relay) Trouble(delay time.Duration, drop float64) {
+// SetFaults delays each piece and, for a part of them, resets the session.
+func (r *Relay) SetFaults(delay time.Duration, drop float64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.delay, r.drop = delay, drop
+	r.delay, r.dropRate = delay, drop
 }
 
 // Reset ends all sessions now.
 func (r *Relay) Reset() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for conn := range r.conns {
+	for conn := range r.connections {
 		_ = conn.Close()
 	}
 }
@@ -82,20 +82,20 @@
 		return
 	}
 	r.mutex.Lock()
-	r.conns[near], r.conns[far] = source, source
+	r.connections[near], r.connections[far] = source, source
 	r.mutex.Unlock()
 	var group sync.WaitGroup
 	group.Add(2)
-	go func() { defer group.Done(); r.copy(far, near, source, r.to) }()
-	go func() { defer group.Done(); r.copy(near, far, source, r.from) }()
+	go func() { defer group.Done(); r.copy(far, near, source, r.blockedTo) }()
+	go func() { defer group.Done(); r.copy(near, far, source, r.blockedFrom) }()
 	group.Wait()
 	r.mutex.Lock()
-	delete(r.conns, near)
-	delete(r.conns, far)
+	delete(r.connections, near)
+	delete(r.connections, far)
 	r.mutex.Unlock()
 }
 
-func (r *Relay) copy(to, from net.Conn, source string, barred map[string]bool) {
+func (r *Relay) copy(to, from net.Conn, source string, blocked map[string]bool) {
 	defer func() { _, _ = to.Close(), from.Close() }()
 	buffer := make([]byte, 32<<10)
 	for {
@@ -105,10 +105,10 @@
 		}
 		for {
 			r.mutex.Lock()
-			isBarred, delay, drop := barred[source] || barred["*"], r.delay, r.drop
-			_, isOpen := r.conns[to]
+			blocked, delay, drop := blocked[source] || blocked["*"], r.delay, r.dropRate
+			_, open := r.connections[to]
 			r.mutex.Unlock()
-			if !isOpen {
+			if !open {
 				return
 			}
 			if drop > 0 && rand.Float64() < drop {
@@ -117,7 +117,7 @@
 			if delay > 0 {
 				time.Sleep(delay)
 			}
-			if !isBarred {
+			if !blocked {
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
