--- a/test/cmd/simulate/main.go
+++ b/test/cmd/simulate/main.go
@@ -42,7 +42,7 @@
 	flag.Uint64Var(&o.replay, "replay", 0, "replay this one seed, with its history")
 	flag.StringVar(&o.mode, "manner", "json", "json for back ends that push positions, lines for synced instances")
 	flag.IntVar(&o.jobs, "jobs", runtime.NumCPU(), "seeds played at once")
-	flag.BoolVar(&o.printPhases, "met", false, "print how often each trouble met each phase")
+	flag.BoolVar(&o.printPhases, "met", false, "print how often each fault met each phase")
 	flag.BoolVar(&o.admission, "admission", false, "play the admission experiments and print their table")
 	flag.BoolVar(&o.digests, "digests", false, "print the digest of each seed's history, by which two builds are compared")
 	flag.BoolVar(&o.failover, "takeover", false, "lose control's primary in each way, over the seeds, and print how long it takes")
--- a/test/cmd/simulate/summary.go
+++ b/test/cmd/simulate/summary.go
@@ -89,7 +89,7 @@
 }
 
 func printFaultPhases(names []string, counts map[string]int) {
-	fmt.Println("| trouble | " + strings.Join(simulation.Phases, " | ") + " |")
+	fmt.Println("| fault | " + strings.Join(simulation.Phases, " | ") + " |")
 	fmt.Println("|---|" + strings.Repeat("---|", len(simulation.Phases)))
 	for _, name := range names {
 		row := "| " + name
--- a/test/simulation/digest.go
+++ b/test/simulation/digest.go
@@ -2,19 +2,31 @@
 
 import "fmt"
 
-// DigestOf gives the function from a seed to the digest of its history, for
-// a manner and a shape of fleet by name. The digest covers everything that is
-// noted in a run; builds whose machines decide alike have the same.
-func DigestOf(manner, shape string) (func(seed uint64) string, error) {
-	runs := map[[2]string]func(uint64) string{
-		{"json", "magnolia"}:  func(seed uint64) string { return Run(seed, SmallConfig(), Defects{}, nil).HistoryDigest },
-		{"json", "chile"}:     func(seed uint64) string { return Run(seed, LargeConfig(), Defects{}, nil).HistoryDigest },
-		{"lines", "magnolia"}: func(seed uint64) string { return RunLines(seed, SmallLineConfig(), LineDefects{}, nil).HistoryDigest },
-		{"lines", "chile"}:    func(seed uint64) string { return RunLines(seed, LargeLineConfig(), LineDefects{}, nil).HistoryDigest },
-	}
-	run, known := runs[[2]string{manner, shape}]
+// fleetKind names a kind of fleet as the options of the simulate command do.
+type fleetKind struct{ mode, shape string }
+
+// digestRuns gives the digest of the history of a seed, by kind of fleet.
+var digestRuns = map[fleetKind]func(seed uint64) string{
+	{"json", "magnolia"}:  func(seed uint64) string { return Run(seed, SmallConfig(), Defects{}, nil).HistoryDigest },
+	{"json", "chile"}:     func(seed uint64) string { return Run(seed, LargeConfig(), Defects{}, nil).HistoryDigest },
+	{"lines", "magnolia"}: func(seed uint64) string { return RunLines(seed, SmallLineConfig(), LineDefects{}, nil).HistoryDigest },
+	{"lines", "chile"}:    func(seed uint64) string { return RunLines(seed, LargeLineConfig(), LineDefects{}, nil).HistoryDigest },
+}
+
+// UnknownFleetError says that there is no kind of fleet of these names.
+type UnknownFleetError struct{ Mode, Shape string }
+
+func (e *UnknownFleetError) Error() string {
+	return fmt.Sprintf("no fleet of mode %q and shape %q", e.Mode, e.Shape)
+}
+
+// DigestOf gives the function from a seed to the digest of its history, for a
+// kind of fleet. The digest covers every line of the history; builds whose
+// machines decide alike have the same. The error is an UnknownFleetError.
+func DigestOf(mode, shape string) (func(seed uint64) string, error) {
+	run, known := digestRuns[fleetKind{mode, shape}]
 	if !known {
-		return nil, fmt.Errorf("no fleet of manner %q and shape %q", manner, shape)
+		return nil, &UnknownFleetError{Mode: mode, Shape: shape}
 	}
 	return run, nil
 }
--- a/test/simulation/digest_test.go
+++ b/test/simulation/digest_test.go
@@ -21,7 +21,7 @@
 		So(len(rows), ShouldBeGreaterThanOrEqualTo, 16)
 		digests := make([]string, len(rows))
 		var group sync.WaitGroup
-		for place, row := range rows {
+		for index, row := range rows {
 			fields := strings.Fields(row)
 			So(len(fields), ShouldEqual, 4)
 			digest, err := DigestOf(fields[0], fields[1])
@@ -31,12 +31,12 @@
 			group.Add(1)
 			go func() {
 				defer group.Done()
-				digests[place] = digest(seed)
+				digests[index] = digest(seed)
 			}()
 		}
 		group.Wait()
-		for place, row := range rows {
-			SoMsg(row, digests[place], ShouldEqual, strings.Fields(row)[3])
+		for index, row := range rows {
+			SoMsg(row, digests[index], ShouldEqual, strings.Fields(row)[3])
 		}
 	})
 }
--- a/test/simulation/instance.go
+++ b/test/simulation/instance.go
@@ -164,24 +164,17 @@
 		return
 	}
 	upstream, position := i.upstream, i.position()
-	finished := false
-	again := func() {
-		if !finished {
-			finished = true
-			i.replicate()
-		}
-	}
-	i.after(replicationTimeout, again)
+	attempt := i.beginAttempt(replicationTimeout, i.replicate)
 	i.simulator.send(&i.machine, &upstream.machine, func() {
 		upstream.awaitBeyond(position, replicationHold, func() {
 			suffix := upstream.suffixAfter(position)
 			i.simulator.send(&upstream.machine, &i.machine, func() {
 				i.after(i.replicationDelay, func() {
 					current := i.role == model.RoleReplica && i.upstream == upstream && i.position() == position
-					if !finished && current {
+					if !attempt.ended && current {
 						i.apply(suffix)
 					}
-					again()
+					attempt.end()
 				})
 			})
 		})
--- a/test/simulation/lines_instance.go
+++ b/test/simulation/lines_instance.go
@@ -4,23 +4,15 @@
 	"slices"
 	"time"
 
-	"tansyseam/internal/coordination/distribution"
 	"tansyseam/internal/state/model"
 )
 
 const (
-	lineAnnouncementTimeout = 200 * time.Millisecond
-	announcementRetries     = 2
-	lineReplicationHold     = 120 * time.Millisecond
-	lineReplicationTimeout  = 300 * time.Millisecond
-	lineNoUpstreamDelay     = 50 * time.Millisecond
+	lineReplicationHold    = 120 * time.Millisecond
+	lineReplicationTimeout = 300 * time.Millisecond
+	lineNoUpstreamDelay    = 50 * time.Millisecond
 	// maxQueueLength bounds the statements that wait for a slot.
 	maxQueueLength = 12
-
-	lineRedirectInterval = 200 * time.Millisecond
-	lineRedirectAttempts = 200
-	// stepDownDelay is how long an old primary takes to follow a new one.
-	stepDownDelay = time.Second
 )
 
 // logEntry is one commit in the log of an instance.
@@ -108,61 +100,6 @@
 	i.sessions = nil
 }
 
-// info gives the next announcement of the instance.
-func (i *lineInstance) info() model.Instance {
-	i.announcementsMade++
-	return model.Instance{
-		Name: i.name, Database: i.database, Address: i.address, Zone: i.zone, Role: i.role, Leaving: i.leavingSince != 0,
-		Slots: i.fleet.config.Slots, SyncReplication: true, AnnouncementNumber: i.announcementsMade,
-	}
-}
-
-func (i *lineInstance) heartbeat() {
-	i.after(announcementInterval, i.heartbeat)
-	i.announce(i.info(), announcementRetries)
-}
-
-// announce sends an announcement to any control server, which passes it to the
-// primary before it answers.
-func (i *lineInstance) announce(info model.Instance, retries int) {
-	first := pickRandom(i.simulator, i.fleet.controls)
-	answered := false
-	i.simulator.send(&i.machine, &first.machine, func() {
-		primary := i.fleet.findControl(first.consensus.Record().Primary)
-		if primary == nil {
-			return
-		}
-		i.simulator.send(&first.machine, &primary.machine, func() {
-			if !primary.isPrimary() {
-				return
-			}
-			primary.onAnnouncement(info)
-			i.simulator.sendAlong([]*machine{&primary.machine, &first.machine, &i.machine}, func() {
-				answered = true
-				if info.Leaving && i.leavingAcknowledged == 0 {
-					i.leavingAcknowledged = i.simulator.now
-				}
-			})
-		})
-	})
-	i.after(lineAnnouncementTimeout, func() {
-		if !answered && retries > 0 {
-			i.announce(info, retries-1)
-		}
-	})
-}
-
-// onAnnouncement takes in an announcement, unless a newer one is known.
-func (c *controlServer) onAnnouncement(info model.Instance) {
-	if last, known := c.announcements[info.Name]; known && info.AnnouncementNumber <= last.Instance.AnnouncementNumber {
-		return
-	}
-	c.announcements[info.Name] = distribution.Observation{Instance: info, ObservedAt: c.clock()}
-	if c.distributor.UpdateInstances(c.announcementsByName()) {
-		c.flushUpdates()
-	}
-}
-
 // append adds a commit to the log; done is called once a replica has received
 // it.
 func (i *lineInstance) append(writeIDs []string, done func()) model.Position {
@@ -208,14 +145,7 @@
 		return
 	}
 	upstream, position := i.upstream, i.position()
-	finished := false
-	again := func() {
-		if !finished {
-			finished = true
-			i.replicate()
-		}
-	}
-	i.after(lineReplicationTimeout, again)
+	attempt := i.beginAttempt(lineReplicationTimeout, i.replicate)
 	i.simulator.send(&i.machine, &upstream.machine, func() {
 		if upstream.role != model.RolePrimary {
 			return
@@ -230,10 +160,10 @@
 			i.simulator.send(&upstream.machine, &i.machine, func() {
 				i.after(i.replicationDelay, func() {
 					current := i.role == model.RoleReplica && i.upstream == upstream && i.position() == position
-					if !finished && current && term >= i.term {
+					if !attempt.ended && current && term >= i.term {
 						i.adoptLog(entries, term)
 					}
-					again()
+					attempt.end()
 				})
 			})
 		})
@@ -256,68 +186,6 @@
 	i.simulator.send(&i.machine, &upstream.machine, func() { upstream.onReceived(position) })
 }
 
-// becomePrimary makes the instance primary of a term, and has the others
-// follow.
-func (i *lineInstance) becomePrimary(term uint64) {
-	i.role, i.term, i.pendingCommits = model.RolePrimary, term, nil
-	i.fleet.newestTerms[i.database] = term
-	i.simulator.record("%s leads term %d at %v", i.name, term, i.position())
-	i.fleet.checker.checkComplete(i, "the promoted one")
-	i.announce(i.info(), announcementRetries)
-	i.redirectReplicas()
-}
-
-// redirectReplicas has the others follow; a primary that starts again does so
-// anew.
-func (i *lineInstance) redirectReplicas() {
-	for _, other := range i.fleet.instancesOf(i.database) {
-		if other != i {
-			i.redirect(other, i.term, lineRedirectAttempts)
-		}
-	}
-}
-
-// redirect has an instance follow, and tries again until it has received it.
-func (i *lineInstance) redirect(other *lineInstance, term uint64, attempts int) {
-	if attempts == 0 || i.term != term || other.ended {
-		return
-	}
-	delivered := false
-	i.simulator.send(&i.machine, &other.machine, func() {
-		delivered = true
-		if other.term >= term {
-			return
-		}
-		if other.role == model.RolePrimary {
-			other.after(stepDownDelay, func() { other.stepDown(term, i) })
-			return
-		}
-		other.term, other.upstream = term, i
-	})
-	i.after(lineRedirectInterval, func() {
-		if !delivered {
-			i.redirect(other, term, attempts-1)
-		}
-	})
-}
-
-// stepDown makes a primary follow that of a newer term. Sessions with a commit
-// in flight end.
-func (i *lineInstance) stepDown(term uint64, primary *lineInstance) {
-	if i.term >= term {
-		return
-	}
-	i.simulator.record("%s steps down for term %d", i.name, term)
-	i.role, i.term, i.upstream, i.pendingCommits = model.RoleReplica, term, primary, nil
-	for _, session := range slices.Clone(i.sessions) {
-		if session.committing {
-			session.close()
-			session.connection.breakOff()
-		}
-	}
-	i.announce(i.info(), announcementRetries)
-}
-
 // isOverloaded reports whether the instance takes no more work.
 func (i *lineInstance) isOverloaded() bool { return len(i.queue) > maxQueueLength }
 
--- a/test/simulation/lines_node.go
+++ b/test/simulation/lines_node.go
@@ -133,27 +133,27 @@
 		n.after(strandedRetryDelay, n.requestUpdate)
 		return
 	}
-	n.control.lastRequest++
-	number, sent := n.control.lastRequest, n.clock()
-	var request distribution.UpdateRequest
-	n.step(func(now time.Duration) { request = n.pool.UpdateRequest(now) })
-	target := n.control.server(n.fleet.controls)
-	n.after(lineUpdateTimeout, func() {
-		if n.control.lastRequest == number {
-			n.control.missedAnswers++
-			n.control.index++
-			n.requestUpdate()
-		}
+	n.control.exchange(updateExchange{
+		node: &n.machine, controls: n.fleet.controls, timeout: lineUpdateTimeout,
+		build: n.buildUpdateRequest, relay: n.chooseRelay, onTimeout: n.onUpdateTimeout, onUpdate: n.onUpdate,
 	})
-	var relay *machine
-	if n.control.missedAnswers%3 == 2 {
-		relay = &pickRandom(n.simulator, n.fleet.nodes).machine
+}
+
+func (n *lineNode) buildUpdateRequest() (request distribution.UpdateRequest) {
+	n.step(func(now time.Duration) { request = n.pool.UpdateRequest(now) })
+	return request
+}
+
+func (n *lineNode) chooseRelay() *machine {
+	if n.control.missedAnswers%3 != 2 {
+		return nil
 	}
-	n.simulator.exchangeUpdate(&n.machine, relay, target, request, func(update distribution.Update) {
-		if n.control.lastRequest == number {
-			n.onUpdate(update, sent)
-		}
-	})
+	return &n.fleet.randomNode().machine
+}
+
+func (n *lineNode) onUpdateTimeout() {
+	n.control.index++
+	n.requestUpdate()
 }
 
 func (n *lineNode) onUpdate(update distribution.Update, sent time.Duration) {
@@ -190,9 +190,7 @@
 // sendReport reports to control what the node observed of instances.
 func (n *lineNode) sendReport() {
 	n.reportPending = false
-	report := n.pool.Observations(n.clock())
-	target := n.control.server(n.fleet.controls)
-	n.simulator.send(&n.machine, &target.machine, func() { target.distributor.HandleReport(report, target.clock()) })
+	n.control.sendReport(&n.machine, n.fleet.controls, n.pool.Observations(n.clock()))
 }
 
 // stop stops a node as planned, and starts it again after a span.
--- a/test/simulation/lines_operations.go
+++ b/test/simulation/lines_operations.go
@@ -10,23 +10,14 @@
 const (
 	// operationTimeout is how long after its start an operation is tried
 	// again.
-	operationTimeout   = 2 * time.Second
-	minOperationRetry  = 20 * time.Millisecond
-	maxOperationRetry  = 200 * time.Millisecond
-	minStatementPause  = time.Millisecond
-	maxStatementPause  = 30 * time.Millisecond
-	maxLineStatements  = 4
-	settingNames       = 2
-	settingValues      = 5
-	preparedNames      = 3
-	sessionEndsPerFail = 2
-)
-
-// Of so many statements or transactions, one does something else.
-const (
-	statementsPerDisconnect     = 40
-	statementsPerSet            = 10
-	lineTransactionsPerRollback = 8
+	operationTimeout  = 2 * time.Second
+	minOperationRetry = 20 * time.Millisecond
+	maxOperationRetry = 200 * time.Millisecond
+	settingNames      = 2
+	settingValues     = 5
+	preparedNames     = 3
+	// Of so many failures inside a transaction, one ends the session.
+	failuresPerClose = 2
 )
 
 // localText is that of statements which nodes answer themselves.
@@ -185,98 +176,6 @@
 	})
 }
 
-func (o *operation) beginTransaction(text string, action lineproto.Action) {
-	transaction := &clientTransaction{sentAt: o.client.simulator.now}
-	o.client.sendQuery(text, lineproto.Statement{Action: action}, nil, func(_ *query, answer response) {
-		if !answer.succeeded() {
-			o.fail(answer)
-			return
-		}
-		o.runInTransaction(transaction, 1+o.client.random.IntN(maxLineStatements))
-	})
-}
-
-// runInTransaction runs so many statements more, and ends the transaction.
-func (o *operation) runInTransaction(transaction *clientTransaction, remaining int) {
-	random := o.client.random
-	if remaining == 0 {
-		o.endTransaction(transaction)
-		return
-	}
-	if random.IntN(statementsPerDisconnect) == 0 {
-		o.client.endSession()
-		return
-	}
-	if random.IntN(statementsPerSet) == 0 {
-		o.setInTransaction(transaction, remaining)
-		return
-	}
-	write := !o.readOnly && random.IntN(2) == 0
-	text, action := "read "+o.client.randomKey(), lineproto.ActionRead
-	if write {
-		text, action = "write "+o.client.randomKey(), lineproto.ActionWrite
-	}
-	o.client.sendQuery(text, lineproto.Statement{Action: action}, transaction, func(sent *query, answer response) {
-		if write {
-			o.writeIDs = append(o.writeIDs, sent.id)
-		}
-		if !answer.succeeded() {
-			o.fail(answer)
-			return
-		}
-		o.client.fleet.checker.checkAnswer(sent, answer, 1)
-		o.client.after(o.client.randomDuration(minStatementPause, maxStatementPause), func() {
-			if o.client.node == nil || o.client.transactionState != lineproto.StateInTransaction {
-				o.fail(response{disconnected: true})
-				return
-			}
-			o.runInTransaction(transaction, remaining-1)
-		})
-	})
-}
-
-func (o *operation) setInTransaction(transaction *clientTransaction, remaining int) {
-	name, value := "v1", fmt.Sprint(o.client.random.IntN(settingValues))
-	o.client.sendQuery(localText, lineproto.Statement{Action: lineproto.ActionSet, Name: name, Value: value}, transaction, func(_ *query, answer response) {
-		if !answer.succeeded() {
-			o.fail(answer)
-			return
-		}
-		o.client.state.values[name] = value
-		o.runInTransaction(transaction, remaining)
-	})
-}
-
-func (o *operation) endTransaction(transaction *clientTransaction) {
-	if o.client.random.IntN(lineTransactionsPerRollback) == 0 {
-		o.rollBack(transaction)
-		return
-	}
-	o.writeSent = len(o.writeIDs) > 0
-	o.client.sendQuery(commitText, lineproto.Statement{Action: lineproto.ActionCommit}, transaction, func(sent *query, answer response) {
-		if !answer.succeeded() {
-			o.fail(answer)
-			return
-		}
-		checker := o.client.fleet.checker
-		checker.checkAnswer(sent, answer, 0)
-		if len(o.writeIDs) > 0 {
-			checker.checkAcknowledgement(sent)
-		}
-		o.succeed()
-	})
-}
-
-func (o *operation) rollBack(transaction *clientTransaction) {
-	o.client.sendQuery("rollback", lineproto.Statement{Action: lineproto.ActionRollback}, transaction, func(_ *query, answer response) {
-		if !answer.succeeded() {
-			o.fail(answer)
-			return
-		}
-		o.succeed()
-	})
-}
-
 // fail takes in a failed attempt, brings the session back to where the next
 // operation can begin, and tries again where that is safe.
 func (o *operation) fail(answer response) {
@@ -295,7 +194,7 @@
 		next()
 		return
 	}
-	if c.random.IntN(sessionEndsPerFail) == 0 {
+	if c.random.IntN(failuresPerClose) == 0 {
 		c.closeSession()
 		next()
 		return
--- a/test/simulation/lines_session.go
+++ b/test/simulation/lines_session.go
@@ -1,15 +1,12 @@
 package simulation
 
 import (
-	"fmt"
 	"maps"
 	"slices"
-	"strings"
 	"time"
 
 	"tansyseam/internal/coordination/pool/linepool"
 	"tansyseam/internal/state/lineproto"
-	"tansyseam/internal/state/model"
 )
 
 const (
@@ -18,14 +15,8 @@
 	// yet run for a session whose peer has closed it.
 	discardProbability  = 0.5
 	peerCloseCheckDelay = 20 * time.Millisecond
-	commitText          = "commit"
-	readPrefix          = "read"
-	writePrefix         = "write"
 )
 
-func isReadText(text string) bool  { return strings.HasPrefix(text, readPrefix) }
-func isWriteText(text string) bool { return strings.HasPrefix(text, writePrefix) }
-
 // lineTransaction is a transaction at an instance.
 type lineTransaction struct {
 	readOnly bool
@@ -195,164 +186,3 @@
 func (s *serverSession) readOnlyMessage() lineproto.Message {
 	return errorMessage(lineproto.CodeReadOnly, "READONLY "+s.instance.name)
 }
-
-// sessionCommands run the commands that change the session only.
-var sessionCommands = map[linepool.CommandKind]func(*serverSession, linepool.Command) lineproto.Message{
-	linepool.CommandReset:         (*serverSession).reset,
-	linepool.CommandSet:           (*serverSession).set,
-	linepool.CommandPrepare:       (*serverSession).prepare,
-	linepool.CommandRollback:      (*serverSession).rollBack,
-	linepool.CommandBegin:         (*serverSession).begin,
-	linepool.CommandBeginReadOnly: (*serverSession).beginReadOnly,
-}
-
-func (s *serverSession) reset(linepool.Command) lineproto.Message {
-	if !s.instance.fleet.defects.IgnoredResets {
-		s.state = newSessionState()
-	}
-	return doneMessage(noPayload)
-}
-
-func (s *serverSession) set(command linepool.Command) lineproto.Message {
-	s.state.values[command.Name] = command.Value
-	return doneMessage(noPayload)
-}
-
-func (s *serverSession) prepare(command linepool.Command) lineproto.Message {
-	s.state.prepared[command.Name] = command.Value
-	return doneMessage(noPayload)
-}
-
-func (s *serverSession) rollBack(linepool.Command) lineproto.Message {
-	if s.transaction == nil {
-		return errorMessage(lineproto.CodeMalformed, "MALFORMED")
-	}
-	s.undoTransaction()
-	return doneMessage(noPayload)
-}
-
-func (s *serverSession) undoTransaction() {
-	if s.stateBefore != nil {
-		s.state = *s.stateBefore
-	}
-	s.transaction, s.stateBefore = nil, nil
-}
-
-func (s *serverSession) begin(command linepool.Command) lineproto.Message {
-	if s.transaction == nil && s.instance.role != model.RolePrimary {
-		return s.readOnlyMessage()
-	}
-	return s.beginTransaction(command, false)
-}
-
-func (s *serverSession) beginReadOnly(command linepool.Command) lineproto.Message {
-	return s.beginTransaction(command, true)
-}
-
-func (s *serverSession) beginTransaction(command linepool.Command, readOnly bool) lineproto.Message {
-	if s.transaction != nil {
-		return errorMessage(lineproto.CodeMalformed, "MALFORMED")
-	}
-	if s.instance.position().IsBefore(command.MinPosition) {
-		return errorMessage(lineproto.CodeLagging, "LAGGING")
-	}
-	s.transaction = &lineTransaction{readOnly: readOnly, term: s.instance.term, logSize: len(s.instance.entries)}
-	s.stateBefore = s.state.clone()
-	return doneMessage(noPayload)
-}
-
-// runStatement runs a client's statement.
-func (s *serverSession) runStatement(command linepool.Command) {
-	if s.closed {
-		return
-	}
-	text := command.Text
-	if command.Kind == linepool.CommandExecute {
-		prepared, found := s.state.prepared[command.Name]
-		if !found {
-			s.fail(lineproto.CodeNotFound, "NOTFOUND")
-			return
-		}
-		text = prepared + command.Value
-	}
-	if s.refusesForRole(text) {
-		return
-	}
-	instance := s.instance
-	if s.transaction == nil && instance.position().IsBefore(command.MinPosition) {
-		s.fail(lineproto.CodeLagging, "LAGGING")
-		return
-	}
-	sent := instance.fleet.checkStatement(s, command.ID, text)
-	if sent == nil {
-		s.fail(lineproto.CodeOther, "OTHER")
-		return
-	}
-	instance.statementsMade++
-	stamp := fmt.Sprintf("%s.%s.%d", command.ID, instance.name, instance.statementsMade)
-	instance.fleet.checker.stampOwners[stamp] = command.ID
-	s.execute(sent, text, stamp)
-}
-
-// execute carries a statement out that was accepted.
-func (s *serverSession) execute(sent *query, text, stamp string) {
-	if text == commitText {
-		s.commit(sent, stamp)
-		return
-	}
-	if isWriteText(text) && s.transaction == nil {
-		s.appendCommit(sent, []string{sent.id}, stamp)
-		return
-	}
-	if isWriteText(text) {
-		s.transaction.writeIDs = append(s.transaction.writeIDs, sent.id)
-	}
-	s.finish(lineproto.Message{Kind: lineproto.KindRow, Payload: rowPayload(stamp)}, doneMessage(stamp))
-}
-
-// refusesForRole refuses writes at an instance that is not primary, or in a
-// read-only transaction, and all statements of a transaction whose instance
-// lost the role. A commit of no writes passes.
-func (s *serverSession) refusesForRole(text string) bool {
-	primary := s.instance.role == model.RolePrimary
-	transaction := s.transaction
-	lostRole := transaction != nil && !transaction.readOnly && (!primary || s.instance.term != transaction.term)
-	misplacedWrite := isWriteText(text) && (!primary || (transaction != nil && transaction.readOnly))
-	commit := text == commitText
-	if !lostRole && !misplacedWrite {
-		return false
-	}
-	if commit && len(transaction.writeIDs) == 0 {
-		return false
-	}
-	if commit {
-		s.undoTransaction()
-	} else if transaction != nil {
-		transaction.failed = true
-	}
-	s.finish(s.readOnlyMessage())
-	return true
-}
-
-func (s *serverSession) commit(sent *query, stamp string) {
-	writeIDs := s.transaction.writeIDs
-	s.transaction, s.stateBefore = nil, nil
-	if len(writeIDs) == 0 {
-		s.finish(doneMessage(stamp))
-		return
-	}
-	s.appendCommit(sent, writeIDs, stamp)
-}
-
-// appendCommit commits writes, and answers once a replica has received them.
-func (s *serverSession) appendCommit(sent *query, writeIDs []string, stamp string) {
-	instance := s.instance
-	s.committing = true
-	sent.byOldPrimary = instance.fleet.newestTerms[instance.database] > instance.term
-	sent.database = instance.database
-	sent.position = instance.append(writeIDs, func() {
-		if !s.closed {
-			s.finish(doneMessage(stamp))
-		}
-	})
-}
--- a/test/simulation/machine.go
+++ b/test/simulation/machine.go
@@ -76,6 +76,27 @@
 	work()
 }
 
+// attempt is one of a series of attempts, of which the next begins when this
+// one ends.
+type attempt struct {
+	ended bool
+	next  func()
+}
+
+// beginAttempt begins an attempt, which a time-out ends.
+func (m *machine) beginAttempt(timeout time.Duration, next func()) *attempt {
+	begun := &attempt{next: next}
+	m.after(timeout, begun.end)
+	return begun
+}
+
+func (a *attempt) end() {
+	if !a.ended {
+		a.ended = true
+		a.next()
+	}
+}
+
 func (m *machine) crash() {
 	m.running, m.frozen, m.deferred = false, false, nil
 	m.incarnation++
--- a/test/simulation/node.go
+++ b/test/simulation/node.go
@@ -87,29 +87,29 @@
 // requestUpdate asks a control server for the next update; each second try
 // goes through another node.
 func (n *node) requestUpdate() {
-	n.control.lastRequest++
-	number, sent := n.control.lastRequest, n.clock()
-	var request distribution.UpdateRequest
-	n.step(func(now time.Duration) { request = n.pool.UpdateRequest(now) })
-	target := n.control.server(n.fleet.controls)
-	n.after(nodeUpdateTimeout, func() {
-		if n.control.lastRequest == number {
-			n.control.missedAnswers++
-			if n.control.missedAnswers%2 == 0 {
-				n.control.index++
-			}
-			n.requestUpdate()
-		}
+	n.control.exchange(updateExchange{
+		node: &n.machine, controls: n.fleet.controls, timeout: nodeUpdateTimeout,
+		build: n.buildUpdateRequest, relay: n.chooseRelay, onTimeout: n.onUpdateTimeout, onUpdate: n.onUpdate,
 	})
-	var relay *machine
-	if n.control.missedAnswers%2 == 1 {
-		relay = &pickRandom(n.simulator, n.fleet.nodes).machine
+}
+
+func (n *node) buildUpdateRequest() (request distribution.UpdateRequest) {
+	n.step(func(now time.Duration) { request = n.pool.UpdateRequest(now) })
+	return request
+}
+
+func (n *node) chooseRelay() *machine {
+	if n.control.missedAnswers%2 == 0 {
+		return nil
 	}
-	n.simulator.exchangeUpdate(&n.machine, relay, target, request, func(update distribution.Update) {
-		if n.control.lastRequest == number {
-			n.onUpdate(update, sent)
-		}
-	})
+	return &n.fleet.randomNode().machine
+}
+
+func (n *node) onUpdateTimeout() {
+	if n.control.missedAnswers%2 == 0 {
+		n.control.index++
+	}
+	n.requestUpdate()
 }
 
 func (n *node) onUpdate(update distribution.Update, sent time.Duration) {
@@ -144,9 +144,7 @@
 
 // sendReport reports to control what the node observed of instances.
 func (n *node) sendReport() {
-	report := n.pool.Observations(n.clock())
-	target := n.control.server(n.fleet.controls)
-	n.simulator.send(&n.machine, &target.machine, func() { target.distributor.HandleReport(report, target.clock()) })
+	n.control.sendReport(&n.machine, n.fleet.controls, n.pool.Observations(n.clock()))
 }
 
 func (n *node) onAnnouncement(announced model.Instance) {
--- a/test/simulation/node_effects.go
+++ b/test/simulation/node_effects.go
@@ -159,24 +159,17 @@
 	if !wanted {
 		return
 	}
-	finished := false
-	again := func() {
-		if !finished {
-			finished = true
-			n.watchInstance(target)
-		}
-	}
 	sent, incarnation := n.clock(), n.incarnation
-	n.after(watchTimeout, again)
+	attempt := n.beginAttempt(watchTimeout, func() { n.watchInstance(target) })
 	n.simulator.send(&n.machine, &target.machine, func() {
 		target.awaitBeyond(after, watchHold, func() {
 			status := target.info()
 			n.simulator.send(&target.machine, &n.machine, func() {
-				if finished || n.incarnation != incarnation {
+				if attempt.ended || n.incarnation != incarnation {
 					return
 				}
 				n.onInstanceStatus(target.name, status, sent)
-				again()
+				attempt.end()
 			})
 		})
 	})
