--- /dev/null
+++ b/internal/app/bootstrap/bootstrap_test.go
@@ -0,0 +1,69 @@
+package bootstrap
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/juju/errors"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/internal/app/config"
+	"tansyseam/internal/app/node"
+	"tansyseam/internal/state/model"
+)
+
+var validArgs = []string{
+	"--name", "d1", "--zone", "za", "--link", "127.0.0.1:1", "--door", "127.0.0.1:2", "--seeds", "127.0.0.1:1,127.0.0.1:3,127.0.0.1:4",
+}
+
+func TestExitCodes(t *testing.T) {
+	Convey("A configuration that cannot be used, a check, and a program that cannot be opened have exit codes of their own", t, func() {
+		opened := 0
+		open := func(*node.Node, config.Config) (Daemon, error) {
+			opened++
+			return Daemon{}, errors.New("no disk")
+		}
+		So(Main(config.Proxy, validArgs[:2], open), ShouldEqual, ExitBadConfig)
+		So(Main(config.Proxy, append([]string{"--check"}, validArgs...), open), ShouldEqual, ExitOK)
+		So(opened, ShouldEqual, 0)
+		So(Main(config.Proxy, validArgs, open), ShouldEqual, ExitBadDataDir)
+		So(opened, ShouldEqual, 1)
+		So(exitCode(errors.New("address in use")), ShouldEqual, ExitFailure)
+	})
+}
+
+func TestReload(t *testing.T) {
+	Convey("A changed file is applied but for what needs a restart, flags stay over it, and a file with a fault changes nothing", t, func() {
+		file := filepath.Join(t.TempDir(), "settings.json")
+		write := func(format string, arguments ...any) {
+			So(os.WriteFile(file, fmt.Appendf(nil, format, arguments...), 0o600), ShouldBeNil)
+		}
+		write(`{"weight":1,"log_level":"info"}`)
+		args := append([]string{"--config", file, "--log-level=warn"}, validArgs...)
+		cfg, err := config.Parse(config.Proxy, args)
+		So(err, ShouldBeNil)
+		host, err := node.New(model.KindProxy, cfg, hclog.NewNullLogger())
+		So(err, ShouldBeNil)
+		reloader := newReloader(config.Proxy, args, host, hclog.NewNullLogger())
+
+		reloader.checkFile()
+		So(host.Counters.Snapshot(), ShouldBeEmpty)
+
+		write(`{"weight":3,"log_level":"debug","log_json":true}`)
+		reloader.checkFile()
+		So(host.Config().Weight, ShouldEqual, 3)
+		So(host.Config().LogLevel, ShouldEqual, "warn")
+		So(host.Config().LogJSON, ShouldBeFalse)
+		So(host.Counters.Snapshot(), ShouldResemble, map[string]int64{"settings_taken": 1, "settings_need_restart": 1})
+
+		write(`{"weight":3000}`)
+		reloader.checkFile()
+		reloader.checkFile()
+		So(host.Config().Weight, ShouldEqual, 3)
+		So(host.Counters.Snapshot()["settings_refused"], ShouldEqual, 1)
+	})
+}
