--- a/internal/app/control/elections.go
+++ b/internal/app/control/elections.go
@@ -62,7 +62,7 @@
 	s.singletons.SetDatabases(response.Databases, response.SyncedDatabases)
 }
 
-func (s *Server) executeElectionEffect(effect any) {
+func (s *Server) executeElectionEffect(effect singleton.Effect) {
 	if request, ok := effect.(singleton.RequestVotes); ok {
 		s.requestVotes(request)
 	}
--- a/internal/app/control/syncfailover.go
+++ b/internal/app/control/syncfailover.go
@@ -46,7 +46,7 @@
 	return s.evidence.Augment(evidence, s.node.Now())
 }
 
-func (s *Server) executeSyncEffect(evidence syncrepl.Evidence, effect any) {
+func (s *Server) executeSyncEffect(evidence syncrepl.Evidence, effect failover.Effect) {
 	if query, ok := effect.(syncrepl.QueryStatus); ok {
 		s.sendCommand(evidence, Command{Address: query.Address, Instance: query.Instance, Name: lineproto.AdminStatus})
 		return
--- a/internal/coordination/failover/asyncrepl/promotion.go
+++ b/internal/coordination/failover/asyncrepl/promotion.go
@@ -12,11 +12,11 @@
 
 // onClosed chooses the most advanced candidate, or reopens the term under a
 // primary that returned where there is no candidate.
-func onClosed(evidence Evidence, timing Timing) []any {
+func onClosed(evidence Evidence, timing Timing) []failover.Effect {
 	candidates := evidence.promotable(timing)
 	if len(candidates) == 0 && primaryReturned(evidence, timing) {
 		reason := evidence.Writer.Primary + " is back with all that was confirmed, and nothing was promoted"
-		return []any{failover.ReopenTerm(evidence.Writer, evidence.WallNanos, reason)}
+		return []failover.Effect{failover.ReopenTerm(evidence.Writer, evidence.WallNanos, reason)}
 	}
 	if len(candidates) == 0 {
 		return failover.RecordReason(evidence.Writer, "term is closed, and no replica that can be heard is shown to hold every confirmed commit: nothing is promoted")
@@ -31,7 +31,7 @@
 	writer.PromoteCalls = 1
 	confirmed := evidence.Writer.HighWatermark
 	reason := fmt.Sprintf("%s at %d/%d, confirmed up to %d/%d", best.Name, best.Position.Term, best.Position.Index, confirmed.Term, confirmed.Index)
-	return []any{
+	return []failover.Effect{
 		failover.Record{Writer: writer, Change: "promotion intended", Reason: reason},
 		promoteCall(evidence, best),
 	}
@@ -55,13 +55,13 @@
 
 // onPromoting learns the outcome of the promote call from what the chosen
 // instance announces. No other instance is called while the outcome is unknown.
-func onPromoting(evidence Evidence, timing Timing) []any {
+func onPromoting(evidence Evidence, timing Timing) []failover.Effect {
 	observed, known := evidence.observation(evidence.Writer.Promoting)
 	instance := observed.Instance
 	waited := time.Duration(evidence.WallNanos - evidence.Writer.LastTransitionAt)
 	reported := known && observed.PositionAge < min(waited, timing.SilenceTimeout)
 	if reported && lostCommits(evidence, instance) {
-		return []any{abandonPromotion(evidence, instance)}
+		return []failover.Effect{abandonPromotion(evidence, instance)}
 	}
 	promoted := known && instance.Role == model.RolePrimary && instance.Term > evidence.Writer.Term
 	if promoted && observed.ContactAge <= timing.SilenceTimeout {
@@ -97,7 +97,7 @@
 	return failover.Record{Writer: writer, Change: "intent given up, its term passed over", Reason: reason}
 }
 
-func openNewTerm(evidence Evidence, primary model.Instance, timing Timing) []any {
+func openNewTerm(evidence Evidence, primary model.Instance, timing Timing) []failover.Effect {
 	replicas := map[string]string{}
 	for _, other := range evidence.responsive(timing) {
 		if other.Instance.Name != primary.Name && other.Instance.Role == model.RoleReplica && !other.Instance.Leaving {
@@ -120,14 +120,14 @@
 		RequiredReplicas:   replicas,
 		Candidates:         maps.Clone(replicas),
 	}
-	return []any{failover.Record{Writer: writer, Change: "new term open", Reason: announcesPrimary(primary)}}
+	return []failover.Effect{failover.Record{Writer: writer, Change: "new term open", Reason: announcesPrimary(primary)}}
 }
 
-func retryPromotion(evidence Evidence, instance model.Instance) []any {
+func retryPromotion(evidence Evidence, instance model.Instance) []failover.Effect {
 	writer := model.CloneWriterRole(evidence.Writer)
 	writer.PromoteCalls++
 	writer.LastTransitionAt = evidence.WallNanos
-	return []any{
+	return []failover.Effect{
 		failover.Record{Writer: writer, Change: "promote call made again", Reason: instance.Name + " still announces itself a replica"},
 		promoteCall(evidence, instance),
 	}
--- a/internal/coordination/failover/asyncrepl/replicas.go
+++ b/internal/coordination/failover/asyncrepl/replicas.go
@@ -29,14 +29,14 @@
 // maintainReplicas adjusts which replicas commits wait for and which may be
 // promoted. A replica is always waited for before it becomes a candidate, and
 // stops being a candidate before commits stop waiting for it.
-func maintainReplicas(evidence Evidence, primary Observation, timing Timing) []any {
+func maintainReplicas(evidence Evidence, primary Observation, timing Timing) []failover.Effect {
 	sets := &replicaSets{evidence: evidence, timing: timing, writer: model.CloneWriterRole(evidence.Writer)}
 	sets.judgesCommitWait = primary.ContactAge < timing.MaxCommitWait && hasPromptCandidate(evidence, timing)
 	sets.findEligible(primary.Instance)
 	sets.findIneligible()
 	for _, change := range []func() (failover.Record, bool){sets.removeCandidate, sets.removeRequired, sets.addRequired, sets.addCandidate} {
 		if record, changed := change(); changed {
-			return []any{record}
+			return []failover.Effect{record}
 		}
 	}
 	if sets.ineligible != "" {
--- a/internal/coordination/failover/asyncrepl/step.go
+++ b/internal/coordination/failover/asyncrepl/step.go
@@ -17,7 +17,7 @@
 	Term     uint64
 }
 
-type phaseHandler func(Evidence, Timing) []any
+type phaseHandler func(Evidence, Timing) []failover.Effect
 
 var phaseHandlers = map[string]phaseHandler{
 	"":                   onUnknown,
@@ -29,13 +29,13 @@
 
 // Step returns the effects that the evidence calls for, to be executed in
 // order: values of failover.Record and Promote.
-func Step(evidence Evidence, timing Timing) []any {
+func Step(evidence Evidence, timing Timing) []failover.Effect {
 	return phaseHandlers[evidence.Writer.Phase](evidence, timing)
 }
 
 // onUnknown records the writer role of a database that has exactly one
 // responsive primary, and a replica for its commits.
-func onUnknown(evidence Evidence, timing Timing) []any {
+func onUnknown(evidence Evidence, timing Timing) []failover.Effect {
 	var primaries []model.Instance
 	replicas := map[string]string{}
 	for _, observed := range evidence.responsive(timing) {
@@ -62,7 +62,7 @@
 		RequiredReplicas:   replicas,
 		Candidates:         maps.Clone(replicas),
 	}
-	return []any{failover.Record{Writer: writer, Change: "writer role known", Reason: announcesPrimary(primary)}}
+	return []failover.Effect{failover.Record{Writer: writer, Change: "writer role known", Reason: announcesPrimary(primary)}}
 }
 
 func announcesPrimary(instance model.Instance) string {
@@ -71,7 +71,7 @@
 
 // onOpen closes the term of a suspected primary, and otherwise maintains the
 // replica sets.
-func onOpen(evidence Evidence, timing Timing) []any {
+func onOpen(evidence Evidence, timing Timing) []failover.Effect {
 	primary, known := evidence.observation(evidence.Writer.Primary)
 	reason, suspected := suspectPrimary(evidence, primary, known, timing)
 	if !suspected {
@@ -83,7 +83,7 @@
 	if known && primary.Instance.Leaving && len(evidence.promotable(timing)) == 0 {
 		return failover.RecordReason(evidence.Writer, "primary is leaving, and no candidate can be heard")
 	}
-	return []any{failover.CloseTerm(evidence.Writer, evidence.WallNanos, reason)}
+	return []failover.Effect{failover.CloseTerm(evidence.Writer, evidence.WallNanos, reason)}
 }
 
 func suspectPrimary(evidence Evidence, primary Observation, known bool, timing Timing) (reason string, suspected bool) {
@@ -104,12 +104,12 @@
 }
 
 // onClosing waits until no node with a lease writes to the primary any more.
-func onClosing(evidence Evidence, _ Timing) []any {
+func onClosing(evidence Evidence, _ Timing) []failover.Effect {
 	if !evidence.Settled {
 		return nil
 	}
 	writer := model.CloneWriterRole(evidence.Writer)
 	writer.Phase = model.PhaseClosed
 	writer.LastTransitionAt = evidence.WallNanos
-	return []any{failover.Record{Writer: writer, Change: "term closed", Reason: "every node that may hold a lease has stopped writing there"}}
+	return []failover.Effect{failover.Record{Writer: writer, Change: "term closed", Reason: "every node that may hold a lease has stopped writing there"}}
 }
--- a/internal/coordination/failover/failover.go
+++ b/internal/coordination/failover/failover.go
@@ -12,8 +12,12 @@
 
 import "tansyseam/internal/state/model"
 
-// Record is the effect of replacing a database's writer role. Effects that
-// follow it may be executed only once it is committed.
+// Effect is what a step of a failover machine wants done: a Record, or one of the
+// effects of the machine's package. Effects are executed in order, those after a
+// Record only once it is committed.
+type Effect any
+
+// Record is the effect of replacing a database's writer role.
 type Record struct {
 	Writer model.WriterRole
 	// Change and Reason go to the audit log: what is changed, and why.
@@ -23,24 +27,24 @@
 
 // RecordReason gives the effect of noting why a database cannot make progress,
 // or none where that is noted already.
-func RecordReason(writer model.WriterRole, reason string) []any {
+func RecordReason(writer model.WriterRole, reason string) []Effect {
 	if writer.Reason == reason {
 		return nil
 	}
 	next := model.CloneWriterRole(writer)
 	next.Reason = reason
-	return []any{Record{Writer: next, Change: "waiting", Reason: reason}}
+	return []Effect{Record{Writer: next, Change: "waiting", Reason: reason}}
 }
 
 // ClearReason gives the effect of removing the noted reason, or none where
 // there is none.
-func ClearReason(writer model.WriterRole) []any {
+func ClearReason(writer model.WriterRole) []Effect {
 	if writer.Reason == "" {
 		return nil
 	}
 	next := model.CloneWriterRole(writer)
 	next.Reason = ""
-	return []any{Record{Writer: next, Change: "well again", Reason: writer.Reason}}
+	return []Effect{Record{Writer: next, Change: "well again", Reason: writer.Reason}}
 }
 
 // CloseTerm gives the effect of closing the current term at a wall time, in
--- a/internal/coordination/failover/syncrepl/closing.go
+++ b/internal/coordination/failover/syncrepl/closing.go
@@ -12,19 +12,19 @@
 // onClosing waits until no node with a lease uses the primary any more, probes
 // the instances, and promotes one that is proven to hold all acknowledged
 // commits. The term is reopened where its primary answers after all.
-func onClosing(evidence Evidence, timing Timing) []any {
+func onClosing(evidence Evidence, timing Timing) []failover.Effect {
 	if !evidence.Settled {
 		return nil
 	}
 	if primary, probe, found := evidence.newerPrimary(); found && probe.AfterSettled {
-		return []any{openNewTerm(evidence, primary, probe, timing)}
+		return []failover.Effect{openNewTerm(evidence, primary, probe, timing)}
 	}
 	old, known := evidence.observation(evidence.Writer.Primary)
 	staying := known && !old.Instance.Leaving && !old.Instance.Stopped
 	oldProbe := evidence.Probes[evidence.Writer.Primary]
 	if staying && oldProbe.AfterSettled && oldProbe.leads(evidence.Writer.Term) {
 		reason := evidence.Writer.Primary + " answers as primary, and nothing was promoted"
-		return []any{failover.ReopenTerm(evidence.Writer, evidence.WallNanos, reason)}
+		return []failover.Effect{failover.ReopenTerm(evidence.Writer, evidence.WallNanos, reason)}
 	}
 	poll := pollInstances(evidence, timing)
 	waitsForPrimary := staying && !oldProbe.AfterSettled && evidence.SettledFor <= timing.OldPrimaryWait
@@ -48,7 +48,7 @@
 // poll is the state of the probes that a promotion is decided by.
 type poll struct {
 	// queries are the probes that are due.
-	queries []any
+	queries []failover.Effect
 	// answered are the replicas that answered after the term was settled, with
 	// their positions by name.
 	answered  []model.Instance
--- a/internal/coordination/failover/syncrepl/discovery.go
+++ b/internal/coordination/failover/syncrepl/discovery.go
@@ -7,8 +7,8 @@
 
 // onUnknown records the writer role of a database once every instance that
 // claims to be primary was probed; the one with the highest term leads.
-func onUnknown(evidence Evidence, timing Timing) []any {
-	var queries []any
+func onUnknown(evidence Evidence, timing Timing) []failover.Effect {
+	var queries []failover.Effect
 	var primary model.Instance
 	var latest ProbeResult
 	complete := true
@@ -42,5 +42,5 @@
 		TermStart:        latest.Position,
 		RequiredReplicas: evidence.recentReplicas(primary.Name, timing),
 	}
-	return []any{failover.Record{Writer: writer, Change: "writer role known", Reason: saysPrimary(primary, latest.Term)}}
+	return []failover.Effect{failover.Record{Writer: writer, Change: "writer role known", Reason: saysPrimary(primary, latest.Term)}}
 }
--- a/internal/coordination/failover/syncrepl/open.go
+++ b/internal/coordination/failover/syncrepl/open.go
@@ -11,7 +11,7 @@
 
 // onOpen closes the term of a suspected primary, and otherwise maintains the
 // open term.
-func onOpen(evidence Evidence, timing Timing) []any {
+func onOpen(evidence Evidence, timing Timing) []failover.Effect {
 	primary, known := evidence.observation(evidence.Writer.Primary)
 	reason, suspected := suspectPrimary(evidence, primary, known, timing)
 	if !suspected {
@@ -21,7 +21,7 @@
 	if !hasOtherInstance(evidence, timing) {
 		return failover.RecordReason(evidence.Writer, reason+", and no other instance can be heard")
 	}
-	return []any{failover.CloseTerm(evidence.Writer, evidence.WallNanos, reason)}
+	return []failover.Effect{failover.CloseTerm(evidence.Writer, evidence.WallNanos, reason)}
 }
 
 func hasOtherInstance(evidence Evidence, timing Timing) bool {
@@ -34,8 +34,8 @@
 
 // maintainOpenTerm demotes other primaries, closes reporting gaps and records
 // changes of the set of replicas.
-func maintainOpenTerm(evidence Evidence, primary Observation, known bool, timing Timing) []any {
-	var effects []any
+func maintainOpenTerm(evidence Evidence, primary Observation, known bool, timing Timing) []failover.Effect {
+	var effects []failover.Effect
 	for _, observed := range evidence.Observations {
 		effects = append(effects, demoteRival(evidence, observed, timing)...)
 	}
@@ -86,7 +86,7 @@
 
 // demoteRival orders another instance out of the role of primary of an earlier
 // term, after it has confirmed that it still claims it.
-func demoteRival(evidence Evidence, observed Observation, timing Timing) []any {
+func demoteRival(evidence Evidence, observed Observation, timing Timing) []failover.Effect {
 	instance := observed.Instance
 	rival := instance.Name != evidence.Writer.Primary && !instance.Stopped && evidence.claimsPrimary(observed, timing)
 	if !rival || !evidence.probeDue(instance.Name, timing.StepDownInterval) {
@@ -94,7 +94,7 @@
 	}
 	probe := evidence.Probes[instance.Name]
 	if probe.Answered && probe.Term < evidence.Writer.Term {
-		return []any{StepDown{Instance: instance.Name, Address: instance.Address, Term: evidence.Writer.Term}}
+		return []failover.Effect{StepDown{Instance: instance.Name, Address: instance.Address, Term: evidence.Writer.Term}}
 	}
-	return []any{queryStatus(instance)}
+	return []failover.Effect{queryStatus(instance)}
 }
--- a/internal/coordination/failover/syncrepl/promoting.go
+++ b/internal/coordination/failover/syncrepl/promoting.go
@@ -17,16 +17,16 @@
 
 // onPromoting learns the outcome of the promote call by probing. No second
 // instance is called while a call for the first may still take effect.
-func onPromoting(evidence Evidence, timing Timing) []any {
+func onPromoting(evidence Evidence, timing Timing) []failover.Effect {
 	if primary, probe, found := evidence.newerPrimary(); found {
-		return []any{openNewTerm(evidence, primary, probe, timing)}
+		return []failover.Effect{openNewTerm(evidence, primary, probe, timing)}
 	}
 	chosen, known := evidence.observation(evidence.Writer.Promoting)
 	probe, probed := evidence.Probes[evidence.Writer.Promoting]
 	gone := (known && chosen.Instance.Stopped) || probe.Gone
 	down := probed && !probe.Answered && !probe.Busy
 	if gone || (down && noCallPending(evidence, timing)) {
-		return []any{abandonPromotion(evidence)}
+		return []failover.Effect{abandonPromotion(evidence)}
 	}
 	queries := probeOutcome(evidence, timing)
 	waited := evidence.sinceTransition()
@@ -45,8 +45,8 @@
 
 // probeOutcome probes the chosen instance, and any other that claims to be
 // primary.
-func probeOutcome(evidence Evidence, timing Timing) []any {
-	var queries []any
+func probeOutcome(evidence Evidence, timing Timing) []failover.Effect {
+	var queries []failover.Effect
 	for _, observed := range evidence.Observations {
 		name := observed.Instance.Name
 		otherPrimary := name != evidence.Writer.Primary && evidence.claimsPrimary(observed, timing)
@@ -61,19 +61,19 @@
 // promoteEffects records a promotion and makes the call for it. Each promotion,
 // each control server and, where the platform checks tokens, each call gets a
 // fencing token of its own, so that an earlier call is refused once it was seen.
-func promoteEffects(evidence Evidence, writer model.WriterRole, change, reason string) []any {
+func promoteEffects(evidence Evidence, writer model.WriterRole, change, reason string) []failover.Effect {
 	firstCall := evidence.Writer.Phase != model.PhasePromoting
 	if firstCall || writer.Promoter != evidence.Self || evidence.FencingEnforced {
 		writer.FencingToken++
 		writer.Promoter = evidence.Self
 	}
-	return []any{
+	return []failover.Effect{
 		failover.Record{Writer: writer, Change: change, Reason: reason},
 		Promote{Database: evidence.Database, Instance: writer.Promoting, LeaseHolder: writer.Promoter, FencingToken: writer.FencingToken},
 	}
 }
 
-func retryPromotion(evidence Evidence) []any {
+func retryPromotion(evidence Evidence) []failover.Effect {
 	writer := model.CloneWriterRole(evidence.Writer)
 	writer.PromoteCalls++
 	writer.LastTransitionAt = evidence.WallNanos
--- a/internal/coordination/failover/syncrepl/step.go
+++ b/internal/coordination/failover/syncrepl/step.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 
+	"tansyseam/internal/coordination/failover"
 	"tansyseam/internal/state/model"
 )
 
@@ -39,7 +40,7 @@
 	Position    model.Position
 }
 
-type phaseHandler func(Evidence, Timing) []any
+type phaseHandler func(Evidence, Timing) []failover.Effect
 
 var phaseHandlers = map[string]phaseHandler{
 	"":                   onUnknown,
@@ -51,7 +52,7 @@
 
 // Step returns the effects that the evidence calls for, to be executed in
 // order: values of failover.Record and of the effects of this package.
-func Step(evidence Evidence, timing Timing) []any {
+func Step(evidence Evidence, timing Timing) []failover.Effect {
 	return phaseHandlers[evidence.Writer.Phase](evidence, timing)
 }
 
--- a/internal/coordination/singleton/singleton.go
+++ b/internal/coordination/singleton/singleton.go
@@ -56,6 +56,9 @@
 	FailoverActive bool
 }
 
+// Effect is what Machine.Campaign wants done: RequestVotes or Evaluate.
+type Effect any
+
 // RequestVotes is the effect of sending a request to all voters, this control
 // server included.
 type RequestVotes struct {
@@ -132,8 +135,8 @@
 
 // Campaign returns the effects of campaigning for all roles and of evaluating the
 // databases of those that this control server leads.
-func (m *Machine) Campaign(state NodeState, now time.Duration) []any {
-	var effects []any
+func (m *Machine) Campaign(state NodeState, now time.Duration) []Effect {
+	var effects []Effect
 	for _, database := range m.databases {
 		if slices.Contains(m.synced, database) {
 			continue
@@ -158,7 +161,7 @@
 }
 
 // requestVotes gives the vote request for a role that is due now, if any.
-func (m *Machine) requestVotes(role string, state NodeState, now time.Duration) []any {
+func (m *Machine) requestVotes(role string, state NodeState, now time.Duration) []Effect {
 	candidate, found := m.candidate(role)
 	if !found || !m.voters.IncludesSelf {
 		return nil
@@ -171,7 +174,7 @@
 		return nil
 	}
 	request.Voters = string(m.voters.Voters)
-	return []any{RequestVotes{Request: request, Voters: m.voters.Voters.Names()}}
+	return []Effect{RequestVotes{Request: request, Voters: m.voters.Voters.Names()}}
 }
 
 // candidate gives the candidate for a role, which is made once this control
--- a/test/simulation/async_failover.go
+++ b/test/simulation/async_failover.go
@@ -17,7 +17,7 @@
 	}
 	step := failoverStep{
 		primary: primary, database: evidence.Database, previous: evidence.Writer, previousExists: evidence.Known,
-		act: func(effect any) {
+		act: func(effect failover.Effect) {
 			if promote, ok := effect.(asyncrepl.Promote); ok {
 				f.platform.requestPromotion(control, promote)
 			}
@@ -36,7 +36,7 @@
 
 // withWorstReplica changes a promotion to one of the replica that is furthest
 // behind.
-func withWorstReplica(evidence asyncrepl.Evidence, record failover.Record) []any {
+func withWorstReplica(evidence asyncrepl.Evidence, record failover.Record) []failover.Effect {
 	primary := evidence.Writer.Primary
 	worst := slices.MinFunc(evidence.Observations, func(a, b asyncrepl.Observation) int {
 		worse := a.Instance.Name != primary && (b.Instance.Name == primary || a.Instance.Position.IsBefore(b.Instance.Position))
@@ -46,5 +46,5 @@
 		return 1
 	}).Instance.Name
 	record.Writer.Promoting = worst
-	return []any{record, asyncrepl.Promote{Database: evidence.Database, Instance: worst, Term: evidence.Writer.Term + 1}}
+	return []failover.Effect{record, asyncrepl.Promote{Database: evidence.Database, Instance: worst, Term: evidence.Writer.Term + 1}}
 }
--- a/test/simulation/failover_decision.go
+++ b/test/simulation/failover_decision.go
@@ -73,13 +73,13 @@
 	previousExists bool
 	// act carries out what is not a record, recorded hears of each record
 	// that was committed.
-	act      func(effect any)
+	act      func(effect failover.Effect)
 	recorded func(failover.Record)
 }
 
 // applyFailover carries effects out in order. What follows a record waits
 // until that is committed.
-func (c *controlServer) applyFailover(step failoverStep, effects []any) {
+func (c *controlServer) applyFailover(step failoverStep, effects []failover.Effect) {
 	for index, effect := range effects {
 		record, ok := effect.(failover.Record)
 		if !ok {
--- a/test/simulation/lines_failover.go
+++ b/test/simulation/lines_failover.go
@@ -30,7 +30,7 @@
 	}
 	step := failoverStep{
 		primary: primary, database: evidence.Database, previous: evidence.Writer, previousExists: evidence.Known,
-		act:      func(effect any) { l.applySyncFailover(control, primary, evidence, effect) },
+		act:      func(effect failover.Effect) { l.applySyncFailover(control, primary, evidence, effect) },
 		recorded: control.syncFailover.RecordCommitted,
 	}
 	control.applyFailover(step, effects)
@@ -41,7 +41,7 @@
 func (l *lineFleet) decideAsync(control, primary *controlServer, evidence asyncrepl.Evidence) {
 	step := failoverStep{
 		primary: primary, database: evidence.Database, previous: evidence.Writer, previousExists: evidence.Known,
-		act: func(effect any) {
+		act: func(effect failover.Effect) {
 			if promote, ok := effect.(asyncrepl.Promote); ok {
 				l.recorder.addViolation("%s is promoted as if it pushed its position", promote.Instance)
 			}
@@ -51,7 +51,7 @@
 	control.applyFailover(step, asyncrepl.Step(evidence, asyncrepl.DefaultTiming()))
 }
 
-func (l *lineFleet) applySyncFailover(control, primary *controlServer, evidence syncrepl.Evidence, effect any) {
+func (l *lineFleet) applySyncFailover(control, primary *controlServer, evidence syncrepl.Evidence, effect failover.Effect) {
 	if status, ok := effect.(syncrepl.QueryStatus); ok {
 		l.probeInstance(control, evidence, status.Instance, status.Address, noStepDown)
 	}
@@ -71,7 +71,7 @@
 }
 
 // promoteWorst changes promotions to one of the worst replica.
-func promoteWorst(effects []any, worst string) {
+func promoteWorst(effects []failover.Effect, worst string) {
 	for index, effect := range effects {
 		if record, ok := effect.(failover.Record); ok && record.Writer.Phase == model.PhasePromoting {
 			record.Writer.Promoting = worst
