--- a/internal/coordination/failover/asyncrepl/replicas.go
+++ b/internal/coordination/failover/asyncrepl/replicas.go
@@ -10,8 +10,7 @@
 )
 
 // replicaSets is one round of maintenance of the replica sets of an open term.
-// A round makes one change at most, so that each is acknowledged by the nodes
-// before the next.
+// A round makes one change at most.
 type replicaSets struct {
 	evidence Evidence
 	timing   Timing
