--- a/internal/coordination/pool/linepool/client.go
+++ b/internal/coordination/pool/linepool/client.go
@@ -80,15 +80,15 @@
 
 // ProtocolError answers a message that makes no sense and closes the session.
 func (m *Machine) ProtocolError(client *Client, code lineproto.Code, text string, now time.Duration) {
+	m.protocolError(client, clientError{code, text}, now)
+}
+
+func (m *Machine) protocolError(client *Client, err clientError, now time.Duration) {
 	if client.closed {
 		return
 	}
 	m.Count("clients_malformed", 1)
-	m.closeWithError(client, clientError{code, text}, now)
-}
-
-func (m *Machine) protocolError(client *Client, err clientError, now time.Duration) {
-	m.ProtocolError(client, err.code, err.text, now)
+	m.closeWithError(client, err, now)
 }
 
 func (m *Machine) closeWithError(client *Client, err clientError, now time.Duration) {
--- a/internal/coordination/pool/linepool/timing.go
+++ b/internal/coordination/pool/linepool/timing.go
@@ -99,12 +99,14 @@
 	}
 }
 
-// Margins by which a stop finishes ahead of its grace period.
 const (
+	// Margins by which a stop finishes ahead of its grace period.
 	endTransactionsMargin = 100 * time.Millisecond
 	endSessionsMargin     = 600 * time.Millisecond
 	lingerMargin          = 600 * time.Millisecond
 	drainMargin           = 2 * time.Second
+	// lateDrainPercent is LateDrainWindow's part of DrainWindow.
+	lateDrainPercent = 40
 )
 
 // Within returns the timing fitted to its surroundings: grace is how long the
@@ -115,6 +117,6 @@
 	t.EndSessions = grace - endSessionsMargin
 	t.Linger = min(t.Linger, t.EndSessions-lingerMargin)
 	t.DrainWindow = max(drain-drainMargin, drain/2)
-	t.LateDrainWindow = t.DrainWindow * 2 / 5
+	t.LateDrainWindow = t.DrainWindow * lateDrainPercent / 100
 	return t
 }
