--- a/test/e2e/programs.go
+++ b/test/e2e/programs.go
@@ -1,6 +1,10 @@
 package e2e
 
-import "path/filepath"
+import (
+	"fmt"
+	"os/exec"
+	"path/filepath"
+)
 
 // Programs says where the programs of a fleet are.
 type Programs struct {
@@ -24,3 +28,18 @@
 
 // CurrentPath gives a program of this build.
 func (p Programs) CurrentPath(program string) string { return filepath.Join(p.Directory, program) }
+
+// Build compiles the programs into a folder.
+func Build(root, directory string, race bool) error {
+	args := []string{"build"}
+	if race {
+		args = append(args, "-race")
+	}
+	args = append(args, "-o", directory+"/", "./cmd/...", "./test/cmd/standin")
+	command := exec.Command("go", args...)
+	command.Dir = root
+	if out, err := command.CombinedOutput(); err != nil {
+		return fmt.Errorf("build: %w: %s", err, out)
+	}
+	return nil
+}
--- a/test/e2e/measure.go
+++ b/test/e2e/result.go
@@ -4,12 +4,32 @@
 	"fmt"
 	"io"
 	"slices"
-	"time"
-
 	"tansyseam/test/history"
 	"tansyseam/test/standin"
+	"time"
 )
 
+// Result is what a scenario showed.
+type Result struct {
+	Scenario   string
+	Shape      string
+	Seed       uint64
+	Notes      []string
+	Violations map[string][]string
+	Outcomes   map[string]int
+	// Rates are requests served in each second of the run.
+	Rates []int
+	// P50 and P99 are of single writes kept, in ms.
+	P50, P99 float64
+	// LongestGapMS is the longest time without a kept write at one database.
+	LongestGapMS float64
+	// WorstSecond is the worst full second against the median one.
+	WorstSecond float64
+	// SpreadMS is the longest time from a set's first effect at any front to
+	// the first at the last front that showed it.
+	SpreadMS float64
+}
+
 func (r *Result) measure(events []standin.Event, began time.Time) {
 	var spans []float64
 	last := began.UnixNano()
--- /dev/null
+++ b/test/platforme2e/scenario_configuration.go
@@ -0,0 +1,53 @@
+package platforme2e
+
+import (
+	"net/http"
+	"tansyseam/internal/transport/worker"
+	"tansyseam/test/platformstandin"
+	"time"
+)
+
+func runChange(t *Run) {
+	routes := t.Routes()
+	t.ReplaceConfiguration(append(t.Routes(), platformstandin.Route{Host: "extra", Kind: "primary", Service: "db2", Timeout: time.Second, Target: time.Second}), 0)
+	// The version between the two that race stays free.
+	racing := make(chan int, 2)
+	for index, version := range []uint64{t.version + 1, t.version + 3} {
+		t.group.Go(func() { racing <- t.Operator.Replace(version, routes, index) })
+	}
+	for range 2 {
+		timeout := time.NewTimer(20 * time.Second)
+		status, answered := worker.Receive(racing, timeout.C)
+		timeout.Stop()
+		if !answered || status != http.StatusOK {
+			t.Errorf("one of two racing versions was answered %d", status)
+		}
+	}
+	t.version += 3
+	late := append(routes, platformstandin.Route{Host: "late", Kind: "primary", Service: "db1", Timeout: time.Second})
+	if status := t.Operator.Replace(t.version-1, late, 2); status != http.StatusOK {
+		t.Errorf("an old version was answered %d, which wants an acknowledgement", status)
+	}
+	if status := t.Operator.ReplaceInvalid(t.version, t.Operator.ConfigurationBody(t.version, late), 2); status != http.StatusConflict {
+		t.Errorf("other content under the version held was answered %d, which wants a refusal", status)
+	}
+	broken := map[string]string{
+		"cut short":             t.Operator.ConfigurationBody(t.version+9, routes)[:100],
+		"nothing":               "{}",
+		"no routes":             `{"version":999}`,
+		"an unknown service":    t.Operator.ConfigurationBody(t.version+9, append(routes, platformstandin.Route{Host: "x", Kind: "primary", Service: "nowhere", Timeout: time.Second})),
+		"a host twice":          t.Operator.ConfigurationBody(t.version+9, append(routes, routes[0])),
+		"no time":               t.Operator.ConfigurationBody(t.version+9, append(routes, platformstandin.Route{Host: "x", Kind: "primary", Service: "db1"})),
+		"a version that is bad": `{"version":"9","routes":[],"services":[],"limits":{}}`,
+	}
+	for what, body := range broken {
+		if status := t.Operator.ReplaceInvalid(t.version+9, body, 0); status/100 != 4 {
+			t.Errorf("a configuration with %s was answered %d", what, status)
+		}
+	}
+	t.Sleep(4 * time.Second)
+	t.ReplaceConfiguration(routes[1:], 1)
+	t.Sleep(4 * time.Second)
+	t.ReplaceConfiguration(routes, 2)
+	t.Sleep(4 * time.Second)
+}
--- a/test/platformstandin/operator.go
+++ b/test/platformstandin/operator.go
@@ -6,10 +6,9 @@
 	"fmt"
 	"io"
 	"net/http"
-	"time"
-
 	"tansyseam/internal/transport/worker"
 	"tansyseam/test/linehistory"
+	"time"
 )
 
 // Route is one line of a configuration.
--- a/test/platformstandin/session.go
+++ b/test/platformstandin/session.go
@@ -4,63 +4,137 @@
 	"bufio"
 	"fmt"
 	"net"
+	"strconv"
 	"strings"
-	"time"
+	"tansyseam/test/linehistory"
 )
 
-// Session is one client session that reads and notes nothing, for load alone.
-type Session struct {
-	conn   net.Conn
-	reader *bufio.Reader
-	count  int
+// session is one connection at an instance.
+type session struct {
+	instance         *Instance
+	connection       net.Conn
+	name             string
+	connected        bool
+	values           map[string]string
+	preparedTexts    map[string]string
+	transactionCount int
+	transaction      *transaction
 }
 
-// Dial opens one at a node for a host.
-func Dial(address, host, who string) (*Session, error) {
-	conn, err := net.DialTimeout("tcp", address, time.Second)
-	if err != nil {
-		return nil, err
-	}
-	s := &Session{conn: conn, reader: bufio.NewReaderSize(conn, 512)}
-	if err := s.request("CONNECT " + host + " " + who); err != nil {
-		_ = conn.Close()
-		return nil, err
+type transaction struct {
+	number           int
+	readOnly, failed bool
+	term             uint64
+	ids              []string
+	values           map[string]string
+}
+
+func (c *session) state() string {
+	if c.transaction == nil {
+		return "I"
 	}
-	return s, nil
+	return map[bool]string{true: "E", false: "T"}[c.transaction.failed]
 }
 
-// Read reads one thing.
-func (s *Session) Read(key string) error {
-	s.count++
-	return s.request(fmt.Sprintf("QUERY q%d FETCH %s", s.count, key))
+func (c *session) serve() {
+	reader := bufio.NewReaderSize(c.connection, 64<<10)
+	for {
+		line, err := reader.ReadString('\n')
+		if err != nil {
+			return
+		}
+		hung := false
+		c.instance.service.withLock(func() { hung = c.instance.hung })
+		if hung {
+			continue
+		}
+		code, tail, _ := strings.Cut(strings.TrimSuffix(line, "\r\n"), " ")
+		act, known := commands[code]
+		if !known || (!c.connected && code != "CONNECT") {
+			c.write("ERROR MALFORMED")
+			return
+		}
+		if !act(c, tail) {
+			return
+		}
+	}
 }
 
-// Write writes one thing.
-func (s *Session) Write(key string) error {
-	s.count++
-	return s.request(fmt.Sprintf("QUERY q%d PUT %s x", s.count, key))
+func (c *session) write(lines ...string) bool {
+	_, err := c.connection.Write([]byte(strings.Join(lines, "\r\n") + "\r\n"))
+	return err == nil
 }
 
-// Close ends it.
-func (s *Session) Close() { _ = s.conn.Close() }
+func (c *session) readyLine() string {
+	position := linehistory.Position{}
+	c.instance.service.withLock(func() { position = c.instance.appliedPosition() })
+	return "READY " + c.state() + " " + formatPosition(position)
+}
 
-func (s *Session) request(line string) error {
-	_ = s.conn.SetDeadline(time.Now().Add(answerTimeout))
-	if _, err := s.conn.Write([]byte(line + "\r\n")); err != nil {
-		return err
+func formatPosition(position linehistory.Position) string {
+	if position == (linehistory.Position{}) {
+		return "-"
 	}
-	var fault error
-	for {
-		line, err := s.reader.ReadString('\n')
-		if err != nil {
-			return err
+	return fmt.Sprintf("%d.%d", position.Term, position.Index)
+}
+
+var commands = map[string]func(c *session, tail string) bool{
+	"CONNECT": func(c *session, tail string) bool {
+		parts := strings.Fields(tail)
+		i, s, code := c.instance, c.instance.service, ""
+		s.withLock(func() {
+			wrong := len(parts) < 2 || parts[0] != s.Name || (len(parts) > 2 && parts[2] != i.ID)
+			if wrong {
+				code = "WRONGHOST " + i.ID
+				return
+			}
+			if len(i.sessions) >= s.MaxConnections {
+				code = "FULL"
+				return
+			}
+			i.connectionCount++
+			c.name = fmt.Sprintf("%d.%d", i.incarnation, i.connectionCount)
+			i.sessions[c] = true
+		})
+		if code != "" {
+			c.write("ERROR " + code)
+			return false
 		}
-		code, tail, _ := strings.Cut(strings.TrimSuffix(line, "\r\n"), " ")
-		if code == "ERROR" {
-			fault = fmt.Errorf("%s", tail)
+		c.connected = true
+		return c.write(c.readyLine())
+	},
+	"BYE": func(*session, string) bool { return false },
+	"QUERY": func(c *session, tail string) bool {
+		id, text, _ := strings.Cut(tail, " ")
+		minPosition := linehistory.Position{}
+		if rest, found := strings.CutPrefix(text, "AFTER "); found {
+			at, after, _ := strings.Cut(rest, " ")
+			term, number, _ := strings.Cut(at, ".")
+			minPosition.Term, _ = strconv.ParseUint(term, 10, 64)
+			minPosition.Index, _ = strconv.ParseUint(number, 10, 64)
+			text = after
 		}
-		if code == "READY" {
-			return fault
+		code, rest, _ := strings.Cut(text, " ")
+		act, known := statementHandlers[code]
+		if !known || (c.transaction != nil && c.transaction.failed && code != "ROLLBACK" && code != "COMMIT") {
+			return c.fail("MALFORMED " + code)
 		}
+		return act(c, &statement{id: id, text: text, rest: rest, minPosition: minPosition})
+	},
+}
+
+func (c *session) fail(what string) bool {
+	if c.transaction != nil {
+		c.transaction.failed = true
+	}
+	return c.write("ERROR "+what, c.readyLine())
+}
+
+func (c *session) writeDone() bool { return c.write("DONE -", c.readyLine()) }
+
+func (c *session) refuse(act, code string) bool {
+	if act == linehistory.ActCommit {
+		c.transaction = nil
 	}
+	return c.fail(code)
 }
--- /dev/null
+++ b/test/standin/position.go
@@ -0,0 +1,18 @@
+package standin
+
+// Position is a place in the log.
+type Position struct {
+	Term  uint64 `json:"term"`
+	Index uint64 `json:"index"`
+}
+
+func precedes(a, b Position) bool { return a.Term < b.Term || (a.Term == b.Term && a.Index < b.Index) }
+
+// Entry is one commit in an instance's log. A commit of a transaction holds
+// all its writes.
+type Entry struct {
+	Term       uint64   `json:"term"`
+	Index      uint64   `json:"index"`
+	RequestIDs []string `json:"gos"`
+	Statements []string `json:"texts"`
+}
--- a/test/standin/relay.go
+++ b/test/standin/relay.go
@@ -13,7 +13,6 @@
 type Relay struct {
 	listener net.Listener
 	target   string
-	local    net.IP
 
 	mutex       sync.Mutex
 	blockedTo   map[string]bool
