--- a/internal/coordination/pool/linepool/client_test.go
+++ b/internal/coordination/pool/linepool/client_test.go
@@ -28,7 +28,7 @@
 	}
 	for _, step := range steps {
 		for _, leased := range []bool{true, false} {
-			Convey("A client that goes "+step.name+" leaves nothing behind", t, func() {
+			Convey("A client that disconnects "+step.name+" leaves nothing behind", t, func() {
 				h := newHarness(20)
 				if step.goes < 0 {
 					client := h.Accept(nil, h.now)
@@ -77,7 +77,7 @@
 			})
 		}
 	}
-	Convey("A client that goes with a commit to be confirmed leaves nothing behind", t, func() {
+	Convey("A client that disconnects with an unconfirmed commit leaves nothing behind", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, write("1"))
@@ -89,7 +89,7 @@
 		h.advanceInTicks(100 * time.Millisecond)
 		So(h.responseCount(client), ShouldEqual, 1)
 	})
-	Convey("A connection whose answer nobody waits for is shut after a while", t, func() {
+	Convey("A connection whose pending answer was abandoned is closed after the abandoned timeout", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, read("1"))
--- a/internal/coordination/pool/linepool/confirm_test.go
+++ b/internal/coordination/pool/linepool/confirm_test.go
@@ -11,9 +11,9 @@
 )
 
 func TestConfirmation(t *testing.T) {
-	ways := []struct {
+	operations := []struct {
 		name string
-		ask  func(h *harness, client *Client) Send
+		run  func(h *harness, client *Client) Send
 	}{
 		{"single write", func(h *harness, client *Client) Send {
 			h.query(client, write("1"))
@@ -27,11 +27,11 @@
 			return h.nextSend()
 		}},
 	}
-	for _, way := range ways {
-		Convey("A "+way.name+" answered without a lease is told only when there is one again", t, func() {
+	for _, operation := range operations {
+		Convey("A "+operation.name+" answered without a lease is confirmed only when there is a lease again", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
-			send := way.ask(h, client)
+			send := operation.run(h, client)
 			before := h.responseCount(client)
 			h.advance(1650 * time.Millisecond)
 			h.answerSend(send, lineproto.StateIdle, done("k"))
@@ -40,30 +40,30 @@
 			So(h.lastResponse(client), ShouldEqual, "DONE k / READY I")
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
-		Convey("A "+way.name+" answered without a lease is unknown when its time is over", t, func() {
+		Convey("A "+operation.name+" answered without a lease is unknown at its deadline", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
-			send := way.ask(h, client)
+			send := operation.run(h, client)
 			h.advance(1650 * time.Millisecond)
 			h.answerSend(send, lineproto.StateIdle, done("k"))
 			h.advance(400 * time.Millisecond)
 			So(h.lastResponse(client), ShouldEqual, "ERROR UNKNOWN / READY I")
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
-		Convey("A "+way.name+" answered without a lease is unknown when the term has moved since", t, func() {
+		Convey("A "+operation.name+" answered without a lease is unknown when the term has changed since", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
-			send := way.ask(h, client)
+			send := operation.run(h, client)
 			h.advance(1650 * time.Millisecond)
 			h.answerSend(send, lineproto.StateIdle, done("k"))
 			h.setWriter(model.PhaseOpen, "b", 4)
 			So(h.lastResponse(client), ShouldEqual, "ERROR UNKNOWN / READY I")
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
-		Convey("A "+way.name+" answered after the term moved is never told kept", t, func() {
+		Convey("A "+operation.name+" answered after the term changed is never confirmed", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
-			send := way.ask(h, client)
+			send := operation.run(h, client)
 			h.setWriter(model.PhaseOpen, "b", 4)
 			if !send.Conn.IsClosed() {
 				h.answerSend(send, lineproto.StateIdle, done("k"))
@@ -71,10 +71,10 @@
 			So(h.lastResponse(client), ShouldEqual, "ERROR UNKNOWN / READY I")
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
-		Convey("A "+way.name+" answered in a closing term is told kept until the node says that it dropped the term, and its position goes along", t, func() {
+		Convey("A "+operation.name+" answered in a closing term is confirmed until the node reports the close, and the report has its position", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
-			send := way.ask(h, client)
+			send := operation.run(h, client)
 			h.setWriter(model.PhaseClosing, "a", 3)
 			h.logIndex = 150
 			h.answerSend(send, lineproto.StateIdle, done("k"))
@@ -83,20 +83,20 @@
 			So(h.UpdateRequest(h.now).HighWatermarks["x"], ShouldResemble, model.Position{Term: 3, Index: 150})
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
-		Convey("A "+way.name+" answered in a closing term after that word is unknown", t, func() {
+		Convey("A "+operation.name+" answered in a closing term after that report is unknown", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
-			send := way.ask(h, client)
+			send := operation.run(h, client)
 			h.setWriter(model.PhaseClosing, "a", 3)
 			h.UpdateRequest(h.now)
 			h.answerSend(send, lineproto.StateIdle, done("k"))
 			So(h.lastResponse(client), ShouldEqual, "ERROR UNKNOWN / READY I")
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
-		Convey("A "+way.name+" answered in a closing term without a lease is held, and unknown once that word is given", t, func() {
+		Convey("A "+operation.name+" answered in a closing term without a lease is pending, and unknown after that report", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
-			send := way.ask(h, client)
+			send := operation.run(h, client)
 			before := h.responseCount(client)
 			h.snapshot.Writers["x"] = model.WriterRole{Database: "x", Term: 3, Primary: "a", Phase: model.PhaseClosing, SyncReplication: true}
 			h.update(100 * time.Millisecond)
@@ -109,30 +109,30 @@
 			h.advance(time.Millisecond)
 			So(h.lastResponse(client), ShouldEqual, "ERROR UNKNOWN / READY I")
 		})
-		Convey("A "+way.name+" answered in a term whose promotion is intended is unknown", t, func() {
+		Convey("A "+operation.name+" answered in a term in which another instance is being promoted is unknown", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
-			send := way.ask(h, client)
+			send := operation.run(h, client)
 			h.setWriter(model.PhasePromoting, "a", 3)
 			if !send.Conn.IsClosed() {
 				h.answerSend(send, lineproto.StateIdle, done("k"))
 			}
 			So(h.lastResponse(client), ShouldEqual, "ERROR UNKNOWN / READY I")
 		})
-		Convey("A "+way.name+" that the instance refuses is told as it was refused, also when the term is closing", t, func() {
+		Convey("A "+operation.name+" that the instance refuses is answered with the refusal, also when the term is closing", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
-			send := way.ask(h, client)
+			send := operation.run(h, client)
 			h.setWriter(model.PhaseClosing, "a", 3)
 			So(h.HasStrandedCommits(h.now), ShouldBeTrue)
 			h.answerSend(send, lineproto.StateIdle, failure(lineproto.CodeReadOnly))
 			So(h.lastResponse(client), ShouldEqual, "ERROR READONLY / READY I")
 			So(h.HasStrandedCommits(h.now), ShouldBeFalse)
 		})
-		Convey("A "+way.name+" that is out when its term closes gets a short while, and is then unknown", t, func() {
+		Convey("A "+operation.name+" in flight when its term closes has the closing grace, and is then unknown", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
-			send := way.ask(h, client)
+			send := operation.run(h, client)
 			before := h.responseCount(client)
 			h.setWriter(model.PhaseClosing, "a", 3)
 			So(h.HasStrandedCommits(h.now), ShouldBeTrue)
@@ -146,7 +146,7 @@
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
 	}
-	Convey("What was told kept is in what the node tells the control primary", t, func() {
+	Convey("The position of a confirmed commit is in the node's reports", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.logIndex = 140
--- a/internal/coordination/pool/linepool/conn_test.go
+++ b/internal/coordination/pool/linepool/conn_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestLostConnections(t *testing.T) {
-	Convey("A statement in line outlives connections that end", t, func() {
+	Convey("A queued statement outlives connections that end", t, func() {
 		h := newHarness(20)
 		h.manualOpen = true
 		client := h.client("strict")
@@ -23,7 +23,7 @@
 		So(h.lastResponse(client), ShouldEqual, "DONE w / READY I")
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("An opening that is never answered is given up", t, func() {
+	Convey("A handshake that is never answered times out", t, func() {
 		h := newHarness(20)
 		h.manualOpen = true
 		client := h.client("strict")
@@ -34,7 +34,7 @@
 		So(h.responseCount(client), ShouldEqual, 1)
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("A connection lost on a begin has the statement begin elsewhere", t, func() {
+	Convey("A statement whose connection is lost at the begin begins on another one", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -46,9 +46,9 @@
 		So(send.Conn, ShouldNotEqual, first.Conn)
 	})
 	ends := []struct {
-		name  string
-		asks  []Query
-		heard string
+		name     string
+		asks     []Query
+		response string
 	}{
 		{"a single write", []Query{write("1")}, "ERROR UNKNOWN / READY I"},
 		{"a write inside", []Query{begin(), write("1")}, "ERROR ABORTED / READY E"},
@@ -58,7 +58,7 @@
 		{"a commit of reads", []Query{beginRead(), commit()}, "ERROR ABORTED / READY I"},
 	}
 	for _, end := range ends {
-		Convey("A connection lost with "+end.name+" out tells "+end.heard, t, func() {
+		Convey("A connection lost with "+end.name+" in flight is answered with "+end.response, t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
 			for _, query := range end.asks {
@@ -71,11 +71,11 @@
 				send = h.nextSend()
 			}
 			h.loseConn(send.Conn)
-			So(h.lastResponse(client), ShouldEqual, end.heard)
+			So(h.lastResponse(client), ShouldEqual, end.response)
 			So(h.sends, ShouldBeEmpty)
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
-		Convey("No answer in time to "+end.name+" is told so", t, func() {
+		Convey("A missing answer to "+end.name+" is reported at its deadline", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
 			for _, query := range end.asks {
@@ -87,12 +87,12 @@
 				send = h.nextSend()
 			}
 			h.advanceInTicks(2100 * time.Millisecond)
-			So(h.lastResponse(client), ShouldEqual, end.heard)
+			So(h.lastResponse(client), ShouldEqual, end.response)
 			So(send.Conn.IsClosed(), ShouldBeTrue)
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
 	}
-	Convey("A single read is asked again, and again", t, func() {
+	Convey("A single read is retried, more than once", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, read("1"))
@@ -103,10 +103,10 @@
 		h.answerSend(h.nextSend(), lineproto.StateIdle, done("s"))
 		So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
 	})
-	Convey("A connection lost between the statements of a transaction is told at the next word", t, func() {
+	Convey("The loss of a connection between the statements of a transaction is reported at the next statement", t, func() {
 		for _, next := range []struct {
-			ask   Query
-			heard string
+			query    Query
+			response string
 		}{{write("2"), "ERROR ABORTED / READY E"}, {commit(), "ERROR ABORTED / READY I"}, {rollback(), "DONE - / READY I"}} {
 			h := newHarness(20)
 			client := h.client("strict")
@@ -116,13 +116,13 @@
 			h.answerSend(send, lineproto.StateInTransaction, done("w"))
 			h.loseConn(send.Conn)
 			So(h.lastResponse(client), ShouldEqual, "DONE w / READY T")
-			h.query(client, next.ask)
-			So(h.lastResponse(client), ShouldEqual, next.heard)
+			h.query(client, next.query)
+			So(h.lastResponse(client), ShouldEqual, next.response)
 			So(h.sends, ShouldBeEmpty)
 			So(h.invariantViolation(), ShouldEqual, "")
 		}
 	})
-	Convey("A word out of turn on a transaction's connection ends the transaction as a lost connection does", t, func() {
+	Convey("An unexpected message on a transaction's connection ends the transaction as a lost connection does", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -136,26 +136,26 @@
 		So(h.lastResponse(client), ShouldEqual, "ERROR ABORTED / READY I")
 		So(h.sends, ShouldBeEmpty)
 	})
-	Convey("An answer without an end is no answer: the connection ends, and the client hears at once", t, func() {
+	Convey("An answer without a result is malformed: the connection is closed, and the client is answered at once", t, func() {
 		for _, one := range []struct {
-			ask   Query
-			heard string
+			query    Query
+			response string
 		}{{read("1"), "READY I"}, {write("1"), "ERROR UNKNOWN / READY I"}} {
 			h := newHarness(20)
 			client := h.client("strict")
-			h.query(client, one.ask)
+			h.query(client, one.query)
 			send := h.nextSend()
 			h.receive(send.Conn, h.readyIn(lineproto.StateIdle))
 			So(send.Conn.IsClosed(), ShouldBeTrue)
-			So(h.lastResponse(client), ShouldEqual, one.heard)
+			So(h.lastResponse(client), ShouldEqual, one.response)
 			So(h.invariantViolation(), ShouldEqual, "")
-			if one.heard == "READY I" {
+			if one.response == "READY I" {
 				h.answerSend(h.nextSend(), lineproto.StateIdle, done("s"))
 				So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
 			}
 		}
 	})
-	Convey("Rows or a second end after the end are no answer either", t, func() {
+	Convey("Rows or a second result after the result are malformed too", t, func() {
 		for _, late := range []lineproto.Message{row("r"), done("s2"), failure(lineproto.CodeBusy)} {
 			h := newHarness(20)
 			client := h.client("strict")
@@ -167,14 +167,14 @@
 			So(h.invariantViolation(), ShouldEqual, "")
 		}
 	})
-	Convey("Rows pass as they came, with the end and the state", t, func() {
+	Convey("Rows are passed on as they came, with the result and the state", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, read("1"))
 		h.answerSend(h.nextSend(), lineproto.StateIdle, row("r1"), row("r2"), done("s"))
 		So(h.lastResponse(client), ShouldEqual, "ROW r1 / ROW r2 / DONE s / READY I")
 	})
-	Convey("Errors of an instance pass as they came", t, func() {
+	Convey("Errors of an instance are passed on as they came", t, func() {
 		for _, code := range []lineproto.Code{lineproto.CodeFailed, lineproto.CodeTimeout, lineproto.CodeOther} {
 			for _, query := range []Query{read("1"), write("1")} {
 				h := newHarness(20)
@@ -192,7 +192,7 @@
 			}
 		}
 	})
-	Convey("A read that an instance failed is run once more, at another where there is one", t, func() {
+	Convey("A read that an instance failed is run once more, at another instance if there is one", t, func() {
 		h := newHarness(20)
 		h.samplePosition()
 		client := h.client("stale")
@@ -208,7 +208,7 @@
 		So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("Reads go where they failed less, and back in a while", t, func() {
+	Convey("Reads are sent to instances that fail fewer, and return after a while", t, func() {
 		h := newHarness(20)
 		h.samplePosition()
 		h.advanceInTicks(200 * time.Millisecond)
@@ -231,7 +231,7 @@
 		h.advanceInTicks(200 * time.Millisecond)
 		So(goes(), ShouldEqual, "b")
 	})
-	Convey("A statement that fails its transaction has it rolled back, and the client ends it", t, func() {
+	Convey("A statement that fails its transaction has it rolled back at the instance; the client still has to end it", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -246,7 +246,7 @@
 		So(h.lastResponse(client), ShouldEqual, "ERROR ABORTED / READY I")
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("A refused connection rests for longer each time, also where the instance answers the refusal", t, func() {
+	Convey("The backoff after refused connections grows, also where the instance answers the handshake with the refusal", t, func() {
 		h := newHarness(20)
 		h.manualOpen = true
 		client := h.client("strict")
@@ -262,7 +262,7 @@
 		So(tries, ShouldBeBetween, 3, 12)
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("An address that belongs to another instance by now is no sign of life of the one sought", t, func() {
+	Convey("An address that belongs to another instance by now counts as a refused connection", t, func() {
 		h := newHarness(20)
 		h.manualOpen = true
 		client := h.client("strict")
@@ -273,10 +273,10 @@
 			}
 			h.advanceInTicks(50 * time.Millisecond)
 		}
-		told := h.Observations(h.now).Reports
-		So(told[0].Instance.Name, ShouldEqual, "a")
-		So(told[0].RefusedConnections, ShouldBeGreaterThan, 1)
-		So(told[0].ResponseAge, ShouldBeGreaterThan, 500*time.Millisecond)
+		report := h.Observations(h.now).Reports
+		So(report[0].Instance.Name, ShouldEqual, "a")
+		So(report[0].RefusedConnections, ShouldBeGreaterThan, 1)
+		So(report[0].ResponseAge, ShouldBeGreaterThan, 500*time.Millisecond)
 		So(h.reports, ShouldBeGreaterThan, 0)
 	})
 }
--- a/internal/coordination/pool/linepool/dispatch_test.go
+++ b/internal/coordination/pool/linepool/dispatch_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestStrict(t *testing.T) {
-	Convey("Strict reads, writes and commits go out under a lease only, and wait for it", t, func() {
+	Convey("Strict reads, writes and commits are sent under a lease only, and wait for it", t, func() {
 		for _, query := range []Query{read("1"), write("1")} {
 			h := newHarness(20)
 			client := h.client("strict")
@@ -22,7 +22,7 @@
 			So(h.nextSend().target(), ShouldEqual, "a")
 		}
 	})
-	Convey("They go out in an open term only, and then to its primary", t, func() {
+	Convey("They are sent in an open term only, to its primary", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.setWriter(model.PhaseClosing, "a", 3)
@@ -33,7 +33,7 @@
 		h.setWriter(model.PhaseOpen, "b", 4)
 		So(h.nextSend().target(), ShouldEqual, "b")
 	})
-	Convey("A strict read that is out at a primary whose term closes is asked again at the next, and the first answer is dropped", t, func() {
+	Convey("A strict read in flight at a primary whose term closes is retried at the next one, and the first answer is ignored", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, read("1"))
@@ -46,7 +46,7 @@
 		So(h.lastResponse(client), ShouldEqual, "DONE new / READY I")
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("A write waits for a primary that is leaving, and goes to the next one", t, func() {
+	Convey("A write waits while the primary is leaving, and is sent to the next one", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.registered("a").Leaving = true
@@ -77,7 +77,7 @@
 		}
 		So(h.invariantViolation(), ShouldEqual, "")
 	}
-	Convey("Of a slow read and its twin the first answer wins, and the other is dropped", t, func() {
+	Convey("Of a slow read and its hedge the first answer wins, and the other is ignored", t, func() {
 		for _, isFirst := range []bool{true, false} {
 			h, client, send, other := twinned()
 			if !isFirst {
@@ -91,7 +91,7 @@
 			zero(h)
 		}
 	})
-	Convey("One connection lost leaves the other to answer; both lost have it asked again", t, func() {
+	Convey("If one connection is lost, the other attempt answers; if both are, the read is retried", t, func() {
 		h, client, send, other := twinned()
 		h.loseConn(send.Conn)
 		So(h.sends, ShouldBeEmpty)
@@ -105,7 +105,7 @@
 		So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
 		zero(h)
 	})
-	Convey("A refusal of one leaves the other to answer", t, func() {
+	Convey("If one attempt is refused, the other answers", t, func() {
 		h, client, send, other := twinned()
 		h.answerSend(send, lineproto.StateIdle, failure(lineproto.CodeBusy))
 		So(h.sends, ShouldBeEmpty)
@@ -113,7 +113,7 @@
 		So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
 		zero(h)
 	})
-	Convey("Writes, strict reads and reads inside have no twin", t, func() {
+	Convey("Writes, strict reads and reads in a transaction are not hedged", t, func() {
 		for _, asks := range [][]Query{{write("1")}, {read("1")}, {begin(), read("1")}, {beginRead(), read("1")}} {
 			for _, name := range []string{"strict", "stale"} {
 				if name == "stale" && len(asks) == 1 && asks[0].Statement.Action == lineproto.ActionRead {
--- a/internal/coordination/pool/linepool/drain_test.go
+++ b/internal/coordination/pool/linepool/drain_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestDrain(t *testing.T) {
-	Convey("A node that stops is unready at once, and serves on for a while", t, func() {
+	Convey("A draining node is unready at once, and serves on for a while", t, func() {
 		h := newHarness(20)
 		isReady, _ := h.Ready(h.now)
 		So(isReady, ShouldBeTrue)
@@ -32,7 +32,7 @@
 		So(h.closedClients[busy], ShouldBeTrue)
 		So(h.IsDrained(), ShouldBeTrue)
 	})
-	Convey("An open transaction has a while more, and is rolled back at rest", t, func() {
+	Convey("An open transaction has longer, and is rolled back when it is idle then", t, func() {
 		h := newHarness(20)
 		client, other := h.client("strict"), h.client("strict")
 		for _, one := range []*Client{client, other} {
@@ -52,7 +52,7 @@
 		So(formatCommands(h.nextSend()), ShouldEqual, "rollback")
 		So(h.IsDrained(), ShouldBeTrue)
 	})
-	Convey("No session is ended with a statement out before the last moment", t, func() {
+	Convey("No session with a statement in flight is closed before the end of the drain", t, func() {
 		h := newHarness(20)
 		h.snapshot.Sets[0].Bindings[0].Timeout = 8 * time.Second
 		h.update(leaseDuration)
--- a/internal/coordination/pool/linepool/instance_test.go
+++ b/internal/coordination/pool/linepool/instance_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestWindows(t *testing.T) {
-	Convey("The most that is out at an instance is its connections over the nodes and one", t, func() {
+	Convey("The window of an instance is at most the node's connection quota", t, func() {
 		h := newHarness(20)
 		h.Tick(nodes(4), 1, h.now)
 		So(h.instance("a").window.Reading().MaxWindow, ShouldEqual, 4)
@@ -25,7 +25,7 @@
 		h.Tick(nodes(4), 1, h.now+100*time.Second)
 		So(h.instance("a").window.Reading().MaxWindow, ShouldEqual, 4)
 	})
-	Convey("Over the window statements wait in line, in the order of their priority, and go as answers come", t, func() {
+	Convey("Statements beyond the window are queued by priority, and sent as answers come", t, func() {
 		h := newHarness(20)
 		var clients []*Client
 		for range 4 {
@@ -49,7 +49,7 @@
 		}
 		So(h.instance("a").window.Reading().InFlight, ShouldEqual, 0)
 	})
-	Convey("A line that is full refuses with a promise", t, func() {
+	Convey("A full queue rejects with a code that guarantees no effect", t, func() {
 		h := newHarness(1)
 		h.timing.MaxQueue = 2
 		var last *Client
@@ -60,7 +60,7 @@
 		So(h.lastResponse(last), ShouldEqual, "ERROR BUSY / READY I")
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("The node holds no more connections than its share", t, func() {
+	Convey("The node opens no more connections than its quota", t, func() {
 		h := newHarness(8)
 		for range 12 {
 			client := h.client("strict")
@@ -73,7 +73,7 @@
 		So(len(h.instance("a").conns), ShouldEqual, 4)
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("The lines of two databases do not wait for each other", t, func() {
+	Convey("The queues of two databases do not wait for each other", t, func() {
 		h := newHarness(1)
 		one, other := h.client("strict"), h.client("other")
 		h.query(one, read("1"))
@@ -84,7 +84,7 @@
 }
 
 func TestLeavingInstances(t *testing.T) {
-	Convey("An instance that leaves gets no new work, and its idle connections are shut", t, func() {
+	Convey("A draining instance is sent no new work, and its idle connections are closed", t, func() {
 		h := newHarness(20)
 		h.samplePosition()
 		h.registered("b").Leaving = true
@@ -99,7 +99,7 @@
 		}
 		So(len(h.instance("b").conns)+len(h.instance("c").conns), ShouldEqual, 0)
 	})
-	Convey("A primary that leaves is sent what needs it, on the connections that it has, until its term closes", t, func() {
+	Convey("A draining primary is sent strict statements, on the connections that it has, until its term closes", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, write("1"))
@@ -116,7 +116,7 @@
 		h.setWriter(model.PhaseClosing, "a", 3)
 		So(len(h.instance("a").conns), ShouldEqual, 0)
 	})
-	Convey("A primary that was leaving when the node first heard of it is sent what needs it for a shorter while", t, func() {
+	Convey("A primary that was draining when the node learned of it is sent strict statements for a shorter time", t, func() {
 		h := newHarness(20)
 		late := newHarness(20)
 		late.registry[0].Leaving = true
@@ -134,7 +134,7 @@
 		h.query(h.client("strict"), write("1"))
 		So(len(h.sends), ShouldEqual, 1)
 	})
-	Convey("A primary that leaves is sent nothing more after a while, though its term be open", t, func() {
+	Convey("A primary whose drain is over is sent nothing more, even if its term is open", t, func() {
 		h := newHarness(20)
 		client, inside := h.client("strict"), h.client("strict")
 		h.query(inside, begin())
@@ -158,7 +158,7 @@
 		So(h.lastResponse(inside), ShouldEqual, "ERROR ABORTED / READY I")
 		So(len(h.instance("a").conns), ShouldEqual, 0)
 	})
-	Convey("What is out there is answered, and its connection is not lent on", t, func() {
+	Convey("A statement in flight at a draining instance is answered, and its connection is not reused", t, func() {
 		h := newHarness(20)
 		h.samplePosition()
 		client := h.client("stale")
@@ -170,7 +170,7 @@
 		So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
 		So(send.Conn.IsClosed(), ShouldBeTrue)
 	})
-	Convey("A transaction there goes on, for a while", t, func() {
+	Convey("A transaction at a draining instance continues until the drain is over", t, func() {
 		h := newHarness(20)
 		h.samplePosition()
 		client := h.client("stale")
@@ -193,7 +193,7 @@
 		So(send.Conn.IsClosed(), ShouldBeTrue)
 		So(h.lastResponse(client), ShouldEqual, "ERROR ABORTED / READY E")
 	})
-	Convey("One that has gone is none", t, func() {
+	Convey("A stopped instance is not used", t, func() {
 		h := newHarness(20)
 		h.samplePosition()
 		h.registered("b").Stopped = true
--- a/internal/coordination/pool/linepool/query_test.go
+++ b/internal/coordination/pool/linepool/query_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestSessions(t *testing.T) {
-	Convey("A session waits for the first lease, and is refused after a while without", t, func() {
+	Convey("A connect waits for the first lease, and is rejected after a while without", t, func() {
 		h := newHarness(20)
 		h.advance(1700 * time.Millisecond)
 		client, late := h.client("strict"), h.client("strict")
@@ -25,13 +25,13 @@
 		So(h.lastResponse(third), ShouldEqual, "ERROR BUSY")
 		So(h.closedClients[third], ShouldBeTrue)
 	})
-	Convey("A database that is bound to nothing is refused", t, func() {
+	Convey("A connect to an unknown binding is rejected", t, func() {
 		h := newHarness(20)
 		client := h.client("none")
 		So(h.lastResponse(client), ShouldEqual, "ERROR NODB")
 		So(h.closedClients[client], ShouldBeTrue)
 	})
-	Convey("A binding that changes binds from the next transaction on, and one that is gone is none", t, func() {
+	Convey("A changed binding applies from the next transaction on, and a removed one to none", t, func() {
 		h := newHarness(20)
 		client, inside := h.client("strict"), h.client("strict")
 		h.query(inside, begin())
@@ -57,7 +57,7 @@
 		h.query(inside, read("4"))
 		So(h.lastResponse(inside), ShouldEqual, "ERROR NODB / READY I")
 	})
-	Convey("Queries sent ahead are answered in order, each once", t, func() {
+	Convey("Pipelined queries are answered in order, each once", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -76,7 +76,7 @@
 			"READY I", "DONE - / READY T", "DONE w / READY T", "DONE - / READY T", "DONE k / READY I", "DONE s / READY I",
 		})
 	})
-	Convey("Too much sent ahead ends the session", t, func() {
+	Convey("Too many pipelined queries end the session", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		for range h.timing.MaxPipelined + 2 {
@@ -86,16 +86,16 @@
 		So(h.closedClients[client], ShouldBeTrue)
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("Only so many sessions are taken", t, func() {
+	Convey("No more sessions are accepted than the limit", t, func() {
 		h := newHarness(20)
 		h.timing.MaxClients = 1
 		So(h.client("strict"), ShouldNotBeNil)
 		So(h.Accept(nil, h.now), ShouldBeNil)
 	})
-	acts := []struct {
-		name string
-		ask  func() Query
-		want map[string]string
+	actions := []struct {
+		name  string
+		query func() Query
+		want  map[string]string
 	}{
 		{"begin", begin, map[string]string{"I": "DONE - / READY T", "T": "ERROR MALFORMED / READY E", "E": "ERROR MALFORMED / READY E"}},
 		{"begin read", beginRead, map[string]string{"I": "DONE - / READY T", "T": "ERROR MALFORMED / READY E", "E": "ERROR MALFORMED / READY E"}},
@@ -108,11 +108,11 @@
 		{"run", func() Query { return execute("none", "1") }, map[string]string{"I": "ERROR NOTFOUND / READY I", "T": "ERROR NOTFOUND / READY E", "E": "ERROR MALFORMED / READY E"}},
 		{"forget", func() Query { return deallocate("none") }, map[string]string{"I": "ERROR NOTFOUND / READY I", "T": "ERROR NOTFOUND / READY T", "E": "ERROR MALFORMED / READY E"}},
 		{"nonsense", func() Query { return newQuery(lineproto.ActionInvalid, "what") }, map[string]string{"I": "ERROR MALFORMED / READY I", "T": "ERROR MALFORMED / READY E", "E": "ERROR MALFORMED / READY E"}},
-		{"unheard of", func() Query { return newQuery(lineproto.Action(99), "what") }, map[string]string{"I": "ERROR MALFORMED / READY I", "T": "ERROR MALFORMED / READY E", "E": "ERROR MALFORMED / READY E"}},
+		{"unknown action", func() Query { return newQuery(lineproto.Action(99), "what") }, map[string]string{"I": "ERROR MALFORMED / READY I", "T": "ERROR MALFORMED / READY E", "E": "ERROR MALFORMED / READY E"}},
 	}
-	for _, act := range acts {
-		for state, want := range act.want {
-			Convey("In state "+state+" the text "+act.name+" tells "+want, t, func() {
+	for _, action := range actions {
+		for state, want := range action.want {
+			Convey("In state "+state+" the query "+action.name+" is answered with "+want, t, func() {
 				h := newHarness(20)
 				client := h.client("strict")
 				if state != "I" {
@@ -123,7 +123,7 @@
 					So(h.lastResponse(client), ShouldEqual, "ERROR MALFORMED / READY E")
 				}
 				count := h.responseCount(client)
-				h.query(client, act.ask())
+				h.query(client, action.query())
 				if want == "" {
 					So(h.responseCount(client), ShouldEqual, count)
 					So(len(h.sends), ShouldEqual, 1)
--- a/internal/coordination/pool/linepool/scarce_test.go
+++ b/internal/coordination/pool/linepool/scarce_test.go
@@ -228,7 +228,7 @@
 func (f *fleet) share(parts int) []*fleetNode { return f.nodes[:len(f.nodes)/parts] }
 
 func TestScarceConnections(t *testing.T) {
-	Convey("More nodes than an instance takes connections all are served", t, func() {
+	Convey("All of more nodes than an instance takes connections are served", t, func() {
 		for _, load := range []struct {
 			count, maxConns int
 			rate            float64
@@ -246,7 +246,7 @@
 			So(len(f.conns), ShouldEqual, f.idleConns())
 		}
 	})
-	Convey("They are while nodes die, come back and leave", t, func() {
+	Convey("They are served while nodes die, return and leave", t, func() {
 		f := newFleet(2, 60, 51, 0.6)
 		f.run(5 * time.Second)
 		killed := f.share(3)
@@ -274,7 +274,7 @@
 		f.run(3 * time.Second)
 		So(f.idleConns(), ShouldBeLessThanOrEqualTo, f.maxConns/2)
 	})
-	Convey("They are beside transactions that rest, which end in time", t, func() {
+	Convey("They are served beside idle transactions, which are ended in time", t, func() {
 		f := newFleet(3, 60, 51, 0.5)
 		f.run(3 * time.Second)
 		for _, node := range f.share(3) {
@@ -288,7 +288,7 @@
 		}
 		So(rested, ShouldEqual, len(f.share(3)))
 	})
-	Convey("Where transactions that rest take all connections, the others are served again once those have ended", t, func() {
+	Convey("Where idle transactions take all connections, the others are served again once those are ended", t, func() {
 		f := newFleet(4, 60, 51, 0)
 		for range 2 {
 			for _, node := range f.nodes {
--- a/internal/coordination/pool/linepool/session_state_test.go
+++ b/internal/coordination/pool/linepool/session_state_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestSessionState(t *testing.T) {
-	Convey("What the node answers itself makes no statement at an instance", t, func() {
+	Convey("What the node answers itself is not sent to an instance", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, set("v", "1"))
@@ -23,7 +23,7 @@
 		So(h.lastResponse(client), ShouldEqual, "ERROR NOTFOUND / READY I")
 		So(h.sends, ShouldBeEmpty)
 	})
-	Convey("A connection is brought to a session's values, and reset where it has one that the session has not", t, func() {
+	Convey("A connection is given a session's variables, and is reset where it has one that the session has not", t, func() {
 		h := newHarness(1)
 		one, other, plain := h.client("strict"), h.client("strict"), h.client("strict")
 		h.query(one, set("v", "1"))
@@ -49,7 +49,7 @@
 		h.query(plain, read("5"))
 		So(formatCommands(h.nextSend()), ShouldEqual, "read 5")
 	})
-	Convey("Shapes are prepared once for each connection, under names of the node's own", t, func() {
+	Convey("Statements are prepared once for each connection, under names of the node's own", t, func() {
 		h := newHarness(1)
 		one, other := h.client("strict"), h.client("strict")
 		h.query(one, prepare("p", "read q"))
@@ -70,7 +70,7 @@
 		h.query(one, execute("p", "4"))
 		So(formatCommands(h.nextSend()), ShouldEqual, "prepare p3 as read z, run p3 4")
 	})
-	Convey("The id of a run is the client's, and what goes before it has none", t, func() {
+	Convey("The id of an execute is the client's, and the commands before it have none", t, func() {
 		h := newHarness(1)
 		client := h.client("strict")
 		h.query(client, prepare("p", "read q"))
@@ -80,7 +80,7 @@
 		So(send.Commands[0].ID, ShouldEqual, "")
 		So(send.Commands[1].ID, ShouldEqual, query.ID)
 	})
-	Convey("Values set and shapes prepared inside a transaction go out in it, and its rollback has the connection reset", t, func() {
+	Convey("Variables and prepared statements of a transaction are sent in it, and its rollback has the connection reset", t, func() {
 		h := newHarness(1)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -115,7 +115,7 @@
 		h.query(client, read("3"))
 		So(formatCommands(h.nextSend()), ShouldEqual, "read 3")
 	})
-	Convey("A transaction whose commit is refused has its connection reset where values were set inside", t, func() {
+	Convey("A transaction whose commit is refused has its connection reset if variables were set in it", t, func() {
 		h := newHarness(1)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -155,7 +155,7 @@
 			So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
 		}
 	})
-	Convey("Connections with too many shapes are reset", t, func() {
+	Convey("A connection with too many prepared statements is reset", t, func() {
 		h := newHarness(1)
 		client := h.client("strict")
 		for at := range h.timing.MaxPrepared + 1 {
--- a/internal/coordination/pool/linepool/timeout_test.go
+++ b/internal/coordination/pool/linepool/timeout_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestDeadlines(t *testing.T) {
-	Convey("Without a lease a statement ends with a promise when its time is over", t, func() {
+	Convey("Without a lease a statement is rejected when its queue time is over", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.advance(1700 * time.Millisecond)
@@ -19,7 +19,7 @@
 		So(h.lastResponse(client), ShouldEqual, "ERROR BUSY / READY I")
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("A lease that comes after a statement's time has it end, and not go out", t, func() {
+	Convey("A lease that comes after a statement's deadline has it rejected, and not sent", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.advance(1700 * time.Millisecond)
@@ -29,7 +29,7 @@
 		So(h.sends, ShouldBeEmpty)
 		So(h.lastResponse(client), ShouldEqual, "ERROR BUSY / READY I")
 	})
-	Convey("In line, a first statement ends with BUSY, one of an open transaction with ABORTED", t, func() {
+	Convey("At the deadline in the queue, a first statement ends with BUSY, one of an open transaction with ABORTED", t, func() {
 		h := newHarness(1)
 		one, other, inside := h.client("strict"), h.client("strict"), h.client("strict")
 		h.query(one, read("1"))
@@ -44,7 +44,7 @@
 		So(h.lastResponse(inside), ShouldEqual, "ERROR BUSY / READY E")
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("What waits in line is given up on before half of its time is over, with a time to come back", t, func() {
+	Convey("A queued statement is rejected before half of its timeout is over, with a time to come back", t, func() {
 		h := newHarness(1)
 		one, other, inside := h.client("strict"), h.client("strict"), h.client("strict")
 		h.query(one, read("1"))
@@ -61,7 +61,7 @@
 		So(h.responseCount(one), ShouldEqual, 1)
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("So is what waits for a lease", t, func() {
+	Convey("So is a statement that waits for a lease", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.timing.UnavailableWait = 2 * time.Second
@@ -73,7 +73,7 @@
 		So(h.lastResponse(client), ShouldEqual, "ERROR BUSY / READY I")
 		So(h.responseCount(client), ShouldEqual, 2)
 	})
-	Convey("Where the lease has been gone for long nothing new waits for it, neither statement nor session", t, func() {
+	Convey("After a long time without a lease nothing new waits for it, neither statement nor session", t, func() {
 		h := newHarness(20)
 		client, inside := h.client("strict"), h.client("strict")
 		h.advanceInTicks(100 * time.Millisecond)
@@ -101,7 +101,7 @@
 		So(h.lastResponse(client), ShouldEqual, "DONE w / READY I")
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("One of an open transaction that waits for the window ends it, and its connection is rolled back", t, func() {
+	Convey("A statement of an open transaction that times out waiting for the window ends the transaction, and its connection is rolled back", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -119,7 +119,7 @@
 		So(h.lastResponse(client), ShouldEqual, "ERROR ABORTED / READY I")
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("A begin that is not answered in time ends with a promise", t, func() {
+	Convey("A begin that is not answered in time ends with a code that guarantees no effect", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -137,7 +137,7 @@
 		h.advanceInTicks(2100 * time.Millisecond)
 		So(h.lastResponse(client), ShouldEqual, "ERROR TIMEOUT / READY I")
 	})
-	Convey("A transaction that rests for too long is rolled back, counted from its last answer", t, func() {
+	Convey("A transaction that is idle for too long, counted from its last answer, is rolled back", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
--- a/internal/coordination/pool/linepool/transaction_test.go
+++ b/internal/coordination/pool/linepool/transaction_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestBegin(t *testing.T) {
-	Convey("A begin is answered by the node, and goes out only with the first statement, which follows its answer", t, func() {
+	Convey("A begin is answered by the node; it is sent before the first statement, which is sent when it is answered", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		So(h.lastResponse(client), ShouldEqual, "READY I")
@@ -37,20 +37,20 @@
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
 	refusals := []struct {
-		name  string
-		act   func() Query
-		bound string
-		code  lineproto.Code
+		name    string
+		act     func() Query
+		binding string
+		code    lineproto.Code
 	}{
 		{"LAGGING", beginRead, "stale", lineproto.CodeLagging},
 		{"READONLY", begin, "strict", lineproto.CodeReadOnly},
 		{"BUSY", begin, "strict", lineproto.CodeBusy},
 	}
 	for _, one := range refusals {
-		Convey("A begin refused with "+one.name+" keeps the statement back; it runs inside a later one", t, func() {
+		Convey("A begin refused with "+one.name+" holds the statement back; it runs in a later transaction", t, func() {
 			h := newHarness(20)
 			h.samplePosition()
-			client := h.client(one.bound)
+			client := h.client(one.binding)
 			h.query(client, one.act())
 			h.query(client, read("1"))
 			count := h.responseCount(client)
@@ -63,10 +63,10 @@
 			So(h.lastResponse(client), ShouldEqual, "DONE s / READY T")
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
-		Convey("A begin refused with "+one.name+" for as long as the statement may wait ends it with a promise", t, func() {
+		Convey("A begin refused with "+one.name+" for as long as the statement may wait ends it with BUSY", t, func() {
 			h := newHarness(20)
 			h.samplePosition()
-			client := h.client(one.bound)
+			client := h.client(one.binding)
 			h.query(client, one.act())
 			h.query(client, read("1"))
 			tries := 0
@@ -82,7 +82,7 @@
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
 	}
-	Convey("A begin that is answered done outside of a transaction is none", t, func() {
+	Convey("A begin whose answer is not in a transaction does not count as one", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -92,7 +92,7 @@
 			So(formatCommands(send), ShouldEqual, "begin")
 		}
 	})
-	Convey("A commit of nothing begins and commits at an instance all the same", t, func() {
+	Convey("An empty transaction begins and commits at an instance all the same", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -102,7 +102,7 @@
 		h.answerSend(send, lineproto.StateIdle, done("k"))
 		So(h.lastResponse(client), ShouldEqual, "DONE k / READY I")
 	})
-	Convey("A rollback of nothing, or before any statement, is the node's own", t, func() {
+	Convey("A rollback without a transaction, or before any statement, is answered by the node", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, rollback())
@@ -112,7 +112,7 @@
 		So(h.lastResponse(client), ShouldEqual, "DONE - / READY I")
 		So(h.sends, ShouldBeEmpty)
 	})
-	Convey("A rollback after statements is answered at once, and the connection is lent on only when it is done", t, func() {
+	Convey("A rollback after statements is answered at once, and the connection is reused only when it is done", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -128,7 +128,7 @@
 		So(back.Conn.state, ShouldEqual, connIdle)
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("A connection whose rollback does not end its transaction is not lent on", t, func() {
+	Convey("A connection whose rollback does not end its transaction is not reused", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -139,7 +139,7 @@
 		h.answerSend(back, lineproto.StateInTransaction, failure(lineproto.CodeOther))
 		So(back.Conn.IsClosed(), ShouldBeTrue)
 	})
-	Convey("A single statement that leaves its connection inside a transaction ends the connection", t, func() {
+	Convey("A connection that a single statement leaves in a transaction is closed", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, read("1"))
--- a/internal/coordination/pool/linepool/update_test.go
+++ b/internal/coordination/pool/linepool/update_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestClosing(t *testing.T) {
-	Convey("Open transactions are aborted when the term closes: at once where a statement is out, else at the next word", t, func() {
+	Convey("Open transactions are aborted when the term closes: at once if a statement is in flight, else at the next statement", t, func() {
 		h := newHarness(20)
 		working, resting, committing := h.client("strict"), h.client("strict"), h.client("strict")
 		for _, client := range []*Client{working, resting, committing} {
@@ -35,7 +35,7 @@
 		So(h.sends, ShouldBeEmpty)
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("A transaction that only reads goes on at a replica, and at the primary that was", t, func() {
+	Convey("A read-only transaction continues at a replica, and at the former primary", t, func() {
 		h := newHarness(20)
 		h.samplePosition()
 		for _, name := range []string{"stale", "strict"} {
@@ -51,7 +51,7 @@
 		}
 		h.setWriter(model.PhaseClosing, "a", 3)
 	})
-	Convey("A transaction whose begin is out when the term closes begins anew at the next primary", t, func() {
+	Convey("A transaction whose begin is in flight when the term closes begins anew at the next primary", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -61,7 +61,7 @@
 		So(h.lastResponse(client), ShouldBeIn, "DONE - / READY T", "ERROR ABORTED / READY E")
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("A primary that leads a later term, the ones between unseen, has lost the transactions of the earlier", t, func() {
+	Convey("A primary of a later term has lost the transactions of an earlier one, also if the terms between were not seen", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -72,7 +72,7 @@
 		So(h.lastResponse(client), ShouldEqual, "ERROR ABORTED / READY E")
 		So(h.sends, ShouldBeEmpty)
 	})
-	Convey("Statements of an open transaction wait while there is no lease, and go on with one", t, func() {
+	Convey("Statements of an open transaction wait while there is no lease", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -87,7 +87,7 @@
 }
 
 func TestObservations(t *testing.T) {
-	Convey("A primary that owes answers is told at once, and again when it owes them for longer", t, func() {
+	Convey("A primary with overdue answers is reported at once, and again when they are overdue for longer", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, write("1"))
@@ -103,7 +103,7 @@
 		So(report.OldestStatementAge, ShouldBeGreaterThan, 600*time.Millisecond)
 		So(report.ResponseAge, ShouldBeGreaterThan, 600*time.Millisecond)
 	})
-	Convey("The instance that is to be promoted is told of, so that a new control primary can ask at its address", t, func() {
+	Convey("The instance that is being promoted is reported, so that a new control primary knows its address", t, func() {
 		h := newHarness(20)
 		So(len(h.Observations(h.now).Reports), ShouldEqual, 2)
 		h.snapshot.Writers["x"] = model.WriterRole{Database: "x", Term: 3, Primary: "a", Promoting: "b", Phase: model.PhasePromoting, SyncReplication: true}
@@ -114,7 +114,7 @@
 		}
 		So(names, ShouldResemble, []string{"a a:1", "b b:1", "d d:1"})
 	})
-	Convey("A primary that refuses connections is told at once", t, func() {
+	Convey("A primary that refuses connections is reported at once", t, func() {
 		h := newHarness(20)
 		h.manualOpen = true
 		h.query(h.client("strict"), write("1"))
@@ -123,12 +123,12 @@
 		So(h.reports, ShouldEqual, 1)
 		So(h.Observations(h.now).Reports[0].RefusedConnections, ShouldEqual, 1)
 	})
-	Convey("An ask tells the roll that the node has, its birth and the set it shows", t, func() {
+	Convey("An update request has the node's list version, its incarnation and its active set", t, func() {
 		h := newHarness(20)
-		ask := h.UpdateRequest(h.now)
-		So(ask.ListVersion, ShouldResemble, distribution.ListVersion{Tenure: "t", Number: 1})
-		So(ask.Incarnation, ShouldEqual, 1)
-		So(ask.ActiveSequence, ShouldEqual, 1)
-		So(ask.Node, ShouldEqual, "d1")
+		request := h.UpdateRequest(h.now)
+		So(request.ListVersion, ShouldResemble, distribution.ListVersion{Tenure: "t", Number: 1})
+		So(request.Incarnation, ShouldEqual, 1)
+		So(request.ActiveSequence, ShouldEqual, 1)
+		So(request.Node, ShouldEqual, "d1")
 	})
 }
