--- a/internal/app/control/asyncfailover.go
+++ b/internal/app/control/asyncfailover.go
@@ -1,6 +1,8 @@
 package control
 
 import (
+	"github.com/juju/errors"
+
 	"tansyseam/internal/coordination/failover"
 	"tansyseam/internal/coordination/failover/asyncrepl"
 	"tansyseam/internal/protocol/promotion"
@@ -31,15 +33,10 @@
 // instance was promoted is learned from the instance.
 func (s *Server) promoteAsync(call asyncrepl.Promote) {
 	s.node.Counters.Add("promote_calls", 1)
-	conn, err := s.platform.dial(s.node.Config())
-	if err != nil {
+	status, err := s.platform.promote(s.node.Config(), promotion.NewRequest(call.Database, call.Instance, call.Term))
+	if errors.Is(err, ErrNotSent) {
 		s.node.Counters.Add("promote_calls_not_sent", 1)
-		s.logger.Warn("platform not reached", "database", call.Database, "error", err)
-		return
 	}
-	defer conn.Close()
-	request := promotion.NewRequest(call.Database, call.Instance, call.Term)
-	response := conn.Send(request, promoteTimeout)
-	s.logger.Info("promote call made", "database", call.Database, "instance", call.Instance,
-		"status", response.Status, "error", response.Err)
+	s.logger.Info("promote call made", "database", call.Database, "instance", call.Instance, "term", call.Term,
+		"status", status, "error", err)
 }
--- a/internal/app/control/platform.go
+++ b/internal/app/control/platform.go
@@ -34,17 +34,21 @@
 
 func newPlatformClient(node *node.Node) *platformClient { return &platformClient{node: node} }
 
-// dial opens a connection to the platform; every error of it is ErrNotSent.
-func (p *platformClient) dial(cfg config.Config) (*httpserver.ClientConn, error) {
+// promote sends a promote call and gives the HTTP status of the response. Its
+// error is ErrNotSent where the call certainly did not leave this node; after
+// any other error it may have been received.
+func (p *platformClient) promote(cfg config.Config, request adapter.Request) (status int, err error) {
 	client, err := p.httpClient(cfg)
 	if err != nil {
-		return nil, errors.WithType(errors.Trace(err), ErrNotSent)
+		return 0, errors.WithType(err, ErrNotSent)
 	}
 	conn, err := client.Dial(cfg.PlatformAddress, platformDialTimeout, nil)
 	if err != nil {
-		return nil, errors.WithType(errors.Trace(err), ErrNotSent)
+		return 0, errors.WithType(errors.Trace(err), ErrNotSent)
 	}
-	return conn, nil
+	defer conn.Close()
+	response := conn.Send(request, promoteTimeout)
+	return response.Status, errors.Trace(response.Err)
 }
 
 // httpClient gives the client whose connections leave from this node's IP.
@@ -67,12 +71,6 @@
 func NewPromoter(node *node.Node, newRequest func(adapter.Promotion) adapter.Request) Promoter {
 	platform := newPlatformClient(node)
 	return func(cfg config.Config, promotion adapter.Promotion) (int, error) {
-		conn, err := platform.dial(cfg)
-		if err != nil {
-			return 0, err
-		}
-		defer conn.Close()
-		response := conn.Send(newRequest(promotion), promoteTimeout)
-		return response.Status, errors.Trace(response.Err)
+		return platform.promote(cfg, newRequest(promotion))
 	}
 }
--- /dev/null
+++ b/internal/app/control/results.go
@@ -0,0 +1,59 @@
+package control
+
+import (
+	"net/http"
+
+	"tansyseam/internal/app/node"
+	"tansyseam/internal/coordination/callresult"
+	"tansyseam/internal/coordination/consensus"
+	"tansyseam/internal/protocol/message"
+	"tansyseam/internal/protocol/schema"
+)
+
+const (
+	// callRetryMillis is when a call whose primary changed may be sent again.
+	callRetryMillis = 1000
+	// Outcomes of a call that was not acknowledged.
+	outcomeNotCommitted = "not_kept"
+	outcomeUnknown      = "unknown"
+)
+
+func newCallResult(status int, answer any) message.OperatorCallResult {
+	return message.OperatorCallResult{Status: status, Body: encode(answer)}
+}
+
+// rejected is the result of a call that changed nothing.
+func rejected(status int, reason string, violations ...schema.Violation) message.OperatorCallResult {
+	return newCallResult(status, node.NewErrorResponse(reason, violations...))
+}
+
+// conflicting is the result of a call that contradicts a binding set which was
+// accepted before.
+func conflicting(reason string, sequence uint64) message.OperatorCallResult {
+	response := node.NewErrorResponse(reason)
+	response.Sequence = &sequence
+	return newCallResult(http.StatusConflict, response)
+}
+
+// unacknowledged is the result of a call during which the control primary
+// changed; it may be sent again with the same id.
+func unacknowledged(outcome string, retryMillis int64) message.OperatorCallResult {
+	response := node.NewErrorResponse("the control primary changed under the call")
+	response.Outcome, response.RetryAfterMillis = outcome, retryMillis
+	return newCallResult(http.StatusServiceUnavailable, response)
+}
+
+// repeatedResult is the result of a call whose id was used before.
+func repeatedResult(call operatorCall, recorded callresult.Result) message.OperatorCallResult {
+	if recorded.Path != call.path {
+		return rejected(http.StatusConflict, "the id was used for another call")
+	}
+	return message.OperatorCallResult{Status: recorded.Status, Body: recorded.Body}
+}
+
+func outcomeOf(submitted consensus.SubmitResult) string {
+	if submitted.OutcomeUnknown {
+		return outcomeUnknown
+	}
+	return outcomeNotCommitted
+}
