--- a/test.sh
+++ b/test.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The one test command: format, vet, build, race-checked tests, the fixed
-# seeds, then bounded runs of fleets of real processes, in the product's own
-# manner and in the platform's.
+# The one test command: formatter, vet, linter, build, tests under the race
+# detector, the fixed seeds, then bounded runs of fleets of real processes, in
+# the product's own mode and in the platform's.
 set -euo pipefail
 cd "$(dirname "$0")"
 unformatted=$(gofmt -s -l cmd internal platform test)
@@ -9,8 +9,10 @@
   printf 'not formatted:\n%s\n' "$unformatted"
   exit 1
 fi
+go mod tidy -diff
 go vet ./...
 go build ./...
+go tool -modfile=lint/go.mod staticcheck ./...
 # Tests of KNOWN-RED.txt fail for faults that are known and not mended yet: they
 # are passed over here, then run and printed, whatever comes of them.
 red=
