--- a/test/history/commits.go
+++ b/test/history/commits.go
@@ -101,7 +101,7 @@
 func (e Evidence) promotionTimes() map[string]map[uint64]int64 {
 	promoted := map[string]map[uint64]int64{}
 	for _, execution := range e.Executions {
-		if execution.Action != actPromote {
+		if execution.Action != ActPromote {
 			continue
 		}
 		if promoted[execution.Database] == nil {
@@ -115,7 +115,7 @@
 func (e Evidence) lastRunTimes() map[requestInTerm]int64 {
 	lastRun := map[requestInTerm]int64{}
 	for _, execution := range e.Executions {
-		if execution.Action == actPromote || execution.RequestID == "" {
+		if execution.Action == ActPromote || execution.RequestID == "" {
 			continue
 		}
 		key := requestInTerm{execution.RequestID, execution.Term}
--- a/test/history/evidence.go
+++ b/test/history/evidence.go
@@ -31,10 +31,10 @@
 	OutcomeLeft    = "left"
 )
 
-// Acts of executions that are not statements of callers' own.
+// Acts of executions that are not callers' statements.
 const (
-	actCommit  = "commit"
-	actPromote = "promote"
+	ActCommit  = "commit"
+	ActPromote = "promote"
 )
 
 // ErrorResetByRun is the error of a request whose connection the run itself
--- a/test/history/restarts.go
+++ b/test/history/restarts.go
@@ -32,7 +32,7 @@
 func CutRequests(e Evidence) []string {
 	runTimes := map[statement][]int64{}
 	for _, execution := range e.Executions {
-		if execution.Action != actPromote {
+		if execution.Action != ActPromote {
 			key := statement{execution.RequestID, execution.Text}
 			runTimes[key] = append(runTimes[key], execution.At)
 		}
--- a/test/history/sessions.go
+++ b/test/history/sessions.go
@@ -6,8 +6,8 @@
 	"tansyseam/test/standin"
 )
 
-// sessionSetting is the setting by which callers mark their sessions.
-const sessionSetting = "app"
+// SessionSetting is the setting by which callers mark their sessions.
+const SessionSetting = "app"
 
 // MixedSessions finds transactions that hold statements of more than one
 // caller, statements that ran under another session's settings, and answers
@@ -25,7 +25,7 @@
 func (e Evidence) checkTransactionOwners(found *violations) {
 	owners := map[string]string{}
 	for _, execution := range e.Executions {
-		if execution.Transaction == "" || execution.Action == actCommit {
+		if execution.Transaction == "" || execution.Action == ActCommit {
 			continue
 		}
 		caller := callerOf(execution.Text)
@@ -44,9 +44,9 @@
 		}
 	}
 	for _, execution := range e.Executions {
-		session, ok := execution.Settings[sessionSetting]
+		session, ok := execution.Settings[SessionSetting]
 		caller := callerOf(execution.Text)
-		if ok && execution.Action != actCommit && callerOfSession[session] != caller {
+		if ok && execution.Action != ActCommit && callerOfSession[session] != caller {
 			found.add("a statement of %s ran under the settings of %s", caller, callerOfSession[session])
 		}
 	}
@@ -61,8 +61,8 @@
 	if event.ExecutedText != "" && event.ExecutedText != event.Text {
 		found.add("%s asked for %q, and %q was run", event.Caller, event.Text, event.ExecutedText)
 	}
-	if event.Settings[sessionSetting] != event.ExpectedSetting {
-		found.add("%s read under settings %q, its own are %q", event.Caller, event.Settings[sessionSetting], event.ExpectedSetting)
+	if event.Settings[SessionSetting] != event.ExpectedSetting {
+		found.add("%s read under settings %q, its own are %q", event.Caller, event.Settings[SessionSetting], event.ExpectedSetting)
 	}
 }
 
@@ -90,7 +90,7 @@
 	}
 	executed := map[statement]int{}
 	for _, execution := range e.Executions {
-		if execution.Action != actCommit && execution.Action != actPromote {
+		if execution.Action != ActCommit && execution.Action != ActPromote {
 			executed[statement{execution.RequestID, execution.Text}]++
 		}
 	}
--- a/test/simulation/caller_operations.go
+++ b/test/simulation/caller_operations.go
@@ -94,7 +94,7 @@
 
 func (c *caller) set() {
 	value := c.session
-	c.request(c.newEvent(history.KindSet), httppool.Op{Kind: httppool.OpSet, Name: "app", Value: value}, func(event standin.Event, open bool) {
+	c.request(c.newEvent(history.KindSet), httppool.Op{Kind: httppool.OpSet, Name: history.SessionSetting, Value: value}, func(event standin.Event, open bool) {
 		if open && event.Outcome == history.OutcomeDone {
 			c.setting = value
 		}
--- a/test/simulation/caller_request.go
+++ b/test/simulation/caller_request.go
@@ -57,7 +57,7 @@
 
 // drawDeadline gives a deadline to some of the requests; 0 for none.
 func (c *caller) drawDeadline() time.Duration {
-	if c.fleet.modelsWindows || c.random.IntN(requestsPerDeadline) != 0 {
+	if c.fleet.windows.enabled || c.random.IntN(requestsPerDeadline) != 0 {
 		return 0
 	}
 	return time.Duration(minDeadlineMS+c.random.IntN(deadlineRangeMS)) * time.Millisecond
--- /dev/null
+++ b/test/simulation/control_test.go
@@ -0,0 +1,131 @@
+package simulation
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+)
+
+func TestKilledAtEachStep(t *testing.T) {
+	onlyWithoutRace(t)
+	Convey("The control primary, and its backup, killed before each of its syncs while sets are put, an epoch changes and a promotion runs", t, func() {
+		results := runConcurrently(2*24, concurrentRuns, func(index uint64) Result {
+			config := SmallConfig()
+			config.FaultDuration, config.RecoveryDuration = 8*time.Second, 15*time.Second
+			config.Script = func(f *fleet) {
+				target := f.activePrimary()
+				if index%2 == 1 {
+					target = f.findControl(target.consensus.Record().Backup)
+				}
+				target.writesUntilCrash = 1 + int(index/2)
+				old := f.currentPrimary(f.databases[0])
+				f.simulator.after(300*time.Millisecond, func() { old.crashAndRestart(old.start, 4*time.Second) })
+			}
+			return Run(100+index, config, Defects{}, nil)
+		})
+		promoted := 0
+		for at, result := range results {
+			SoMsg(time.Duration(at).String(), result.Violations, ShouldBeEmpty)
+			if result.Terms > 1 {
+				promoted++
+			}
+		}
+		So(promoted, ShouldBeGreaterThan, len(results)*3/4)
+	})
+}
+
+func TestDiskMachinesLostForGood(t *testing.T) {
+	onlyWithoutRace(t)
+	Convey("Of five disk machines, the primary is lost for good, and after the repair the next primary too", t, func() {
+		config := LargeConfig()
+		config.FaultDuration, config.RecoveryDuration = 9*time.Second, 15*time.Second
+		var lost []*controlServer
+		config.Script = func(f *fleet) {
+			lose := func() {
+				control := f.activePrimary()
+				lost = append(lost, control)
+				control.crash()
+			}
+			lose()
+			f.simulator.after(5*time.Second, lose)
+		}
+		result := Run(7, config, Defects{}, nil)
+		So(result.Violations, ShouldBeEmpty)
+		So(len(lost), ShouldEqual, 2)
+		So(lost[0].name, ShouldNotEqual, lost[1].name)
+		So(result.Epochs, ShouldBeGreaterThanOrEqualTo, 5)
+	})
+	Convey("Of three, one is lost with its disk and returns blank; after the repair another is", t, func() {
+		config := SmallConfig()
+		config.FaultDuration, config.RecoveryDuration = 12*time.Second, 15*time.Second
+		config.Script = func(f *fleet) {
+			lose := func() {
+				control := f.activePrimary()
+				control.crashAndRestart(control.start, 2*time.Second)
+				control.disk = newDisk()
+			}
+			lose()
+			f.simulator.after(6*time.Second, lose)
+		}
+		result := Run(8, config, Defects{}, nil)
+		So(result.Violations, ShouldBeEmpty)
+		So(result.Epochs, ShouldBeGreaterThanOrEqualTo, 5)
+	})
+}
+
+func TestControlCutOffForLong(t *testing.T) {
+	onlyWithoutRace(t)
+	ways := map[string]func(isolated, other string) []link{
+		"both ways":     func(isolated, other string) []link { return []link{{isolated, other}, {other, isolated}} },
+		"it hears none": func(isolated, other string) []link { return []link{{isolated, other}} },
+		"none hears it": func(isolated, other string) []link { return []link{{other, isolated}} },
+		"from one alone": func(isolated, other string) []link {
+			return map[bool][]link{true: {{isolated, other}, {other, isolated}}}[other < "c3"]
+		},
+	}
+	configOf := func(way func(isolated, other string) []link, result *struct{ reads, others int }) Config {
+		config := SmallConfig()
+		config.FaultDuration, config.RecoveryDuration = 24*time.Second, 15*time.Second
+		config.Script = func(f *fleet) {
+			f.faults.followUpsLeft = 0
+			isolated := f.activePrimary()
+			for _, other := range f.controls {
+				for _, cut := range way(isolated.name, other.name) {
+					if other != isolated {
+						f.simulator.blockLink(cut, 20*time.Second)
+					}
+				}
+			}
+			f.simulator.after(4*time.Second, func() {
+				if next := f.activePrimary(); next != nil && next != isolated {
+					result.others++
+				}
+			})
+			f.simulator.after(23*time.Second, func() { result.reads = f.answeredReads })
+		}
+		return config
+	}
+	Convey("A control primary is cut off from the others for 20 s, while it still meets nodes and operators: nobody reads older than was acknowledged, at most one holds primacy, and orders go on elsewhere", t, func() {
+		for name, way := range ways {
+			for seed := range uint64(4) {
+				var seen struct{ reads, others int }
+				result := Run(40+seed, configOf(way, &seen), Defects{}, nil)
+				SoMsg(name, result.Violations, ShouldBeEmpty)
+				So(seen.reads, ShouldBeGreaterThan, 50)
+				if name == "both ways" {
+					So(seen.others, ShouldEqual, 1)
+				}
+			}
+		}
+	})
+	Convey("A control machine that answers reads without primacy is found by it", t, func() {
+		broken := 0
+		for seed := range uint64(4) {
+			var seen struct{ reads, others int }
+			result := Run(40+seed, configOf(ways["both ways"], &seen), Defects{ReadWithoutPrimacy: true}, nil)
+			broken += len(result.Violations[ownRule])
+		}
+		So(broken, ShouldBeGreaterThan, 0)
+	})
+}
--- /dev/null
+++ b/test/simulation/defects_test.go
@@ -0,0 +1,71 @@
+package simulation
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/test/history"
+)
+
+func TestPlantedDefectsAreSeen(t *testing.T) {
+	onlyWithoutRace(t)
+	with := func(only ...string) Config {
+		config := SmallConfig()
+		config.AllowedFaults, config.MaxFaultDuration = only, 12*time.Second
+		return config
+	}
+	cutOff := SmallConfig()
+	cutOff.FaultDuration = 12 * time.Second
+	cutOff.Script = func(f *fleet) {
+		isolated, old := f.nodes[0], f.currentPrimary(f.databases[0])
+		for _, control := range f.controls {
+			f.simulator.blockBothWays(link{isolated.name, control.name}, 10*time.Second)
+		}
+		for _, other := range f.nodes[1:] {
+			f.simulator.blockLink(link{other.name, isolated.name}, 10*time.Second)
+		}
+		f.platform.keepsOldPrimary = true
+		f.simulator.after(500*time.Millisecond, old.freeze)
+		f.simulator.after(4*time.Second, old.thaw)
+		f.simulator.after(10*time.Second, func() { f.platform.keepsOldPrimary = false })
+	}
+	plants := []struct {
+		name   string
+		plant  Defects
+		rule   string
+		config Config
+	}{
+		{"nodes' leases are too long", Defects{OverlongLeases: true}, history.RuleIgnoredChanges, with("node cut off")},
+		{"other nodes' records of goes seem blank", Defects{BlankIdempotencyRecords: true}, history.RuleDuplicateEffects, with("answers lost")},
+		{"replicas seem to hold what they do not: confirmed too soon", Defects{InflatedReplicaPositions: true}, history.RuleLostCommits, with("replica lag", "primary crash")},
+		{"primaries seem to stand where they stood: replicas seem fresh", Defects{OutdatedPrimaryPositions: true}, history.RuleStaleReads, with("replica hears nothing")},
+		{"a request is sent again when its answer is lost", Defects{ResendUnanswered: true}, history.RuleUnsentStatements, with("answers lost")},
+		{"cut-off nodes write on, and confirm", Defects{OverlongLeases: true, InflatedReplicaPositions: true}, history.RuleOldPrimaryCommits, cutOff},
+		{"the worst replica is promoted", Defects{PromoteWorstReplica: true}, history.RuleLostCommits, with("replica lag", "primary crash")},
+		{"nobody hears that an instance is leaving", Defects{IgnoreLeaving: true}, history.RuleWorkAfterLeaving, with("instance leaving")},
+		{"instances call connections with state clean", Defects{DirtyConnections: true}, history.RuleMixedSessions, with("instance slow")},
+		{"a planned stop does not wait", Defects{AbruptStop: true}, history.RuleCutRequests, with("node stopped as planned")},
+		{"the control primary writes other bindings than were sent", Defects{AlteredBindings: true}, history.RuleInconsistentSets, with("instance slow")},
+	}
+	Convey("Each planted defect breaks its rule on some of a few seeds, and the same seeds pass without it", t, func() {
+		seen := map[string]int{}
+		for _, planted := range plants {
+			count := 0
+			for _, result := range runMany(1, 8, planted.config, planted.plant) {
+				if _, broken := result.Violations[planted.rule]; broken {
+					count++
+				}
+			}
+			seen[planted.name] = count
+			for _, result := range runMany(1, 2, planted.config, Defects{}) {
+				SoMsg(planted.name+": without", result.Violations, ShouldBeEmpty)
+			}
+		}
+		for name, count := range seen {
+			So(fmt.Sprintf("%s: %v", name, count > 0), ShouldEqual, name+": true")
+		}
+	})
+}
--- a/test/simulation/fleet.go
+++ b/test/simulation/fleet.go
@@ -39,11 +39,7 @@
 	// loadFactor multiplies the load of the callers.
 	loadFactor float64
 
-	// modelsWindows has the windows of all nodes checked against a model;
-	// windowUpdates and maxWindow show how much there was to check.
-	modelsWindows bool
-	windowUpdates int
-	maxWindow     float64
+	windows windowChecks
 }
 
 func newFleet(seed uint64, config Config, defects Defects) *fleet {
--- a/test/simulation/lines_fleet.go
+++ b/test/simulation/lines_fleet.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math"
 	"strings"
 	"time"
 
@@ -38,25 +37,7 @@
 	// replicaReplaced has the databases that lost a replica for good.
 	replicaReplaced map[string]bool
 
-	windows lineWindowChecks
-}
-
-// lineWindowChecks has the windows of all nodes checked against a model. The
-// other fields show how much there was to check.
-type lineWindowChecks struct {
-	enabled   bool
-	updates   int
-	uncertain int
-	maxWindow float64
-	// maxLatency is in nanoseconds.
-	maxLatency float64
-}
-
-// observe takes in a model after a check.
-func (c *lineWindowChecks) observe(model *windowModel) {
-	c.updates = max(c.updates, model.updates)
-	c.maxWindow = math.Max(c.maxWindow, model.window)
-	c.maxLatency = math.Max(c.maxLatency, model.averageLatency)
+	windows windowChecks
 }
 
 func newLineFleet(seed uint64, config LineConfig, defects LineDefects) *lineFleet {
--- a/test/simulation/platform.go
+++ b/test/simulation/platform.go
@@ -5,6 +5,7 @@
 
 	"tansyseam/internal/coordination/failover/asyncrepl"
 	"tansyseam/internal/state/model"
+	"tansyseam/test/history"
 	"tansyseam/test/standin"
 )
 
@@ -61,7 +62,7 @@
 func (i *instance) becomePrimary(term uint64) {
 	i.role, i.term, i.upstream = model.RolePrimary, term, nil
 	i.append(nil, nil)
-	i.executions = append(i.executions, standin.Execution{At: int64(i.simulator.now), Instance: i.name, Database: i.database, Action: "promote", Term: term})
+	i.executions = append(i.executions, standin.Execution{At: int64(i.simulator.now), Instance: i.name, Database: i.database, Action: history.ActPromote, Term: term})
 	i.simulator.record("%s promoted to term %d at %v", i.name, i.term, i.position())
 }
 
--- a/test/simulation/window.go
+++ b/test/simulation/window.go
@@ -113,11 +113,29 @@
 	m.window, m.averageLatency = reading.Size, float64(reading.AverageLatency)
 }
 
+// windowChecks says whether the windows of all nodes are checked against a
+// model. The other fields show how much there was to check.
+type windowChecks struct {
+	enabled   bool
+	updates   int
+	uncertain int
+	maxWindow float64
+	// maxLatency is in nanoseconds.
+	maxLatency float64
+}
+
+// observe takes in a model after a check.
+func (c *windowChecks) observe(model *windowModel) {
+	c.updates = max(c.updates, model.updates)
+	c.maxWindow = math.Max(c.maxWindow, model.window)
+	c.maxLatency = math.Max(c.maxLatency, model.averageLatency)
+}
+
 // windowModelFor gives the model of the window for an instance; nil where the
 // run models none, or the node knows no such instance.
 func (n *node) windowModelFor(name string) *windowModel {
 	reading, found := n.pool.WindowReading(name)
-	if !n.fleet.modelsWindows || !found {
+	if !n.fleet.windows.enabled || !found {
 		return nil
 	}
 	if n.windowModels[name] == nil {
@@ -141,7 +159,6 @@
 			n.fleet.recorder.addViolation("%s for %s: window %v and CAL %v, by the equations %v and %v", n.name, instance.name, reading.Size, reading.AverageLatency, model.window, time.Duration(model.averageLatency))
 			model.adopt(reading)
 		}
-		n.fleet.windowUpdates = max(n.fleet.windowUpdates, model.updates)
-		n.fleet.maxWindow = math.Max(n.fleet.maxWindow, model.window)
+		n.fleet.windows.observe(model)
 	}
 }
