--- a/internal/app/config/config_test.go
+++ b/internal/app/config/config_test.go
@@ -23,13 +23,13 @@
 		}
 		return path
 	}
-	Convey("Good flags are taken, and what is advertised follows what is listened on", t, func() {
+	Convey("Valid flags are accepted, and the advertised addresses default to those listened on", t, func() {
 		loaded, err := Load(Proxy, "", validFlags)
 		So(err, ShouldBeNil)
 		So(loaded.AdvertiseRPCAddress, ShouldEqual, "127.0.0.1:1")
 		So(loaded.Weight, ShouldEqual, 1)
 	})
-	Convey("Every fault of file and flags is listed at once", t, func() {
+	Convey("Every failure in file and flags is reported at once", t, func() {
 		file := write(`{"name":"bad name","zone":1,"disks":4,"seeds":["127.0.0.1:1","nowhere"],"link":"host:1","extra":true,"weight":{},"link":"x"}`)
 		_, err := Load(Control, file, map[string]string{"disks": "many", "log_level": "loud"})
 		all := strings.Join(Reasons(err), "\n")
@@ -38,13 +38,13 @@
 		}
 		So(len(Reasons(err)), ShouldBeGreaterThanOrEqualTo, 10)
 	})
-	Convey("A file that is no JSON object, or that is missing, is said to be so", t, func() {
+	Convey("A file that is no JSON object, or that is missing, is reported", t, func() {
 		_, err := Load(Proxy, write(`[1]`), validFlags)
 		So(Reasons(err)[0], ShouldContainSubstring, "one object")
 		_, err = Load(Proxy, filepath.Join(t.TempDir(), "none"), validFlags)
 		So(err, ShouldNotBeNil)
 	})
-	Convey("Flags win over the file, and are kept on a reload", t, func() {
+	Convey("Flags take precedence over the file, also on a reload", t, func() {
 		file := write(`{"weight":3,"zone":"zz"}`)
 		loaded, err := Load(Proxy, file, validFlags)
 		So(err, ShouldBeNil)
@@ -66,7 +66,7 @@
 }
 
 func TestDurationBounds(t *testing.T) {
-	Convey("Spans are read in the unit that their name gives, have defaults, and are held to their bounds", t, func() {
+	Convey("Durations are read in the unit that their name gives, have defaults, and must lie within their bounds", t, func() {
 		loaded, err := Load(Proxy, "", validFlags)
 		So(err, ShouldBeNil)
 		So([]time.Duration{loaded.ShutdownGrace, loaded.InstanceDrain}, ShouldResemble, []time.Duration{6 * time.Second, 7 * time.Second})
--- a/internal/app/shell/golden_test.go
+++ b/internal/app/shell/golden_test.go
@@ -65,7 +65,7 @@
 			}
 		}
 	})
-	Convey("A fleet without a reachable primary, and an address where nobody is, are reported", t, func() {
+	Convey("A fleet without a reachable primary, and an address where nothing listens, are reported", t, func() {
 		var text strings.Builder
 		for _, address := range []string{"d1", "nowhere"} {
 			for _, name := range QueryNames() {
--- a/internal/app/shell/shell_test.go
+++ b/internal/app/shell/shell_test.go
@@ -37,7 +37,7 @@
 		err := NewWithRequester("d1", asJSON, &out, respond).Run(line)
 		return out.String(), err
 	}
-	Convey("What is old news is said to be so, and who was not reached is named", t, func() {
+	Convey("The bindings of a node without a lease are marked as stale, and nodes that were not reached are named", t, func() {
 		out, err := ask(false, "bindings")
 		So(errors.Is(err, ErrUnreachable), ShouldBeTrue)
 		So(err.Error(), ShouldContainSubstring, "d3 is dead")
@@ -45,7 +45,7 @@
 		So(out, ShouldContainSubstring, "being carried to all nodes")
 		So(strings.Count(out, "in force"), ShouldEqual, 2)
 	})
-	Convey("Why gives the evidence, as a table or as JSON", t, func() {
+	Convey("The audit log is written with the evidence, as a table or as JSON", t, func() {
 		out, err := ask(false, "why db")
 		So(err, ShouldBeNil)
 		So(out, ShouldContainSubstring, "five nodes")
@@ -53,7 +53,7 @@
 		So(err, ShouldBeNil)
 		So(json.Valid([]byte(out)), ShouldBeTrue)
 	})
-	Convey("A bad query is told what there is", t, func() {
+	Convey("A bad query is answered with the queries that exist", t, func() {
 		for _, line := range []string{"nonsense", "nodes and more", "why nobody", "counters nobody"} {
 			_, err := ask(false, line)
 			So(errors.Is(err, ErrBadQuery), ShouldBeTrue)
--- a/internal/protocol/schema/announce_test.go
+++ b/internal/protocol/schema/announce_test.go
@@ -17,7 +17,7 @@
 	}
 	const head = `{"instance":"i-1","database":"db","address":"10.0.0.1:80","zone":"z","role":"replica","leaving":false`
 	const rest = `,"birth":"x","term":1,"position":{"term":1,"index":2},"connections":5,"slots":5`
-	Convey("A synced instance tells its calls, and need not tell birth, term and position; any other must", t, func() {
+	Convey("A synchronously replicated instance numbers its announcements, and may leave out birth, term and position; any other instance must give them", t, func() {
 		So(accepted(head+rest+`}`), ShouldBeTrue)
 		So(accepted(head+`}`), ShouldBeFalse)
 		So(accepted(head+`,"synced":false,"calls":1}`), ShouldBeFalse)
@@ -25,7 +25,7 @@
 		So(accepted(head+`,"synced":true,"calls":4,"gone":true}`), ShouldBeTrue)
 		So(accepted(head+`,"synced":true}`), ShouldBeFalse)
 	})
-	Convey("The answer may name a door", t, func() {
+	Convey("The answer may name an HTTP address", t, func() {
 		So(validator.ValidateAnswer("/v1/announce", []byte(`{"nodes":[],"door":"10.0.0.1:81"}`), false), ShouldBeEmpty)
 		So(validator.ValidateAnswer("/v1/announce", []byte(`{"nodes":[]}`), false), ShouldBeEmpty)
 	})
--- a/internal/protocol/schema/schema_test.go
+++ b/internal/protocol/schema/schema_test.go
@@ -20,35 +20,35 @@
 		}
 		return found
 	}
-	Convey("Every reason is given at once, each with its JSON path", t, func() {
+	Convey("Every violation is reported at once, each with its JSON path", t, func() {
 		found := paths("/v1/bindings/put", `{"id":"bad id","expected":-1,"extra":1,"bindings":[{"name":"","database":7,"freshness_ms":1.5},{}]}`)
 		for _, path := range []string{"/id", "/expected", "/bindings/0/name", "/bindings/0/database", "/bindings/0/freshness_ms", "/bindings/1", ""} {
 			SoMsg(path, found, ShouldContainKey, path)
 		}
 	})
-	Convey("A key given twice is refused at any depth", t, func() {
+	Convey("A duplicate key is rejected at any depth", t, func() {
 		found := paths("/v1/bindings/put", `{"id":"a","expected":0,"expected":1,"bindings":[{"name":"b","name":"c","database":"d","freshness_ms":0}]}`)
 		So(found["/expected"], ShouldContainSubstring, "twice")
 		So(found["/bindings/0/name"], ShouldContainSubstring, "twice")
 	})
-	Convey("Malformed bodies, unknown calls and wrong types are refused; an empty body stands for no fields", t, func() {
+	Convey("Malformed bodies, unknown calls and wrong types are rejected; an empty body stands for an empty object", t, func() {
 		for _, body := range []string{`{"id":`, `[]`, `"x"`, `null`, `{} trailing`, strings.Repeat("[", 5000)} {
 			So(paths("/v1/bindings/put", body), ShouldNotBeEmpty)
 		}
 		So(paths("/v1/nowhere", `{}`), ShouldNotBeEmpty)
 		So(paths("/v1/fleet", ""), ShouldBeEmpty)
 	})
-	Convey("A write must carry its go; a statement has a text or a prepared name, not both", t, func() {
+	Convey("A write must carry its request id; a statement has a text or a prepared name, not both", t, func() {
 		So(paths("/v1/statement", `{"session":"s","kind":"write","text":"x"}`), ShouldNotBeEmpty)
 		So(paths("/v1/statement", `{"session":"s","kind":"read","text":"x","prepared":"p"}`), ShouldNotBeEmpty)
 		So(paths("/v1/statement", `{"session":"s","kind":"write","text":"x","go":"s.1"}`), ShouldBeEmpty)
 	})
-	Convey("Text passes as it was written, escapes and all", t, func() {
+	Convey("Text is preserved as it was written, escapes included", t, func() {
 		value, violations := validator.ValidateRequest("/v1/statement", []byte(`{"session":"s","kind":"read","text":"a\u00e9\"\\\n\u2028 b"}`))
 		So(violations, ShouldBeEmpty)
 		So(string(value.GetStringBytes("text")), ShouldEqual, "aé\"\\\n\u2028 b")
 	})
-	Convey("Answers are held against their shape too", t, func() {
+	Convey("Answers are validated too", t, func() {
 		So(validator.ValidateAnswer("/v1/ready", []byte(`{"ready":true,"why":""}`), false), ShouldBeEmpty)
 		So(validator.ValidateAnswer("/v1/ready", []byte(`{"ready":"yes"}`), false), ShouldNotBeEmpty)
 		So(validator.ValidateAnswer("/v1/ready", []byte(`{"error":"x","faults":[{"path":"/a","reason":"b"}]}`), true), ShouldBeEmpty)
