--- a/test/cmd/e2e/main.go
+++ b/test/cmd/e2e/main.go
@@ -3,6 +3,7 @@
 package main
 
 import (
+	"errors"
 	"flag"
 	"fmt"
 	"os"
@@ -29,7 +30,8 @@
 	list := flag.Bool("list", false, "list the scenarios")
 	mode := flag.String("manner", "", "platform, for the scenarios in the manner of the users' platform")
 	otherBuild := flag.String("beside", "", "folder with tansyseam-proxy and tansyseam-control of another build, which every second process runs")
-	otherFirst := flag.Bool("other-first", false, "with -beside: the first process of a kind is of the other build")
+	otherRevision := flag.String("beside-revision", "", "git revision to build for -beside; where the repository does not have it, nothing is played")
+	otherFirst := flag.Bool("other-first", false, "with -beside or -beside-revision: the first process of a kind is of the other build")
 	flag.Parse()
 	if *list && *mode != "" {
 		for _, scenario := range platforme2e.Scenarios() {
@@ -62,6 +64,18 @@
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
+	if *otherRevision != "" {
+		programs.OtherBuild = filepath.Join(directory, "other-bin")
+		err := e2e.BuildRevision(*root, programs.OtherBuild, *otherRevision)
+		if errors.Is(err, e2e.ErrNoRevision) {
+			fmt.Println("skipped:", err)
+			return 0
+		}
+		if err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			return 1
+		}
+	}
 	wanted := strings.Split(*runNames, ",")
 	if *mode != "" {
 		return runPlatformScenarios(wanted, *root, programs, directory, *seed)
--- a/test/cmd/measure/main.go
+++ b/test/cmd/measure/main.go
@@ -6,7 +6,6 @@
 	"flag"
 	"fmt"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"slices"
 	"strings"
@@ -31,7 +30,7 @@
 }
 
 func run() int {
-	name := flag.String("run", "steady", "the run, as prove lists them")
+	name := flag.String("run", "steady", "the run, as e2e lists them")
 	shapeName := flag.String("shape", "small", "magnolia, chile or small")
 	versions := flag.String("versions", "", "git revisions with commas between; none for the tree as it is")
 	repeat := flag.Int("repeat", 3, "turns of each version")
@@ -92,22 +91,8 @@
 	if err := e2e.Build(root, bin, false); err != nil || version == "" {
 		return bin, err
 	}
-	tree := filepath.Join(directory, "tree-"+strings.ReplaceAll(version, "/", "_"))
-	if out, err := exec.Command("git", "-C", root, "worktree", "add", "--detach", tree, version).CombinedOutput(); err != nil {
-		return bin, fmt.Errorf("%s: %w: %s", version, err, out)
-	}
-	defer func() { _ = exec.Command("git", "-C", root, "worktree", "remove", "--force", tree).Run() }()
-	module, programs := tree, []string{"tansyseam-proxy", "tansyseam-control"}
-	// Builds up to 6cad5d2 have modules and programs of other names.
-	if _, err := os.Stat(filepath.Join(tree, "pooler")); err == nil {
-		module, programs = filepath.Join(tree, "pooler"), []string{"seamd", "seamc"}
-	}
-	for at, program := range programs {
-		command := exec.Command("go", "build", "-o", filepath.Join(bin, []string{"tansyseam-proxy", "tansyseam-control"}[at]), "./cmd/"+program)
-		command.Dir = module
-		if out, err := command.CombinedOutput(); err != nil {
-			return bin, fmt.Errorf("%s: %w: %s", version, err, out)
-		}
+	if err := e2e.BuildRevision(root, bin, version); err != nil {
+		return bin, err
 	}
 	return bin, nil
 }
