--- a/test/simulation/faults.go
+++ b/test/simulation/faults.go
@@ -115,6 +115,13 @@
 	kind.inject(f, span)
 }
 
+// setFor gives a variable another value for a span. The variable must not move
+// in that time, as those of a disk do when it is replaced.
+func setFor[T any](s *simulator, span time.Duration, variable *T, temporary, usual T) {
+	*variable = temporary
+	s.after(span, func() { *variable = usual })
+}
+
 // recordFault records a fault, and the phases that it meets.
 func (p *controlPlane) recordFault(name string, span time.Duration, phases []string) {
 	p.simulator.record("trouble: %s for %v", name, span)
--- a/test/simulation/faults_instance.go
+++ b/test/simulation/faults_instance.go
@@ -91,14 +91,12 @@
 
 func (f *fleet) delayReplication(span time.Duration) {
 	instance := f.randomInstance()
-	instance.replicationDelay = f.simulator.randomDuration(minLag, maxLag)
-	f.simulator.after(span, func() { instance.replicationDelay = defaultReplicationDelay })
+	setFor(f.simulator, span, &instance.replicationDelay, f.simulator.randomDuration(minLag, maxLag), defaultReplicationDelay)
 }
 
 func (f *fleet) slowInstance(span time.Duration) {
 	instance := f.randomInstance()
-	instance.serviceTime = f.simulator.randomDuration(minSlowService, maxSlowService)
-	f.simulator.after(span, func() { instance.serviceTime = defaultServiceTime })
+	setFor(f.simulator, span, &instance.serviceTime, f.simulator.randomDuration(minSlowService, maxSlowService), defaultServiceTime)
 }
 
 func (f *fleet) haveInstanceLeave(span time.Duration) {
@@ -106,14 +104,12 @@
 	if instance.leavingSince != 0 {
 		return
 	}
-	instance.leavingSince = int64(f.simulator.now)
-	f.simulator.after(span, func() { instance.leavingSince = 0 })
+	setFor(f.simulator, span, &instance.leavingSince, int64(f.simulator.now), 0)
 }
 
 func (f *fleet) silenceInstance(span time.Duration) {
 	instance := f.randomInstance()
-	instance.silent = true
-	f.simulator.after(span, func() { instance.silent = false })
+	setFor(f.simulator, span, &instance.silent, true, false)
 }
 
 // loseInstanceData crashes one instance of the run with its data, where its
--- a/test/simulation/faults_network.go
+++ b/test/simulation/faults_network.go
@@ -11,14 +11,12 @@
 
 func (p *controlPlane) slowLinks(span time.Duration) {
 	network := &p.simulator.network
-	network.extraDelay = p.simulator.randomDuration(minSlowLinkDelay, maxSlowLinkDelay)
-	p.simulator.after(span, func() { network.extraDelay = 0 })
+	setFor(p.simulator, span, &network.extraDelay, p.simulator.randomDuration(minSlowLinkDelay, maxSlowLinkDelay), 0)
 }
 
 func (p *controlPlane) loseMessages(span time.Duration) {
 	network := &p.simulator.network
-	network.lossRate = faultLossRate
-	p.simulator.after(span, func() { network.lossRate = 0 })
+	setFor(p.simulator, span, &network.lossRate, faultLossRate, 0)
 }
 
 // blockOneWay blocks one direction between a node and a control server.
--- a/test/simulation/faults_node.go
+++ b/test/simulation/faults_node.go
@@ -70,8 +70,7 @@
 }
 
 func (f *fleet) raiseLoad(span time.Duration) {
-	f.loadFactor = rushLoadFactor
-	f.simulator.after(span, func() { f.loadFactor = 1 })
+	setFor(f.simulator, span, &f.loadFactor, rushLoadFactor, 1)
 }
 
 func (f *fleet) addNode(time.Duration) {
@@ -95,8 +94,7 @@
 
 func (f *fleet) changeNodeWeight(span time.Duration) {
 	node := f.randomNode()
-	node.weight = minNodeWeight + nodeWeightRange*f.simulator.random.Float64()
-	f.simulator.after(span, func() { node.weight = 1 })
+	setFor(f.simulator, span, &node.weight, minNodeWeight+nodeWeightRange*f.simulator.random.Float64(), 1)
 }
 
 // isolateNode cuts a node off from control and from all nodes.
--- a/test/simulation/lines_faults.go
+++ b/test/simulation/lines_faults.go
@@ -165,14 +165,12 @@
 
 func (l *lineFleet) slowInstance(span time.Duration) {
 	instance := l.randomInstance()
-	instance.serviceTime = l.simulator.randomDuration(minSlowLineService, maxSlowLineService)
-	l.simulator.after(span, func() { instance.serviceTime = defaultLineServiceTime })
+	setFor(l.simulator, span, &instance.serviceTime, l.simulator.randomDuration(minSlowLineService, maxSlowLineService), defaultLineServiceTime)
 }
 
 func (l *lineFleet) delayReplication(span time.Duration) {
 	instance := l.randomInstance()
-	instance.replicationDelay = l.simulator.randomDuration(minLineLag, maxLineLag)
-	l.simulator.after(span, func() { instance.replicationDelay = defaultLineReplicationDelay })
+	setFor(l.simulator, span, &instance.replicationDelay, l.simulator.randomDuration(minLineLag, maxLineLag), defaultLineReplicationDelay)
 }
 
 // isolateReplica blocks what an instance receives from the others of its
@@ -244,16 +242,13 @@
 
 // delayPlatform has calls of the platform take longer for a span.
 func (l *lineFleet) delayPlatform(span time.Duration) {
-	l.platform.delay = l.simulator.randomDuration(minPlatformDelay, maxPlatformDelay)
-	l.simulator.after(span, func() { l.platform.delay = 0 })
+	setFor(l.simulator, span, &l.platform.delay, l.simulator.randomDuration(minPlatformDelay, maxPlatformDelay), 0)
 }
 
 func (l *lineFleet) repeatPlatformCalls(span time.Duration) {
-	l.platform.repeats = true
-	l.simulator.after(span, func() { l.platform.repeats = false })
+	setFor(l.simulator, span, &l.platform.repeats, true, false)
 }
 
 func (l *lineFleet) cutOffPlatform(span time.Duration) {
-	l.platform.cutOff = true
-	l.simulator.after(span, func() { l.platform.cutOff = false })
+	setFor(l.simulator, span, &l.platform.cutOff, true, false)
 }
