--- a/test/e2e/fleet.go
+++ b/test/e2e/fleet.go
@@ -1,14 +1,13 @@
-// Package e2e starts a whole fleet as real processes on loopback, and ends
-// by id only what it started.
 package e2e
 
 import (
 	"context"
-	"fmt"
 	"net/http"
+	"slices"
 	"syscall"
-	"tansyseam/test/standin"
 	"time"
+
+	"tansyseam/test/standin"
 )
 
 // Fleet is a running deployment.
@@ -21,21 +20,21 @@
 	Instances []*Process
 	Platform  *standin.Platform
 	History   *standin.History
-	Seeds     string
-	Relays    map[string]*standin.Relay
+	// Seeds are RPC addresses, separated by commas.
+	Seeds string
+	// Relays are by process name; there are none unless the options ask.
+	Relays map[string]*standin.Relay
 
 	cancel context.CancelFunc
 	ctx    context.Context
 	client *http.Client
-	origin string
 }
 
 // Options change how a fleet is started.
 type Options struct {
-	Relays   bool
-	Weights  []float64
-	LogLevel string
-	// ConfigFiles gives each front a settings file of its own.
+	// Relays puts a relay before each process's RPC address.
+	Relays bool
+	// ConfigFiles gives each proxy a configuration file of its own.
 	ConfigFiles bool
 }
 
@@ -44,7 +43,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &Fleet{
 		Shape: shape, Directory: directory, Programs: programs, History: &standin.History{}, Relays: map[string]*standin.Relay{},
-		ctx: ctx, cancel: cancel, client: &http.Client{Timeout: 5 * time.Second}, origin: loopbackIP(9, 0),
+		ctx: ctx, cancel: cancel, client: &http.Client{Timeout: 5 * time.Second},
 	}
 	if err := f.planProcesses(options); err != nil {
 		f.Stop()
@@ -61,9 +60,9 @@
 	return f, nil
 }
 
-// Stop ends all that the fleet started.
+// Stop kills all processes that the fleet started, and ends its stand-ins.
 func (f *Fleet) Stop() {
-	all := append(append(append([]*Process(nil), f.Proxies...), f.Controls...), f.Instances...)
+	all := slices.Concat(f.Proxies, f.Controls, f.Instances)
 	for _, process := range all {
 		process.Signal(syscall.SIGCONT)
 		process.Signal(syscall.SIGKILL)
@@ -77,21 +76,11 @@
 	f.cancel()
 }
 
-// AddProxy starts one more front than was planned.
+// AddProxy starts a proxy beside those that were planned.
 func (f *Fleet) AddProxy() (*Process, error) {
-	number := len(f.Proxies)
-	ip := loopbackIP(1, number)
-	var addresses [2]string
-	for index := range addresses {
-		address, err := allocateAddress(ip)
-		if err != nil {
-			return nil, err
-		}
-		addresses[index] = address
-	}
-	proxy := &Process{
-		Name: fmt.Sprintf("proxy%d", number+1), Program: f.Programs.Path("tansyseam-proxy", number), RPCAddress: addresses[0], HTTPAddress: addresses[1], IP: ip,
-		Zone: f.Shape.Zones[number%len(f.Shape.Zones)],
+	proxy, err := f.newProcess(proxyProgram, proxyGroup, len(f.Proxies))
+	if err != nil {
+		return nil, err
 	}
 	proxy.Args = []string{"--name", proxy.Name, "--zone", proxy.Zone, "--link", proxy.RPCAddress, "--door", proxy.HTTPAddress, "--seeds", f.Seeds}
 	if err := proxy.Start(f.Directory); err != nil {
@@ -102,7 +91,7 @@
 	return proxy, nil
 }
 
-// FindProcess gives a process by name.
+// FindProcess returns a process by name, nil where there is none.
 func (f *Fleet) FindProcess(name string) *Process {
 	for _, list := range [][]*Process{f.Proxies, f.Controls, f.Instances} {
 		for _, process := range list {
@@ -114,12 +103,14 @@
 	return nil
 }
 
-// StartCallers starts the shape's load.
+// StartCallers starts the shape's load, scaled.
 func (f *Fleet) StartCallers(seed uint64, scale float64) *standin.Callers {
 	return standin.StartCallers(f.ctx, f.Shape.Mix, f.Platform, f.History, seed, scale)
 }
 
-// WaitUntil asks again and again, for a bound, whether something is so.
+const pollInterval = 20 * time.Millisecond
+
+// WaitUntil polls a condition until it holds; false after a timeout.
 func WaitUntil(timeout time.Duration, condition func() bool) bool {
 	deadline := time.Now().Add(timeout)
 	for {
@@ -129,6 +120,6 @@
 		if time.Now().After(deadline) {
 			return false
 		}
-		time.Sleep(20 * time.Millisecond)
+		time.Sleep(pollInterval)
 	}
 }
--- a/test/e2e/fleet_api.go
+++ b/test/e2e/fleet_api.go
@@ -6,11 +6,13 @@
 	"fmt"
 	"io"
 	"net/http"
-	"tansyseam/test/standin"
 	"time"
+
+	"tansyseam/test/standin"
 )
 
-// Post makes a remote call to a door.
+// Post makes a call with a JSON body at an HTTP address and returns the status
+// and the body of the answer.
 func (f *Fleet) Post(address, path string, body any) (int, []byte, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -25,44 +27,52 @@
 	return response.StatusCode, raw, err
 }
 
-// SetFault tells an instance what to do wrong.
+// SetFault changes how an instance misbehaves.
 func (f *Fleet) SetFault(instance string, fault standin.Fault) error {
 	for _, process := range f.Instances {
 		if process.Name == instance {
-			_, _, err := f.Post(process.HTTPAddress, "/admin/fault", map[string]any{"fault": fault})
+			_, _, err := f.Post(process.HTTPAddress, "/admin/fault", faultRequest{fault})
 			return err
 		}
 	}
 	return fmt.Errorf("no instance %s", instance)
 }
 
-// PutBindings puts a set, through any door that takes it.
-func (f *Fleet) PutBindings(id string, expected uint64, bindings any) (int, []byte, error) {
-	body := map[string]any{"id": id, "expected": expected, "bindings": bindings}
-	var code int
-	var raw []byte
-	var err error
+type faultRequest struct {
+	Fault standin.Fault `json:"fault"`
+}
+
+type putRequest struct {
+	ID       string            `json:"id"`
+	Expected uint64            `json:"expected"`
+	Bindings []standin.Binding `json:"bindings"`
+}
+
+// PutBindings sends a set of bindings to the first proxy that answers. The
+// expected sequence is the one that the set is to replace.
+func (f *Fleet) PutBindings(id string, expected uint64, bindings []standin.Binding) (status int, raw []byte, err error) {
+	body := putRequest{ID: id, Expected: expected, Bindings: bindings}
 	for _, proxy := range f.Proxies {
-		if code, raw, err = f.Post(proxy.HTTPAddress, "/v1/bindings/put", body); err == nil {
+		if status, raw, err = f.Post(proxy.HTTPAddress, "/v1/bindings/put", body); err == nil {
 			break
 		}
 	}
-	return code, raw, err
+	return status, raw, err
 }
 
-// AwaitReady waits until the fleet has formed, put its first bindings and has
-// all doors ready.
+// AwaitReady waits until the fleet has formed and taken its first bindings, all
+// proxies are ready, and all databases are served. The timeout is for each.
 func (f *Fleet) AwaitReady(timeout time.Duration) error {
 	accepted := WaitUntil(timeout, func() bool {
-		code, _, err := f.PutBindings("first", 0, f.Shape.Mix.Bindings())
-		return err == nil && code == http.StatusOK
+		status, _, err := f.PutBindings("first", 0, f.Shape.Mix.Bindings())
+		return err == nil && status == http.StatusOK
 	})
 	if !accepted {
-		code, raw, err := f.PutBindings("first", 0, f.Shape.Mix.Bindings())
-		return fmt.Errorf("first bindings not taken: %d %s %v", code, raw, err)
+		status, raw, err := f.PutBindings("first", 0, f.Shape.Mix.Bindings())
+		return fmt.Errorf("first bindings not taken: %d %s %v", status, raw, err)
 	}
 	if !WaitUntil(timeout, func() bool { return f.Platform.ReadyCount() >= len(f.Proxies) }) {
-		return fmt.Errorf("%d of %d doors ready", f.Platform.ReadyCount(), len(f.Proxies))
+		return fmt.Errorf("%d of %d proxies ready", f.Platform.ReadyCount(), len(f.Proxies))
 	}
 	if !WaitUntil(timeout, func() bool { return f.allServing() }) {
 		return fmt.Errorf("writer roles not open")
@@ -70,7 +80,8 @@
 	return nil
 }
 
-// Writer is a database's writer role as a node shows it.
+// Writer is a database's writer role as a node reports it. The fields are named
+// as in the report.
 type Writer struct {
 	Database   string
 	Term       uint64
@@ -81,9 +92,10 @@
 	Why        string
 }
 
-// Writers asks a node for the writer roles.
+// Writers asks a node for the writer roles, by database; nil where it does not
+// answer.
 func (f *Fleet) Writers(address string) map[string]Writer {
-	_, raw, err := f.Post(address, "/v1/fleet", map[string]any{})
+	_, raw, err := f.Post(address, "/v1/fleet", struct{}{})
 	if err != nil {
 		return nil
 	}
--- a/test/e2e/fleet_plan.go
+++ b/test/e2e/fleet_plan.go
@@ -5,121 +5,192 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
+
 	"tansyseam/test/standin"
 )
 
+const (
+	proxyProgram   = "tansyseam-proxy"
+	controlProgram = "tansyseam-control"
+)
+
+// Third octets of loopback addresses, by kind of process.
+const (
+	proxyGroup    = 1
+	controlGroup  = 2
+	instanceGroup = 3
+	platformGroup = 9
+)
+
+const (
+	relayIP            = "127.2.0.1"
+	replicationDelayMS = 3
+)
+
+// planProcesses decides on addresses and arguments of all processes, and
+// starts the stand-ins that live in this one.
 func (f *Fleet) planProcesses(options Options) error {
-	address := func(group, number int) (string, error) { return allocateAddress(loopbackIP(group, number)) }
-	platformAt, err := address(9, 0)
+	platformAddress, err := allocateAddress(loopbackIP(platformGroup, 0))
 	if err != nil {
 		return err
 	}
-	logLevel := options.LogLevel
-	if logLevel == "" {
-		logLevel = "info"
+	if f.Controls, err = f.newProcesses(controlProgram, controlGroup, f.Shape.Controls); err != nil {
+		return err
 	}
-	newProcesses := func(program string, group, count int) ([]*Process, error) {
-		var list []*Process
-		for index := range count {
-			link, err := address(group, index)
-			if err != nil {
-				return nil, err
-			}
-			address, err := address(group, index)
-			if err != nil {
-				return nil, err
-			}
-			name := fmt.Sprintf("%s%d", strings.TrimPrefix(program, "tansyseam-"), index+1)
-			list = append(list, &Process{
-				Name: name, Program: f.Programs.Path(program, index), RPCAddress: link, HTTPAddress: address, IP: loopbackIP(group, index),
-				Zone: f.Shape.Zones[index%len(f.Shape.Zones)], DataDirectory: filepath.Join(f.Directory, name),
-			})
-		}
-		return list, nil
+	if f.Proxies, err = f.newProcesses(proxyProgram, proxyGroup, f.Shape.Proxies); err != nil {
+		return err
 	}
-	if f.Controls, err = newProcesses("tansyseam-control", 2, f.Shape.Controls); err != nil {
+	advertised, err := f.advertise(options)
+	if err != nil {
 		return err
 	}
-	if f.Proxies, err = newProcesses("tansyseam-proxy", 1, f.Shape.Proxies); err != nil {
+	f.Seeds = strings.Join([]string{advertised[f.Controls[0].Name], advertised[f.Controls[1].Name], advertised[f.Proxies[0].Name]}, ",")
+	for _, process := range slices.Concat(f.Controls, f.Proxies) {
+		process.Args = []string{
+			"--name", process.Name, "--zone", process.Zone, "--link", process.RPCAddress, "--door", process.HTTPAddress,
+			"--seeds", f.Seeds, "--log-level", "info", "--advertise-link", advertised[process.Name],
+		}
+	}
+	for _, control := range f.Controls {
+		control.Args = append(control.Args, "--data", control.DataDirectory, "--disks", fmt.Sprint(f.Shape.Controls), "--platform", platformAddress)
+	}
+	if options.ConfigFiles {
+		if err := f.writeConfigFiles(); err != nil {
+			return err
+		}
+	}
+	if err := f.planInstances(); err != nil {
 		return err
 	}
-	all := append(append([]*Process(nil), f.Controls...), f.Proxies...)
+	return f.servePlatform(platformAddress)
+}
+
+func (f *Fleet) newProcesses(program string, group, count int) ([]*Process, error) {
+	var list []*Process
+	for index := range count {
+		process, err := f.newProcess(program, group, index)
+		if err != nil {
+			return nil, err
+		}
+		list = append(list, process)
+	}
+	return list, nil
+}
+
+func (f *Fleet) newProcess(program string, group, index int) (*Process, error) {
+	ip := loopbackIP(group, index)
+	rpcAddress, err := allocateAddress(ip)
+	if err != nil {
+		return nil, err
+	}
+	httpAddress, err := allocateAddress(ip)
+	if err != nil {
+		return nil, err
+	}
+	name := fmt.Sprintf("%s%d", strings.TrimPrefix(program, "tansyseam-"), index+1)
+	return &Process{
+		Name: name, Program: f.Programs.Path(program, index), RPCAddress: rpcAddress, HTTPAddress: httpAddress, IP: ip,
+		Zone: f.Shape.Zones[index%len(f.Shape.Zones)], DataDirectory: filepath.Join(f.Directory, name),
+	}, nil
+}
+
+// advertise returns the RPC addresses that processes advertise, by name: their
+// own, or those of relays before them.
+func (f *Fleet) advertise(options Options) (map[string]string, error) {
 	advertised := map[string]string{}
-	for _, process := range all {
+	for _, process := range slices.Concat(f.Controls, f.Proxies) {
 		advertised[process.Name] = process.RPCAddress
-		if options.Relays {
-			index, err := allocateAddress("127.2.0.1")
-			if err != nil {
-				return err
-			}
-			relay, err := standin.OpenRelay(index, process.RPCAddress)
-			if err != nil {
-				return err
-			}
-			f.Relays[process.Name] = relay
-			advertised[process.Name] = index
+		if !options.Relays {
+			continue
 		}
-	}
-	f.Seeds = advertised[f.Controls[0].Name] + "," + advertised[f.Controls[1].Name] + "," + advertised[f.Proxies[0].Name]
-	for index, process := range all {
-		process.Args = []string{
-			"--name", process.Name, "--zone", process.Zone, "--link", process.RPCAddress, "--door", process.HTTPAddress,
-			"--seeds", f.Seeds, "--log-level", logLevel, "--advertise-link", advertised[process.Name],
+		address, err := allocateAddress(relayIP)
+		if err != nil {
+			return nil, err
 		}
-		if index < len(f.Controls) {
-			process.Args = append(process.Args, "--data", process.DataDirectory, "--disks", fmt.Sprint(f.Shape.Controls), "--platform", platformAt)
-		} else if proxy := index - len(f.Controls); proxy < len(options.Weights) {
-			process.Args = append(process.Args, "--weight", fmt.Sprint(options.Weights[proxy]))
+		relay, err := standin.OpenRelay(address, process.RPCAddress)
+		if err != nil {
+			return nil, err
 		}
-		if options.ConfigFiles && index >= len(f.Controls) {
-			process.ConfigFile = filepath.Join(f.Directory, process.Name+".settings.json")
-			if err := os.WriteFile(process.ConfigFile, []byte(`{"weight": 1}`), 0o644); err != nil {
-				return err
-			}
-			process.Args = append(process.Args, "--config", process.ConfigFile)
+		f.Relays[process.Name], advertised[process.Name] = relay, address
+	}
+	return advertised, nil
+}
+
+func (f *Fleet) writeConfigFiles() error {
+	for _, proxy := range f.Proxies {
+		proxy.ConfigFile = filepath.Join(f.Directory, proxy.Name+".settings.json")
+		if err := os.WriteFile(proxy.ConfigFile, []byte(`{"weight": 1}`), 0o644); err != nil {
+			return err
 		}
+		proxy.Args = append(proxy.Args, "--config", proxy.ConfigFile)
 	}
-	return f.planInstances(platformAt)
+	return nil
 }
 
-func (f *Fleet) planInstances(platformAt string) error {
-	doors := []string{f.Controls[0].HTTPAddress, f.Controls[1].HTTPAddress, f.Proxies[0].HTTPAddress}
-	var places []standin.InstanceInfo
-	number := 0
+// planInstances plans the instances of each database; the first is primary.
+func (f *Fleet) planInstances() error {
 	for _, database := range f.Shape.Databases {
 		primary := ""
 		for index := range f.Shape.InstancesPerDatabase {
-			where, err := allocateAddress(loopbackIP(3, number))
+			process, err := f.planInstance(database, index, primary)
 			if err != nil {
 				return err
 			}
-			config := standin.InstanceConfig{
-				Name: fmt.Sprintf("%s-%c", database, 'a'+index), Database: database, Address: where, Zone: f.Shape.Zones[index%len(f.Shape.Zones)],
-				Role: "replica", Upstream: primary, AnnounceAddresses: doors, Connections: f.Shape.Connections, Slots: f.Shape.Slots,
-				ServiceTimeUS: f.Shape.ServiceTimeUS, ReplicationDelayMS: 3, Seed: uint64(number + 1),
-			}
-			config.Directory = filepath.Join(f.Directory, config.Name)
 			if index == 0 {
-				config.Role, primary = "primary", where
-			}
-			path := filepath.Join(f.Directory, config.Name+".json")
-			data, _ := json.Marshal(config)
-			if err := os.WriteFile(path, data, 0o644); err != nil {
-				return err
+				primary = process.HTTPAddress
 			}
-			f.Instances = append(f.Instances, &Process{
-				Name: config.Name, Program: f.Programs.CurrentPath("standin"), Args: []string{path}, RPCAddress: where, HTTPAddress: where,
-				Zone: config.Zone, DataDirectory: config.Directory, IP: loopbackIP(3, number),
-			})
-			places = append(places, standin.InstanceInfo{Name: config.Name, Database: database, Address: where})
-			number++
 		}
 	}
+	return nil
+}
+
+// planInstance plans one instance: a replica of the given primary, or the
+// primary itself where none is given.
+func (f *Fleet) planInstance(database string, index int, primary string) (*Process, error) {
+	number := len(f.Instances)
+	ip := loopbackIP(instanceGroup, number)
+	address, err := allocateAddress(ip)
+	if err != nil {
+		return nil, err
+	}
+	name := fmt.Sprintf("%s-%c", database, 'a'+index)
+	config := standin.InstanceConfig{
+		Name: name, Database: database, Address: address, Zone: f.Shape.Zones[index%len(f.Shape.Zones)],
+		Role: "replica", Upstream: primary, Connections: f.Shape.Connections, Slots: f.Shape.Slots,
+		AnnounceAddresses: []string{f.Controls[0].HTTPAddress, f.Controls[1].HTTPAddress, f.Proxies[0].HTTPAddress},
+		Directory:         filepath.Join(f.Directory, name),
+		ServiceTimeUS:     f.Shape.ServiceTimeUS, ReplicationDelayMS: replicationDelayMS, Seed: uint64(number + 1),
+	}
+	if primary == "" {
+		config.Role = "primary"
+	}
+	path := filepath.Join(f.Directory, name+".json")
+	data, err := json.Marshal(config)
+	if err != nil {
+		return nil, err
+	}
+	if err := os.WriteFile(path, data, 0o644); err != nil {
+		return nil, err
+	}
+	process := &Process{
+		Name: name, Program: f.Programs.CurrentPath("standin"), Args: []string{path}, RPCAddress: address, HTTPAddress: address,
+		Zone: config.Zone, DataDirectory: config.Directory, IP: ip, Database: database,
+	}
+	f.Instances = append(f.Instances, process)
+	return process, nil
+}
+
+func (f *Fleet) servePlatform(address string) error {
+	var instances []standin.InstanceInfo
+	for _, process := range f.Instances {
+		instances = append(instances, standin.InstanceInfo{Name: process.Name, Database: process.Database, Address: process.HTTPAddress})
+	}
 	zones := map[string]string{}
 	for _, proxy := range f.Proxies {
 		zones[proxy.HTTPAddress] = proxy.Zone
 	}
-	f.Platform = standin.NewPlatform(f.ctx, places, zones)
-	return f.Platform.Serve(platformAt)
+	f.Platform = standin.NewPlatform(f.ctx, instances, zones)
+	return f.Platform.Serve(address)
 }
--- a/test/e2e/process.go
+++ b/test/e2e/process.go
@@ -9,17 +9,21 @@
 	"time"
 )
 
-// Process is one started program.
+// Process is one program that is started, and started again.
 type Process struct {
-	Name          string
-	Program       string
-	Args          []string
-	RPCAddress    string
-	HTTPAddress   string
-	Zone          string
+	Name    string
+	Program string
+	Args    []string
+	// IP is that of both addresses.
+	IP          string
+	RPCAddress  string
+	HTTPAddress string
+	Zone        string
+	// Database is given for instances.
+	Database      string
 	DataDirectory string
-	IP            string
-	ConfigFile    string
+	// ConfigFile is empty where there is none.
+	ConfigFile string
 
 	mutex    sync.Mutex
 	command  *exec.Cmd
@@ -27,7 +31,8 @@
 	exitCode int
 }
 
-// Start starts the process; its log goes to a file of its name.
+// Start starts the process. Its output is appended to a log file of its name
+// in a directory.
 func (p *Process) Start(directory string) error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -43,19 +48,19 @@
 		return err
 	}
 	p.exited = make(chan struct{})
-	command, ended := p.command, p.exited
+	command, exited := p.command, p.exited
 	go func() {
 		_ = command.Wait()
 		_ = log.Close()
 		p.mutex.Lock()
 		p.exitCode = command.ProcessState.ExitCode()
 		p.mutex.Unlock()
-		close(ended)
+		close(exited)
 	}()
 	return nil
 }
 
-// Signal sends a signal to the process that was started.
+// Signal sends a signal to the process, where it was started.
 func (p *Process) Signal(signal syscall.Signal) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -64,32 +69,33 @@
 	}
 }
 
-// AwaitExit waits, for a bound, until the process has ended.
+// AwaitExit waits until the process has ended or was never started; false
+// after a timeout.
 func (p *Process) AwaitExit(timeout time.Duration) bool {
 	p.mutex.Lock()
-	ended := p.exited
+	exited := p.exited
 	p.mutex.Unlock()
-	if ended == nil {
+	if exited == nil {
 		return true
 	}
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-ended:
+	case <-exited:
 		return true
 	case <-timer.C:
 		return false
 	}
 }
 
-// ExitCode gives the exit code of an ended process.
+// ExitCode returns the exit code of the last process that has ended.
 func (p *Process) ExitCode() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.exitCode
 }
 
-// Kill ends the process at once.
+// Kill kills the process and waits until it has ended.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	p.AwaitExit(5 * time.Second)
--- a/test/e2e/programs.go
+++ b/test/e2e/programs.go
@@ -17,7 +17,7 @@
 	OtherFirst bool
 }
 
-// Path gives the program of the process with an index among those of its kind.
+// Path returns the program of the process with an index among those of its kind.
 func (p Programs) Path(program string, index int) string {
 	other := (index%2 == 1) != p.OtherFirst
 	if p.OtherBuild != "" && other {
@@ -26,10 +26,11 @@
 	return filepath.Join(p.Directory, program)
 }
 
-// CurrentPath gives a program of this build.
+// CurrentPath returns a program of this build.
 func (p Programs) CurrentPath(program string) string { return filepath.Join(p.Directory, program) }
 
-// Build compiles the programs into a folder.
+// Build compiles the product's programs and the stand-in instance of a source
+// tree into a directory.
 func Build(root, directory string, race bool) error {
 	args := []string{"build"}
 	if race {
--- a/test/e2e/result.go
+++ b/test/e2e/result.go
@@ -4,43 +4,46 @@
 	"fmt"
 	"io"
 	"slices"
+	"time"
+
 	"tansyseam/test/history"
 	"tansyseam/test/standin"
-	"time"
 )
 
-// Result is what a scenario showed.
+// Result is what a run showed.
 type Result struct {
-	Scenario   string
-	Shape      string
-	Seed       uint64
-	Notes      []string
+	Scenario string
+	Shape    string
+	Seed     uint64
+	Notes    []string
+	// Violations are by rule; failures of the run itself stand under "scenario".
 	Violations map[string][]string
-	Outcomes   map[string]int
+	// Outcomes counts requests by kind and outcome.
+	Outcomes map[string]int
 	// Rates are requests served in each second of the run.
 	Rates []int
-	// P50 and P99 are of single writes kept, in ms.
+	// P50 and P99 are of single writes kept, in milliseconds.
 	P50, P99 float64
 	// LongestGapMS is the longest time without a kept write at one database.
 	LongestGapMS float64
-	// WorstSecond is the worst full second against the median one.
+	// WorstSecond is the rate of the worst full second as a part of the median.
 	WorstSecond float64
-	// SpreadMS is the longest time from a set's first effect at any front to
-	// the first at the last front that showed it.
+	// SpreadMS is the longest time from a set's first effect at any proxy to
+	// the first at the last proxy that showed it.
 	SpreadMS float64
 }
 
-func (r *Result) measure(events []standin.Event, began time.Time) {
-	var spans []float64
-	last := began.UnixNano()
+func (r *Result) measure(events []standin.Event, startedAt time.Time) {
+	var latencies []float64
+	last := startedAt.UnixNano()
 	for _, event := range events {
 		r.Outcomes[event.Kind+" "+event.Outcome]++
 		last = max(last, event.AnsweredAt)
 		if event.Kind == "write" && event.Outcome == "kept" && !event.Retry {
-			spans = append(spans, float64(event.AnsweredAt-event.SentAt)/1e6)
+			latencies = append(latencies, float64(event.AnsweredAt-event.SentAt)/1e6)
 		}
 	}
-	for from := began.UnixNano(); from < last; from += int64(time.Second) {
+	for from := startedAt.UnixNano(); from < last; from += int64(time.Second) {
 		r.Rates = append(r.Rates, int(history.Rate(events, from, from+int64(time.Second))))
 	}
 	r.measureGaps(events)
@@ -50,9 +53,9 @@
 		slices.Sort(full)
 		r.WorstSecond = float64(full[0]) / float64(max(full[len(full)/2], 1))
 	}
-	if len(spans) > 0 {
-		slices.Sort(spans)
-		r.P50, r.P99 = spans[len(spans)/2], spans[len(spans)*99/100]
+	if len(latencies) > 0 {
+		slices.Sort(latencies)
+		r.P50, r.P99 = latencies[len(latencies)/2], latencies[len(latencies)*99/100]
 	}
 }
 
@@ -96,7 +99,7 @@
 	}
 }
 
-// Print writes a result for people.
+// Print writes a summary of the result.
 func (r Result) Print(out io.Writer) {
 	verdict := "good"
 	if len(r.Violations) > 0 {
--- a/test/e2e/run.go
+++ b/test/e2e/run.go
@@ -4,12 +4,14 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
+	"time"
+
 	"tansyseam/test/history"
 	"tansyseam/test/standin"
-	"time"
 )
 
-// Run is one scenario under way.
+// Run is one scenario under way: the fleet, its load, and what is recorded
+// besides the callers' history.
 type Run struct {
 	*Fleet
 	Callers   *standin.Callers
@@ -19,48 +21,93 @@
 	Failures  []string
 }
 
-// Logf writes down a figure or event of the run.
+// Logf records a figure or an event of the run, with its time.
 func (r *Run) Logf(format string, parts ...any) {
 	r.Notes = append(r.Notes, fmt.Sprintf("%6.2f s  ", time.Since(r.StartedAt).Seconds())+fmt.Sprintf(format, parts...))
 }
 
-// Errorf notes something that should have been so.
+// Errorf records a failure of the run, which goes on.
 func (r *Run) Errorf(format string, parts ...any) {
 	r.Failures = append(r.Failures, fmt.Sprintf(format, parts...))
 }
 
-// Sleep lets load run for a while.
-func (r *Run) Sleep(span time.Duration) { time.Sleep(span) }
+// Sleep lets the load run for a while.
+func (r *Run) Sleep(duration time.Duration) { time.Sleep(duration) }
 
-// ReplaceBindings puts the mix's bindings again, with a changed freshness, as the next
-// sequence.
+// ReplaceBindings replaces the bindings by the mix's own, where the sequence in
+// force is the expected one. It returns the sequence that is in force then.
 func (r *Run) ReplaceBindings(expected uint64) uint64 {
 	bindings := r.Shape.Mix.Bindings()
 	id := fmt.Sprintf("put-%d-%d", expected, time.Now().UnixNano())
-	for range 5 {
-		code, raw, err := r.PutBindings(id, expected, bindings)
+	for range replaceAttempts {
+		status, raw, err := r.PutBindings(id, expected, bindings)
 		var answer struct {
 			Sequence uint64 `json:"sequence"`
 		}
-		if err == nil && code == http.StatusOK && json.Unmarshal(raw, &answer) == nil {
-			r.Evidence.AcceptedSets = append(r.Evidence.AcceptedSets, history.AcceptedSet{Sequence: answer.Sequence, AcknowledgedAt: time.Now().UnixNano()})
+		if err == nil && status == http.StatusOK && json.Unmarshal(raw, &answer) == nil {
+			r.recordAcceptedSet(answer.Sequence, time.Time{})
 			return answer.Sequence
 		}
-		r.Logf("put answered %d %s", code, raw)
-		time.Sleep(300 * time.Millisecond)
+		r.Logf("put answered %d %s", status, raw)
+		time.Sleep(replaceInterval)
 	}
 	r.Errorf("no set could be put on %d", expected)
 	return expected
 }
 
-// RecordClosedFault notes the end of a fault.
-func (r *Run) RecordClosedFault(name string, from, until time.Time) {
+const (
+	replaceAttempts = 5
+	replaceInterval = 300 * time.Millisecond
+)
+
+// recordAcceptedSet records a set that was acknowledged now, and when it is to
+// take effect where it was scheduled.
+func (r *Run) recordAcceptedSet(sequence uint64, effectiveAt time.Time) {
+	set := history.AcceptedSet{Sequence: sequence, AcknowledgedAt: time.Now().UnixNano()}
+	if !effectiveAt.IsZero() {
+		set.EffectiveAt = effectiveAt.UnixMilli() * int64(time.Millisecond)
+	}
+	r.Evidence.AcceptedSets = append(r.Evidence.AcceptedSets, set)
+}
+
+// recordRestart records a planned restart of a proxy that ended now.
+func (r *Run) recordRestart(proxy *Process, from time.Time) {
+	r.Evidence.Restarts = append(r.Evidence.Restarts, history.Restart{Address: proxy.HTTPAddress, From: from.UnixNano(), Until: time.Now().UnixNano()})
+}
+
+// baseline is a time of load without faults.
+type baseline struct{ from, until time.Time }
+
+// observeBaseline lets the load run for 3 s before a fault; the level after
+// the fault is compared to it.
+func (r *Run) observeBaseline() baseline {
+	from := time.Now()
+	r.Sleep(3 * time.Second)
+	return baseline{from, time.Now()}
+}
+
+// recordClosedFault records that a fault ends now.
+func (r *Run) recordClosedFault(name string, before baseline) {
 	r.Evidence.ClosedFaults = append(r.Evidence.ClosedFaults, history.ClosedFault{
-		Name: name, BeforeFrom: from.UnixNano(), BeforeUntil: until.UnixNano(), At: time.Now().UnixNano(),
+		Name: name, BeforeFrom: before.from.UnixNano(), BeforeUntil: before.until.UnixNano(), At: time.Now().UnixNano(),
 	})
 }
 
-// Primary names the process of a database's primary, as the nodes hold it.
+// awaitAllReady waits until all proxies are ready; false after a timeout.
+func (r *Run) awaitAllReady(timeout time.Duration) bool {
+	return WaitUntil(timeout, func() bool { return r.Platform.ReadyCount() >= len(r.Proxies) })
+}
+
+// expectNoFailover checks, at a proxy, that the first database is still in
+// its first term; kind says what its primary is like.
+func (r *Run) expectNoFailover(proxy *Process, kind string) {
+	if term := r.Writers(proxy.HTTPAddress)[r.database()].Term; term != 1 {
+		r.Errorf("%s was taken for dead: term %d", kind, term)
+	}
+}
+
+// Primary returns the process of a database's primary as the proxies know it,
+// nil where none does.
 func (r *Run) Primary(database string) *Process {
 	for _, proxy := range r.Proxies {
 		if writer, found := r.Writers(proxy.HTTPAddress)[database]; found {
@@ -70,7 +117,8 @@
 	return nil
 }
 
-// AwaitTerm waits until a database's role is open in a term past one.
+// AwaitTerm waits until a database's writer role is open in a term past the
+// given one; false after a timeout.
 func (r *Run) AwaitTerm(database string, past uint64, timeout time.Duration) (Writer, bool) {
 	var writer Writer
 	open := WaitUntil(timeout, func() bool {
@@ -85,10 +133,11 @@
 	return writer, open
 }
 
-// ControlPrimary names the process that is control primary.
+// ControlPrimary returns the process that is primary of the control plane, nil
+// where none says so.
 func (r *Run) ControlPrimary() *Process {
 	for _, control := range r.Controls {
-		_, raw, err := r.Post(control.HTTPAddress, "/v1/fleet", map[string]any{})
+		_, raw, err := r.Post(control.HTTPAddress, "/v1/fleet", struct{}{})
 		var view struct {
 			Primacy bool `json:"primacy"`
 		}
@@ -99,9 +148,10 @@
 	return nil
 }
 
-// Epoch asks a disk machine for the epoch record.
+// Epoch asks a control process for its epoch and who is primary and backup in
+// it; zero values where it does not answer.
 func (r *Run) Epoch(control *Process) (epoch uint64, primary, backup string) {
-	_, raw, err := r.Post(control.HTTPAddress, "/v1/vitals", map[string]any{})
+	_, raw, err := r.Post(control.HTTPAddress, "/v1/vitals", struct{}{})
 	var vitals struct {
 		Epoch   uint64 `json:"epoch"`
 		Primary string `json:"primary"`
@@ -113,4 +163,5 @@
 	return vitals.Epoch, vitals.Primary, vitals.Backup
 }
 
-func (r *Run) database() string { return r.Shape.Databases[database0] }
+// database is the one that scenarios inject faults into.
+func (r *Run) database() string { return r.Shape.Databases[0] }
--- a/test/e2e/runner.go
+++ b/test/e2e/runner.go
@@ -3,13 +3,22 @@
 import (
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"syscall"
-	"tansyseam/test/history"
 	"time"
+
+	"tansyseam/test/history"
 )
 
-// RunScenario runs one scenario on a new fleet and checks its history.
+const (
+	readyTimeout = 30 * time.Second
+	// warmUpTime is the load before a scenario begins.
+	warmUpTime = time.Second
+)
+
+// RunScenario runs one scenario on a new fleet in a directory, which is emptied
+// first, and checks the history. The error is given where no fleet came up.
 func RunScenario(scenario Scenario, shape Shape, programs Programs, directory string, seed uint64, scale float64) (Result, error) {
 	result := Result{Scenario: scenario.Name, Shape: shape.Name, Seed: seed, Violations: map[string][]string{}, Outcomes: map[string]int{}}
 	if err := os.RemoveAll(directory); err != nil {
@@ -18,62 +27,96 @@
 	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return result, err
 	}
-	f, err := Start(shape, programs, directory, scenario.Options)
+	fleet, err := Start(shape, programs, directory, scenario.Options)
 	if err != nil {
 		return result, err
 	}
-	defer f.Stop()
-	if err := f.AwaitReady(30 * time.Second); err != nil {
+	defer fleet.Stop()
+	if err := fleet.AwaitReady(readyTimeout); err != nil {
 		return result, err
 	}
-	evidence := history.Evidence{}
-	run := &Run{Fleet: f, Evidence: &evidence, StartedAt: time.Now()}
-	run.Callers = f.StartCallers(seed, scale)
-	run.Sleep(time.Second)
-	scenario.Run(run)
-	run.Sleep(scenario.SettleTime)
-	run.Callers.Stop()
-	for _, list := range [][]*Process{f.Proxies, f.Controls} {
-		for _, process := range list {
-			if log, err := os.ReadFile(filepath.Join(directory, process.Name+".log")); err == nil && HasProductRace(string(log)) {
-				run.Errorf("%s: data race, see its log", process.Name)
-			}
+	run := &Run{Fleet: fleet, Evidence: &history.Evidence{}, StartedAt: time.Now()}
+	run.play(scenario, seed, scale)
+	run.checkLogs()
+	run.stopInstances()
+	evidence := run.collectEvidence()
+	result.Violations = run.judge(scenario, history.Violations(evidence))
+	result.Notes = run.Notes
+	result.measure(evidence.Events, run.StartedAt)
+	return result, nil
+}
+
+// play runs a scenario under load.
+func (r *Run) play(scenario Scenario, seed uint64, scale float64) {
+	r.Callers = r.StartCallers(seed, scale)
+	r.Sleep(warmUpTime)
+	scenario.Run(r)
+	r.Sleep(scenario.SettleTime)
+	r.Callers.Stop()
+}
+
+// checkLogs looks for reports of the race detector.
+func (r *Run) checkLogs() {
+	for _, process := range slices.Concat(r.Proxies, r.Controls) {
+		if log, err := os.ReadFile(filepath.Join(r.Directory, process.Name+".log")); err == nil && HasProductRace(string(log)) {
+			r.Errorf("%s: data race, see its log", process.Name)
 		}
 	}
-	instances := map[string]string{}
-	for _, process := range f.Instances {
-		database, _, _ := strings.Cut(process.Name, "-")
-		instances[process.Name] = database
+}
+
+// stopInstances ends the instances, so that their files are complete.
+func (r *Run) stopInstances() {
+	for _, process := range r.Instances {
 		process.Signal(syscall.SIGCONT)
 		process.Signal(syscall.SIGTERM)
 	}
-	for _, process := range f.Instances {
+	for _, process := range r.Instances {
 		process.AwaitExit(3 * time.Second)
 	}
-	loaded := history.Load(directory, instances, f.History.Events())
-	for _, process := range f.Instances {
-		past := history.Load(directory, map[string]string{process.Name + ".gone": "gone"}, nil)
-		loaded.Executions = append(loaded.Executions, past.Executions...)
+}
+
+// collectEvidence joins the callers' history, the instances' files, also those
+// of data directories that were moved away, and what the run recorded.
+func (r *Run) collectEvidence() history.Evidence {
+	databases := map[string]string{}
+	for _, process := range r.Instances {
+		databases[process.Name] = process.Database
+	}
+	evidence := history.Load(r.Directory, databases, r.History.Events())
+	for _, process := range r.Instances {
+		past := history.Load(r.Directory, map[string]string{process.Name + goneSuffix: "gone"}, nil)
+		evidence.Executions = append(evidence.Executions, past.Executions...)
 	}
-	loaded.AcceptedSets, loaded.Restarts, loaded.ClosedFaults = evidence.AcceptedSets, evidence.Restarts, evidence.ClosedFaults
-	result.Violations = history.Violations(loaded)
+	evidence.AcceptedSets, evidence.Restarts, evidence.ClosedFaults = r.Evidence.AcceptedSets, r.Evidence.Restarts, r.Evidence.ClosedFaults
+	return evidence
+}
+
+// goneSuffix is added to data directories that are taken from their process.
+const goneSuffix = ".gone"
+
+// loseData takes a process's data directory away.
+func loseData(process *Process) {
+	_ = os.Rename(process.DataDirectory, process.DataDirectory+goneSuffix)
+}
+
+// judge joins the violations of rules and the failures of the run. A planted
+// violation must be among the first, which are then as they should be.
+func (r *Run) judge(scenario Scenario, violations map[string][]string) map[string][]string {
 	if scenario.PlantedViolation != "" {
-		_, found := result.Violations[scenario.PlantedViolation]
-		result.Violations = map[string][]string{}
-		if !found {
-			run.Errorf("the planted defect was not seen: %s", scenario.PlantedViolation)
+		if _, found := violations[scenario.PlantedViolation]; !found {
+			r.Errorf("the planted defect was not seen: %s", scenario.PlantedViolation)
 		}
+		violations = map[string][]string{}
 	}
-	if len(run.Failures) > 0 {
-		result.Violations["scenario"] = run.Failures
+	if len(r.Failures) > 0 {
+		violations["scenario"] = r.Failures
 	}
-	result.Notes = run.Notes
-	result.measure(loaded.Events, run.StartedAt)
-	return result, nil
+	return violations
 }
 
-// HasProductRace says whether a log holds a report of the race detector that touches
-// the product; the HTTP engine below syncs in ways that it does not see.
+// HasProductRace reports whether a log holds a report of the race detector that
+// touches the product. Reports of the HTTP engine alone do not count: it syncs
+// in ways that the detector does not see.
 func HasProductRace(log string) bool {
 	for _, report := range strings.Split(log, "WARNING: DATA RACE")[1:] {
 		touched, _, _ := strings.Cut(report, "Goroutine ")
--- a/test/e2e/scenario_bad_input.go
+++ b/test/e2e/scenario_bad_input.go
@@ -5,10 +5,16 @@
 	"net"
 	"net/http"
 	"os"
+	"slices"
 	"strings"
 	"time"
 )
 
+// oversizedBody is more than a call may have, in bytes.
+const oversizedBody = 1500000
+
+// checkBadInput sends what is no call to a proxy's HTTP address, and what is no
+// frame to the RPC address of each process.
 func (r *Run) checkBadInput(proxy string) {
 	bad := map[string][]byte{
 		"malformed": []byte(`{"id":`), "not an object": []byte(`[1,2]`), "twice": []byte(`{"session":"a","session":"b"}`),
@@ -16,30 +22,41 @@
 	}
 	for name, body := range bad {
 		for _, path := range []string{"/v1/bindings/put", "/v1/statement", "/v1/announce"} {
-			if code, answer := r.postRaw(proxy, path, body); code != http.StatusBadRequest || !bytes.Contains(answer, []byte(`"path"`)) {
-				r.Errorf("%s at %s: %d %s", name, path, code, answer)
+			if status, answer := r.postRaw(proxy, path, body); status != http.StatusBadRequest || !bytes.Contains(answer, []byte(`"path"`)) {
+				r.Errorf("%s at %s: %d %s", name, path, status, answer)
 			}
 		}
 	}
-	if code, _ := r.postRaw(proxy, "/v1/statement", bytes.Repeat([]byte("a"), 1500000)); code != http.StatusRequestEntityTooLarge {
-		r.Errorf("an oversized body: %d", code)
+	if status, _ := r.postRaw(proxy, "/v1/statement", bytes.Repeat([]byte("a"), oversizedBody)); status != http.StatusRequestEntityTooLarge {
+		r.Errorf("an oversized body: %d", status)
 	}
-	if code, _ := r.postRaw(proxy, "/v1/nowhere", nil); code != http.StatusNotFound {
-		r.Errorf("an unknown call: %d", code)
+	if status, _ := r.postRaw(proxy, "/v1/nowhere", nil); status != http.StatusNotFound {
+		r.Errorf("an unknown call: %d", status)
 	}
-	for _, process := range append(append([]*Process(nil), r.Proxies...), r.Controls...) {
-		for _, garbage := range [][]byte{[]byte("GET / HTTP/1.1\r\n\r\n"), {'s', 'm', 'L', 1, 0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0}, {'s', 'm', 'L', 77, 0, 0, 0, 0, 0, 0, 0, 0}} {
-			conn, err := net.DialTimeout("tcp", process.RPCAddress, time.Second)
-			if err != nil {
-				r.Errorf("%s does not listen: %v", process.Name, err)
-				continue
-			}
-			_, _ = conn.Write(garbage)
-			_ = conn.SetReadDeadline(time.Now().Add(3 * time.Second))
-			if _, err := conn.Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
-				r.Errorf("%s did not close a link that spoke garbage", process.Name)
-			}
-			_ = conn.Close()
+	garbage := [][]byte{
+		[]byte("GET / HTTP/1.1\r\n\r\n"),
+		{'s', 'm', 'L', 1, 0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0},
+		{'s', 'm', 'L', 77, 0, 0, 0, 0, 0, 0, 0, 0},
+	}
+	for _, process := range slices.Concat(r.Proxies, r.Controls) {
+		for _, data := range garbage {
+			r.checkGarbage(process, data)
 		}
 	}
 }
+
+// checkGarbage sends bytes that are no frame: the process must close the
+// connection.
+func (r *Run) checkGarbage(process *Process, data []byte) {
+	conn, err := net.DialTimeout("tcp", process.RPCAddress, time.Second)
+	if err != nil {
+		r.Errorf("%s does not listen: %v", process.Name, err)
+		return
+	}
+	defer func() { _ = conn.Close() }()
+	_, _ = conn.Write(data)
+	_ = conn.SetReadDeadline(time.Now().Add(3 * time.Second))
+	if _, err := conn.Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
+		r.Errorf("%s did not close a connection that sent garbage", process.Name)
+	}
+}
--- a/test/e2e/scenario_calls.go
+++ b/test/e2e/scenario_calls.go
@@ -4,153 +4,230 @@
 	"bytes"
 	"encoding/base64"
 	"encoding/json"
-	"fmt"
 	"io"
 	"net/http"
 	"strings"
+	"time"
+
 	"tansyseam/internal/protocol/schema"
 	"tansyseam/test/standin"
-	"time"
 )
 
-func (r *Run) postRaw(address, path string, body []byte) (int, []byte) {
-	response, err := r.client.Post("http://"+address+path, "application/json", bytes.NewReader(body))
-	if err != nil {
-		return 0, []byte(err.Error())
-	}
-	defer func() { _ = response.Body.Close() }()
-	data, _ := io.ReadAll(response.Body)
-	return response.StatusCode, data
-}
+// operatorPaths are the calls that proxies and control processes both answer.
+var operatorPaths = []string{"/v1/bindings/list", "/v1/changes/list", "/v1/fleet", "/v1/vitals", "/v1/counters", "/v1/ready"}
 
+// runCallChecks compares the answers of all calls with the schema.
 func runCallChecks(r *Run) {
 	validator, err := schema.NewValidator()
 	if err != nil {
 		r.Errorf("%v", err)
 		return
 	}
-	proxy := r.Proxies[0].HTTPAddress
-	check := func(path string, body any, want int) map[string]any {
-		data, _ := json.Marshal(body)
-		code, answer := r.postRaw(proxy, path, data)
-		if code != want {
-			r.Errorf("%s: %d, wanted %d: %s", path, code, want, answer)
-		}
-		refusal := code >= 400 && !bytes.Contains(answer, []byte(`"outcome":"`)) && path != "/v1/ready"
-		if faults := validator.ValidateAnswer(path, answer, refusal); len(faults) > 0 {
-			r.Errorf("%s: answer is not of its shape: %v: %s", path, faults, answer)
-		}
-		found := map[string]any{}
-		_ = json.Unmarshal(answer, &found)
-		return found
-	}
-	none := map[string]any{}
-	for _, path := range []string{"/v1/bindings/list", "/v1/changes/list", "/v1/fleet", "/v1/vitals", "/v1/counters", "/v1/ready"} {
-		check(path, none, http.StatusOK)
+	checker := &callChecker{run: r, validator: validator, address: r.Proxies[0].HTTPAddress}
+	for _, path := range operatorPaths {
+		checker.check(path, struct{}{}, http.StatusOK)
 	}
 	for _, control := range r.Controls {
-		for _, path := range []string{"/v1/bindings/list", "/v1/changes/list", "/v1/fleet", "/v1/vitals", "/v1/counters", "/v1/ready"} {
-			if code, answer := r.postRaw(control.HTTPAddress, path, nil); code != http.StatusOK || len(validator.ValidateAnswer(path, answer, false)) > 0 {
-				r.Errorf("%s of %s: %d %s", path, control.Name, code, answer)
+		for _, path := range operatorPaths {
+			if status, answer := r.postRaw(control.HTTPAddress, path, nil); status != http.StatusOK || len(validator.ValidateAnswer(path, answer, false)) > 0 {
+				r.Errorf("%s of %s: %d %s", path, control.Name, status, answer)
 			}
 		}
 	}
-	r.checkSessionCalls(check)
-	r.checkBadInput(proxy)
+	checker.checkSession()
+	checker.checkPositionTokens()
+	checker.checkRejections()
+	r.checkBadInput(checker.address)
 	r.checkClientDeath()
 	r.checkShell()
 }
 
-func (r *Run) checkClientDeath() {
-	proxy := r.Proxies[1]
-	before := r.counter(proxy, "sessions_lost")
-	client := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
-	call := func(path string, body map[string]any) map[string]any {
-		data, _ := json.Marshal(body)
-		found := map[string]any{}
-		response, err := client.Post("http://"+proxy.HTTPAddress+path, "application/json", bytes.NewReader(data))
-		if err != nil {
-			r.Errorf("%v", err)
-			return found
-		}
-		defer func() { _ = response.Body.Close() }()
-		_ = json.NewDecoder(response.Body).Decode(&found)
-		return found
+// postRaw posts a body as it is; the status is 0 where no answer came.
+func (r *Run) postRaw(address, path string, body []byte) (int, []byte) {
+	response, err := r.client.Post("http://"+address+path, "application/json", bytes.NewReader(body))
+	if err != nil {
+		return 0, []byte(err.Error())
 	}
-	session, _ := call("/v1/session/open", map[string]any{"binding": r.Shape.Mix.Roles[0].Binding + "-" + r.database()})["session"].(string)
-	text := "hold by dying x"
-	call("/v1/begin", map[string]any{"session": session})
-	inside := call("/v1/statement", map[string]any{"session": session, "kind": "write", "text": text, "go": session + ".1"})
-	if inside["outcome"] != "done" {
-		r.Errorf("a statement in a transaction: %v", inside)
+	defer func() { _ = response.Body.Close() }()
+	data, _ := io.ReadAll(response.Body)
+	return response.StatusCode, data
+}
+
+// bindingName is that of the first role for the first database.
+func (r *Run) bindingName() string { return r.Shape.Mix.Roles[0].Binding + "-" + r.database() }
+
+type openCall struct {
+	Binding       string `json:"binding"`
+	PositionToken string `json:"mark,omitempty"`
+}
+
+// sessionCall is the union of the bodies of calls within a session.
+type sessionCall struct {
+	Session   string   `json:"session"`
+	Kind      string   `json:"kind,omitempty"`
+	Name      string   `json:"name,omitempty"`
+	Value     string   `json:"value,omitempty"`
+	Text      string   `json:"text,omitempty"`
+	Prepared  string   `json:"prepared,omitempty"`
+	Arguments []string `json:"arguments,omitempty"`
+	RequestID string   `json:"go,omitempty"`
+}
+
+// callAnswer is the part of answers that the checks look at.
+type callAnswer struct {
+	Session       string           `json:"session"`
+	Outcome       string           `json:"outcome"`
+	PositionToken string           `json:"mark"`
+	Position      standin.Position `json:"position"`
+}
+
+// callChecker makes calls at one proxy and checks their answers.
+type callChecker struct {
+	run       *Run
+	validator *schema.Validator
+	address   string
+}
+
+// check makes a call, and checks its status and the shape of its answer.
+func (c *callChecker) check(path string, body any, want int) callAnswer {
+	data, _ := json.Marshal(body)
+	status, raw := c.run.postRaw(c.address, path, data)
+	if status != want {
+		c.run.Errorf("%s: %d, wanted %d: %s", path, status, want, raw)
 	}
-	r.History.Add(standin.Event{Caller: "dying", Session: session, Kind: "rollback", Database: r.database(), Text: text, RequestID: session + ".1"})
-	client.CloseIdleConnections()
-	if !WaitUntil(5*time.Second, func() bool { return r.counter(proxy, "sessions_lost") > before }) {
-		r.Errorf("a consumer's death did not close its session")
+	refusal := status >= 400 && !bytes.Contains(raw, []byte(`"outcome":"`)) && path != "/v1/ready"
+	if faults := c.validator.ValidateAnswer(path, raw, refusal); len(faults) > 0 {
+		c.run.Errorf("%s: answer is not of its shape: %v: %s", path, faults, raw)
 	}
+	var answer callAnswer
+	_ = json.Unmarshal(raw, &answer)
+	return answer
 }
 
-func (r *Run) checkSessionCalls(check func(string, any, int) map[string]any) {
-	binding := r.Shape.Mix.Roles[0].Binding + "-" + r.database()
-	session, _ := check("/v1/session/open", map[string]any{"binding": binding}, http.StatusOK)["session"].(string)
-	with := func(parts ...any) map[string]any {
-		body := map[string]any{"session": session}
-		for index := 0; index+1 < len(parts); index += 2 {
-			body[parts[index].(string)] = parts[index+1]
-		}
-		return body
-	}
-	probe := "by probe x"
-	noted := func(kind, verb, id string) {
-		r.History.Add(standin.Event{Caller: "probe", Session: session, Kind: kind, Database: r.database(), Text: verb + " " + probe, RequestID: id})
+// checkSession makes each call of a session, in and out of turn.
+func (c *callChecker) checkSession() {
+	const author = "by probe x"
+	session := c.check("/v1/session/open", openCall{Binding: c.run.bindingName()}, http.StatusOK).Session
+	read := sessionCall{Session: session, Kind: "read", Text: "look " + author}
+	write := sessionCall{Session: session, Kind: "write", Text: "book " + author, RequestID: session + ".1"}
+	inside := sessionCall{Session: session, Kind: "write", Text: "hold " + author, RequestID: session + ".2"}
+	c.recordStatements(session, sessionCall{Kind: "set", Text: "set " + author}, read, read, write, inside)
+	bare := sessionCall{Session: session}
+	c.check("/v1/statement", read, http.StatusOK)
+	first := c.check("/v1/statement", write, http.StatusOK)
+	repeated := c.check("/v1/statement", write, http.StatusOK)
+	if first.Position != repeated.Position || first.Outcome != "kept" {
+		c.run.Errorf("a repeat must get the first outcome: %v, %v", first, repeated)
 	}
-	noted("set", "set", "")
-	noted("probe", "look", "")
-	noted("probe", "look", "")
-	noted("probe", "book", session+".1")
-	noted("probe", "hold", session+".2")
-	check("/v1/statement", with("kind", "read", "text", "look "+probe), http.StatusOK)
-	first := check("/v1/statement", with("kind", "write", "text", "book "+probe, "go", session+".1"), http.StatusOK)
-	again := check("/v1/statement", with("kind", "write", "text", "book "+probe, "go", session+".1"), http.StatusOK)
-	if fmt.Sprint(first["position"]) != fmt.Sprint(again["position"]) || first["outcome"] != "kept" {
-		r.Errorf("a repeat must get the first outcome: %v, %v", first, again)
+	c.check("/v1/setting", sessionCall{Session: session, Name: "app", Value: session}, http.StatusOK)
+	c.check("/v1/prepare", sessionCall{Session: session, Name: "p1", Text: read.Text}, http.StatusOK)
+	c.check("/v1/statement", sessionCall{Session: session, Kind: "read", Prepared: "p1", Arguments: []string{"a"}}, http.StatusOK)
+	c.check("/v1/begin", bare, http.StatusOK)
+	c.check("/v1/begin", bare, http.StatusConflict)
+	c.check("/v1/statement", inside, http.StatusOK)
+	c.check("/v1/commit", sessionCall{Session: session, RequestID: session + ".3"}, http.StatusOK)
+	c.check("/v1/commit", sessionCall{Session: session, RequestID: session + ".3"}, http.StatusOK)
+	c.check("/v1/commit", sessionCall{Session: session, RequestID: session + ".4"}, http.StatusConflict)
+	c.check("/v1/rollback", bare, http.StatusConflict)
+	c.checkForeignRequestIDs(session, author)
+	c.check("/v1/session/close", bare, http.StatusOK)
+	c.check("/v1/session/close", bare, http.StatusNotFound)
+	c.check("/v1/statement", read, http.StatusNotFound)
+}
+
+// recordStatements adds to the history what instances may run for the checks.
+func (c *callChecker) recordStatements(session string, calls ...sessionCall) {
+	for _, call := range calls {
+		kind := "probe"
+		if call.Kind == "set" {
+			kind = "set"
+		}
+		c.run.History.Add(standin.Event{Caller: "probe", Session: session, Kind: kind, Database: c.run.database(), Text: call.Text, RequestID: call.RequestID})
 	}
-	check("/v1/setting", with("name", "app", "value", session), http.StatusOK)
-	check("/v1/prepare", with("name", "p1", "text", "look "+probe), http.StatusOK)
-	check("/v1/statement", with("kind", "read", "prepared", "p1", "arguments", []string{"a"}), http.StatusOK)
-	check("/v1/begin", with(), http.StatusOK)
-	check("/v1/begin", with(), http.StatusConflict)
-	check("/v1/statement", with("kind", "write", "text", "hold "+probe, "go", session+".2"), http.StatusOK)
-	check("/v1/commit", with("go", session+".3"), http.StatusOK)
-	check("/v1/commit", with("go", session+".3"), http.StatusOK)
-	check("/v1/commit", with("go", session+".4"), http.StatusConflict)
-	check("/v1/rollback", with(), http.StatusConflict)
-	check("/v1/statement", with("kind", "write", "text", "x "+probe, "go", "nonsense"), http.StatusBadRequest)
-	check("/v1/statement", with("kind", "write", "text", "x "+probe, "go", "proxy9~1~1.5"), http.StatusServiceUnavailable)
-	data, _ := json.Marshal(with("kind", "write", "text", "x "+probe, "go", "proxy9~1~1.5"))
-	response, err := r.client.Post("http://"+r.Proxies[0].HTTPAddress+"/v1/statement", "application/json", bytes.NewReader(data))
+}
+
+// checkForeignRequestIDs checks request ids that are no ids, and that belong to
+// a proxy which is not there.
+func (c *callChecker) checkForeignRequestIDs(session, author string) {
+	c.check("/v1/statement", sessionCall{Session: session, Kind: "write", Text: "x " + author, RequestID: "nonsense"}, http.StatusBadRequest)
+	foreign := sessionCall{Session: session, Kind: "write", Text: "x " + author, RequestID: "proxy9~1~1.5"}
+	c.check("/v1/statement", foreign, http.StatusServiceUnavailable)
+	data, _ := json.Marshal(foreign)
+	response, err := c.run.client.Post("http://"+c.address+"/v1/statement", "application/json", bytes.NewReader(data))
 	if err != nil || response.Header.Get("Retry-After") == "" {
-		r.Errorf("503 must say when to come back: %v", err)
+		c.run.Errorf("503 must say when to come back: %v", err)
 	}
 	if err == nil {
 		_, _ = io.Copy(io.Discard, response.Body)
 		_ = response.Body.Close()
 	}
-	check("/v1/session/close", with(), http.StatusOK)
-	check("/v1/session/close", with(), http.StatusNotFound)
-	check("/v1/statement", with("kind", "read", "text", "look "+probe), http.StatusNotFound)
-	check("/v1/session/open", map[string]any{"binding": "nowhere"}, http.StatusNotFound)
-	check("/v1/session/open", map[string]any{"binding": binding, "mark": "!!"}, http.StatusBadRequest)
-	made := base64.RawURLEncoding.EncodeToString([]byte(`{"nowhere":{"term":9,"index":9},"` + r.database() + `":{"term":99,"index":1}}`))
-	opened := check("/v1/session/open", map[string]any{"binding": binding, "mark": made}, http.StatusOK)
-	if kept, _ := base64.RawURLEncoding.DecodeString(fmt.Sprint(opened["mark"])); strings.Contains(string(kept), "nowhere") {
-		r.Errorf("a mark of a database that nobody knows was kept: %s", kept)
+}
+
+// checkPositionTokens opens sessions with tokens that are broken or made up.
+func (c *callChecker) checkPositionTokens() {
+	binding := c.run.bindingName()
+	c.check("/v1/session/open", openCall{Binding: binding, PositionToken: "!!"}, http.StatusBadRequest)
+	forged := base64.RawURLEncoding.EncodeToString([]byte(`{"nowhere":{"term":9,"index":9},"` + c.run.database() + `":{"term":99,"index":1}}`))
+	opened := c.check("/v1/session/open", openCall{Binding: binding, PositionToken: forged}, http.StatusOK)
+	if kept, _ := base64.RawURLEncoding.DecodeString(opened.PositionToken); strings.Contains(string(kept), "nowhere") {
+		c.run.Errorf("a position of a database that nobody knows was kept: %s", kept)
 	}
-	check("/v1/announce", map[string]any{
-		"instance": r.database() + "-b", "database": "elsewhere", "address": "127.0.0.1:9", "zone": "za", "role": "primary", "birth": "x",
-		"term": 1, "position": map[string]any{"term": 1, "index": 1}, "leaving": false, "connections": 1, "slots": 1,
+}
+
+// announceCall is an instance's announcement.
+type announceCall struct {
+	Instance    string           `json:"instance"`
+	Database    string           `json:"database"`
+	Address     string           `json:"address"`
+	Zone        string           `json:"zone"`
+	Role        string           `json:"role"`
+	Incarnation string           `json:"birth"`
+	Term        uint64           `json:"term"`
+	Position    standin.Position `json:"position"`
+	Leaving     bool             `json:"leaving"`
+	Connections int              `json:"connections"`
+	Slots       int              `json:"slots"`
+}
+
+// checkRejections makes calls that are well formed and must be rejected.
+func (c *callChecker) checkRejections() {
+	bindings := c.run.Shape.Mix.Bindings()
+	c.check("/v1/session/open", openCall{Binding: "nowhere"}, http.StatusNotFound)
+	c.check("/v1/announce", announceCall{
+		Instance: c.run.database() + "-b", Database: "elsewhere", Address: "127.0.0.1:9", Zone: "za", Role: "primary", Incarnation: "x",
+		Term: 1, Position: standin.Position{Term: 1, Index: 1}, Connections: 1, Slots: 1,
 	}, http.StatusConflict)
-	check("/v1/bindings/put", map[string]any{"id": "stale", "expected": 0, "bindings": r.Shape.Mix.Bindings()}, http.StatusConflict)
-	check("/v1/changes/book", map[string]any{"id": "late", "at_ms": 5, "bindings": r.Shape.Mix.Bindings()}, http.StatusUnprocessableEntity)
+	c.check("/v1/bindings/put", putRequest{ID: "stale", Bindings: bindings}, http.StatusConflict)
+	c.check("/v1/changes/book", scheduleRequest{ID: "late", AtMS: 5, Bindings: bindings}, http.StatusUnprocessableEntity)
+}
+
+// checkClientDeath ends a client in a transaction: its session must be closed
+// and its write rolled back.
+func (r *Run) checkClientDeath() {
+	proxy := r.Proxies[1]
+	lostBefore := r.counter(proxy, "sessions_lost")
+	client := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
+	call := func(path string, body any) callAnswer {
+		var answer callAnswer
+		data, _ := json.Marshal(body)
+		response, err := client.Post("http://"+proxy.HTTPAddress+path, "application/json", bytes.NewReader(data))
+		if err != nil {
+			r.Errorf("%v", err)
+			return answer
+		}
+		defer func() { _ = response.Body.Close() }()
+		_ = json.NewDecoder(response.Body).Decode(&answer)
+		return answer
+	}
+	session := call("/v1/session/open", openCall{Binding: r.bindingName()}).Session
+	write := sessionCall{Session: session, Kind: "write", Text: "hold by dying x", RequestID: session + ".1"}
+	call("/v1/begin", sessionCall{Session: session})
+	if inside := call("/v1/statement", write); inside.Outcome != "done" {
+		r.Errorf("a statement in a transaction: %v", inside)
+	}
+	r.History.Add(standin.Event{Caller: "dying", Session: session, Kind: "rollback", Database: r.database(), Text: write.Text, RequestID: write.RequestID})
+	client.CloseIdleConnections()
+	if !WaitUntil(5*time.Second, func() bool { return r.counter(proxy, "sessions_lost") > lostBefore }) {
+		r.Errorf("a client's death did not close its session")
+	}
 }
--- a/test/e2e/scenario_control.go
+++ b/test/e2e/scenario_control.go
@@ -5,7 +5,9 @@
 	"time"
 )
 
-func (r *Run) failOverControl(act func(*Process)) {
+// failOverControl injects a fault into the control primary, waits until another
+// has taken over with a backup, and has the old one return.
+func (r *Run) failOverControl(inject func(*Process)) {
 	target := r.ControlPrimary()
 	if target == nil {
 		r.Errorf("no control primary")
@@ -14,9 +16,9 @@
 	sequence := r.ReplaceBindings(1)
 	epoch, _, _ := r.Epoch(target)
 	injectedAt := time.Now()
-	act(target)
+	inject(target)
 	r.Logf("%s hit in epoch %d", target.Name, epoch)
-	done := WaitUntil(15*time.Second, func() bool {
+	takenOver := WaitUntil(15*time.Second, func() bool {
 		for _, control := range r.Controls {
 			if control == target {
 				continue
@@ -27,7 +29,7 @@
 		}
 		return false
 	})
-	if !done {
+	if !takenOver {
 		r.Errorf("no takeover with a backup brought in within 15 s")
 		return
 	}
@@ -50,8 +52,8 @@
 	for _, control := range r.Controls {
 		_ = control.Start(r.Directory)
 	}
-	if !WaitUntil(10*time.Second, func() bool { return r.Platform.ReadyCount() >= len(r.Proxies) }) {
-		r.Errorf("doors not ready again")
+	if !r.awaitAllReady(10 * time.Second) {
+		r.Errorf("proxies not ready again")
 	}
 	r.Logf("ready again")
 	r.ReplaceBindings(1)
@@ -65,16 +67,45 @@
 	}
 	proxy := r.Proxies[len(r.Proxies)-1]
 	relay := r.Relays[control.Name]
-	ways := [][2]bool{{true, false}, {false, true}, {true, true}}
+	directions := []struct{ to, from bool }{{true, false}, {false, true}, {true, true}}
 	sequence := uint64(1)
-	for _, way := range ways {
-		relay.Block(proxy.IP, way[0], way[1])
+	for _, blocked := range directions {
+		relay.Block(proxy.IP, blocked.to, blocked.from)
 		r.Sleep(time.Second)
 		sequence = r.ReplaceBindings(sequence)
 		r.Sleep(3 * time.Second)
-		r.Logf("cut %v: %d doors ready", way, r.Platform.ReadyCount())
+		r.Logf("cut %v: %d proxies ready", blocked, r.Platform.ReadyCount())
 		relay.Block(proxy.IP, false, false)
 		relay.Reset()
 		r.Sleep(time.Second)
 	}
 }
+
+func runControlKill(r *Run) {
+	r.failOverControl(func(target *Process) { target.Kill() })
+}
+
+func runControlFreeze(r *Run) {
+	r.failOverControl(func(target *Process) { target.Signal(syscall.SIGSTOP) })
+}
+
+func runControlDataLoss(r *Run) {
+	r.failOverControl(func(target *Process) {
+		target.Kill()
+		loseData(target)
+	})
+}
+
+func runLossyLinks(r *Run) {
+	for _, relay := range r.Relays {
+		relay.SetFaults(0, 0.01)
+	}
+	r.ReplaceBindings(1)
+	r.Sleep(4 * time.Second)
+	r.ReplaceBindings(2)
+	r.Sleep(4 * time.Second)
+	for _, relay := range r.Relays {
+		relay.SetFaults(0, 0)
+		relay.Reset()
+	}
+}
--- a/test/e2e/scenario_database.go
+++ b/test/e2e/scenario_database.go
@@ -1,16 +1,16 @@
 package e2e
 
 import (
-	"os"
 	"syscall"
-	"tansyseam/test/standin"
 	"time"
+
+	"tansyseam/test/standin"
 )
 
-func (r *Run) failOverPrimary(act func(*Process)) {
-	from := time.Now()
-	r.Sleep(3 * time.Second)
-	until := time.Now()
+// failOverPrimary injects a fault into the primary of the first database, waits
+// until another is open in a new term, and has the old one return.
+func (r *Run) failOverPrimary(inject func(*Process)) {
+	before := r.observeBaseline()
 	target := r.Primary(r.database())
 	if target == nil {
 		r.Errorf("no primary known")
@@ -18,7 +18,7 @@
 	}
 	term := r.Writers(r.Proxies[0].HTTPAddress)[r.database()].Term
 	injectedAt := time.Now()
-	act(target)
+	inject(target)
 	r.Logf("%s hit", target.Name)
 	writer, open := r.AwaitTerm(r.database(), term, 20*time.Second)
 	if !open {
@@ -34,7 +34,7 @@
 		}
 	}
 	r.Logf("%s back", target.Name)
-	r.RecordClosedFault("primary lost", from, until)
+	r.recordClosedFault("primary lost", before)
 }
 
 func runReplicaReplacement(r *Run) {
@@ -45,7 +45,7 @@
 		r.Sleep(4 * time.Second)
 		replica.Signal(syscall.SIGTERM)
 		replica.AwaitExit(3 * time.Second)
-		_ = os.Rename(replica.DataDirectory, replica.DataDirectory+".gone")
+		loseData(replica)
 		_ = replica.Start(r.Directory)
 		candidate := WaitUntil(15*time.Second, func() bool {
 			return len(r.Writers(r.Proxies[0].HTTPAddress)[r.database()].Candidates) == r.Shape.InstancesPerDatabase-1
@@ -56,3 +56,42 @@
 		r.Logf("%s replaced", name)
 	}
 }
+
+func runPrimaryCrash(r *Run) {
+	r.failOverPrimary(func(target *Process) { target.Kill() })
+}
+
+func runPrimaryFreeze(r *Run) {
+	r.failOverPrimary(func(target *Process) { target.Signal(syscall.SIGSTOP) })
+}
+
+func runPrimaryLeave(r *Run) {
+	r.failOverPrimary(func(target *Process) { _ = r.SetFault(target.Name, standin.Fault{Leaving: pointerTo(true)}) })
+}
+
+func runPrimaryDataLoss(r *Run) {
+	r.failOverPrimary(func(target *Process) {
+		target.Kill()
+		loseData(target)
+	})
+}
+
+func runReplicaLag(r *Run) {
+	_ = r.SetFault(r.database()+"-b", standin.Fault{ReplicationDelayMS: pointerTo(4000)})
+	r.Sleep(3 * time.Second)
+	r.failOverPrimary(func(target *Process) { target.Kill() })
+	_ = r.SetFault(r.database()+"-b", standin.Fault{ReplicationDelayMS: pointerTo(3)})
+}
+
+func runReplicaCrash(r *Run) {
+	replica := r.FindProcess(r.database() + "-c")
+	replica.Kill()
+	r.Sleep(5 * time.Second)
+	_ = replica.Start(r.Directory)
+}
+
+func runSilentPrimary(r *Run) {
+	_ = r.SetFault(r.Primary(r.database()).Name, standin.Fault{Silent: pointerTo(true)})
+	r.Sleep(5 * time.Second)
+	r.expectNoFailover(r.Proxies[0], "a primary that answers")
+}
--- a/test/e2e/scenario_proxy.go
+++ b/test/e2e/scenario_proxy.go
@@ -3,8 +3,9 @@
 import (
 	"slices"
 	"syscall"
-	"tansyseam/test/history"
 	"time"
+
+	"tansyseam/test/standin"
 )
 
 func runRestart(r *Run) {
@@ -19,12 +20,12 @@
 		if proxy.ExitCode() != 0 {
 			r.Errorf("%s ended with code %d", proxy.Name, proxy.ExitCode())
 		}
-		r.Evidence.Restarts = append(r.Evidence.Restarts, history.Restart{Address: proxy.HTTPAddress, From: from.UnixNano(), Until: time.Now().UnixNano()})
+		r.recordRestart(proxy, from)
 		r.Sleep(500 * time.Millisecond)
 		if err := proxy.Start(r.Directory); err != nil {
 			r.Errorf("%v", err)
 		}
-		if !WaitUntil(8*time.Second, func() bool { return r.Platform.ReadyCount() >= len(r.Proxies) }) {
+		if !r.awaitAllReady(8 * time.Second) {
 			r.Errorf("%s not ready again", proxy.Name)
 		}
 		r.Logf("%s ready again", proxy.Name)
@@ -32,9 +33,7 @@
 }
 
 func runProxyKill(r *Run) {
-	from := time.Now()
-	r.Sleep(3 * time.Second)
-	until := time.Now()
+	before := r.observeBaseline()
 	proxy := r.Proxies[0]
 	proxy.Kill()
 	r.Sleep(500 * time.Millisecond)
@@ -43,13 +42,11 @@
 	if err := proxy.Start(r.Directory); err != nil {
 		r.Errorf("%v", err)
 	}
-	r.RecordClosedFault("front killed", from, until)
+	r.recordClosedFault("front killed", before)
 }
 
 func runZoneOutage(r *Run) {
-	from := time.Now()
-	r.Sleep(3 * time.Second)
-	until := time.Now()
+	before := r.observeBaseline()
 	zone := r.Shape.Zones[0]
 	var gone []*Process
 	for _, list := range [][]*Process{r.Proxies, r.Controls, r.Instances} {
@@ -68,7 +65,7 @@
 	for _, process := range gone {
 		_ = process.Start(r.Directory)
 	}
-	r.RecordClosedFault("zone lost", from, until)
+	r.recordClosedFault("zone lost", before)
 }
 
 func runScaling(r *Run) {
@@ -77,7 +74,7 @@
 		r.Errorf("%v", err)
 		return
 	}
-	if !WaitUntil(8*time.Second, func() bool { return r.Platform.ReadyCount() >= len(r.Proxies) }) {
+	if !r.awaitAllReady(8 * time.Second) {
 		r.Errorf("%s is not ready", proxy.Name)
 	}
 	r.ReplaceBindings(1)
@@ -94,3 +91,31 @@
 		r.Errorf("the added front served nothing")
 	}
 }
+
+func runSlowRestart(r *Run) {
+	_ = r.SetFault(r.Primary(r.database()).Name, standin.Fault{Slowdown: pointerTo(200.0)})
+	r.Sleep(2 * time.Second)
+	proxy := r.Proxies[0]
+	from := time.Now()
+	proxy.Signal(syscall.SIGTERM)
+	if !proxy.AwaitExit(8*time.Second) || proxy.ExitCode() != 0 {
+		r.Errorf("%s did not end in good order", proxy.Name)
+		proxy.Kill()
+	}
+	r.Logf("stopped after %d ms", time.Since(from).Milliseconds())
+	r.recordRestart(proxy, from.Add(-2*time.Second))
+	_ = r.SetFault(r.Primary(r.database()).Name, standin.Fault{Slowdown: pointerTo(1.0)})
+	_ = proxy.Start(r.Directory)
+	r.expectNoFailover(r.Proxies[1], "a slow primary")
+}
+
+func runProxyFreeze(r *Run) {
+	proxy := r.Proxies[len(r.Proxies)-1]
+	proxy.Signal(syscall.SIGSTOP)
+	r.Sleep(500 * time.Millisecond)
+	r.ReplaceBindings(1)
+	r.Sleep(3 * time.Second)
+	proxy.Signal(syscall.SIGCONT)
+	r.Sleep(time.Second)
+	r.ReplaceBindings(2)
+}
--- a/test/e2e/scenario_settings.go
+++ b/test/e2e/scenario_settings.go
@@ -7,6 +7,8 @@
 	"time"
 )
 
+// runSettings changes a proxy's configuration file with and without a signal,
+// and breaks it.
 func runSettings(r *Run) {
 	proxy := r.Proxies[0]
 	write := func(text string) {
@@ -34,8 +36,9 @@
 	expect("the count of a setting that needs a restart", func() bool { return r.counter(proxy, "settings_need_restart") > 0 })
 }
 
+// counter asks a process for one of its counters; -1 where it does not answer.
 func (r *Run) counter(process *Process, name string) int {
-	_, raw, err := r.Post(process.HTTPAddress, "/v1/counters", map[string]any{})
+	_, raw, err := r.Post(process.HTTPAddress, "/v1/counters", struct{}{})
 	var answer struct {
 		Counters map[string]int `json:"counters"`
 	}
@@ -45,8 +48,9 @@
 	return answer.Counters[name]
 }
 
+// weight asks a proxy for its weight; -1 where it does not answer.
 func (r *Run) weight(proxy *Process) float64 {
-	_, raw, err := r.Post(proxy.HTTPAddress, "/v1/fleet", map[string]any{})
+	_, raw, err := r.Post(proxy.HTTPAddress, "/v1/fleet", struct{}{})
 	var answer struct {
 		Weight float64 `json:"weight"`
 	}
--- a/test/e2e/scenario_shell.go
+++ b/test/e2e/scenario_shell.go
@@ -6,39 +6,56 @@
 	"strings"
 )
 
+// Exit codes of the shell.
+const (
+	shellSuccess     = 0
+	shellUnreachable = 1
+	shellMisuse      = 2
+)
+
+// checkShell runs each query of the shell, misuses it, and uses its prompt.
 func (r *Run) checkShell() {
-	ask := func(want int, words ...string) string {
-		command := exec.Command(r.Programs.CurrentPath("tansyseamctl"), words...)
-		out, _ := command.CombinedOutput()
-		if code := command.ProcessState.ExitCode(); code != want {
-			r.Errorf("tansyseamctl %v ended with %d, wanted %d: %s", words, code, want, out)
-		}
-		return string(out)
-	}
-	index := r.Controls[0].HTTPAddress
+	address := r.Controls[0].HTTPAddress
 	expected := map[string]string{
 		"nodes": "proxy1", "vitals": "control1", "instances": r.database() + "-a", "windows": "threshold", "bindings": "in force", "changes": "at",
 		"epochs": "control2", "duties": "failover/" + r.database(), "leases": "proxy1", "writers": "open", "why": "sequence 1 taken", "counters": "announcements", "help": "epochs",
 	}
 	for query, part := range expected {
-		if out := strings.ToLower(ask(0, "--at", index, query)); !strings.Contains(out, part) {
-			r.Errorf("tansyseamctl %s does not show %q: %s", query, part, out)
+		if output := strings.ToLower(r.shell(shellSuccess, "--at", address, query)); !strings.Contains(output, part) {
+			r.Errorf("tansyseamctl %s does not show %q: %s", query, part, output)
 		}
 	}
-	if out := ask(0, "--at", index, "--json", "why", r.database()); !json.Valid([]byte(out)) {
-		r.Errorf("tansyseamctl --json gives no JSON: %s", out)
+	if output := r.shell(shellSuccess, "--at", address, "--json", "why", r.database()); !json.Valid([]byte(output)) {
+		r.Errorf("tansyseamctl --json gives no JSON: %s", output)
 	}
-	ask(0, "--at", index, "counters", "proxy1")
-	for _, words := range [][]string{{"--at", index, "whatever"}, {"--at", index, "nodes", "too", "many"}, {"--at", index, "counters", "nobody"}, {"--at", index, "why", "nothing"}, {"nodes"}} {
-		ask(2, words...)
+	r.shell(shellSuccess, "--at", address, "counters", "proxy1")
+	for _, arguments := range [][]string{
+		{"--at", address, "whatever"}, {"--at", address, "nodes", "too", "many"},
+		{"--at", address, "counters", "nobody"}, {"--at", address, "why", "nothing"}, {"nodes"},
+	} {
+		r.shell(shellMisuse, arguments...)
 	}
-	ask(1, "--at", "127.1.9.9:9", "nodes")
-	command := exec.Command(r.Programs.CurrentPath("tansyseamctl"), "--at", index)
+	r.shell(shellUnreachable, "--at", "127.1.9.9:9", "nodes")
+	r.checkPrompt(address)
+}
+
+// shell runs the shell, checks its exit code and returns its output.
+func (r *Run) shell(want int, arguments ...string) string {
+	command := exec.Command(r.Programs.CurrentPath("tansyseamctl"), arguments...)
+	output, _ := command.CombinedOutput()
+	if code := command.ProcessState.ExitCode(); code != want {
+		r.Errorf("tansyseamctl %v ended with %d, wanted %d: %s", arguments, code, want, output)
+	}
+	return string(output)
+}
+
+func (r *Run) checkPrompt(address string) {
+	command := exec.Command(r.Programs.CurrentPath("tansyseamctl"), "--at", address)
 	command.Stdin = strings.NewReader("epochs\nnonsense\nnodes\nquit\n")
-	out, _ := command.CombinedOutput()
+	output, _ := command.CombinedOutput()
 	for _, part := range []string{"tansyseamctl>", "no query \"nonsense\"", "proxy1"} {
-		if !strings.Contains(string(out), part) {
-			r.Errorf("the prompt does not show %q: %s", part, out)
+		if !strings.Contains(string(output), part) {
+			r.Errorf("the prompt does not show %q: %s", part, output)
 		}
 	}
 }
--- a/test/e2e/shape.go
+++ b/test/e2e/shape.go
@@ -2,21 +2,23 @@
 
 import "tansyseam/test/standin"
 
-// Shape is a deployment's counts.
+// Shape is the size of a deployment.
 type Shape struct {
 	Name                 string
 	Proxies              int
 	Controls             int
 	Databases            []string
 	InstancesPerDatabase int
-	Connections          int
-	Slots                int
-	ServiceTimeUS        int
-	Zones                []string
-	Mix                  standin.Mix
+	// Connections and Slots are the caps of one instance.
+	Connections int
+	Slots       int
+	// ServiceTimeUS is the time of a write, in microseconds.
+	ServiceTimeUS int
+	Zones         []string
+	Mix           standin.Mix
 }
 
-// Magnolia gives the desk-booking deployment.
+// Magnolia returns the desk-booking deployment.
 func Magnolia() Shape {
 	mix := standin.Magnolia()
 	return Shape{
@@ -25,7 +27,7 @@
 	}
 }
 
-// Chile gives the portability deployment.
+// Chile returns the portability deployment.
 func Chile() Shape {
 	mix := standin.Chile()
 	return Shape{
@@ -34,7 +36,7 @@
 	}
 }
 
-// Small gives a fleet for short runs: fewer of everything.
+// Small returns a fleet for short runs: fewer of everything.
 func Small() Shape {
 	shape := Magnolia()
 	shape.Name, shape.Proxies, shape.Databases = "small", 3, shape.Databases[:1]
@@ -42,7 +44,7 @@
 	return shape
 }
 
-// Shapes gives the shapes by name.
+// Shapes returns the shapes by name.
 func Shapes() map[string]Shape {
 	return map[string]Shape{"magnolia": Magnolia(), "chile": Chile(), "small": Small()}
 }
--- a/test/platforme2e/plan.go
+++ b/test/platforme2e/plan.go
@@ -6,9 +6,10 @@
 	"path/filepath"
 	"slices"
 	"strings"
+	"time"
+
 	"tansyseam/test/e2e"
 	"tansyseam/test/platformstandin"
-	"time"
 )
 
 func (t *Run) planProcesses(root string, programs e2e.Programs, services int) error {
--- a/test/platforme2e/result.go
+++ b/test/platforme2e/result.go
@@ -5,9 +5,10 @@
 	"io"
 	"maps"
 	"slices"
+	"time"
+
 	"tansyseam/test/linehistory"
 	"tansyseam/test/platformstandin"
-	"time"
 )
 
 // Result is what a run showed.
--- a/test/platforme2e/run.go
+++ b/test/platforme2e/run.go
@@ -7,10 +7,11 @@
 	"os"
 	"slices"
 	"syscall"
+	"time"
+
 	"tansyseam/internal/transport/worker"
 	"tansyseam/test/e2e"
 	"tansyseam/test/platformstandin"
-	"time"
 )
 
 // Run is one run under way.
--- a/test/platforme2e/runner.go
+++ b/test/platforme2e/runner.go
@@ -6,9 +6,10 @@
 	"path/filepath"
 	"slices"
 	"strings"
+	"time"
+
 	"tansyseam/test/e2e"
 	"tansyseam/test/linehistory"
-	"time"
 )
 
 // RunScenario runs one scenario and checks its history.
--- a/test/platforme2e/scenario.go
+++ b/test/platforme2e/scenario.go
@@ -1,8 +1,9 @@
 package platforme2e
 
 import (
-	"tansyseam/test/platformstandin"
 	"time"
+
+	"tansyseam/test/platformstandin"
 )
 
 // Scenario brings about one fault, or one change, under load.
--- a/test/platforme2e/scenario_configuration.go
+++ b/test/platforme2e/scenario_configuration.go
@@ -2,9 +2,10 @@
 
 import (
 	"net/http"
+	"time"
+
 	"tansyseam/internal/transport/worker"
 	"tansyseam/test/platformstandin"
-	"time"
 )
 
 func runChange(t *Run) {
--- a/test/platforme2e/scenario_database.go
+++ b/test/platforme2e/scenario_database.go
@@ -2,9 +2,10 @@
 
 import (
 	"net/http"
+	"time"
+
 	"tansyseam/test/e2e"
 	"tansyseam/test/platformstandin"
-	"time"
 )
 
 func (t *Run) failOverPrimary(inject, recover func(old *platformstandin.Instance)) {
--- a/test/platforme2e/scenario_processes.go
+++ b/test/platforme2e/scenario_processes.go
@@ -2,8 +2,9 @@
 
 import (
 	"syscall"
-	"tansyseam/test/e2e"
 	"time"
+
+	"tansyseam/test/e2e"
 )
 
 func runPlannedStop(t *Run) {
--- a/test/platforme2e/service.go
+++ b/test/platforme2e/service.go
@@ -5,10 +5,11 @@
 	"io"
 	"net/http"
 	"strings"
+	"time"
+
 	"tansyseam/test/e2e"
 	"tansyseam/test/linehistory"
 	"tansyseam/test/platformstandin"
-	"time"
 )
 
 // CountServed counts statements answered with success, of an act, sent since.
--- a/test/platformstandin/client.go
+++ b/test/platformstandin/client.go
@@ -6,9 +6,10 @@
 	"math/rand/v2"
 	"net"
 	"strings"
+	"time"
+
 	"tansyseam/internal/transport/worker"
 	"tansyseam/test/linehistory"
-	"time"
 )
 
 // Mix is what clients of a route do.
--- a/test/platformstandin/client_operations.go
+++ b/test/platformstandin/client_operations.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"tansyseam/test/linehistory"
 	"time"
+
+	"tansyseam/test/linehistory"
 )
 
 // operate does one operation, again where that is allowed.
--- a/test/platformstandin/client_query.go
+++ b/test/platformstandin/client_query.go
@@ -4,8 +4,9 @@
 	"fmt"
 	"maps"
 	"strings"
-	"tansyseam/test/linehistory"
 	"time"
+
+	"tansyseam/test/linehistory"
 )
 
 const answerTimeout = 5 * time.Second
--- a/test/platformstandin/execution.go
+++ b/test/platformstandin/execution.go
@@ -3,9 +3,10 @@
 import (
 	"maps"
 	"strings"
+	"time"
+
 	"tansyseam/internal/transport/worker"
 	"tansyseam/test/linehistory"
-	"time"
 )
 
 // execute runs a statement that holds a slot.
--- a/test/platformstandin/heartbeat.go
+++ b/test/platformstandin/heartbeat.go
@@ -5,8 +5,9 @@
 	"encoding/json"
 	"io"
 	"net/http"
-	"tansyseam/internal/transport/worker"
 	"time"
+
+	"tansyseam/internal/transport/worker"
 )
 
 var heartbeatClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
--- a/test/platformstandin/history.go
+++ b/test/platformstandin/history.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 	"sync"
+
 	"tansyseam/internal/transport/worker"
 	"tansyseam/test/linehistory"
 )
--- a/test/platformstandin/operator.go
+++ b/test/platformstandin/operator.go
@@ -6,9 +6,10 @@
 	"fmt"
 	"io"
 	"net/http"
+	"time"
+
 	"tansyseam/internal/transport/worker"
 	"tansyseam/test/linehistory"
-	"time"
 )
 
 // Route is one line of a configuration.
--- a/test/platformstandin/platform.go
+++ b/test/platformstandin/platform.go
@@ -6,8 +6,9 @@
 	"net/http"
 	"strconv"
 	"sync"
-	"tansyseam/internal/transport/worker"
 	"time"
+
+	"tansyseam/internal/transport/worker"
 )
 
 // PromoteCall is one promote call that was taken or refused.
--- a/test/platformstandin/promotion.go
+++ b/test/platformstandin/promotion.go
@@ -1,8 +1,9 @@
 package platformstandin
 
 import (
-	"tansyseam/test/linehistory"
 	"time"
+
+	"tansyseam/test/linehistory"
 )
 
 // Promote makes an instance the primary of the next term; false where it is
--- a/test/platformstandin/replication.go
+++ b/test/platformstandin/replication.go
@@ -2,8 +2,9 @@
 
 import (
 	"maps"
-	"tansyseam/test/linehistory"
 	"time"
+
+	"tansyseam/test/linehistory"
 )
 
 type logEntry struct {
--- a/test/platformstandin/service.go
+++ b/test/platformstandin/service.go
@@ -6,9 +6,10 @@
 import (
 	"fmt"
 	"sync"
+	"time"
+
 	"tansyseam/internal/transport/worker"
 	"tansyseam/test/linehistory"
-	"time"
 )
 
 // ServiceConfig is how a service's instances are.
--- a/test/platformstandin/session.go
+++ b/test/platformstandin/session.go
@@ -6,6 +6,7 @@
 	"net"
 	"strconv"
 	"strings"
+
 	"tansyseam/test/linehistory"
 )
 
--- a/test/platformstandin/statements.go
+++ b/test/platformstandin/statements.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"strconv"
 	"strings"
+
 	"tansyseam/test/linehistory"
 )
 
--- a/test/standin/caller.go
+++ b/test/standin/caller.go
@@ -1,17 +1,16 @@
 package standin
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"fmt"
-	"io"
 	"math/rand/v2"
 	"net"
 	"net/http"
 	"time"
 )
 
+// caller is one client with a session at a time; it is used by one goroutine.
 type caller struct {
 	callers   *Callers
 	role      Role
@@ -21,15 +20,41 @@
 	random    *rand.Rand
 	thinkTime time.Duration
 
-	client        *http.Client
-	address       string
-	session       string
+	client  *http.Client
+	address string
+	session string
+	// positionToken carries the position to read from into the next session.
 	positionToken string
 	requestCount  int
 	setting       string
 	preparedText  string
 }
 
+const (
+	// deadlineMS is what callers give each call, in milliseconds.
+	deadlineMS = 6000
+	// callTimeout is past the deadline, so that the proxy's answer comes first.
+	callTimeout = 15 * time.Second
+	dialTimeout = 2 * time.Second
+)
+
+type openRequest struct {
+	Binding       string `json:"binding"`
+	PositionToken string `json:"mark"`
+}
+
+// sessionRequest is the union of the bodies of calls within a session.
+type sessionRequest struct {
+	Session    string `json:"session"`
+	DeadlineMS int64  `json:"deadline_ms,omitempty"`
+	Kind       string `json:"kind,omitempty"`
+	Name       string `json:"name,omitempty"`
+	Value      string `json:"value,omitempty"`
+	Text       string `json:"text,omitempty"`
+	Prepared   string `json:"prepared,omitempty"`
+	RequestID  string `json:"go,omitempty"`
+}
+
 type sessionAnswer struct {
 	Session       string          `json:"session"`
 	Outcome       string          `json:"outcome"`
@@ -55,10 +80,11 @@
 		wait(ctx, time.Duration(c.random.ExpFloat64()*float64(c.thinkTime)/factor))
 	}
 	if c.session != "" {
-		_, _, _ = c.post("/v1/session/close", map[string]any{"session": c.session})
+		_, _, _ = c.post("/v1/session/close", sessionRequest{Session: c.session})
 	}
 }
 
+// openSession opens a session at a ready proxy over a new TCP connection.
 func (c *caller) openSession(ctx context.Context) bool {
 	address, found := c.callers.platform.ReadyProxy(c.zone)
 	if !found {
@@ -69,10 +95,10 @@
 	if c.client != nil {
 		c.client.CloseIdleConnections()
 	}
-	dialer := &net.Dialer{Timeout: 2 * time.Second}
-	c.client = &http.Client{Timeout: 15 * time.Second, Transport: &http.Transport{DialContext: dialer.DialContext, MaxConnsPerHost: 1}}
+	dialer := &net.Dialer{Timeout: dialTimeout}
+	c.client = &http.Client{Timeout: callTimeout, Transport: &http.Transport{DialContext: dialer.DialContext, MaxConnsPerHost: 1}}
 	sent := time.Now()
-	status, answer, err := c.post("/v1/session/open", map[string]any{"binding": c.role.Binding + "-" + c.database, "mark": c.positionToken})
+	status, answer, err := c.post("/v1/session/open", openRequest{Binding: c.role.bindingName(c.database), PositionToken: c.positionToken})
 	event := c.newEvent("open", sent, status, answer, err)
 	c.callers.history.Add(event)
 	if err != nil || status != http.StatusOK {
@@ -83,54 +109,40 @@
 	return true
 }
 
-func (c *caller) post(path string, body map[string]any) (int, sessionAnswer, error) {
+func (c *caller) post(path string, body any) (int, sessionAnswer, error) {
 	var answer sessionAnswer
-	data, _ := json.Marshal(body)
-	response, err := c.client.Post("http://"+c.address+path, "application/json", bytes.NewReader(data))
-	if err != nil {
-		return 0, answer, err
-	}
-	defer func() { _ = response.Body.Close() }()
-	raw, err := io.ReadAll(response.Body)
-	if err != nil {
-		return 0, answer, err
-	}
-	err = json.Unmarshal(raw, &answer)
-	return response.StatusCode, answer, err
+	status, err := post(c.client, c.address, path, body, &answer)
+	return status, answer, err
 }
 
 func (c *caller) newEvent(kind string, sent time.Time, status int, answer sessionAnswer, err error) Event {
 	event := Event{
-		Caller: c.name, Session: c.session, Address: c.address, Kind: kind, Binding: c.role.Binding + "-" + c.database,
+		Caller: c.name, Session: c.session, Address: c.address, Kind: kind, Binding: c.role.bindingName(c.database),
 		Database: c.database, FreshnessMS: c.role.FreshnessMS, SentAt: sent.UnixNano(), AnsweredAt: time.Now().UnixNano(), Status: status,
 		Outcome: answer.Outcome, Error: answer.Error, Position: answer.Position, Sequence: answer.Sequence, RetryAfterMS: answer.RetryAfterMS,
 		ExpectedSetting: c.setting,
 	}
 	if err != nil {
-		event.Error, event.Outcome = err.Error(), "cut"
-	}
-	var rows struct {
-		Upto     Position          `json:"upto"`
-		Settings map[string]string `json:"settings"`
-		Text     string            `json:"text"`
+		event.Error, event.Outcome = err.Error(), outcomeCut
 	}
+	var rows statementRows
 	if len(answer.Rows) > 0 && json.Unmarshal(answer.Rows, &rows) == nil {
-		event.AppliedPosition, event.Settings, event.ExecutedText = rows.Upto, rows.Settings, rows.Text
+		event.Settings, event.ExecutedText = rows.Settings, rows.Text
+		if rows.AppliedPosition != nil {
+			event.AppliedPosition = *rows.AppliedPosition
+		}
 	}
 	return event
 }
 
-func (c *caller) request(kind, path string, body map[string]any) (Event, bool) {
-	body["session"] = c.session
-	if kind != "close" && body["deadline_ms"] == nil {
-		body["deadline_ms"] = 6000
-	}
+// request makes a call within the session; it returns the event, still to be
+// added to the history, and whether the session is still open.
+func (c *caller) request(kind, path string, body sessionRequest) (Event, bool) {
+	body.Session, body.DeadlineMS = c.session, deadlineMS
 	sent := time.Now()
 	status, answer, err := c.post(path, body)
 	event := c.newEvent(kind, sent, status, answer, err)
-	event.RequestID, _ = body["go"].(string)
-	event.Text, _ = body["text"].(string)
-	event.DeadlineMS = 6000
+	event.RequestID, event.Text, event.DeadlineMS = body.RequestID, body.Text, deadlineMS
 	if answer.PositionToken != "" {
 		c.positionToken = answer.PositionToken
 	}
@@ -141,15 +153,19 @@
 	return event, open
 }
 
+// nextRequestID returns an id that no other write of any caller has.
 func (c *caller) nextRequestID() string {
 	c.requestCount++
 	return fmt.Sprintf("%s.%d", c.session, c.requestCount)
 }
 
+// newStatement returns a text that no other statement has, with quotes, a
+// backslash and a letter beyond ASCII.
 func (c *caller) newStatement(verb string, id string) string {
 	return fmt.Sprintf("%s \"%s\" by %s é\\%d", verb, id, c.name, c.random.IntN(1000))
 }
 
+// awaitRetry waits as long as an answer asks for.
 func (c *caller) awaitRetry(ctx context.Context, event Event) {
 	if event.RetryAfterMS > 0 {
 		wait(ctx, time.Duration(event.RetryAfterMS)*time.Millisecond)
--- a/test/standin/caller_operations.go
+++ b/test/standin/caller_operations.go
@@ -2,50 +2,78 @@
 
 import "context"
 
+const (
+	// preparedName is the one name that all sessions give their statement.
+	preparedName = "p"
+	// preparedShare and rollbackShare are of reads and of transactions.
+	preparedShare = 0.5
+	rollbackShare = 0.1
+	// maxWriteRetries is for writes of which the outcome isn't known.
+	maxWriteRetries = 3
+)
+
+const (
+	outcomeDone    = "done"
+	outcomeUnknown = "unknown"
+	outcomeCut     = "cut"
+)
+
+// operate does one operation, drawn by the role's shares.
 func (c *caller) operate(ctx context.Context) {
 	drawn := c.random.Float64()
-	if c.setting == "" && c.random.Float64() < c.role.SessionStateShare {
-		value := c.session
-		event, open := c.request("set", "/v1/setting", map[string]any{"name": "app", "value": value})
-		c.callers.history.Add(event)
-		if open && event.Outcome == "done" {
-			c.setting = value
-		}
-		if !open {
-			return
-		}
-	}
-	if c.preparedText == "" && c.random.Float64() < c.role.SessionStateShare {
-		text := c.newStatement("look", c.database+" prepared")
-		event, open := c.request("prepare", "/v1/prepare", map[string]any{"name": "p", "text": text})
-		event.Text = ""
-		c.callers.history.Add(event)
-		if open && event.Outcome == "done" {
-			c.preparedText = text
-		}
-		if !open {
-			return
-		}
+	if !c.changeSetting() || !c.prepareStatement() {
+		return
 	}
 	actions := []struct {
-		part float64
-		act  func(context.Context)
+		share float64
+		act   func(context.Context)
 	}{{c.role.WriteShare, c.write}, {c.role.TransactionShare, c.runTransaction}, {2, c.read}}
 	for _, action := range actions {
-		if drawn < action.part {
+		if drawn < action.share {
 			action.act(ctx)
 			return
 		}
-		drawn -= action.part
+		drawn -= action.share
+	}
+}
+
+// changeSetting sets a setting now and then, once a session; it returns
+// whether the session is still open.
+func (c *caller) changeSetting() bool {
+	if c.setting != "" || c.random.Float64() >= c.role.SessionStateShare {
+		return true
+	}
+	value := c.session
+	event, open := c.request("set", "/v1/setting", sessionRequest{Name: "app", Value: value})
+	c.callers.history.Add(event)
+	if open && event.Outcome == outcomeDone {
+		c.setting = value
+	}
+	return open
+}
+
+// prepareStatement prepares a statement now and then, once a session; it
+// returns whether the session is still open.
+func (c *caller) prepareStatement() bool {
+	if c.preparedText != "" || c.random.Float64() >= c.role.SessionStateShare {
+		return true
+	}
+	text := c.newStatement("look", c.database+" prepared")
+	event, open := c.request("prepare", "/v1/prepare", sessionRequest{Name: preparedName, Text: text})
+	event.Text = ""
+	c.callers.history.Add(event)
+	if open && event.Outcome == outcomeDone {
+		c.preparedText = text
 	}
+	return open
 }
 
 func (c *caller) read(ctx context.Context) {
-	body := map[string]any{"kind": "read", "text": c.newStatement("look", c.database)}
+	body := sessionRequest{Kind: "read", Text: c.newStatement("look", c.database)}
 	prepared := c.preparedText
-	usePrepared := prepared != "" && c.random.Float64() < 0.5
+	usePrepared := prepared != "" && c.random.Float64() < preparedShare
 	if usePrepared {
-		body = map[string]any{"kind": "read", "prepared": "p"}
+		body = sessionRequest{Kind: "read", Prepared: preparedName}
 	}
 	event, _ := c.request("read", "/v1/statement", body)
 	if usePrepared {
@@ -55,54 +83,59 @@
 	c.awaitRetry(ctx, event)
 }
 
+// write makes one single write, and repeats it under its request id while its
+// outcome isn't known.
 func (c *caller) write(ctx context.Context) {
 	id := c.nextRequestID()
-	text := c.newStatement("book", id)
-	event, _ := c.request("write", "/v1/statement", map[string]any{"kind": "write", "text": text, "go": id})
-	c.callers.history.Add(event)
-	c.awaitRetry(ctx, event)
-	open := event.Outcome == "unknown" || event.Outcome == "cut"
-	for retry := 0; open && retry < 3 && ctx.Err() == nil; retry++ {
+	body := sessionRequest{Kind: "write", Text: c.newStatement("book", id), RequestID: id}
+	unknown := c.tryWrite(ctx, body, false)
+	for retry := 0; unknown && retry < maxWriteRetries && ctx.Err() == nil; retry++ {
 		if c.session == "" && !c.openSession(ctx) {
 			continue
 		}
-		event, _ = c.request("write", "/v1/statement", map[string]any{"kind": "write", "text": text, "go": id})
-		event.Retry = true
-		c.callers.history.Add(event)
-		c.awaitRetry(ctx, event)
-		open = event.Outcome == "unknown" || event.Outcome == "cut"
+		unknown = c.tryWrite(ctx, body, true)
 	}
 }
 
+func (c *caller) tryWrite(ctx context.Context, body sessionRequest, retry bool) (unknown bool) {
+	event, _ := c.request("write", "/v1/statement", body)
+	event.Retry = retry
+	c.callers.history.Add(event)
+	c.awaitRetry(ctx, event)
+	return event.Outcome == outcomeUnknown || event.Outcome == outcomeCut
+}
+
+// runTransaction runs one or two writes in a transaction, and commits it or
+// rolls it back.
 func (c *caller) runTransaction(ctx context.Context) {
-	event, open := c.request("begin", "/v1/begin", map[string]any{})
+	event, open := c.request("begin", "/v1/begin", sessionRequest{})
 	c.callers.history.Add(event)
-	if !open || event.Outcome != "done" {
+	if !open || event.Outcome != outcomeDone {
 		c.awaitRetry(ctx, event)
 		return
 	}
 	var requestIDs []string
 	for range 1 + c.random.IntN(2) {
 		id := c.nextRequestID()
-		event, open = c.request("inside", "/v1/statement", map[string]any{"kind": "write", "text": c.newStatement("hold", id), "go": id})
+		event, open = c.request("inside", "/v1/statement", sessionRequest{Kind: "write", Text: c.newStatement("hold", id), RequestID: id})
 		c.callers.history.Add(event)
 		requestIDs = append(requestIDs, id)
 		if !open {
 			return
 		}
-		if event.Outcome != "done" {
-			event, _ = c.request("rollback", "/v1/rollback", map[string]any{})
+		if event.Outcome != outcomeDone {
+			event, _ = c.request("rollback", "/v1/rollback", sessionRequest{})
 			c.callers.history.Add(event)
 			return
 		}
 	}
-	if c.random.Float64() < 0.1 {
-		event, _ = c.request("rollback", "/v1/rollback", map[string]any{})
+	if c.random.Float64() < rollbackShare {
+		event, _ = c.request("rollback", "/v1/rollback", sessionRequest{})
 		event.RequestIDs = requestIDs
 		c.callers.history.Add(event)
 		return
 	}
-	event, _ = c.request("commit", "/v1/commit", map[string]any{"go": c.nextRequestID()})
+	event, _ = c.request("commit", "/v1/commit", sessionRequest{RequestID: c.nextRequestID()})
 	event.RequestIDs = requestIDs
 	c.callers.history.Add(event)
 	c.awaitRetry(ctx, event)
--- a/test/standin/http.go
+++ b/test/standin/http.go
@@ -10,34 +10,39 @@
 	"time"
 )
 
-func post(client *http.Client, address, path string, body, into any) error {
+// post makes a call with a JSON body and reads the answer into a value, where
+// one is given. The status is 0 where no answer came.
+func post(client *http.Client, address, path string, body, into any) (int, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
-		return err
+		return 0, err
 	}
 	response, err := client.Post("http://"+address+path, "application/json", bytes.NewReader(data))
 	if err != nil {
-		return err
+		return 0, err
 	}
 	defer func() { _ = response.Body.Close() }()
 	raw, err := io.ReadAll(response.Body)
 	if err != nil {
-		return err
+		return 0, err
 	}
 	if into == nil {
-		return nil
+		return response.StatusCode, nil
 	}
-	return json.Unmarshal(raw, into)
+	return response.StatusCode, json.Unmarshal(raw, into)
 }
 
-func newClient(address string, bound time.Duration) *http.Client {
+// newClient returns a client whose connections come from an address's IP, so
+// that relays can tell who calls.
+func newClient(address string, timeout time.Duration) *http.Client {
 	host, _, _ := net.SplitHostPort(address)
-	dialer := &net.Dialer{Timeout: bound, LocalAddr: &net.TCPAddr{IP: net.ParseIP(host)}}
-	return &http.Client{Timeout: bound, Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 64}}
+	dialer := &net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: net.ParseIP(host)}}
+	return &http.Client{Timeout: timeout, Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 64}}
 }
 
-func wait(ctx context.Context, span time.Duration) {
-	timer := time.NewTimer(span)
+// wait waits for a time, or until ctx ends.
+func wait(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/test/standin/instance.go
+++ b/test/standin/instance.go
@@ -1,49 +1,59 @@
-// Package standin holds the stand-ins for what surrounds the fleet: instances,
-// platform, callers, and a relay whose links can be cut.
 package standin
 
 import (
-	"bufio"
 	"context"
-	"encoding/json"
 	"fmt"
 	"math/rand/v2"
 	"net"
 	"net/http"
 	"os"
-	"path/filepath"
 	"sync"
 	"time"
 )
 
-// InstanceConfig places an instance.
+const (
+	rolePrimary = "primary"
+	roleReplica = "replica"
+)
+
+// InstanceConfig is the file that configures one instance.
 type InstanceConfig struct {
-	Name               string   `json:"name"`
-	Database           string   `json:"database"`
-	Address            string   `json:"address"`
-	Zone               string   `json:"zone"`
-	Role               string   `json:"role"`
-	Upstream           string   `json:"upstream"`
-	AnnounceAddresses  []string `json:"doors"`
-	Directory          string   `json:"folder"`
-	Connections        int      `json:"connections"`
-	Slots              int      `json:"slots"`
-	ServiceTimeUS      int      `json:"service_us"`
-	ReplicationDelayMS int      `json:"delay_ms"`
-	Seed               uint64   `json:"seed"`
+	Name     string `json:"name"`
+	Database string `json:"database"`
+	Address  string `json:"address"`
+	Zone     string `json:"zone"`
+	Role     string `json:"role"`
+	Upstream string `json:"upstream"`
+	// AnnounceAddresses are HTTP addresses of nodes that take announcements;
+	// their answers name further ones.
+	AnnounceAddresses []string `json:"doors"`
+	// Directory holds the instance's files.
+	Directory string `json:"folder"`
+	// Connections caps open database sessions, Slots running statements.
+	Connections int `json:"connections"`
+	Slots       int `json:"slots"`
+	// ServiceTimeUS is the mean time of an unloaded write, in microseconds.
+	ServiceTimeUS int `json:"service_us"`
+	// ReplicationDelayMS delays what the instance pulls, in milliseconds.
+	ReplicationDelayMS int    `json:"delay_ms"`
+	Seed               uint64 `json:"seed"`
 }
 
 // Instance is a stand-in database server.
 type Instance struct {
 	config InstanceConfig
 	slots  chan struct{}
+	// connections maps a net.Conn to its *connection.
+	connections sync.Map
 
-	mutex             sync.Mutex
-	role              string
-	term              uint64
-	upstream          string
-	incarnation       string
-	entries           []Entry
+	// mutex guards all that follows.
+	mutex       sync.Mutex
+	role        string
+	term        uint64
+	upstream    string
+	incarnation string
+	entries     []Entry
+	// appended is closed and replaced when an entry is appended.
 	appended          chan struct{}
 	announceAddresses map[string]bool
 	openCount         int
@@ -55,76 +65,27 @@
 	resetConnections  int
 	silent            bool
 	misreportClean    bool
-	leavingSince      int64
-	connectionCount   int
-	transactionCount  int
-	random            *rand.Rand
-	logFile           *os.File
-	executionFile     *os.File
-}
-
-type transaction struct {
-	id         string
-	requestIDs []string
-	statements []string
-}
-
-type connection struct {
-	id          string
-	open        bool
-	settings    map[string]string
-	prepared    map[string]string
-	transaction *transaction
-	raw         net.Conn
+	// leavingSince is in Unix nanoseconds, 0 where the instance stays.
+	leavingSince     int64
+	connectionCount  int
+	transactionCount int
+	random           *rand.Rand
+	log              *os.File
+	executionLog     *os.File
 }
 
-func (c *connection) isClean() bool {
-	return c.transaction == nil && len(c.settings) == 0 && len(c.prepared) == 0
-}
-
-type connectionKey struct{}
-
-var connections sync.Map
-
-// RunInstance serves until the context ends.
+// RunInstance serves a stand-in instance until ctx ends. It resumes from the
+// state, log and execution files in the configured directory.
 func RunInstance(ctx context.Context, config InstanceConfig) error {
-	x := &Instance{
-		config: config, slots: make(chan struct{}, config.Slots), role: config.Role, term: 1, upstream: config.Upstream,
-		appended: make(chan struct{}), announceAddresses: map[string]bool{}, slowdown: 1, replicationDelay: time.Duration(config.ReplicationDelayMS) * time.Millisecond,
-		random: rand.New(rand.NewPCG(config.Seed, 7)), incarnation: fmt.Sprintf("%s-%d", config.Name, time.Now().UnixNano()),
-	}
+	x := newInstance(config)
 	if err := x.loadFiles(); err != nil {
 		return err
 	}
-	for _, address := range config.AnnounceAddresses {
-		x.announceAddresses[address] = true
-	}
-	mux := http.NewServeMux()
-	for path, act := range map[string]func(*connection, instanceRequest) (int, any){
-		"/db/open": x.onOpen, "/db/run": x.onRun, "/db/begin": x.onBegin, "/db/commit": x.onCommit,
-		"/db/rollback": x.onRollback, "/db/set": x.onSet, "/db/prepare": x.onPrepare, "/db/status": x.onStatus,
-		"/db/pull": x.onPull, "/admin/fault": x.onFault, "/admin/promote": x.onPromote, "/admin/follow": x.onFollow,
-	} {
-		mux.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) { x.handle(w, r, act) })
-	}
 	listener, err := net.Listen("tcp", config.Address)
 	if err != nil {
 		return err
 	}
-	server := &http.Server{Handler: mux, ConnContext: func(ctx context.Context, raw net.Conn) context.Context {
-		x.mutex.Lock()
-		defer x.mutex.Unlock()
-		x.connectionCount++
-		accepted := &connection{id: fmt.Sprintf("%s#%d#%d", config.Name, os.Getpid(), x.connectionCount), settings: map[string]string{}, prepared: map[string]string{}, raw: raw}
-		connections.Store(raw, accepted)
-		return context.WithValue(ctx, connectionKey{}, accepted)
-	}, ConnState: func(raw net.Conn, to http.ConnState) {
-		if to == http.StateClosed || to == http.StateHijacked {
-			if accepted, found := connections.LoadAndDelete(raw); found {
-				x.onConnectionClosed(accepted.(*connection))
-			}
-		}
-	}}
+	server := &http.Server{Handler: x.routes(), ConnContext: x.onConnectionOpened, ConnState: x.onConnectionState}
 	go x.announceLoop(ctx)
 	go x.pullLoop(ctx)
 	go func() { <-ctx.Done(); _ = server.Close() }()
@@ -134,16 +95,21 @@
 	return nil
 }
 
-func (x *Instance) onConnectionClosed(c *connection) {
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
-	if c.open {
-		x.openCount--
-		c.open = false
+func newInstance(config InstanceConfig) *Instance {
+	x := &Instance{
+		config: config, slots: make(chan struct{}, config.Slots), role: config.Role, term: 1, upstream: config.Upstream,
+		appended: make(chan struct{}), announceAddresses: map[string]bool{}, slowdown: 1,
+		replicationDelay: time.Duration(config.ReplicationDelayMS) * time.Millisecond,
+		random:           rand.New(rand.NewPCG(config.Seed, 7)),
+		incarnation:      fmt.Sprintf("%s-%d", config.Name, time.Now().UnixNano()),
 	}
-	c.transaction = nil
+	for _, address := range config.AnnounceAddresses {
+		x.announceAddresses[address] = true
+	}
+	return x
 }
 
+// position returns the position of the last log entry; the caller holds mutex.
 func (x *Instance) position() Position {
 	if len(x.entries) == 0 {
 		return Position{}
@@ -152,6 +118,8 @@
 	return Position{last.Term, last.Index}
 }
 
+// occupySlot takes a slot for the time of one statement, which grows with the
+// load of the instance.
 func (x *Instance) occupySlot(write bool) {
 	x.mutex.Lock()
 	x.waiting++
@@ -160,50 +128,20 @@
 	x.mutex.Lock()
 	x.waiting--
 	x.busy++
-	service := float64(x.config.ServiceTimeUS) * x.slowdown * (0.6 + 0.8*x.random.Float64())
-	service *= 1 + 0.5*float64(x.busy)/float64(x.config.Slots) + 0.02*float64(x.waiting)
-	if !write {
-		service /= 2
-	}
+	service := x.serviceTime(write)
 	x.mutex.Unlock()
-	time.Sleep(time.Duration(service) * time.Microsecond)
+	time.Sleep(service)
 	x.mutex.Lock()
 	x.busy--
 	x.mutex.Unlock()
 	<-x.slots
 }
 
-func (x *Instance) loadFiles() error {
-	if err := os.MkdirAll(x.config.Directory, 0o755); err != nil {
-		return err
-	}
-	statePath := filepath.Join(x.config.Directory, "state.json")
-	if data, err := os.ReadFile(statePath); err == nil {
-		var s persistentState
-		if json.Unmarshal(data, &s) == nil {
-			x.role, x.term, x.upstream, x.incarnation = s.Role, s.Term, s.Upstream, s.Incarnation
-		}
-	}
-	if file, err := os.Open(filepath.Join(x.config.Directory, "log.jsonl")); err == nil {
-		lines := bufio.NewScanner(file)
-		lines.Buffer(nil, 1<<22)
-		for lines.Scan() {
-			var entry Entry
-			if json.Unmarshal(lines.Bytes(), &entry) != nil {
-				break
-			}
-			x.entries = append(x.entries, entry)
-		}
-		_ = file.Close()
-	}
-	if err := x.rewriteLog(); err != nil {
-		return err
-	}
-	var err error
-	x.executionFile, err = os.OpenFile(filepath.Join(x.config.Directory, "ran.jsonl"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
-	if err != nil {
-		return err
+func (x *Instance) serviceTime(write bool) time.Duration {
+	service := float64(x.config.ServiceTimeUS) * x.slowdown * (0.6 + 0.8*x.random.Float64())
+	service *= 1 + 0.5*float64(x.busy)/float64(x.config.Slots) + 0.02*float64(x.waiting)
+	if !write {
+		service /= 2
 	}
-	x.saveState()
-	return nil
+	return time.Duration(service) * time.Microsecond
 }
--- a/test/standin/instance_announce.go
+++ b/test/standin/instance_announce.go
@@ -2,26 +2,47 @@
 
 import (
 	"context"
+	"maps"
 	"net/http"
+	"slices"
 	"time"
 )
 
+const (
+	announceInterval = 400 * time.Millisecond
+	announceTimeout  = 800 * time.Millisecond
+)
+
+// announcement is the body that an instance sends to the fleet's nodes.
+type announcement struct {
+	Instance    string   `json:"instance"`
+	Database    string   `json:"database"`
+	Address     string   `json:"address"`
+	Zone        string   `json:"zone"`
+	Role        string   `json:"role"`
+	Incarnation string   `json:"birth"`
+	Term        uint64   `json:"term"`
+	Position    Position `json:"position"`
+	Leaving     bool     `json:"leaving"`
+	Connections int      `json:"connections"`
+	Slots       int      `json:"slots"`
+}
+
+func (x *Instance) announcement() announcement {
+	return announcement{
+		Instance: x.config.Name, Database: x.config.Database, Address: x.config.Address, Zone: x.config.Zone,
+		Role: x.role, Incarnation: x.incarnation, Term: x.term, Position: x.position(), Leaving: x.leavingSince != 0,
+		Connections: x.config.Connections, Slots: x.config.Slots,
+	}
+}
+
 func (x *Instance) announceLoop(ctx context.Context) {
-	client := newClient(x.config.Address, 800*time.Millisecond)
-	ticker := time.NewTicker(400 * time.Millisecond)
+	client := newClient(x.config.Address, announceTimeout)
+	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
 	for {
 		x.mutex.Lock()
-		body := map[string]any{
-			"instance": x.config.Name, "database": x.config.Database, "address": x.config.Address, "zone": x.config.Zone,
-			"role": x.role, "birth": x.incarnation, "term": x.term, "position": x.position(), "leaving": x.leavingSince != 0,
-			"connections": x.config.Connections, "slots": x.config.Slots,
-		}
-		addresses := []string{}
-		for address := range x.announceAddresses {
-			addresses = append(addresses, address)
-		}
-		silent := x.silent
+		body, silent, addresses := x.announcement(), x.silent, slices.Collect(maps.Keys(x.announceAddresses))
 		x.mutex.Unlock()
 		if !silent {
 			for _, address := range addresses {
@@ -36,11 +57,11 @@
 	}
 }
 
-func (x *Instance) announce(client *http.Client, address string, body map[string]any) {
+func (x *Instance) announce(client *http.Client, address string, body announcement) {
 	var answer struct {
 		Nodes []string `json:"nodes"`
 	}
-	if post(client, address, "/v1/announce", body, &answer) != nil {
+	if _, err := post(client, address, "/v1/announce", body, &answer); err != nil {
 		return
 	}
 	x.mutex.Lock()
--- a/test/standin/instance_replication.go
+++ b/test/standin/instance_replication.go
@@ -2,21 +2,33 @@
 
 import (
 	"context"
-	"encoding/json"
-	"net/http"
-	"os"
-	"path/filepath"
 	"time"
 )
 
+const (
+	// pullWaitMS is how long a replica has its primary wait for entries, and
+	// maxWaitMS the longest wait that is granted; both in milliseconds.
+	pullWaitMS = 500
+	maxWaitMS  = 2000
+	// pullBatch is the number of entries in an answer.
+	pullBatch = 500
+)
+
+type pullRequest struct {
+	After  Position `json:"after"`
+	WaitMS int      `json:"wait_ms"`
+}
+
+// pullResponse is either entries that follow, or the length to truncate to.
 type pullResponse struct {
 	Entries  []Entry `json:"entries"`
 	Truncate *uint64 `json:"truncate"`
 	Term     uint64  `json:"term"`
 }
 
-func (x *Instance) awaitAppend(after Position, delay time.Duration) {
-	timer := time.NewTimer(delay)
+// awaitAppend waits, for a timeout, until the log reaches past a position.
+func (x *Instance) awaitAppend(after Position, timeout time.Duration) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		x.mutex.Lock()
@@ -33,49 +45,50 @@
 	}
 }
 
-func (x *Instance) onStatus(c *connection, request instanceRequest) (int, any) {
-	x.awaitAppend(request.After, time.Duration(min(request.WaitMS, 2000))*time.Millisecond)
+func (x *Instance) onStatus(c *connection, request instanceRequest) result {
+	x.awaitAppend(request.After, time.Duration(min(request.WaitMS, maxWaitMS))*time.Millisecond)
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	return http.StatusOK, x.reply(c, nil)
+	return ok(x.reply(c))
 }
 
-func (x *Instance) onPull(_ *connection, request instanceRequest) (int, any) {
-	x.awaitAppend(request.After, time.Duration(min(request.WaitMS, 2000))*time.Millisecond)
+func (x *Instance) onPull(_ *connection, request instanceRequest) result {
+	x.awaitAppend(request.After, time.Duration(min(request.WaitMS, maxWaitMS))*time.Millisecond)
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	answer := pullResponse{Term: x.term}
 	index := int(request.After.Index)
 	diverged := index > len(x.entries) || (index > 0 && x.entries[index-1].Term != request.After.Term)
-	if x.role != "primary" && diverged {
-		return http.StatusOK, answer
+	if x.role != rolePrimary && diverged {
+		return ok(answer)
 	}
 	if index > len(x.entries) {
 		cut := uint64(len(x.entries))
 		answer.Truncate = &cut
-		return http.StatusOK, answer
+		return ok(answer)
 	}
 	if index > 0 && x.entries[index-1].Term != request.After.Term {
 		cut := uint64(index - 1)
 		answer.Truncate = &cut
-		return http.StatusOK, answer
+		return ok(answer)
 	}
-	answer.Entries = append(answer.Entries, x.entries[index:min(len(x.entries), index+500)]...)
-	return http.StatusOK, answer
+	answer.Entries = append(answer.Entries, x.entries[index:min(len(x.entries), index+pullBatch)]...)
+	return ok(answer)
 }
 
+// pullLoop has a replica follow its primary's log until ctx ends.
 func (x *Instance) pullLoop(ctx context.Context) {
 	client := newClient(x.config.Address, 3*time.Second)
 	for ctx.Err() == nil {
 		x.mutex.Lock()
 		role, upstream, after, delay := x.role, x.upstream, x.position(), x.replicationDelay
 		x.mutex.Unlock()
-		if role != "replica" || upstream == "" {
+		if role != roleReplica || upstream == "" {
 			wait(ctx, 50*time.Millisecond)
 			continue
 		}
 		var answer pullResponse
-		if err := post(client, upstream, "/db/pull", map[string]any{"after": after, "wait_ms": 500}, &answer); err != nil {
+		if _, err := post(client, upstream, "/db/pull", pullRequest{After: after, WaitMS: pullWaitMS}, &answer); err != nil {
 			wait(ctx, 100*time.Millisecond)
 			continue
 		}
@@ -83,23 +96,17 @@
 			wait(ctx, delay)
 		}
 		x.mutex.Lock()
-		if x.role == "replica" && x.upstream == upstream && x.position() == after {
+		if x.role == roleReplica && x.upstream == upstream && x.position() == after {
 			x.apply(answer)
 		}
 		x.mutex.Unlock()
 	}
 }
 
+// apply takes a primary's answer; the caller holds mutex.
 func (x *Instance) apply(answer pullResponse) {
 	if answer.Truncate != nil {
-		file, err := os.OpenFile(filepath.Join(x.config.Directory, "discarded.jsonl"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
-		if err == nil {
-			for _, entry := range x.entries[*answer.Truncate:] {
-				line, _ := json.Marshal(entry)
-				_, _ = file.Write(append(line, '\n'))
-			}
-			_ = file.Close()
-		}
+		x.saveDiscarded(x.entries[*answer.Truncate:])
 		x.entries = x.entries[:*answer.Truncate]
 		_ = x.rewriteLog()
 		return
--- a/test/standin/instance_statements.go
+++ b/test/standin/instance_statements.go
@@ -5,39 +5,30 @@
 	"net/http"
 )
 
-func (x *Instance) onOpen(c *connection, request instanceRequest) (int, any) {
+func (x *Instance) onOpen(c *connection, request instanceRequest) result {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	if !c.open && x.openCount >= x.config.Connections {
-		return x.reject(c, http.StatusTooManyRequests, "connections are capped")
+		return *x.reject(c, http.StatusTooManyRequests, "connections are capped")
 	}
 	if !c.open {
 		c.open = true
 		x.openCount++
 	}
-	return http.StatusOK, x.reply(c, nil)
+	return ok(x.reply(c))
 }
 
-func (x *Instance) onRun(c *connection, request instanceRequest) (int, any) {
+func (x *Instance) onRun(c *connection, request instanceRequest) result {
 	x.mutex.Lock()
 	if x.resetConnections > 0 {
 		x.resetConnections--
 		x.mutex.Unlock()
-		return 0, nil
+		return noAnswer
 	}
-	if code, body := x.checkRequest(c, request, request.Write); code != 0 {
+	text, rejected := x.statementText(c, request)
+	if rejected != nil {
 		x.mutex.Unlock()
-		return code, body
-	}
-	text := request.Text
-	if request.Prepared != "" {
-		prepared, found := c.prepared[request.Prepared]
-		if !found {
-			code, body := x.reject(c, http.StatusUnprocessableEntity, "no such prepared statement")
-			x.mutex.Unlock()
-			return code, body
-		}
-		text = prepared
+		return *rejected
 	}
 	transaction := c.transaction
 	x.mutex.Unlock()
@@ -45,90 +36,113 @@
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	if c.transaction != transaction {
-		return 0, nil
+		return noAnswer
 	}
-	if request.Write && x.role != "primary" {
-		return x.reject(c, http.StatusConflict, "not primary any more")
+	if request.Write && x.role != rolePrimary {
+		return *x.reject(c, http.StatusConflict, "not primary any more")
 	}
 	x.recordExecution(c, request, text)
+	reply := x.reply(c)
+	reply.Rows = &statementRows{Settings: c.settings, Text: text}
 	if !request.Write {
-		return x.answerOrLose(x.reply(c, map[string]any{"rows": map[string]any{"upto": x.position(), "settings": c.settings, "text": text}}))
+		applied := x.position()
+		reply.Rows.AppliedPosition = &applied
+		return x.answerOrLose(reply)
 	}
 	if c.transaction != nil {
 		c.transaction.requestIDs = append(c.transaction.requestIDs, request.RequestID)
 		c.transaction.statements = append(c.transaction.statements, text)
-		return x.answerOrLose(x.reply(c, map[string]any{"rows": map[string]any{"settings": c.settings, "text": text}}))
+		return x.answerOrLose(reply)
+	}
+	x.appendEntry(Entry{
+		Term: x.term, Index: x.position().Index + 1,
+		RequestIDs: []string{request.RequestID}, Statements: []string{text},
+	})
+	reply.Position = x.position()
+	return x.answerOrLose(reply)
+}
+
+// statementText returns the text that a request is to run, or why it is
+// rejected.
+func (x *Instance) statementText(c *connection, request instanceRequest) (string, *result) {
+	if rejected := x.checkRequest(c, request, request.Write); rejected != nil {
+		return "", rejected
+	}
+	if request.Prepared == "" {
+		return request.Text, nil
 	}
-	x.appendEntry(Entry{Term: x.term, Index: x.position().Index + 1, RequestIDs: []string{request.RequestID}, Statements: []string{text}})
-	return x.answerOrLose(x.reply(c, map[string]any{"rows": map[string]any{"settings": c.settings, "text": text}}))
+	prepared, found := c.prepared[request.Prepared]
+	if !found {
+		return "", x.reject(c, http.StatusUnprocessableEntity, "no such prepared statement")
+	}
+	return prepared, nil
 }
 
-func (x *Instance) onBegin(c *connection, request instanceRequest) (int, any) {
+func (x *Instance) onBegin(c *connection, request instanceRequest) result {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	if code, body := x.checkRequest(c, request, false); code != 0 {
-		return code, body
+	if rejected := x.checkRequest(c, request, false); rejected != nil {
+		return *rejected
 	}
 	if c.transaction != nil {
-		return x.reject(c, http.StatusUnprocessableEntity, "a transaction is open")
+		return *x.reject(c, http.StatusUnprocessableEntity, "a transaction is open")
 	}
 	x.transactionCount++
 	c.transaction = &transaction{id: fmt.Sprintf("%s/%d", c.id, x.transactionCount)}
-	return x.answerOrLose(x.reply(c, nil))
+	return x.answerOrLose(x.reply(c))
 }
 
-func (x *Instance) onCommit(c *connection, request instanceRequest) (int, any) {
+func (x *Instance) onCommit(c *connection, request instanceRequest) result {
 	x.mutex.Lock()
-	if code, body := x.checkRequest(c, request, true); code != 0 {
-		x.mutex.Unlock()
-		return code, body
+	rejected := x.checkRequest(c, request, true)
+	if rejected == nil && c.transaction == nil {
+		rejected = x.reject(c, http.StatusUnprocessableEntity, "no transaction is open")
 	}
-	if c.transaction == nil {
-		code, body := x.reject(c, http.StatusUnprocessableEntity, "no transaction is open")
+	if rejected != nil {
 		x.mutex.Unlock()
-		return code, body
+		return *rejected
 	}
-	done := c.transaction
+	committed := c.transaction
 	x.mutex.Unlock()
 	x.occupySlot(true)
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	if x.role != "primary" {
-		return x.reject(c, http.StatusConflict, "not primary any more")
+	if x.role != rolePrimary {
+		return *x.reject(c, http.StatusConflict, "not primary any more")
 	}
 	request.Action = "commit"
 	x.recordExecution(c, request, "")
 	c.transaction = nil
-	x.appendEntry(Entry{Term: x.term, Index: x.position().Index + 1, RequestIDs: append(done.requestIDs, request.RequestID), Statements: done.statements})
-	return x.answerOrLose(x.reply(c, nil))
+	x.appendEntry(Entry{Term: x.term, Index: x.position().Index + 1, RequestIDs: append(committed.requestIDs, request.RequestID), Statements: committed.statements})
+	return x.answerOrLose(x.reply(c))
 }
 
-func (x *Instance) onRollback(c *connection, request instanceRequest) (int, any) {
+func (x *Instance) onRollback(c *connection, request instanceRequest) result {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	if code, body := x.checkRequest(c, request, false); code != 0 {
-		return code, body
+	if rejected := x.checkRequest(c, request, false); rejected != nil {
+		return *rejected
 	}
 	c.transaction = nil
-	return x.answerOrLose(x.reply(c, nil))
+	return x.answerOrLose(x.reply(c))
 }
 
-func (x *Instance) onSet(c *connection, request instanceRequest) (int, any) {
+func (x *Instance) onSet(c *connection, request instanceRequest) result {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	if code, body := x.checkRequest(c, request, false); code != 0 {
-		return code, body
+	if rejected := x.checkRequest(c, request, false); rejected != nil {
+		return *rejected
 	}
 	c.settings[request.Name] = request.Value
-	return x.answerOrLose(x.reply(c, nil))
+	return x.answerOrLose(x.reply(c))
 }
 
-func (x *Instance) onPrepare(c *connection, request instanceRequest) (int, any) {
+func (x *Instance) onPrepare(c *connection, request instanceRequest) result {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	if code, body := x.checkRequest(c, request, false); code != 0 {
-		return code, body
+	if rejected := x.checkRequest(c, request, false); rejected != nil {
+		return *rejected
 	}
 	c.prepared[request.Name] = request.Text
-	return x.answerOrLose(x.reply(c, nil))
+	return x.answerOrLose(x.reply(c))
 }
--- a/test/standin/mix.go
+++ b/test/standin/mix.go
@@ -1,17 +1,20 @@
 package standin
 
-// Role is one kind of caller.
+// Role is one kind of caller, with a binding of its own for each database.
 type Role struct {
-	Name        string
-	Binding     string
+	Name    string
+	Binding string
+	// FreshnessMS is the binding's freshness bound, in milliseconds; 0 for none.
 	FreshnessMS int
 	// RequestRate is requests a second over all callers of the role.
 	RequestRate float64
 	Sessions    int
-	// WriteShare is the part of its requests that are single writes, Turns the
-	// part that are transactions; the rest are reads.
-	WriteShare        float64
-	TransactionShare  float64
+	// WriteShare is the part of its requests that are single writes, and
+	// TransactionShare the part that are transactions; the rest are reads.
+	WriteShare       float64
+	TransactionShare float64
+	// SessionStateShare is the chance, before each request, that a session
+	// without one gets a setting or a prepared statement.
 	SessionStateShare float64
 }
 
@@ -22,7 +25,7 @@
 	Roles     []Role
 }
 
-// Magnolia gives the desk-booking callers.
+// Magnolia returns the desk-booking callers.
 func Magnolia() Mix {
 	return Mix{
 		Databases: []string{"desks1", "desks2", "desks3"}, Zones: []string{"za", "zb", "zc"},
@@ -34,7 +37,7 @@
 	}
 }
 
-// Chile gives the portability callers.
+// Chile returns the portability callers.
 func Chile() Mix {
 	return Mix{
 		Databases: []string{"port1", "port2", "port3"}, Zones: []string{"za", "zb", "zc"},
@@ -46,13 +49,23 @@
 	}
 }
 
-// Bindings gives the operator's set for a mix.
-func (m Mix) Bindings() []map[string]any {
-	list := []map[string]any{}
+// Binding is one binding of an operator's set, in the form that calls take.
+type Binding struct {
+	Name        string `json:"name"`
+	Database    string `json:"database"`
+	FreshnessMS int    `json:"freshness_ms"`
+}
+
+// Bindings returns the operator's set for a mix: each role's binding for each
+// database.
+func (m Mix) Bindings() []Binding {
+	list := []Binding{}
 	for _, role := range m.Roles {
 		for _, database := range m.Databases {
-			list = append(list, map[string]any{"name": role.Binding + "-" + database, "database": database, "freshness_ms": role.FreshnessMS})
+			list = append(list, Binding{Name: role.bindingName(database), Database: database, FreshnessMS: role.FreshnessMS})
 		}
 	}
 	return list
 }
+
+func (r Role) bindingName(database string) string { return r.Binding + "-" + database }
--- a/test/standin/platform.go
+++ b/test/standin/platform.go
@@ -3,9 +3,10 @@
 import (
 	"context"
 	"encoding/json"
-	"fmt"
+	"maps"
 	"net"
 	"net/http"
+	"slices"
 	"sync"
 	"time"
 )
@@ -17,8 +18,17 @@
 	Address  string
 }
 
-// Platform is the stand-in platform: it hands out doors that are ready and
-// takes the promote call.
+const (
+	probeInterval = 150 * time.Millisecond
+	probeTimeout  = 400 * time.Millisecond
+	adminTimeout  = time.Second
+	// followAttempts, followInterval apart, are made to have a replica follow.
+	followAttempts = 300
+	followInterval = 200 * time.Millisecond
+)
+
+// Platform plays the users' platform: it probes the proxies, hands out those
+// that are ready, and carries out the promote call.
 type Platform struct {
 	mutex        sync.Mutex
 	instances    map[string]InstanceInfo
@@ -29,24 +39,23 @@
 	refusals     int
 	lostAnswers  int
 	partitioned  bool
-	PromoteCalls []string
 	ctx          context.Context
 }
 
-// NewPlatform makes a platform that knows the instances and the data-plane
-// doors with their zones.
-func NewPlatform(ctx context.Context, instances []InstanceInfo, addresses map[string]string) *Platform {
+// NewPlatform returns a platform that knows instances, and the HTTP addresses
+// of proxies with their zones. It works until ctx ends.
+func NewPlatform(ctx context.Context, instances []InstanceInfo, proxies map[string]string) *Platform {
 	p := &Platform{instances: map[string]InstanceInfo{}, proxies: map[string]string{}, ready: map[string]bool{}, ctx: ctx}
 	for _, instance := range instances {
 		p.instances[instance.Name] = instance
 	}
-	for address, zone := range addresses {
+	for address, zone := range proxies {
 		p.proxies[address] = zone
 	}
 	return p
 }
 
-// Serve listens for the promote call and looks at readiness.
+// Serve listens for the promote call and begins to probe the proxies.
 func (p *Platform) Serve(address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -61,22 +70,22 @@
 	return nil
 }
 
-// SetPromoteFaults sets how the promote call goes wrong: slow, refused so many
-// times, its answer lost so many times, cut off.
+// SetPromoteFaults sets how the promote call fails: a delay, the numbers of
+// calls refused and of answers lost, and whether no call gets through.
 func (p *Platform) SetPromoteFaults(delay time.Duration, refusals, lost int, partitioned bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.promoteDelay, p.refusals, p.lostAnswers, p.partitioned = delay, refusals, lost, partitioned
 }
 
-// AddProxy makes a further door known.
+// AddProxy makes a further proxy known.
 func (p *Platform) AddProxy(address, zone string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.proxies[address] = zone
 }
 
-// RemoveProxy forgets a door.
+// RemoveProxy forgets a proxy.
 func (p *Platform) RemoveProxy(address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -84,30 +93,16 @@
 }
 
 func (p *Platform) probeLoop() {
-	client := &http.Client{Timeout: 400 * time.Millisecond}
-	ticker := time.NewTicker(150 * time.Millisecond)
+	client := &http.Client{Timeout: probeTimeout}
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
 		p.mutex.Lock()
-		addresses := []string{}
-		for address := range p.proxies {
-			addresses = append(addresses, address)
-		}
+		addresses := slices.Collect(maps.Keys(p.proxies))
 		p.mutex.Unlock()
 		var group sync.WaitGroup
 		for _, address := range addresses {
-			group.Add(1)
-			go func() {
-				defer group.Done()
-				response, err := client.Post("http://"+address+"/v1/ready", "application/json", nil)
-				ready := err == nil && response.StatusCode == http.StatusOK
-				if err == nil {
-					_ = response.Body.Close()
-				}
-				p.mutex.Lock()
-				p.ready[address] = ready
-				p.mutex.Unlock()
-			}()
+			group.Go(func() { p.probe(client, address) })
 		}
 		group.Wait()
 		select {
@@ -118,7 +113,18 @@
 	}
 }
 
-// ReadyCount counts the doors that are ready.
+func (p *Platform) probe(client *http.Client, address string) {
+	response, err := client.Post("http://"+address+"/v1/ready", "application/json", nil)
+	ready := err == nil && response.StatusCode == http.StatusOK
+	if err == nil {
+		_ = response.Body.Close()
+	}
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.ready[address] = ready
+}
+
+// ReadyCount returns how many proxies are ready.
 func (p *Platform) ReadyCount() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -131,87 +137,120 @@
 	return count
 }
 
-// ReadyProxy hands out a ready door, one of the zone where there is one.
-func (p *Platform) ReadyProxy(zone string) (string, bool) {
+// ReadyProxy returns the HTTP address of a ready proxy, one of the zone where
+// there is one.
+func (p *Platform) ReadyProxy(zone string) (address string, found bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	near, far := []string{}, []string{}
-	for address, index := range p.proxies {
-		if !p.ready[address] {
+	for proxy, proxyZone := range p.proxies {
+		if !p.ready[proxy] {
 			continue
 		}
-		if index == zone {
-			near = append(near, address)
+		if proxyZone == zone {
+			near = append(near, proxy)
 		} else {
-			far = append(far, address)
+			far = append(far, proxy)
 		}
 	}
 	p.nextProxy++
-	if len(near) > 0 {
-		return near[p.nextProxy%len(near)], true
-	}
-	if len(far) > 0 {
-		return far[p.nextProxy%len(far)], true
+	for _, list := range [][]string{near, far} {
+		if len(list) > 0 {
+			return list[p.nextProxy%len(list)], true
+		}
 	}
 	return "", false
 }
 
-func (p *Platform) handlePromote(w http.ResponseWriter, r *http.Request) {
-	var request struct {
-		Database string `json:"database"`
-		Instance string `json:"instance"`
-		Term     uint64 `json:"term"`
+type promoteRequest struct {
+	Database string `json:"database"`
+	Instance string `json:"instance"`
+	Term     uint64 `json:"term"`
+}
+
+type promoteOrder struct {
+	Term uint64 `json:"term"`
+}
+
+type followOrder struct {
+	Upstream string `json:"upstream"`
+	Term     uint64 `json:"term"`
+}
+
+// promoteFault is how one promote call fails.
+type promoteFault struct {
+	delay                      time.Duration
+	refused, lost, partitioned bool
+}
+
+// nextPromoteFault returns the fault of the next call, and counts it.
+func (p *Platform) nextPromoteFault() promoteFault {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	fault := promoteFault{delay: p.promoteDelay, refused: p.refusals > 0, lost: p.lostAnswers > 0, partitioned: p.partitioned}
+	if fault.partitioned {
+		return fault
+	}
+	if fault.refused {
+		p.refusals--
+		return fault
 	}
+	if fault.lost {
+		p.lostAnswers--
+	}
+	return fault
+}
+
+func (p *Platform) handlePromote(w http.ResponseWriter, r *http.Request) {
+	var request promoteRequest
 	if json.NewDecoder(r.Body).Decode(&request) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	p.mutex.Lock()
-	delay, refused, lost, partitioned := p.promoteDelay, p.refusals > 0, p.lostAnswers > 0, p.partitioned
-	if partitioned {
-		p.mutex.Unlock()
+	fault := p.nextPromoteFault()
+	if fault.partitioned {
 		panic(http.ErrAbortHandler)
 	}
-	if refused {
-		p.refusals--
-		p.mutex.Unlock()
+	if fault.refused {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if lost {
-		p.lostAnswers--
-	}
-	p.PromoteCalls = append(p.PromoteCalls, fmt.Sprintf("%s %s %d", request.Database, request.Instance, request.Term))
-	target := p.instances[request.Instance]
-	var others []InstanceInfo
-	for _, instance := range p.instances {
-		if instance.Database == request.Database && instance.Name != request.Instance {
-			others = append(others, instance)
-		}
-	}
-	p.mutex.Unlock()
-	wait(p.ctx, delay)
-	client := &http.Client{Timeout: time.Second}
-	if err := post(client, target.Address, "/admin/promote", map[string]any{"term": request.Term}, nil); err != nil {
+	target, replicas := p.members(request)
+	wait(p.ctx, fault.delay)
+	client := &http.Client{Timeout: adminTimeout}
+	if _, err := post(client, target.Address, "/admin/promote", promoteOrder{request.Term}, nil); err != nil {
 		w.WriteHeader(http.StatusBadGateway)
 		return
 	}
-	for _, other := range others {
-		go p.follow(other, target.Address, request.Term)
+	for _, replica := range replicas {
+		go p.follow(replica, followOrder{target.Address, request.Term})
 	}
-	if lost {
+	if fault.lost {
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-func (p *Platform) follow(other InstanceInfo, upstream string, term uint64) {
-	client := &http.Client{Timeout: time.Second}
-	for range 300 {
-		err := post(client, other.Address, "/admin/follow", map[string]any{"upstream": upstream, "term": term}, nil)
+// members returns the instance to promote and the others of its database.
+func (p *Platform) members(request promoteRequest) (target InstanceInfo, replicas []InstanceInfo) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	for _, instance := range p.instances {
+		if instance.Database == request.Database && instance.Name != request.Instance {
+			replicas = append(replicas, instance)
+		}
+	}
+	return p.instances[request.Instance], replicas
+}
+
+// follow has an instance follow another, as soon as it can be reached.
+func (p *Platform) follow(instance InstanceInfo, order followOrder) {
+	client := &http.Client{Timeout: adminTimeout}
+	for range followAttempts {
+		_, err := post(client, instance.Address, "/admin/follow", order, nil)
 		if err == nil || p.ctx.Err() != nil {
 			return
 		}
-		wait(p.ctx, 200*time.Millisecond)
+		wait(p.ctx, followInterval)
 	}
 }
--- a/test/standin/position.go
+++ b/test/standin/position.go
@@ -1,6 +1,7 @@
 package standin
 
-// Position is a place in the log.
+// Position is a position in an instance's log; the zero value is before all
+// entries.
 type Position struct {
 	Term  uint64 `json:"term"`
 	Index uint64 `json:"index"`
--- a/test/standin/relay.go
+++ b/test/standin/relay.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Relay passes TCP on to one target, and can cut it off from some sources in
-// one direction or both.
+// Relay forwards TCP connections to one target. It can block what some sources
+// send, what they are sent, or both; delay pieces; and reset connections.
 type Relay struct {
 	listener net.Listener
 	target   string
@@ -22,7 +22,7 @@
 	dropRate    float64
 }
 
-// OpenRelay listens at an address and passes on to the target.
+// OpenRelay listens at an address and forwards to the target.
 func OpenRelay(address, target string) (*Relay, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -33,22 +33,24 @@
 	return r, nil
 }
 
-// Block bars what a source IP sends to the target, and what the target sends
-// back, as asked. Bytes on a barred way wait or are lost with the session.
+// Block sets whether what a source IP sends to the target, and what the target
+// sends back, is blocked. The source "*" stands for all. Blocked bytes wait, or
+// are lost with their connection.
 func (r *Relay) Block(source string, blockTo, blockFrom bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.blockedTo[source], r.blockedFrom[source] = blockTo, blockFrom
 }
 
-// SetFaults delays each piece and, for a part of them, resets the session.
-func (r *Relay) SetFaults(delay time.Duration, drop float64) {
+// SetFaults delays each piece that is read, and resets the connection for a
+// part of them: dropRate is from 0 to 1.
+func (r *Relay) SetFaults(delay time.Duration, dropRate float64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.delay, r.dropRate = delay, drop
+	r.delay, r.dropRate = delay, dropRate
 }
 
-// Reset ends all sessions now.
+// Reset closes all connections.
 func (r *Relay) Reset() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -57,7 +59,7 @@
 	}
 }
 
-// Close ends the relay.
+// Close stops listening and closes all connections.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
 	r.Reset()
@@ -94,35 +96,46 @@
 	r.mutex.Unlock()
 }
 
+const (
+	pieceSize     = 32 << 10
+	blockInterval = 10 * time.Millisecond
+)
+
+// copy forwards pieces until either side ends.
 func (r *Relay) copy(to, from net.Conn, source string, blocked map[string]bool) {
 	defer func() { _, _ = to.Close(), from.Close() }()
-	buffer := make([]byte, 32<<10)
+	buffer := make([]byte, pieceSize)
 	for {
 		count, err := from.Read(buffer)
-		if err != nil {
+		if err != nil || !r.awaitUnblocked(to, source, blocked) {
 			return
 		}
-		for {
-			r.mutex.Lock()
-			blocked, delay, drop := blocked[source] || blocked["*"], r.delay, r.dropRate
-			_, open := r.connections[to]
-			r.mutex.Unlock()
-			if !open {
-				return
-			}
-			if drop > 0 && rand.Float64() < drop {
-				return
-			}
-			if delay > 0 {
-				time.Sleep(delay)
-			}
-			if !blocked {
-				break
-			}
-			time.Sleep(10 * time.Millisecond)
-		}
 		if _, err := to.Write(buffer[:count]); err != nil && err != io.EOF {
 			return
 		}
 	}
 }
+
+// awaitUnblocked applies the faults to one piece; false where the connection
+// is to end.
+func (r *Relay) awaitUnblocked(to net.Conn, source string, blockedSources map[string]bool) bool {
+	for {
+		r.mutex.Lock()
+		blocked, delay, dropRate := blockedSources[source] || blockedSources["*"], r.delay, r.dropRate
+		_, open := r.connections[to]
+		r.mutex.Unlock()
+		if !open {
+			return false
+		}
+		if dropRate > 0 && rand.Float64() < dropRate {
+			return false
+		}
+		if delay > 0 {
+			time.Sleep(delay)
+		}
+		if !blocked {
+			return true
+		}
+		time.Sleep(blockInterval)
+	}
+}
