--- a/test/cmd/e2e/main.go
+++ b/test/cmd/e2e/main.go
@@ -1,11 +1,13 @@
-// Program e2e runs fleets of real processes through scenarios and checks
-// their histories.
+// Command e2e runs fleets of real processes through scenarios and checks their
+// histories. It ends with 0 where all runs are good, 1 where one is not, and 2
+// where it was misused.
 package main
 
 import (
 	"errors"
 	"flag"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"slices"
@@ -15,123 +17,165 @@
 	"tansyseam/test/platforme2e"
 )
 
+// Exit codes.
+const (
+	exitGood   = 0
+	exitBroken = 1
+	exitMisuse = 2
+)
+
 func main() {
 	os.Exit(runMain())
 }
 
-func runMain() int {
-	shapeName := flag.String("shape", "small", "magnolia, chile or small")
-	runNames := flag.String("run", "steady", "scenarios with commas between, or all")
-	seed := flag.Uint64("seed", 1, "seed of the callers")
-	root := flag.String("root", ".", "the workspace")
-	directoryFlag := flag.String("folder", "", "folder to leave logs in")
-	scale := flag.Float64("scale", 1, "part of the deployment's load")
-	race := flag.Bool("race", false, "build the programs with the race detector")
-	list := flag.Bool("list", false, "list the scenarios")
-	mode := flag.String("manner", "", "platform, for the scenarios in the manner of the users' platform")
-	otherBuild := flag.String("beside", "", "folder with tansyseam-proxy and tansyseam-control of another build, which every second process runs")
-	otherRevision := flag.String("beside-revision", "", "git revision to build for -beside; where the repository does not have it, nothing is played")
-	otherFirst := flag.Bool("other-first", false, "with -beside or -beside-revision: the first process of a kind is of the other build")
+// options are what the command line gives.
+type options struct {
+	shape      string
+	scenarios  []string
+	seed       uint64
+	root       string
+	directory  string
+	scale      float64
+	race       bool
+	list       bool
+	platform   bool
+	otherBuild string
+	// otherRevision, if given, is built to be the other build.
+	otherRevision string
+	otherFirst    bool
+}
+
+func parseOptions() options {
+	var given options
+	flag.StringVar(&given.shape, "shape", "small", "magnolia, chile or small")
+	names := flag.String("run", "steady", "scenarios with commas between, or all")
+	flag.Uint64Var(&given.seed, "seed", 1, "seed of the callers")
+	flag.StringVar(&given.root, "root", ".", "the workspace")
+	flag.StringVar(&given.directory, "folder", "", "folder to leave logs in")
+	flag.Float64Var(&given.scale, "scale", 1, "part of the deployment's load")
+	flag.BoolVar(&given.race, "race", false, "build the programs with the race detector")
+	flag.BoolVar(&given.list, "list", false, "list the scenarios")
+	mode := flag.String("manner", "", "platform, for the scenarios in platform mode")
+	flag.StringVar(&given.otherBuild, "beside", "", "folder with tansyseam-proxy and tansyseam-control of another build, which every second process runs")
+	flag.StringVar(&given.otherRevision, "beside-revision", "", "git revision to build for -beside; where the repository does not have it, nothing is played")
+	flag.BoolVar(&given.otherFirst, "other-first", false, "with -beside or -beside-revision: the first process of a kind is of the other build")
 	flag.Parse()
-	if *list && *mode != "" {
-		for _, scenario := range platforme2e.Scenarios() {
-			fmt.Printf("%-15s %s\n", scenario.Name, scenario.Description)
-		}
-		return 0
-	}
-	if *list {
-		for _, scenario := range e2e.Scenarios() {
-			fmt.Printf("%-14s %s\n", scenario.Name, scenario.Description)
-		}
-		return 0
-	}
-	shape, found := e2e.Shapes()[*shapeName]
+	given.scenarios, given.platform = strings.Split(*names, ","), *mode != ""
+	return given
+}
+
+// scenario is a scenario of either mode.
+type scenario struct {
+	name, description string
+	// run plays the scenario in a directory.
+	run func(programs e2e.Programs, directory string) (result, error)
+}
+
+type result struct {
+	good  bool
+	print func(io.Writer)
+}
+
+func runMain() int {
+	given := parseOptions()
+	shape, found := e2e.Shapes()[given.shape]
 	if !found {
 		fmt.Fprintln(os.Stderr, "no such shape")
-		return 2
+		return exitMisuse
 	}
-	directory := *directoryFlag
-	if directory == "" {
-		temporary, err := os.MkdirTemp("", "seam")
-		if err != nil {
-			fmt.Fprintln(os.Stderr, err)
-			return 1
+	scenarios := scenariosOf(given, shape)
+	if given.list {
+		for _, scenario := range scenarios {
+			fmt.Printf("%-15s %s\n", scenario.name, scenario.description)
 		}
-		directory = temporary
+		return exitGood
 	}
-	programs := e2e.Programs{Directory: filepath.Join(directory, "bin"), OtherBuild: *otherBuild, OtherFirst: *otherFirst}
-	if err := e2e.Build(*root, programs.Directory, *race); err != nil {
+	selected, ok := selectScenarios(scenarios, given.scenarios)
+	if !ok {
+		fmt.Fprintln(os.Stderr, "not all of these are scenarios; see -list")
+		return exitMisuse
+	}
+	directory, err := resultDirectory(given.directory)
+	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return 1
+		return exitBroken
 	}
-	if *otherRevision != "" {
+	programs := e2e.Programs{Directory: filepath.Join(directory, "bin"), OtherBuild: given.otherBuild, OtherFirst: given.otherFirst}
+	if err := e2e.Build(given.root, programs.Directory, given.race); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		return exitBroken
+	}
+	if given.otherRevision != "" {
 		programs.OtherBuild = filepath.Join(directory, "other-bin")
-		err := e2e.BuildRevision(*root, programs.OtherBuild, *otherRevision)
+		err := e2e.BuildRevision(given.root, programs.OtherBuild, given.otherRevision)
 		if errors.Is(err, e2e.ErrNoRevision) {
 			fmt.Println("skipped:", err)
-			return 0
+			return exitGood
 		}
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
-			return 1
+			return exitBroken
 		}
 	}
-	wanted := strings.Split(*runNames, ",")
-	if *mode != "" {
-		return runPlatformScenarios(wanted, *root, programs, directory, *seed)
-	}
-	broken, played := 0, 0
-	for _, scenario := range e2e.Scenarios() {
-		selected := *runNames == "all"
-		for _, name := range wanted {
-			selected = selected || name == scenario.Name
-		}
-		if !selected {
-			continue
-		}
-		played++
-		result, err := e2e.RunScenario(scenario, shape, programs, filepath.Join(directory, scenario.Name), *seed, *scale)
-		if err != nil {
-			fmt.Printf("%s on %s: could not be played: %v\n", scenario.Name, shape.Name, err)
-			broken++
-			continue
-		}
-		result.Print(os.Stdout)
-		if len(result.Violations) > 0 {
-			broken++
+	return runScenarios(selected, programs, directory)
+}
+
+func scenariosOf(given options, shape e2e.Shape) []scenario {
+	var list []scenario
+	if given.platform {
+		for _, played := range platforme2e.Scenarios() {
+			list = append(list, scenario{played.Name, played.Description, func(programs e2e.Programs, directory string) (result, error) {
+				outcome, err := platforme2e.RunScenario(played, given.root, programs, directory, given.seed)
+				return result{len(outcome.Violations) == 0, outcome.Print}, err
+			}})
 		}
+		return list
 	}
-	if played == 0 {
-		fmt.Fprintln(os.Stderr, "no such scenario; see -list")
-		return 2
+	for _, played := range e2e.Scenarios() {
+		list = append(list, scenario{played.Name, played.Description, func(programs e2e.Programs, directory string) (result, error) {
+			outcome, err := e2e.RunScenario(played, shape, programs, directory, given.seed, given.scale)
+			return result{len(outcome.Violations) == 0, outcome.Print}, err
+		}})
 	}
-	fmt.Println("logs and histories are in", directory)
-	if broken > 0 {
-		return 1
-	}
-	return 0
+	return list
 }
 
-func runPlatformScenarios(wanted []string, root string, programs e2e.Programs, directory string, seed uint64) int {
-	broken, played := 0, 0
-	for _, scenario := range platforme2e.Scenarios() {
-		if !slices.Contains(wanted, "all") && !slices.Contains(wanted, scenario.Name) {
-			continue
+// selectScenarios returns the scenarios of some names, or all; false where a
+// name is not a scenario's.
+func selectScenarios(scenarios []scenario, names []string) ([]scenario, bool) {
+	if slices.Contains(names, "all") {
+		return scenarios, true
+	}
+	var selected []scenario
+	for _, scenario := range scenarios {
+		if slices.Contains(names, scenario.name) {
+			selected = append(selected, scenario)
 		}
-		played++
-		result, err := platforme2e.RunScenario(scenario, root, programs, filepath.Join(directory, scenario.Name), seed)
+	}
+	return selected, len(selected) == len(names)
+}
+
+func resultDirectory(given string) (string, error) {
+	if given != "" {
+		return given, nil
+	}
+	return os.MkdirTemp("", "tansyseam-e2e")
+}
+
+func runScenarios(scenarios []scenario, programs e2e.Programs, directory string) int {
+	code := exitGood
+	for _, scenario := range scenarios {
+		outcome, err := scenario.run(programs, filepath.Join(directory, scenario.name))
 		if err != nil {
-			fmt.Printf("%s: could not be played: %v\n", scenario.Name, err)
-			broken++
+			fmt.Printf("%s: could not be played: %v\n", scenario.name, err)
+			code = exitBroken
 			continue
 		}
-		result.Print(os.Stdout)
-		broken += min(len(result.Violations), 1)
-	}
-	if played < len(wanted) && !slices.Contains(wanted, "all") {
-		fmt.Fprintln(os.Stderr, "not all of these are scenarios; see -list")
-		return 2
+		outcome.print(os.Stdout)
+		if !outcome.good {
+			code = exitBroken
+		}
 	}
-	fmt.Println("logs are in", directory)
-	return min(broken, 1)
+	fmt.Println("logs and histories are in", directory)
+	return code
 }
--- a/test/cmd/measure/main.go
+++ b/test/cmd/measure/main.go
@@ -1,5 +1,5 @@
-// Program measure plays one named run on fleets of several versions of the
-// product, turn by turn, and prints medians with their spread.
+// Command measure plays one scenario on fleets of several versions of the
+// product, by turns, and prints medians with their spread.
 package main
 
 import (
@@ -13,8 +13,17 @@
 	"tansyseam/test/e2e"
 )
 
-func main() { os.Exit(run()) }
+const (
+	exitGood   = 0
+	exitFailed = 1
+	exitMisuse = 2
+)
+
+const maxRounds = 50
 
+func main() { os.Exit(runMain()) }
+
+// metric is one figure of a result.
 type metric struct {
 	name  string
 	value func(e2e.Result) float64
@@ -29,70 +38,100 @@
 	{"broken rules", func(r e2e.Result) float64 { return float64(len(r.Violations)) }},
 }
 
-func run() int {
-	name := flag.String("run", "steady", "the run, as e2e lists them")
+// options are what the command line gives.
+type options struct {
+	scenario  e2e.Scenario
+	shape     e2e.Shape
+	revisions []string
+	rounds    int
+	root      string
+	scale     float64
+}
+
+func parseOptions() (given options, ok bool) {
+	name := flag.String("run", "steady", "the scenario, as e2e -list shows them")
 	shapeName := flag.String("shape", "small", "magnolia, chile or small")
 	versions := flag.String("versions", "", "git revisions with commas between; none for the tree as it is")
-	repeat := flag.Int("repeat", 3, "turns of each version")
-	root := flag.String("root", ".", "the workspace")
-	scale := flag.Float64("scale", 1, "part of the deployment's load")
+	flag.IntVar(&given.rounds, "repeat", 3, "rounds of each version")
+	flag.StringVar(&given.root, "root", ".", "the workspace")
+	flag.Float64Var(&given.scale, "scale", 1, "part of the deployment's load")
 	flag.Parse()
+	scenarios := e2e.Scenarios()
+	index := slices.IndexFunc(scenarios, func(candidate e2e.Scenario) bool { return candidate.Name == *name })
 	shape, found := e2e.Shapes()[*shapeName]
-	at := slices.IndexFunc(e2e.Scenarios(), func(metric e2e.Scenario) bool { return metric.Name == *name })
-	if !found || at < 0 || *repeat < 1 || *repeat > 50 {
+	if !found || index < 0 || given.rounds < 1 || given.rounds > maxRounds {
+		return given, false
+	}
+	given.scenario, given.shape, given.revisions = scenarios[index], shape, strings.Split(*versions, ",")
+	return given, true
+}
+
+func runMain() int {
+	given, ok := parseOptions()
+	if !ok {
 		fmt.Fprintln(os.Stderr, "no such run or shape, or repeat not from 1 to 50")
-		return 2
+		return exitMisuse
 	}
-	directory, err := os.MkdirTemp("", "seam-measure")
+	directory, err := os.MkdirTemp("", "tansyseam-measure")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return 1
+		return exitFailed
 	}
 	defer func() { _ = os.RemoveAll(directory) }()
-	revisions := strings.Split(*versions, ",")
+	results, err := given.measure(directory)
+	if err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		return exitFailed
+	}
+	given.print(results)
+	return exitGood
+}
+
+// measure plays the scenario by turns on each revision.
+func (o options) measure(directory string) (map[string][]e2e.Result, error) {
 	programs := map[string]e2e.Programs{}
-	for _, version := range revisions {
-		bin, err := build(*root, directory, version)
+	for _, revision := range o.revisions {
+		built, err := build(o.root, directory, revision)
 		if err != nil {
-			fmt.Fprintln(os.Stderr, err)
-			return 1
+			return nil, err
 		}
-		programs[version] = e2e.Programs{Directory: bin}
+		programs[revision] = e2e.Programs{Directory: built}
 	}
 	results := map[string][]e2e.Result{}
-	for round := range *repeat {
-		for _, version := range revisions {
-			result, err := e2e.RunScenario(e2e.Scenarios()[at], shape, programs[version], filepath.Join(directory, "run"), uint64(round+1), *scale)
+	for round := range o.rounds {
+		for _, revision := range o.revisions {
+			result, err := e2e.RunScenario(o.scenario, o.shape, programs[revision], filepath.Join(directory, "run"), uint64(round+1), o.scale)
 			if err != nil {
-				fmt.Fprintln(os.Stderr, err)
-				return 1
+				return nil, err
 			}
-			results[version] = append(results[version], result)
+			results[revision] = append(results[revision], result)
 		}
 	}
-	fmt.Printf("%s on %s, %d turns each: median (least to most)\n", *name, shape.Name, *repeat)
+	return results, nil
+}
+
+func (o options) print(results map[string][]e2e.Result) {
+	fmt.Printf("%s on %s, %d rounds each: median (least to most)\n", o.scenario.Name, o.shape.Name, o.rounds)
 	for _, metric := range metrics {
 		fmt.Printf("  %-44s", metric.name)
-		for _, version := range revisions {
+		for _, revision := range o.revisions {
 			var values []float64
-			for _, result := range results[version] {
+			for _, result := range results[revision] {
 				values = append(values, metric.value(result))
 			}
 			slices.Sort(values)
-			fmt.Printf("  %s %.2f (%.2f to %.2f)", version, values[len(values)/2], values[0], values[len(values)-1])
+			fmt.Printf("  %s %.2f (%.2f to %.2f)", revision, values[len(values)/2], values[0], values[len(values)-1])
 		}
 		fmt.Println()
 	}
-	return 0
 }
 
-func build(root, directory, version string) (string, error) {
-	bin := filepath.Join(directory, "bin-"+strings.ReplaceAll(version, "/", "_"))
-	if err := e2e.Build(root, bin, false); err != nil || version == "" {
-		return bin, err
-	}
-	if err := e2e.BuildRevision(root, bin, version); err != nil {
-		return bin, err
+// build builds the programs of a revision, and the stand-ins of the tree as it
+// is, and returns their directory.
+func build(root, directory, revision string) (string, error) {
+	built := filepath.Join(directory, "bin-"+strings.ReplaceAll(revision, "/", "_"))
+	if err := e2e.Build(root, built, false); err != nil || revision == "" {
+		return built, err
 	}
-	return bin, nil
+	return built, e2e.BuildRevision(root, built, revision)
 }
--- a/test/cmd/standin/main.go
+++ b/test/cmd/standin/main.go
@@ -1,4 +1,5 @@
-// Program stand runs one stand-in instance as a process of its own.
+// Command standin runs one stand-in instance as a process of its own, until
+// SIGTERM or SIGINT.
 package main
 
 import (
@@ -14,14 +15,10 @@
 
 func main() {
 	if len(os.Args) != 2 {
-		fmt.Fprintln(os.Stderr, "usage: stand CONFIG.json")
+		fmt.Fprintln(os.Stderr, "usage: standin CONFIG.json")
 		os.Exit(2)
 	}
-	data, err := os.ReadFile(os.Args[1])
-	var config standin.InstanceConfig
-	if err == nil {
-		err = json.Unmarshal(data, &config)
-	}
+	config, err := readConfig(os.Args[1])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
@@ -33,3 +30,12 @@
 		os.Exit(1)
 	}
 }
+
+func readConfig(path string) (config standin.InstanceConfig, err error) {
+	data, err := os.ReadFile(path)
+	if err != nil {
+		return config, err
+	}
+	err = json.Unmarshal(data, &config)
+	return config, err
+}
--- a/test/e2e/fleet_api.go
+++ b/test/e2e/fleet_api.go
@@ -14,11 +14,15 @@
 // Post makes a call with a JSON body at an HTTP address and returns the status
 // and the body of the answer.
 func (f *Fleet) Post(address, path string, body any) (int, []byte, error) {
+	return postJSON(f.client, address, path, body)
+}
+
+func postJSON(client *http.Client, address, path string, body any) (int, []byte, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return 0, nil, err
 	}
-	response, err := f.client.Post("http://"+address+path, "application/json", bytes.NewReader(data))
+	response, err := client.Post("http://"+address+path, "application/json", bytes.NewReader(data))
 	if err != nil {
 		return 0, nil, err
 	}
@@ -27,6 +31,25 @@
 	return response.StatusCode, raw, err
 }
 
+// FindControlPrimary asks control processes which of them is primary of the
+// control plane; nil where none says so.
+func FindControlPrimary(client *http.Client, controls []*Process) *Process {
+	for _, control := range controls {
+		_, raw, err := postJSON(client, control.HTTPAddress, "/v1/fleet", struct{}{})
+		var view struct {
+			Primacy bool `json:"primacy"`
+		}
+		if err == nil && json.Unmarshal(raw, &view) == nil && view.Primacy {
+			return control
+		}
+	}
+	return nil
+}
+
+type faultRequest struct {
+	Fault standin.Fault `json:"fault"`
+}
+
 // SetFault changes how an instance misbehaves.
 func (f *Fleet) SetFault(instance string, fault standin.Fault) error {
 	for _, process := range f.Instances {
@@ -38,10 +61,6 @@
 	return fmt.Errorf("no instance %s", instance)
 }
 
-type faultRequest struct {
-	Fault standin.Fault `json:"fault"`
-}
-
 type putRequest struct {
 	ID       string            `json:"id"`
 	Expected uint64            `json:"expected"`
--- a/test/e2e/run.go
+++ b/test/e2e/run.go
@@ -14,21 +14,9 @@
 // besides the callers' history.
 type Run struct {
 	*Fleet
-	Callers   *standin.Callers
-	Evidence  *history.Evidence
-	StartedAt time.Time
-	Notes     []string
-	Failures  []string
-}
-
-// Logf records a figure or an event of the run, with its time.
-func (r *Run) Logf(format string, parts ...any) {
-	r.Notes = append(r.Notes, fmt.Sprintf("%6.2f s  ", time.Since(r.StartedAt).Seconds())+fmt.Sprintf(format, parts...))
-}
-
-// Errorf records a failure of the run, which goes on.
-func (r *Run) Errorf(format string, parts ...any) {
-	r.Failures = append(r.Failures, fmt.Sprintf(format, parts...))
+	Recorder
+	Callers  *standin.Callers
+	Evidence *history.Evidence
 }
 
 // Sleep lets the load run for a while.
@@ -135,18 +123,7 @@
 
 // ControlPrimary returns the process that is primary of the control plane, nil
 // where none says so.
-func (r *Run) ControlPrimary() *Process {
-	for _, control := range r.Controls {
-		_, raw, err := r.Post(control.HTTPAddress, "/v1/fleet", struct{}{})
-		var view struct {
-			Primacy bool `json:"primacy"`
-		}
-		if err == nil && json.Unmarshal(raw, &view) == nil && view.Primacy {
-			return control
-		}
-	}
-	return nil
-}
+func (r *Run) ControlPrimary() *Process { return FindControlPrimary(r.client, r.Controls) }
 
 // Epoch asks a control process for its epoch and who is primary and backup in
 // it; zero values where it does not answer.
--- a/test/e2e/runner.go
+++ b/test/e2e/runner.go
@@ -35,7 +35,7 @@
 	if err := fleet.AwaitReady(readyTimeout); err != nil {
 		return result, err
 	}
-	run := &Run{Fleet: fleet, Evidence: &history.Evidence{}, StartedAt: time.Now()}
+	run := &Run{Fleet: fleet, Recorder: Recorder{StartedAt: time.Now()}, Evidence: &history.Evidence{}}
 	run.play(scenario, seed, scale)
 	run.checkLogs()
 	run.stopInstances()
--- a/test/platforme2e/plan.go
+++ b/test/platforme2e/plan.go
@@ -1,7 +1,9 @@
 package platforme2e
 
 import (
+	"errors"
 	"fmt"
+	"net"
 	"os"
 	"path/filepath"
 	"slices"
@@ -12,77 +14,185 @@
 	"tansyseam/test/platformstandin"
 )
 
+const (
+	proxyProgram   = "tansyseam-proxy"
+	controlProgram = "tansyseam-control"
+)
+
+// Third octets of addresses, by kind of process.
+const (
+	platformGroup = 0
+	proxyGroup    = 1
+	controlGroup  = 2
+	instanceGroup = 3
+)
+
+// maxPortAttempts bounds the search for ports.
+const maxPortAttempts = 200
+
+var errNoPorts = errors.New("no free ports")
+
+// ports are the same on all addresses of a run, as on the users' platform.
+type ports struct {
+	rpc, http, session, platform int
+}
+
+func (t *Run) ip(group, number int) string {
+	return fmt.Sprintf("127.%d.%d.%d", t.networkOctet, group, number+1)
+}
+
+func (t *Run) address(group, number, port int) string {
+	return fmt.Sprint(t.ip(group, number), ":", port)
+}
+
+// planProcesses starts the stand-ins, and decides on addresses and
+// configuration files of all processes.
 func (t *Run) planProcesses(root string, programs e2e.Programs, services int) error {
-	var hosts []string
-	for group, count := range []int{1, proxyCount, controlCount + spareControlCount, services * (replicaCount + 1)} {
-		for index := range count {
-			hosts = append(hosts, t.ip(group, index))
-		}
-	}
-	ports, err := t.freePorts(4, hosts)
+	ports, err := t.findPorts(services)
 	if err != nil {
 		return err
 	}
-	rpcPort, httpPort, sessionPort, platformPort := ports[0], ports[1], ports[2], ports[3]
-	for index := range controlCount + spareControlCount {
-		t.controlAddresses = append(t.controlAddresses, fmt.Sprint(t.ip(2, index), ":", httpPort))
-	}
-	for index := range services {
-		service := platformstandin.NewService(t.group, t.History, platformstandin.ServiceConfig{
-			Name: fmt.Sprintf("db%d", index+1), SyncReplicas: 1, ReplicationDelay: 2 * time.Millisecond, ApplyDelay: 8 * time.Millisecond, StatementTime: 2 * time.Millisecond,
-			PromoteDelay: 150 * time.Millisecond, Slots: 8, MaxConnections: 60,
-		})
-		t.Services = append(t.Services, service)
-		for member := range replicaCount + 1 {
-			place := platformstandin.Location{ID: fmt.Sprintf("i-%d%d", index+1, member), Address: fmt.Sprint(t.ip(3, index*(replicaCount+1)+member), ":", sessionPort), Zone: zones[member%len(zones)]}
-			if _, err := service.Add(place, func() []string { return t.controlAddresses }); err != nil {
-				return err
-			}
+	for number := range controlCount + spareControlCount {
+		t.controlAddresses = append(t.controlAddresses, t.address(controlGroup, number, ports.http))
+	}
+	for number := range services {
+		if err := t.startService(number, ports); err != nil {
+			return err
 		}
 	}
 	t.Platform = platformstandin.NewPlatform(t.group, t.Services...)
-	platformAt := fmt.Sprint(t.ip(0, 0), ":", platformPort)
-	if err := t.Platform.Serve(platformAt); err != nil {
+	if err := t.Platform.Serve(t.address(platformGroup, 0, ports.platform)); err != nil {
 		return err
 	}
 	t.Operator = platformstandin.NewOperator(t.group, t.History, t.controlAddresses, t.Services...)
-	seeds := []any{}
-	for _, process := range t.controlAddresses[:controlCount] {
-		seeds = append(seeds, process)
-	}
-	for _, part := range []struct {
-		program      string
-		group, count int
-		list         *[]*e2e.Process
-	}{{"tansyseam-control", 2, controlCount + spareControlCount, &t.Controls}, {"tansyseam-proxy", 1, proxyCount, &t.Proxies}} {
-		template, err := os.ReadFile(filepath.Join(root, "deploy", part.program+".json.tmpl"))
+	controls, err := t.planProgram(root, programs, controlProgram, controlGroup, controlCount+spareControlCount, ports)
+	if err != nil {
+		return err
+	}
+	t.Controls, t.spareControls = slices.Clip(controls[:controlCount]), controls[controlCount:]
+	t.Proxies, err = t.planProgram(root, programs, proxyProgram, proxyGroup, proxyCount, ports)
+	if err != nil {
+		return err
+	}
+	for number, proxy := range t.Proxies {
+		t.Platform.AddNode(proxy.HTTPAddress, t.address(proxyGroup, number, ports.session), proxy.Zone)
+	}
+	return nil
+}
+
+func (t *Run) findPorts(services int) (ports, error) {
+	var ips []string
+	for group, count := range []int{1, proxyCount, controlCount + spareControlCount, services * (replicaCount + 1)} {
+		for number := range count {
+			ips = append(ips, t.ip(group, number))
+		}
+	}
+	found, err := freePorts(4, ips)
+	if err != nil {
+		return ports{}, err
+	}
+	return ports{rpc: found[0], http: found[1], session: found[2], platform: found[3]}, nil
+}
+
+// freePorts finds ports that are free on all of some IPs.
+func freePorts(count int, ips []string) ([]int, error) {
+	var found []int
+	for attempt := 0; attempt < maxPortAttempts && len(found) < count; attempt++ {
+		port, err := freePort(ips[0])
 		if err != nil {
-			return err
+			return nil, err
 		}
-		for index := range part.count {
-			ip, name := t.ip(part.group, index), fmt.Sprintf("%s%d", strings.TrimPrefix(part.program, "tansyseam-"), index+1)
-			process := &e2e.Process{
-				Name: name, Program: programs.Path(part.program, index), Zone: zones[index%len(zones)], IP: ip, DataDirectory: filepath.Join(t.directory, name),
-				RPCAddress: fmt.Sprint(ip, ":", rpcPort), HTTPAddress: fmt.Sprint(ip, ":", httpPort), ConfigFile: filepath.Join(t.directory, name+".json"),
-			}
-			text, err := FillTemplate(string(template), map[string]any{
-				"node_name": name, "zone": process.Zone, "ip": ip, "internal_ports": []any{rpcPort, rpcPort + 1}, "data_path": process.DataDirectory, "bootstrap": index < controlCount,
-				"listen":  map[string]any{"admin": process.HTTPAddress, "readiness": process.HTTPAddress, "sessions": fmt.Sprint(ip, ":", sessionPort)},
-				"survive": map[string]any{"machines": 1}, "bounds": map[string]any{"fence_checked": true}, "cloud_api": map[string]any{"address": platformAt}, "seed_nodes": seeds,
-			})
-			if err != nil {
-				return err
-			}
-			if err := os.WriteFile(process.ConfigFile, []byte(text), 0o644); err != nil {
-				return err
-			}
-			process.Args = []string{"--config", process.ConfigFile}
-			*part.list = append(*part.list, process)
-			if part.program == "tansyseam-proxy" {
-				t.Platform.AddNode(process.HTTPAddress, fmt.Sprint(ip, ":", sessionPort), process.Zone)
-			}
+		if !slices.Contains(found, port) && isFree(port, ips) {
+			found = append(found, port)
+		}
+	}
+	if len(found) < count {
+		return nil, errNoPorts
+	}
+	return found, nil
+}
+
+func freePort(ip string) (int, error) {
+	listener, err := net.Listen("tcp", ip+":0")
+	if err != nil {
+		return 0, err
+	}
+	defer func() { _ = listener.Close() }()
+	return listener.Addr().(*net.TCPAddr).Port, nil
+}
+
+func isFree(port int, ips []string) bool {
+	for _, ip := range ips {
+		listener, err := net.Listen("tcp", fmt.Sprint(ip, ":", port))
+		if err != nil {
+			return false
+		}
+		_ = listener.Close()
+	}
+	return true
+}
+
+// startService starts a service with its instances.
+func (t *Run) startService(number int, ports ports) error {
+	service := platformstandin.NewService(t.group, t.History, platformstandin.ServiceConfig{
+		Name: fmt.Sprintf("db%d", number+1), SyncReplicas: 1, ReplicationDelay: 2 * time.Millisecond, ApplyDelay: 8 * time.Millisecond,
+		StatementTime: 2 * time.Millisecond, PromoteDelay: 150 * time.Millisecond, Slots: 8, MaxConnections: 60,
+	})
+	t.Services = append(t.Services, service)
+	for member := range replicaCount + 1 {
+		location := platformstandin.Location{
+			ID:      fmt.Sprintf("i-%d%d", number+1, member),
+			Address: t.address(instanceGroup, number*(replicaCount+1)+member, ports.session), Zone: zones[member%len(zones)],
+		}
+		if _, err := service.Add(location, func() []string { return t.controlAddresses }); err != nil {
+			return err
 		}
 	}
-	t.Controls, t.spareControls = slices.Clip(t.Controls[:controlCount]), t.Controls[controlCount:]
 	return nil
 }
+
+// planProgram plans processes of one program, each with a configuration file
+// that is filled from the deploy template.
+func (t *Run) planProgram(root string, programs e2e.Programs, program string, group, count int, ports ports) ([]*e2e.Process, error) {
+	template, err := os.ReadFile(filepath.Join(root, "deploy", program+".json.tmpl"))
+	if err != nil {
+		return nil, err
+	}
+	var list []*e2e.Process
+	for number := range count {
+		name := fmt.Sprintf("%s%d", strings.TrimPrefix(program, "tansyseam-"), number+1)
+		process := &e2e.Process{
+			Name: name, Program: programs.Path(program, number), Zone: zones[number%len(zones)], IP: t.ip(group, number),
+			RPCAddress: t.address(group, number, ports.rpc), HTTPAddress: t.address(group, number, ports.http),
+			DataDirectory: filepath.Join(t.directory, name), ConfigFile: filepath.Join(t.directory, name+".json"),
+		}
+		text, err := FillTemplate(string(template), t.templateFields(process, number, ports))
+		if err != nil {
+			return nil, err
+		}
+		if err := os.WriteFile(process.ConfigFile, []byte(text), 0o644); err != nil {
+			return nil, err
+		}
+		process.Args = []string{"--config", process.ConfigFile}
+		list = append(list, process)
+	}
+	return list, nil
+}
+
+// templateFields are the fields that the users' platform gives to templates.
+func (t *Run) templateFields(process *e2e.Process, number int, ports ports) map[string]any {
+	seeds := []any{}
+	for _, address := range t.controlAddresses[:controlCount] {
+		seeds = append(seeds, address)
+	}
+	return map[string]any{
+		"node_name": process.Name, "zone": process.Zone, "ip": process.IP, "internal_ports": []any{ports.rpc, ports.rpc + 1},
+		"data_path": process.DataDirectory, "bootstrap": number < controlCount,
+		"listen": map[string]any{
+			"admin": process.HTTPAddress, "readiness": process.HTTPAddress, "sessions": fmt.Sprint(process.IP, ":", ports.session),
+		},
+		"survive": map[string]any{"machines": 1}, "bounds": map[string]any{"fence_checked": true},
+		"cloud_api":  map[string]any{"address": t.address(platformGroup, 0, ports.platform)},
+		"seed_nodes": seeds,
+	}
+}
--- a/test/platforme2e/run.go
+++ b/test/platforme2e/run.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"net/http"
 	"os"
 	"slices"
@@ -14,106 +13,114 @@
 	"tansyseam/test/platformstandin"
 )
 
-// Run is one run under way.
+// Run is one scenario under way.
 type Run struct {
+	e2e.Recorder
 	Proxies, Controls []*e2e.Process
 	spareControls     []*e2e.Process
 	Services          []*platformstandin.Service
 	Platform          *platformstandin.Platform
 	Operator          *platformstandin.Operator
 	History           *platformstandin.History
-	Notes, Failures   []string
 
+	// group runs the stand-ins, loadGroup the clients, which end first.
 	group, loadGroup *worker.Group
 	directory        string
-	networkOctet     int
+	// networkOctet is the second one of all addresses, so that runs side by
+	// side do not meet.
+	networkOctet int
+	// version is that of the last configuration sent.
 	version          uint64
 	controlAddresses []string
 }
 
-var zones = []string{"za", "zb", "zc"}
+const (
+	proxyCount, controlCount, replicaCount = 3, 3, 2
+	// spareControlCount is for controls that a run may start beside the first.
+	spareControlCount = 2
+	// sessionCount is for clients, each of which has one session.
+	sessionCount = 24
+	// versionStep leaves versions free that race in a scenario.
+	versionStep = 3
+)
 
-func (t *Run) ip(group, number int) string {
-	return fmt.Sprintf("127.%d.%d.%d", t.networkOctet, group, number+1)
-}
+const (
+	stopTimeout  = 20 * time.Second
+	readyTimeout = 20 * time.Second
+)
 
-// freePorts finds some that are free on all addresses of the run.
-func (t *Run) freePorts(count int, hosts []string) ([]int, error) {
-	var found []int
-	for attempt := 0; attempt < 200 && len(found) < count; attempt++ {
-		listener, err := net.Listen("tcp", hosts[0]+":0")
-		if err != nil {
-			return nil, err
-		}
-		port := listener.Addr().(*net.TCPAddr).Port
-		_ = listener.Close()
-		free := !slices.Contains(found, port)
-		for _, host := range hosts {
-			other, err := net.Listen("tcp", fmt.Sprint(host, ":", port))
-			if err != nil {
-				free = false
-				break
-			}
-			_ = other.Close()
-		}
-		if free {
-			found = append(found, port)
-		}
-	}
-	if len(found) < count {
-		return nil, fmt.Errorf("no free ports")
-	}
-	return found, nil
-}
+var zones = []string{"za", "zb", "zc"}
 
-// Routes gives the run's routes, one of each kind for each service.
+// Routes returns the run's routes, one of each kind for each service.
 func (t *Run) Routes() []platformstandin.Route {
 	var list []platformstandin.Route
 	for _, service := range t.Services {
 		list = append(list,
-			platformstandin.Route{Host: "order-" + service.Name, Kind: "primary", Service: service.Name, Timeout: time.Second, Target: 200 * time.Millisecond, Priority: 1},
-			platformstandin.Route{Host: "owner-" + service.Name, Kind: "bounded_lag", Service: service.Name, Staleness: 1500 * time.Millisecond, Timeout: 2 * time.Second, Target: 600 * time.Millisecond, Priority: 2},
-			platformstandin.Route{Host: "status-" + service.Name, Kind: "own_writes", Service: service.Name, Staleness: 2500 * time.Millisecond, Timeout: time.Second, Target: 200 * time.Millisecond, Priority: 2})
+			platformstandin.Route{
+				Host: "order-" + service.Name, Kind: "primary", Service: service.Name,
+				Timeout: time.Second, Target: 200 * time.Millisecond, Priority: 1,
+			},
+			platformstandin.Route{
+				Host: "owner-" + service.Name, Kind: "bounded_lag", Service: service.Name, Staleness: 1500 * time.Millisecond,
+				Timeout: 2 * time.Second, Target: 600 * time.Millisecond, Priority: 2,
+			},
+			platformstandin.Route{
+				Host: "status-" + service.Name, Kind: "own_writes", Service: service.Name, Staleness: 2500 * time.Millisecond,
+				Timeout: time.Second, Target: 200 * time.Millisecond, Priority: 2,
+			})
 	}
 	return list
 }
 
-const (
-	proxyCount, controlCount, replicaCount = 3, 3, 2
-	// spareControlCount are control machines that a run may start beside those at first.
-	spareControlCount = 2
-	sessionCount      = 24
-)
+// mixes are what clients do, by kind of route.
+var mixes = map[string]platformstandin.Mix{
+	"primary":     {WriteShare: 0.2, TransactionShare: 0.5, ThinkTime: 60 * time.Millisecond},
+	"bounded_lag": {TransactionShare: 0.1, ThinkTime: 80 * time.Millisecond},
+	"own_writes":  {WriteShare: 0.3, TransactionShare: 0.15, ThinkTime: 80 * time.Millisecond},
+}
 
-// Start starts stand-ins and programs, takes the first configuration and
-// waits until all nodes are ready.
+// Start starts stand-ins and programs, sends the first configuration and waits
+// until all proxies are ready. The root is that of the source tree, which has
+// the templates of configuration files.
 func Start(root string, programs e2e.Programs, directory string, services int) (*Run, error) {
 	group := worker.NewGroup()
-	t := &Run{group: group, loadGroup: worker.NewGroup(), directory: directory, networkOctet: 64 + os.Getpid()%150, History: platformstandin.NewHistory(group)}
-	if err := t.planProcesses(root, programs, services); err != nil {
+	t := &Run{
+		Recorder: e2e.Recorder{StartedAt: time.Now()}, History: platformstandin.NewHistory(group),
+		group: group, loadGroup: worker.NewGroup(), directory: directory, networkOctet: 64 + os.Getpid()%150,
+	}
+	if err := t.start(root, programs, services); err != nil {
 		t.Stop()
 		return nil, err
 	}
-	for _, process := range append(slices.Clone(t.Controls), t.Proxies...) {
-		if err := process.Start(directory); err != nil {
-			t.Stop()
-			return nil, err
+	return t, nil
+}
+
+func (t *Run) start(root string, programs e2e.Programs, services int) error {
+	if err := t.planProcesses(root, programs, services); err != nil {
+		return err
+	}
+	for _, process := range slices.Concat(t.Controls, t.Proxies) {
+		if err := process.Start(t.directory); err != nil {
+			return err
 		}
 	}
 	t.version = 1
-	if status := t.Operator.Replace(1, t.Routes(), 0); status != http.StatusOK {
-		t.Stop()
-		return nil, fmt.Errorf("the first configuration was answered %d", status)
+	if status := t.Operator.Replace(t.version, t.Routes(), 0); status != http.StatusOK {
+		return fmt.Errorf("the first configuration was answered %d", status)
 	}
-	if !e2e.WaitUntil(20*time.Second, func() bool { return t.Platform.ReadyCount() == len(t.Proxies) }) {
-		t.Stop()
-		return nil, fmt.Errorf("%d of %d nodes ready", t.Platform.ReadyCount(), len(t.Proxies))
+	if !t.awaitAllReady(readyTimeout) {
+		return fmt.Errorf("%d of %d nodes ready", t.Platform.ReadyCount(), len(t.Proxies))
 	}
-	return t, nil
+	return nil
 }
 
-// AddControl starts a control machine with a blank disk, which knows the seeds that
-// all were given at first.
+// awaitAllReady waits until all proxies are ready; false after a timeout.
+func (t *Run) awaitAllReady(timeout time.Duration) bool {
+	return e2e.WaitUntil(timeout, func() bool { return t.Platform.ReadyCount() == len(t.Proxies) })
+}
+
+// AddControl starts a further control process with an empty data directory. It
+// has the seeds that all had at first.
 func (t *Run) AddControl() *e2e.Process {
 	process := t.spareControls[0]
 	t.spareControls = t.spareControls[1:]
@@ -124,12 +131,8 @@
 	return process
 }
 
-// StartLoad starts the clients.
+// StartLoad starts the clients, by turns over routes and zones.
 func (t *Run) StartLoad(seed uint64) {
-	mixes := map[string]platformstandin.Mix{
-		"primary": {WriteShare: 0.2, TransactionShare: 0.5, ThinkTime: 60 * time.Millisecond}, "bounded_lag": {TransactionShare: 0.1, ThinkTime: 80 * time.Millisecond},
-		"own_writes": {WriteShare: 0.3, TransactionShare: 0.15, ThinkTime: 80 * time.Millisecond},
-	}
 	clients, routes := platformstandin.NewClients(t.loadGroup, t.Platform, t.History), t.Routes()
 	for number := range sessionCount {
 		mix := mixes[routes[number%len(routes)].Kind]
@@ -138,31 +141,21 @@
 	}
 }
 
-// Stop ends all that was started.
+// Stop ends all that the run has started.
 func (t *Run) Stop() {
-	t.loadGroup.Stop(20 * time.Second)
-	for _, process := range append(slices.Clone(t.Proxies), t.Controls...) {
+	t.loadGroup.Stop(stopTimeout)
+	for _, process := range slices.Concat(t.Proxies, t.Controls) {
 		process.Signal(syscall.SIGCONT)
 		process.Signal(syscall.SIGKILL)
 		process.AwaitExit(5 * time.Second)
 	}
 	for _, service := range t.Services {
-		for _, process := range service.Instances() {
-			process.Crash()
+		for _, instance := range service.Instances() {
+			instance.Crash()
 		}
 	}
 	t.group.Stop(10 * time.Second)
 }
 
-// Logf writes down a figure of the run.
-func (t *Run) Logf(format string, parts ...any) {
-	t.Notes = append(t.Notes, fmt.Sprintf("%6.2f s  ", (t.group.Now()-time.Hour).Seconds())+fmt.Sprintf(format, parts...))
-}
-
-// Errorf notes something that should have been so.
-func (t *Run) Errorf(format string, parts ...any) {
-	t.Failures = append(t.Failures, fmt.Sprintf(format, parts...))
-}
-
-// Sleep lets load run for a while.
-func (t *Run) Sleep(span time.Duration) { worker.Await(t.group.Stopping(), span) }
+// Sleep lets the load run for a while.
+func (t *Run) Sleep(duration time.Duration) { worker.Await(t.group.Stopping(), duration) }
--- a/test/platforme2e/scenario_processes.go
+++ b/test/platforme2e/scenario_processes.go
@@ -7,6 +7,7 @@
 	"tansyseam/test/e2e"
 )
 
+// runPlannedStop stops a proxy by SIGTERM and starts it again.
 func runPlannedStop(t *Run) {
 	proxy := t.Proxies[0]
 	proxy.Signal(syscall.SIGTERM)
@@ -20,11 +21,12 @@
 	if err := proxy.Start(t.directory); err != nil {
 		t.Errorf("%v", err)
 	}
-	if !e2e.WaitUntil(10*time.Second, func() bool { return t.Platform.ReadyCount() == len(t.Proxies) }) {
+	if !t.awaitAllReady(10 * time.Second) {
 		t.Errorf("%s is not ready again", proxy.Name)
 	}
 }
 
+// runControlKill kills the control primary and starts it again.
 func runControlKill(t *Run) {
 	old := t.ControlPrimary()
 	if old == nil {
@@ -32,10 +34,7 @@
 		return
 	}
 	t.ReplaceConfiguration(t.Routes(), 0)
-	old.Kill()
-	began := t.group.Now()
-	t.ReplaceConfiguration(t.Routes(), 0)
-	t.Logf("a change is taken %d ms after the kill of %s", (t.group.Now() - began).Milliseconds(), old.Name)
+	t.killAndReplaceConfiguration(old)
 	t.AwaitService("without "+old.Name, 10*time.Second)
 	if err := old.Start(t.directory); err != nil {
 		t.Errorf("%v", err)
@@ -44,10 +43,20 @@
 	t.ReplaceConfiguration(t.Routes(), 1)
 }
 
-// repairTime is how long a control machine that was started has until the next one
-// may be lost.
+// killAndReplaceConfiguration measures how long a change takes after a kill.
+func (t *Run) killAndReplaceConfiguration(control *e2e.Process) {
+	control.Kill()
+	killedAt := t.group.Now()
+	t.ReplaceConfiguration(t.Routes(), 0)
+	t.Logf("a change is taken %d ms after the kill of %s", (t.group.Now() - killedAt).Milliseconds(), control.Name)
+}
+
+// repairTime is how long a control process that was started has until the next
+// one may be lost.
 const repairTime = 4 * time.Second
 
+// runControlReplacement loses two of three control processes for good, one after
+// the other was replaced, and stops a third as planned.
 func runControlReplacement(t *Run) {
 	primary := t.ControlPrimary()
 	if primary == nil {
@@ -59,10 +68,7 @@
 		witness = t.Controls[1]
 	}
 	for _, lost := range []*e2e.Process{witness, primary} {
-		lost.Kill()
-		began := t.group.Now()
-		t.ReplaceConfiguration(t.Routes(), 0)
-		t.Logf("a change is taken %d ms after the kill of %s", (t.group.Now() - began).Milliseconds(), lost.Name)
+		t.killAndReplaceConfiguration(lost)
 		t.AddControl()
 		t.Sleep(repairTime)
 	}
@@ -71,12 +77,12 @@
 		t.Errorf("no control primary after two were replaced")
 		return
 	}
-	began := t.group.Now()
+	signaledAt := t.group.Now()
 	leaving.Signal(syscall.SIGTERM)
 	if !leaving.AwaitExit(10 * time.Second) {
 		t.Errorf("%s did not end within 10 s", leaving.Name)
 	}
-	t.Logf("%s ended %d ms after it was told to", leaving.Name, (t.group.Now() - began).Milliseconds())
+	t.Logf("%s ended %d ms after it was told to", leaving.Name, (t.group.Now() - signaledAt).Milliseconds())
 	t.ReplaceConfiguration(t.Routes(), 1)
 	t.AwaitService("without three of five", 10*time.Second)
 }
--- a/test/platforme2e/service.go
+++ b/test/platforme2e/service.go
@@ -1,10 +1,7 @@
 package platforme2e
 
 import (
-	"encoding/json"
-	"io"
 	"net/http"
-	"strings"
 	"time"
 
 	"tansyseam/test/e2e"
@@ -12,54 +9,53 @@
 	"tansyseam/test/platformstandin"
 )
 
-// CountServed counts statements answered with success, of an act, sent since.
+// CountServed returns how many statements of an act, sent since a time, were
+// answered with success.
 func (t *Run) CountServed(act string, since time.Duration) int {
 	count := 0
-	for _, process := range t.History.Copy().Queries {
-		if process.Act == act && process.Code == "" && !process.Cut && process.Sent >= since {
+	for _, query := range t.History.Copy().Queries {
+		if query.Act == act && query.Code == "" && !query.Cut && query.Sent >= since {
 			count++
 		}
 	}
 	return count
 }
 
-// AwaitService waits, for a bound, until each kind of work is served again.
+// Numbers of statements that show that service is back.
+const (
+	servedReads   = 30
+	servedWrites  = 10
+	servedCommits = 10
+)
+
+// AwaitService waits until reads, writes and commits are served again; it
+// records a failure after a timeout.
 func (t *Run) AwaitService(what string, timeout time.Duration) {
 	since := t.group.Now()
+	reads, writes, commits := 0, 0, 0
 	served := e2e.WaitUntil(timeout, func() bool {
-		return t.CountServed(linehistory.ActCommit, since) >= 10 && t.CountServed(linehistory.ActWrite, since) >= 10 && t.CountServed(linehistory.ActRead, since) >= 30
+		reads, writes, commits = t.CountServed(linehistory.ActRead, since), t.CountServed(linehistory.ActWrite, since), t.CountServed(linehistory.ActCommit, since)
+		return reads >= servedReads && writes >= servedWrites && commits >= servedCommits
 	})
 	if !served {
-		t.Errorf("%s: reads %d, writes %d, commits %d served within %v", what, t.CountServed(linehistory.ActRead, since), t.CountServed(linehistory.ActWrite, since), t.CountServed(linehistory.ActCommit, since), timeout)
+		t.Errorf("%s: reads %d, writes %d, commits %d served within %v", what, reads, writes, commits, timeout)
 		return
 	}
 	t.Logf("%s: served after %d ms", what, (t.group.Now() - since).Milliseconds())
 }
 
-// ReplaceConfiguration sends a further version and waits until it is taken.
+// ReplaceConfiguration sends a further version, to the first address first; it
+// records a failure where it is not taken.
 func (t *Run) ReplaceConfiguration(routes []platformstandin.Route, first int) {
-	t.version += 3
+	t.version += versionStep
 	if status := t.Operator.Replace(t.version, routes, first); status != http.StatusOK {
 		t.Errorf("version %d was answered %d", t.version, status)
 	}
 }
 
-// ControlPrimary names the process that is control primary.
+// ControlPrimary returns the process that is primary of the control plane, nil
+// where none says so.
 func (t *Run) ControlPrimary() *e2e.Process {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for _, control := range t.Controls {
-		response, err := client.Post("http://"+control.HTTPAddress+"/v1/fleet", "application/json", strings.NewReader("{}"))
-		if err != nil {
-			continue
-		}
-		data, _ := io.ReadAll(response.Body)
-		_ = response.Body.Close()
-		var view struct {
-			Primacy bool `json:"primacy"`
-		}
-		if json.Unmarshal(data, &view) == nil && view.Primacy {
-			return control
-		}
-	}
-	return nil
+	return e2e.FindControlPrimary(client, t.Controls)
 }
--- a/test/platforme2e/template.go
+++ b/test/platforme2e/template.go
@@ -1,6 +1,3 @@
-// Package platforme2e runs the programs as real processes in the manner of the
-// users' platform, among stand-ins that speak its wire, and checks the
-// history of each run against the rules.
 package platforme2e
 
 import (
@@ -15,8 +12,8 @@
 
 var sectionStart = regexp.MustCompile(`\{\{#([^}|]+)\}\}`)
 
-// expandSections keeps what stands between {{#a}} and {{/a}} where the value is true or
-// given, and leaves it out elsewhere.
+// expandSections keeps what stands between {{#a}} and {{/a}} where the value is
+// given and not false, and leaves it out elsewhere.
 func expandSections(template string, fields map[string]any) (string, error) {
 	for {
 		index := sectionStart.FindStringSubmatchIndex(template)
@@ -36,6 +33,7 @@
 	}
 }
 
+// lookup returns the value at a path with dots, nil where there is none.
 func lookup(fields map[string]any, path string) any {
 	var value any = fields
 	for _, name := range strings.Split(path, ".") {
@@ -44,9 +42,11 @@
 	return value
 }
 
-// FillTemplate fills the gaps of a settings template from fields.
+// FillTemplate fills a template of a deploy file from the platform's fields, by
+// path: {{a.b}} is replaced by the text of a value, {{a|json}} by its JSON. A
+// placeholder without a field is an error.
 func FillTemplate(template string, fields map[string]any) (string, error) {
-	var missed []string
+	var missing []string
 	template, err := expandSections(template, fields)
 	if err != nil {
 		return "", err
@@ -55,7 +55,7 @@
 		parts := placeholder.FindStringSubmatch(text)
 		value := lookup(fields, parts[1])
 		if value == nil {
-			missed = append(missed, parts[1])
+			missing = append(missing, parts[1])
 		}
 		data, _ := json.Marshal(value)
 		if plain, isString := value.(string); isString && parts[2] == "" {
@@ -63,15 +63,16 @@
 		}
 		return string(data)
 	})
-	if len(missed) > 0 {
-		return "", fmt.Errorf("no fields %v", missed)
+	if len(missing) > 0 {
+		return "", fmt.Errorf("no fields %v", missing)
 	}
 	return filled, nil
 }
 
+// child returns a member of an object, or an element of an array by its index.
 func child(value any, name string) any {
-	if table, isObject := value.(map[string]any); isObject {
-		return table[name]
+	if object, isObject := value.(map[string]any); isObject {
+		return object[name]
 	}
 	list, isArray := value.([]any)
 	index, err := strconv.Atoi(name)
--- a/test/platformstandin/client_query.go
+++ b/test/platformstandin/client_query.go
@@ -9,9 +9,12 @@
 	"tansyseam/test/linehistory"
 )
 
-const answerTimeout = 5 * time.Second
+const (
+	answerTimeout  = 5 * time.Second
+	connectTimeout = 2 * time.Second
+)
 
-// query sends one query and takes its answer.
+// query sends one query, reads its answer and records both.
 func (c *client) query(query linehistory.Query, text string) linehistory.Query {
 	c.queryCount++
 	query.ID = fmt.Sprintf("%s.%d", c.session, c.queryCount)
@@ -23,19 +26,8 @@
 	_ = c.conn.SetDeadline(time.Now().Add(answerTimeout))
 	_, err := c.conn.Write([]byte("QUERY " + query.ID + " " + text + "\r\n"))
 	complete := false
-	for err == nil {
-		var line string
-		if line, err = c.reader.ReadString('\n'); err != nil {
-			break
-		}
-		code, tail, _ := strings.Cut(strings.TrimSuffix(line, "\r\n"), " ")
-		if act, known := answerParsers[code]; known {
-			complete = act(&query, tail) || complete
-		}
-		if code == "READY" {
-			c.state, _, _ = strings.Cut(tail, " ")
-			break
-		}
+	if err == nil {
+		complete, err = c.readAnswer(&query)
 	}
 	query.Answered, query.Cut = c.now(), err != nil || !complete
 	if query.Cut {
@@ -45,6 +37,26 @@
 	return query
 }
 
+// readAnswer reads lines up to the one that says that the session is ready; the
+// answer is complete where one of them was its end.
+func (c *client) readAnswer(query *linehistory.Query) (complete bool, err error) {
+	for {
+		line, err := c.reader.ReadString('\n')
+		if err != nil {
+			return complete, err
+		}
+		word, tail, _ := strings.Cut(strings.TrimSuffix(line, "\r\n"), " ")
+		if parse, known := answerParsers[word]; known {
+			complete = parse(query, tail) || complete
+		}
+		if word == "READY" {
+			return complete, nil
+		}
+	}
+}
+
+// answerParsers take lines of an answer by their first word; they return
+// whether the line ends the answer.
 var answerParsers = map[string]func(query *linehistory.Query, tail string) bool{
 	"ROW":  func(query *linehistory.Query, tail string) bool { query.Rows = append(query.Rows, tail); return false },
 	"DONE": func(query *linehistory.Query, tail string) bool { query.Stamp = tail; return true },
@@ -56,4 +68,5 @@
 
 func succeeded(query linehistory.Query) bool { return !query.Cut && query.Code == "" }
 
+// retryable are codes that promise that a statement had no effect.
 var retryable = map[string]bool{"BUSY": true, "ABORTED": true, "LAGGING": true, "READONLY": true, "WRONGHOST": true, "FULL": true}
--- a/test/platformstandin/execution.go
+++ b/test/platformstandin/execution.go
@@ -9,102 +9,168 @@
 	"tansyseam/test/linehistory"
 )
 
-// execute runs a statement that holds a slot.
-func (c *session) execute(statement *statement, act, rest, text, tail string) bool {
+const (
+	// slotTimeout is how long a statement waits for a slot.
+	slotTimeout = 500 * time.Millisecond
+	// commitTimeout is how long a commit waits for replicas.
+	commitTimeout = 2 * time.Second
+)
+
+// operation is a statement that takes a slot of its instance.
+type operation struct {
+	*statement
+	act       string
+	arguments string
+	// preparedText and preparedRest are given for prepared statements, whose
+	// own text is not run.
+	preparedText, preparedRest string
+}
+
+func (o operation) isWrite() bool  { return o.act == linehistory.ActWrite }
+func (o operation) isCommit() bool { return o.act == linehistory.ActCommit }
+
+// outcome is what became of an operation: it was aborted with its instance,
+// refused with a code, or run.
+type outcome struct {
+	aborted bool
+	refusal string
+	// replicated is closed once enough replicas have a commit; nil for others.
+	replicated chan struct{}
+	// answerLost says that the answer is to be lost.
+	answerLost bool
+	execution  linehistory.Execution
+}
+
+// execute runs an operation and answers it; false ends the connection.
+func (c *session) execute(operation operation) bool {
 	i, s := c.instance, c.instance.service
-	code, busy, lagging := "", false, false
+	if code := c.takeSlot(operation); code != "" {
+		return c.refuse(operation.act, code)
+	}
+	defer func() { <-i.slots }()
+	if worker.Await(s.group.Stopping(), s.StatementTime) {
+		return false
+	}
+	result := c.apply(operation)
+	if result.aborted {
+		return false
+	}
+	if result.refusal != "" {
+		return c.refuse(operation.act, result.refusal)
+	}
+	if result.replicated != nil && !awaitReplicas(result.replicated) {
+		return c.write("ERROR TIMEOUT", c.readyLine())
+	}
+	if result.answerLost {
+		return false
+	}
+	lines := []string{}
+	for _, row := range result.execution.Rows {
+		lines = append(lines, "ROW "+row)
+	}
+	return c.write(append(lines, "DONE "+result.execution.Stamp, c.readyLine())...)
+}
+
+// takeSlot takes a slot of the instance, or returns the code of a refusal.
+func (c *session) takeSlot(operation operation) (code string) {
+	i, s := c.instance, c.instance.service
+	busy, lagging := false, false
 	s.withLock(func() {
 		busy = i.statementsToRefuse > 0 || i.busyUntil > s.group.Now()
 		i.statementsToRefuse = max(i.statementsToRefuse-1, 0)
-		lagging = c.transaction == nil && !i.appliedPosition().Covers(statement.minPosition)
+		lagging = c.transaction == nil && !i.appliedPosition().Covers(operation.minPosition)
 	})
-	timer := time.NewTimer(500 * time.Millisecond)
-	defer timer.Stop()
-	if !busy && !lagging {
-		select {
-		case i.slots <- struct{}{}:
-		case <-timer.C:
-			busy = true
-		}
-	}
 	if busy {
-		return c.refuse(act, "BUSY")
+		return "BUSY"
 	}
 	if lagging {
-		return c.refuse(act, "LAGGING")
+		return "LAGGING"
 	}
-	defer func() { <-i.slots }()
-	if worker.Await(s.group.Stopping(), s.StatementTime) {
-		return false
+	timer := time.NewTimer(slotTimeout)
+	defer timer.Stop()
+	select {
+	case i.slots <- struct{}{}:
+		return ""
+	case <-timer.C:
+		return "BUSY"
+	}
+}
+
+func awaitReplicas(replicated chan struct{}) bool {
+	timeout := time.NewTimer(commitTimeout)
+	defer timeout.Stop()
+	_, timedOut := worker.Receive(timeout.C, replicated)
+	return !timedOut
+}
+
+// apply runs an operation at the instance and records it.
+func (c *session) apply(operation operation) outcome {
+	i, s := c.instance, c.instance.service
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if !i.running || i.hung {
+		return outcome{aborted: true}
 	}
-	execution := linehistory.Execution{Instance: i.ID, Service: s.Name, Conn: c.name, ID: statement.id, Act: act, Text: statement.text, Shape: text, Rest: tail, Values: maps.Clone(c.values)}
-	if text != "" {
-		execution.Text = ""
+	if c.needsPrimary(operation) {
+		return outcome{refusal: "READONLY " + i.ID}
 	}
-	key, data, _ := strings.Cut(rest, " ")
-	var wait chan struct{}
-	lost, aborted := false, false
-	s.withLock(func() {
-		if !i.running || i.hung {
-			aborted = true
-			return
-		}
-		transaction := c.transaction
-		writing := transaction != nil && !transaction.readOnly
-		empty := act == linehistory.ActCommit && len(transaction.ids) == 0
-		readOnly := (act == linehistory.ActWrite || writing) && !empty && (!i.primary || (writing && i.term != transaction.term) || (transaction != nil && transaction.readOnly && act == linehistory.ActWrite))
-		if readOnly {
-			code = "READONLY " + i.ID
-			return
-		}
-		execution.At, execution.Stamp, execution.LeavingAcknowledged = s.group.Now(), s.newStamp(i), i.leaveAcknowledgedAt
-		if transaction != nil {
-			execution.Transaction = transaction.number
-		}
-		if act == linehistory.ActRead {
-			execution.Rows = []string{key + "=" + i.values[key]}
-		}
-		committing := (act == linehistory.ActWrite && transaction == nil) || (act == linehistory.ActCommit && len(transaction.ids) > 0)
-		if act == linehistory.ActWrite && transaction != nil {
-			transaction.ids = append(transaction.ids, statement.id)
-			transaction.values[key] = data
-		}
-		if committing {
-			ids, values := []string{statement.id}, map[string]string{key: data}
-			if transaction != nil {
-				ids, values = append(transaction.ids, statement.id), transaction.values
-			}
-			execution.CommittedAt, wait = s.commit(i, ids, values)
-		}
-		execution.LogEnd = i.appliedPosition()
-		if act == linehistory.ActCommit {
-			c.transaction = nil
-		}
-		if i.answersToLose > 0 {
-			i.answersToLose--
-			lost = true
-		}
-		s.history.Update(func(h *linehistory.History) { h.Executions = append(h.Executions, execution) })
-	})
-	if aborted {
-		return false
+	result := outcome{execution: c.newExecution(operation)}
+	key, value, _ := strings.Cut(operation.arguments, " ")
+	if operation.act == linehistory.ActRead {
+		result.execution.Rows = []string{key + "=" + i.values[key]}
+	}
+	if operation.isWrite() && c.transaction != nil {
+		c.transaction.ids = append(c.transaction.ids, operation.id)
+		c.transaction.values[key] = value
+	}
+	if operation.isWrite() && c.transaction == nil {
+		result.execution.CommittedAt, result.replicated = s.commit(i, []string{operation.id}, map[string]string{key: value})
 	}
-	if code != "" {
-		return c.refuse(act, code)
+	if operation.isCommit() && len(c.transaction.ids) > 0 {
+		ids := append(c.transaction.ids, operation.id)
+		result.execution.CommittedAt, result.replicated = s.commit(i, ids, c.transaction.values)
 	}
-	if wait != nil {
-		timeout := time.NewTimer(2 * time.Second)
-		defer timeout.Stop()
-		if _, timedOut := worker.Receive(timeout.C, wait); timedOut {
-			return c.write("ERROR TIMEOUT", c.readyLine())
-		}
+	result.execution.LogEnd = i.appliedPosition()
+	if operation.isCommit() {
+		c.transaction = nil
 	}
-	if lost {
+	if i.answersToLose > 0 {
+		i.answersToLose--
+		result.answerLost = true
+	}
+	s.history.Update(func(h *linehistory.History) { h.Executions = append(h.Executions, result.execution) })
+	return result
+}
+
+// needsPrimary reports whether an operation writes, or belongs to a transaction
+// that may, and the instance is not, or no longer, the primary that it needs.
+func (c *session) needsPrimary(operation operation) bool {
+	i, transaction := c.instance, c.transaction
+	if operation.isCommit() && len(transaction.ids) == 0 {
 		return false
 	}
-	lines := []string{}
-	for _, row := range execution.Rows {
-		lines = append(lines, "ROW "+row)
+	writing := transaction != nil && !transaction.readOnly
+	if !operation.isWrite() && !writing {
+		return false
+	}
+	if operation.isWrite() && transaction != nil && transaction.readOnly {
+		return true
+	}
+	return !i.primary || (writing && i.term != transaction.term)
+}
+
+func (c *session) newExecution(operation operation) linehistory.Execution {
+	i, s := c.instance, c.instance.service
+	execution := linehistory.Execution{
+		At: s.group.Now(), Instance: i.ID, Service: s.Name, Conn: c.name, ID: operation.id, Act: operation.act,
+		Shape: operation.preparedText, Rest: operation.preparedRest, Values: maps.Clone(c.values),
+		Stamp: s.newStamp(i), LeavingAcknowledged: i.leaveAcknowledgedAt,
+	}
+	if operation.preparedText == "" {
+		execution.Text = operation.text
+	}
+	if c.transaction != nil {
+		execution.Transaction = c.transaction.number
 	}
-	return c.write(append(lines, "DONE "+execution.Stamp, c.readyLine())...)
+	return execution
 }
--- a/test/platformstandin/heartbeat.go
+++ b/test/platformstandin/heartbeat.go
@@ -10,23 +10,54 @@
 	"tansyseam/internal/transport/worker"
 )
 
+const (
+	heartbeatInterval = 400 * time.Millisecond
+	// maxHeartbeatAnswer bounds an answer, in bytes.
+	maxHeartbeatAnswer = 4096
+)
+
 var heartbeatClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-const heartbeatInterval = 400 * time.Millisecond
+// heartbeat is the body of an instance's report.
+type heartbeat struct {
+	Service    string `json:"service"`
+	Address    string `json:"address"`
+	Zone       string `json:"zone"`
+	Version    string `json:"version"`
+	Slots      int    `json:"slots"`
+	State      string `json:"state"`
+	ColdLeftMS int    `json:"cold_left_ms"`
+	Role       string `json:"db_role"`
+	CallCount  int    `json:"call_count"`
+}
 
+func (i *Instance) heartbeat() heartbeat {
+	state := "ready"
+	if i.draining {
+		state = "draining"
+	}
+	return heartbeat{
+		Service: i.service.Name, Address: i.Address, Zone: i.Zone, Version: "v1", Slots: i.service.Slots,
+		State: state, Role: i.role(), CallCount: i.callCount,
+	}
+}
+
+func (i *Instance) role() string {
+	if i.primary {
+		return "primary"
+	}
+	return "replica"
+}
+
+// heartbeatLoop sends heartbeats as long as an incarnation lasts.
 func (i *Instance) heartbeatLoop(incarnation int) {
-	s := i.service
-	for !s.group.IsStopping() {
+	for !i.service.group.IsStopping() {
 		ended, hung, draining := false, false, false
 		var body []byte
-		s.withLock(func() {
+		i.service.withLock(func() {
 			ended, hung, draining = i.incarnation != incarnation, i.hung, i.draining
 			i.callCount++
-			body, _ = json.Marshal(map[string]any{
-				"service": s.Name, "address": i.Address, "zone": i.Zone, "version": "v1", "slots": s.Slots,
-				"state": map[bool]string{true: "draining", false: "ready"}[i.draining], "cold_left_ms": 0,
-				"db_role": map[bool]string{true: "primary", false: "replica"}[i.primary], "call_count": i.callCount,
-			})
+			body, _ = json.Marshal(i.heartbeat())
 		})
 		if ended {
 			return
@@ -40,6 +71,7 @@
 	}
 }
 
+// sendHeartbeat sends to one address after the other until one accepts.
 func (i *Instance) sendHeartbeat(body []byte, draining bool) {
 	for _, address := range i.heartbeatAddresses() {
 		status, answer := i.post(address, "heartbeat", body)
@@ -49,11 +81,11 @@
 			if !accepted {
 				return
 			}
-			var message struct {
-				BeatTo string `json:"beat_to"`
+			var decoded struct {
+				Target string `json:"beat_to"`
 			}
-			_ = json.Unmarshal(answer, &message)
-			i.heartbeatTarget = message.BeatTo
+			_ = json.Unmarshal(answer, &decoded)
+			i.heartbeatTarget = decoded.Target
 			if draining && i.leaveAcknowledgedAt == 0 {
 				i.leaveAcknowledgedAt = i.service.group.Now()
 			}
@@ -64,6 +96,7 @@
 	}
 }
 
+// triggerHeartbeat has the next heartbeat sent at once.
 func (i *Instance) triggerHeartbeat() {
 	select {
 	case i.heartbeatDue <- struct{}{}:
@@ -71,6 +104,7 @@
 	}
 }
 
+// heartbeatAddresses returns where to send heartbeats, the best first.
 func (i *Instance) heartbeatAddresses() []string {
 	i.service.mutex.Lock()
 	first := i.heartbeatTarget
@@ -81,14 +115,15 @@
 	return append([]string{first}, i.controlAddresses()...)
 }
 
-func (i *Instance) post(address, code string, body []byte) (int, []byte) {
-	response, err := heartbeatClient.Post("http://"+address+"/instances/"+i.ID+"/"+code, "application/json", bytes.NewReader(body))
+// post reports to a control address; the status is 0 where no answer came.
+func (i *Instance) post(address, report string, body []byte) (int, []byte) {
+	response, err := heartbeatClient.Post("http://"+address+"/instances/"+i.ID+"/"+report, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, 4097))
-	if err != nil || len(data) > 4096 {
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxHeartbeatAnswer+1))
+	if err != nil || len(data) > maxHeartbeatAnswer {
 		return 0, nil
 	}
 	return response.StatusCode, data
--- a/test/platformstandin/history.go
+++ b/test/platformstandin/history.go
@@ -8,14 +8,14 @@
 	"tansyseam/test/linehistory"
 )
 
-// History gathers what the stand-ins see.
+// History gathers what the stand-ins see; it is safe for concurrent use.
 type History struct {
 	mutex    sync.Mutex
 	group    *worker.Group
 	recorded linehistory.History
 }
 
-// NewHistory makes one whose clock is the crew's.
+// NewHistory returns an empty history whose clock is the group's.
 func NewHistory(group *worker.Group) *History { return &History{group: group} }
 
 // Update changes the history.
@@ -25,7 +25,7 @@
 	act(&h.recorded)
 }
 
-// Copy gives what was seen so far.
+// Copy returns what was recorded so far.
 func (h *History) Copy() linehistory.History {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/test/platformstandin/instance.go
+++ b/test/platformstandin/instance.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// Location says how an instance stands in the world.
+// Location identifies an instance and says where it listens and in which zone.
 type Location struct{ ID, Address, Zone string }
 
-// Instance is one stand-in server; its state is guarded by the service's lock.
+// Instance is one database server; its state is guarded by the service's lock.
+// Times are on the clock of the service's group.
 type Instance struct {
 	Location
 	service          *Service
@@ -16,39 +17,49 @@
 	slots            chan struct{}
 	listener         net.Listener
 	sessions         map[*session]bool
-	incarnation      int
-	connectionCount  int
-
-	running, hung, primary, draining  bool
-	upstream                          *Instance
-	term, pausedTerm                  uint64
-	log                               []logEntry
-	applied                           int
-	values                            map[string]string
-	commitWaiters                     []commitWaiter
+	// incarnation counts starts and crashes.
+	incarnation     int
+	connectionCount int
+
+	running, hung, primary, draining bool
+
+	// Replication: applied is the number of log entries that reads see.
+	upstream         *Instance
+	term, pausedTerm uint64
+	log              []logEntry
+	applied          int
+	values           map[string]string
+	commitWaiters    []commitWaiter
+
+	// Faults.
 	answersToLose, statementsToRefuse int
 	busyUntil                         time.Duration
-	leaveAcknowledgedAt               time.Duration
-	callCount                         int
-	heartbeatTarget                   string
-	heartbeatDue                      chan struct{}
+
+	// Heartbeats: the target is the address that the last answer named.
+	leaveAcknowledgedAt time.Duration
+	callCount           int
+	heartbeatTarget     string
+	heartbeatDue        chan struct{}
 }
 
-// Add starts an instance; the first is the primary.
-func (s *Service) Add(place Location, controlAddresses func() []string) (*Instance, error) {
-	one := &Instance{Location: place, service: s, slots: make(chan struct{}, s.Slots), controlAddresses: controlAddresses, sessions: map[*session]bool{}}
+// Add adds an instance and starts it; the first is the primary. Heartbeats go
+// to the control addresses.
+func (s *Service) Add(location Location, controlAddresses func() []string) (*Instance, error) {
+	instance := &Instance{
+		Location: location, service: s, slots: make(chan struct{}, s.Slots), controlAddresses: controlAddresses, sessions: map[*session]bool{},
+	}
 	s.withLock(func() {
 		if s.primary == nil {
-			s.primary, one.primary, one.term = one, true, 1
+			s.primary, instance.primary, instance.term = instance, true, 1
 		} else {
-			one.upstream, one.term = s.primary, s.primary.term
+			instance.upstream, instance.term = s.primary, s.primary.term
 		}
-		s.instances = append(s.instances, one)
+		s.instances = append(s.instances, instance)
 	})
-	return one, one.Start()
+	return instance, instance.Start()
 }
 
-// Start listens and begins to beat.
+// Start listens and begins to send heartbeats. The log is that of before.
 func (i *Instance) Start() error {
 	listener, err := net.Listen("tcp", i.Address)
 	if err != nil {
@@ -56,7 +67,8 @@
 	}
 	s := i.service
 	s.withLock(func() {
-		i.running, i.hung, i.draining, i.leaveAcknowledgedAt, i.listener, i.heartbeatDue = true, false, false, 0, listener, make(chan struct{}, 1)
+		i.running, i.hung, i.draining, i.leaveAcknowledgedAt = true, false, false, 0
+		i.listener, i.heartbeatDue = listener, make(chan struct{}, 1)
 		i.incarnation++
 		if s.primary != i {
 			i.follow(s.primary)
@@ -70,30 +82,31 @@
 	return nil
 }
 
-// Crash ends it at once; its log stays.
+// Crash ends the instance at once; its log stays.
 func (i *Instance) Crash() {
 	i.service.withLock(func() {
 		i.running = false
 		i.incarnation++
 		_ = i.listener.Close()
-		for one := range i.sessions {
-			_ = one.connection.Close()
+		for session := range i.sessions {
+			_ = session.connection.Close()
 		}
 	})
 }
 
-// Hang makes it take and say nothing more, with all connections open.
+// Hang makes the instance answer nothing more, with all connections open.
 func (i *Instance) Hang() { i.service.withLock(func() { i.hung = true }) }
 
-// LoseAnswers has it lose so many answers.
+// LoseAnswers makes the instance lose a number of answers after the work is
+// done.
 func (i *Instance) LoseAnswers(count int) { i.service.withLock(func() { i.answersToLose = count }) }
 
-// RefuseStatements has it refuse so many statements as busy.
+// RefuseStatements makes the instance refuse a number of statements as busy.
 func (i *Instance) RefuseStatements(count int) {
 	i.service.withLock(func() { i.statementsToRefuse = count })
 }
 
-// Drain has it report that it leaves.
+// Drain makes the instance report that it leaves.
 func (i *Instance) Drain() {
 	i.service.withLock(func() {
 		i.draining = true
@@ -101,14 +114,16 @@
 	})
 }
 
-// LeaveAcknowledgedAt says when its leaving was acknowledged, 0 for not yet.
+// LeaveAcknowledgedAt returns when the instance's leaving was acknowledged, 0
+// where it was not.
 func (i *Instance) LeaveAcknowledgedAt() time.Duration {
 	i.service.mutex.Lock()
 	defer i.service.mutex.Unlock()
 	return i.leaveAcknowledgedAt
 }
 
-// Leave says that it is gone, and ends it; the status answered is given.
+// Leave reports that the instance is gone, ends it, and returns the status that
+// was answered.
 func (i *Instance) Leave() int {
 	status := 0
 	for _, address := range i.heartbeatAddresses() {
@@ -127,17 +142,10 @@
 			return
 		}
 		i.service.group.Go(func() {
-			one := &session{instance: i, connection: conn, values: map[string]string{}, preparedTexts: map[string]string{}}
+			accepted := &session{instance: i, connection: conn, values: map[string]string{}, preparedTexts: map[string]string{}}
 			defer func() { _ = conn.Close() }()
-			one.serve()
-			i.service.withLock(func() { delete(i.sessions, one) })
+			accepted.serve()
+			i.service.withLock(func() { delete(i.sessions, accepted) })
 		})
 	}
 }
-
-// IsPrimary says whether it holds itself to be the primary.
-func (i *Instance) IsPrimary() bool {
-	i.service.mutex.Lock()
-	defer i.service.mutex.Unlock()
-	return i.primary
-}
--- a/test/platformstandin/platform.go
+++ b/test/platformstandin/platform.go
@@ -11,15 +11,15 @@
 	"tansyseam/internal/transport/worker"
 )
 
-// PromoteCall is one promote call that was taken or refused.
+// PromoteCall is one promote call and the status that it was answered.
 type PromoteCall struct {
 	Service, Instance, LeaseHolder string
 	FencingToken                   uint64
 	Status                         int
 }
 
-// Platform is the stand-in that takes the promote call and looks which nodes
-// are ready.
+// Platform plays the users' platform: it carries out the promote call, probes
+// the nodes and hands out those that are ready.
 type Platform struct {
 	group         *worker.Group
 	services      []*Service
@@ -33,12 +33,12 @@
 	nextNode      int
 }
 
-// NewPlatform makes one for services; it ends with the crew.
+// NewPlatform returns a platform of services. It stops with the group.
 func NewPlatform(group *worker.Group, services ...*Service) *Platform {
 	return &Platform{group: group, services: services, fencingTokens: map[string]uint64{}, nodes: map[string]*node{}}
 }
 
-// Serve listens at an address.
+// Serve listens for the promote call at an address and begins to probe.
 func (p *Platform) Serve(address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -49,25 +49,29 @@
 	server := &http.Server{Handler: mux}
 	p.group.Go(func() { _ = server.Serve(listener) })
 	p.group.Go(func() { <-p.group.Stopping(); _ = server.Close() })
-	p.group.Loop(nil, 150*time.Millisecond, p.probeReadiness)
+	p.group.Loop(nil, probeInterval, p.probeReadiness)
 	return nil
 }
 
-// SetPromoteFaults makes the promote call slow, refused so many times, or cut off.
-func (p *Platform) SetPromoteFaults(wait time.Duration, refusals int, aborted bool) {
+// SetPromoteFaults sets how the promote call fails: a delay, a number of
+// refusals, and whether no call gets through.
+func (p *Platform) SetPromoteFaults(delay time.Duration, refusals int, partitioned bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.promoteDelay, p.refusals, p.partitioned = wait, refusals, aborted
+	p.promoteDelay, p.refusals, p.partitioned = delay, refusals, partitioned
 }
 
-// PromoteCalls gives the promote calls so far.
+// PromoteCalls returns the promote calls so far.
 func (p *Platform) PromoteCalls() []PromoteCall {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return append([]PromoteCall(nil), p.promoteCalls...)
 }
 
-func (p *Platform) checkCall(call PromoteCall) (int, *Service, time.Duration) {
+// checkCall returns the status of a call, and the service and the delay where
+// it is to be carried out. A call needs a holder and a token that is not older
+// than the newest.
+func (p *Platform) checkCall(call PromoteCall) (status int, service *Service, delay time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.refusals > 0 {
@@ -86,30 +90,41 @@
 	return http.StatusConflict, nil, 0
 }
 
+type promoteRequest struct {
+	Service string `json:"service"`
+	ID      string `json:"id"`
+}
+
 func (p *Platform) handlePromote(w http.ResponseWriter, r *http.Request) {
-	var message struct{ Service, ID string }
-	if json.NewDecoder(r.Body).Decode(&message) != nil {
+	var request promoteRequest
+	if json.NewDecoder(r.Body).Decode(&request) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	p.mutex.Lock()
-	aborted := p.partitioned
+	partitioned := p.partitioned
 	p.mutex.Unlock()
-	if aborted {
+	if partitioned {
 		panic(http.ErrAbortHandler)
 	}
-	call := PromoteCall{Service: message.Service, Instance: message.ID, LeaseHolder: r.Header.Get("X-Duty-Holder")}
+	call := PromoteCall{Service: request.Service, Instance: request.ID, LeaseHolder: r.Header.Get("X-Duty-Holder")}
 	call.FencingToken, _ = strconv.ParseUint(r.Header.Get("X-Fence"), 10, 64)
-	status, service, wait := p.checkCall(call)
-	if service != nil {
-		worker.Await(p.group.Stopping(), wait+service.ServiceConfig.PromoteDelay)
-		if !service.Promote(message.ID) {
-			status = http.StatusConflict
-		}
-	}
-	call.Status = status
+	call.Status = p.carryOut(call)
 	p.mutex.Lock()
 	p.promoteCalls = append(p.promoteCalls, call)
 	p.mutex.Unlock()
-	w.WriteHeader(status)
+	w.WriteHeader(call.Status)
+}
+
+// carryOut promotes, where the call is accepted, and returns its status.
+func (p *Platform) carryOut(call PromoteCall) int {
+	status, service, delay := p.checkCall(call)
+	if service == nil {
+		return status
+	}
+	worker.Await(p.group.Stopping(), delay+service.PromoteDelay)
+	if !service.Promote(call.Instance) {
+		return http.StatusConflict
+	}
+	return status
 }
--- a/test/platformstandin/service.go
+++ b/test/platformstandin/service.go
@@ -1,6 +1,3 @@
-// Package platformstandin holds stand-ins for what surrounds the fleet on the users'
-// platform: instances that speak its line protocol, the platform's promote
-// call, an operator and clients. All of them write one history.
 package platformstandin
 
 import (
@@ -12,19 +9,24 @@
 	"tansyseam/test/linehistory"
 )
 
-// ServiceConfig is how a service's instances are.
+// ServiceConfig configures a service and its instances.
 type ServiceConfig struct {
 	Name string
-	// SyncReplicas is how many replicas must have received a commit before it is
-	// answered.
+	// SyncReplicas is how many replicas must have received a commit before it
+	// is answered.
 	SyncReplicas int
-	// ReplicationDelay is the way to a replica, Apply what a replica takes to apply, Work
-	// what a statement takes, Promote what a promote takes.
-	ReplicationDelay, ApplyDelay, StatementTime, PromoteDelay time.Duration
-	Slots, MaxConnections                                     int
+	// ReplicationDelay is between a commit and its arrival at a replica,
+	// ApplyDelay between that and its being seen by reads.
+	ReplicationDelay, ApplyDelay time.Duration
+	// StatementTime is how long a statement holds its slot, PromoteDelay how
+	// long a promotion takes.
+	StatementTime, PromoteDelay time.Duration
+	// Slots and MaxConnections are the caps of one instance.
+	Slots, MaxConnections int
 }
 
-// Service is one primary with its replicas.
+// Service is one primary with its replicas. Its lock guards the state of its
+// instances.
 type Service struct {
 	ServiceConfig
 	group      *worker.Group
@@ -35,58 +37,60 @@
 	primary    *Instance
 }
 
-// NewService makes a service without instances.
-func NewService(group *worker.Group, history *History, text ServiceConfig) *Service {
-	return &Service{ServiceConfig: text, group: group, history: history}
+// NewService returns a service without instances.
+func NewService(group *worker.Group, history *History, config ServiceConfig) *Service {
+	return &Service{ServiceConfig: config, group: group, history: history}
 }
 
+// withLock acts with the service's lock.
 func (s *Service) withLock(act func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	act()
 }
 
-// schedule does something later, unless all is over by then.
-func (s *Service) schedule(wait time.Duration, act func()) {
+// schedule acts with the lock after a delay, unless the group stops before.
+func (s *Service) schedule(delay time.Duration, act func()) {
 	s.group.Go(func() {
-		if !worker.Await(s.group.Stopping(), wait) {
+		if !worker.Await(s.group.Stopping(), delay) {
 			s.withLock(act)
 		}
 	})
 }
 
-// FindInstance gives an instance by id.
+// FindInstance returns an instance by id, nil where there is none.
 func (s *Service) FindInstance(id string) *Instance {
-	for _, one := range s.instances {
-		if one.ID == id {
-			return one
+	for _, instance := range s.instances {
+		if instance.ID == id {
+			return instance
 		}
 	}
 	return nil
 }
 
-// Instances gives all of them.
+// Instances returns all instances.
 func (s *Service) Instances() []*Instance { return s.instances }
 
-// Primary names the instance that leads.
+// Primary returns the instance that was promoted last.
 func (s *Service) Primary() *Instance {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.primary
 }
 
-// Log gives the leader's log.
+// Log returns the primary's log.
 func (s *Service) Log() []linehistory.LogEntry {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var log []linehistory.LogEntry
-	for _, one := range s.primary.log {
-		log = append(log, linehistory.LogEntry{Position: one.position, IDs: one.ids})
+	for _, entry := range s.primary.log {
+		log = append(log, linehistory.LogEntry{Position: entry.position, IDs: entry.ids})
 	}
 	return log
 }
 
-func (s *Service) newStamp(one *Instance) string {
+// newStamp returns a text that marks one answer.
+func (s *Service) newStamp(instance *Instance) string {
 	s.stampCount++
-	return fmt.Sprintf("%s.%d.%x", one.ID, s.stampCount, s.stampCount*2654435761%1000003)
+	return fmt.Sprintf("%s.%d.%x", instance.ID, s.stampCount, s.stampCount*2654435761%1000003)
 }
