--- a/test/e2e/result.go
+++ b/test/e2e/result.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"io"
+	"maps"
 	"slices"
 	"time"
 
@@ -33,25 +34,36 @@
 	SpreadMS float64
 }
 
+// measure computes the figures of a history.
 func (r *Result) measure(events []standin.Event, startedAt time.Time) {
-	var latencies []float64
 	last := startedAt.UnixNano()
 	for _, event := range events {
 		r.Outcomes[event.Kind+" "+event.Outcome]++
 		last = max(last, event.AnsweredAt)
-		if event.Kind == "write" && event.Outcome == "kept" && !event.Retry {
-			latencies = append(latencies, float64(event.AnsweredAt-event.SentAt)/1e6)
-		}
-	}
-	for from := startedAt.UnixNano(); from < last; from += int64(time.Second) {
-		r.Rates = append(r.Rates, int(history.Rate(events, from, from+int64(time.Second))))
 	}
+	r.measureRates(events, startedAt.UnixNano(), last)
+	r.measureLatencies(events)
 	r.measureGaps(events)
 	r.measureSpread(events)
-	if full := slices.Clone(r.Rates); len(full) > 3 {
-		full = full[1 : len(full)-1]
-		slices.Sort(full)
-		r.WorstSecond = float64(full[0]) / float64(max(full[len(full)/2], 1))
+}
+
+func (r *Result) measureRates(events []standin.Event, first, last int64) {
+	for from := first; from < last; from += int64(time.Second) {
+		r.Rates = append(r.Rates, int(history.Rate(events, from, from+int64(time.Second))))
+	}
+	if len(r.Rates) <= 3 {
+		return
+	}
+	full := slices.Sorted(slices.Values(r.Rates[1 : len(r.Rates)-1]))
+	r.WorstSecond = float64(full[0]) / float64(max(full[len(full)/2], 1))
+}
+
+func (r *Result) measureLatencies(events []standin.Event) {
+	var latencies []float64
+	for _, event := range events {
+		if event.Kind == "write" && event.Outcome == "kept" && !event.Retry {
+			latencies = append(latencies, milliseconds(event.AnsweredAt-event.SentAt))
+		}
 	}
 	if len(latencies) > 0 {
 		slices.Sort(latencies)
@@ -69,51 +81,66 @@
 	for _, times := range kept {
 		slices.Sort(times)
 		for index := 1; index < len(times); index++ {
-			r.LongestGapMS = max(r.LongestGapMS, float64(times[index]-times[index-1])/1e6)
+			r.LongestGapMS = max(r.LongestGapMS, milliseconds(times[index]-times[index-1]))
 		}
 	}
 }
 
 func (r *Result) measureSpread(events []standin.Event) {
-	first := map[uint64]map[string]int64{}
+	// firstSeen is by sequence and address of a proxy.
+	firstSeen := map[uint64]map[string]int64{}
 	for _, event := range events {
 		if event.Sequence < 2 || event.Outcome == "cut" {
 			continue
 		}
-		if first[event.Sequence] == nil {
-			first[event.Sequence] = map[string]int64{}
+		if firstSeen[event.Sequence] == nil {
+			firstSeen[event.Sequence] = map[string]int64{}
 		}
-		if index, found := first[event.Sequence][event.Address]; !found || event.AnsweredAt < index {
-			first[event.Sequence][event.Address] = event.AnsweredAt
+		if seenAt, found := firstSeen[event.Sequence][event.Address]; !found || event.AnsweredAt < seenAt {
+			firstSeen[event.Sequence][event.Address] = event.AnsweredAt
 		}
 	}
-	for _, doors := range first {
-		least, most := int64(0), int64(0)
-		for _, index := range doors {
-			if least == 0 || index < least {
-				least = index
-			}
-			most = max(most, index)
-		}
-		r.SpreadMS = max(r.SpreadMS, float64(most-least)/1e6)
+	for _, proxies := range firstSeen {
+		times := slices.Sorted(maps.Values(proxies))
+		r.SpreadMS = max(r.SpreadMS, milliseconds(times[len(times)-1]-times[0]))
 	}
 }
 
+func milliseconds(nanoseconds int64) float64 {
+	return float64(nanoseconds) / float64(time.Millisecond)
+}
+
+// maxPrinted is how many violations of a rule are printed.
+const maxPrinted = 4
+
 // Print writes a summary of the result.
 func (r Result) Print(out io.Writer) {
-	verdict := "good"
-	if len(r.Violations) > 0 {
-		verdict = "BROKEN"
-	}
-	_, _ = fmt.Fprintf(out, "%s on %s, seed %d: %s\n", r.Scenario, r.Shape, r.Seed, verdict)
+	_, _ = fmt.Fprintf(out, "%s on %s, seed %d: %s\n", r.Scenario, r.Shape, r.Seed, Verdict(r.Violations))
 	for _, note := range r.Notes {
 		_, _ = fmt.Fprintln(out, "   ", note)
 	}
-	_, _ = fmt.Fprintf(out, "    served each second: %v\n    single writes kept: p50 %.1f ms, p99 %.1f ms\n    outcomes: %v\n", r.Rates, r.P50, r.P99, r.Outcomes)
-	for rule, faults := range r.Violations {
-		_, _ = fmt.Fprintf(out, "    %s: %d\n", rule, len(faults))
-		for _, fault := range faults[:min(len(faults), 4)] {
-			_, _ = fmt.Fprintln(out, "       ", fault)
+	_, _ = fmt.Fprintf(out, "    served each second: %v\n", r.Rates)
+	_, _ = fmt.Fprintf(out, "    single writes kept: p50 %.1f ms, p99 %.1f ms\n", r.P50, r.P99)
+	_, _ = fmt.Fprintf(out, "    outcomes: %v\n", r.Outcomes)
+	PrintViolations(out, r.Violations)
+}
+
+// Verdict says in a word whether there are violations.
+func Verdict(violations map[string][]string) string {
+	if len(violations) > 0 {
+		return "BROKEN"
+	}
+	return "good"
+}
+
+// PrintViolations writes the number of violations of each rule, and the first
+// of them.
+func PrintViolations(out io.Writer, violations map[string][]string) {
+	for _, rule := range slices.Sorted(maps.Keys(violations)) {
+		list := violations[rule]
+		_, _ = fmt.Fprintf(out, "    %s: %d\n", rule, len(list))
+		for _, violation := range list[:min(len(list), maxPrinted)] {
+			_, _ = fmt.Fprintln(out, "       ", violation)
 		}
 	}
 }
--- a/test/e2e/runner.go
+++ b/test/e2e/runner.go
@@ -2,9 +2,7 @@
 
 import (
 	"os"
-	"path/filepath"
 	"slices"
-	"strings"
 	"syscall"
 	"time"
 
@@ -37,7 +35,7 @@
 	}
 	run := &Run{Fleet: fleet, Recorder: Recorder{StartedAt: time.Now()}, Evidence: &history.Evidence{}}
 	run.play(scenario, seed, scale)
-	run.checkLogs()
+	run.CheckLogs(directory, slices.Concat(run.Proxies, run.Controls))
 	run.stopInstances()
 	evidence := run.collectEvidence()
 	result.Violations = run.judge(scenario, history.Violations(evidence))
@@ -55,15 +53,6 @@
 	r.Callers.Stop()
 }
 
-// checkLogs looks for reports of the race detector.
-func (r *Run) checkLogs() {
-	for _, process := range slices.Concat(r.Proxies, r.Controls) {
-		if log, err := os.ReadFile(filepath.Join(r.Directory, process.Name+".log")); err == nil && HasProductRace(string(log)) {
-			r.Errorf("%s: data race, see its log", process.Name)
-		}
-	}
-}
-
 // stopInstances ends the instances, so that their files are complete.
 func (r *Run) stopInstances() {
 	for _, process := range r.Instances {
@@ -113,16 +102,3 @@
 	}
 	return violations
 }
-
-// HasProductRace reports whether a log holds a report of the race detector that
-// touches the product. Reports of the HTTP engine alone do not count: it syncs
-// in ways that the detector does not see.
-func HasProductRace(log string) bool {
-	for _, report := range strings.Split(log, "WARNING: DATA RACE")[1:] {
-		touched, _, _ := strings.Cut(report, "Goroutine ")
-		if strings.Contains(touched, "tansyseam/internal") {
-			return true
-		}
-	}
-	return false
-}
--- a/test/e2e/scenario_calls.go
+++ b/test/e2e/scenario_calls.go
@@ -174,26 +174,11 @@
 	}
 }
 
-// announceCall is an instance's announcement.
-type announceCall struct {
-	Instance    string           `json:"instance"`
-	Database    string           `json:"database"`
-	Address     string           `json:"address"`
-	Zone        string           `json:"zone"`
-	Role        string           `json:"role"`
-	Incarnation string           `json:"birth"`
-	Term        uint64           `json:"term"`
-	Position    standin.Position `json:"position"`
-	Leaving     bool             `json:"leaving"`
-	Connections int              `json:"connections"`
-	Slots       int              `json:"slots"`
-}
-
 // checkRejections makes calls that are well formed and must be rejected.
 func (c *callChecker) checkRejections() {
 	bindings := c.run.Shape.Mix.Bindings()
 	c.check("/v1/session/open", openCall{Binding: "nowhere"}, http.StatusNotFound)
-	c.check("/v1/announce", announceCall{
+	c.check("/v1/announce", standin.Announcement{
 		Instance: c.run.database() + "-b", Database: "elsewhere", Address: "127.0.0.1:9", Zone: "za", Role: "primary", Incarnation: "x",
 		Term: 1, Position: standin.Position{Term: 1, Index: 1}, Connections: 1, Slots: 1,
 	}, http.StatusConflict)
--- a/test/e2e/scenario_control.go
+++ b/test/e2e/scenario_control.go
@@ -44,6 +44,7 @@
 	r.ReplaceBindings(sequence)
 }
 
+// runControlOutage kills all control processes for 4 s.
 func runControlOutage(r *Run) {
 	for _, control := range r.Controls {
 		control.Kill()
@@ -59,6 +60,8 @@
 	r.ReplaceBindings(1)
 }
 
+// runPartition cuts a proxy off from the control primary, in each direction and
+// in both.
 func runPartition(r *Run) {
 	control := r.ControlPrimary()
 	if control == nil {
@@ -96,6 +99,7 @@
 	})
 }
 
+// runLossyLinks resets connections between processes at random.
 func runLossyLinks(r *Run) {
 	for _, relay := range r.Relays {
 		relay.SetFaults(0, 0.01)
--- a/test/e2e/scenario_database.go
+++ b/test/e2e/scenario_database.go
@@ -37,6 +37,7 @@
 	r.recordClosedFault("primary lost", before)
 }
 
+// runReplicaReplacement replaces replicas by empty ones, one after the other.
 func runReplicaReplacement(r *Run) {
 	for _, suffix := range []string{"-b", "-c"} {
 		name := r.database() + suffix
@@ -69,6 +70,7 @@
 	r.failOverPrimary(func(target *Process) { _ = r.SetFault(target.Name, standin.Fault{Leaving: pointerTo(true)}) })
 }
 
+// runPrimaryDataLoss has a primary return without its data.
 func runPrimaryDataLoss(r *Run) {
 	r.failOverPrimary(func(target *Process) {
 		target.Kill()
@@ -76,6 +78,7 @@
 	})
 }
 
+// runReplicaLag crashes the primary while one replica is 4 s behind.
 func runReplicaLag(r *Run) {
 	_ = r.SetFault(r.database()+"-b", standin.Fault{ReplicationDelayMS: pointerTo(4000)})
 	r.Sleep(3 * time.Second)
@@ -90,6 +93,7 @@
 	_ = replica.Start(r.Directory)
 }
 
+// runSilentPrimary stops the announcements of a primary that still answers.
 func runSilentPrimary(r *Run) {
 	_ = r.SetFault(r.Primary(r.database()).Name, standin.Fault{Silent: pointerTo(true)})
 	r.Sleep(5 * time.Second)
--- a/test/e2e/scenario_load.go
+++ b/test/e2e/scenario_load.go
@@ -8,6 +8,7 @@
 
 func runSteady(r *Run) { r.Sleep(4 * time.Second) }
 
+// runOverload multiplies the callers' rate by eight for 5 s.
 func runOverload(r *Run) {
 	before := r.observeBaseline()
 	r.Callers.SetRateFactor(8)
@@ -16,19 +17,24 @@
 	r.recordClosedFault("rush", before)
 }
 
+// runSlowInstances makes a primary and a replica ten times slower for 5 s.
 func runSlowInstances(r *Run) {
 	before := r.observeBaseline()
-	for _, name := range []string{r.Primary(r.database()).Name, r.database() + "-b"} {
-		_ = r.SetFault(name, standin.Fault{Slowdown: pointerTo(10.0)})
-	}
+	r.slowDown(10)
 	r.Sleep(5 * time.Second)
-	for _, name := range []string{r.Primary(r.database()).Name, r.database() + "-b"} {
-		_ = r.SetFault(name, standin.Fault{Slowdown: pointerTo(1.0)})
-	}
+	r.slowDown(1)
 	r.recordClosedFault("slow instances", before)
 	r.expectNoFailover(r.Proxies[0], "a slow primary")
 }
 
+// slowDown multiplies the time of statements at the primary and a replica.
+func (r *Run) slowDown(factor float64) {
+	for _, name := range []string{r.Primary(r.database()).Name, r.database() + "-b"} {
+		_ = r.SetFault(name, standin.Fault{Slowdown: pointerTo(factor)})
+	}
+}
+
+// runLostAnswers loses answers and resets connections in bursts.
 func runLostAnswers(r *Run) {
 	for range 5 {
 		_ = r.SetFault(r.Primary(r.database()).Name, standin.Fault{LoseAnswers: pointerTo(5), ResetConnections: pointerTo(5)})
--- a/test/e2e/scenario_planted.go
+++ b/test/e2e/scenario_planted.go
@@ -6,6 +6,7 @@
 	"tansyseam/test/standin"
 )
 
+// runPlantedKill kills proxies and records planned restarts.
 func runPlantedKill(r *Run) {
 	for range 6 {
 		proxy := r.Proxies[0]
@@ -19,6 +20,7 @@
 	}
 }
 
+// runPlantedUnclean has instances call each session clean.
 func runPlantedUnclean(r *Run) {
 	for _, process := range r.Instances {
 		_ = r.SetFault(process.Name, standin.Fault{MisreportClean: pointerTo(true)})
--- a/test/e2e/scenario_proxy.go
+++ b/test/e2e/scenario_proxy.go
@@ -8,6 +8,7 @@
 	"tansyseam/test/standin"
 )
 
+// runRestart restarts proxies as planned, one after the other.
 func runRestart(r *Run) {
 	for _, proxy := range r.Proxies[:min(3, len(r.Proxies))] {
 		from := time.Now()
@@ -32,6 +33,7 @@
 	}
 }
 
+// runProxyKill kills a proxy, changes bindings meanwhile, and starts it again.
 func runProxyKill(r *Run) {
 	before := r.observeBaseline()
 	proxy := r.Proxies[0]
@@ -42,32 +44,34 @@
 	if err := proxy.Start(r.Directory); err != nil {
 		r.Errorf("%v", err)
 	}
-	r.recordClosedFault("front killed", before)
+	r.recordClosedFault("proxy killed", before)
 }
 
+// runZoneOutage kills all processes of a zone for 5 s.
 func runZoneOutage(r *Run) {
 	before := r.observeBaseline()
 	zone := r.Shape.Zones[0]
-	var gone []*Process
+	var killed []*Process
 	for _, list := range [][]*Process{r.Proxies, r.Controls, r.Instances} {
 		for _, process := range list {
 			if process.Zone == zone {
 				process.Signal(syscall.SIGKILL)
-				gone = append(gone, process)
+				killed = append(killed, process)
 			}
 		}
 	}
-	for _, process := range gone {
+	for _, process := range killed {
 		process.AwaitExit(3 * time.Second)
 	}
-	r.Logf("%d machines of %s gone", len(gone), zone)
+	r.Logf("%d processes of %s killed", len(killed), zone)
 	r.Sleep(5 * time.Second)
-	for _, process := range gone {
+	for _, process := range killed {
 		_ = process.Start(r.Directory)
 	}
 	r.recordClosedFault("zone lost", before)
 }
 
+// runScaling adds a proxy, then takes another one of its zone away.
 func runScaling(r *Run) {
 	proxy, err := r.AddProxy()
 	if err != nil {
@@ -88,10 +92,11 @@
 	r.ReplaceBindings(2)
 	r.Sleep(2 * time.Second)
 	if served := r.counter(proxy, "passed_on"); served <= 0 {
-		r.Errorf("the added front served nothing")
+		r.Errorf("the added proxy served nothing")
 	}
 }
 
+// runSlowRestart stops a proxy while statements take 200 times as long.
 func runSlowRestart(r *Run) {
 	_ = r.SetFault(r.Primary(r.database()).Name, standin.Fault{Slowdown: pointerTo(200.0)})
 	r.Sleep(2 * time.Second)
@@ -109,6 +114,8 @@
 	r.expectNoFailover(r.Proxies[1], "a slow primary")
 }
 
+// runProxyFreeze freezes a proxy for longer than its lease, with a change of
+// bindings that it does not see.
 func runProxyFreeze(r *Run) {
 	proxy := r.Proxies[len(r.Proxies)-1]
 	proxy.Signal(syscall.SIGSTOP)
--- a/test/platforme2e/result.go
+++ b/test/platforme2e/result.go
@@ -3,41 +3,45 @@
 import (
 	"fmt"
 	"io"
-	"maps"
 	"slices"
 	"time"
 
+	"tansyseam/test/e2e"
 	"tansyseam/test/linehistory"
 	"tansyseam/test/platformstandin"
 )
 
 // Result is what a run showed.
 type Result struct {
-	Scenario                   string
-	Notes                      []string
+	Scenario string
+	Notes    []string
+	// Violations are by rule; failures of the run itself stand under "scenario".
 	Violations                 map[string][]string
 	QueryCount, ExecutionCount int
 	SucceededCount, CutCount   int
-	Codes                      map[string]int
-	P50, P99                   time.Duration
-	PromoteCalls               []platformstandin.PromoteCall
+	// Codes counts answers that are errors.
+	Codes map[string]int
+	// P50 and P99 are of statements answered with success.
+	P50, P99     time.Duration
+	PromoteCalls []platformstandin.PromoteCall
 }
 
+// measure computes the figures of a history.
 func (r *Result) measure(history linehistory.History) {
 	r.QueryCount, r.ExecutionCount = len(history.Queries), len(history.Executions)
 	var latencies []time.Duration
-	for _, process := range history.Queries {
-		if process.Cut {
+	for _, query := range history.Queries {
+		if query.Cut {
 			r.CutCount++
 			continue
 		}
-		if process.Code != "" {
-			r.Codes[process.Code]++
+		if query.Code != "" {
+			r.Codes[query.Code]++
 			continue
 		}
 		r.SucceededCount++
-		if process.Act != "" {
-			latencies = append(latencies, process.Answered-process.Sent)
+		if query.Act != "" {
+			latencies = append(latencies, query.Answered-query.Sent)
 		}
 	}
 	slices.Sort(latencies)
@@ -46,22 +50,15 @@
 	}
 }
 
-// Print writes a result.
-func (r Result) Print(to io.Writer) {
-	verdict := "good"
-	if len(r.Violations) > 0 {
-		verdict = "BROKEN"
-	}
-	_, _ = fmt.Fprintf(to, "%s: %s; asked %d, answered well %d, cut %d, run %d, codes %v, p50 %.1f ms, p99 %.1f ms, promote calls %d\n",
-		r.Scenario, verdict, r.QueryCount, r.SucceededCount, r.CutCount, r.ExecutionCount, r.Codes, float64(r.P50.Microseconds())/1000, float64(r.P99.Microseconds())/1000, len(r.PromoteCalls))
+// Print writes a summary of the result.
+func (r Result) Print(out io.Writer) {
+	_, _ = fmt.Fprintf(out, "%s: %s; asked %d, answered well %d, cut %d, run %d, codes %v, p50 %.1f ms, p99 %.1f ms, promote calls %d\n",
+		r.Scenario, e2e.Verdict(r.Violations), r.QueryCount, r.SucceededCount, r.CutCount, r.ExecutionCount, r.Codes,
+		milliseconds(r.P50), milliseconds(r.P99), len(r.PromoteCalls))
 	for _, note := range r.Notes {
-		_, _ = fmt.Fprintln(to, " ", note)
-	}
-	for _, name := range slices.Sorted(maps.Keys(r.Violations)) {
-		list := r.Violations[name]
-		_, _ = fmt.Fprintf(to, "  %s: %d\n", name, len(list))
-		for _, fault := range list[:min(len(list), 5)] {
-			_, _ = fmt.Fprintln(to, "   ", fault)
-		}
+		_, _ = fmt.Fprintln(out, "   ", note)
 	}
+	e2e.PrintViolations(out, r.Violations)
 }
+
+func milliseconds(duration time.Duration) float64 { return float64(duration.Microseconds()) / 1000 }
--- a/test/platforme2e/runner.go
+++ b/test/platforme2e/runner.go
@@ -3,16 +3,24 @@
 import (
 	"net/http"
 	"os"
-	"path/filepath"
 	"slices"
-	"strings"
 	"time"
 
 	"tansyseam/test/e2e"
 	"tansyseam/test/linehistory"
 )
 
-// RunScenario runs one scenario and checks its history.
+const (
+	serviceCount   = 2
+	serviceTimeout = 20 * time.Second
+)
+
+// bounds are the times within which the rules want effects.
+var bounds = linehistory.Bounds{Apply: 3 * time.Second, Drain: 7 * time.Second, Recover: 12 * time.Second, Slack: time.Second}
+
+// RunScenario runs one scenario in a directory, which is emptied first, and
+// checks the history. The root is that of the source tree. The error is given
+// where no fleet came up.
 func RunScenario(scenario Scenario, root string, programs e2e.Programs, directory string, seed uint64) (Result, error) {
 	result := Result{Scenario: scenario.Name, Codes: map[string]int{}}
 	if err := os.RemoveAll(directory); err != nil {
@@ -21,46 +29,40 @@
 	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return result, err
 	}
-	t, err := Start(root, programs, directory, 2)
+	t, err := Start(root, programs, directory, serviceCount)
 	if err != nil {
 		return result, err
 	}
 	defer t.Stop()
+	history := t.play(scenario, seed)
+	result.Violations = linehistory.Violations(history)
+	t.CheckLogs(directory, slices.Concat(t.Proxies, t.Controls))
+	if len(t.Failures) > 0 {
+		result.Violations["scenario"] = t.Failures
+	}
+	result.Notes, result.PromoteCalls = t.Notes, t.Platform.PromoteCalls()
+	result.measure(history)
+	return result, nil
+}
+
+// play runs a scenario under load and returns the history.
+func (t *Run) play(scenario Scenario, seed uint64) linehistory.History {
 	t.StartLoad(seed)
-	t.AwaitService("at the start", 20*time.Second)
-	began := t.group.Now()
+	t.AwaitService("at the start", serviceTimeout)
+	startedAt := t.group.Now()
 	scenario.Run(t)
-	t.AwaitService("at the end", 20*time.Second)
-	t.loadGroup.Stop(20 * time.Second)
+	t.AwaitService("at the end", serviceTimeout)
+	t.loadGroup.Stop(stopTimeout)
 	if status := t.Operator.Fetch(); status != http.StatusOK {
 		t.Errorf("the configuration was read back with %d", status)
 	}
 	history := t.History.Copy()
-	history.End = t.group.Now()
-	history.Logs = map[string][]linehistory.LogEntry{}
+	history.End, history.Bounds, history.Logs = t.group.Now(), bounds, map[string][]linehistory.LogEntry{}
 	for _, service := range t.Services {
 		history.Logs[service.Name] = service.Log()
 	}
-	history.Bounds = linehistory.Bounds{Apply: 3 * time.Second, Drain: 7 * time.Second, Recover: 12 * time.Second, Slack: time.Second}
 	if scenario.Quiet {
-		history.QuietSpans = []linehistory.Span{{From: began, Until: history.End}}
-	}
-	result.Violations = linehistory.Violations(history)
-	for _, process := range append(slices.Clone(t.Proxies), t.Controls...) {
-		log, err := os.ReadFile(filepath.Join(directory, process.Name+".log"))
-		if err == nil && e2e.HasProductRace(string(log)) {
-			t.Errorf("%s: data race, see its log", process.Name)
-		}
-		for _, word := range []string{"panic:", "fatal error:"} {
-			if err == nil && strings.Contains(string(log), word) {
-				t.Errorf("%s: %s, see its log", process.Name, word)
-			}
-		}
-	}
-	if len(t.Failures) > 0 {
-		result.Violations["scenario"] = t.Failures
+		history.QuietSpans = []linehistory.Span{{From: startedAt, Until: history.End}}
 	}
-	result.Notes, result.PromoteCalls = t.Notes, t.Platform.PromoteCalls()
-	result.measure(history)
-	return result, nil
+	return history
 }
--- a/test/platforme2e/scenario_configuration.go
+++ b/test/platforme2e/scenario_configuration.go
@@ -8,6 +8,7 @@
 	"tansyseam/test/platformstandin"
 )
 
+// runChange replaces configurations, also by racing, old and broken ones.
 func runChange(t *Run) {
 	routes := t.Routes()
 	t.ReplaceConfiguration(append(t.Routes(), platformstandin.Route{Host: "extra", Kind: "primary", Service: "db2", Timeout: time.Second, Target: time.Second}), 0)
--- a/test/standin/instance_announce.go
+++ b/test/standin/instance_announce.go
@@ -13,8 +13,8 @@
 	announceTimeout  = 800 * time.Millisecond
 )
 
-// announcement is the body that an instance sends to the fleet's nodes.
-type announcement struct {
+// Announcement is the body that an instance sends to the fleet's nodes.
+type Announcement struct {
 	Instance    string   `json:"instance"`
 	Database    string   `json:"database"`
 	Address     string   `json:"address"`
@@ -28,14 +28,15 @@
 	Slots       int      `json:"slots"`
 }
 
-func (x *Instance) announcement() announcement {
-	return announcement{
+func (x *Instance) announcement() Announcement {
+	return Announcement{
 		Instance: x.config.Name, Database: x.config.Database, Address: x.config.Address, Zone: x.config.Zone,
 		Role: x.role, Incarnation: x.incarnation, Term: x.term, Position: x.position(), Leaving: x.leavingSince != 0,
 		Connections: x.config.Connections, Slots: x.config.Slots,
 	}
 }
 
+// announceLoop announces the instance to all nodes that it knows, until ctx ends.
 func (x *Instance) announceLoop(ctx context.Context) {
 	client := newClient(x.config.Address, announceTimeout)
 	ticker := time.NewTicker(announceInterval)
@@ -57,7 +58,8 @@
 	}
 }
 
-func (x *Instance) announce(client *http.Client, address string, body announcement) {
+// announce makes one announcement, and learns of further nodes.
+func (x *Instance) announce(client *http.Client, address string, body Announcement) {
 	var answer struct {
 		Nodes []string `json:"nodes"`
 	}
