--- a/test/e2e/revision.go
+++ b/test/e2e/revision.go
@@ -15,7 +15,7 @@
 // programSource is where a program's main package lay in a tree.
 type programSource struct{ program, module, directory string }
 
-// sourcesOf gives the sources of the programs in a tree. Up to 6cad5d2 they lay in a
+// sourcesOf returns the sources of the programs in a tree. Up to 6cad5d2 they lay in a
 // module of their own, under other names.
 func sourcesOf(tree string) []programSource {
 	if _, err := os.Stat(filepath.Join(tree, "pooler")); err == nil {
--- a/test/e2e/scenario.go
+++ b/test/e2e/scenario.go
@@ -28,7 +28,10 @@
 		{Name: "primary-dark", Description: "a primary frozen, later thawed with writes in its sockets", Run: runPrimaryFreeze, SettleTime: 14 * time.Second},
 		{Name: "primary-swap", Description: "a primary says it is leaving", Run: runPrimaryLeave, SettleTime: 14 * time.Second},
 		{Name: "primary-lost", Description: "a primary vanishes for good and comes back blank", Run: runPrimaryDataLoss, SettleTime: 14 * time.Second},
-		{Name: "platform-bad", Description: "a primary killed while the platform is slow, refuses, and loses its answer", Run: runPlatformFaults, SettleTime: 14 * time.Second},
+		{
+			Name: "platform-bad", Description: "a primary killed while the platform is slow, refuses, and loses its answer",
+			Run: runPlatformFaults, SettleTime: 14 * time.Second,
+		},
 		{Name: "platform-cut", Description: "a primary killed while the platform is cut off for 4 s", Run: runPlatformPartition, SettleTime: 14 * time.Second},
 		{Name: "replica-lag", Description: "a replica falls far behind while the primary dies", Run: runReplicaLag, SettleTime: 14 * time.Second},
 		{Name: "replica-crash", Description: "a replica killed, back later", Run: runReplicaCrash, SettleTime: 6 * time.Second},
@@ -41,14 +44,32 @@
 		{Name: "slow", Description: "a primary and a replica ten times slower for 5 s", Run: runSlowInstances, SettleTime: 14 * time.Second},
 		{Name: "lose", Description: "answers lost after running, and sessions reset", Run: runLostAnswers, SettleTime: 2 * time.Second},
 		{Name: "silent", Description: "a primary that answers but no longer announces", Run: runSilentPrimary, SettleTime: 2 * time.Second},
-		{Name: "cut", Description: "a proxy cut off from the control primary, one way and both", Options: Options{Relays: true}, Run: runPartition, SettleTime: 4 * time.Second},
-		{Name: "drops", Description: "links between the fleet's own processes reset and lose pieces", Options: Options{Relays: true}, Run: runLossyLinks, SettleTime: 4 * time.Second},
+		{
+			Name: "cut", Description: "a proxy cut off from the control primary, one way and both",
+			Options: Options{Relays: true}, Run: runPartition, SettleTime: 4 * time.Second,
+		},
+		{
+			Name: "drops", Description: "links between the fleet's own processes reset and lose pieces",
+			Options: Options{Relays: true}, Run: runLossyLinks, SettleTime: 4 * time.Second,
+		},
 		{Name: "zone", Description: "all processes of one zone killed, back after 5 s", Run: runZoneOutage, SettleTime: 14 * time.Second},
-		{Name: "calls", Description: "every call's answer against the schema, bad input of every kind, and the shell", Run: runCallChecks, SettleTime: time.Second},
-		{Name: "settings", Description: "settings changed with and without a signal, and broken", Options: Options{ConfigFiles: true}, Run: runSettings, SettleTime: time.Second},
+		{
+			Name: "calls", Description: "every call's answer against the schema, bad input of every kind, and the shell",
+			Run: runCallChecks, SettleTime: time.Second,
+		},
+		{
+			Name: "settings", Description: "settings changed with and without a signal, and broken",
+			Options: Options{ConfigFiles: true}, Run: runSettings, SettleTime: time.Second,
+		},
 		{Name: "grow", Description: "a proxy added under load, another taken away", Run: runScaling, SettleTime: 2 * time.Second},
-		{Name: "planted-kill", Description: "proxies killed in the middle of work and called restarted as planned", PlantedViolation: "planned restart cuts a request off", Run: runPlantedKill, SettleTime: time.Second},
-		{Name: "planted-unclean", Description: "instances call sessions with state clean: other clients must be seen to meet it", PlantedViolation: "statement in another's transaction or settings", Run: runPlantedUnclean, SettleTime: time.Second},
+		{
+			Name: "planted-kill", Description: "proxies killed in the middle of work and called restarted as planned",
+			PlantedViolation: "planned restart cuts a request off", Run: runPlantedKill, SettleTime: time.Second,
+		},
+		{
+			Name: "planted-unclean", Description: "instances call sessions with state clean: other clients must be seen to meet it",
+			PlantedViolation: "statement in another's transaction or settings", Run: runPlantedUnclean, SettleTime: time.Second,
+		},
 		{Name: "frozen-front", Description: "a proxy frozen past its lease, thawed after changes", Run: runProxyFreeze, SettleTime: 4 * time.Second},
 	}
 }
--- a/test/platforme2e/scenario.go
+++ b/test/platforme2e/scenario.go
@@ -21,7 +21,10 @@
 		{Name: "replace", Description: "a primary is to be replaced: it drains, leaves and ends", Quiet: true, Run: runPrimaryReplacement},
 		{Name: "stop", Description: "a node stopped by SIGTERM, and started again", Quiet: true, Run: runPlannedStop},
 		{Name: "control-kill", Description: "the control primary killed, back later", Run: runControlKill},
-		{Name: "control-replace", Description: "control processes gone for good and replaced, one after the other, then one stopped as planned", Run: runControlReplacement},
+		{
+			Name: "control-replace", Description: "control processes gone for good and replaced, one after the other, then one stopped as planned",
+			Run: runControlReplacement,
+		},
 		{Name: "change", Description: "configurations changed, racing, old and broken", Quiet: true, Run: runChange},
 		{Name: "lose", Description: "answers lost after running, and statements refused as busy", Run: runLostAnswers},
 	}
--- a/test/standin/instance_statements.go
+++ b/test/standin/instance_statements.go
@@ -113,7 +113,10 @@
 	request.Action = "commit"
 	x.recordExecution(c, request, "")
 	c.transaction = nil
-	x.appendEntry(Entry{Term: x.term, Index: x.position().Index + 1, RequestIDs: append(committed.requestIDs, request.RequestID), Statements: committed.statements})
+	x.appendEntry(Entry{
+		Term: x.term, Index: x.position().Index + 1,
+		RequestIDs: append(committed.requestIDs, request.RequestID), Statements: committed.statements,
+	})
 	return x.answerOrLose(x.reply(c))
 }
 
--- a/test/standin/position.go
+++ b/test/standin/position.go
@@ -7,6 +7,7 @@
 	Index uint64 `json:"index"`
 }
 
+// precedes reports whether a is before b.
 func precedes(a, b Position) bool { return a.Term < b.Term || (a.Term == b.Term && a.Index < b.Index) }
 
 // Entry is one commit in an instance's log. A commit of a transaction holds
