--- a/internal/app/node/update_test.go
+++ b/internal/app/node/update_test.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"net"
 	"testing"
 	"time"
 
@@ -16,23 +15,17 @@
 	"tansyseam/internal/state/model"
 	"tansyseam/internal/transport/rpc"
 	"tansyseam/internal/transport/worker"
+	"tansyseam/test/reserve"
 )
 
-func freePort() string {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	So(err, ShouldBeNil)
-	defer func() { _ = listener.Close() }()
-	return listener.Addr().String()
-}
-
 // testNode is a node whose peers are hubs of the test.
 type testNode struct {
 	*Node
 	workers *worker.Group
 }
 
-func newTestNode() *testNode {
-	nodeConfig := config.Config{Name: "d1", RPCAddress: freePort(), HTTPAddress: freePort()}
+func newTestNode(t *testing.T) *testNode {
+	nodeConfig := config.Config{Name: "d1", RPCAddress: reserve.Loopback(t), HTTPAddress: reserve.Loopback(t)}
 	nodeConfig.AdvertiseRPCAddress, nodeConfig.AdvertiseHTTPAddress = nodeConfig.RPCAddress, nodeConfig.HTTPAddress
 	node, err := New(model.KindProxy, nodeConfig, hclog.NewNullLogger())
 	So(err, ShouldBeNil)
@@ -45,8 +38,8 @@
 	return n
 }
 
-func (n *testNode) addPeer(name, kind string, handler rpc.Handler) {
-	address := freePort()
+func (n *testNode) addPeer(t *testing.T, name, kind string, handler rpc.Handler) {
+	address := reserve.Loopback(t)
 	hub := rpc.NewHub(name, address, n.workers, &worker.Counters{}, handler)
 	So(hub.Listen(), ShouldBeNil)
 	Reset(hub.Close)
@@ -69,16 +62,16 @@
 		}
 	}
 	Convey("Given a node whose control primary receives requests and does not answer", t, func() {
-		n := newTestNode()
+		n := newTestNode(t)
 		requests := make(chan bool, 10)
-		n.addPeer("c1", model.KindControl, func(_ string, body any, _ func(any)) {
+		n.addPeer(t, "c1", model.KindControl, func(_ string, body any, _ func(any)) {
 			if request, ok := body.(distribution.UpdateRequest); ok {
 				requests <- request.WithoutLease
 			}
 		})
 		n.ObserveEpoch(consensus.Record{Epoch: 1, Primary: "c1"})
 		Convey("It abandons the request in flight when another node becomes primary, and sends the next one there", func() {
-			n.addPeer("c2", model.KindControl, primary)
+			n.addPeer(t, "c2", model.KindControl, primary)
 			result := n.requestUpdate(&PrimarySearch{}, time.Hour)
 			withoutLease, _ := worker.Receive(requests, time.After(time.Minute))
 			So(withoutLease, ShouldBeTrue)
@@ -101,7 +94,7 @@
 			So(worker.Await(result, time.Minute), ShouldBeTrue)
 		})
 		Convey("After a request that nobody answered the next is also sent through a peer, whose answer is the first; a request that is sent twice gives up no lease", func() {
-			n.addPeer("d2", model.KindProxy, func(_ string, body any, reply func(any)) {
+			n.addPeer(t, "d2", model.KindProxy, func(_ string, body any, reply func(any)) {
 				if _, ok := body.(message.ForwardUpdateRequest); ok {
 					reply(distribution.Update{FromPrimary: true, Record: consensus.Record{Epoch: 1, Primary: "c1"}})
 				}
--- a/internal/transport/httpserver/connection_test.go
+++ b/internal/transport/httpserver/connection_test.go
@@ -15,12 +15,13 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"tansyseam/internal/transport/worker"
+	"tansyseam/test/reserve"
 )
 
 func TestFirstRequestOfEachConnection(t *testing.T) {
 	Convey("The poller that reads from a connection sees all that the listener wrote to it", t, func() {
 		const dialers, each = 8, 60
-		address := freeAddress(t)
+		address := reserve.Loopback(t)
 		var served atomic.Int64
 		server, err := Listen(address, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			body, err := ReadBody(r)
@@ -62,7 +63,7 @@
 func TestLongResponseWithConnectionClose(t *testing.T) {
 	Convey("A response longer than the connection accepts at once arrives completely, though the client asked for Connection: close", t, func() {
 		const size = 16 << 20
-		address := freeAddress(t)
+		address := reserve.Loopback(t)
 		server, err := Listen(address, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = w.Write(bytes.Repeat([]byte("x"), size))
 		}), nil)
--- a/internal/transport/httpserver/server_test.go
+++ b/internal/transport/httpserver/server_test.go
@@ -17,6 +17,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"tansyseam/internal/transport/worker"
+	"tansyseam/test/reserve"
 )
 
 // recordingAllocator never reuses a buffer, and records each one that is freed
@@ -71,15 +72,6 @@
 	return allocator, func() { mempool.DefaultMemPool = before }
 }
 
-func freeAddress(t *testing.T) string {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() { _ = listener.Close() }()
-	return listener.Addr().String()
-}
-
 // echo answers with the body, repeated as often as the path says.
 func echo(w http.ResponseWriter, r *http.Request) {
 	body, err := ReadBody(r)
@@ -128,7 +120,7 @@
 func TestBodiesKeepApart(t *testing.T) {
 	allocator, restore := installRecordingAllocator()
 	defer restore()
-	address := freeAddress(t)
+	address := reserve.Loopback(t)
 	server, err := Listen(address, http.HandlerFunc(echo), nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/transport/lineserver/server_test.go
+++ b/internal/transport/lineserver/server_test.go
@@ -14,6 +14,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"tansyseam/internal/transport/worker"
+	"tansyseam/test/reserve"
 )
 
 const testTimeout = 30 * time.Second
@@ -67,11 +68,8 @@
 	recorders chan *recorder
 }
 
-func startTestServer(maxLineLength int, echo bool) *testServer {
-	probe, err := net.Listen("tcp", "127.0.0.1:0")
-	So(err, ShouldBeNil)
-	s := &testServer{address: probe.Addr().String(), recorders: make(chan *recorder, 1024)}
-	So(probe.Close(), ShouldBeNil)
+func startTestServer(t *testing.T, maxLineLength int, echo bool) *testServer {
+	s := &testServer{address: reserve.Loopback(t), recorders: make(chan *recorder, 1024)}
 	s.server = NewServer(worker.NewGroup(), s.address, maxLineLength, func(conn *Conn) Handler {
 		recorder := newRecorder()
 		recorder.conn, recorder.echo = conn, echo
@@ -97,7 +95,7 @@
 
 func TestAcceptedConnections(t *testing.T) {
 	Convey("Given a server that listens", t, func() {
-		s := startTestServer(1000, false)
+		s := startTestServer(t, 1000, false)
 		defer s.server.Stop()
 		conn, recorder := s.dial()
 		defer func() { _ = conn.Close() }()
@@ -169,7 +167,7 @@
 
 func TestFlood(t *testing.T) {
 	Convey("Many lines at once arrive complete and in order, and are answered in order", t, func() {
-		s := startTestServer(1000, true)
+		s := startTestServer(t, 1000, true)
 		defer s.server.Stop()
 		conn, recorder := s.dial()
 		defer func() { _ = conn.Close() }()
@@ -203,7 +201,7 @@
 		So(workers.Stop(testTimeout), ShouldBeTrue)
 	})
 	Convey("A connection whose remote end never reads is closed before it takes much memory", t, func() {
-		s := startTestServer(1000, false)
+		s := startTestServer(t, 1000, false)
 		defer s.server.Stop()
 		conn, recorder := s.dial()
 		defer func() { _ = conn.Close() }()
@@ -222,7 +220,7 @@
 	})
 	Convey("A hundred connections with an incomplete line each take little more memory than was sent", t, func() {
 		const count, size = 100, 60000
-		s := startTestServer(1<<20, false)
+		s := startTestServer(t, 1<<20, false)
 		defer s.server.Stop()
 		var before, after runtime.MemStats
 		runtime.GC()
@@ -285,10 +283,7 @@
 			So(recorder.closeError(), ShouldNotBeNil)
 		})
 		Convey("A refused connection ends once, and was never open", func() {
-			probe, err := net.Listen("tcp", "127.0.0.1:0")
-			So(err, ShouldBeNil)
-			So(probe.Close(), ShouldBeNil)
-			recorder, connected := dial(probe.Addr().String(), testTimeout)
+			recorder, connected := dial(reserve.Loopback(t), testTimeout)
 			So(recorder.next(), ShouldEqual, "ended")
 			So(recorder.closeError(), ShouldNotBeNil)
 			So(len(connected), ShouldEqual, 0)
@@ -334,7 +329,7 @@
 
 func TestAddressInUse(t *testing.T) {
 	Convey("An address in use is an error of its own type", t, func() {
-		s := startTestServer(1000, false)
+		s := startTestServer(t, 1000, false)
 		defer s.server.Stop()
 		So(errors.Is(NewServer(worker.NewGroup(), s.address, 1000, nil).Start(), ErrListen), ShouldBeTrue)
 	})
--- a/internal/transport/rpc/hub_test.go
+++ b/internal/transport/rpc/hub_test.go
@@ -15,15 +15,9 @@
 	"tansyseam/internal/coordination/idempotency"
 	"tansyseam/internal/protocol/message"
 	"tansyseam/internal/transport/worker"
+	"tansyseam/test/reserve"
 )
 
-func freePort() string {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	So(err, ShouldBeNil)
-	defer func() { _ = listener.Close() }()
-	return listener.Addr().String()
-}
-
 // encodeFrame returns an envelope in a frame that is a gob stream of its own.
 func encodeFrame(envelope Envelope) []byte {
 	envelope.Body = message.Encode(envelope.Body)
@@ -50,7 +44,7 @@
 	message.Register()
 	Convey("Given two hubs", t, func() {
 		workers, counters := worker.NewGroup(), &worker.Counters{}
-		clientAddress, serverAddress := freePort(), freePort()
+		clientAddress, serverAddress := reserve.Loopback(t), reserve.Loopback(t)
 		server := NewHub("far", serverAddress, workers, counters, func(from string, body any, reply func(any)) {
 			reply(idempotency.Status{State: from + " asked " + body.(idempotency.StatusRequest).RequestID})
 		})
@@ -75,7 +69,7 @@
 		Convey("A call is answered, and a call to an address where nobody listens fails before its time-out", func() {
 			So(call(), ShouldEqual, "near asked x")
 			started := time.Now()
-			_, err := client.Call(freePort(), idempotency.StatusRequest{}, time.Minute)
+			_, err := client.Call(reserve.Loopback(t), idempotency.StatusRequest{}, time.Minute)
 			So(errors.Is(err, ErrUnreachable), ShouldBeTrue)
 			So(time.Since(started), ShouldBeLessThan, 30*time.Second)
 		})
--- a/test/platforme2e/plan.go
+++ b/test/platforme2e/plan.go
@@ -1,9 +1,7 @@
 package platforme2e
 
 import (
-	"errors"
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
 	"slices"
@@ -12,6 +10,7 @@
 
 	"tansyseam/test/e2e"
 	"tansyseam/test/platformstandin"
+	"tansyseam/test/reserve"
 )
 
 const (
@@ -27,11 +26,6 @@
 	instanceGroup = 3
 )
 
-// maxPortAttempts bounds the search for ports.
-const maxPortAttempts = 200
-
-var errNoPorts = errors.New("no free ports")
-
 // ports are the same on all addresses of a run, as on the users' platform.
 type ports struct {
 	rpc, http, session, platform int
@@ -48,7 +42,7 @@
 // planProcesses starts the stand-ins, and decides on addresses and
 // configuration files of all processes.
 func (t *Run) planProcesses(root string, programs e2e.Programs, services int) error {
-	ports, err := t.findPorts(services)
+	ports, err := t.reservePorts(services)
 	if err != nil {
 		return err
 	}
@@ -80,58 +74,26 @@
 	return nil
 }
 
-func (t *Run) findPorts(services int) (ports, error) {
+// reservePorts reserves ports on all IPs of the run, until it ends.
+func (t *Run) reservePorts(services int) (ports, error) {
 	var ips []string
 	for group, count := range []int{1, proxyCount, controlCount + spareControlCount, services * (replicaCount + 1)} {
 		for number := range count {
 			ips = append(ips, t.ip(group, number))
 		}
 	}
-	found, err := freePorts(4, ips)
-	if err != nil {
-		return ports{}, err
-	}
-	return ports{rpc: found[0], http: found[1], session: found[2], platform: found[3]}, nil
-}
-
-// freePorts finds ports that are free on all of some IPs.
-func freePorts(count int, ips []string) ([]int, error) {
-	var found []int
-	for attempt := 0; attempt < maxPortAttempts && len(found) < count; attempt++ {
-		port, err := freePort(ips[0])
+	var found ports
+	for _, port := range []*int{&found.rpc, &found.http, &found.session, &found.platform} {
+		reservations, err := reserve.SharedPort(ips...)
 		if err != nil {
-			return nil, err
+			return ports{}, err
 		}
-		if !slices.Contains(found, port) && isFree(port, ips) {
-			found = append(found, port)
-		}
-	}
-	if len(found) < count {
-		return nil, errNoPorts
+		t.reservations = append(t.reservations, reservations...)
+		*port = reservations[0].PortNumber()
 	}
 	return found, nil
 }
 
-func freePort(ip string) (int, error) {
-	listener, err := net.Listen("tcp", ip+":0")
-	if err != nil {
-		return 0, err
-	}
-	defer func() { _ = listener.Close() }()
-	return listener.Addr().(*net.TCPAddr).Port, nil
-}
-
-func isFree(port int, ips []string) bool {
-	for _, ip := range ips {
-		listener, err := net.Listen("tcp", fmt.Sprint(ip, ":", port))
-		if err != nil {
-			return false
-		}
-		_ = listener.Close()
-	}
-	return true
-}
-
 // startService starts a service with its instances.
 func (t *Run) startService(number int, ports ports) error {
 	service := platformstandin.NewService(t.group, t.History, platformstandin.ServiceConfig{
--- a/test/platforme2e/run.go
+++ b/test/platforme2e/run.go
@@ -11,6 +11,7 @@
 	"tansyseam/internal/transport/worker"
 	"tansyseam/test/e2e"
 	"tansyseam/test/platformstandin"
+	"tansyseam/test/reserve"
 )
 
 // Run is one scenario under way.
@@ -32,6 +33,8 @@
 	// version is that of the last configuration sent.
 	version          uint64
 	controlAddresses []string
+	// reservations keep the run's ports until it ends.
+	reservations []*reserve.Reservation
 }
 
 const (
@@ -155,6 +158,7 @@
 		}
 	}
 	t.group.Stop(10 * time.Second)
+	reserve.ReleaseAll(t.reservations)
 }
 
 // Sleep lets the load run for a while.
