--- a/internal/coordination/failover/asyncrepl/evidence.go
+++ b/internal/coordination/failover/asyncrepl/evidence.go
@@ -72,14 +72,21 @@
 	for _, observed := range e.responsive(timing) {
 		instance := observed.Instance
 		incarnation, candidate := e.Writer.Candidates[instance.Name]
-		keptData := incarnation == instance.Incarnation && !instance.Position.IsBefore(e.Writer.HighWatermark)
-		if candidate && keptData && !instance.Leaving && instance.Name != e.Writer.Primary {
+		eligible := candidate && !instance.Leaving && instance.Name != e.Writer.Primary
+		if eligible && e.holdsConfirmedCommits(instance, incarnation) {
 			found = append(found, observed)
 		}
 	}
 	return found
 }
 
+// holdsConfirmedCommits says whether an instance still has the data of a recorded
+// incarnation, and all confirmed commits. One that lost its data comes back as
+// another incarnation, whose position proves nothing.
+func (e Evidence) holdsConfirmedCommits(instance model.Instance, incarnation string) bool {
+	return instance.Incarnation == incarnation && !instance.Position.IsBefore(e.Writer.HighWatermark)
+}
+
 // unreachable says whether an instance is silent to most of the nodes, and gives
 // the reason for the audit log.
 func (o Observation) unreachable(timing Timing) (reason string, unreachable bool) {
--- a/internal/coordination/failover/asyncrepl/promotion.go
+++ b/internal/coordination/failover/asyncrepl/promotion.go
@@ -49,8 +49,7 @@
 		return false
 	}
 	leading := old.Instance.Role == model.RolePrimary && old.Instance.Term == evidence.Writer.Term
-	keptData := old.Instance.Incarnation == evidence.Writer.PrimaryIncarnation && !old.Instance.Position.IsBefore(evidence.Writer.HighWatermark)
-	return leading && keptData
+	return leading && evidence.holdsConfirmedCommits(old.Instance, evidence.Writer.PrimaryIncarnation)
 }
 
 // onPromoting learns the outcome of the promote call from what the chosen
@@ -59,8 +58,10 @@
 	observed, known := evidence.observation(evidence.Writer.Promoting)
 	instance := observed.Instance
 	waited := time.Duration(evidence.WallNanos - evidence.Writer.LastTransitionAt)
-	reported := known && observed.PositionAge < min(waited, timing.SilenceTimeout)
-	if reported && lostCommits(evidence, instance) {
+	// Only a position from after the call tells what the instance has now.
+	positionKnown := known && observed.PositionAge < min(waited, timing.SilenceTimeout)
+	keptCommits := evidence.holdsConfirmedCommits(instance, evidence.Writer.Candidates[instance.Name])
+	if positionKnown && !keptCommits {
 		return []failover.Effect{abandonPromotion(evidence, instance)}
 	}
 	promoted := known && instance.Role == model.RolePrimary && instance.Term > evidence.Writer.Term
@@ -77,10 +78,6 @@
 	return nil
 }
 
-func lostCommits(evidence Evidence, instance model.Instance) bool {
-	return instance.Incarnation != evidence.Writer.Candidates[evidence.Writer.Promoting] || instance.Position.IsBefore(evidence.Writer.HighWatermark)
-}
-
 // abandonPromotion returns to the closed phase. It skips the term that the call
 // may have opened, so that the term is never opened by a second instance.
 func abandonPromotion(evidence Evidence, instance model.Instance) failover.Record {
