--- a/internal/coordination/failover/asyncrepl/promotion.go
+++ b/internal/coordination/failover/asyncrepl/promotion.go
@@ -14,31 +14,45 @@
 // primary that returned where there is no candidate.
 func onClosed(evidence Evidence, timing Timing) []failover.Effect {
 	candidates := evidence.promotable(timing)
-	if len(candidates) == 0 && primaryReturned(evidence, timing) {
+	if len(candidates) > 0 {
+		return intendPromotion(evidence, mostAdvanced(candidates))
+	}
+	if primaryReturned(evidence, timing) {
 		reason := evidence.Writer.Primary + " is back with all that was confirmed, and nothing was promoted"
 		return []failover.Effect{failover.ReopenTerm(evidence.Writer, evidence.WallNanos, reason)}
 	}
-	if len(candidates) == 0 {
-		return failover.RecordReason(evidence.Writer, "term is closed, and no replica that can be heard is shown to hold every confirmed commit: nothing is promoted")
-	}
-	best := slices.MaxFunc(candidates, func(a, b Observation) int {
+	return failover.RecordReason(evidence.Writer, "term is closed, and no replica that can be heard is shown to hold every confirmed commit: nothing is promoted")
+}
+
+// mostAdvanced gives the first of the instances with the highest position.
+func mostAdvanced(candidates []Observation) model.Instance {
+	return slices.MaxFunc(candidates, func(a, b Observation) int {
 		return failover.ComparePositions(a.Instance.Position, b.Instance.Position)
 	}).Instance
+}
+
+// intendPromotion records the choice of a replica, and then makes the promote call.
+func intendPromotion(evidence Evidence, chosen model.Instance) []failover.Effect {
 	writer := model.CloneWriterRole(evidence.Writer)
 	writer.Phase = model.PhasePromoting
-	writer.Promoting = best.Name
+	writer.Promoting = chosen.Name
 	writer.LastTransitionAt = evidence.WallNanos
 	writer.PromoteCalls = 1
 	confirmed := evidence.Writer.HighWatermark
-	reason := fmt.Sprintf("%s at %d/%d, confirmed up to %d/%d", best.Name, best.Position.Term, best.Position.Index, confirmed.Term, confirmed.Index)
+	reason := fmt.Sprintf("%s at %d/%d, confirmed up to %d/%d", chosen.Name, chosen.Position.Term, chosen.Position.Index, confirmed.Term, confirmed.Index)
 	return []failover.Effect{
 		failover.Record{Writer: writer, Change: "promotion intended", Reason: reason},
-		promoteCall(evidence, best),
+		promoteCall(evidence, chosen),
 	}
 }
 
 func promoteCall(evidence Evidence, instance model.Instance) Promote {
-	return Promote{Database: evidence.Database, Instance: instance.Name, Address: instance.Address, Term: evidence.Writer.Term + 1}
+	return Promote{
+		Database: evidence.Database,
+		Instance: instance.Name,
+		Address:  instance.Address,
+		Term:     evidence.Writer.Term + 1,
+	}
 }
 
 // primaryReturned says whether the old primary is back in its role and term with
