--- a/internal/coordination/failover/syncrepl/discovery.go
+++ b/internal/coordination/failover/syncrepl/discovery.go
@@ -8,29 +8,20 @@
 // onUnknown records the writer role of a database once every instance that
 // claims to be primary was probed; the one with the highest term leads.
 func onUnknown(evidence Evidence, timing Timing) []failover.Effect {
-	var queries []failover.Effect
 	var primary model.Instance
 	var latest ProbeResult
-	complete := true
-	for _, observed := range evidence.Observations {
-		instance := observed.Instance
-		if instance.Stopped || !evidence.claimsPrimary(observed, timing) {
-			continue
-		}
+	claimants := primaryClaimants(evidence, timing)
+	for _, instance := range claimants {
 		probe := evidence.Probes[instance.Name]
-		if !probe.Answered || probe.Age > timing.IdleProbeInterval {
-			complete = false
-			if evidence.probeDue(instance.Name, timing.FastProbeInterval) {
-				queries = append(queries, queryStatus(instance))
-			}
-			continue
+		if !isRecentAnswer(probe, timing) {
+			return probeClaimants(evidence, claimants, timing)
 		}
 		if probe.Term > latest.Term {
 			primary, latest = instance, probe
 		}
 	}
-	if !complete || latest.Term == 0 {
-		return queries
+	if latest.Term == 0 {
+		return nil
 	}
 	writer := model.WriterRole{
 		Database:         evidence.Database,
@@ -44,3 +35,31 @@
 	}
 	return []failover.Effect{failover.Record{Writer: writer, Change: "writer role known", Reason: saysPrimary(primary, latest.Term)}}
 }
+
+// primaryClaimants gives the running instances that claim to be primary.
+func primaryClaimants(evidence Evidence, timing Timing) []model.Instance {
+	var claimants []model.Instance
+	for _, observed := range evidence.Observations {
+		if !observed.Instance.Stopped && evidence.claimsPrimary(observed, timing) {
+			claimants = append(claimants, observed.Instance)
+		}
+	}
+	return claimants
+}
+
+// isRecentAnswer says whether a probe was answered recently enough to decide by.
+func isRecentAnswer(probe ProbeResult, timing Timing) bool {
+	return probe.Answered && probe.Age <= timing.IdleProbeInterval
+}
+
+// probeClaimants probes the claimants without a recent answer.
+func probeClaimants(evidence Evidence, claimants []model.Instance, timing Timing) []failover.Effect {
+	var queries []failover.Effect
+	for _, instance := range claimants {
+		answered := isRecentAnswer(evidence.Probes[instance.Name], timing)
+		if !answered && evidence.probeDue(instance.Name, timing.FastProbeInterval) {
+			queries = append(queries, queryStatus(instance))
+		}
+	}
+	return queries
+}
