--- a/internal/coordination/failover/syncrepl/evidence.go
+++ b/internal/coordination/failover/syncrepl/evidence.go
@@ -174,7 +174,8 @@
 }
 
 // recentReplicas gives the running instances other than the primary with contact
-// within the retention.
+// within the retention. They are recorded without incarnations: what a replica
+// holds is proven by its position when it is probed.
 func (e Evidence) recentReplicas(primary string, timing Timing) map[string]string {
 	replicas := map[string]string{}
 	for _, observed := range e.Observations {
--- a/internal/coordination/failover/syncrepl/open.go
+++ b/internal/coordination/failover/syncrepl/open.go
@@ -39,26 +39,51 @@
 	for _, observed := range evidence.Observations {
 		effects = append(effects, demoteRival(evidence, observed, timing)...)
 	}
-	coversGap := primaryCoversGap(evidence)
-	if !evidence.IsBoundComplete() && coversGap {
-		effects = append(effects, ReportBound{
-			Database: evidence.Database, Tenure: evidence.Tenure, GapSequence: evidence.GapSequence,
-			Position: evidence.Probes[evidence.Writer.Primary].Position,
-		})
+	effects = append(effects, reportBound(evidence)...)
+	if known {
+		effects = append(effects, probePrimary(evidence, primary, timing)...)
 	}
-	missesBound := !evidence.IsBoundComplete() && !coversGap
+	return append(effects, recordReplicas(evidence, timing)...)
+}
+
+// reportBound reports the primary's position where it covers a reporting gap.
+func reportBound(evidence Evidence) []failover.Effect {
+	if evidence.IsBoundComplete() || !primaryCoversGap(evidence) {
+		return nil
+	}
+	return []failover.Effect{ReportBound{
+		Database:    evidence.Database,
+		Tenure:      evidence.Tenure,
+		GapSequence: evidence.GapSequence,
+		Position:    evidence.Probes[evidence.Writer.Primary].Position,
+	}}
+}
+
+// probePrimary probes the primary where its position is needed for a reporting gap,
+// or where it may be down or demoted.
+func probePrimary(evidence Evidence, primary Observation, timing Timing) []failover.Effect {
+	missesBound := !evidence.IsBoundComplete() && !primaryCoversGap(evidence)
 	inDoubt := evidence.isUnobserved(primary, timing) || evidence.currentRole(primary) == model.RoleReplica
-	if known && (missesBound || inDoubt) && evidence.probeDue(evidence.Writer.Primary, timing.IdleProbeInterval) {
-		effects = append(effects, queryStatus(primary.Instance))
+	if !missesBound && !inDoubt {
+		return nil
+	}
+	if !evidence.probeDue(evidence.Writer.Primary, timing.IdleProbeInterval) {
+		return nil
 	}
+	return []failover.Effect{queryStatus(primary.Instance)}
+}
+
+// recordReplicas records the known replicas where they have changed, and else clears
+// a reason that was noted before.
+func recordReplicas(evidence Evidence, timing Timing) []failover.Effect {
 	replicas := knownReplicas(evidence, timing)
-	if !maps.Equal(replicas, evidence.Writer.RequiredReplicas) {
-		writer := model.CloneWriterRole(evidence.Writer)
-		writer.RequiredReplicas = replicas
-		names := slices.Sorted(maps.Keys(replicas))
-		return append(effects, failover.Record{Writer: writer, Change: "replicas known", Reason: fmt.Sprint(names)})
+	if maps.Equal(replicas, evidence.Writer.RequiredReplicas) {
+		return failover.ClearReason(evidence.Writer)
 	}
-	return append(effects, failover.ClearReason(evidence.Writer)...)
+	writer := model.CloneWriterRole(evidence.Writer)
+	writer.RequiredReplicas = replicas
+	names := slices.Sorted(maps.Keys(replicas))
+	return []failover.Effect{failover.Record{Writer: writer, Change: "replicas known", Reason: fmt.Sprint(names)}}
 }
 
 // primaryCoversGap says whether the primary gave its position after the last
