--- a/internal/coordination/failover/syncrepl/promoting.go
+++ b/internal/coordination/failover/syncrepl/promoting.go
@@ -1,8 +1,6 @@
 package syncrepl
 
 import (
-	"slices"
-
 	"tansyseam/internal/coordination/failover"
 	"tansyseam/internal/state/model"
 )
@@ -29,14 +27,12 @@
 		return []failover.Effect{abandonPromotion(evidence)}
 	}
 	queries := probeOutcome(evidence, timing)
-	waited := evidence.sinceTransition()
 	replica := probe.Answered && probe.Role == model.RoleReplica && probe.Age < timing.ProbeFreshness
-	throttled := isThrottled(evidence.PromoteCalls)
-	due := waited > timing.PromoteRetryInterval || waited < 0 || (throttled && waited > timing.RetryInterval)
-	if due && (replica || down || throttled) {
+	retryable := replica || down || isThrottled(evidence.PromoteCalls)
+	if retryable && isRetryDue(evidence, timing) {
 		return append(queries, retryPromotion(evidence)...)
 	}
-	if !replica && waited > 2*timing.PromoteRetryInterval {
+	if !replica && evidence.sinceTransition() > 2*timing.PromoteRetryInterval {
 		reason := "promotion of " + evidence.Writer.Promoting + " is in doubt until it is heard again: no other is promoted"
 		return append(queries, failover.RecordReason(evidence.Writer, reason)...)
 	}
@@ -109,6 +105,17 @@
 	return failover.Record{Writer: writer, Change: "new term open", Reason: saysPrimary(primary, probe.Term)}
 }
 
+// isRetryDue says whether the promote call may be repeated: after the retry interval,
+// or soon where the platform refused the last call for its rate. A transition in the
+// future means that the clock was set back.
+func isRetryDue(evidence Evidence, timing Timing) bool {
+	waited := evidence.sinceTransition()
+	if isThrottled(evidence.PromoteCalls) && waited > timing.RetryInterval {
+		return true
+	}
+	return waited > timing.PromoteRetryInterval || waited < 0
+}
+
 // isThrottled says whether the latest call was refused for its rate.
 func isThrottled(calls []PromoteCall) bool {
 	return len(calls) > 0 && calls[len(calls)-1].Status == statusTooManyRequests
@@ -124,15 +131,33 @@
 	if len(evidence.PromoteCalls) == 0 || !allKnown {
 		return false
 	}
-	return !slices.ContainsFunc(evidence.PromoteCalls, func(call PromoteCall) bool {
+	for _, call := range evidence.PromoteCalls {
 		if call.Instance != evidence.Writer.Promoting {
-			return true
+			return false
 		}
-		// An accepted call takes effect within the retry interval, or never.
-		expired := found && call.Status == statusOK && call.Age >= refused.Age+timing.PromoteRetryInterval
-		barred := fenced && call.Status != statusOK && call.FencingToken < refused.FencingToken
-		return !call.Unsent && call.Status != statusConflict && !expired && !barred
-	})
+		expired := found && isExpiredBy(call, refused, timing)
+		barred := fenced && isBarredBy(call, refused)
+		if !call.hadNoEffect() && !expired && !barred {
+			return false
+		}
+	}
+	return true
+}
+
+// hadNoEffect says whether the call never reached the platform, or was refused by it
+// because the instance cannot be promoted.
+func (c PromoteCall) hadNoEffect() bool { return c.Unsent || c.Status == statusConflict }
+
+// isExpiredBy says whether an accepted call can take effect no more, as a later call
+// was refused: an accepted call takes effect within the retry interval, or never.
+func isExpiredBy(call, refused PromoteCall, timing Timing) bool {
+	return call.Status == statusOK && call.Age >= refused.Age+timing.PromoteRetryInterval
+}
+
+// isBarredBy says whether the platform, which has seen the token of a refused call,
+// will refuse an earlier one that it has not accepted, should that still arrive.
+func isBarredBy(call, refused PromoteCall) bool {
+	return call.Status != statusOK && call.FencingToken < refused.FencingToken
 }
 
 // lastRefusedCall gives the latest call for the chosen instance that the
