--- /dev/null
+++ b/internal/app/control/commands_test.go
@@ -0,0 +1,205 @@
+package control
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/juju/errors"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/internal/state/lineproto"
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/transport/worker"
+)
+
+// replyMessages are the messages of the test protocol, by their line.
+var replyMessages = map[string]lineproto.Message{
+	"ready":         {Kind: lineproto.KindReady},
+	"done":          {Kind: lineproto.KindDone},
+	"status":        {Kind: lineproto.KindRow, Payload: "status"},
+	"other row":     {Kind: lineproto.KindRow, Payload: "other row"},
+	"busy":          {Kind: lineproto.KindError, Code: lineproto.CodeBusy},
+	"full":          {Kind: lineproto.KindError, Code: lineproto.CodeTooManyConnections},
+	"wrong address": {Kind: lineproto.KindError, Code: lineproto.CodeWrongInstance},
+	"failed":        {Kind: lineproto.KindError, Code: lineproto.CodeFailed, Payload: "FAILED no such command"},
+}
+
+// primaryReply is the reply that the row "status" gives.
+var primaryReply = CommandReply{Role: model.RolePrimary, Term: 4, Position: model.Position{Term: 4, Index: 70}}
+
+// testCodec is a codec of lines that say what they are.
+func testCodec() lineproto.Codec {
+	return lineproto.Codec{
+		Parse: func(line string) lineproto.Message { return replyMessages[line] },
+		ParseStatus: func(payload string) (lineproto.Status, bool) {
+			if payload != "status" {
+				return lineproto.Status{}, false
+			}
+			return lineproto.Status{Role: primaryReply.Role, Term: primaryReply.Term, Position: primaryReply.Position}, true
+		},
+		Connect: func(buffer []byte, database, clientName, expectedInstance string) []byte {
+			return fmt.Appendf(buffer, "connect %s %s %s\n", database, clientName, expectedInstance)
+		},
+		Query: func(buffer []byte, id, text string, minPosition model.Position) []byte {
+			return fmt.Appendf(buffer, "query %q %s %d.%d\n", id, text, minPosition.Term, minPosition.Index)
+		},
+		Terminate:    func(buffer []byte) []byte { return append(buffer, "terminate\n"...) },
+		AdminCommand: func(command string, term uint64) string { return fmt.Sprintf("%s %d", command, term) },
+	}
+}
+
+// exchangeCase is a reply of an instance, line by line, and what is read from
+// it.
+type exchangeCase struct {
+	name  string
+	lines string
+	// unfinished says that the instance has to send more.
+	unfinished bool
+	expected   CommandReply
+	// noReply says that the error is ErrNoReply, and reason what it holds
+	// besides.
+	noReply bool
+	reason  string
+}
+
+var exchangeCases = []exchangeCase{
+	{name: "a status", lines: "ready/status/done/ready", expected: primaryReply},
+	{name: "a status that is not complete yet", lines: "ready/status/done", unfinished: true},
+	{name: "the greeting alone", lines: "ready", unfinished: true},
+	{name: "nothing", unfinished: true},
+	{name: "lines that are no message", lines: "nonsense/ready/nonsense/status/ready", expected: primaryReply},
+	{name: "no row", lines: "ready/done/ready", noReply: true},
+	{name: "a row that is no status", lines: "ready/other row/done/ready", noReply: true},
+	{name: "more rows than one", lines: "ready/other row/status/ready", expected: primaryReply},
+	{name: "busy before the greeting", lines: "busy", expected: CommandReply{Busy: true}},
+	{name: "full before the greeting", lines: "full", expected: CommandReply{Busy: true}},
+	{name: "another instance at the address", lines: "wrong address", expected: CommandReply{Gone: true}},
+	{name: "a failure before the greeting", lines: "failed", noReply: true, reason: "no such command"},
+	{name: "busy at the command", lines: "ready/busy/ready", expected: CommandReply{Busy: true}},
+	{name: "busy at the command, before the session is ready again", lines: "ready/busy", unfinished: true},
+	{name: "a failure of the command", lines: "ready/failed/ready", noReply: true, reason: "no such command"},
+	{name: "more after the reply", lines: "busy/ready/status/ready", expected: CommandReply{Busy: true}},
+}
+
+// checkReply compares a reply with that of the case.
+func (c exchangeCase) checkReply(reply CommandReply) {
+	So(errors.Is(reply.Err, ErrNoReply), ShouldEqual, c.noReply)
+	if c.reason != "" {
+		So(reply.Err.Error(), ShouldContainSubstring, c.reason)
+	}
+	reply.Err = nil
+	So(reply, ShouldResemble, c.expected)
+}
+
+func linesOf(text string) [][]byte {
+	var lines [][]byte
+	for _, line := range strings.Split(text, "/") {
+		lines = append(lines, []byte(line))
+	}
+	return lines
+}
+
+func TestExchange(t *testing.T) {
+	for _, given := range exchangeCases {
+		Convey("The reply of an instance is read from what it sends: "+given.name, t, func() {
+			// One call with all lines, and a call for each, read the same.
+			together, apart := newTestExchange(), newTestExchange()
+			together.OnLines(linesOf(given.lines))
+			for _, line := range linesOf(given.lines) {
+				apart.OnLines([][]byte{line})
+			}
+			for _, ongoing := range []*exchange{together, apart} {
+				reply, found := worker.TryReceive(ongoing.replies)
+				So(found, ShouldEqual, !given.unfinished)
+				if found {
+					given.checkReply(reply)
+				}
+			}
+		})
+	}
+	Convey("A connection that ends before the reply is complete gives ErrNoReply, and one that ends after it changes nothing", t, func() {
+		cut := newTestExchange()
+		cut.OnLines(linesOf("ready/status"))
+		cut.OnClose(errors.New("reset"))
+		So(errors.Is((<-cut.replies).Err, ErrNoReply), ShouldBeTrue)
+		ended := newTestExchange()
+		ended.OnLines(linesOf("ready/status/ready"))
+		ended.OnClose(nil)
+		So(<-ended.replies, ShouldResemble, primaryReply)
+		So(ended.replies, ShouldBeEmpty)
+	})
+}
+
+func newTestExchange() *exchange {
+	return &exchange{codec: testCodec(), replies: make(chan CommandReply, 1)}
+}
+
+// commandTestTimeout bounds waits; no reply of these tests takes that long.
+const commandTestTimeout = 10 * time.Second
+
+// instanceScript plays an instance on one connection: it sends the lines given
+// once it has read the greeting and the command, and then reads until the
+// connection ends.
+func instanceScript(listener net.Listener, lines string, received chan<- string) {
+	defer close(received)
+	conn, err := listener.Accept()
+	if err != nil {
+		return
+	}
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(commandTestTimeout))
+	scanner := bufio.NewScanner(conn)
+	for count := 0; scanner.Scan(); count++ {
+		received <- scanner.Text()
+		if count == 1 {
+			_, _ = conn.Write([]byte(strings.ReplaceAll(lines, "/", "\r\n") + "\r\n"))
+		}
+	}
+}
+
+func TestCommandClient(t *testing.T) {
+	workers := worker.NewGroup()
+	client := NewCommandClient(workers, testCodec(), "c1")
+	if err := client.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { workers.Stop(commandTestTimeout) })
+	listen := func() net.Listener {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		So(err, ShouldBeNil)
+		return listener
+	}
+	send := func(address string) CommandReply {
+		return client.Send(Command{
+			Address: address, Database: "db", Instance: "i-1", Name: lineproto.AdminStepDown, Term: 3, Timeout: commandTestTimeout,
+		})
+	}
+	Convey("A command is sent behind the greeting, its reply is read, and the session is ended", t, func() {
+		listener := listen()
+		defer listener.Close()
+		received := make(chan string, 10)
+		workers.Go(func() { instanceScript(listener, "ready/status/ready", received) })
+		So(send(listener.Addr().String()), ShouldResemble, primaryReply)
+		var lines []string
+		for line := range received {
+			lines = append(lines, line)
+		}
+		So(lines, ShouldResemble, []string{"connect db c1 i-1", `query "" step down 3 0.0`, "terminate"})
+	})
+	Convey("A connection that ends without a reply, and an address where nothing listens, give ErrNoReply", t, func() {
+		listener := listen()
+		workers.Go(func() {
+			if conn, err := listener.Accept(); err == nil {
+				_ = conn.Close()
+			}
+		})
+		So(errors.Is(send(listener.Addr().String()).Err, ErrNoReply), ShouldBeTrue)
+		So(listener.Close(), ShouldBeNil)
+		So(errors.Is(send(listener.Addr().String()).Err, ErrNoReply), ShouldBeTrue)
+	})
+}
