--- a/internal/transport/httpserver/client.go
+++ b/internal/transport/httpserver/client.go
@@ -126,21 +126,17 @@
 	return adapter.Request{Method: http.MethodPost, Path: path, Body: body}
 }
 
-// Send sends a request and waits for the response. If none comes within timeout,
-// the connection is closed.
+// Send sends a request and waits for the response. If none comes within timeout, or
+// before the client's workers stop, the connection is closed.
 func (c *ClientConn) Send(request adapter.Request, timeout time.Duration) Response {
 	responses := make(chan Response, 1)
 	c.start(request, func(response Response) { worker.TrySend(responses, response) })
-	timer := time.NewTimer(timeout)
-	defer timer.Stop()
-	select {
-	case response := <-responses:
-		return response
-	case <-timer.C:
-	case <-c.client.workers.Stopping():
+	response, received := worker.ReceiveWithin(c.client.workers, responses, timeout)
+	if !received {
+		c.Close()
+		return Response{Err: errors.WithType(errNoResponse, ErrOutcomeUnknown)}
 	}
-	c.Close()
-	return Response{Err: errors.WithType(errNoResponse, ErrOutcomeUnknown)}
+	return response
 }
 
 func (c *ClientConn) start(request adapter.Request, done func(Response)) {
--- a/internal/transport/rpc/call.go
+++ b/internal/transport/rpc/call.go
@@ -4,6 +4,8 @@
 	"time"
 
 	"github.com/juju/errors"
+
+	"tansyseam/internal/transport/worker"
 )
 
 // Errors of a call, for errors.Is.
@@ -27,19 +29,15 @@
 func (h *Hub) Call(address string, body any, timeout time.Duration) (any, error) {
 	id, response := h.addCall(address)
 	h.sendTo(address, Envelope{From: h.name, Version: ProtocolVersion, ID: id, Body: body})
-	timer := time.NewTimer(timeout)
-	defer timer.Stop()
-	select {
-	case envelope := <-response:
-		if envelope.Body == nil {
-			return nil, errors.Annotatef(ErrUnreachable, "%s", address)
-		}
-		return envelope.Body, nil
-	case <-timer.C:
-	case <-h.workers.Stopping():
+	envelope, received := worker.ReceiveWithin(h.workers, response, timeout)
+	if !received {
+		h.takeCall(id)
+		return nil, errors.Annotatef(ErrTimeout, "%s", address)
+	}
+	if envelope.Body == nil {
+		return nil, errors.Annotatef(ErrUnreachable, "%s", address)
 	}
-	h.takeCall(id)
-	return nil, errors.Annotatef(ErrTimeout, "%s", address)
+	return envelope.Body, nil
 }
 
 func (h *Hub) addCall(address string) (uint64, chan Envelope) {
--- a/internal/transport/worker/channel.go
+++ b/internal/transport/worker/channel.go
@@ -23,6 +23,22 @@
 	}
 }
 
+// ReceiveWithin receives a value. It returns false if none came within timeout, or
+// before the group is to stop.
+func ReceiveWithin[T any](group *Group, values <-chan T, timeout time.Duration) (T, bool) {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	var zero T
+	select {
+	case value := <-values:
+		return value, true
+	case <-timer.C:
+		return zero, false
+	case <-group.stopping:
+		return zero, false
+	}
+}
+
 // TryReceive receives a value if one is ready at once.
 func TryReceive[T any](values <-chan T) (T, bool) {
 	select {
--- a/internal/transport/worker/worker_test.go
+++ b/internal/transport/worker/worker_test.go
@@ -86,6 +86,30 @@
 	})
 }
 
+func TestReceiveWithin(t *testing.T) {
+	Convey("A value that comes in time is received", t, func() {
+		values := make(chan int, 1)
+		values <- 7
+		value, ok := ReceiveWithin(NewGroup(), values, testTimeout)
+		So(ok, ShouldBeTrue)
+		So(value, ShouldEqual, 7)
+	})
+	Convey("The wait ends without a value after the timeout", t, func() {
+		_, ok := ReceiveWithin(NewGroup(), make(chan int), time.Millisecond)
+		So(ok, ShouldBeFalse)
+	})
+	Convey("The wait ends without a value once the group is to stop", t, func() {
+		group := NewGroup()
+		outcomes := make(chan bool, 1)
+		group.Go(func() {
+			_, ok := ReceiveWithin(group, make(chan int), 2*testTimeout)
+			outcomes <- ok
+		})
+		So(group.Stop(testTimeout), ShouldBeTrue)
+		So(<-outcomes, ShouldBeFalse)
+	})
+}
+
 func TestCounters(t *testing.T) {
 	Convey("Counters begin at zero and are safe for concurrent use", t, func() {
 		counters, group := &Counters{}, NewGroup()
