--- a/internal/transport/lineserver/conn.go
+++ b/internal/transport/lineserver/conn.go
@@ -39,9 +39,6 @@
 // Close ends the connection.
 func (c *Conn) Close() { _ = c.raw.Close() }
 
-// RemoteAddress returns the address of the remote end.
-func (c *Conn) RemoteAddress() string { return c.raw.RemoteAddr().String() }
-
 func (c *Conn) onData(data []byte) {
 	if len(c.partial) > 0 {
 		data = append(c.partial, data...)
