--- a/internal/transport/lineserver/dial.go
+++ b/internal/transport/lineserver/dial.go
@@ -4,9 +4,6 @@
 	"net"
 	"time"
 
-	"github.com/juju/errors"
-	"github.com/lesismal/nbio"
-
 	"tansyseam/internal/transport/tcp"
 )
 
@@ -19,8 +16,9 @@
 // if the connection cannot be opened within timeout, only the handler's OnClose
 // is called.
 func (s *Server) Dial(address string, first []byte, timeout time.Duration, handler Handler, onConnect func(*Conn)) {
+	dialer := net.Dialer{Timeout: timeout, KeepAliveConfig: tcp.KeepAlive}
 	s.workers.Go(func() {
-		raw, err := dial(address, timeout)
+		raw, err := tcp.Dial(dialer, address, userTimeout)
 		if err != nil {
 			handler.OnClose(err)
 			return
@@ -37,18 +35,3 @@
 		}
 	})
 }
-
-func dial(address string, timeout time.Duration) (*nbio.Conn, error) {
-	dialer := net.Dialer{Timeout: timeout, KeepAliveConfig: tcp.KeepAlive}
-	dialed, err := dialer.Dial("tcp", address)
-	if err != nil {
-		return nil, errors.Trace(err)
-	}
-	tcp.SetUserTimeout(dialed.(*net.TCPConn), userTimeout)
-	raw, err := nbio.NBConn(dialed)
-	if err != nil {
-		_ = dialed.Close()
-		return nil, errors.Trace(err)
-	}
-	return raw, nil
-}
--- a/internal/transport/rpc/dial.go
+++ b/internal/transport/rpc/dial.go
@@ -96,16 +96,10 @@
 
 func (h *Hub) open(address string) (*nbio.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, LocalAddr: tcp.LocalAddress(h.localHost)}
-	raw, err := dialer.Dial("tcp", address)
+	conn, err := tcp.Dial(dialer, address, userTimeout)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	tcp.SetUserTimeout(raw.(*net.TCPConn), userTimeout)
-	conn, err := nbio.NBConn(raw)
-	if err != nil {
-		_ = raw.Close()
-		return nil, errors.Trace(err)
-	}
 	_, err = h.engine.AddConn(conn)
 	return conn, errors.Trace(err)
 }
--- a/internal/transport/rpc/hub.go
+++ b/internal/transport/rpc/hub.go
@@ -111,22 +111,32 @@
 	if len(from.unparsed) > 0 {
 		data = append(from.unparsed, data...)
 	}
+	rest, err := h.receiveFrames(from, data)
+	if err != nil {
+		h.counters.Add(rejectionCounters[err], 1)
+		_ = conn.Close()
+		return
+	}
+	// The event loop reuses the buffer that data is in.
+	from.unparsed = append([]byte(nil), rest...)
+}
+
+// receiveFrames receives the complete frames at the start of data, and returns the
+// bytes after them. Its errors are those of rejectionCounters.
+func (h *Hub) receiveFrames(from *peer, data []byte) ([]byte, error) {
 	for {
 		received, rest, err := cutFrame(data)
 		if errors.Is(err, errIncomplete) {
-			break
-		}
-		if err == nil {
-			err = h.receive(from, received)
+			return data, nil
 		}
 		if err != nil {
-			h.counters.Add(rejectionCounters[err], 1)
-			_ = conn.Close()
-			return
+			return nil, err
+		}
+		if err := h.receive(from, received); err != nil {
+			return nil, err
 		}
 		data = rest
 	}
-	from.unparsed = append([]byte(nil), data...)
 }
 
 // receive passes the message in a frame on. The error is errGarbage.
