--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -12,7 +12,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-var layers = []string{"app", "transport", "protocol", "coordination", "state"}
+// layers are the folders of the product from the top down: the programs, then those of
+// internal.
+var layers = []string{"cmd", "app", "transport", "protocol", "coordination", "state"}
 
 func layerOf(path string) int {
 	for rank, layer := range layers {
@@ -29,9 +31,18 @@
 	uses []string
 }
 
+// sources returns the product's files; the paths of those in internal begin with their
+// layer.
 func sources() []source {
+	internal, programs := sourcesIn("."), sourcesIn("../cmd")
+	So(len(internal), ShouldBeGreaterThan, 30)
+	So(len(programs), ShouldBeGreaterThan, 2)
+	return append(internal, programs...)
+}
+
+func sourcesIn(root string) []source {
 	var list []source
-	err := filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
@@ -43,7 +54,7 @@
 		if err != nil {
 			return err
 		}
-		one := source{path: path, text: string(text)}
+		one := source{path: strings.TrimPrefix(path, "../"), text: string(text)}
 		for _, use := range file.Imports {
 			one.uses = append(one.uses, strings.Trim(use.Path.Value, `"`))
 		}
@@ -51,7 +62,6 @@
 		return nil
 	})
 	So(err, ShouldBeNil)
-	So(len(list), ShouldBeGreaterThan, 30)
 	return list
 }
 
