--- /dev/null
+++ b/internal/coordination/pool/httppool/benchmark_test.go
@@ -0,0 +1,26 @@
+package httppool
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"tansyseam/internal/state/model"
+)
+
+// BenchmarkWrite measures the way of one write from Accept to its response, with the
+// instance's reply and the announcement of the replica in between.
+func BenchmarkWrite(b *testing.B) {
+	h := newHarness(8)
+	session, _, _ := h.OpenSession("x", "client", nil, h.now)
+	b.ReportAllocs()
+	for number := uint64(1); b.Loop(); number++ {
+		requestID := fmt.Sprintf("%s.%d", session.ID, number)
+		request, _, _ := h.Accept(session.ID, write(requestID), time.Second, "token", h.now)
+		h.Bind(request, h.now)
+		h.applyEffects()
+		position := model.Position{Term: 1, Index: number}
+		h.reply(Reply{Clean: true, Position: position})
+		h.replicate("x1", position)
+	}
+}
