--- /dev/null
+++ b/internal/coordination/pool/linepool/random_client_test.go
@@ -0,0 +1,190 @@
+package linepool
+
+import (
+	"slices"
+	"strings"
+
+	"tansyseam/internal/state/lineproto"
+)
+
+// simulatedClient is a client, with what it may expect by the answers so far.
+type simulatedClient struct {
+	client *Client
+	// pending are the queries that have not been answered yet, the oldest first.
+	pending   []pendingQuery
+	state     byte
+	variables map[string]string
+	prepared  map[string]string
+	// group is that of the open transaction, if any.
+	group     *writeGroup
+	closed    bool
+	connected bool
+}
+
+type pendingQuery struct {
+	query Query
+	// group is that of the query alone, if it is one that may write.
+	group *writeGroup
+}
+
+// writeGroup is what is applied as a whole or not at all: a transaction, or a
+// single write.
+type writeGroup struct {
+	id      int
+	writes  int
+	applied bool
+	// noEffectResponse is the response, if any, by which the client was assured
+	// that nothing of the group was applied.
+	noEffectResponse string
+}
+
+func (s *simulation) newGroup() *writeGroup {
+	s.groups++
+	return &writeGroup{id: s.groups}
+}
+
+func (s *simulation) submitQuery(client *simulatedClient, query Query) {
+	s.senders[query.ID] = client
+	pending := pendingQuery{query: query}
+	action := query.Statement.Action
+	if action == lineproto.ActionWrite || action == lineproto.ActionExecute {
+		pending.group = s.newGroup()
+	}
+	client.pending = append(client.pending, pending)
+	s.Query(client.client, query, s.now)
+}
+
+// findPending returns the client that sent a query and the query, and whether it is
+// the one that the client's next response is for.
+func (s *simulation) findPending(id string) (client *simulatedClient, pending pendingQuery, isNext bool) {
+	client = s.senders[id]
+	if client == nil {
+		return nil, pendingQuery{}, false
+	}
+	index := slices.IndexFunc(client.pending, func(pending pendingQuery) bool { return pending.query.ID == id })
+	if index < 0 {
+		return client, pendingQuery{}, false
+	}
+	return client, client.pending[index], index == 0 && !client.closed
+}
+
+// formattedResponse is a formatted response, taken apart.
+type formattedResponse struct {
+	line string
+	// code is that of the error, result the payload without one.
+	code, result string
+	// state is the session's after the query; 0 where the response ends the session.
+	state byte
+}
+
+func parseResponse(line string) formattedResponse {
+	response := formattedResponse{line: line}
+	for _, message := range strings.Split(line, " / ") {
+		kind, text, _ := strings.Cut(message, " ")
+		if kind == "ERROR" {
+			response.code = text
+		}
+		if kind == "DONE" {
+			response.result = text
+		}
+		if kind == "READY" {
+			response.state = text[0]
+		}
+	}
+	return response
+}
+
+func (r formattedResponse) isSuccess() bool { return r.code == "" }
+
+// checkResponses takes the responses to a client, and checks them.
+func (s *simulation) checkResponses(client *simulatedClient) {
+	lines := s.harness.responses[client.client]
+	s.harness.responses[client.client] = nil
+	for _, line := range lines {
+		if !client.connected {
+			client.connected = true
+			continue
+		}
+		if len(client.pending) == 0 {
+			s.violated("an answer to nothing: %s", line)
+			return
+		}
+		s.checkResponse(client, parseResponse(line))
+	}
+	if s.closedClients[client.client] {
+		client.closed = true
+	}
+}
+
+func (s *simulation) checkResponse(client *simulatedClient, response formattedResponse) {
+	if response.state == 0 {
+		return
+	}
+	pending := client.pending[0]
+	client.pending = client.pending[1:]
+	s.answered++
+	action := pending.query.Statement.Action
+	begins := action == lineproto.ActionBegin || action == lineproto.ActionBeginReadOnly
+	if begins && response.isSuccess() {
+		client.group = s.newGroup()
+	}
+	s.checkEffect(client, pending, response)
+	s.checkResult(pending, response)
+	if response.isSuccess() {
+		client.applySessionChange(pending.query.Statement)
+	}
+	if response.state != lineproto.StateInTransaction {
+		client.group = nil
+	}
+	client.state = response.state
+}
+
+// checkEffect compares what a response says of the effect with what was applied.
+func (s *simulation) checkEffect(client *simulatedClient, pending pendingQuery, response formattedResponse) {
+	group := client.group
+	single := client.state == lineproto.StateIdle && pending.group != nil
+	if single {
+		group = pending.group
+	}
+	if group == nil {
+		return
+	}
+	query := pending.query
+	if slices.Contains(noEffectCodeNames, response.code) {
+		group.noEffectResponse = response.line
+		if group.applied {
+			s.violated("%s was sent for a group that was applied: %s %s in group %d", response.line, query.ID, query.Text, group.id)
+		}
+	}
+	commits := single || query.Statement.Action == lineproto.ActionCommit
+	if response.isSuccess() && commits && group.writes > 0 && !group.applied {
+		s.violated("%s was sent for a group that was not applied", response.line)
+	}
+}
+
+// instanceActions are those of queries that an instance answers, by their ID.
+var instanceActions = []lineproto.Action{lineproto.ActionRead, lineproto.ActionWrite, lineproto.ActionExecute, lineproto.ActionCommit}
+
+// checkResult checks that a response is the answer to its query.
+func (s *simulation) checkResult(pending pendingQuery, response formattedResponse) {
+	query := pending.query
+	fromInstance := slices.Contains(instanceActions, query.Statement.Action)
+	if response.isSuccess() && fromInstance && response.result != resultOf(query.ID) {
+		s.violated("%s is not the answer to %s", response.line, query.ID)
+	}
+}
+
+// resultOf is the payload of a server's result for a query.
+func resultOf(queryID string) string { return "s" + queryID }
+
+func (client *simulatedClient) applySessionChange(statement lineproto.Statement) {
+	if statement.Action == lineproto.ActionSet {
+		client.variables[statement.Name] = statement.Value
+	}
+	if statement.Action == lineproto.ActionPrepare {
+		client.prepared[statement.Name] = statement.PreparedText
+	}
+	if statement.Action == lineproto.ActionDeallocate {
+		delete(client.prepared, statement.Name)
+	}
+}
--- /dev/null
+++ b/internal/coordination/pool/linepool/random_server_test.go
@@ -0,0 +1,201 @@
+package linepool
+
+import (
+	"maps"
+	"strings"
+
+	"tansyseam/internal/state/lineproto"
+)
+
+// noRefusal is given to a server that is to run its next command.
+const noRefusal = lineproto.CodeOther
+
+// simulatedServer is the instance's end of one connection. It runs what it is
+// sent.
+type simulatedServer struct {
+	conn          *Conn
+	queue         []Command
+	session       serverSession
+	inTransaction bool
+	failed        bool
+	hasWrites     bool
+	group         *writeGroup
+	accepted      bool
+	// atBegin is the session as the transaction found it.
+	atBegin *serverSession
+}
+
+// serverSession is the session state of one connection.
+type serverSession struct {
+	variables map[string]string
+	prepared  map[string]string
+}
+
+func newServerSession() serverSession {
+	return serverSession{variables: map[string]string{}, prepared: map[string]string{}}
+}
+
+func (s serverSession) clone() *serverSession {
+	return &serverSession{variables: maps.Clone(s.variables), prepared: maps.Clone(s.prepared)}
+}
+
+func (server *simulatedServer) state() byte {
+	if server.failed {
+		return lineproto.StateFailed
+	}
+	if server.inTransaction {
+		return lineproto.StateInTransaction
+	}
+	return lineproto.StateIdle
+}
+
+type commandRunner func(s *simulation, server *simulatedServer, command Command, refusal lineproto.Code) []lineproto.Message
+
+var commandRunners = map[CommandKind]commandRunner{
+	CommandReset: func(_ *simulation, server *simulatedServer, _ Command, _ lineproto.Code) []lineproto.Message {
+		server.session = newServerSession()
+		return []lineproto.Message{done("-")}
+	},
+	CommandSet: func(_ *simulation, server *simulatedServer, command Command, _ lineproto.Code) []lineproto.Message {
+		server.session.variables[command.Name] = command.Value
+		return []lineproto.Message{done("-")}
+	},
+	CommandPrepare: func(_ *simulation, server *simulatedServer, command Command, _ lineproto.Code) []lineproto.Message {
+		server.session.prepared[command.Name] = command.Value
+		return []lineproto.Message{done("-")}
+	},
+	CommandRollback: func(s *simulation, server *simulatedServer, _ Command, _ lineproto.Code) []lineproto.Message {
+		s.rollBack(server)
+		return []lineproto.Message{done("-")}
+	},
+	CommandBegin:         (*simulation).beginTransaction,
+	CommandBeginReadOnly: (*simulation).beginTransaction,
+	CommandText:          (*simulation).runStatement,
+	CommandExecute:       (*simulation).runStatement,
+}
+
+// runNext runs the oldest command at a server and returns the answer. A begin or a
+// statement is refused with the code, unless that is noRefusal.
+func (s *simulation) runNext(server *simulatedServer, refusal lineproto.Code) []lineproto.Message {
+	command := server.queue[0]
+	server.queue = server.queue[1:]
+	answer := commandRunners[command.Kind](s, server, command, refusal)
+	return append(answer, s.readyIn(server.state()))
+}
+
+func (s *simulation) beginTransaction(server *simulatedServer, _ Command, refusal lineproto.Code) []lineproto.Message {
+	if server.inTransaction {
+		s.violated("begin inside a transaction")
+	}
+	if refusal != noRefusal {
+		return []lineproto.Message{failure(refusal)}
+	}
+	server.inTransaction, server.atBegin = true, server.session.clone()
+	return []lineproto.Message{done("-")}
+}
+
+// rollBack ends the transaction, if any. Some servers undo changes of the session
+// state with it, and some keep them.
+func (s *simulation) rollBack(server *simulatedServer) {
+	if s.chance(0.5) && server.atBegin != nil {
+		server.session = *server.atBegin
+	}
+	server.endTransaction()
+	server.failed, server.atBegin = false, nil
+}
+
+func (server *simulatedServer) endTransaction() {
+	server.inTransaction, server.hasWrites, server.group = false, false, nil
+}
+
+// runStatement runs a client's statement, and checks that the connection is in the
+// state that the client expects.
+func (s *simulation) runStatement(server *simulatedServer, command Command, refusal lineproto.Code) []lineproto.Message {
+	client, pending, isNext := s.findPending(command.ID)
+	if client == nil {
+		s.violated("a statement that nobody sent: %s", command.ID)
+		return []lineproto.Message{failure(lineproto.CodeOther)}
+	}
+	write := false
+	if isNext {
+		s.checkConnState(server, client, command.ID)
+		write = pending.query.Statement.Action == lineproto.ActionWrite
+	}
+	if command.Kind == CommandExecute {
+		text, found := server.session.prepared[command.Name]
+		if !found {
+			return []lineproto.Message{failure(lineproto.CodeNotFound)}
+		}
+		write = strings.HasPrefix(text, "w")
+		if expected := client.prepared[pending.query.Statement.Name]; isNext && expected != text {
+			s.violated("%s runs %s, not %s", command.ID, text, expected)
+		}
+	}
+	commit := command.Text == "commit"
+	if refusal != noRefusal {
+		return s.refuse(server, commit, refusal)
+	}
+	if commit {
+		s.commitAt(server)
+	} else if write {
+		server.write(pending.group)
+	}
+	return []lineproto.Message{row("r" + command.ID), done(resultOf(command.ID))}
+}
+
+// checkConnState checks that a connection is in the client's transaction, if any, and
+// has its variables.
+func (s *simulation) checkConnState(server *simulatedServer, client *simulatedClient, queryID string) {
+	inTransaction := client.state == lineproto.StateInTransaction
+	if inTransaction != server.inTransaction {
+		s.violated("%s runs inside %v, its client is inside %v", queryID, server.inTransaction, inTransaction)
+	}
+	if !maps.Equal(server.session.variables, client.variables) {
+		s.violated("%s runs with %v, not %v", queryID, server.session.variables, client.variables)
+	}
+	if !server.inTransaction {
+		return
+	}
+	if server.group == nil {
+		server.group = client.group
+	}
+	if server.group != client.group {
+		s.violated("%s runs inside another's transaction", queryID)
+	}
+}
+
+func (s *simulation) refuse(server *simulatedServer, commit bool, code lineproto.Code) []lineproto.Message {
+	if code == lineproto.CodeFailed && server.inTransaction {
+		server.failed = true
+	}
+	if commit {
+		s.rollBack(server)
+	}
+	return []lineproto.Message{failure(code)}
+}
+
+func (s *simulation) commitAt(server *simulatedServer) {
+	if group := server.group; group != nil {
+		group.applied = server.hasWrites
+		if group.noEffectResponse != "" && server.hasWrites {
+			s.violated("applied after %s", group.noEffectResponse)
+		}
+	}
+	server.endTransaction()
+}
+
+// write counts a write for the open transaction, or applies one outside of any. The
+// group is that of the write alone.
+func (server *simulatedServer) write(single *writeGroup) {
+	if server.inTransaction {
+		server.hasWrites = true
+		if server.group != nil {
+			server.group.writes++
+		}
+		return
+	}
+	if single != nil {
+		single.writes++
+		single.applied = true
+	}
+}
