--- a/internal/coordination/pool/linepool/client_test.go
+++ b/internal/coordination/pool/linepool/client_test.go
@@ -9,74 +9,88 @@
 	"tansyseam/internal/state/lineproto"
 )
 
+// isReleased reports whether no instance has a statement in flight or a connection in
+// use.
+func (h *harness) isReleased() bool {
+	for _, instance := range h.instances.All() {
+		if instance.window.Reading().InFlight != 0 || len(instance.idle) != len(instance.conns) {
+			return false
+		}
+	}
+	return true
+}
+
+// answerAfterDisconnect answers what was in flight when a client disconnected, and the
+// rollbacks that follow.
+func (h *harness) answerAfterDisconnect(inFlight []Send) {
+	for _, send := range inFlight {
+		if !send.Conn.IsClosed() {
+			h.answerSend(send, lineproto.StateIdle, done("late"))
+		}
+	}
+	for len(h.sends) > 0 {
+		send := h.nextSend()
+		So(formatCommands(send), ShouldEqual, "rollback")
+		h.answerSend(send, lineproto.StateIdle, done("-"))
+	}
+}
+
 func TestClientLost(t *testing.T) {
-	steps := []struct {
-		name string
-		asks []Query
-		goes int
+	states := []struct {
+		name    string
+		queries []Query
+		// answers is how many sends are answered before the client disconnects.
+		answers int
 	}{
-		{"that has not connected", nil, -1},
 		{"at rest", nil, 0},
 		{"with a begin", []Query{begin()}, 0},
-		{"with a write out", []Query{write("1")}, 0},
-		{"with a read out", []Query{read("1")}, 0},
-		{"with a begin out", []Query{begin(), write("1")}, 0},
-		{"with a statement inside out", []Query{begin(), write("1")}, 1},
-		{"resting inside", []Query{begin(), write("1")}, 2},
-		{"with a commit out", []Query{begin(), commit()}, 1},
-		{"with more sent ahead", []Query{write("1"), write("2"), write("3")}, 0},
+		{"with a write in flight", []Query{write("1")}, 0},
+		{"with a read in flight", []Query{read("1")}, 0},
+		{"with a begin in flight", []Query{begin(), write("1")}, 0},
+		{"with a statement of a transaction in flight", []Query{begin(), write("1")}, 1},
+		{"idle in a transaction", []Query{begin(), write("1")}, 2},
+		{"with a commit in flight", []Query{begin(), commit()}, 1},
+		{"with pipelined queries", []Query{write("1"), write("2"), write("3")}, 0},
 	}
-	for _, step := range steps {
+	for _, state := range states {
 		for _, leased := range []bool{true, false} {
-			Convey("A client that disconnects "+step.name+" leaves nothing behind", t, func() {
+			Convey("A client that disconnects "+state.name+" leaves nothing behind", t, func() {
 				h := newHarness(20)
-				if step.goes < 0 {
-					client := h.Accept(nil, h.now)
-					h.ClientLost(client, h.now)
-					h.Connect(client, "strict", h.now)
-					h.query(client, read("1"))
-					So(h.responseCount(client), ShouldEqual, 0)
-					So(h.invariantViolation(), ShouldEqual, "")
-					return
-				}
 				client := h.client("strict")
 				if !leased {
 					h.advance(1700 * time.Millisecond)
 				}
-				for _, query := range step.asks {
+				for _, query := range state.queries {
 					h.query(client, query)
 				}
-				for at := 0; at < step.goes && len(h.sends) > 0; at++ {
+				for answered := 0; answered < state.answers && len(h.sends) > 0; answered++ {
 					h.answerSend(h.nextSend(), lineproto.StateInTransaction, done("-"))
 				}
 				before := h.responseCount(client)
-				out := h.sends
+				inFlight := h.sends
 				h.sends = nil
 				h.ClientLost(client, h.now)
 				h.applyEffects()
 				So(h.invariantViolation(), ShouldEqual, "")
-				for _, send := range out {
-					if !send.Conn.IsClosed() {
-						h.answerSend(send, lineproto.StateIdle, done("late"))
-					}
-				}
-				for len(h.sends) > 0 {
-					send := h.nextSend()
-					So(formatCommands(send), ShouldEqual, "rollback")
-					h.answerSend(send, lineproto.StateIdle, done("-"))
-				}
+				h.answerAfterDisconnect(inFlight)
 				h.advanceInTicks(200 * time.Millisecond)
 				So(h.responseCount(client), ShouldEqual, before)
 				So(h.Clients(), ShouldEqual, 0)
 				So(h.sends, ShouldBeEmpty)
 				So(h.invariantViolation(), ShouldEqual, "")
-				for _, instance := range h.instances.All() {
-					So(instance.window.Reading().InFlight, ShouldEqual, 0)
-					So(len(instance.idle), ShouldEqual, len(instance.conns))
-				}
+				So(h.isReleased(), ShouldBeTrue)
 			})
 		}
 	}
+	Convey("A client that disconnects before its connect leaves nothing behind", t, func() {
+		h := newHarness(20)
+		client := h.Accept(nil, h.now)
+		h.ClientLost(client, h.now)
+		h.Connect(client, "strict", h.now)
+		h.query(client, read("1"))
+		So(h.responseCount(client), ShouldEqual, 0)
+		So(h.invariantViolation(), ShouldEqual, "")
+	})
 	Convey("A client that disconnects with an unconfirmed commit leaves nothing behind", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
--- a/internal/coordination/pool/linepool/conn_test.go
+++ b/internal/coordination/pool/linepool/conn_test.go
@@ -47,7 +47,7 @@
 	})
 	ends := []struct {
 		name     string
-		asks     []Query
+		queries  []Query
 		response string
 	}{
 		{"a single write", []Query{write("1")}, "ERROR UNKNOWN / READY I"},
@@ -61,12 +61,12 @@
 		Convey("A connection lost with "+end.name+" in flight is answered with "+end.response, t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
-			for _, query := range end.asks {
+			for _, query := range end.queries {
 				query.ID += "x"
 				h.query(client, query)
 			}
 			send := h.nextSend()
-			if len(end.asks) > 1 {
+			if len(end.queries) > 1 {
 				h.answerSend(send, lineproto.StateInTransaction, done("-"))
 				send = h.nextSend()
 			}
@@ -78,11 +78,11 @@
 		Convey("A missing answer to "+end.name+" is reported at its deadline", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
-			for _, query := range end.asks {
+			for _, query := range end.queries {
 				h.query(client, query)
 			}
 			send := h.nextSend()
-			if len(end.asks) > 1 {
+			if len(end.queries) > 1 {
 				h.answerSend(send, lineproto.StateInTransaction, done("-"))
 				send = h.nextSend()
 			}
@@ -213,23 +213,23 @@
 		h.samplePosition()
 		h.advanceInTicks(200 * time.Millisecond)
 		client := h.client("stale")
-		goes := func() string {
+		readTarget := func() string {
 			h.query(client, read("1"))
 			send := h.nextSend()
 			h.answerSend(send, lineproto.StateIdle, done("s"))
 			return send.target()
 		}
-		So(goes(), ShouldEqual, "b")
+		So(readTarget(), ShouldEqual, "b")
 		for range 3 {
 			h.instance("b").health.Observe(true, h.now)
 		}
-		So(goes(), ShouldNotEqual, "b")
+		So(readTarget(), ShouldNotEqual, "b")
 		for range 16 {
 			h.advanceInTicks(time.Second)
 			h.samplePosition()
 		}
 		h.advanceInTicks(200 * time.Millisecond)
-		So(goes(), ShouldEqual, "b")
+		So(readTarget(), ShouldEqual, "b")
 	})
 	Convey("A statement that fails its transaction has it rolled back at the instance; the client still has to end it", t, func() {
 		h := newHarness(20)
@@ -251,15 +251,15 @@
 		h.manualOpen = true
 		client := h.client("strict")
 		h.query(client, write("1"))
-		tries := 0
+		attempts := 0
 		for end := h.now + 1900*time.Millisecond; h.now < end; {
 			for len(h.opens) > 0 {
-				tries++
+				attempts++
 				h.receive(h.opens[0].Conn, failure(lineproto.CodeTooManyConnections))
 			}
 			h.advanceInTicks(25 * time.Millisecond)
 		}
-		So(tries, ShouldBeBetween, 3, 12)
+		So(attempts, ShouldBeBetween, 3, 12)
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
 	Convey("An address that belongs to another instance by now counts as a refused connection", t, func() {
--- a/internal/coordination/pool/linepool/dispatch_test.go
+++ b/internal/coordination/pool/linepool/dispatch_test.go
@@ -114,25 +114,25 @@
 		zero(h)
 	})
 	Convey("Writes, strict reads and reads in a transaction are not hedged", t, func() {
-		for _, asks := range [][]Query{{write("1")}, {read("1")}, {begin(), read("1")}, {beginRead(), read("1")}} {
+		for _, queries := range [][]Query{{write("1")}, {read("1")}, {begin(), read("1")}, {beginRead(), read("1")}} {
 			for _, name := range []string{"strict", "stale"} {
-				if name == "stale" && len(asks) == 1 && asks[0].Statement.Action == lineproto.ActionRead {
+				if name == "stale" && len(queries) == 1 && queries[0].Statement.Action == lineproto.ActionRead {
 					continue
 				}
 				h := newHarness(20)
 				h.samplePosition()
 				client := h.client(name)
-				for _, query := range asks {
+				for _, query := range queries {
 					h.query(client, query)
 				}
-				if len(asks) > 1 {
+				if len(queries) > 1 {
 					h.answerBegin()
 				} else {
 					h.nextSend()
 				}
 				h.advanceInTicks(500 * time.Millisecond)
 				So(h.sends, ShouldBeEmpty)
-				So(h.responseCount(client), ShouldEqual, len(asks))
+				So(h.responseCount(client), ShouldEqual, len(queries))
 			}
 		}
 	})
--- a/internal/coordination/pool/linepool/harness_test.go
+++ b/internal/coordination/pool/linepool/harness_test.go
@@ -166,7 +166,7 @@
 	h.Received(open.Conn, h.readyIn(lineproto.StateIdle), h.now)
 }
 
-// connAccepted has an instance accept a connection, and goes on.
+// connAccepted has an instance accept a connection, and carries out what follows.
 func (h *harness) connAccepted(open OpenConn) {
 	h.acceptConn(open)
 	h.applyEffects()
--- a/internal/coordination/pool/linepool/transaction_test.go
+++ b/internal/coordination/pool/linepool/transaction_test.go
@@ -69,16 +69,16 @@
 			client := h.client(one.binding)
 			h.query(client, one.act())
 			h.query(client, read("1"))
-			tries := 0
+			attempts := 0
 			for h.now < time.Hour+5*time.Second && h.lastResponse(client) == "DONE - / READY T" {
 				for len(h.sends) > 0 {
-					tries++
+					attempts++
 					h.answerSend(h.nextSend(), lineproto.StateIdle, failure(one.code))
 				}
 				h.advanceInTicks(25 * time.Millisecond)
 			}
 			So(h.lastResponse(client), ShouldEqual, "ERROR BUSY / READY E")
-			So(tries, ShouldBeBetween, 1, 60)
+			So(attempts, ShouldBeBetween, 1, 60)
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
 	}
--- a/internal/coordination/pool/linepool/update_test.go
+++ b/internal/coordination/pool/linepool/update_test.go
@@ -14,8 +14,8 @@
 func TestClosing(t *testing.T) {
 	Convey("Open transactions are aborted when the term closes: at once if a statement is in flight, else at the next statement", t, func() {
 		h := newHarness(20)
-		working, resting, committing := h.client("strict"), h.client("strict"), h.client("strict")
-		for _, client := range []*Client{working, resting, committing} {
+		working, idle, committing := h.client("strict"), h.client("strict"), h.client("strict")
+		for _, client := range []*Client{working, idle, committing} {
 			h.query(client, begin())
 			h.query(client, write("1"))
 			h.answerSend(h.answerBegin(), lineproto.StateInTransaction, done("w"))
@@ -25,11 +25,11 @@
 		h.setWriter(model.PhaseClosing, "a", 3)
 		So(h.lastResponse(working), ShouldEqual, "ERROR ABORTED / READY E")
 		So(out.Conn.IsClosed(), ShouldBeTrue)
-		So(h.lastResponse(resting), ShouldEqual, "DONE w / READY T")
-		h.query(resting, write("3"))
-		So(h.lastResponse(resting), ShouldEqual, "ERROR ABORTED / READY E")
-		h.query(resting, rollback())
-		So(h.lastResponse(resting), ShouldEqual, "DONE - / READY I")
+		So(h.lastResponse(idle), ShouldEqual, "DONE w / READY T")
+		h.query(idle, write("3"))
+		So(h.lastResponse(idle), ShouldEqual, "ERROR ABORTED / READY E")
+		h.query(idle, rollback())
+		So(h.lastResponse(idle), ShouldEqual, "DONE - / READY I")
 		h.query(committing, commit())
 		So(h.lastResponse(committing), ShouldEqual, "ERROR ABORTED / READY I")
 		So(h.sends, ShouldBeEmpty)
