--- a/internal/coordination/distribution/machine.go
+++ b/internal/coordination/distribution/machine.go
@@ -53,13 +53,13 @@
 	activating bool
 	collecting bool
 
-	instances         instanceList
-	incarnations      map[string]nodeIncarnations
-	reports           reportStore
-	highWatermarks    map[string]model.Position
-	acknowledgedRoles map[string]acknowledgedRole
-	acknowledgedPhase map[string]acknowledgedPhase
-	coverage          reportCoverage
+	instances          instanceList
+	incarnations       map[string]nodeIncarnations
+	reports            reportStore
+	highWatermarks     map[string]model.Position
+	acknowledgedRoles  map[string]acknowledgedRole
+	acknowledgedPhases map[string]acknowledgedPhase
+	coverage           reportCoverage
 }
 
 // Write is an effect: puts that are computed from the control state when the write's
@@ -80,18 +80,18 @@
 func (m *Machine) startTenure(now time.Duration) {
 	m.tenureCount++
 	m.tenureState = tenureState{
-		inheritedVersion:  m.state.Version,
-		grantor:           lease.NewGrantor(m.timing, m.registeredNodes(), now),
-		registering:       map[string]bool{},
-		complete:          map[string]bool{},
-		activeSequences:   map[string]uint64{},
-		instances:         newInstanceList(),
-		incarnations:      map[string]nodeIncarnations{},
-		reports:           newReportStore(),
-		highWatermarks:    map[string]model.Position{},
-		acknowledgedRoles: map[string]acknowledgedRole{},
-		acknowledgedPhase: map[string]acknowledgedPhase{},
-		coverage:          newReportCoverage(),
+		inheritedVersion:   m.state.Version,
+		grantor:            lease.NewGrantor(m.timing, m.registeredNodes(), now),
+		registering:        map[string]bool{},
+		complete:           map[string]bool{},
+		activeSequences:    map[string]uint64{},
+		instances:          newInstanceList(),
+		incarnations:       map[string]nodeIncarnations{},
+		reports:            newReportStore(),
+		highWatermarks:     map[string]model.Position{},
+		acknowledgedRoles:  map[string]acknowledgedRole{},
+		acknowledgedPhases: map[string]acknowledgedPhase{},
+		coverage:           newReportCoverage(),
 	}
 }
 
--- a/internal/coordination/distribution/nodes.go
+++ b/internal/coordination/distribution/nodes.go
@@ -80,9 +80,10 @@
 	past        []int64
 }
 
-// isDelayed notes the run of the process that a request is from. It returns true if
-// the request is of an earlier run, or was overtaken by another of the same run.
-func (m *Machine) isDelayed(request UpdateRequest) bool {
+// noteIncarnation notes the run of the process that a request is from, and counts a
+// reporting gap if that is a new one. It returns true if the request was delayed: it is
+// of an earlier run, or was overtaken by another of the same run.
+func (m *Machine) noteIncarnation(request UpdateRequest) (delayed bool) {
 	if request.Incarnation == 0 {
 		return false
 	}
--- a/internal/coordination/distribution/requests.go
+++ b/internal/coordination/distribution/requests.go
@@ -46,7 +46,7 @@
 
 func (m *Machine) noteRequest(request UpdateRequest, now time.Duration) {
 	m.coverage.noteLapses(m.grantor.LapseCount(now))
-	delayed := m.isDelayed(request)
+	delayed := m.noteIncarnation(request)
 	m.grantor.Acknowledge(request.Node, request.Version, now)
 	if request.WithoutLease && !delayed && request.Incarnation != 0 {
 		m.grantor.Release(request.Node, now)
--- a/internal/coordination/distribution/syncfailover.go
+++ b/internal/coordination/distribution/syncfailover.go
@@ -96,7 +96,7 @@
 		return
 	}
 	role := evidence.Writer
-	phase, found := m.acknowledgedPhase[evidence.Database]
+	phase, found := m.acknowledgedPhases[evidence.Database]
 	isSame := found && phase.term == role.Term && phase.phase == role.Phase && phase.lastTransitionAt == role.LastTransitionAt
 	if !isSame {
 		phase = acknowledgedPhase{term: role.Term, phase: role.Phase, lastTransitionAt: role.LastTransitionAt, version: evidence.Version}
@@ -107,7 +107,7 @@
 	} else if phase.since == 0 {
 		phase.since = now
 	}
-	m.acknowledgedPhase[evidence.Database] = phase
+	m.acknowledgedPhases[evidence.Database] = phase
 	if settled {
 		evidence.Settled, evidence.SettledFor = true, now-phase.since
 	}
