--- a/internal/coordination/distribution/asyncfailover.go
+++ b/internal/coordination/distribution/asyncfailover.go
@@ -61,6 +61,7 @@
 		if contactAge > asyncrepl.DefaultTiming().SilenceTimeout {
 			joined.SilentNodes++
 		}
+		// A response may have come without a position, so its age alone doesn't count.
 		instanceAge := age + min(report.AnnouncementAge, max(report.PositionAge, report.ResponseAge))
 		if instanceAge < newest {
 			newest, joined.Instance, joined.PositionAge = instanceAge, report.Instance, report.PositionAge+age
@@ -85,13 +86,21 @@
 	}
 	settledFor := now - acknowledged.since
 	if !acknowledged.hasPosition {
-		for _, observation := range evidence.Observations {
-			if observation.Instance.Name == evidence.Writer.Primary && observation.ContactAge < settledFor {
-				acknowledged.primaryPosition, acknowledged.hasPosition = observation.Instance.Position, true
-			}
-		}
+		acknowledged.primaryPosition, acknowledged.hasPosition = recentPrimaryPosition(evidence, settledFor)
 	}
 	m.acknowledgedRoles[database] = acknowledged
 	evidence.Settled, evidence.SettledFor = true, settledFor
 	evidence.PrimaryPosition, evidence.HasPrimaryPosition = acknowledged.primaryPosition, acknowledged.hasPosition
 }
+
+// recentPrimaryPosition returns the primary's position, if there was contact with it
+// within a time.
+func recentPrimaryPosition(evidence *asyncrepl.Evidence, within time.Duration) (model.Position, bool) {
+	at := slices.IndexFunc(evidence.Observations, func(observation asyncrepl.Observation) bool {
+		return observation.Instance.Name == evidence.Writer.Primary && observation.ContactAge < within
+	})
+	if at < 0 {
+		return model.Position{}, false
+	}
+	return evidence.Observations[at].Instance.Position, true
+}
--- a/internal/coordination/distribution/syncfailover.go
+++ b/internal/coordination/distribution/syncfailover.go
@@ -67,29 +67,33 @@
 		UnobservedFor: now - max(m.reports.lastEvidence[instance.Name], m.grantor.StartedAt()),
 	}
 	for node, received := range m.reports.byInstance[instance.Name] {
-		if !m.grantor.HasLease(node, now) {
-			continue
-		}
-		report, age := received.report, now-received.receivedAt
-		responseAge := report.ResponseAge + age
-		joined.AnswerAge = min(joined.AnswerAge, responseAge)
-		joined.ContactAge = min(joined.ContactAge, responseAge)
-		isRecent := age <= reportWindow
-		hasFault := isRecent && report.reportsFault()
-		if !hasFault && responseAge > reportWindow {
-			continue
-		}
-		joined.ReportingNodes++
-		if isRecent && report.RefusedConnections >= minRefusals {
-			joined.RefusedNodes++
-		}
-		if isRecent && report.OldestStatementAge > syncrepl.DefaultTiming().OverdueTimeout {
-			joined.OverdueNodes++
+		if m.grantor.HasLease(node, now) {
+			addReport(&joined, received.report, now-received.receivedAt)
 		}
 	}
 	return joined
 }
 
+// addReport adds the report of one node, received some time ago, to an observation.
+func addReport(joined *syncrepl.Observation, report InstanceReport, age time.Duration) {
+	responseAge := report.ResponseAge + age
+	joined.AnswerAge = min(joined.AnswerAge, responseAge)
+	joined.ContactAge = min(joined.ContactAge, responseAge)
+	isRecent := age <= reportWindow
+	hasFault := isRecent && report.reportsFault()
+	hasResponse := responseAge <= reportWindow
+	if !hasFault && !hasResponse {
+		return
+	}
+	joined.ReportingNodes++
+	if isRecent && report.RefusedConnections >= minRefusals {
+		joined.RefusedNodes++
+	}
+	if isRecent && report.OldestStatementAge > syncrepl.DefaultTiming().OverdueTimeout {
+		joined.OverdueNodes++
+	}
+}
+
 // markPhaseAcknowledged adds since when every leased node has applied the phase.
 func (m *Machine) markPhaseAcknowledged(evidence *syncrepl.Evidence, now time.Duration) {
 	if !evidence.Known {
@@ -97,14 +101,14 @@
 	}
 	role := evidence.Writer
 	phase, found := m.acknowledgedPhases[evidence.Database]
-	isSame := found && phase.term == role.Term && phase.phase == role.Phase && phase.lastTransitionAt == role.LastTransitionAt
-	if !isSame {
+	if !found || !phase.isOf(role) {
 		phase = acknowledgedPhase{term: role.Term, phase: role.Phase, lastTransitionAt: role.LastTransitionAt, version: evidence.Version}
 	}
 	settled := m.grantor.AllAcknowledged(phase.version, now)
 	if !settled {
 		phase.since = 0
-	} else if phase.since == 0 {
+	}
+	if settled && phase.since == 0 {
 		phase.since = now
 	}
 	m.acknowledgedPhases[evidence.Database] = phase
@@ -112,3 +116,7 @@
 		evidence.Settled, evidence.SettledFor = true, now-phase.since
 	}
 }
+
+func (p acknowledgedPhase) isOf(role model.WriterRole) bool {
+	return p.term == role.Term && p.phase == role.Phase && p.lastTransitionAt == role.LastTransitionAt
+}
