--- a/internal/coordination/distribution/activation.go
+++ b/internal/coordination/distribution/activation.go
@@ -28,6 +28,7 @@
 	m.activating = true
 	return Write{Build: build, Done: func() {
 		m.activating = false
+		// The write may have failed, and then no new snapshot ends the bar.
 		m.grantor.Unfreeze()
 	}}, true
 }
--- a/internal/coordination/distribution/leaselimit.go
+++ b/internal/coordination/distribution/leaselimit.go
@@ -7,7 +7,9 @@
 )
 
 // maxLease returns the longest lease that may be granted beside sets that have yet to
-// take effect: a node whose lease lapses before need not be waited for.
+// take effect: a node whose lease lapses before need not be waited for. It is 0 while
+// it is not known for how long nodes may still serve by the previous set: a set is
+// overdue, or one of an earlier tenure has times that this node's clock cannot judge.
 func (m *Machine) maxLease(wallNanos int64) time.Duration {
 	if len(m.overdueSets(wallNanos)) > 0 {
 		return 0
--- a/internal/coordination/distribution/machine.go
+++ b/internal/coordination/distribution/machine.go
@@ -126,6 +126,8 @@
 		m.snapshot.Version = m.firstVersion
 	}
 	if previous.HasPendingSet() && !m.snapshot.HasPendingSet() {
+		// From now on each lease comes with a snapshot that has the effective time, so
+		// that it may last beyond it, even if the write has not ended yet.
 		m.grantor.Unfreeze()
 	}
 	m.coverage.noteTermChanges(previous.Writers, m.snapshot.Writers)
