--- a/internal/coordination/rollout/manifest.go
+++ b/internal/coordination/rollout/manifest.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 
-	"tansyseam/internal/coordination/audit"
 	"tansyseam/internal/state/model"
 	"tansyseam/internal/state/store"
 )
@@ -44,12 +43,8 @@
 		puts = append(puts, store.Put{Key: ManifestKey(set.Sequence), Data: sent.Compressed})
 	}
 	puts = append(puts, versionPuts(state, set.Sequence, acceptedVersion{Version: sent.Version, Digest: sent.Digest})...)
-	return append(puts, audit.Puts(state, model.AuditEntry{
-		At:       wallNanos,
-		Subject:  auditSubject,
-		Action:   fmt.Sprintf("version %d taken as sequence %d", sent.Version, set.Sequence),
-		Evidence: sent.Source,
-	})...), nil
+	action := fmt.Sprintf("version %d taken as sequence %d", sent.Version, set.Sequence)
+	return append(puts, auditPuts(state, wallNanos, action, sent.Source)...), nil
 }
 
 // NewestManifest returns the set that the newest manifest became, and its
--- a/internal/coordination/rollout/rollout.go
+++ b/internal/coordination/rollout/rollout.go
@@ -31,12 +31,18 @@
 		return nil, &SequenceError{Expected: expected, Newest: newest.Sequence}
 	}
 	set := successor(newest, model.BindingSet{Bindings: bindings, AcceptedAt: wallNanos, Source: source})
-	return append([]store.Put{setPut(set)}, audit.Puts(state, model.AuditEntry{
+	action := fmt.Sprintf("sequence %d taken", set.Sequence)
+	return append([]store.Put{setPut(set)}, auditPuts(state, wallNanos, action, source)...), nil
+}
+
+// auditPuts returns the puts that log a decision about binding sets.
+func auditPuts(state *store.Table, wallNanos int64, action, evidence string) []store.Put {
+	return audit.Puts(state, model.AuditEntry{
 		At:       wallNanos,
 		Subject:  auditSubject,
-		Action:   fmt.Sprintf("sequence %d taken", set.Sequence),
-		Evidence: source,
-	})...), nil
+		Action:   action,
+		Evidence: evidence,
+	})
 }
 
 // successor gives a set the sequence after the newest. A set that is not of a
--- a/internal/coordination/rollout/scheduled.go
+++ b/internal/coordination/rollout/scheduled.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"time"
 
-	"tansyseam/internal/coordination/audit"
 	"tansyseam/internal/coordination/schedule"
 	"tansyseam/internal/state/model"
 	"tansyseam/internal/state/store"
@@ -22,12 +21,8 @@
 	}
 	change := model.ScheduledChange{ID: id, EffectiveAt: effectiveAt, Bindings: bindings, Order: state.Version.Sequence}
 	puts := []store.Put{{Key: model.PrefixScheduledChange + id, Data: store.Encode(change)}}
-	return append(puts, audit.Puts(state, model.AuditEntry{
-		At:       wallNanos,
-		Subject:  auditSubject,
-		Action:   "change booked: " + id,
-		Evidence: fmt.Sprintf("for %d", milliseconds(effectiveAt)),
-	})...), nil
+	action := "change booked: " + id
+	return append(puts, auditPuts(state, wallNanos, action, fmt.Sprintf("for %d", milliseconds(effectiveAt)))...), nil
 }
 
 // NextScheduled returns the scheduled change that is due to be accepted.
@@ -54,12 +49,8 @@
 		Source:     "booking " + change.ID,
 	})
 	puts := []store.Put{{Key: model.PrefixScheduledChange + change.ID, Deleted: true}, setPut(set)}
-	return append(puts, audit.Puts(state, model.AuditEntry{
-		At:       wallNanos,
-		Subject:  auditSubject,
-		Action:   fmt.Sprintf("booked change %s taken as sequence %d", change.ID, set.Sequence),
-		Evidence: "its moment is near",
-	})...)
+	action := fmt.Sprintf("booked change %s taken as sequence %d", change.ID, set.Sequence)
+	return append(puts, auditPuts(state, wallNanos, action, "its moment is near")...)
 }
 
 // AssignEffectiveTimes returns the puts that give the pending sets their effective
@@ -81,12 +72,8 @@
 	if len(puts) == 0 {
 		return nil
 	}
-	return append(puts, audit.Puts(state, model.AuditEntry{
-		At:       wallNanos,
-		Subject:  auditSubject,
-		Action:   fmt.Sprintf("sequence %d takes effect at %d", newest, milliseconds(earliest)),
-		Evidence: "every leased node has taken it up",
-	})...)
+	action := fmt.Sprintf("sequence %d takes effect at %d", newest, milliseconds(earliest))
+	return append(puts, auditPuts(state, wallNanos, action, "every leased node has taken it up")...)
 }
 
 // milliseconds converts a Unix time in nanoseconds.
