--- a/internal/coordination/membership/gossip.go
+++ b/internal/coordination/membership/gossip.go
@@ -94,25 +94,47 @@
 	if sender != nil {
 		sender.digest = gossip.Digest
 	}
+	reply := m.newReply(gossip, sender, now)
+	if sender != nil {
+		m.updateSender(sender, gossip, now)
+	}
+	if needsReply(gossip, reply) {
+		m.sendReply(gossip.From, sender, reply, now)
+	}
+}
+
+// newReply returns the answer to a message, with the next step of an exchange of
+// entries where the digests differ. The sender is nil if not known.
+func (m *Machine) newReply(gossip Gossip, sender *peer, now time.Duration) Gossip {
 	reply := m.newGossip(sender, now)
 	reply.Reply = true
-	differs := gossip.Digest != reply.Digest
-	exchanging := len(gossip.RangeDigests) > 0 || len(gossip.WantRanges) > 0
-	if exchanging {
+	if gossip.exchangesRanges() {
 		m.fillRanges(&reply, gossip)
-	} else if differs {
-		m.offerDigests(&reply, sender, now)
+		return reply
 	}
-	if sender != nil {
-		sender.knowsSelf = !differs
+	if gossip.Digest != reply.Digest {
+		m.offerDigests(&reply, sender, now)
 	}
-	if sender != nil && gossip.Subscribe {
+	return reply
+}
+
+// exchangesRanges says whether a message is part of an exchange of entries.
+func (g Gossip) exchangesRanges() bool { return len(g.RangeDigests) > 0 || len(g.WantRanges) > 0 }
+
+// updateSender notes what a message says about its sender's knowledge and wishes.
+func (m *Machine) updateSender(sender *peer, gossip Gossip, now time.Duration) {
+	// With equal digests both have the same entries, this node's own among them.
+	sender.knowsSelf = gossip.Digest == m.digests.total
+	if gossip.Subscribe {
 		sender.subscribedUntil = now + subscriptionLifetime*m.timing.SubscriptionInterval
 	}
-	fillsRanges := exchanging && (len(reply.Nodes) > 0 || len(reply.WantRanges) > 0)
-	if !gossip.Reply || len(reply.RangeDigests) > 0 || fillsRanges {
-		m.sendReply(gossip.From, sender, reply, now)
-	}
+}
+
+// needsReply says whether an answer is expected, or brings an exchange of entries
+// further. Else two nodes would answer each other's answers without end.
+func needsReply(gossip, reply Gossip) bool {
+	fillsRanges := gossip.exchangesRanges() && (len(reply.Nodes) > 0 || len(reply.WantRanges) > 0)
+	return !gossip.Reply || len(reply.RangeDigests) > 0 || fillsRanges
 }
 
 // merge takes the entries and suspicions of a message.
--- a/internal/coordination/membership/heartbeat.go
+++ b/internal/coordination/membership/heartbeat.go
@@ -14,19 +14,21 @@
 	contacted map[string]bool
 }
 
-// header holds the flags of a message.
-type header struct {
+// messageFlags are the flags of Gossip that a heartbeat sets.
+type messageFlags struct {
 	subscribe bool
 	reply     bool
 }
 
-func (r *heartbeatRound) send(address string, to *peer, header header) {
+// send sends a message to an address, unless one was sent there in this round. The
+// peer is nil if none is known at the address.
+func (r *heartbeatRound) send(address string, to *peer, flags messageFlags) {
 	if address == "" || r.contacted[address] {
 		return
 	}
 	r.contacted[address] = true
 	gossip := r.machine.newGossip(to, r.now)
-	gossip.Subscribe, gossip.Reply = header.subscribe, header.reply
+	gossip.Subscribe, gossip.Reply = flags.subscribe, flags.reply
 	if to != nil {
 		to.lastSent = r.now
 	}
@@ -49,17 +51,17 @@
 	for _, name := range m.Watched() {
 		if other := m.peers[name]; m.shouldRequestHeartbeat(other, now) {
 			other.lastRequested = now
-			round.send(other.node.RPCAddress, other, header{subscribe: true})
+			round.send(other.node.RPCAddress, other, messageFlags{subscribe: true})
 		}
 	}
 	if dead := m.nextDead(); dead != nil {
-		round.send(dead.node.RPCAddress, dead, header{})
+		round.send(dead.node.RPCAddress, dead, messageFlags{})
 	}
 	for _, seed := range m.seedsDue(now) {
-		round.send(seed, m.liveAt(seed), header{})
+		round.send(seed, m.liveAt(seed), messageFlags{})
 	}
 	for _, other := range m.subscribers(now) {
-		round.send(other.node.RPCAddress, other, header{reply: true})
+		round.send(other.node.RPCAddress, other, messageFlags{reply: true})
 	}
 }
 
--- a/internal/coordination/membership/machine.go
+++ b/internal/coordination/membership/machine.go
@@ -12,13 +12,19 @@
 // Machine holds what one node knows about the others. It is not safe for
 // concurrent use.
 type Machine struct {
-	self       model.Node
-	seeds      []string
-	timing     Timing
-	peers      map[string]*peer
+	self model.Node
+	// seeds are RPC addresses; this node's own may be one of them.
+	seeds  []string
+	timing Timing
+	// peers are the other nodes by name, those that are dead or have left included.
+	peers map[string]*peer
+	// suspicions are those of all watchers, with the time when each was learned or,
+	// if it is this node's own, last confirmed.
 	suspicions map[Suspicion]time.Duration
 	// lastHeartbeat is when this node last sent heartbeats.
-	lastHeartbeat   time.Duration
+	lastHeartbeat time.Duration
+	// lastSeedContact is when a seed was last contacted in turn. seedContacts counts
+	// these contacts from 1; at 0 none has been planned yet.
 	lastSeedContact time.Duration
 	seedContacts    int
 	// selfGossipUntil is until when this node's complete entry is attached to its
