--- a/internal/coordination/connquota/quota.go
+++ b/internal/coordination/connquota/quota.go
@@ -41,8 +41,10 @@
 // minute, so that a node that restarts finds its quota free. The zero value has
 // no members.
 type Members struct {
-	lastLive  map[string]time.Duration
-	names     []string
+	// lastLive is when each member was last live, and names are the members, sorted.
+	lastLive map[string]time.Duration
+	names    []string
+	// live is the list that was processed last, at updatedAt.
 	live      []string
 	updatedAt time.Duration
 }
@@ -57,23 +59,36 @@
 	}
 	m.live = append(m.live[:0], live...)
 	m.updatedAt = now
-	changed := false
-	for _, name := range live {
+	added := m.addLive(now)
+	removed := m.removeExpired(now)
+	if !added && !removed {
+		return false
+	}
+	m.names = slices.AppendSeq(m.names[:0], maps.Keys(m.lastLive))
+	slices.Sort(m.names)
+	return true
+}
+
+// addLive notes the live nodes, and says whether one of them is new.
+func (m *Members) addLive(now time.Duration) (added bool) {
+	for _, name := range m.live {
 		_, known := m.lastLive[name]
-		changed = changed || !known
+		added = added || !known
 		m.lastLive[name] = now
 	}
+	return added
+}
+
+// removeExpired removes the nodes that were not live within the retention, and says
+// whether there were any.
+func (m *Members) removeExpired(now time.Duration) (removed bool) {
 	for name, at := range m.lastLive {
 		if now-at >= retention {
 			delete(m.lastLive, name)
-			changed = true
+			removed = true
 		}
 	}
-	if changed {
-		m.names = slices.AppendSeq(m.names[:0], maps.Keys(m.lastLive))
-		slices.Sort(m.names)
-	}
-	return changed
+	return removed
 }
 
 // Count returns the number of members, at least one.
