--- a/internal/coordination/callresult/callresult.go
+++ b/internal/coordination/callresult/callresult.go
@@ -1,6 +1,10 @@
 // Package callresult makes operators' calls idempotent: the result of each call is
 // kept in the control state under the call's id, so that a repeated call gets the
 // same answer and changes nothing.
+//
+// The caller looks an id up with Find, and answers with the result found. Otherwise it
+// decides the call and writes the puts that Record returns, so that the call's effect
+// and its result are stored by one write or not at all.
 package callresult
 
 import (
@@ -11,7 +15,7 @@
 	"tansyseam/internal/state/store"
 )
 
-// MaxResults is how many results are kept.
+// MaxResults is how many results are kept beside the newest.
 const MaxResults = 1000
 
 // Result is the answer that a call got. It is stored by the names of its fields,
@@ -35,11 +39,13 @@
 // the oldest results beyond MaxResults.
 func Record(state *store.Table, id string, result Result, puts []store.Put) []store.Put {
 	result.Order = state.Version.Sequence
-	puts = append(puts, expired(state)...)
+	puts = append(puts, deleteOldest(state)...)
 	return append(puts, store.Put{Key: model.PrefixCallResult + id, Data: store.EncodePlain(result)})
 }
 
-func expired(state *store.Table) []store.Put {
+// deleteOldest returns the puts that delete the results beyond MaxResults. Keys are
+// sorted by the calls' ids, so the results themselves have to tell their order.
+func deleteOldest(state *store.Table) []store.Put {
 	keys := state.Keys(model.PrefixCallResult)
 	if len(keys) <= MaxResults {
 		return nil
