--- a/internal/coordination/idempotency/doc.go
+++ b/internal/coordination/idempotency/doc.go
@@ -16,5 +16,14 @@
 // A node that shuts down hands its records over to a successor, which then
 // answers in its place.
 //
-// The machine is pure: time and events go in, decisions come out.
+// Decide says what to do with a request that a client sent: execute it, let it wait for
+// its first attempt, answer it, or ask another node. In the last case the caller sends
+// that node a StatusRequest, whose answer HandleStatusRequest gives there, and continues
+// with DecideFromPeer. Whoever executed a request reports its end to Complete.
+//
+// Two invariants hold. A request id is executed by one node at most, and once. A status
+// that was proven, committed or not committed, never changes.
+//
+// The machine is pure: time and events go in, decisions come out. Times named now are
+// monotonic; nothing is kept on disk.
 package idempotency
--- a/internal/coordination/idempotency/id.go
+++ b/internal/coordination/idempotency/id.go
@@ -1,13 +1,13 @@
 package idempotency
 
 import (
-	"fmt"
 	"strconv"
 	"strings"
 )
 
 const (
 	sessionIDSeparator = "~"
+	sessionIDParts     = 3
 	requestIDSeparator = '.'
 )
 
@@ -15,14 +15,14 @@
 type nodeID struct{ name, incarnation string }
 
 func (n nodeID) sessionID(number uint64) string {
-	return fmt.Sprintf("%s~%s~%d", n.name, n.incarnation, number)
+	return strings.Join([]string{n.name, n.incarnation, strconv.FormatUint(number, 10)}, sessionIDSeparator)
 }
 
 // ownerOf returns the node that opened a session, and the zero nodeID where the
 // id has not the form of one.
 func ownerOf(sessionID string) nodeID {
 	parts := strings.Split(sessionID, sessionIDSeparator)
-	if len(parts) != 3 {
+	if len(parts) != sessionIDParts {
 		return nodeID{}
 	}
 	return nodeID{name: parts[0], incarnation: parts[1]}
--- a/internal/coordination/idempotency/machine.go
+++ b/internal/coordination/idempotency/machine.go
@@ -21,16 +21,22 @@
 // DefaultTiming returns the project's bounds.
 func DefaultTiming() Timing { return Timing{Retention: 3 * time.Minute, MaxRecords: 100000} }
 
-// Machine is one node's records of request ids.
+// Machine is one node's records of request ids. It is not safe for concurrent use.
 type Machine struct {
-	self             nodeID
-	timing           Timing
-	records          map[string]*requestRecord
-	recordOrder      []string
-	sessions         map[string]*sessionRecord
+	self   nodeID
+	timing Timing
+	// records are those of request ids that this node has executed or transferred, and
+	// recordOrder are the ids, oldest first.
+	records     map[string]*requestRecord
+	recordOrder []string
+	// sessions are the sessions that this node has opened, by id.
+	sessions map[string]*sessionRecord
+	// predecessors are nodes that have shut down, and predecessorOrder the same in the
+	// order of their handovers.
 	predecessors     map[nodeID]*predecessor
 	predecessorOrder []nodeID
-	lastExpiry       time.Duration
+	// lastExpiry is when expired sessions were last looked for.
+	lastExpiry time.Duration
 }
 
 // New returns the empty records of a node that starts. The incarnation differs
