--- a/internal/app/shell/bindings.go
+++ b/internal/app/shell/bindings.go
@@ -10,6 +10,20 @@
 	"tansyseam/internal/state/model"
 )
 
+// bindingQueries are about the binding sets and their scheduled changes.
+var bindingQueries = []query{
+	{
+		name: "bindings", help: "binding sets, and the sequence in force at each node",
+		columns: []string{"node", "sequence", "bindings", "state"},
+		run:     (*Shell).bindings,
+	},
+	{
+		name: "changes", help: "changes booked and not yet taken",
+		columns: []string{"id", "at", "bindings"},
+		run:     (*Shell).changes,
+	},
+}
+
 // States of a binding set, as they are shown.
 const (
 	stateInForce   = "in force"
--- a/internal/app/shell/control.go
+++ b/internal/app/shell/control.go
@@ -12,6 +12,36 @@
 	"tansyseam/internal/state/model"
 )
 
+// controlQueries are about the control plane and what it records.
+var controlQueries = []query{
+	{
+		name: "epochs", help: "the control plane: epoch, primary, backup, as each control node knows them",
+		columns: []string{"node", "epoch", "primary", "backup", "holds_primacy", "state"},
+		run:     (*Shell).epochs,
+	},
+	{
+		name: "duties", help: "duties and who holds them",
+		columns: []string{"duty", "held_by"},
+		run:     (*Shell).singletons,
+	},
+	{
+		name: "leases", help: "leases given out by the control primary",
+		columns: []string{"node", "has_taken_up", "shows"},
+		run:     (*Shell).leases,
+	},
+	{
+		name: "writers", help: "the writer role of each database",
+		columns: []string{"database", "term", "primary", "phase", "commits_wait_for", "may_be_promoted", "why"},
+		run:     (*Shell).writers,
+	},
+	{
+		name: "why", maxArgs: 1,
+		help:    "why SUBJECT: what the fleet did about a database, 'bindings' or 'control', with the evidence",
+		columns: []string{"at", "subject", "what", "evidence"},
+		run:     (*Shell).history,
+	},
+}
+
 // timeOfDay is the layout of times in the audit log.
 const timeOfDay = "15:04:05.000"
 
--- a/internal/app/shell/instances.go
+++ b/internal/app/shell/instances.go
@@ -11,6 +11,24 @@
 	"tansyseam/internal/state/model"
 )
 
+// instanceQueries are about the instances as each proxy observes them.
+var instanceQueries = []query{
+	{
+		name: "instances", help: "instances: role, term, position, freshness, by node", maxArgs: 1,
+		columns: []string{
+			"node", "instance", "role", "term", "position", "heard_ms", "answered_ms", "fresh_ms", "leaving", "sessions",
+		},
+		run: (*Shell).instances,
+	},
+	{
+		name: "windows", help: "admission: window, CAL and threshold of each node for each instance", maxArgs: 1,
+		columns: []string{
+			"node", "instance", "window", "max", "beta", "cal_ms", "threshold_ms", "open", "ghosts", "seen",
+		},
+		run: (*Shell).windows,
+	},
+}
+
 // collectInstances reads a row from each instance that a proxy reports and
 // whose name begins with the argument, if there is one.
 func (s *Shell) collectInstances(args []string, read func(proxy, name string, item *fastjson.Value) row) (result, error) {
--- a/internal/app/shell/nodes.go
+++ b/internal/app/shell/nodes.go
@@ -12,6 +12,25 @@
 // pathCounters is the call that gives a node's counters.
 const pathCounters = "/v1/counters"
 
+// nodeQueries are about the nodes themselves.
+var nodeQueries = []query{
+	{
+		name: "nodes", help: "every node as the asked node holds it",
+		columns: []string{"node", "kind", "zone", "standing", "silent_ms", "weight", "version", "door"},
+		run:     (*Shell).nodes,
+	},
+	{
+		name: "vitals", help: "whether each node serves, and why not",
+		columns: []string{"node", "kind", "ready", "epoch", "sequence", "lease_ms", "sessions", "why"},
+		run:     (*Shell).health,
+	},
+	{
+		name: "counters", help: "counters NODE: a node's counters", maxArgs: 1,
+		columns: []string{"counter", "count"},
+		run:     (*Shell).counters,
+	},
+}
+
 type nodeRow struct {
 	Address      string  `json:"door"`
 	Kind         string  `json:"kind"`
--- a/internal/app/shell/shell_test.go
+++ b/internal/app/shell/shell_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"slices"
 	"strings"
 	"testing"
 
@@ -62,3 +63,16 @@
 		So(err.Error(), ShouldContainSubstring, "writers")
 	})
 }
+
+func TestQueryTable(t *testing.T) {
+	Convey("Every query of the lists is known under a name of its own, with help, columns and a function", t, func() {
+		listed := slices.Concat(queryLists...)
+		So(len(QueryNames()), ShouldEqual, len(listed))
+		for _, each := range listed {
+			So(each.name, ShouldNotBeBlank)
+			So(each.help, ShouldNotBeBlank)
+			So(each.columns, ShouldNotBeEmpty)
+			So(each.run, ShouldNotBeNil)
+		}
+	})
+}
