--- a/internal/coordination/consensus/bootstrap.go
+++ b/internal/coordination/consensus/bootstrap.go
@@ -14,30 +14,19 @@
 	seedWaitDelay   = 3 * time.Second
 )
 
-func (m *Machine) onPeers(peers Peers, now time.Duration) {
-	m.peers, m.peersByAddress, m.zones = peers.Names, peers.ByAddress, peers.Zones
-	if len(m.peers) < m.bootstrap.Voters {
-		m.enoughPeersSince = 0
-		return
-	}
-	if m.enoughPeersSince == 0 {
-		m.enoughPeersSince = now
-	}
-}
-
 // bootstrapVoters names the voters of a new cluster, sorted; there are none before
 // enough nodes were met. The first of them forms the cluster.
 func (m *Machine) bootstrapVoters(now time.Duration) []string {
 	if m.bootstrap.ExactVoters > 0 {
-		if len(m.peers) != m.bootstrap.ExactVoters {
+		if len(m.peers.names) != m.bootstrap.ExactVoters {
 			return nil
 		}
-		return slices.Sorted(slices.Values(m.peers))
+		return m.peers.sorted()
 	}
 	if !m.bootstrap.MayBootstrap || m.bootstrap.Voters == 0 {
 		return nil
 	}
-	seeds := m.metSeeds()
+	seeds := m.peers.atAddresses(m.bootstrap.Seeds)
 	if len(seeds) >= m.bootstrap.Voters {
 		return slices.Sorted(slices.Values(seeds[:m.bootstrap.Voters]))
 	}
@@ -45,22 +34,10 @@
 	if len(seeds) < len(m.bootstrap.Seeds) {
 		delay = seedWaitDelay
 	}
-	if m.enoughPeersSince == 0 || now-m.enoughPeersSince < delay {
+	if !m.peers.hasEnoughFor(delay, now) {
 		return nil
 	}
-	return slices.Sorted(slices.Values(m.peers))[:m.bootstrap.Voters]
-}
-
-// metSeeds names the nodes that were met at the addresses of the seeds, in their order.
-func (m *Machine) metSeeds() []string {
-	var names []string
-	for _, address := range m.bootstrap.Seeds {
-		name, met := m.peersByAddress[address]
-		if met && !slices.Contains(names, name) {
-			names = append(names, name)
-		}
-	}
-	return names
+	return m.peers.sorted()[:m.bootstrap.Voters]
 }
 
 // mayBootstrap says whether this node may take part in forming a cluster. One whose
@@ -71,10 +48,10 @@
 
 // seekCluster asks all others for their status, and forms a cluster where none has one.
 func (m *Machine) seekCluster(now time.Duration) {
-	if now-m.statusRequestedAt < m.timing.FormInterval {
+	if !m.isStatusRequestDue(now) {
 		return
 	}
-	m.statusRequestedAt = now
+	m.contacts.statusRequestedAt = now
 	m.requestStatusFromAll()
 	if m.identity == nil {
 		m.bootstrapCluster(now)
@@ -175,6 +152,6 @@
 	}
 	m.assumeLease(now)
 	m.startedAt = now
-	m.statusRequestedAt = now - m.timing.FormInterval
+	m.requestStatusAtOnce(now)
 	m.emitEpochChanged(reason)
 }
--- a/internal/coordination/consensus/clone_test.go
+++ b/internal/coordination/consensus/clone_test.go
@@ -14,7 +14,7 @@
 // replacedFields are those whose content is replaced as a whole, and never changed in
 // place, so that a clone may share it.
 var replacedFields = map[string]bool{
-	"replica": true, "committed": true, "peers": true, "peersByAddress": true, "zones": true,
+	"replica": true, "committed": true, "peers.names": true, "peers.byAddress": true, "peers.zones": true,
 	"activeRepair": true, "bootstrap.Seeds": true, "voterState.Acceptor.Value": true,
 }
 
@@ -41,7 +41,7 @@
 		m.proposer = proposal.NewProposer(proposal.Number{Round: 1, Name: "c1"}, 3, nil, time.Hour)
 		m.pendingWrite, m.activeRepair = &write{}, &repair{}
 		m.submitQueue, m.effects = []Submit{{Token: 1}}, []Effect{RemoveCorrupt{}}
-		m.peers, m.peersByAddress, m.zones = []string{"c1"}, map[string]string{"a": "b"}, map[string]string{"c1": "z"}
+		m.peers = peerSet{names: []string{"c1"}, byAddress: map[string]string{"a": "b"}, zones: map[string]string{"c1": "z"}}
 		assertNothingShared("", reflect.ValueOf(m).Elem(), reflect.ValueOf(m.Clone()).Elem())
 		proposer := m.proposer.Clone()
 		So(proposer.OnPromise("c2", proposal.Number{}, nil), ShouldBeFalse)
--- a/internal/coordination/consensus/dispatch.go
+++ b/internal/coordination/consensus/dispatch.go
@@ -77,7 +77,7 @@
 }
 
 func (m *Machine) onReceived(event Received, now time.Duration) {
-	m.lastReceived[event.From] = now
+	m.contacts.received[event.From] = now
 	if handle, known := messageHandlers[reflect.TypeOf(event.Body)]; known {
 		handle(m, event.From, event.Body, now)
 	}
--- a/internal/coordination/consensus/epoch.go
+++ b/internal/coordination/consensus/epoch.go
@@ -36,7 +36,7 @@
 	}
 	if m.IsStandby() {
 		// The new primary is offered a standby at once.
-		m.statusRequestedAt = now - m.timing.FormInterval
+		m.requestStatusAtOnce(now)
 	}
 	if m.isRecordedPrimary() && !wasPrimary {
 		m.becomePrimary(now)
@@ -57,7 +57,8 @@
 // assumeLease treats the primary of the newest record as one that this node has just
 // granted the lease.
 func (m *Machine) assumeLease(now time.Duration) {
-	m.grantedTo, m.grantedAt, m.lastPrimaryContact = m.voterState.Decided.Primary, now, now
+	m.grantedTo, m.grantedAt = m.voterState.Decided.Primary, now
+	m.contacts.primaryAt = now
 }
 
 // becomePrimary drops what is known of the voters from an earlier time as primary.
--- a/internal/coordination/consensus/lease.go
+++ b/internal/coordination/consensus/lease.go
@@ -52,13 +52,6 @@
 	})
 }
 
-// notePrimaryContact notes a message of the primary of the newest epoch known.
-func (m *Machine) notePrimaryContact(from string, record Record, now time.Duration) {
-	if m.isFormed() && m.voterState.Decided == record && record.Primary == from {
-		m.lastPrimaryContact = now
-	}
-}
-
 func (m *Machine) onRenewLeaseAck(from string, ack RenewLeaseAck, now time.Duration) {
 	m.adopt(ack.Decided, now, reasonVoterAhead)
 	if !m.isRecordedPrimary() || !m.isVoter(from) || !m.isOwnRequest(ack, now) {
--- a/internal/coordination/consensus/machine.go
+++ b/internal/coordination/consensus/machine.go
@@ -31,17 +31,11 @@
 	syncPending time.Duration
 
 	// What is known of the other nodes.
-	peers            []string
-	peersByAddress   map[string]string
-	zones            map[string]string
-	enoughPeersSince time.Duration
+	peers    peerSet
+	contacts contacts
 	// formAcks are the voters that agreed to form a cluster.
-	formAcks           map[string]Member
-	statusRequestedAt  time.Duration
-	lastPrimaryContact time.Duration
-	// lastReceived is when each node last sent any message.
-	lastReceived map[string]time.Duration
-	clock        clusterClock
+	formAcks map[string]Member
+	clock    clusterClock
 
 	// The lease that this node granted as a voter.
 	grantedTo string
@@ -96,7 +90,7 @@
 		self: self, bootstrap: bootstrap, timing: timing, startedAt: now,
 		identity: saved.Identity, replica: store.New(), tableSequence: saved.TableSequence,
 		formAcks:         map[string]Member{},
-		lastReceived:     map[string]time.Duration{},
+		contacts:         contacts{received: map[string]time.Duration{}},
 		clock:            clusterClock{peerOffsets: map[string]int64{}},
 		lastAck:          map[string]time.Duration{},
 		grantSentAt:      map[string]time.Duration{},
@@ -114,9 +108,8 @@
 	m.proposalUnsettled = m.voterState.Acceptor.Promised.Name == self
 	decided := m.voterState.Decided
 	m.replicaAhead = decided.Primary == self && decided.Backup != "" && m.replica.Version.Epoch == decided.Epoch
-	// Status is asked for with the first tick.
-	m.statusRequestedAt = now - timing.FormInterval
-	m.lastPrimaryContact = now - m.leases(contactLossLeases)
+	m.requestStatusAtOnce(now)
+	m.contacts.primaryAt = now - m.leases(contactLossLeases)
 	return m
 }
 
@@ -136,7 +129,7 @@
 		other.proposer = m.proposer.Clone()
 	}
 	other.formAcks = maps.Clone(m.formAcks)
-	other.lastReceived = maps.Clone(m.lastReceived)
+	other.contacts = m.contacts.clone()
 	other.clock.peerOffsets = maps.Clone(m.clock.peerOffsets)
 	other.lastAck = maps.Clone(m.lastAck)
 	other.grantSentAt = maps.Clone(m.grantSentAt)
--- a/internal/coordination/consensus/membership.go
+++ b/internal/coordination/consensus/membership.go
@@ -141,10 +141,10 @@
 	votersInZone := map[string]int{}
 	for _, member := range m.voterState.Decided.Voters.Members() {
 		if member != replaced {
-			votersInZone[m.zones[member.Name]]++
+			votersInZone[m.peers.zones[member.Name]]++
 		}
 	}
 	return slices.MinFunc(ready, func(a, b Member) int {
-		return votersInZone[m.zones[a.Name]] - votersInZone[m.zones[b.Name]]
+		return votersInZone[m.peers.zones[a.Name]] - votersInZone[m.peers.zones[b.Name]]
 	})
 }
--- a/internal/coordination/consensus/membership_test.go
+++ b/internal/coordination/consensus/membership_test.go
@@ -131,7 +131,7 @@
 	})
 	Convey("A standby in the zone with the fewest voters is taken", t, func() {
 		m := newFormedMachine("c1", time.Hour)
-		m.zones = map[string]string{"c1": "a", "c2": "b", "c3": "c", "n1": "a", "n2": "b", "n3": "c", "n4": "c"}
+		m.peers.zones = map[string]string{"c1": "a", "c2": "b", "c3": "c", "n1": "a", "n2": "b", "n3": "c", "n4": "c"}
 		ready := []Member{{"n1", 1}, {"n2", 1}, {"n3", 1}, {"n4", 1}}
 		So(m.pickStandby(ready, Member{Name: "c3"}).Name, ShouldEqual, "n3")
 		So(m.pickStandby(ready, Member{Name: "c2"}).Name, ShouldEqual, "n2")
--- a/internal/coordination/consensus/quorum.go
+++ b/internal/coordination/consensus/quorum.go
@@ -36,14 +36,6 @@
 	return found
 }
 
-// hearsQuorum says whether a majority of the voters, this node among them, has sent
-// any message lately, or may not have had the time since this node started.
-func (m *Machine) hearsQuorum(now time.Duration) bool {
-	return isMajority(m.Voters(), func(name string) bool {
-		return name == m.self || now-max(m.lastReceived[name], m.startedAt) < m.leases(contactLossLeases)
-	})
-}
-
 // hasQuorumWithout says whether the voters that respond are a majority without one.
 func (m *Machine) hasQuorumWithout(leaving string, now time.Duration) bool {
 	return isMajority(m.Voters(), func(name string) bool {
--- a/internal/coordination/consensus/status.go
+++ b/internal/coordination/consensus/status.go
@@ -2,31 +2,27 @@
 
 import "time"
 
-// contactLossLeases is for how many leases a node receives nothing of the primary
-// before it asks all others for their status.
-const contactLossLeases = 2
-
 // refreshStatus asks the others for newer records while the primary is silent, and
 // offers this node to the primary while it is no voter.
 func (m *Machine) refreshStatus(now time.Duration) {
-	isSilent := now-m.lastPrimaryContact >= m.leases(contactLossLeases)
-	isDue := now-m.statusRequestedAt >= m.timing.FormInterval && !m.holdsLease(now)
-	if !isDue || (!isSilent && m.IsMember()) {
+	hasLostPrimary := m.hasLostPrimary(now)
+	isDue := m.isStatusRequestDue(now) && !m.holdsLease(now)
+	if !isDue || (!hasLostPrimary && m.IsMember()) {
 		return
 	}
-	m.statusRequestedAt = now
+	m.contacts.statusRequestedAt = now
 	if !m.IsMember() && !m.stopping {
 		m.send(m.voterState.Decided.Primary, Join{
 			Cluster: m.identity.Cluster, Epoch: m.voterState.Decided.Epoch, Incarnation: m.identity.Incarnation,
 		})
 	}
-	if isSilent {
+	if hasLostPrimary {
 		m.requestStatusFromAll()
 	}
 }
 
 func (m *Machine) requestStatusFromAll() {
-	for _, name := range m.peers {
+	for _, name := range m.peers.names {
 		if name != m.self {
 			m.send(name, StatusRequest{})
 		}
--- a/test/modelcheck/encode.go
+++ b/test/modelcheck/encode.go
@@ -18,20 +18,20 @@
 // ignoredFields make no difference to what a machine does next, other than in clocks of
 // day, counters of files, and what the cluster was formed by.
 var ignoredFields = map[string]bool{
-	"Machine.clock":            true,
-	"Machine.tableSequence":    true,
-	"Machine.effects":          true,
-	"Machine.peers":            true,
-	"Machine.peersByAddress":   true,
-	"Machine.enoughPeersSince": true,
-	"Machine.bootstrap":        true,
-	"Machine.timing":           true,
-	"RenewLeaseAck.WallNanos":  true,
-	"VoterState.Sequence":      true,
-	"Identity.Cluster":         true,
-	"Identity.Voters":          true,
-	"SyncGate.lastIssued":      true,
-	"SyncGate.lastSynced":      true,
+	"Machine.clock":           true,
+	"Machine.tableSequence":   true,
+	"Machine.effects":         true,
+	"peerSet.names":           true,
+	"peerSet.byAddress":       true,
+	"peerSet.enoughSince":     true,
+	"Machine.bootstrap":       true,
+	"Machine.timing":          true,
+	"RenewLeaseAck.WallNanos": true,
+	"VoterState.Sequence":     true,
+	"Identity.Cluster":        true,
+	"Identity.Voters":         true,
+	"SyncGate.lastIssued":     true,
+	"SyncGate.lastSynced":     true,
 }
 
 // relativeFields are numbers of disk tasks, which count from the last one synced.
