--- a/internal/coordination/consensus/clock.go
+++ b/internal/coordination/consensus/clock.go
@@ -82,5 +82,5 @@
 func (m *Machine) IsClockConfirmed() bool { return m.clock.confirmed }
 
 func (m *Machine) adjustClock(now time.Duration) {
-	m.clock.adjust(m.lastAck, m.holdsLease(now), now)
+	m.clock.adjust(m.tracker.lastAck, m.holdsLease(now), now)
 }
--- a/internal/coordination/consensus/epoch.go
+++ b/internal/coordination/consensus/epoch.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"tansyseam/internal/coordination/proposal"
-	"tansyseam/internal/state/store"
 )
 
 // nextRecord gives the record of the next epoch with this node as primary.
@@ -63,9 +62,7 @@
 
 // becomePrimary drops what is known of the voters from an earlier time as primary.
 func (m *Machine) becomePrimary(now time.Duration) {
-	m.lastAck, m.votersSince = map[string]time.Duration{}, now
-	m.spareVersions = map[string]store.Version{}
-	m.excludedUntil = map[string]time.Duration{}
+	m.tracker = newVoterTracker(now)
 	m.committed = m.replica
 }
 
@@ -86,14 +83,12 @@
 	}
 	for _, member := range previous.Members() {
 		if !voters.Has(member) {
-			delete(m.lastAck, member.Name)
-			delete(m.spareVersions, member.Name)
+			m.tracker.forget(member.Name)
 			delete(m.leavingAnnounced, member.Name)
 			delete(m.clock.peerOffsets, member.Name)
-			delete(m.excludedUntil, member.Name)
 		}
 	}
-	m.votersSince = now
+	m.tracker.since = now
 }
 
 // audienceOf names the other nodes that are sent a record as soon as it is decided: the
--- a/internal/coordination/consensus/lease.go
+++ b/internal/coordination/consensus/lease.go
@@ -57,7 +57,7 @@
 	if !m.isRecordedPrimary() || !m.isVoter(from) || !m.isOwnRequest(ack, now) {
 		return
 	}
-	m.lastAck[from] = now
+	m.tracker.lastAck[from] = now
 	m.clock.readPeer(from, ack.WallNanos, ack.SentAt, now)
 	if ack.Granted && ack.Decided == m.voterState.Decided {
 		m.grantSentAt[from] = max(m.grantSentAt[from], ack.SentAt)
--- a/internal/coordination/consensus/leaving.go
+++ b/internal/coordination/consensus/leaving.go
@@ -51,7 +51,7 @@
 // is shutting down, and says whether it did.
 func (m *Machine) transferPrimary(now time.Duration) bool {
 	decided := m.voterState.Decided
-	isReady := decided.Backup != "" && m.acknowledgedWithin(m.timing.PrimaryLease/2, decided.Backup, now) &&
+	isReady := decided.Backup != "" && m.tracker.acknowledgedWithin(m.timing.PrimaryLease/2, decided.Backup, now) &&
 		!m.hasAnnouncedLeaving(decided.Backup, now)
 	if !m.stopping || !isReady {
 		return false
--- a/internal/coordination/consensus/leaving_test.go
+++ b/internal/coordination/consensus/leaving_test.go
@@ -80,7 +80,7 @@
 	Convey("A backup that leaves is followed by a voter that failed lately, where there is no other", t, func() {
 		c, _ := newFormedCluster(3, "c1", "c2", "c3")
 		backup := c.machines[c.primary()].Record().Backup
-		c.machines[c.primary()].excludedUntil[c.witness()] = c.now + time.Hour
+		c.machines[c.primary()].tracker.excludedUntil[c.witness()] = c.now + time.Hour
 		So(leave(c, backup), ShouldBeLessThan, time.Second)
 		So(c.submitAndCommit(1), ShouldBeTrue)
 	})
--- a/internal/coordination/consensus/machine.go
+++ b/internal/coordination/consensus/machine.go
@@ -52,9 +52,8 @@
 
 	// What follows is used by the primary only.
 
-	// lastAck is when each voter last replied to a renewal, and grantSentAt when the
-	// last renewal that it granted was sent.
-	lastAck     map[string]time.Duration
+	tracker voterTracker
+	// grantSentAt is when the last renewal that each voter granted was sent.
 	grantSentAt map[string]time.Duration
 	renewedAt   time.Duration
 	leaseUntil  time.Duration
@@ -62,19 +61,13 @@
 	committed *store.Table
 	// replicaAhead says that the replica may have a write that the backup lacks, from
 	// an earlier run of the program.
-	replicaAhead bool
-	pendingWrite *write
-	submitQueue  []Submit
-	activeRepair *repair
-	// excludedUntil is until when a voter that failed as backup is not tried again.
-	excludedUntil map[string]time.Duration
-	// spareVersions are the versions up to which spare voters have synced the replica.
-	spareVersions    map[string]store.Version
+	replicaAhead     bool
+	pendingWrite     *write
+	submitQueue      []Submit
+	activeRepair     *repair
 	sparesComparedAt time.Duration
 	standbys         map[string]standby
 	leavingAnnounced map[string]time.Duration
-	// votersSince is when this primary began to count on its voters.
-	votersSince time.Duration
 
 	// stopping says that this node is shutting down, and releasedEpoch is the epoch in
 	// which the primary let it.
@@ -92,13 +85,10 @@
 		formAcks:         map[string]Member{},
 		contacts:         contacts{received: map[string]time.Duration{}},
 		clock:            clusterClock{peerOffsets: map[string]int64{}},
-		lastAck:          map[string]time.Duration{},
+		tracker:          newVoterTracker(now),
 		grantSentAt:      map[string]time.Duration{},
-		excludedUntil:    map[string]time.Duration{},
-		spareVersions:    map[string]store.Version{},
 		standbys:         map[string]standby{},
 		leavingAnnounced: map[string]time.Duration{},
-		votersSince:      now,
 	}
 	m.restore(saved)
 	if saved.Table != nil {
@@ -131,10 +121,8 @@
 	other.formAcks = maps.Clone(m.formAcks)
 	other.contacts = m.contacts.clone()
 	other.clock.peerOffsets = maps.Clone(m.clock.peerOffsets)
-	other.lastAck = maps.Clone(m.lastAck)
+	other.tracker = m.tracker.clone()
 	other.grantSentAt = maps.Clone(m.grantSentAt)
-	other.excludedUntil = maps.Clone(m.excludedUntil)
-	other.spareVersions = maps.Clone(m.spareVersions)
 	other.standbys = maps.Clone(m.standbys)
 	other.leavingAnnounced = maps.Clone(m.leavingAnnounced)
 	other.submitQueue = slices.Clone(m.submitQueue)
--- a/internal/coordination/consensus/membership.go
+++ b/internal/coordination/consensus/membership.go
@@ -130,9 +130,8 @@
 
 // needsReplacement says whether a voter is silent, or leaves and is not the backup.
 func (m *Machine) needsReplacement(name string, now time.Duration) bool {
-	silence := now - max(m.lastAck[name], m.votersSince)
 	isLeaving := m.hasAnnouncedLeaving(name, now) && name != m.voterState.Decided.Backup
-	return isLeaving || silence > m.leases(silentVoterLeases)
+	return isLeaving || m.tracker.silence(name, now) > m.leases(silentVoterLeases)
 }
 
 // pickStandby gives the standby in the zone with the fewest voters besides the one that
--- a/internal/coordination/consensus/quorum.go
+++ b/internal/coordination/consensus/quorum.go
@@ -17,16 +17,9 @@
 	return count >= proposal.Majority(len(voters))
 }
 
-// acknowledgedWithin says whether a voter has replied to a renewal of the lease within
-// a span before now.
-func (m *Machine) acknowledgedWithin(span time.Duration, name string, now time.Duration) bool {
-	at, known := m.lastAck[name]
-	return known && now-at < span
-}
-
 // respondsToLease says whether a voter has replied within the span of a lease.
 func (m *Machine) respondsToLease(name string, now time.Duration) bool {
-	return m.acknowledgedWithin(m.timing.PrimaryLease, name, now)
+	return m.tracker.acknowledgedWithin(m.timing.PrimaryLease, name, now)
 }
 
 // hasResponder says whether any other voter responds.
--- a/internal/coordination/consensus/repair.go
+++ b/internal/coordination/consensus/repair.go
@@ -25,10 +25,10 @@
 		return
 	}
 	if m.activeRepair != nil {
-		m.excludedUntil[m.activeRepair.peer] = now + m.timing.PrimaryLease
+		m.tracker.exclude(m.activeRepair.peer, now+m.timing.PrimaryLease)
 		m.activeRepair = nil
 	}
-	peer := m.latestResponder(now, func(name string) bool { return now >= m.excludedUntil[name] })
+	peer := m.latestResponder(now, func(name string) bool { return !m.tracker.isExcluded(name, now) })
 	if peer == "" && isLeaving {
 		peer = m.latestResponder(now, func(string) bool { return true })
 	}
@@ -42,12 +42,12 @@
 func (m *Machine) latestResponder(now time.Duration, isAllowed func(name string) bool) string {
 	latest := ""
 	m.eachOtherVoter(func(name string) {
-		at, known := m.lastAck[name]
+		at, known := m.tracker.lastAck[name]
 		isCandidate := name != m.voterState.Decided.Backup && !m.hasAnnouncedLeaving(name, now) && isAllowed(name)
 		if !known || now-at > m.timing.PrimaryLease || !isCandidate {
 			return
 		}
-		if latest == "" || m.lastAck[latest] < at {
+		if latest == "" || m.tracker.lastAck[latest] < at {
 			latest = name
 		}
 	})
--- a/internal/coordination/consensus/replication.go
+++ b/internal/coordination/consensus/replication.go
@@ -162,7 +162,7 @@
 	}
 	synced := 0
 	m.eachSpare(func(name string) {
-		if !m.spareVersions[name].IsBefore(m.pendingWrite.version) {
+		if m.tracker.hasSpareSynced(name, m.pendingWrite.version) {
 			synced++
 		}
 	})
--- a/internal/coordination/consensus/replication_test.go
+++ b/internal/coordination/consensus/replication_test.go
@@ -64,7 +64,7 @@
 			c := newPair(requireBackup)
 			first := c.primary()
 			for _, name := range c.live() {
-				c.machines[first].excludedUntil[name] = c.now + time.Hour
+				c.machines[first].tracker.excludedUntil[name] = c.now + time.Hour
 			}
 			c.up[c.machines[first].Record().Backup] = false
 			for range 500 {
@@ -77,7 +77,7 @@
 			So(c.primary(), ShouldEqual, first)
 			c.submit(8)
 			So(c.results[8].Committed, ShouldNotEqual, requireBackup)
-			clear(c.machines[first].excludedUntil)
+			clear(c.machines[first].tracker.excludedUntil)
 			c.run(time.Second)
 			So(c.results[8].Committed, ShouldBeTrue)
 			So(c.replicasWith(8), ShouldBeGreaterThanOrEqualTo, 2)
--- a/internal/coordination/consensus/spares.go
+++ b/internal/coordination/consensus/spares.go
@@ -44,7 +44,7 @@
 	}
 	m.sparesComparedAt = now
 	m.eachSpare(func(name string) {
-		isBehind := m.spareVersions[name].IsBefore(m.replica.Version)
+		isBehind := !m.tracker.hasSpareSynced(name, m.replica.Version)
 		isBeingRepaired := m.activeRepair != nil && m.activeRepair.peer == name
 		if m.respondsToLease(name, now) && isBehind && !isBeingRepaired {
 			m.sendDigests(name)
@@ -56,12 +56,10 @@
 // a write.
 func (m *Machine) noteSpareVersion(name string, version store.Version, synced bool, now time.Duration) {
 	if !synced {
-		delete(m.spareVersions, name)
+		m.tracker.noteSpareBehind(name)
 		return
 	}
-	if m.spareVersions[name].IsBefore(version) {
-		m.spareVersions[name] = version
-	}
+	m.tracker.noteSpareVersion(name, version)
 	m.commitIfReplicated(now)
 }
 
--- a/internal/coordination/consensus/tick.go
+++ b/internal/coordination/consensus/tick.go
@@ -134,12 +134,12 @@
 
 func (m *Machine) isBackupSilent(now time.Duration) bool {
 	backup, patience := m.voterState.Decided.Backup, m.leases(backupSilentLeases)
-	return backup != "" && now-m.lastAck[backup] > patience && now-m.startedAt > patience
+	return backup != "" && now-m.tracker.lastAck[backup] > patience && now-m.startedAt > patience
 }
 
 // dropBackup proposes an epoch without a backup.
 func (m *Machine) dropBackup(now time.Duration, reason string) {
-	m.excludedUntil[m.voterState.Decided.Backup] = now + m.leases(droppedBackupLeases)
+	m.tracker.exclude(m.voterState.Decided.Backup, now+m.leases(droppedBackupLeases))
 	m.emitEpochChanged(reason)
 	m.propose(m.nextRecord(""), now)
 }
