--- a/internal/coordination/consensus/election.go
+++ b/internal/coordination/consensus/election.go
@@ -93,23 +93,6 @@
 	m.voterState.VotedForOther = m.voterState.VotedForOther || candidate != m.voterState.Decided.Primary
 }
 
-// voteBoundFor says for how long this node must not vote for a candidate: a lease that
-// it granted to another or holds itself may still be relied on, or one that it granted
-// before its restart.
-func (m *Machine) voteBoundFor(candidate string, now time.Duration) time.Duration {
-	until := time.Duration(0)
-	if m.grantedTo != "" && m.grantedTo != candidate {
-		until = m.grantedAt + m.timing.PrimaryLease
-	}
-	if m.isRecordedPrimary() {
-		until = max(until, m.leaseUntil)
-	}
-	if candidate != m.voterState.Decided.Primary {
-		until = max(until, m.startedAt+m.timing.PrimaryLease)
-	}
-	return max(until-now, 0)
-}
-
 func (m *Machine) onPromise(from string, promise Promise, now time.Duration) {
 	m.adopt(promise.Decided, now, reasonVoterAhead)
 	m.highestRound = max(m.highestRound, promise.HighestPromised.Round)
--- a/internal/coordination/consensus/epoch.go
+++ b/internal/coordination/consensus/epoch.go
@@ -25,12 +25,12 @@
 	m.proposalUnsettled = false
 	m.replicaAhead = m.replicaAhead && m.isRecordedPrimary() && record.Backup != ""
 	m.proposer, m.activeRepair = nil, nil
-	clear(m.grantSentAt)
+	clear(m.lease.grantSentAt)
 	m.assumeLease(now)
 	m.nextProposalAt = 0
 	m.forgetReplacedVoters(previousVoters, now)
 	if !m.isRecordedPrimary() {
-		m.leaseUntil = 0
+		m.lease.until = 0
 		m.failWrites()
 	}
 	if m.IsStandby() {
@@ -53,13 +53,6 @@
 	state.ReplicaIncomplete = state.ReplicaIncomplete || (m.requiredSpares() > 0 && !m.IsMember())
 }
 
-// assumeLease treats the primary of the newest record as one that this node has just
-// granted the lease.
-func (m *Machine) assumeLease(now time.Duration) {
-	m.grantedTo, m.grantedAt = m.voterState.Decided.Primary, now
-	m.contacts.primaryAt = now
-}
-
 // becomePrimary drops what is known of the voters from an earlier time as primary.
 func (m *Machine) becomePrimary(now time.Duration) {
 	m.tracker = newVoterTracker(now)
@@ -69,7 +62,7 @@
 // continueAsPrimary renews the lease at once. The pending write, if any, does not wait
 // for the backup of the epoch before.
 func (m *Machine) continueAsPrimary(now time.Duration) {
-	m.renewedAt = now - m.timing.RenewInterval
+	m.lease.renewedAt = now - m.timing.RenewInterval
 	if !m.awaitsBackup() {
 		m.noteBackupSynced(now)
 	}
--- a/internal/coordination/consensus/lease.go
+++ b/internal/coordination/consensus/lease.go
@@ -1,6 +1,7 @@
 package consensus
 
 import (
+	"maps"
 	"slices"
 	"time"
 
@@ -12,16 +13,46 @@
 // they could not vote for the backup if renewals were closer.
 const isolatedRenewLeases = 3
 
+// heldLease is the lease of the primary, as a majority of the voters has granted it.
+type heldLease struct {
+	// renewedAt is when the voters were last asked for it.
+	renewedAt time.Duration
+	// grantSentAt is when the last renewal that each other voter granted in this epoch
+	// was sent.
+	grantSentAt map[string]time.Duration
+	// until is the end of the lease. No other node can become primary before: more than
+	// half of the voters granted a renewal that was sent less than usableLease earlier,
+	// and each of them is bound for longer than that.
+	until time.Duration
+}
+
+func (l heldLease) clone() heldLease {
+	l.grantSentAt = maps.Clone(l.grantSentAt)
+	return l
+}
+
+// noteGrant notes that a voter has granted the renewal sent at a moment.
+func (l *heldLease) noteGrant(voter string, sentAt time.Duration) {
+	l.grantSentAt[voter] = max(l.grantSentAt[voter], sentAt)
+}
+
+// extend sets the end of the lease by the moments at which the voters that have granted
+// it were asked: the latest by which a quorum of them had been.
+func (l *heldLease) extend(sentAt []time.Duration, quorum int, span time.Duration) {
+	slices.Sort(sentAt)
+	l.until = max(l.until, sentAt[len(sentAt)-quorum]+usableLease(span))
+}
+
 func (m *Machine) holdsLease(now time.Duration) bool {
-	return m.isRecordedPrimary() && now < m.leaseUntil
+	return m.isRecordedPrimary() && now < m.lease.until
 }
 
 // renewLease asks the voters for the lease where that is due.
 func (m *Machine) renewLease(now time.Duration) {
-	if now-m.renewedAt < m.renewInterval(now) {
+	if now-m.lease.renewedAt < m.renewInterval(now) {
 		return
 	}
-	m.renewedAt = now
+	m.lease.renewedAt = now
 	m.adjustClock(now)
 	renewal := RenewLease{Record: m.voterState.Decided, SentAt: now, Incarnation: m.processIncarnation}
 	m.eachOtherVoter(func(name string) { m.send(name, renewal) })
@@ -35,23 +66,6 @@
 	return m.leases(isolatedRenewLeases)
 }
 
-func (m *Machine) onRenewLease(from string, renewal RenewLease, now time.Duration) {
-	m.adopt(renewal.Record, now, reasonLeaseRenewal)
-	m.notePrimaryContact(from, renewal.Record, now)
-	if !m.IsMember() {
-		return
-	}
-	decided := m.voterState.Decided
-	granted := decided == renewal.Record && decided.Primary == from && !m.voterState.VotedForOther
-	if granted {
-		m.grantedTo, m.grantedAt = from, now
-	}
-	m.send(from, RenewLeaseAck{
-		Decided: decided, SentAt: renewal.SentAt, Incarnation: renewal.Incarnation,
-		WallNanos: m.clock.local(now), Granted: granted,
-	})
-}
-
 func (m *Machine) onRenewLeaseAck(from string, ack RenewLeaseAck, now time.Duration) {
 	m.adopt(ack.Decided, now, reasonVoterAhead)
 	if !m.isRecordedPrimary() || !m.isVoter(from) || !m.isOwnRequest(ack, now) {
@@ -60,7 +74,7 @@
 	m.tracker.lastAck[from] = now
 	m.clock.readPeer(from, ack.WallNanos, ack.SentAt, now)
 	if ack.Granted && ack.Decided == m.voterState.Decided {
-		m.grantSentAt[from] = max(m.grantSentAt[from], ack.SentAt)
+		m.lease.noteGrant(from, ack.SentAt)
 		m.extendLease(now)
 		m.startNextWrite(now)
 	}
@@ -75,15 +89,15 @@
 	return ack.Incarnation == 0 || ack.Incarnation == m.processIncarnation
 }
 
-// extendLease sets the end of the lease by the latest moment at which a majority of
-// the voters was asked for what it has granted.
+// extendLease extends the lease where a majority of the voters has granted it, of which
+// this node, unless it has voted for another candidate, is one.
 func (m *Machine) extendLease(now time.Duration) {
 	var sentAt []time.Duration
 	if !m.voterState.VotedForOther {
 		sentAt = append(sentAt, now)
 	}
 	m.eachOtherVoter(func(name string) {
-		if at, known := m.grantSentAt[name]; known {
+		if at, known := m.lease.grantSentAt[name]; known {
 			sentAt = append(sentAt, at)
 		}
 	})
@@ -94,8 +108,7 @@
 	if !m.holdsLease(now) {
 		m.adjustClock(now)
 	}
-	slices.Sort(sentAt)
-	m.leaseUntil = max(m.leaseUntil, sentAt[len(sentAt)-quorum]+usableLease(m.timing.PrimaryLease))
+	m.lease.extend(sentAt, quorum, m.timing.PrimaryLease)
 }
 
 // usableLease is the part of a lease that the primary relies on: a tenth is left for
--- a/internal/coordination/consensus/machine.go
+++ b/internal/coordination/consensus/machine.go
@@ -37,9 +37,8 @@
 	formAcks map[string]Member
 	clock    clusterClock
 
-	// The lease that this node granted as a voter.
-	grantedTo string
-	grantedAt time.Duration
+	// granted is the lease that this node granted as a voter.
+	granted grantedLease
 
 	// The proposal under way. proposalUnsettled says that one of this node may still
 	// be decided.
@@ -53,10 +52,7 @@
 	// What follows is used by the primary only.
 
 	tracker voterTracker
-	// grantSentAt is when the last renewal that each voter granted was sent.
-	grantSentAt map[string]time.Duration
-	renewedAt   time.Duration
-	leaseUntil  time.Duration
+	lease   heldLease
 	// committed is the replica without a write that may not be replicated yet.
 	committed *store.Table
 	// replicaAhead says that the replica may have a write that the backup lacks, from
@@ -86,7 +82,7 @@
 		contacts:         contacts{received: map[string]time.Duration{}},
 		clock:            clusterClock{peerOffsets: map[string]int64{}},
 		tracker:          newVoterTracker(now),
-		grantSentAt:      map[string]time.Duration{},
+		lease:            heldLease{grantSentAt: map[string]time.Duration{}},
 		standbys:         map[string]standby{},
 		leavingAnnounced: map[string]time.Duration{},
 	}
@@ -122,7 +118,7 @@
 	other.contacts = m.contacts.clone()
 	other.clock.peerOffsets = maps.Clone(m.clock.peerOffsets)
 	other.tracker = m.tracker.clone()
-	other.grantSentAt = maps.Clone(m.grantSentAt)
+	other.lease = m.lease.clone()
 	other.standbys = maps.Clone(m.standbys)
 	other.leavingAnnounced = maps.Clone(m.leavingAnnounced)
 	other.submitQueue = slices.Clone(m.submitQueue)
@@ -171,7 +167,7 @@
 	if m.replicaAhead {
 		return 0
 	}
-	return m.leaseUntil
+	return m.lease.until
 }
 
 // IsMember says whether this node is a voter by the newest record known, with the disk
--- a/internal/coordination/consensus/tick.go
+++ b/internal/coordination/consensus/tick.go
@@ -48,17 +48,11 @@
 	return m.isLeaseSilentFor(m.timing.PrimaryLease, now) && m.proposer == nil && now >= m.nextProposalAt
 }
 
-// isLeaseSilentFor says whether this node has granted no lease for a span, nor may
-// have before it started.
-func (m *Machine) isLeaseSilentFor(span time.Duration, now time.Duration) bool {
-	return now >= m.grantedAt+span && now >= m.startedAt+span
-}
-
 func (m *Machine) tickPrimary(now time.Duration) {
 	if m.isDiskStalled() {
 		m.rejectQueueWithoutLease(now)
 		// The lease is renewed at once when the disk works again.
-		m.renewedAt = now - m.leases(isolatedRenewLeases)
+		m.lease.renewedAt = now - m.leases(isolatedRenewLeases)
 		return
 	}
 	if m.pendingWrite != nil && m.syncPending > 0 {
