--- /dev/null
+++ b/internal/coordination/consensus/acceptor.go
@@ -0,0 +1,59 @@
+package consensus
+
+import "time"
+
+func (m *Machine) onPrepare(from string, prepare Prepare, now time.Duration) {
+	m.adopt(prepare.Decided, now, reasonCandidateAhead)
+	if !m.isFormed() {
+		return
+	}
+	promise := Promise{Epoch: prepare.Decided.Epoch + 1, Number: prepare.Number, Decided: m.voterState.Decided}
+	eligible := m.isEligible(from, prepare, now)
+	if m.IsMember() {
+		promise.RetryAfter = m.voteBoundFor(from, now)
+		if eligible && promise.RetryAfter == 0 {
+			m.vote(from, &promise)
+		}
+	}
+	m.send(from, promise)
+}
+
+// isEligible says whether a candidate may become primary: one that the newest record
+// names, or a spare voter.
+func (m *Machine) isEligible(candidate string, prepare Prepare, now time.Duration) bool {
+	decided := m.voterState.Decided
+	if decided != prepare.Decided {
+		return false
+	}
+	return candidate == decided.Primary || candidate == decided.Backup || m.yieldToSpare(candidate, prepare.Version, now)
+}
+
+// vote promises a candidate's proposal, unless a higher one was promised before.
+func (m *Machine) vote(candidate string, promise *Promise) {
+	acceptor := &m.voterState.Acceptor
+	promise.Accepted, promise.Value = acceptor.Accepted, acceptor.Value
+	promise.Granted = acceptor.Promise(promise.Number)
+	promise.HighestPromised = acceptor.Promised
+	if promise.Granted {
+		m.noteVote(candidate)
+		m.saveVoterState()
+	}
+}
+
+// noteVote notes a vote for a candidate. The next epoch may be decided by it even
+// after this node has voted for the primary again.
+func (m *Machine) noteVote(candidate string) {
+	m.voterState.VotedForOther = m.voterState.VotedForOther || candidate != m.voterState.Decided.Primary
+}
+
+func (m *Machine) onAccept(from string, accept Accept, now time.Duration) {
+	if !m.IsMember() || accept.Epoch != m.voterState.Decided.Epoch+1 {
+		return
+	}
+	if m.voteBoundFor(from, now) > 0 || !m.voterState.Acceptor.Accept(accept.Number, accept.Value) {
+		return
+	}
+	m.noteVote(from)
+	m.saveVoterState()
+	m.send(from, Accepted{Epoch: accept.Epoch, Number: accept.Number})
+}
--- a/internal/coordination/consensus/clone_test.go
+++ b/internal/coordination/consensus/clone_test.go
@@ -38,15 +38,15 @@
 func TestClone(t *testing.T) {
 	Convey("A machine and its clone share nothing that either changes in place", t, func() {
 		m := newFormedMachine("c1", time.Hour)
-		m.proposer = proposal.NewProposer(proposal.Number{Round: 1, Name: "c1"}, 3, nil, time.Hour)
+		m.proposals.current = proposal.NewProposer(proposal.Number{Round: 1, Name: "c1"}, 3, nil, time.Hour)
 		m.pendingWrite, m.activeRepair = &write{}, &repair{}
 		m.submitQueue, m.effects = []Submit{{Token: 1}}, []Effect{RemoveCorrupt{}}
 		m.peers = peerSet{names: []string{"c1"}, byAddress: map[string]string{"a": "b"}, zones: map[string]string{"c1": "z"}}
 		assertNothingShared("", reflect.ValueOf(m).Elem(), reflect.ValueOf(m.Clone()).Elem())
-		proposer := m.proposer.Clone()
+		proposer := m.proposals.current.Clone()
 		So(proposer.OnPromise("c2", proposal.Number{}, nil), ShouldBeFalse)
-		So(m.proposer.OnPromise("c3", proposal.Number{}, nil), ShouldBeFalse)
-		So(m.proposer.OnPromise("c1", proposal.Number{}, nil), ShouldBeTrue)
+		So(m.proposals.current.OnPromise("c3", proposal.Number{}, nil), ShouldBeFalse)
+		So(m.proposals.current.OnPromise("c1", proposal.Number{}, nil), ShouldBeTrue)
 	})
 	Convey("A clone changes by itself", t, func() {
 		m := newFormedMachine("c1", time.Hour)
--- a/internal/coordination/consensus/election_test.go
+++ b/internal/coordination/consensus/election_test.go
@@ -58,7 +58,7 @@
 		backup := newFormedMachine("c2", now)
 		now += DefaultTiming().PrimaryLease + time.Millisecond
 		So(bodiesSent[Prepare](backup.Step(Tick{}, now)), ShouldNotBeEmpty)
-		number := backup.proposer.Number
+		number := backup.proposals.current.Number
 		wait := DefaultTiming().PrimaryLease - 50*time.Millisecond
 		refused := now + 2*time.Millisecond
 		backup.Step(Received{From: "c1", Body: Promise{Epoch: 5, Number: number, RetryAfter: wait, Decided: backup.Record(), HighestPromised: proposal.Number{Round: 9, Name: "c1"}}}, refused)
--- a/internal/coordination/consensus/epoch.go
+++ b/internal/coordination/consensus/epoch.go
@@ -22,12 +22,11 @@
 	wasPrimary, previousVoters := m.isRecordedPrimary(), m.voterState.Decided.Voters
 	m.setDecided(record)
 	m.saveVoterState()
-	m.proposalUnsettled = false
 	m.replicaAhead = m.replicaAhead && m.isRecordedPrimary() && record.Backup != ""
-	m.proposer, m.activeRepair = nil, nil
+	m.proposals.end()
+	m.activeRepair = nil
 	clear(m.lease.grantSentAt)
 	m.assumeLease(now)
-	m.nextProposalAt = 0
 	m.forgetReplacedVoters(previousVoters, now)
 	if !m.isRecordedPrimary() {
 		m.lease.until = 0
--- a/internal/coordination/consensus/machine.go
+++ b/internal/coordination/consensus/machine.go
@@ -5,7 +5,6 @@
 	"slices"
 	"time"
 
-	"tansyseam/internal/coordination/proposal"
 	"tansyseam/internal/state/store"
 )
 
@@ -40,14 +39,7 @@
 	// granted is the lease that this node granted as a voter.
 	granted grantedLease
 
-	// The proposal under way. proposalUnsettled says that one of this node may still
-	// be decided.
-	proposer          *proposal.Proposer
-	proposalBase      Record
-	highestRound      uint64
-	nextProposalAt    time.Duration
-	retryAt           time.Duration
-	proposalUnsettled bool
+	proposals proposalState
 
 	// What follows is used by the primary only.
 
@@ -91,7 +83,7 @@
 		m.replica = saved.Table
 	}
 	m.committed = m.replica
-	m.proposalUnsettled = m.voterState.Acceptor.Promised.Name == self
+	m.proposals.unsettled = m.voterState.Acceptor.Promised.Name == self
 	decided := m.voterState.Decided
 	m.replicaAhead = decided.Primary == self && decided.Backup != "" && m.replica.Version.Epoch == decided.Epoch
 	m.requestStatusAtOnce(now)
@@ -111,13 +103,11 @@
 		pending := *m.pendingWrite
 		other.pendingWrite = &pending
 	}
-	if m.proposer != nil {
-		other.proposer = m.proposer.Clone()
-	}
 	other.formAcks = maps.Clone(m.formAcks)
 	other.contacts = m.contacts.clone()
 	other.clock.peerOffsets = maps.Clone(m.clock.peerOffsets)
 	other.tracker = m.tracker.clone()
+	other.proposals = m.proposals.clone()
 	other.lease = m.lease.clone()
 	other.standbys = maps.Clone(m.standbys)
 	other.leavingAnnounced = maps.Clone(m.leavingAnnounced)
@@ -155,7 +145,7 @@
 
 // IsSettled says whether this node has no part in a proposal for the next epoch.
 func (m *Machine) IsSettled() bool {
-	return m.proposer == nil && m.voterState.Acceptor.Promised.Name == ""
+	return !m.proposals.isUnderWay() && m.voterState.Acceptor.Promised.Name == ""
 }
 
 // IsPrimary says whether this node holds the lease, and its replica may be served.
--- /dev/null
+++ b/internal/coordination/consensus/proposer.go
@@ -0,0 +1,177 @@
+package consensus
+
+import (
+	"slices"
+	"time"
+
+	"tansyseam/internal/coordination/proposal"
+	"tansyseam/internal/state/store"
+)
+
+// proposalState is this node's part as proposer of the record of the next epoch. At most
+// one proposal is under way.
+type proposalState struct {
+	// current is the proposal under way, or nil, and base the record that it follows.
+	current *proposal.Proposer
+	base    Record
+	// unsettled says that a proposal of this node may still be decided: the one under
+	// way, or one that it gave up, even before its restart. It ends with the next epoch.
+	unsettled bool
+	// highestRound is the highest round of a proposal known, its own or another's.
+	highestRound uint64
+	// nextAt is when this node may propose again.
+	nextAt time.Duration
+	// retryAt is when voters that refused the current proposal may vote for it, or 0
+	// where none has said.
+	retryAt time.Duration
+}
+
+func (p proposalState) clone() proposalState {
+	if p.current != nil {
+		p.current = p.current.Clone()
+	}
+	return p
+}
+
+func (p *proposalState) isUnderWay() bool { return p.current != nil }
+
+// isDue says whether this node may propose again.
+func (p *proposalState) isDue(now time.Duration) bool { return now >= p.nextAt }
+
+// delay has this node not propose before a moment.
+func (p *proposalState) delay(until time.Duration) { p.nextAt = max(p.nextAt, until) }
+
+// epoch is the one whose record is proposed.
+func (p *proposalState) epoch() uint64 { return p.base.Epoch + 1 }
+
+// hasNumber says whether a number is that of the proposal under way.
+func (p *proposalState) hasNumber(number proposal.Number) bool {
+	return p.current != nil && p.current.Number == number
+}
+
+// noteRound notes the round of a proposal that a voter has promised.
+func (p *proposalState) noteRound(round uint64) { p.highestRound = max(p.highestRound, round) }
+
+// nextNumber gives the number of a new proposal, which is higher than all known.
+func (p *proposalState) nextNumber(name string) proposal.Number {
+	p.highestRound++
+	return proposal.Number{Round: p.highestRound, Name: name}
+}
+
+// start replaces the proposal under way, if any.
+func (p *proposalState) start(current *proposal.Proposer, base Record) {
+	p.current, p.base = current, base
+	p.unsettled, p.retryAt = true, 0
+}
+
+// expire gives up a proposal without an answer in time, or one whose voters said that
+// they may vote by now.
+func (p *proposalState) expire(replyTimeout, now time.Duration) {
+	if p.current != nil && now-p.current.StartedAt > replyTimeout {
+		p.current = nil
+	}
+	if p.current != nil && p.current.IsPreparing() && p.retryAt != 0 && now >= p.retryAt {
+		p.current, p.nextAt = nil, now
+	}
+}
+
+// noteRetry plans another proposal for the moment at which a voter may vote for it.
+func (p *proposalState) noteRetry(at time.Duration) {
+	if p.retryAt == 0 || at < p.retryAt {
+		p.retryAt = at
+	}
+}
+
+// end drops the proposal under way once the epoch is decided. The next may follow at
+// once.
+func (p *proposalState) end() { p.current, p.unsettled, p.nextAt = nil, false, 0 }
+
+// propose starts a proposal for the record of the next epoch.
+func (m *Machine) propose(record Record, now time.Duration) {
+	if !m.IsMember() {
+		return
+	}
+	decided := m.voterState.Decided
+	m.proposals.noteRound(m.voterState.Acceptor.Promised.Round)
+	number := m.proposals.nextNumber(m.self)
+	m.proposals.start(proposal.NewProposer(number, len(m.Voters()), store.EncodePlain(record), now), decided)
+	m.proposals.nextAt = now + m.proposalBackoff()
+	prepare := Prepare{Decided: decided, Number: number, Version: m.replica.Version}
+	m.eachOtherVoter(func(name string) { m.send(name, prepare) })
+	if m.voterState.Acceptor.Promise(number) {
+		m.noteVote(m.self)
+		m.saveVoterState()
+		m.onPromise(m.self, Promise{
+			Epoch: m.proposals.epoch(), Number: number, Granted: true,
+			Accepted: m.voterState.Acceptor.Accepted, Value: m.voterState.Acceptor.Value,
+		}, now)
+	}
+}
+
+// proposalBackoff is the least time between two proposals of this node. It differs
+// among the voters, so that proposals that collided do so only once.
+func (m *Machine) proposalBackoff() time.Duration {
+	rank := slices.Index(m.Voters(), m.self)
+	return m.timing.ReplyTimeout/2 + time.Duration(rank)*m.timing.ReplyTimeout/4
+}
+
+func (m *Machine) onPromise(from string, promise Promise, now time.Duration) {
+	m.adopt(promise.Decided, now, reasonVoterAhead)
+	m.proposals.noteRound(promise.HighestPromised.Round)
+	if !m.proposals.hasNumber(promise.Number) {
+		return
+	}
+	if !promise.Granted {
+		m.noteRefusal(from, promise.RetryAfter, now)
+		return
+	}
+	if promise.Epoch != m.proposals.epoch() {
+		return
+	}
+	if m.proposals.current.OnPromise(from, promise.Accepted, promise.Value) {
+		m.sendAccept(now)
+	}
+}
+
+// noteRefusal plans the next proposal after one that a voter refused, by the time for
+// which it may not vote.
+func (m *Machine) noteRefusal(voter string, retryAfter time.Duration, now time.Duration) {
+	retryAt := now + retryAfter
+	if retryAfter > 0 {
+		m.proposals.noteRetry(retryAt)
+	}
+	if voter == m.voterState.Decided.Primary || m.isUnnamedVoter() {
+		m.proposals.delay(retryAt)
+	}
+}
+
+// sendAccept has the value of a prepared proposal accepted, by this node first.
+func (m *Machine) sendAccept(now time.Duration) {
+	accept := Accept{Epoch: m.proposals.epoch(), Number: m.proposals.current.Number, Value: m.proposals.current.Value}
+	accepted := m.voterState.Acceptor.Accept(accept.Number, accept.Value)
+	if accepted {
+		m.saveVoterState()
+	}
+	m.eachOtherVoter(func(name string) { m.send(name, accept) })
+	if accepted {
+		m.onAccepted(m.self, Accepted{Epoch: accept.Epoch, Number: accept.Number}, now)
+	}
+}
+
+func (m *Machine) onAccepted(from string, accepted Accepted, now time.Duration) {
+	if !m.proposals.hasNumber(accepted.Number) || accepted.Epoch != m.proposals.epoch() {
+		return
+	}
+	if !m.proposals.current.OnAccepted(from) {
+		return
+	}
+	record, err := decodeRecord(m.proposals.current.Value)
+	if err != nil {
+		return
+	}
+	audience := m.audienceOf(record)
+	m.adopt(record, now, reasonProposalWon)
+	for _, name := range audience {
+		m.send(name, Decided{Record: record})
+	}
+}
--- a/internal/coordination/consensus/repair.go
+++ b/internal/coordination/consensus/repair.go
@@ -125,7 +125,7 @@
 		return
 	}
 	m.activeRepair = nil
-	if m.proposer == nil {
+	if !m.proposals.isUnderWay() {
 		m.propose(m.nextRecord(from), now)
 	}
 }
--- a/internal/coordination/consensus/replication.go
+++ b/internal/coordination/consensus/replication.go
@@ -43,8 +43,7 @@
 }
 
 func (m *Machine) mayWrite(now time.Duration) bool {
-	isSettled := m.proposer == nil && !m.proposalUnsettled
-	return m.pendingWrite == nil && isSettled && !m.awaitsBackup() && m.IsPrimary(now)
+	return m.pendingWrite == nil && !m.proposals.unsettled && !m.awaitsBackup() && m.IsPrimary(now)
 }
 
 func (m *Machine) startWrite(token uint64, puts []store.Put, now time.Duration) {
@@ -142,7 +141,7 @@
 		m.noteBackupSynced(now)
 		return
 	}
-	if m.proposer == nil {
+	if !m.proposals.isUnderWay() {
 		m.dropBackup(now, reasonBackupOutOfOrder)
 	}
 }
--- a/internal/coordination/consensus/replication_test.go
+++ b/internal/coordination/consensus/replication_test.go
@@ -134,9 +134,9 @@
 		m.Step(Tick{WallNanos: wall}, later)
 		m.Step(Received{From: "c3", Body: RenewLeaseAck{Decided: m.Record(), SentAt: later, Incarnation: m.processIncarnation, WallNanos: wall}}, later)
 		m.Step(Tick{WallNanos: wall}, later+20*time.Millisecond)
-		So(m.proposer, ShouldNotBeNil)
+		So(m.proposals.current, ShouldNotBeNil)
 		var proposed Record
-		So(store.DecodePlain(m.proposer.Value, &proposed), ShouldBeNil)
+		So(store.DecodePlain(m.proposals.current.Value, &proposed), ShouldBeNil)
 		So(proposed, ShouldResemble, Record{Epoch: 5, Primary: "c1", Voters: votersWithoutIncarnation(voters)})
 	})
 	Convey("With nothing written in its epoch, or no backup in it, it continues at once", t, func() {
--- a/internal/coordination/consensus/spares.go
+++ b/internal/coordination/consensus/spares.go
@@ -86,7 +86,7 @@
 	}
 	isBetter := m.replica.Version.IsBefore(version) || candidate < m.self
 	if m.isUnnamedVoter() && isBetter {
-		m.nextProposalAt = max(m.nextProposalAt, now+m.timing.PrimaryLease)
+		m.proposals.delay(now + m.timing.PrimaryLease)
 	}
 	return true
 }
--- a/internal/coordination/consensus/tick.go
+++ b/internal/coordination/consensus/tick.go
@@ -23,7 +23,7 @@
 	}
 	m.refreshStatus(now)
 	m.announceLeaving(now)
-	m.expireProposal(now)
+	m.proposals.expire(m.timing.ReplyTimeout, now)
 	if m.isRecordedPrimary() {
 		m.tickPrimary(now)
 		return
@@ -45,7 +45,7 @@
 	if !isBackup && !m.mayProposeAsSpare(now) {
 		return false
 	}
-	return m.isLeaseSilentFor(m.timing.PrimaryLease, now) && m.proposer == nil && now >= m.nextProposalAt
+	return m.isLeaseSilentFor(m.timing.PrimaryLease, now) && !m.proposals.isUnderWay() && m.proposals.isDue(now)
 }
 
 func (m *Machine) tickPrimary(now time.Duration) {
@@ -63,7 +63,7 @@
 	if m.isBackupLate(now) {
 		m.dropBackup(now, reasonBackupTimeout)
 	}
-	if m.proposer != nil || (m.pendingWrite != nil && !m.awaitsBackup()) {
+	if m.proposals.isUnderWay() || (m.pendingWrite != nil && !m.awaitsBackup()) {
 		return
 	}
 	if m.proposeEpoch(now) {
@@ -76,10 +76,10 @@
 // proposeEpoch proposes a new epoch where one is due, and says whether the primary has
 // to leave all else until it is decided.
 func (m *Machine) proposeEpoch(now time.Duration) bool {
-	if (m.proposalUnsettled || m.replicaAhead) && m.settleFirst(now) {
+	if (m.proposals.unsettled || m.replicaAhead) && m.settleFirst(now) {
 		return true
 	}
-	mayPropose := now >= m.nextProposalAt
+	mayPropose := m.proposals.isDue(now)
 	if mayPropose && m.IsPrimary(now) && (m.transferPrimary(now) || m.replaceVoter(now)) {
 		return true
 	}
@@ -97,10 +97,10 @@
 // settleFirst proposes an epoch without a backup, after which it is certain what was
 // decided and which writes are kept. It says whether the primary has to wait for it.
 func (m *Machine) settleFirst(now time.Duration) bool {
-	if now >= m.nextProposalAt && m.holdsLease(now) {
+	if m.proposals.isDue(now) && m.holdsLease(now) {
 		m.propose(m.nextRecord(""), now)
 	}
-	return m.proposer != nil || m.holdsLease(now)
+	return m.proposals.isUnderWay() || m.holdsLease(now)
 }
 
 // proposeAfterRefusal proposes an epoch that keeps the backup, unless that may lack a
@@ -120,10 +120,10 @@
 
 // isBackupLate says whether the backup has not synced the pending write in time.
 func (m *Machine) isBackupLate(now time.Duration) bool {
-	if m.pendingWrite == nil || m.pendingWrite.backupSynced || m.awaitsBackup() || m.proposer != nil {
+	if m.pendingWrite == nil || m.pendingWrite.backupSynced || m.awaitsBackup() || m.proposals.isUnderWay() {
 		return false
 	}
-	return now-m.pendingWrite.sentAt > m.timing.ReplyTimeout && now >= m.nextProposalAt
+	return now-m.pendingWrite.sentAt > m.timing.ReplyTimeout && m.proposals.isDue(now)
 }
 
 func (m *Machine) isBackupSilent(now time.Duration) bool {
