--- a/internal/app/control/disk.go
+++ b/internal/app/control/disk.go
@@ -6,34 +6,21 @@
 	"tansyseam/internal/coordination/consensus"
 )
 
-// startDiskWrite starts the next write that the gate has ready, if there is
+// startDiskWrite starts the next task that the gate has ready, if there is
 // one and none is under way.
 func (s *Server) startDiskWrite(now time.Duration) {
-	work, due := s.gate.Next(now)
+	task, due := s.gate.Next(now)
 	if !due {
 		return
 	}
 	s.runOnDisk(func() {
 		began := time.Now()
-		err := s.writeToDisk(work)
+		err := consensus.RunDiskTask(s.store, task)
 		s.node.Counters.Add("files_sync_us", time.Since(began).Microseconds())
 		s.enqueue(func() { s.onDiskWritten(err) })
 	})
 }
 
-// writeToDisk saves a file, or removes corrupt ones.
-func (s *Server) writeToDisk(work consensus.Effect) error {
-	if save, ok := work.(consensus.Save); ok {
-		return s.store.Put(save.Kind, save.Sequence, save.Data)
-	}
-	for _, kind := range consensus.FileKinds() {
-		if err := s.store.RemoveCorrupt(kind); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
 func (s *Server) onDiskWritten(err error) {
 	s.noteDiskOutcome(err)
 	now := s.node.Now()
--- a/test/simulation/control_storage.go
+++ b/test/simulation/control_storage.go
@@ -16,7 +16,7 @@
 
 // startWrite begins the next write that the gate asks for, if any.
 func (c *controlServer) startWrite() {
-	write, due := c.gate.Next(c.clock())
+	task, due := c.gate.Next(c.clock())
 	if !due {
 		return
 	}
@@ -24,7 +24,7 @@
 		c.crashAndRestart(c.start, c.simulator.randomDuration(minCrashedTime, maxCrashedTime))
 		return
 	}
-	c.after(c.disk.writeDelay+c.simulator.randomDuration(minSyncTime, maxSyncTime), func() { c.finishWrite(write) })
+	c.after(c.disk.writeDelay+c.simulator.randomDuration(minSyncTime, maxSyncTime), func() { c.finishWrite(task) })
 }
 
 func (c *controlServer) crashesBeforeWrite() bool {
@@ -35,28 +35,14 @@
 	return c.writesUntilCrash == 0
 }
 
-func (c *controlServer) finishWrite(write consensus.Effect) {
+func (c *controlServer) finishWrite(task consensus.Effect) {
 	if c.simulator.now < c.disk.hangsUntil {
-		c.after(c.disk.hangsUntil-c.simulator.now, func() { c.finishWrite(write) })
+		c.after(c.disk.hangsUntil-c.simulator.now, func() { c.finishWrite(task) })
 		return
 	}
-	err := c.writeFile(write)
+	err := consensus.RunDiskTask(c.store, task)
 	if err != nil {
 		c.simulator.record("%s is refused: %v", c.name, err)
 	}
 	c.applyEffects(c.gate.Done(err == nil, c.clock()))
 }
-
-// writeFile saves a version of a file; the gate's other kind of write removes
-// the corrupt files.
-func (c *controlServer) writeFile(write consensus.Effect) error {
-	if save, ok := write.(consensus.Save); ok {
-		return c.store.Put(save.Kind, save.Sequence, save.Data)
-	}
-	for _, kind := range consensus.FileKinds() {
-		if err := c.store.RemoveCorrupt(kind); err != nil {
-			return err
-		}
-	}
-	return nil
-}
