--- a/internal/app/control/asyncfailover.go
+++ b/internal/app/control/asyncfailover.go
@@ -16,16 +16,20 @@
 		return
 	}
 	evidence := response.Evidence
-	for _, effect := range asyncrepl.Step(evidence, asyncrepl.DefaultTiming()) {
-		if decision, ok := effect.(failover.Record); ok {
-			if !s.recordDecision(evidence.Writer, evidence.Known, decision) {
-				return
+	executor := failover.Executor{
+		Record: func(decision failover.Record, committed func()) {
+			if s.recordDecision(evidence.Writer, evidence.Known, decision) {
+				committed()
 			}
-			continue
-		}
-		if promote, ok := effect.(asyncrepl.Promote); ok {
-			s.node.Workers.Go(func() { s.promoteAsync(promote) })
-		}
+		},
+		Act: s.executeAsyncEffect,
+	}
+	executor.Execute(asyncrepl.Step(evidence, asyncrepl.DefaultTiming()))
+}
+
+func (s *Server) executeAsyncEffect(effect failover.Effect) {
+	if promote, ok := effect.(asyncrepl.Promote); ok {
+		s.node.Workers.Go(func() { s.promoteAsync(promote) })
 	}
 }
 
--- a/internal/app/control/elections.go
+++ b/internal/app/control/elections.go
@@ -43,13 +43,7 @@
 
 // electionState gives what elections depend on; the caller holds the mutex.
 func (s *Server) electionState() singleton.NodeState {
-	state := singleton.NodeState{Primary: s.isPrimaryAt(s.node.Now())}
-	for _, writer := range s.distributor.Snapshot().Writers {
-		if writer.SyncReplication && writer.Phase != model.PhaseOpen {
-			state.FailoverActive = true
-		}
-	}
-	return state
+	return singleton.NodeState{Primary: s.isPrimaryAt(s.node.Now()), FailoverActive: s.distributor.IsSyncFailoverActive()}
 }
 
 func (s *Server) refreshDatabases() {
--- a/internal/app/control/evidence.go
+++ b/internal/app/control/evidence.go
@@ -12,13 +12,6 @@
 	"tansyseam/internal/transport/worker"
 )
 
-const (
-	// evidenceTimeout bounds a request for evidence to the control primary.
-	evidenceTimeout = 300 * time.Millisecond
-	// recordTimeout bounds the recording of a decision.
-	recordTimeout = 2 * time.Second
-)
-
 // requestEvidence gets the evidence on a database from the control primary, or
 // the list of the databases where none is named.
 func (s *Server) requestEvidence(database string) (message.EvidenceResponse, bool) {
@@ -31,7 +24,7 @@
 	if address == "" {
 		return message.EvidenceResponse{}, false
 	}
-	reply, err := s.node.Hub.Call(address, request, evidenceTimeout)
+	reply, err := s.node.Hub.Call(address, request, failover.EvidenceTimeout)
 	response, ok := reply.(message.EvidenceResponse)
 	return response, err == nil && ok && response.FromPrimary
 }
@@ -53,13 +46,8 @@
 	if !s.isPrimaryAt(now) {
 		return message.EvidenceResponse{}
 	}
-	response := message.EvidenceResponse{FromPrimary: true, Databases: s.distributor.Databases(observations)}
-	for _, database := range response.Databases {
-		if s.distributor.UsesSyncReplication(database, observations) {
-			response.SyncedDatabases = append(response.SyncedDatabases, database)
-		}
-	}
-	return response
+	all, synced := s.distributor.DatabasesByReplication(observations)
+	return message.EvidenceResponse{FromPrimary: true, Databases: all, SyncedDatabases: synced}
 }
 
 func (s *Server) evidenceFor(database string) message.EvidenceResponse {
@@ -70,22 +58,14 @@
 	if !s.isPrimaryAt(now) {
 		return message.EvidenceResponse{}
 	}
-	response := message.EvidenceResponse{FromPrimary: true}
-	if s.distributor.UsesSyncReplication(database, observations) {
-		response.SyncedEvidence = s.distributor.SyncFailoverEvidence(database, observations, s.wallTimeLocked(), now)
-		return response
-	}
-	response.Evidence = s.distributor.AsyncFailoverEvidence(database, observations, s.wallTimeLocked(), now)
-	return response
+	evidence := s.distributor.FailoverEvidence(database, observations, s.wallTimeLocked(), now)
+	return message.EvidenceResponse{FromPrimary: true, Evidence: evidence.Async, SyncedEvidence: evidence.Sync}
 }
 
 // recordDecision has the control primary write a change of a writer role, and
 // says whether it was written. A decision takes effect only then.
 func (s *Server) recordDecision(previous model.WriterRole, exists bool, decision failover.Record) bool {
-	change := distribution.WriterRoleChange{
-		Previous: previous, PreviousExists: exists, Next: decision.Writer, Action: decision.Change,
-		Evidence: decision.Reason, RequestedBy: s.node.Config().Name,
-	}
+	change := distribution.NewWriterRoleChange(previous, exists, decision, s.node.Config().Name)
 	if !s.requestRecord(change) {
 		s.node.Counters.Add("cases_not_recorded", 1)
 		return false
@@ -99,14 +79,14 @@
 	if s.isPrimary() {
 		results := make(chan message.RecordResult, 1)
 		s.onWriterRoleChange(change, func(reply any) { results <- reply.(message.RecordResult) })
-		result, ok := worker.Receive(results, time.After(recordTimeout))
+		result, ok := worker.Receive(results, time.After(failover.RecordTimeout))
 		return ok && result.Stored
 	}
 	address, _ := s.node.ControlPrimary()
 	if address == "" {
 		return false
 	}
-	reply, err := s.node.Hub.Call(address, change, recordTimeout)
+	reply, err := s.node.Hub.Call(address, change, failover.RecordTimeout)
 	result, ok := reply.(message.RecordResult)
 	return err == nil && ok && result.Stored
 }
--- a/internal/app/control/syncfailover.go
+++ b/internal/app/control/syncfailover.go
@@ -22,19 +22,22 @@
 		return
 	}
 	evidence := s.augment(response.SyncedEvidence)
-	for _, effect := range syncrepl.Step(evidence, syncrepl.DefaultTiming()) {
-		decision, ok := effect.(failover.Record)
-		if !ok {
-			s.executeSyncEffect(evidence, effect)
-			continue
-		}
-		if !s.recordDecision(evidence.Writer, evidence.Known, decision) {
-			return
-		}
-		s.mutex.Lock()
-		s.evidence.RecordCommitted(decision)
-		s.mutex.Unlock()
+	executor := failover.Executor{
+		Record: func(decision failover.Record, committed func()) {
+			if s.recordDecision(evidence.Writer, evidence.Known, decision) {
+				s.noteCommitted(decision)
+				committed()
+			}
+		},
+		Act: func(effect failover.Effect) { s.executeSyncEffect(evidence, effect) },
 	}
+	executor.Execute(syncrepl.Step(evidence, syncrepl.DefaultTiming()))
+}
+
+func (s *Server) noteCommitted(decision failover.Record) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.evidence.RecordCommitted(decision)
 }
 
 // augment adds what this node itself has learned from the instances and the
--- /dev/null
+++ b/internal/coordination/distribution/evaluation_test.go
@@ -0,0 +1,72 @@
+package distribution
+
+import (
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/internal/state/model"
+	"tansyseam/internal/state/store"
+)
+
+// observationOf returns an observation of an instance of a database.
+func observationOf(h *harness, database string, synced bool) Observation {
+	observed := instance(database+"-a", model.RolePrimary)
+	observed.Database, observed.SyncReplication = database, synced
+	return Observation{Instance: observed, ObservedAt: h.now}
+}
+
+func TestFailoverEvidence(t *testing.T) {
+	Convey("The evidence on a database is of the kind that its replication calls for", t, func() {
+		h := newHarness(1, store.New())
+		observations := []Observation{observationOf(h, "async", false), observationOf(h, "sync", true)}
+		async := h.FailoverEvidence("async", observations, h.wallNanos, h.now)
+		So(async.Async.Database, ShouldEqual, "async")
+		So(async.Async.Observations, ShouldHaveLength, 1)
+		So(async.Sync.Database, ShouldBeEmpty)
+		synced := h.FailoverEvidence("sync", observations, h.wallNanos, h.now)
+		So(synced.Sync.Database, ShouldEqual, "sync")
+		So(synced.Sync.Observations, ShouldHaveLength, 1)
+		So(synced.Async.Database, ShouldBeEmpty)
+	})
+	Convey("A database with a writer role of synchronous replication has that kind, with nothing observed", t, func() {
+		h := newHarness(1, store.New())
+		h.openTerm(3)
+		So(h.FailoverEvidence("db", nil, h.wallNanos, h.now).Sync.Database, ShouldEqual, "db")
+	})
+}
+
+func TestDatabasesByReplication(t *testing.T) {
+	Convey("All databases are listed by name, and those with synchronous replication apart", t, func() {
+		h := newHarness(1, store.New())
+		all, synced := h.DatabasesByReplication(nil)
+		So(all, ShouldBeEmpty)
+		So(synced, ShouldBeEmpty)
+		h.openTerm(3)
+		all, synced = h.DatabasesByReplication([]Observation{observationOf(h, "x", true), observationOf(h, "a", false)})
+		So(all, ShouldResemble, []string{"a", "db", "x"})
+		So(synced, ShouldResemble, []string{"db", "x"})
+	})
+}
+
+func TestSyncFailoverActive(t *testing.T) {
+	for _, row := range []struct {
+		title  string
+		writer model.WriterRole
+		active bool
+	}{
+		{"An open term is no failover", model.WriterRole{Database: "db", Term: 3, SyncReplication: true, Phase: model.PhaseOpen}, false},
+		{"A term that closes is one", model.WriterRole{Database: "db", Term: 3, SyncReplication: true, Phase: model.PhaseClosing}, true},
+		{"A promotion is one", model.WriterRole{Database: "db", Term: 3, SyncReplication: true, Phase: model.PhasePromoting}, true},
+		{"Asynchronous replication does not count", model.WriterRole{Database: "db", Term: 3, Phase: model.PhaseClosing}, false},
+	} {
+		Convey(row.title, t, func() {
+			h := newHarness(1, store.New())
+			h.put(store.Put{Key: model.PrefixWriterRole + "db", Data: store.Encode(row.writer)})
+			So(h.IsSyncFailoverActive(), ShouldEqual, row.active)
+		})
+	}
+	Convey("Without a writer role there is none", t, func() {
+		So(newHarness(1, store.New()).IsSyncFailoverActive(), ShouldBeFalse)
+	})
+}
--- /dev/null
+++ b/internal/coordination/failover/execute.go
@@ -0,0 +1,38 @@
+package failover
+
+import "time"
+
+const (
+	// EvidenceTimeout bounds a request to the control primary for the evidence on a
+	// database.
+	EvidenceTimeout = 300 * time.Millisecond
+	// RecordTimeout bounds a request to the control primary to commit a Record.
+	RecordTimeout = 2 * time.Second
+)
+
+// Executor carries out the effects of one step of a failover machine.
+type Executor struct {
+	// Record has the control primary commit a record, and calls committed once it
+	// has. It does not call committed where the record is refused or lost.
+	Record func(record Record, committed func())
+	// Act carries out an effect that is not a Record.
+	Act func(effect Effect)
+	// Finish, where given, is called once all effects are carried out.
+	Finish func()
+}
+
+// Execute carries out effects in order. Those after a Record wait until it is
+// committed: what they do may rest on it, also if another control server goes on.
+func (e Executor) Execute(effects []Effect) {
+	for index, effect := range effects {
+		if record, ok := effect.(Record); ok {
+			rest := effects[index+1:]
+			e.Record(record, func() { e.Execute(rest) })
+			return
+		}
+		e.Act(effect)
+	}
+	if e.Finish != nil {
+		e.Finish()
+	}
+}
--- a/test/simulation/async_failover.go
+++ b/test/simulation/async_failover.go
@@ -15,7 +15,7 @@
 	if f.defects.PromoteWorstReplica && len(effects) == 2 {
 		effects = withWorstReplica(evidence, effects[0].(failover.Record))
 	}
-	step := failoverStep{
+	decided := decision{
 		primary: primary, database: evidence.Database, previous: evidence.Writer, previousExists: evidence.Known,
 		act: func(effect failover.Effect) {
 			if promote, ok := effect.(asyncrepl.Promote); ok {
@@ -24,7 +24,7 @@
 		},
 		recorded: func(failover.Record) {},
 	}
-	control.applyFailover(step, effects)
+	control.carryOut(decided, effects)
 }
 
 // decideSync finds that control takes a database for one whose instances
--- a/test/simulation/control_roles.go
+++ b/test/simulation/control_roles.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"tansyseam/internal/coordination/singleton"
-	"tansyseam/internal/state/model"
 )
 
 // runSingletons does what is due at the control server itself, and then what
@@ -32,37 +31,20 @@
 		return
 	}
 	if primary == c {
-		c.singleton.SetDatabases(c.databases())
+		c.singleton.SetDatabases(c.distributor.DatabasesByReplication(c.announcementList()))
 		return
 	}
 	c.simulator.send(&c.machine, &primary.machine, func() {
 		if !primary.isPrimary() {
 			return
 		}
-		all, synchronous := primary.databases()
-		c.simulator.send(&primary.machine, &c.machine, func() { c.singleton.SetDatabases(all, synchronous) })
+		all, synced := primary.distributor.DatabasesByReplication(primary.announcementList())
+		c.simulator.send(&primary.machine, &c.machine, func() { c.singleton.SetDatabases(all, synced) })
 	})
 }
 
 func (c *controlServer) nodeState() singleton.NodeState {
-	state := singleton.NodeState{Primary: c.isPrimary()}
-	for _, writer := range c.distributor.Snapshot().Writers {
-		state.FailoverActive = state.FailoverActive || (writer.SyncReplication && writer.Phase != model.PhaseOpen)
-	}
-	return state
-}
-
-// databases names the databases that this server knows of, and those of them
-// whose instances replicate synchronously.
-func (c *controlServer) databases() (all, synchronous []string) {
-	announced := c.announcementList()
-	all = c.distributor.Databases(announced)
-	for _, database := range all {
-		if c.distributor.UsesSyncReplication(database, announced) {
-			synchronous = append(synchronous, database)
-		}
-	}
-	return all, synchronous
+	return singleton.NodeState{Primary: c.isPrimary(), FailoverActive: c.distributor.IsSyncFailoverActive()}
 }
 
 // campaign stands for singleton roles, and attends to those that are held.
--- a/test/simulation/failover_decision.go
+++ b/test/simulation/failover_decision.go
@@ -1,8 +1,6 @@
 package simulation
 
 import (
-	"time"
-
 	"tansyseam/internal/coordination/consensus"
 	"tansyseam/internal/coordination/distribution"
 	"tansyseam/internal/coordination/failover"
@@ -11,11 +9,6 @@
 	"tansyseam/internal/state/store"
 )
 
-const (
-	evidenceTimeout = 300 * time.Millisecond
-	recordTimeout   = 2 * time.Second
-)
-
 // requestEvidence asks the primary for what is known of a database, and
 // decides by it.
 func (c *controlServer) requestEvidence(evaluate singleton.Evaluate) {
@@ -25,7 +18,7 @@
 		c.singleton.EndEvaluation(database)
 		return
 	}
-	inTime := c.awaitAnswer(database, evidenceTimeout)
+	inTime := c.awaitAnswer(database, failover.EvidenceTimeout)
 	c.simulator.send(&c.machine, &primary.machine, func() {
 		if !primary.isPrimary() {
 			return
@@ -40,15 +33,17 @@
 }
 
 // decisionBy gathers the evidence at the primary, and gives the decision that
-// it leads to.
+// it leads to. There is none where the primary takes the database for one of the
+// other kind of replication.
 func (c *controlServer) decisionBy(primary *controlServer, evaluate singleton.Evaluate) func() {
-	announced := primary.announcementList()
-	if evaluate.Synced {
-		evidence := primary.distributor.SyncFailoverEvidence(evaluate.Database, announced, primary.wallNow(), primary.clock())
-		return func() { c.plane.backends.decideSync(c, primary, evidence) }
+	evidence := primary.distributor.FailoverEvidence(evaluate.Database, primary.announcementList(), primary.wallNow(), primary.clock())
+	if evaluate.Synced && evidence.Sync.Database == evaluate.Database {
+		return func() { c.plane.backends.decideSync(c, primary, evidence.Sync) }
 	}
-	evidence := primary.distributor.AsyncFailoverEvidence(evaluate.Database, announced, primary.wallNow(), primary.clock())
-	return func() { c.plane.backends.decideAsync(c, primary, evidence) }
+	if !evaluate.Synced && evidence.Async.Database == evaluate.Database {
+		return func() { c.plane.backends.decideAsync(c, primary, evidence.Async) }
+	}
+	return func() { c.singleton.EndEvaluation(evaluate.Database) }
 }
 
 // announcementList gives the announcements in the order in which the
@@ -63,9 +58,8 @@
 	return list
 }
 
-// failoverStep is the decision of one evaluation, which is carried out effect
-// by effect.
-type failoverStep struct {
+// decision is that of one evaluation by a control server.
+type decision struct {
 	primary  *controlServer
 	database string
 	// previous is the writer role that the decision goes by.
@@ -77,34 +71,27 @@
 	recorded func(failover.Record)
 }
 
-// applyFailover carries effects out in order. What follows a record waits
-// until that is committed.
-func (c *controlServer) applyFailover(step failoverStep, effects []failover.Effect) {
-	for index, effect := range effects {
-		record, ok := effect.(failover.Record)
-		if !ok {
-			step.act(effect)
-			continue
-		}
-		rest := effects[index+1:]
-		c.recordDecision(step, record, func() {
-			step.recorded(record)
-			c.applyFailover(step, rest)
-		})
-		return
+// carryOut carries out the effects of a decision, and ends the evaluation.
+func (c *controlServer) carryOut(decided decision, effects []failover.Effect) {
+	executor := failover.Executor{
+		Record: func(record failover.Record, committed func()) {
+			c.recordDecision(decided, record, func() {
+				decided.recorded(record)
+				committed()
+			})
+		},
+		Act:    decided.act,
+		Finish: func() { c.singleton.EndEvaluation(decided.database) },
 	}
-	c.singleton.EndEvaluation(step.database)
+	executor.Execute(effects)
 }
 
 // recordDecision has the primary commit a change of the writer role, and goes
 // on once that is done.
-func (c *controlServer) recordDecision(step failoverStep, record failover.Record, then func()) {
-	primary, database := step.primary, step.database
-	change := distribution.WriterRoleChange{
-		Previous: step.previous, PreviousExists: step.previousExists, Next: record.Writer,
-		Action: record.Change, Evidence: record.Reason, RequestedBy: c.name,
-	}
-	inTime := c.awaitAnswer(database, recordTimeout)
+func (c *controlServer) recordDecision(decided decision, record failover.Record, then func()) {
+	primary, database := decided.primary, decided.database
+	change := distribution.NewWriterRoleChange(decided.previous, decided.previousExists, record, c.name)
+	inTime := c.awaitAnswer(database, failover.RecordTimeout)
 	onAnswer := func(committed bool) {
 		if !inTime() {
 			return
--- a/test/simulation/lines_failover.go
+++ b/test/simulation/lines_failover.go
@@ -28,18 +28,18 @@
 	if l.defects.PromoteWorstReplica {
 		promoteWorst(effects, worstReplica(evidence))
 	}
-	step := failoverStep{
+	decided := decision{
 		primary: primary, database: evidence.Database, previous: evidence.Writer, previousExists: evidence.Known,
 		act:      func(effect failover.Effect) { l.applySyncFailover(control, primary, evidence, effect) },
 		recorded: control.syncFailover.RecordCommitted,
 	}
-	control.applyFailover(step, effects)
+	control.carryOut(decided, effects)
 }
 
 // decideAsync decides as for instances that push their positions, where
 // control does not know better yet. That cannot promote any.
 func (l *lineFleet) decideAsync(control, primary *controlServer, evidence asyncrepl.Evidence) {
-	step := failoverStep{
+	decided := decision{
 		primary: primary, database: evidence.Database, previous: evidence.Writer, previousExists: evidence.Known,
 		act: func(effect failover.Effect) {
 			if promote, ok := effect.(asyncrepl.Promote); ok {
@@ -48,7 +48,7 @@
 		},
 		recorded: func(failover.Record) {},
 	}
-	control.applyFailover(step, asyncrepl.Step(evidence, asyncrepl.DefaultTiming()))
+	control.carryOut(decided, asyncrepl.Step(evidence, asyncrepl.DefaultTiming()))
 }
 
 func (l *lineFleet) applySyncFailover(control, primary *controlServer, evidence syncrepl.Evidence, effect failover.Effect) {
