--- a/internal/state/model/snapshot.go
+++ b/internal/state/model/snapshot.go
@@ -39,52 +39,57 @@
 
 // snapshotReader reads the records of a snapshot that were written since another.
 type snapshotReader struct {
-	state         *store.Table
+	state *store.Table
+	// previousState is nil if there is no other snapshot.
 	previousState *store.Table
-	newest        store.Version
-	decoded       int
-}
-
-// isUnchanged notes a record's version, and says whether it is the previous one.
-func (r *snapshotReader) isUnchanged(key string) bool {
-	version := r.state.Records[key].Version
-	if r.newest.IsBefore(version) {
-		r.newest = version
-	}
-	return r.previousState != nil && r.previousState.Records[key].Version == version
+	// newest is the newest version of the records that were read.
+	newest  store.Version
+	decoded int
 }
 
 func (r *snapshotReader) sets(previous []BindingSet) []BindingSet {
-	var sets []BindingSet
-	for _, key := range r.state.Keys(PrefixBindingSet) {
-		index := slices.IndexFunc(previous, func(set BindingSet) bool { return BindingSetKey(set.Sequence) == key })
-		if r.isUnchanged(key) && index >= 0 {
-			sets = append(sets, previous[index])
-			continue
-		}
-		r.decoded++
-		if set, found := store.Get(r.state, key, BindingSetFrom); found {
-			sets = append(sets, set)
-		}
+	previousByKey := make(map[string]BindingSet, len(previous))
+	for _, set := range previous {
+		previousByKey[BindingSetKey(set.Sequence)] = set
 	}
+	sets := readRecords(r, PrefixBindingSet, previousByKey, BindingSetFrom)
 	slices.SortFunc(sets, compareSequences)
 	return sets
 }
 
 func (r *snapshotReader) writers(previous map[string]WriterRole) map[string]WriterRole {
+	previousByKey := make(map[string]WriterRole, len(previous))
+	for database, role := range previous {
+		previousByKey[PrefixWriterRole+database] = role
+	}
 	writers := map[string]WriterRole{}
-	for _, key := range r.state.Keys(PrefixWriterRole) {
-		known, found := previous[key[len(PrefixWriterRole):]]
-		if r.isUnchanged(key) && found {
-			writers[known.Database] = known
+	for _, role := range readRecords(r, PrefixWriterRole, previousByKey, WriterRoleFrom) {
+		writers[role.Database] = role
+	}
+	return writers
+}
+
+// readRecords returns the values of the records under a prefix. It takes from previous
+// those that were not written since, and leaves out those that cannot be decoded.
+func readRecords[Value, Encoded any](r *snapshotReader, prefix string, previous map[string]Value, from func(Encoded) Value) []Value {
+	var values []Value
+	for _, key := range r.state.Keys(prefix) {
+		r.newest = r.newest.Max(r.state.Records[key].Version)
+		if value, found := previous[key]; found && r.isUnchanged(key) {
+			values = append(values, value)
 			continue
 		}
 		r.decoded++
-		if role, found := store.Get(r.state, key, WriterRoleFrom); found {
-			writers[role.Database] = role
+		if value, found := store.Get(r.state, key, from); found {
+			values = append(values, value)
 		}
 	}
-	return writers
+	return values
+}
+
+// isUnchanged says whether a record was not written since the previous state.
+func (r *snapshotReader) isUnchanged(key string) bool {
+	return r.previousState != nil && r.previousState.Records[key].Version == r.state.Records[key].Version
 }
 
 // DeltaSince returns what was written after a version, by the state that the snapshot
--- a/internal/state/store/table.go
+++ b/internal/state/store/table.go
@@ -26,6 +26,14 @@
 	return v.Epoch < other.Epoch || (v.Epoch == other.Epoch && v.Sequence < other.Sequence)
 }
 
+// Max returns the newer of two versions.
+func (v Version) Max(other Version) Version {
+	if v.IsBefore(other) {
+		return other
+	}
+	return v
+}
+
 // Record is one value with the version of its last write.
 type Record struct {
 	Version Version
