--- a/internal/state/encoded/encoded.go
+++ b/internal/state/encoded/encoded.go
@@ -5,18 +5,20 @@
 // other side does not know at zero without an error. The names here are therefore
 // those of the first release and must never change: a new build reads the files of
 // an old one, and both share a fleet while a new version is rolled out. Packages
-// store and model convert between these types and their own.
+// store and model convert between these types and their own, by a method Encoded and a
+// function that ends in From; their types say what each field means. A new field is
+// added here and to both conversions.
 package encoded
 
 import "time"
 
-// Stamp orders versions of the control state.
+// Stamp is the encoded form of store.Version.
 type Stamp struct {
 	Epoch    uint64
 	Sequence uint64
 }
 
-// Instance is what an instance announces.
+// Instance is the encoded form of model.Instance.
 type Instance struct {
 	Name        string
 	Database    string
@@ -34,13 +36,13 @@
 	Calls       uint64
 }
 
-// Position is a position in a database's log.
+// Position is the encoded form of model.Position.
 type Position struct {
 	Term  uint64
 	Index uint64
 }
 
-// Doc is a snapshot of the configuration.
+// Doc is the encoded form of model.Snapshot.
 type Doc struct {
 	Stamp   Stamp
 	Sets    []Set
@@ -49,7 +51,7 @@
 	First   uint64
 }
 
-// Set is one version of the bindings.
+// Set is the encoded form of model.BindingSet.
 type Set struct {
 	Sequence  uint64
 	Bindings  []Binding
@@ -63,7 +65,7 @@
 	Limits    Limits
 }
 
-// Binding pairs a service with a database.
+// Binding is the encoded form of model.Binding.
 type Binding struct {
 	Name      string
 	Database  string
@@ -75,21 +77,21 @@
 	Tries     int
 }
 
-// Database is what a configuration says of a database.
+// Database is the encoded form of model.Database.
 type Database struct {
 	Name        string
 	Connections int
 	Synced      int
 }
 
-// Limits are the limits that a configuration sets.
+// Limits is the encoded form of model.Limits.
 type Limits struct {
 	Message int
 	Idle    time.Duration
 	Inside  time.Duration
 }
 
-// Writer is the state of one database's writer role.
+// Writer is the encoded form of model.WriterRole.
 type Writer struct {
 	Database   string
 	Term       uint64
@@ -112,7 +114,7 @@
 	Fence      uint64
 }
 
-// Node is one process of the fleet.
+// Node is the encoded form of model.Node.
 type Node struct {
 	Name    string
 	Kind    string
@@ -126,26 +128,26 @@
 	Left    bool
 }
 
-// Put is one change of a write.
+// Put is the encoded form of store.Put.
 type Put struct {
 	Key    string
 	Data   []byte
 	IsGone bool
 }
 
-// Record is one value of the control state.
+// Record is the encoded form of store.Record.
 type Record struct {
 	Stamp Stamp
 	Data  []byte
 }
 
-// Table is a replica of the control state.
+// Table is the encoded form of store.Table.
 type Table struct {
 	Stamp   Stamp
 	Records map[string]Record
 }
 
-// Booking is a scheduled change.
+// Booking is the encoded form of model.ScheduledChange.
 type Booking struct {
 	ID       string
 	At       int64
@@ -153,7 +155,7 @@
 	Order    uint64
 }
 
-// Entry is an entry of the audit log.
+// Entry is the encoded form of model.AuditEntry.
 type Entry struct {
 	Order    uint64
 	At       int64
--- a/internal/state/model/audit.go
+++ b/internal/state/model/audit.go
@@ -4,9 +4,11 @@
 type AuditEntry struct {
 	// Sequence numbers the entries without gaps.
 	Sequence uint64 `json:"order"`
-	At       int64  `json:"at"`
+	// At is when it was decided, in Unix nanoseconds by the control primary's clock.
+	At int64 `json:"at"`
 	// Subject names what the decision is about, such as a database.
-	Subject  string `json:"subject"`
+	Subject string `json:"subject"`
+	// Action says what was decided, and Evidence on which grounds, for operators.
 	Action   string `json:"what"`
 	Evidence string `json:"evidence"`
 }
--- a/internal/state/model/bindings.go
+++ b/internal/state/model/bindings.go
@@ -47,12 +47,14 @@
 	// Sequence numbers the sets without gaps, from 1.
 	Sequence uint64
 	Bindings []Binding
-	// EffectiveAt is when the set takes effect on all nodes; 0 while the set is
-	// pending, that is while it is still being distributed.
+	// EffectiveAt is when the set takes effect on all nodes, in Unix nanoseconds by the
+	// control primary's clock; 0 while the set is pending, that is while it is still
+	// being distributed.
 	EffectiveAt int64
 	// NotBefore is the earliest EffectiveAt that the set may get; 0 for any.
 	NotBefore int64
-	// AcceptedAt is when the set got its sequence.
+	// AcceptedAt is when the set got its sequence, in Unix nanoseconds by the control
+	// primary's clock.
 	AcceptedAt int64
 	// ScheduledBy is the tenure of the control primary that assigned EffectiveAt.
 	ScheduledBy string
@@ -86,7 +88,9 @@
 
 // ScheduledChange is a change of the bindings that is to take effect at a later time.
 type ScheduledChange struct {
-	ID          string
+	ID string
+	// EffectiveAt is when the change is to take effect, in Unix nanoseconds by the
+	// control primary's clock.
 	EffectiveAt int64
 	Bindings    []Binding
 	// Order is the sequence of the control state when the change was scheduled; it
--- a/internal/state/model/node.go
+++ b/internal/state/model/node.go
@@ -17,11 +17,12 @@
 	Zone        string
 	RPCAddress  string
 	HTTPAddress string
-	// Incarnation identifies the run of the process; a later run has a higher one.
+	// Incarnation identifies the run of the process; a later run has a higher one. It is
+	// the start of the run in Unix nanoseconds by the process's own clock.
 	Incarnation int64
 	// Version is that of the messages which the process understands.
 	Version int
-	// Weight is the node's relative share of the load.
+	// Weight is the node's share of the load, relative to the weights of its peers.
 	Weight float64
 	// Heartbeat rises for as long as the process runs.
 	Heartbeat uint64
--- a/internal/state/model/snapshot.go
+++ b/internal/state/model/snapshot.go
@@ -13,7 +13,8 @@
 	// Version is that of the last write that changed the snapshot.
 	Version store.Version
 	// Sets are sorted by sequence.
-	Sets    []BindingSet
+	Sets []BindingSet
+	// Writers are the writer roles by database.
 	Writers map[string]WriterRole
 	// BaseVersion is set in a delta: Sets and Writers are then only those written after
 	// that version, and FirstSequence is the lowest sequence that is left.
@@ -137,7 +138,8 @@
 
 func compareSequences(a, b BindingSet) int { return cmp.Compare(a.Sequence, b.Sequence) }
 
-// ActiveSet returns the set in effect at a time of the primary's clock.
+// ActiveSet returns the set in effect at a time of the control primary's clock, in Unix
+// nanoseconds. It is empty if no set is in effect yet.
 func (s Snapshot) ActiveSet(wallNanos int64) BindingSet {
 	var active BindingSet
 	for _, set := range s.Sets {
@@ -148,7 +150,8 @@
 	return active
 }
 
-// NewestSet returns the last set that was accepted, in effect or not.
+// NewestSet returns the last set that was accepted, in effect or not. It is empty if
+// there is none.
 func (s Snapshot) NewestSet() BindingSet {
 	if len(s.Sets) == 0 {
 		return BindingSet{}
--- a/internal/state/model/writerrole.go
+++ b/internal/state/model/writerrole.go
@@ -18,17 +18,21 @@
 // term, and how far a transfer to another instance has come.
 type WriterRole struct {
 	Database string
-	Term     uint64
-	Primary  string
+	// Term rises with every primary.
+	Term uint64
+	// Primary names the instance that has the role; while the role is moved, the one that
+	// had it last.
+	Primary string
 	// PrimaryIncarnation is the primary's incarnation when the term opened.
 	PrimaryIncarnation string
-	Phase              string
+	// Phase is one of the phases above.
+	Phase string
 	// RequiredReplicas must have a commit before it is confirmed; Candidates may be
 	// promoted, since every node has waited for them. Both are incarnations by name.
 	RequiredReplicas map[string]string
 	Candidates       map[string]string
-	// Excluded replicas lagged too far behind; commits do not wait for them before the
-	// time given.
+	// Excluded replicas lagged too far behind. Commits do not wait for them until the
+	// time given, in Unix nanoseconds by the control primary's clock, by name.
 	Excluded map[string]int64
 	// Promoting names the replica that is being promoted, if any.
 	Promoting string
@@ -40,7 +44,7 @@
 	// Reason says, for operators, what is being waited for.
 	Reason string
 	// LastTransitionAt is when the phase began or, if later, the last promote call was
-	// decided on.
+	// decided on, in Unix nanoseconds by the control primary's clock.
 	LastTransitionAt int64
 	// PromoteCalls counts the promote calls decided on for the replica in Promoting.
 	PromoteCalls int
