--- a/internal/protocol/bindings/bindings.go
+++ b/internal/protocol/bindings/bindings.go
@@ -28,10 +28,15 @@
 type bindingPaths struct{ name, database, freshness string }
 
 var (
-	plainPaths = bindingPaths{"/bindings/%d/name", "/bindings/%d/database", "/bindings/%d/freshness_ms"}
+	plainPaths = bindingPaths{
+		name:      "/bindings/%d/name",
+		database:  "/bindings/%d/database",
+		freshness: "/bindings/%d/freshness_ms",
+	}
 	routePaths = bindingPaths{
-		"/routes/%d/metadata/name", "/routes/%d/spec/rules/0/backendRefs/0/name",
-		"/routes/%d/metadata/annotations/" + FreshnessAnnotation,
+		name:      "/routes/%d/metadata/name",
+		database:  "/routes/%d/spec/rules/0/backendRefs/0/name",
+		freshness: "/routes/%d/metadata/annotations/" + FreshnessAnnotation,
 	}
 )
 
@@ -46,28 +51,27 @@
 	var bindings []model.Binding
 	for _, item := range value.GetArray("bindings") {
 		bindings = append(bindings, model.Binding{
-			Name: text(item, "name"), Database: text(item, "database"), Freshness: milliseconds(item, "freshness_ms"),
+			Name:      text(item, "name"),
+			Database:  text(item, "database"),
+			Freshness: milliseconds(item, "freshness_ms"),
 		})
 	}
 	return bindings, validate(bindings, knows, plainPaths)
 }
 
 func validate(bindings []model.Binding, knows func(string) bool, paths bindingPaths) []schema.Violation {
-	var violations []schema.Violation
-	addViolation := func(path, format string, arguments ...any) {
-		violations = append(violations, schema.Violation{Path: path, Reason: fmt.Sprintf(format, arguments...)})
-	}
+	var violations violationList
 	indexByName := map[string]int{}
 	for index, binding := range bindings {
 		if first, duplicate := indexByName[binding.Name]; duplicate && binding.Name != "" {
-			addViolation(fmt.Sprintf(paths.name, index), "name %q stands already at %s", binding.Name, fmt.Sprintf(paths.name, first))
+			violations.add(fmt.Sprintf(paths.name, index), "name %q stands already at %s", binding.Name, fmt.Sprintf(paths.name, first))
 		}
 		indexByName[binding.Name] = index
 		if binding.Database != "" && !knows(binding.Database) {
-			addViolation(fmt.Sprintf(paths.database, index), "unknown database %q", binding.Database)
+			violations.add(fmt.Sprintf(paths.database, index), "unknown database %q", binding.Database)
 		}
 		if binding.Freshness > 0 && binding.Freshness < MinFreshness {
-			addViolation(fmt.Sprintf(paths.freshness, index), "no replica can be held this fresh: 0 (strict), or 50 and more")
+			violations.add(fmt.Sprintf(paths.freshness, index), "no replica can be held this fresh: 0 (strict), or 50 and more")
 		}
 	}
 	return violations
--- a/internal/protocol/bindings/gatewayapi.go
+++ b/internal/protocol/bindings/gatewayapi.go
@@ -17,8 +17,9 @@
 const FreshnessAnnotation = "tansyseam.example/freshness-ms"
 
 const (
-	gatewayGroup       = "gateway.networking.k8s.io/"
-	routeKind          = "TCPRoute"
+	gatewayGroup = "gateway.networking.k8s.io/"
+	routeKind    = "TCPRoute"
+	// maxNameLength and maxFreshnessMillis are those of the schema.
 	maxNameLength      = 63
 	maxFreshnessMillis = 3600000
 	// namePunctuation may stand in a name, but not begin it.
@@ -42,7 +43,7 @@
 // routeReader gathers the binding and the violations of one route.
 type routeReader struct {
 	binding     model.Binding
-	violations  []schema.Violation
+	violations  violationList
 	hasName     bool
 	hasDatabase bool
 	hasKind     bool
@@ -60,20 +61,16 @@
 		{"spec.rules[0].backendRefs[0].name", r.hasDatabase},
 	} {
 		if !required.present {
-			r.addViolation(path, "%s is missing", required.name)
+			r.violations.add(path, "%s is missing", required.name)
 		}
 	}
 	return r
 }
 
-func (r *routeReader) addViolation(path, format string, arguments ...any) {
-	r.violations = append(r.violations, schema.Violation{Path: path, Reason: fmt.Sprintf(format, arguments...)})
-}
-
 // fieldReaders holds how each supported field of an object is read.
 type fieldReaders map[string]func(r *routeReader, value *fastjson.Value, path string)
 
-// The fields of a route, from the outside in. Each table names the next.
+// The fields of a route, from the inside out: a table names those before it.
 var (
 	backendFields = fieldReaders{"name": (*routeReader).readDatabase}
 
@@ -102,14 +99,14 @@
 
 func (r *routeReader) readAPIVersion(value *fastjson.Value, path string) {
 	if !strings.HasPrefix(string(value.GetStringBytes()), gatewayGroup) {
-		r.addViolation(path, "must be of %s", gatewayGroup)
+		r.violations.add(path, "must be of %s", gatewayGroup)
 	}
 }
 
 func (r *routeReader) readKind(value *fastjson.Value, path string) {
 	r.hasKind = true
 	if string(value.GetStringBytes()) != routeKind {
-		r.addViolation(path, "must be %s", routeKind)
+		r.violations.add(path, "must be %s", routeKind)
 	}
 }
 
@@ -124,7 +121,7 @@
 func (r *routeReader) readFreshness(value *fastjson.Value, path string) {
 	number, err := strconv.Atoi(string(value.GetStringBytes()))
 	if err != nil || number < 0 || number > maxFreshnessMillis {
-		r.addViolation(path, "must be a whole number of ms, as a string")
+		r.violations.add(path, "must be a whole number of ms, as a string")
 	}
 	r.binding.Freshness = time.Duration(number) * time.Millisecond
 }
@@ -132,7 +129,7 @@
 func (r *routeReader) readName(value *fastjson.Value, path string) string {
 	name := string(value.GetStringBytes())
 	if !isName(name) {
-		r.addViolation(path, "must be a name of 1 to 63 letters, digits, '-', '.' or '_'")
+		r.violations.add(path, "must be a name of 1 to 63 letters, digits, '-', '.' or '_'")
 	}
 	return name
 }
@@ -154,14 +151,14 @@
 func (r *routeReader) readObject(supported fieldReaders, value *fastjson.Value, path string) {
 	object, err := value.Object()
 	if err != nil {
-		r.addViolation(path, "must be an object")
+		r.violations.add(path, "must be an object")
 		return
 	}
 	object.Visit(func(key []byte, field *fastjson.Value) {
 		name := string(key)
 		read, known := supported[name]
 		if !known {
-			r.addViolation(path+"/"+name, "field %q is not supported", name)
+			r.violations.add(path+"/"+name, "field %q is not supported", name)
 			return
 		}
 		read(r, field, path+"/"+name)
@@ -172,7 +169,7 @@
 func (r *routeReader) readSingle(supported fieldReaders, value *fastjson.Value, path string) {
 	list, err := value.Array()
 	if err != nil || len(list) != 1 {
-		r.addViolation(path, "must hold just one entry")
+		r.violations.add(path, "must hold just one entry")
 		return
 	}
 	r.readObject(supported, list[0], path+"/0")
--- a/internal/protocol/bindings/manifest.go
+++ b/internal/protocol/bindings/manifest.go
@@ -18,10 +18,11 @@
 func ParseManifest(value *fastjson.Value) (model.BindingSet, []byte, []schema.Violation) {
 	p := &manifestParser{
 		set:       model.BindingSet{Version: value.GetUint64("version")},
-		databases: map[string]bool{}, names: map[string]bool{},
+		databases: map[string]bool{},
+		names:     map[string]bool{},
 	}
 	if p.set.Version == 0 {
-		p.addViolation("/version", "a version is 1 or more")
+		p.violations.add("/version", "a version is 1 or more")
 	}
 	for index, item := range value.GetArray("databases") {
 		p.readDatabase(index, item)
@@ -32,7 +33,7 @@
 	p.readLimits(value.Get("limits"))
 	raw, err := base64.StdEncoding.DecodeString(string(value.GetStringBytes("raw")))
 	if err != nil {
-		p.addViolation("/raw", "not base64")
+		p.violations.add("/raw", "not base64")
 	}
 	return p.set, raw, p.violations
 }
@@ -42,19 +43,17 @@
 	set        model.BindingSet
 	databases  map[string]bool
 	names      map[string]bool
-	violations []schema.Violation
-}
-
-func (p *manifestParser) addViolation(path, format string, arguments ...any) {
-	p.violations = append(p.violations, schema.Violation{Path: path, Reason: fmt.Sprintf(format, arguments...)})
+	violations violationList
 }
 
 func (p *manifestParser) readDatabase(index int, item *fastjson.Value) {
 	database := model.Database{
-		Name: text(item, "name"), MaxConnections: item.GetInt("connections"), MinSyncReplicas: item.GetInt("synced"),
+		Name:            text(item, "name"),
+		MaxConnections:  item.GetInt("connections"),
+		MinSyncReplicas: item.GetInt("synced"),
 	}
 	if p.databases[database.Name] {
-		p.addViolation(fmt.Sprintf("/databases/%d/name", index), "database %q stands twice", database.Name)
+		p.violations.add(fmt.Sprintf("/databases/%d/name", index), "database %q stands twice", database.Name)
 	}
 	p.databases[database.Name] = true
 	p.set.Databases = append(p.set.Databases, database)
@@ -62,19 +61,23 @@
 
 func (p *manifestParser) readBinding(index int, item *fastjson.Value) {
 	binding := model.Binding{
-		Name: text(item, "name"), Database: text(item, "database"),
-		Freshness: milliseconds(item, "freshness_ms"), ReadYourWrites: item.GetBool("own"),
-		Timeout: milliseconds(item, "timeout_ms"), LatencyTarget: milliseconds(item, "target_ms"),
-		Priority: item.GetInt("priority"), MaxAttempts: item.GetInt("tries"),
+		Name:           text(item, "name"),
+		Database:       text(item, "database"),
+		Freshness:      milliseconds(item, "freshness_ms"),
+		ReadYourWrites: item.GetBool("own"),
+		Timeout:        milliseconds(item, "timeout_ms"),
+		LatencyTarget:  milliseconds(item, "target_ms"),
+		Priority:       item.GetInt("priority"),
+		MaxAttempts:    item.GetInt("tries"),
 	}
 	if p.names[binding.Name] {
-		p.addViolation(fmt.Sprintf("/bindings/%d/name", index), "name %q stands twice", binding.Name)
+		p.violations.add(fmt.Sprintf("/bindings/%d/name", index), "name %q stands twice", binding.Name)
 	}
 	if !p.databases[binding.Database] {
-		p.addViolation(fmt.Sprintf("/bindings/%d/database", index), "unknown database %q", binding.Database)
+		p.violations.add(fmt.Sprintf("/bindings/%d/database", index), "unknown database %q", binding.Database)
 	}
 	if binding.Timeout == 0 {
-		p.addViolation(fmt.Sprintf("/bindings/%d/timeout_ms", index), "a statement needs time: 1 and more")
+		p.violations.add(fmt.Sprintf("/bindings/%d/timeout_ms", index), "a statement needs time: 1 and more")
 	}
 	p.names[binding.Name] = true
 	p.set.Bindings = append(p.set.Bindings, binding)
@@ -82,7 +85,8 @@
 
 func (p *manifestParser) readLimits(limits *fastjson.Value) {
 	p.set.Limits = model.Limits{
-		MaxMessageBytes: limits.GetInt("message_bytes"), IdleTimeout: milliseconds(limits, "idle_ms"),
+		MaxMessageBytes:        limits.GetInt("message_bytes"),
+		IdleTimeout:            milliseconds(limits, "idle_ms"),
 		TransactionIdleTimeout: milliseconds(limits, "inside_ms"),
 	}
 }
@@ -128,7 +132,9 @@
 // its lists are never nil.
 func NewManifest(set model.BindingSet) Manifest {
 	manifest := Manifest{
-		Bindings: []ManifestBinding{}, Databases: []ManifestDatabase{}, Version: set.Version,
+		Bindings:  []ManifestBinding{},
+		Databases: []ManifestDatabase{},
+		Version:   set.Version,
 		Limits: ManifestLimits{
 			IdleTimeoutMillis:            set.Limits.IdleTimeout.Milliseconds(),
 			TransactionIdleTimeoutMillis: set.Limits.TransactionIdleTimeout.Milliseconds(),
@@ -137,14 +143,21 @@
 	}
 	for _, binding := range set.Bindings {
 		manifest.Bindings = append(manifest.Bindings, ManifestBinding{
-			Database: binding.Database, FreshnessMillis: binding.Freshness.Milliseconds(), Name: binding.Name,
-			ReadYourWrites: binding.ReadYourWrites, Priority: binding.Priority, LatencyTargetMillis: binding.LatencyTarget.Milliseconds(),
-			TimeoutMillis: binding.Timeout.Milliseconds(), MaxAttempts: binding.MaxAttempts,
+			Database:            binding.Database,
+			FreshnessMillis:     binding.Freshness.Milliseconds(),
+			Name:                binding.Name,
+			ReadYourWrites:      binding.ReadYourWrites,
+			Priority:            binding.Priority,
+			LatencyTargetMillis: binding.LatencyTarget.Milliseconds(),
+			TimeoutMillis:       binding.Timeout.Milliseconds(),
+			MaxAttempts:         binding.MaxAttempts,
 		})
 	}
 	for _, database := range set.Databases {
 		manifest.Databases = append(manifest.Databases, ManifestDatabase{
-			MaxConnections: database.MaxConnections, Name: database.Name, MinSyncReplicas: database.MinSyncReplicas,
+			MaxConnections:  database.MaxConnections,
+			Name:            database.Name,
+			MinSyncReplicas: database.MinSyncReplicas,
 		})
 	}
 	return manifest
