--- a/internal/transport/rpc/dial.go
+++ b/internal/transport/rpc/dial.go
@@ -66,10 +66,10 @@
 
 func (h *Hub) transmit(to *peer, envelope Envelope) {
 	if err := to.send(envelope); err != nil {
-		h.counters.Add("link_encode_faults", 1)
+		h.counters.Add(counterEncodeFailed, 1)
 		return
 	}
-	h.counters.Add("link_out", 1)
+	h.counters.Add(counterSent, 1)
 }
 
 // dial opens the connection of a link and sends its backlog. If that fails, the
@@ -83,7 +83,7 @@
 		delete(h.links, address)
 		h.failCalls(address)
 		h.mutex.Unlock()
-		h.counters.Add("link_dial_faults", 1)
+		h.counters.Add(counterDialFailed, 1)
 		return
 	}
 	link.peer, _ = conn.Session().(*peer)
--- a/internal/transport/rpc/hub.go
+++ b/internal/transport/rpc/hub.go
@@ -14,21 +14,18 @@
 const (
 	// inboxSize is the number of messages that wait for a worker; more are
 	// dropped.
-	inboxSize    = 4096
+	inboxSize = 4096
+	// inboxWorkers is the number of messages that are handled at a time. It is large
+	// since handlers may wait, for instance for a call of their own.
 	inboxWorkers = 48
 
-	readBufferSize     = 16 << 10
+	// readBufferSize is in bytes.
+	readBufferSize = 16 << 10
+	// maxWriteBufferSize is the number of queued bytes at which a connection whose
+	// remote end does not read is closed.
 	maxWriteBufferSize = 16 << 20
 )
 
-// rejectionCounters names the counters of frames that close their connection.
-var rejectionCounters = map[error]string{
-	errGarbage:   "link_refused_garbage",
-	errVersion:   "link_refused_version",
-	errOversized: "link_refused_oversized",
-	errChecksum:  "link_refused_checksum",
-}
-
 // Handler handles a message or call. It replies to a call by reply, at any time
 // or never; for other messages reply does nothing.
 type Handler func(from string, body any, reply func(any))
@@ -43,7 +40,8 @@
 	handler   Handler
 	inbox     *worker.Pool[inboundMessage]
 
-	// mutex guards the fields below and the sessions of the connections.
+	// mutex guards the fields below and the sessions of the connections. It is not held
+	// while bytes are sent.
 	mutex      sync.Mutex
 	links      map[string]*outboundLink
 	pending    map[uint64]pendingCall
@@ -143,19 +141,19 @@
 func (h *Hub) receive(from *peer, received frame) error {
 	envelope, err := from.decode(received)
 	if errors.Is(err, errUnknownMessage) {
-		h.counters.Add("link_unknown_message", 1)
+		h.counters.Add(counterUnknownMessage, 1)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	h.counters.Add("link_in", 1)
+	h.counters.Add(counterReceived, 1)
 	if envelope.IsReply {
 		h.resolveCall(envelope)
 		return nil
 	}
 	if !h.inbox.TrySubmit(inboundMessage{envelope: envelope, from: from}) {
-		h.counters.Add("link_inbox_full", 1)
+		h.counters.Add(counterInboxFull, 1)
 	}
 	return nil
 }
@@ -171,7 +169,7 @@
 	}
 	envelope := Envelope{From: h.name, Version: ProtocolVersion, ID: id, IsReply: true, Body: body}
 	if err := received.from.send(envelope); err != nil {
-		h.counters.Add("link_encode_faults", 1)
+		h.counters.Add(counterEncodeFailed, 1)
 	}
 }
 
--- a/internal/transport/rpc/peer.go
+++ b/internal/transport/rpc/peer.go
@@ -41,6 +41,7 @@
 	outBuffer bytes.Buffer
 	encoder   *gob.Encoder
 
+	// unparsed is the start of a frame whose end has not arrived.
 	unparsed []byte
 	inBuffer bytes.Buffer
 	decoder  *gob.Decoder
@@ -68,7 +69,7 @@
 	data := p.outBuffer.Bytes()
 	writeHeader(data, streamFlag)
 	_, _ = p.conn.Write(data)
-	p.counters.Add("link_out_bytes", int64(len(data)))
+	p.counters.Add(counterSentBytes, int64(len(data)))
 	return nil
 }
 
