--- a/internal/protocol/schema/schema.go
+++ b/internal/protocol/schema/schema.go
@@ -11,6 +11,10 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
+// ErrInvalidDocument says that the schema document is broken, which is a defect of the
+// build.
+const ErrInvalidDocument = errors.ConstError("invalid schema document")
+
 //go:embed schema.json
 var document []byte
 
@@ -36,20 +40,20 @@
 	Shapes    map[string]json.RawMessage `json:"$defs"`
 }
 
-// NewValidator compiles the schema document. An error means that the document
-// is broken.
+// NewValidator compiles the schema document. Its errors are of type
+// ErrInvalidDocument.
 func NewValidator() (*Validator, error) {
 	var contents index
 	if err := json.Unmarshal(document, &contents); err != nil {
-		return nil, errors.Annotate(err, "schema file")
+		return nil, errors.WithType(errors.Annotate(err, "schema file"), ErrInvalidDocument)
 	}
 	validator := &Validator{endpoints: contents.Endpoints, shapes: map[string]*jsonschema.Schema{}}
 	if err := validator.compile(contents.Shapes); err != nil {
-		return nil, errors.Trace(err)
+		return nil, errors.WithType(errors.Trace(err), ErrInvalidDocument)
 	}
 	for path, endpoint := range contents.Endpoints {
 		if validator.shapes[endpoint.Request] == nil || validator.shapes[endpoint.Answer] == nil {
-			return nil, errors.Errorf("schema call %s names an unknown shape", path)
+			return nil, errors.WithType(errors.Errorf("schema call %s names an unknown shape", path), ErrInvalidDocument)
 		}
 	}
 	return validator, nil
--- a/internal/transport/httpserver/server.go
+++ b/internal/transport/httpserver/server.go
@@ -19,8 +19,13 @@
 	idleTimeout = 10 * time.Minute
 )
 
-// ErrBodyTooLarge says that a request's body is larger than MaxBodySize.
-const ErrBodyTooLarge = errors.ConstError("request body too large")
+// Errors of a server, as types for errors.Is.
+const (
+	// ErrListen says that the address cannot be listened on.
+	ErrListen = errors.ConstError("address cannot be listened on")
+	// ErrBodyTooLarge says that a request's body is larger than MaxBodySize.
+	ErrBodyTooLarge = errors.ConstError("request body too large")
+)
 
 // Server serves HTTP at one address.
 type Server struct {
@@ -28,7 +33,8 @@
 }
 
 // Listen opens an address and serves it. If onDisconnect is not nil, it is called
-// with the remote address of each connection that ends.
+// with the remote address of each connection that ends. Its errors are of type
+// ErrListen.
 func Listen(address string, handler http.Handler, onDisconnect func(remoteAddress string)) (*Server, error) {
 	engine := nbhttp.NewEngine(nbhttp.Config{
 		Network: "tcp",
@@ -46,7 +52,7 @@
 		engine.OnClose(func(conn net.Conn, _ error) { onDisconnect(conn.RemoteAddr().String()) })
 	}
 	if err := engine.Start(); err != nil {
-		return nil, errors.Annotatef(err, "listen %s", address)
+		return nil, errors.WithType(errors.Annotatef(err, "listen %s", address), ErrListen)
 	}
 	return &Server{engine: engine}, nil
 }
--- a/internal/transport/lineserver/server.go
+++ b/internal/transport/lineserver/server.go
@@ -9,7 +9,7 @@
 	"tansyseam/internal/transport/worker"
 )
 
-// ErrListen is the type of the errors of Start.
+// ErrListen says that the server's address cannot be listened on.
 const ErrListen = errors.ConstError("address cannot be listened on")
 
 const (
--- a/internal/transport/rpc/hub.go
+++ b/internal/transport/rpc/hub.go
@@ -11,6 +11,9 @@
 	"tansyseam/internal/transport/worker"
 )
 
+// ErrListen says that the hub's address cannot be listened on.
+const ErrListen = errors.ConstError("address cannot be listened on")
+
 const (
 	// inboxSize is the number of messages that wait for a worker; more are
 	// dropped.
@@ -81,8 +84,10 @@
 	return h
 }
 
-// Listen opens the hub's address.
-func (h *Hub) Listen() error { return errors.Annotate(h.engine.Start(), "listen") }
+// Listen opens the hub's address. Its errors are of type ErrListen.
+func (h *Hub) Listen() error {
+	return errors.WithType(errors.Annotate(h.engine.Start(), "listen"), ErrListen)
+}
 
 // Close closes the address and all connections.
 func (h *Hub) Close() { h.engine.Stop() }
