--- a/internal/protocol/backend/codec.go
+++ b/internal/protocol/backend/codec.go
@@ -58,6 +58,7 @@
 }
 
 func encodeOperation(op httppool.Op) (string, []byte) {
+	// Strings, numbers and lists of strings always encode.
 	body, _ := json.Marshal(operationBody{
 		Text:      op.Text,
 		Prepared:  op.Prepared,
@@ -104,6 +105,7 @@
 }
 
 func encodeStatusRequest(after model.Position, waitMS int) (string, []byte) {
+	// Numbers always encode.
 	body, _ := json.Marshal(statusRequestBody{After: after, WaitMS: waitMS})
 	return statusPath, body
 }
--- a/internal/protocol/promotion/promotion.go
+++ b/internal/protocol/promotion/promotion.go
@@ -4,10 +4,14 @@
 
 import (
 	"encoding/json"
+	"net/http"
 
 	"tansyseam/internal/protocol/adapter"
 )
 
+const promotePath = "/platform/promote"
+
+// body is the body of the call.
 type body struct {
 	Database string `json:"database"`
 	Instance string `json:"instance"`
@@ -19,5 +23,5 @@
 func NewRequest(database, instance string, term uint64) adapter.Request {
 	// Strings and numbers always encode.
 	encoded, _ := json.Marshal(body{Database: database, Instance: instance, Term: term})
-	return adapter.Request{Method: "POST", Path: "/platform/promote", Body: encoded}
+	return adapter.Request{Method: http.MethodPost, Path: promotePath, Body: encoded}
 }
