--- a/internal/coordination/pool/linepool/instance.go
+++ b/internal/coordination/pool/linepool/instance.go
@@ -15,6 +15,9 @@
 // answered yet.
 const neverAnswered = -time.Hour
 
+// unknownLimit is the connection limit that stands for one that is not known yet.
+const unknownLimit = 1
+
 // instanceState is what the node knows of one database instance, and its
 // connections there.
 type instanceState struct {
@@ -58,7 +61,7 @@
 	database := m.database(info.Database)
 	instance := m.instances.GetOrAdd(info.Name, func() *instanceState { return m.newInstance(database) })
 	previous := instance.info
-	if info.Connections <= 1 {
+	if !isLimitKnown(info) {
 		info.Connections = previous.Connections
 	}
 	instance.info = info
@@ -99,17 +102,22 @@
 	return instance.drainingSince != 0 && now-instance.drainingSince >= m.timing.DrainWindow
 }
 
-// updateCapacities takes the instances' connection limits from a binding set.
+// isLimitKnown reports whether an instance's connection limit is known. Announcements
+// of instances whose limit stands in the configuration only say unknownLimit.
+func isLimitKnown(info model.Instance) bool { return info.Connections > unknownLimit }
+
+// updateCapacities takes the instances' connection limits from a binding set. A window
+// that was bounded by an unknown limit begins anew, at its initial size.
 func (m *Machine) updateCapacities(set model.BindingSet) {
 	for _, instance := range m.instances.All() {
 		database, found := set.Database(instance.info.Database)
 		if !found || database.MaxConnections == instance.info.Connections {
 			continue
 		}
-		unknown := instance.info.Connections <= 1
+		wasKnown := isLimitKnown(instance.info)
 		instance.info.Connections = database.MaxConnections
 		m.retuneWindow(instance)
-		if unknown {
+		if !wasKnown {
 			instance.window.Reset()
 		}
 	}
