--- a/internal/coordination/pool/core.go
+++ b/internal/coordination/pool/core.go
@@ -55,7 +55,7 @@
 }
 
 // NewCore returns the core of the node called name, which has no lease and
-// knows no binding set yet. It tells count each counter that rises.
+// knows no binding set yet. It calls count for each counter that rises.
 func NewCore(name string, leases lease.Timing, count Counter) Core {
 	return Core{routing: routing.New(name, leases), count: count}
 }
--- a/internal/coordination/pool/linepool/drain.go
+++ b/internal/coordination/pool/linepool/drain.go
@@ -25,7 +25,6 @@
 // closeIdleClients ends transactions that have been idle for too long and,
 // while the node drains, sessions.
 func (m *Machine) closeIdleClients(now time.Duration) {
-	m.admitConnecting(now)
 	due := now-m.lastIdleCheck > idleCheckInterval
 	if !due && !m.Draining() {
 		return
--- a/internal/coordination/pool/linepool/machine.go
+++ b/internal/coordination/pool/linepool/machine.go
@@ -42,13 +42,15 @@
 	// shared.
 	quotaNodes    connquota.Members
 	drainStarted  time.Duration
-	lastLeased    time.Duration
 	lastIdleCheck time.Duration
-	ticked        bool
+	// lastLeased is the last tick under a lease; before the first such tick it is
+	// the first tick of all. ticked says that there was one.
+	lastLeased time.Duration
+	ticked     bool
 }
 
 // New returns the pool of a node that has no lease and knows no bindings and
-// no instances yet. It tells count each counter that rises.
+// no instances yet. It calls count for each counter that rises.
 func New(node Node, timing Timing, leases lease.Timing, count pool.Counter) *Machine {
 	m := &Machine{
 		Core:             pool.NewCore(node.Name, leases, count),
@@ -79,6 +81,7 @@
 	}
 	m.expireRequests(now)
 	m.hedgeReads(now)
+	m.admitConnecting(now)
 	m.closeIdleClients(now)
 	m.reportSuspects(now)
 	m.dispatchAll(now)
