--- a/internal/coordination/pool/linepool/timeout.go
+++ b/internal/coordination/pool/linepool/timeout.go
@@ -8,33 +8,47 @@
 // expireRequests ends the requests whose time is over, and the commits that
 // were left at a closed primary.
 func (m *Machine) expireRequests(now time.Duration) {
+	m.expireAwaitingLease(now)
+	for _, database := range m.databases.All() {
+		m.expireList(database, database.transactionQueue, now)
+		m.expireList(database, database.primaryQueue, now)
+		m.expireList(database, database.readQueue, now)
+		m.expireList(database, database.inFlight, now)
+		m.expireList(database, database.unconfirmed, now)
+		m.expireStranded(database, now)
+	}
+}
+
+func (m *Machine) expireAwaitingLease(now time.Duration) {
 	for _, request := range slices.Clone(m.awaitingLease) {
 		until := min(request.arrivedAt+m.timing.UnavailableWait, m.queueDeadline(request))
 		if request.phase == phaseAwaitingLease && now >= until {
 			m.timeOut(request, now)
 		}
 	}
-	for _, database := range m.databases.All() {
-		lists := []*requestQueue{&database.transactionQueue, &database.primaryQueue, &database.readQueue, &database.inFlight, &database.unconfirmed}
-		for _, list := range lists {
-			m.expireList(database, list, now)
-		}
-		if database.writerClosedAt != 0 && now-database.writerClosedAt >= m.timing.ClosingGrace {
-			for _, request := range m.strandedCommits(database) {
-				m.abortStranded(request, now)
-			}
-		}
-	}
 }
 
-func (m *Machine) expireList(database *databaseState, list *requestQueue, now time.Duration) {
-	for _, request := range slices.Clone(*list) {
+// expireList works on a copy of the list: a request that ends leaves it, and the
+// next one of its client may join it.
+func (m *Machine) expireList(database *databaseState, list requestQueue, now time.Duration) {
+	for _, request := range slices.Clone(list) {
 		if request.phase != phaseEnded && m.isExpired(database, request, now) {
 			m.timeOut(request, now)
 		}
 	}
 }
 
+// expireStranded ends the commits that a former primary has not answered within
+// the grace after its term was closed.
+func (m *Machine) expireStranded(database *databaseState, now time.Duration) {
+	if database.writerClosedAt == 0 || now-database.writerClosedAt < m.timing.ClosingGrace {
+		return
+	}
+	for _, request := range m.strandedCommits(database) {
+		m.abortStranded(request, now)
+	}
+}
+
 func (m *Machine) isExpired(database *databaseState, request *Request, now time.Duration) bool {
 	if now >= request.deadline {
 		return true
