--- a/internal/coordination/pool/linepool/update.go
+++ b/internal/coordination/pool/linepool/update.go
@@ -46,48 +46,70 @@
 }
 
 func (m *Machine) onWriterChanged(change routing.WriterRoleChanged, now time.Duration) {
-	database := m.database(change.Database)
 	m.Count("writer_moves", 1)
-	opened := change.Current.Phase == model.PhaseOpen
-	if opened {
-		database.writerClosedAt, database.closeReported = 0, false
-		if change.Previous.Term != change.Current.Term {
-			database.samples = nil
-		}
-	} else if database.writerClosedAt == 0 {
-		database.writerClosedAt = now
-	}
+	database := m.database(change.Database)
+	database.noteWriterChange(change, now)
 	former := m.instance(change.Previous.Primary)
-	termEnded := !opened || change.Current.Term != change.Previous.Term
-	if change.Previous.Phase == model.PhaseOpen && former != nil && termEnded {
+	wasOpen := change.Previous.Phase == model.PhaseOpen
+	if wasOpen && former != nil && !isTermOpen(change.Current, change.Previous.Term) {
 		m.leaveFormerPrimary(database, former, change.Current, now)
 	}
 }
 
+func (d *databaseState) noteWriterChange(change routing.WriterRoleChanged, now time.Duration) {
+	if change.Current.Phase != model.PhaseOpen {
+		if d.writerClosedAt == 0 {
+			d.writerClosedAt = now
+		}
+		return
+	}
+	d.writerClosedAt, d.closeReported = 0, false
+	if change.Previous.Term != change.Current.Term {
+		d.samples = nil
+	}
+}
+
+// isTermOpen reports whether a term is open by a writer role.
+func isTermOpen(writer model.WriterRole, term uint64) bool {
+	return writer.Phase == model.PhaseOpen && writer.Term == term
+}
+
 // leaveFormerPrimary takes back from an instance that was the primary what
-// only a primary may run: strict reads go to the next one, transactions that
-// are not being committed are lost.
+// only a primary may run: strict reads are queued for the next one,
+// transactions that are not being committed are lost.
 func (m *Machine) leaveFormerPrimary(database *databaseState, former *instanceState, current model.WriterRole, now time.Duration) {
-	isFormerTerm := func(term uint64) bool { return current.Phase != model.PhaseOpen || term != current.Term }
 	for _, request := range slices.Clone(database.inFlight) {
-		strictRead := request.phase == phaseInFlight && request.isRetryableRead() && request.strict && len(request.attempts) > 0
-		if strictRead && isFormerTerm(request.term) && request.attempts[0].conn.instance == former {
+		if request.isStrictReadAt(former) && !isTermOpen(current, request.term) {
 			m.requeue(request, now)
 		}
 	}
 	for _, conn := range slices.Clone(former.conns) {
-		owner := conn.owner
-		if owner == nil || owner.transaction == nil || owner.transaction.readOnly || !isFormerTerm(conn.term) {
-			continue
+		if conn.hasUncommittedWriter() && !isTermOpen(current, conn.term) {
+			m.loseTransaction(conn.owner, now)
 		}
-		if request := owner.request; request != nil && request.commit && request.isSent() {
-			continue
-		}
-		m.loseTransaction(owner, now)
 	}
 	m.closeIdleConns(former, now)
 }
 
+// isStrictReadAt reports whether the request is a strict read in flight at an
+// instance, outside of a transaction.
+func (request *Request) isStrictReadAt(instance *instanceState) bool {
+	if request.phase != phaseInFlight || !request.isRetryableRead() || !request.strict {
+		return false
+	}
+	return len(request.attempts) > 0 && request.attempts[0].conn.instance == instance
+}
+
+// hasUncommittedWriter reports whether a transaction is open on the connection that
+// may write and whose commit has not been sent.
+func (c *Conn) hasUncommittedWriter() bool {
+	if c.owner == nil || c.owner.transaction == nil || c.owner.transaction.readOnly {
+		return false
+	}
+	request := c.owner.request
+	return request == nil || !request.commit || !request.isSent()
+}
+
 // UpdateRequest returns the next request for updates to the control primary.
 // It reports that the node has seen the terms that are closing: from then on
 // it confirms no commit of them.
@@ -109,6 +131,8 @@
 
 // Ages of an overdue answer. From reportOverdueAge on an instance is reported;
 // each of suspectAges that its database's primary passes is reported at once.
+// The last one is just past syncrepl's OverdueTimeout, so that the report
+// counts against the primary as soon as it arrives.
 var (
 	reportOverdueAge = 300 * time.Millisecond
 	suspectAges      = []time.Duration{reportOverdueAge, 610 * time.Millisecond}
@@ -116,9 +140,10 @@
 
 const (
 	// maxReportedRefusals is the number of refused connections in a row from
-	// which further ones are no news.
+	// which further ones change no decision: so many count as down.
 	maxReportedRefusals = 2
-	// refusalLevel is the weight of a refusal beside that of a passed age.
+	// refusalLevel is the weight of a refusal beside 1 for each age passed. It
+	// exceeds those of all ages, so that a refusal always raises the level.
 	refusalLevel = 4
 )
 
