--- a/test/standin/instance_replication.go
+++ b/test/standin/instance_replication.go
@@ -58,24 +58,24 @@
 	defer x.mutex.Unlock()
 	answer := pullResponse{Term: x.term}
 	index := int(request.After.Index)
-	diverged := index > len(x.entries) || (index > 0 && x.entries[index-1].Term != request.After.Term)
-	if x.role != rolePrimary && diverged {
+	if x.holds(request.After) {
+		answer.Entries = append(answer.Entries, x.entries[index:min(len(x.entries), index+pullBatch)]...)
 		return ok(answer)
 	}
-	if index > len(x.entries) {
-		cut := uint64(len(x.entries))
-		answer.Truncate = &cut
-		return ok(answer)
-	}
-	if index > 0 && x.entries[index-1].Term != request.After.Term {
-		cut := uint64(index - 1)
-		answer.Truncate = &cut
-		return ok(answer)
+	// Only the log of a primary decides what a replica has to cut off.
+	if x.role == rolePrimary {
+		length := uint64(min(len(x.entries), index-1))
+		answer.Truncate = &length
 	}
-	answer.Entries = append(answer.Entries, x.entries[index:min(len(x.entries), index+pullBatch)]...)
 	return ok(answer)
 }
 
+// holds reports whether the log has the entry at a position; the caller holds mutex.
+func (x *Instance) holds(position Position) bool {
+	index := int(position.Index)
+	return index == 0 || (index <= len(x.entries) && x.entries[index-1].Term == position.Term)
+}
+
 // pullLoop has a replica follow its primary's log until ctx ends.
 func (x *Instance) pullLoop(ctx context.Context) {
 	client := newClient(x.config.Address, 3*time.Second)
