--- a/test/standin/instance_statements.go
+++ b/test/standin/instance_statements.go
@@ -19,19 +19,10 @@
 }
 
 func (x *Instance) onRun(c *connection, request instanceRequest) result {
-	x.mutex.Lock()
-	if x.resetConnections > 0 {
-		x.resetConnections--
-		x.mutex.Unlock()
-		return noAnswer
-	}
-	text, rejected := x.statementText(c, request)
-	if rejected != nil {
-		x.mutex.Unlock()
-		return *rejected
+	text, transaction, early := x.admitStatement(c, request)
+	if early != nil {
+		return *early
 	}
-	transaction := c.transaction
-	x.mutex.Unlock()
 	x.occupySlot(request.Write)
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
@@ -42,24 +33,42 @@
 		return *x.reject(c, http.StatusConflict, "not primary any more")
 	}
 	x.recordExecution(c, request, text)
+	if request.Write {
+		x.applyWrite(c, request, text)
+	}
 	reply := x.reply(c)
 	reply.Rows = &statementRows{Settings: c.settings, Text: text}
 	if !request.Write {
 		applied := x.position()
 		reply.Rows.AppliedPosition = &applied
-		return x.answerOrLose(reply)
 	}
+	return x.answerOrLose(reply)
+}
+
+// admitStatement returns the text that a request is to run and the transaction
+// that it is part of, or the answer of one that is not run.
+func (x *Instance) admitStatement(c *connection, request instanceRequest) (text string, inside *transaction, answer *result) {
+	x.mutex.Lock()
+	defer x.mutex.Unlock()
+	if x.resetConnections > 0 {
+		x.resetConnections--
+		return "", nil, &noAnswer
+	}
+	text, answer = x.statementText(c, request)
+	return text, c.transaction, answer
+}
+
+// applyWrite adds a write to its transaction, or commits it where it has none.
+func (x *Instance) applyWrite(c *connection, request instanceRequest, text string) {
 	if c.transaction != nil {
 		c.transaction.requestIDs = append(c.transaction.requestIDs, request.RequestID)
 		c.transaction.statements = append(c.transaction.statements, text)
-		return x.answerOrLose(reply)
+		return
 	}
 	x.appendEntry(Entry{
 		Term: x.term, Index: x.position().Index + 1,
 		RequestIDs: []string{request.RequestID}, Statements: []string{text},
 	})
-	reply.Position = x.position()
-	return x.answerOrLose(reply)
 }
 
 // statementText returns the text that a request is to run, or why it is
@@ -93,17 +102,10 @@
 }
 
 func (x *Instance) onCommit(c *connection, request instanceRequest) result {
-	x.mutex.Lock()
-	rejected := x.checkRequest(c, request, true)
-	if rejected == nil && c.transaction == nil {
-		rejected = x.reject(c, http.StatusUnprocessableEntity, "no transaction is open")
-	}
+	committed, rejected := x.admitCommit(c, request)
 	if rejected != nil {
-		x.mutex.Unlock()
 		return *rejected
 	}
-	committed := c.transaction
-	x.mutex.Unlock()
 	x.occupySlot(true)
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
@@ -120,6 +122,20 @@
 	return x.answerOrLose(x.reply(c))
 }
 
+// admitCommit returns the transaction that a request is to commit, or why it is
+// rejected.
+func (x *Instance) admitCommit(c *connection, request instanceRequest) (*transaction, *result) {
+	x.mutex.Lock()
+	defer x.mutex.Unlock()
+	if rejected := x.checkRequest(c, request, true); rejected != nil {
+		return nil, rejected
+	}
+	if c.transaction == nil {
+		return nil, x.reject(c, http.StatusUnprocessableEntity, "no transaction is open")
+	}
+	return c.transaction, nil
+}
+
 func (x *Instance) onRollback(c *connection, request instanceRequest) result {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
