--- a/test/e2e/result.go
+++ b/test/e2e/result.go
@@ -1,6 +1,7 @@
 package e2e
 
 import (
+	"cmp"
 	"fmt"
 	"io"
 	"maps"
@@ -65,10 +66,17 @@
 			latencies = append(latencies, milliseconds(event.AnsweredAt-event.SentAt))
 		}
 	}
-	if len(latencies) > 0 {
-		slices.Sort(latencies)
-		r.P50, r.P99 = latencies[len(latencies)/2], latencies[len(latencies)*99/100]
+	r.P50, r.P99 = Percentiles(latencies)
+}
+
+// Percentiles returns the median and the 99th percentile of values, which it sorts;
+// zeros where there are none.
+func Percentiles[T cmp.Ordered](values []T) (p50, p99 T) {
+	if len(values) == 0 {
+		return p50, p99
 	}
+	slices.Sort(values)
+	return values[len(values)/2], values[len(values)*99/100]
 }
 
 func (r *Result) measureGaps(events []standin.Event) {
--- a/test/e2e/runner.go
+++ b/test/e2e/runner.go
@@ -19,10 +19,7 @@
 // first, and checks the history. The error is given where no fleet came up.
 func RunScenario(scenario Scenario, shape Shape, programs Programs, directory string, seed uint64, scale float64) (Result, error) {
 	result := Result{Scenario: scenario.Name, Shape: shape.Name, Seed: seed, Violations: map[string][]string{}, Outcomes: map[string]int{}}
-	if err := os.RemoveAll(directory); err != nil {
-		return result, err
-	}
-	if err := os.MkdirAll(directory, 0o755); err != nil {
+	if err := EmptyDirectory(directory); err != nil {
 		return result, err
 	}
 	fleet, err := Start(shape, programs, directory, scenario.Options)
@@ -44,6 +41,14 @@
 	return result, nil
 }
 
+// EmptyDirectory makes a directory, and removes all that an earlier run left in it.
+func EmptyDirectory(directory string) error {
+	if err := os.RemoveAll(directory); err != nil {
+		return err
+	}
+	return os.MkdirAll(directory, 0o755)
+}
+
 // play runs a scenario under load.
 func (r *Run) play(scenario Scenario, seed uint64, scale float64) {
 	r.Callers = r.StartCallers(seed, scale)
--- a/test/platforme2e/result.go
+++ b/test/platforme2e/result.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"io"
-	"slices"
 	"time"
 
 	"tansyseam/test/e2e"
@@ -44,10 +43,7 @@
 			latencies = append(latencies, query.Answered-query.Sent)
 		}
 	}
-	slices.Sort(latencies)
-	if len(latencies) > 0 {
-		r.P50, r.P99 = latencies[len(latencies)/2], latencies[len(latencies)*99/100]
-	}
+	r.P50, r.P99 = e2e.Percentiles(latencies)
 }
 
 // Print writes a summary of the result.
--- a/test/platforme2e/runner.go
+++ b/test/platforme2e/runner.go
@@ -2,7 +2,6 @@
 
 import (
 	"net/http"
-	"os"
 	"slices"
 	"time"
 
@@ -23,10 +22,7 @@
 // where no fleet came up.
 func RunScenario(scenario Scenario, root string, programs e2e.Programs, directory string, seed uint64) (Result, error) {
 	result := Result{Scenario: scenario.Name, Codes: map[string]int{}}
-	if err := os.RemoveAll(directory); err != nil {
-		return result, err
-	}
-	if err := os.MkdirAll(directory, 0o755); err != nil {
+	if err := e2e.EmptyDirectory(directory); err != nil {
 		return result, err
 	}
 	t, err := Start(root, programs, directory, serviceCount)
