--- a/test/cmd/e2e/main.go
+++ b/test/cmd/e2e/main.go
@@ -100,26 +100,32 @@
 		fmt.Fprintln(os.Stderr, err)
 		return exitBroken
 	}
-	programs := e2e.Programs{Directory: filepath.Join(directory, "bin"), OtherBuild: given.otherBuild, OtherFirst: given.otherFirst}
-	if err := e2e.Build(given.root, programs.Directory, given.race); err != nil {
+	programs, err := buildPrograms(given, directory)
+	if errors.Is(err, e2e.ErrNoRevision) {
+		fmt.Println("skipped:", err)
+		return exitGood
+	}
+	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitBroken
 	}
-	if given.otherRevision != "" {
-		programs.OtherBuild = filepath.Join(directory, "other-bin")
-		err := e2e.BuildRevision(given.root, programs.OtherBuild, given.otherRevision)
-		if errors.Is(err, e2e.ErrNoRevision) {
-			fmt.Println("skipped:", err)
-			return exitGood
-		}
-		if err != nil {
-			fmt.Fprintln(os.Stderr, err)
-			return exitBroken
-		}
-	}
 	return runScenarios(selected, programs, directory)
 }
 
+// buildPrograms builds the programs of this tree, and those of the other revision where
+// one is given. The error is e2e.ErrNoRevision where the repository does not have it.
+func buildPrograms(given options, directory string) (e2e.Programs, error) {
+	programs := e2e.Programs{Directory: filepath.Join(directory, "bin"), OtherBuild: given.otherBuild, OtherFirst: given.otherFirst}
+	if err := e2e.Build(given.root, programs.Directory, given.race); err != nil {
+		return programs, err
+	}
+	if given.otherRevision == "" {
+		return programs, nil
+	}
+	programs.OtherBuild = filepath.Join(directory, "other-bin")
+	return programs, e2e.BuildRevision(given.root, programs.OtherBuild, given.otherRevision)
+}
+
 func scenariosOf(given options, shape e2e.Shape) []scenario {
 	var list []scenario
 	if given.platform {
