--- a/test/linehistory/commits.go
+++ b/test/linehistory/commits.go
@@ -1,9 +1,6 @@
 package linehistory
 
-import (
-	"cmp"
-	"slices"
-)
+import "cmp"
 
 // DuplicateWrites finds writes that took effect twice.
 func DuplicateWrites(h History) []string {
@@ -27,7 +24,7 @@
 func RefusedButKept(h History) []string {
 	refusals := map[string]string{}
 	for _, query := range h.Queries {
-		if slices.Contains(noEffectCodes, query.Code) {
+		if PromisesNoEffect(query.Code) {
 			refusals[query.unit()] = query.Code
 		}
 	}
--- a/test/linehistory/history.go
+++ b/test/linehistory/history.go
@@ -1,6 +1,9 @@
 package linehistory
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
 // Acts that are forwarded to an instance.
 const (
@@ -25,6 +28,10 @@
 // or its transaction, has no effect.
 var noEffectCodes = []string{"BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGHOST", "FULL"}
 
+// PromisesNoEffect reports whether an answer's code promises that its statement, or its
+// transaction, has no effect, so that a client may repeat it.
+func PromisesNoEffect(code string) bool { return slices.Contains(noEffectCodes, code) }
+
 // Position is a position in a service's log.
 type Position struct{ Term, Index uint64 }
 
--- a/test/platformstandin/client_operations.go
+++ b/test/platformstandin/client_operations.go
@@ -78,7 +78,7 @@
 // write returns whether to try again.
 func (c *client) write() bool {
 	answered := c.query(linehistory.Query{Act: linehistory.ActWrite}, fmt.Sprintf("PUT %s %s.%d  é", c.randomKey(), c.session, c.queryCount))
-	return retryable[answered.Code]
+	return linehistory.PromisesNoEffect(answered.Code)
 }
 
 // runTransaction returns whether to try again.
@@ -105,7 +105,7 @@
 		}
 		if answered.Code != "" {
 			c.query(linehistory.Query{}, "ROLLBACK")
-			return retryable[answered.Code] || answered.Code == "FAILED"
+			return linehistory.PromisesNoEffect(answered.Code) || answered.Code == "FAILED"
 		}
 		c.pause(5 * time.Millisecond)
 	}
@@ -118,5 +118,5 @@
 		return false
 	}
 	answered := c.query(linehistory.Query{Act: linehistory.ActCommit, Transaction: transaction, Began: began}, "COMMIT")
-	return retryable[answered.Code]
+	return linehistory.PromisesNoEffect(answered.Code)
 }
--- a/test/platformstandin/client_query.go
+++ b/test/platformstandin/client_query.go
@@ -67,6 +67,3 @@
 }
 
 func succeeded(query linehistory.Query) bool { return !query.Cut && query.Code == "" }
-
-// retryable are codes that promise that a statement had no effect.
-var retryable = map[string]bool{"BUSY": true, "ABORTED": true, "LAGGING": true, "READONLY": true, "WRONGHOST": true, "FULL": true}
