--- a/internal/app/control/manifests.go
+++ b/internal/app/control/manifests.go
@@ -10,6 +10,7 @@
 
 	"github.com/juju/errors"
 
+	"tansyseam/internal/app/node"
 	"tansyseam/internal/coordination/consensus"
 	"tansyseam/internal/coordination/rollout"
 	"tansyseam/internal/protocol/bindings"
@@ -17,8 +18,8 @@
 	"tansyseam/internal/state/store"
 )
 
-// manifestRetryMillis is when a manifest whose primary changed may be sent
-// again. Its version makes it idempotent.
+// manifestRetryMillis is after how many ms a manifest whose primary changed may
+// be sent again. Its version makes it idempotent.
 const manifestRetryMillis = 500
 
 // manifestSource names manifests as the source of a binding set.
@@ -41,7 +42,7 @@
 		return puts
 	}, func(submitted consensus.SubmitResult) {
 		if !submitted.Committed {
-			call.reply(unacknowledged(outcomeUnknown, manifestRetryMillis))
+			call.reply(unacknowledged(node.OutcomeUnknown, manifestRetryMillis))
 			return
 		}
 		if conflict {
--- a/internal/app/control/results.go
+++ b/internal/app/control/results.go
@@ -10,13 +10,9 @@
 	"tansyseam/internal/protocol/schema"
 )
 
-const (
-	// callRetryMillis is when a call whose primary changed may be sent again.
-	callRetryMillis = 1000
-	// Outcomes of a call that was not acknowledged.
-	outcomeNotCommitted = "not_kept"
-	outcomeUnknown      = "unknown"
-)
+// callRetryMillis is after how many ms a call whose primary changed may be sent
+// again.
+const callRetryMillis = 1000
 
 func newCallResult(status int, answer any) message.OperatorCallResult {
 	return message.OperatorCallResult{Status: status, Body: encode(answer)}
@@ -36,7 +32,8 @@
 }
 
 // unacknowledged is the result of a call during which the control primary
-// changed; it may be sent again with the same id.
+// changed; it may be sent again with the same id. The outcome is one of package
+// node's.
 func unacknowledged(outcome string, retryMillis int64) message.OperatorCallResult {
 	response := node.NewErrorResponse("the control primary changed under the call")
 	response.Outcome, response.RetryAfterMillis = outcome, retryMillis
@@ -53,7 +50,7 @@
 
 func outcomeOf(submitted consensus.SubmitResult) string {
 	if submitted.OutcomeUnknown {
-		return outcomeUnknown
+		return node.OutcomeUnknown
 	}
-	return outcomeNotCommitted
+	return node.OutcomeNotKept
 }
