--- a/internal/app/admin/api.go
+++ b/internal/app/admin/api.go
@@ -10,8 +10,6 @@
 	"sync"
 	"time"
 
-	"github.com/valyala/fastjson"
-
 	"tansyseam/internal/app/node"
 	"tansyseam/internal/coordination/routing"
 	"tansyseam/internal/protocol/message"
@@ -95,22 +93,17 @@
 // other nodes send.
 func (a *API) Register() {
 	for _, path := range []string{PathPutBindings, PathScheduleChange, PathListChanges} {
-		a.Node.HandleCall(path, func(_ *fastjson.Value, raw []byte, _ *http.Request) (int, any) { return a.Node.ForwardCall(path, raw) })
+		HandleForwarded(a.Node, path)
 	}
-	a.handle(PathListBindings, a.listBindings)
-	a.handle(PathHealth, a.health)
-	a.handle(PathReady, a.ready)
-	a.handle(PathFleet, a.fleet)
+	HandleRead(a.Node, PathListBindings, a.listBindings)
+	HandleRead(a.Node, PathHealth, a.health)
+	HandleRead(a.Node, PathReady, a.ready)
+	HandleRead(a.Node, PathFleet, a.fleet)
 	node.HandleMessage(a.Node, func(_ string, query message.QueryRequest, answer func(any)) {
 		answer(message.QueryResponse{Body: a.report(query.What)})
 	})
 }
 
-// handle serves a call that takes no arguments.
-func (a *API) handle(path string, call func() (status int, answer any)) {
-	a.Node.HandleCall(path, func(*fastjson.Value, []byte, *http.Request) (int, any) { return call() })
-}
-
 func (a *API) listBindings() (int, any) {
 	a.Locker.Lock()
 	defer a.Locker.Unlock()
--- a/internal/app/control/endpoints.go
+++ b/internal/app/control/endpoints.go
@@ -3,8 +3,6 @@
 import (
 	"net/http"
 
-	"github.com/valyala/fastjson"
-
 	"tansyseam/internal/app/admin"
 )
 
@@ -12,16 +10,11 @@
 // calls are forwarded to the control primary, this node or another.
 func (s *Server) registerEndpoints() {
 	for path := range operations {
-		s.node.HandleCall(path, func(_ *fastjson.Value, raw []byte, _ *http.Request) (int, any) { return s.node.ForwardCall(path, raw) })
+		admin.HandleForwarded(s.node, path)
 	}
-	s.handle(admin.PathFleet, func() (int, any) { return http.StatusOK, s.report(admin.QueryFleet) })
-	s.handle(admin.PathHealth, s.health)
-	s.handle(admin.PathReady, s.ready)
-}
-
-// handle serves a call that takes no arguments.
-func (s *Server) handle(path string, call func() (status int, answer any)) {
-	s.node.HandleCall(path, func(*fastjson.Value, []byte, *http.Request) (int, any) { return call() })
+	admin.HandleRead(s.node, admin.PathFleet, func() (int, any) { return http.StatusOK, s.report(admin.QueryFleet) })
+	admin.HandleRead(s.node, admin.PathHealth, s.health)
+	admin.HandleRead(s.node, admin.PathReady, s.ready)
 }
 
 func (s *Server) ready() (int, any) { return admin.NewReadiness(s.readiness()) }
