--- a/internal/app/shell/control.go
+++ b/internal/app/shell/control.go
@@ -1,9 +1,7 @@
 package shell
 
 import (
-	"cmp"
 	"fmt"
-	"slices"
 	"time"
 
 	"github.com/valyala/fastjson"
@@ -42,8 +40,13 @@
 	},
 }
 
-// timeOfDay is the layout of times in the audit log.
-const timeOfDay = "15:04:05.000"
+const (
+	// timeOfDay is the layout of times in the audit log.
+	timeOfDay = "15:04:05.000"
+	// databaseSubject begins the subject of audit entries about a database; its
+	// name follows.
+	databaseSubject = "database "
+)
 
 type epochRow struct {
 	Backup  string `json:"backup"`
@@ -105,10 +108,7 @@
 	for _, lease := range value.GetArray("leases") {
 		leases = append(leases, leaseRow{Version: formatVersion(lease), Node: stringAt(lease, "node"), ActiveSequence: lease.GetInt("shows")})
 	}
-	slices.SortFunc(leases, func(a, b leaseRow) int { return cmp.Compare(a.Node, b.Node) })
-	for _, lease := range leases {
-		found.rows = append(found.rows, lease)
-	}
+	found.rows = sortedRows(leases, func(r leaseRow) string { return r.Node })
 	return found, nil
 }
 
@@ -159,7 +159,7 @@
 	}
 	for _, entry := range value.GetArray("entries") {
 		subject := stringAt(entry, "subject")
-		if len(args) > 0 && subject != args[0] && subject != "database "+args[0] {
+		if len(args) > 0 && subject != args[0] && subject != databaseSubject+args[0] {
 			continue
 		}
 		found.rows = append(found.rows, auditRow{
--- a/internal/app/shell/nodes.go
+++ b/internal/app/shell/nodes.go
@@ -1,9 +1,6 @@
 package shell
 
 import (
-	"cmp"
-	"slices"
-
 	"github.com/valyala/fastjson"
 
 	"tansyseam/internal/app/admin"
@@ -107,10 +104,7 @@
 	value.GetObject("counters").Visit(func(key []byte, count *fastjson.Value) {
 		counters = append(counters, counterRow{Count: count.GetInt64(), Counter: string(key)})
 	})
-	slices.SortFunc(counters, func(a, b counterRow) int { return cmp.Compare(a.Counter, b.Counter) })
-	for _, counter := range counters {
-		found.rows = append(found.rows, counter)
-	}
+	found.rows = sortedRows(counters, func(r counterRow) string { return r.Counter })
 	return found, nil
 }
 
--- a/internal/app/shell/result.go
+++ b/internal/app/shell/result.go
@@ -1,8 +1,10 @@
 package shell
 
 import (
+	"cmp"
 	"encoding/json"
 	"fmt"
+	"slices"
 	"strings"
 	"text/tabwriter"
 )
@@ -20,6 +22,16 @@
 	cells() []any
 }
 
+// sortedRows gives items as rows, in the order of a key that differs for each.
+func sortedRows[T row](items []T, key func(T) string) []row {
+	slices.SortFunc(items, func(a, b T) int { return cmp.Compare(key(a), key(b)) })
+	var rows []row
+	for _, item := range items {
+		rows = append(rows, item)
+	}
+	return rows
+}
+
 // Layout of tables.
 const (
 	minCellWidth = 2
