--- a/internal/coordination/failover/asyncrepl/evidence_test.go
+++ b/internal/coordination/failover/asyncrepl/evidence_test.go
@@ -17,19 +17,63 @@
 	return observed
 }
 
+// openTerm is the evidence on a healthy database: a is the primary of term 1, at 100, b
+// and c are its replicas, at 99 and 97, and commits are confirmed up to 95.
 func openTerm() Evidence {
 	both := map[string]string{"b": "b-1", "c": "c-1"}
 	return Evidence{
-		Database: "db", Known: true, ReportingNodes: 5, GatheredFor: time.Minute, Settled: true, SettledFor: time.Minute,
-		HasPrimaryPosition: true, PrimaryPosition: model.Position{Term: 1, Index: 90},
-		Writer: model.WriterRole{Database: "db", Term: 1, Primary: "a", PrimaryIncarnation: "a-1", Phase: model.PhaseOpen, RequiredReplicas: both, Candidates: both, HighWatermark: model.Position{Term: 1, Index: 95}},
+		Database:           "db",
+		Known:              true,
+		ReportingNodes:     5,
+		GatheredFor:        time.Minute,
+		Settled:            true,
+		SettledFor:         time.Minute,
+		HasPrimaryPosition: true,
+		PrimaryPosition:    model.Position{Term: 1, Index: 90},
+		Writer: model.WriterRole{
+			Database:           "db",
+			Term:               1,
+			Primary:            "a",
+			PrimaryIncarnation: "a-1",
+			Phase:              model.PhaseOpen,
+			RequiredReplicas:   both,
+			Candidates:         both,
+			HighWatermark:      model.Position{Term: 1, Index: 95},
+		},
 		Observations: []Observation{
-			newObservation("a", model.RolePrimary, 1, 100, 100*time.Millisecond), newObservation("b", model.RoleReplica, 1, 99, 100*time.Millisecond),
+			newObservation("a", model.RolePrimary, 1, 100, 100*time.Millisecond),
+			newObservation("b", model.RoleReplica, 1, 99, 100*time.Millisecond),
 			newObservation("c", model.RoleReplica, 1, 97, 100*time.Millisecond),
 		},
 	}
 }
 
+// closedTerm is the evidence on a database whose primary is silent, and whose term is
+// closed.
+func closedTerm() Evidence {
+	evidence := openTerm()
+	evidence.Observations[0] = newObservation("a", model.RolePrimary, 1, 100, 2*time.Second)
+	evidence.Writer.Phase = model.PhaseClosed
+	return evidence
+}
+
+// promotingTerm is the evidence some time after the promote call for b.
+func promotingTerm(sinceCall time.Duration) Evidence {
+	evidence := closedTerm()
+	evidence.Writer.Phase = model.PhasePromoting
+	evidence.Writer.Promoting = "b"
+	evidence.setSinceTransition(sinceCall)
+	return evidence
+}
+
+// setSinceTransition sets the wall time so that the last transition is so long ago.
+func (e *Evidence) setSinceTransition(since time.Duration) {
+	e.Writer.LastTransitionAt = int64(10 * time.Second)
+	e.WallNanos = e.Writer.LastTransitionAt + int64(since)
+}
+
+// firstWriter is the writer role that the first effect records, or the zero value where
+// there is none.
 func firstWriter(evidence Evidence) model.WriterRole {
 	effects := Step(evidence, DefaultTiming())
 	if len(effects) == 0 {
--- a/internal/coordination/failover/asyncrepl/promotion_test.go
+++ b/internal/coordination/failover/asyncrepl/promotion_test.go
@@ -11,53 +11,51 @@
 )
 
 func TestPromotion(t *testing.T) {
-	closed := func() Evidence {
-		evidence := openTerm()
-		evidence.Observations[0] = newObservation("a", model.RolePrimary, 1, 100, 2*time.Second)
-		evidence.Writer.Phase = model.PhaseClosed
-		return evidence
-	}
 	Convey("The term is closed only once every node with a lease has stopped writing", t, func() {
-		evidence := closed()
-		evidence.Writer.Phase, evidence.Settled = model.PhaseClosing, false
+		evidence := closedTerm()
+		evidence.Writer.Phase = model.PhaseClosing
+		evidence.Settled = false
 		So(Step(evidence, DefaultTiming()), ShouldBeEmpty)
 		evidence.Settled = true
 		So(firstWriter(evidence).Phase, ShouldEqual, model.PhaseClosed)
 	})
 	Convey("The most advanced candidate is chosen, the choice is recorded first, and one call is made", t, func() {
-		effects := Step(closed(), DefaultTiming())
+		effects := Step(closedTerm(), DefaultTiming())
 		So(len(effects), ShouldEqual, 2)
 		So(effects[0].(failover.Record).Writer.Promoting, ShouldEqual, "b")
 		So(effects[1].(Promote), ShouldResemble, Promote{Database: "db", Instance: "b", Term: 2})
 	})
 	Convey("A replica that is behind the confirmed commits, was replaced, is silent, leaves or is no candidate is never chosen", t, func() {
-		for _, change := range []func(*Evidence, *Observation){
-			func(_ *Evidence, observed *Observation) { observed.Instance.Position.Index = 94 },
-			func(_ *Evidence, observed *Observation) { observed.Instance.Incarnation = "new" },
-			func(_ *Evidence, observed *Observation) { observed.ContactAge = 2 * time.Second },
-			func(evidence *Evidence, observed *Observation) {
+		for _, test := range []struct {
+			name   string
+			change func(*Evidence, *Observation)
+		}{
+			{"behind", func(_ *Evidence, observed *Observation) { observed.Instance.Position.Index = 94 }},
+			{"replaced", func(_ *Evidence, observed *Observation) { observed.Instance.Incarnation = "new" }},
+			{"silent", func(_ *Evidence, observed *Observation) { observed.ContactAge = 2 * time.Second }},
+			{"no candidate", func(evidence *Evidence, observed *Observation) {
 				evidence.Writer.Candidates = map[string]string{"c": "c-1"}
 				observed.Instance.Position.Index = 500
-			},
-			func(_ *Evidence, observed *Observation) { observed.Instance.Leaving = true },
+			}},
+			{"leaves", func(_ *Evidence, observed *Observation) { observed.Instance.Leaving = true }},
 		} {
-			evidence := closed()
-			change(&evidence, &evidence.Observations[1])
-			So(firstWriter(evidence).Promoting, ShouldEqual, "c")
+			evidence := closedTerm()
+			test.change(&evidence, &evidence.Observations[1])
+			SoMsg(test.name, firstWriter(evidence).Promoting, ShouldEqual, "c")
 		}
-		evidence := closed()
-		evidence.Observations[1].ContactAge, evidence.Observations[2].ContactAge = 2*time.Second, 2*time.Second
+		evidence := closedTerm()
+		evidence.Observations[1].ContactAge = 2 * time.Second
+		evidence.Observations[2].ContactAge = 2 * time.Second
 		So(firstWriter(evidence).Reason, ShouldContainSubstring, "nothing is promoted")
 	})
 	Convey("The outcome of a promotion is observed: a new term opens once the instance is primary, and only the same instance is called again", t, func() {
-		evidence := closed()
-		evidence.Writer.Phase, evidence.Writer.Promoting, evidence.WallNanos, evidence.Writer.LastTransitionAt = model.PhasePromoting, "b", int64(10*time.Second), int64(10*time.Second)
+		evidence := promotingTerm(0)
 		So(Step(evidence, DefaultTiming()), ShouldBeEmpty)
-		evidence.WallNanos = int64(12 * time.Second)
+		evidence.setSinceTransition(2 * time.Second)
 		effects := Step(evidence, DefaultTiming())
 		So(effects[1].(Promote).Instance, ShouldEqual, "b")
 		evidence.Observations[1].ContactAge = 3 * time.Second
-		evidence.WallNanos = int64(20 * time.Second)
+		evidence.setSinceTransition(10 * time.Second)
 		So(len(Step(evidence, DefaultTiming())), ShouldEqual, 1)
 		So(firstWriter(evidence).Reason, ShouldContainSubstring, "no other is promoted")
 		evidence.Observations[1] = newObservation("b", model.RolePrimary, 2, 101, 10*time.Millisecond)
@@ -71,21 +69,27 @@
 
 func TestPrimaryComesBack(t *testing.T) {
 	Convey("Without candidates, the term is reopened under a primary that returned with all confirmed commits, and only then", t, func() {
-		evidence := openTerm()
-		evidence.Writer.Phase, evidence.Writer.Candidates = model.PhaseClosed, map[string]string{"b": "gone"}
-		So(firstWriter(evidence).Phase, ShouldEqual, model.PhaseOpen)
-		So(firstWriter(evidence).Term, ShouldEqual, 1)
-		for _, change := range []func(*Evidence){
-			func(evidence *Evidence) { evidence.Observations[0].Instance.Incarnation = "a-2" },
-			func(evidence *Evidence) { evidence.Observations[0].Instance.Position.Index = 94 },
-			func(evidence *Evidence) { evidence.Observations[0].Instance.Leaving = true },
-			func(evidence *Evidence) { evidence.Writer.Term = 2 },
-			func(evidence *Evidence) { evidence.Writer.Candidates = map[string]string{"c": "c-1"} },
-		} {
+		returned := func() Evidence {
 			evidence := openTerm()
-			evidence.Writer.Phase, evidence.Writer.Candidates = model.PhaseClosed, map[string]string{"b": "gone"}
-			change(&evidence)
-			So(firstWriter(evidence).Phase, ShouldNotEqual, model.PhaseOpen)
+			evidence.Writer.Phase = model.PhaseClosed
+			evidence.Writer.Candidates = map[string]string{"b": "gone"}
+			return evidence
+		}
+		So(firstWriter(returned()).Phase, ShouldEqual, model.PhaseOpen)
+		So(firstWriter(returned()).Term, ShouldEqual, 1)
+		for _, test := range []struct {
+			name   string
+			change func(*Evidence)
+		}{
+			{"lost its data", func(evidence *Evidence) { evidence.Observations[0].Instance.Incarnation = "a-2" }},
+			{"behind", func(evidence *Evidence) { evidence.Observations[0].Instance.Position.Index = 94 }},
+			{"leaves", func(evidence *Evidence) { evidence.Observations[0].Instance.Leaving = true }},
+			{"of an earlier term", func(evidence *Evidence) { evidence.Writer.Term = 2 }},
+			{"beside a candidate", func(evidence *Evidence) { evidence.Writer.Candidates = map[string]string{"c": "c-1"} }},
+		} {
+			evidence := returned()
+			test.change(&evidence)
+			SoMsg(test.name, firstWriter(evidence).Phase, ShouldNotEqual, model.PhaseOpen)
 		}
 	})
 }
@@ -93,27 +97,23 @@
 func TestChosenReplicaLosesItsData(t *testing.T) {
 	Convey("A chosen replica that comes back without its data is not called again; another is chosen, and the term is skipped", t, func() {
 		for _, role := range []string{model.RoleReplica, model.RolePrimary} {
-			evidence := openTerm()
-			evidence.Observations[0] = newObservation("a", model.RolePrimary, 1, 100, 2*time.Second)
-			evidence.Writer.Phase, evidence.Writer.Promoting, evidence.WallNanos, evidence.Writer.LastTransitionAt = model.PhasePromoting, "b", int64(20*time.Second), int64(10*time.Second)
+			evidence := promotingTerm(10 * time.Second)
 			evidence.Observations[1] = newObservation("b", role, 2, 1, 10*time.Millisecond)
 			evidence.Observations[1].Instance.Incarnation = "b-2"
-			given := Step(evidence, DefaultTiming())
-			So(len(given), ShouldEqual, 1)
-			evidence.Writer = given[0].(failover.Record).Writer
-			So(evidence.Writer.Phase, ShouldEqual, model.PhaseClosed)
-			So(evidence.Writer.Candidates, ShouldResemble, map[string]string{"c": "c-1"})
 			effects := Step(evidence, DefaultTiming())
-			So(effects[1].(Promote), ShouldResemble, Promote{Database: "db", Instance: "c", Term: 3})
+			SoMsg(role, len(effects), ShouldEqual, 1)
+			evidence.Writer = effects[0].(failover.Record).Writer
+			SoMsg(role, evidence.Writer.Phase, ShouldEqual, model.PhaseClosed)
+			SoMsg(role, evidence.Writer.Candidates, ShouldResemble, map[string]string{"c": "c-1"})
+			effects = Step(evidence, DefaultTiming())
+			SoMsg(role, effects[1].(Promote), ShouldResemble, Promote{Database: "db", Instance: "c", Term: 3})
 		}
 	})
 }
 
 func TestIntentIgnoresStalePosition(t *testing.T) {
 	intended := func(positionAge time.Duration) Evidence {
-		evidence := openTerm()
-		evidence.Observations[0] = newObservation("a", model.RolePrimary, 1, 100, 2*time.Second)
-		evidence.Writer.Phase, evidence.Writer.Promoting, evidence.WallNanos, evidence.Writer.LastTransitionAt = model.PhasePromoting, "b", int64(10100*time.Millisecond), int64(10*time.Second)
+		evidence := promotingTerm(100 * time.Millisecond)
 		evidence.Observations[1] = newObservation("b", model.RoleReplica, 1, 90, 10*time.Millisecond)
 		evidence.Observations[1].PositionAge = positionAge
 		return evidence
@@ -121,7 +121,8 @@
 	Convey("A promotion is not abandoned for a position from before it, even with recent contact", t, func() {
 		So(Step(intended(300*time.Millisecond), DefaultTiming()), ShouldBeEmpty)
 		after := intended(300 * time.Millisecond)
-		after.WallNanos, after.Observations[1].PositionAge = int64(11*time.Second), 3*time.Second
+		after.setSinceTransition(time.Second)
+		after.Observations[1].PositionAge = 3 * time.Second
 		So(Step(after, DefaultTiming()), ShouldBeEmpty)
 	})
 	Convey("It is abandoned for a later position", t, func() {
@@ -132,10 +133,13 @@
 func TestPrimaryLostRightAfterItsPromotion(t *testing.T) {
 	Convey("After a promotion, only a replica that holds the start of the new term may be promoted next", t, func() {
 		evidence := openTerm()
-		evidence.Writer.Term, evidence.Writer.Phase, evidence.Writer.HighWatermark = 2, model.PhaseClosed, model.Position{Term: 2, Index: 101}
-		evidence.Writer.RequiredReplicas = map[string]string{"b": "b-1", "c": "c-1"}
-		evidence.Writer.Candidates = evidence.Writer.RequiredReplicas
-		evidence.Observations = []Observation{newObservation("b", model.RoleReplica, 1, 300, 0), newObservation("c", model.RoleReplica, 2, 100, 0)}
+		evidence.Writer.Term = 2
+		evidence.Writer.Phase = model.PhaseClosed
+		evidence.Writer.HighWatermark = model.Position{Term: 2, Index: 101}
+		evidence.Observations = []Observation{
+			newObservation("b", model.RoleReplica, 1, 300, 0),
+			newObservation("c", model.RoleReplica, 2, 100, 0),
+		}
 		So(firstWriter(evidence).Reason, ShouldContainSubstring, "nothing is promoted")
 		evidence.Observations[1] = newObservation("c", model.RoleReplica, 2, 101, 0)
 		So(firstWriter(evidence).Promoting, ShouldEqual, "c")
--- a/internal/coordination/failover/asyncrepl/step_test.go
+++ b/internal/coordination/failover/asyncrepl/step_test.go
@@ -21,14 +21,17 @@
 		So(firstWriter(evidence).Phase, ShouldNotEqual, model.PhaseClosing)
 	})
 	Convey("The term of a primary that leaves, steps down or comes back without data is closed", t, func() {
-		for _, change := range []func(*model.Instance){
-			func(instance *model.Instance) { instance.Leaving = true },
-			func(instance *model.Instance) { instance.Role = model.RoleReplica },
-			func(instance *model.Instance) { instance.Incarnation = "a-2" },
+		for _, test := range []struct {
+			name   string
+			change func(*model.Instance)
+		}{
+			{"leaves", func(instance *model.Instance) { instance.Leaving = true }},
+			{"steps down", func(instance *model.Instance) { instance.Role = model.RoleReplica }},
+			{"lost its data", func(instance *model.Instance) { instance.Incarnation = "a-2" }},
 		} {
 			evidence := openTerm()
-			change(&evidence.Observations[0].Instance)
-			So(firstWriter(evidence).Phase, ShouldEqual, model.PhaseClosing)
+			test.change(&evidence.Observations[0].Instance)
+			SoMsg(test.name, firstWriter(evidence).Phase, ShouldEqual, model.PhaseClosing)
 		}
 	})
 	Convey("Without a candidate that holds all confirmed commits the term stays open, and the reason is recorded", t, func() {
