--- a/internal/coordination/failover/syncrepl/evidence_test.go
+++ b/internal/coordination/failover/syncrepl/evidence_test.go
@@ -7,6 +7,7 @@
 	"tansyseam/internal/state/model"
 )
 
+// wallTime is the wall time of all evidence, in nanoseconds since the Unix epoch.
 const wallTime = int64(1000 * time.Hour)
 
 func positionAt(term, index uint64) model.Position { return model.Position{Term: term, Index: index} }
@@ -19,37 +20,78 @@
 }
 
 func answeredProbe(role string, term, index uint64) ProbeResult {
-	return ProbeResult{Answered: true, Role: role, Term: term, Position: positionAt(term, index), AfterSettled: true, Age: 50 * time.Millisecond, GapSequence: 1, Tenure: "c1@1"}
+	return ProbeResult{
+		Answered:     true,
+		Role:         role,
+		Term:         term,
+		Position:     positionAt(term, index),
+		AfterSettled: true,
+		Age:          50 * time.Millisecond,
+		GapSequence:  1,
+		Tenure:       "c1@1",
+	}
 }
 
 func failedProbe() ProbeResult { return ProbeResult{AfterSettled: true, Age: 50 * time.Millisecond} }
 
+// openTerm is the evidence on a healthy database: a is the primary of term 3, b and c
+// are its replicas, and commits are confirmed up to 95. Control server c1 decides.
 func openTerm() Evidence {
 	return Evidence{
-		Database: "db", Self: "c1", Known: true, Settled: true, SettledFor: time.Minute, GatheredFor: time.Minute, WallNanos: wallTime,
-		GapSequence: 1, CoveredSequence: 1, Tenure: "c1@1", CommitBound: positionAt(3, 95),
+		Database:        "db",
+		Self:            "c1",
+		Known:           true,
+		Settled:         true,
+		SettledFor:      time.Minute,
+		GatheredFor:     time.Minute,
+		WallNanos:       wallTime,
+		GapSequence:     1,
+		CoveredSequence: 1,
+		Tenure:          "c1@1",
+		CommitBound:     positionAt(3, 95),
 		Writer: model.WriterRole{
-			Database: "db", Term: 3, Primary: "a", Phase: model.PhaseOpen, SyncReplication: true, LastTransitionAt: wallTime - int64(time.Minute),
-			RequiredReplicas: map[string]string{"b": "", "c": ""}, HighWatermark: positionAt(3, 95), Promoter: "c1", FencingToken: 4,
+			Database:         "db",
+			Term:             3,
+			Primary:          "a",
+			Phase:            model.PhaseOpen,
+			SyncReplication:  true,
+			LastTransitionAt: wallTime - int64(time.Minute),
+			RequiredReplicas: map[string]string{"b": "", "c": ""},
+			HighWatermark:    positionAt(3, 95),
+			Promoter:         "c1",
+			FencingToken:     4,
+		},
+		Observations: []Observation{
+			newObservation("a", model.RolePrimary),
+			newObservation("b", model.RoleReplica),
+			newObservation("c", model.RoleReplica),
 		},
-		Observations: []Observation{newObservation("a", model.RolePrimary), newObservation("b", model.RoleReplica), newObservation("c", model.RoleReplica)},
-		Probes:       map[string]ProbeResult{},
+		Probes: map[string]ProbeResult{},
 	}
 }
 
-func closingTerm(probe map[string]ProbeResult) Evidence {
+// closingTerm is the evidence while the term is closing, which was settled 100 ms ago.
+func closingTerm(probes map[string]ProbeResult) Evidence {
 	evidence := openTerm()
-	evidence.Writer.Phase, evidence.Writer.LastTransitionAt, evidence.SettledFor, evidence.Probes = model.PhaseClosing, wallTime-int64(time.Second), 100*time.Millisecond, probe
+	evidence.Writer.Phase = model.PhaseClosing
+	evidence.Writer.LastTransitionAt = wallTime - int64(time.Second)
+	evidence.SettledFor = 100 * time.Millisecond
+	evidence.Probes = probes
 	return evidence
 }
 
-func promotingTerm(probe map[string]ProbeResult, since time.Duration) Evidence {
-	evidence := closingTerm(probe)
-	evidence.Writer.Phase, evidence.Writer.Promoting, evidence.Writer.PromoteCalls, evidence.Writer.MinPosition = model.PhasePromoting, "b", 1, positionAt(3, 99)
-	evidence.Writer.LastTransitionAt = wallTime - int64(since)
+// promotingTerm is the evidence some time after the first promote call for b.
+func promotingTerm(probes map[string]ProbeResult, sinceCall time.Duration) Evidence {
+	evidence := closingTerm(probes)
+	evidence.Writer.Phase = model.PhasePromoting
+	evidence.Writer.Promoting = "b"
+	evidence.Writer.PromoteCalls = 1
+	evidence.Writer.MinPosition = positionAt(3, 99)
+	evidence.Writer.LastTransitionAt = wallTime - int64(sinceCall)
 	return evidence
 }
 
+// recordedWriter is the writer role that a step records, if it records one.
 func recordedWriter(evidence Evidence) (model.WriterRole, bool) {
 	for _, effect := range Step(evidence, DefaultTiming()) {
 		if record, ok := effect.(failover.Record); ok {
@@ -59,6 +101,7 @@
 	return model.WriterRole{}, false
 }
 
+// effectsOf gives the effects of one type that a step has.
 func effectsOf[T any](evidence Evidence) []T {
 	var found []T
 	for _, effect := range Step(evidence, DefaultTiming()) {
@@ -69,6 +112,7 @@
 	return found
 }
 
+// intendedPrimary is the replica whose promotion a step records, "" for none.
 func intendedPrimary(evidence Evidence) string {
 	writer, _ := recordedWriter(evidence)
 	if writer.Phase != model.PhasePromoting {
