--- a/internal/coordination/failover/syncrepl/evidence_test.go
+++ b/internal/coordination/failover/syncrepl/evidence_test.go
@@ -80,6 +80,15 @@
 	return evidence
 }
 
+// allProbes are those of a closing term of which both replicas have answered.
+func allProbes() map[string]ProbeResult {
+	return map[string]ProbeResult{
+		"a": failedProbe(),
+		"b": answeredProbe(model.RoleReplica, 3, 99),
+		"c": answeredProbe(model.RoleReplica, 3, 97),
+	}
+}
+
 // promotingTerm is the evidence some time after the first promote call for b.
 func promotingTerm(probes map[string]ProbeResult, sinceCall time.Duration) Evidence {
 	evidence := closingTerm(probes)
