--- a/internal/coordination/failover/asyncrepl/replicas_test.go
+++ b/internal/coordination/failover/asyncrepl/replicas_test.go
@@ -10,17 +10,25 @@
 )
 
 func TestReplicaMaintenance(t *testing.T) {
-	Convey("A slow replica is first removed from the candidates, then from the required replicas", t, func() {
+	slow := func() Evidence {
 		evidence := openTerm()
 		evidence.Observations[2].CommitWait = time.Second
-		struck := firstWriter(evidence)
-		So(struck.Candidates, ShouldResemble, map[string]string{"b": "b-1"})
-		So(struck.RequiredReplicas, ShouldContainKey, "c")
-		evidence.Writer = struck
-		struck = firstWriter(evidence)
-		So(struck.RequiredReplicas, ShouldResemble, map[string]string{"b": "b-1"})
+		return evidence
+	}
+	Convey("A slow replica is first removed from the candidates, then from the required replicas", t, func() {
+		evidence := slow()
+		evidence.Writer = firstWriter(evidence)
+		So(evidence.Writer.Candidates, ShouldResemble, map[string]string{"b": "b-1"})
+		So(evidence.Writer.RequiredReplicas, ShouldContainKey, "c")
+		So(firstWriter(evidence).RequiredReplicas, ShouldResemble, map[string]string{"b": "b-1"})
+	})
+	Convey("A replica removed as slow is required again after the exclusion, and at once if a candidate loses its data", t, func() {
+		evidence := slow()
+		evidence.Writer = firstWriter(evidence)
+		removed := firstWriter(evidence)
 		evidence = openTerm()
-		evidence.Writer, evidence.WallNanos = struck, int64(5*time.Second)
+		evidence.Writer = removed
+		evidence.WallNanos = int64(5 * time.Second)
 		So(Step(evidence, DefaultTiming()), ShouldBeEmpty)
 		evidence.WallNanos = int64(7 * time.Second)
 		So(firstWriter(evidence).RequiredReplicas, ShouldContainKey, "c")
@@ -31,28 +39,34 @@
 	})
 	Convey("Where no replica keeps up, or the primary has no recent contact, none is removed for its lag", t, func() {
 		evidence := openTerm()
-		evidence.Observations[1].CommitWait, evidence.Observations[2].CommitWait = time.Second, time.Second
+		evidence.Observations[1].CommitWait = time.Second
+		evidence.Observations[2].CommitWait = time.Second
 		So(Step(evidence, DefaultTiming()), ShouldBeEmpty)
 		evidence = openTerm()
-		evidence.Observations[2].CommitWait, evidence.Observations[0].ContactAge = time.Second, 900*time.Millisecond
+		evidence.Observations[2].CommitWait = time.Second
+		evidence.Observations[0].ContactAge = 900 * time.Millisecond
 		So(Step(evidence, DefaultTiming()), ShouldBeEmpty)
 	})
 	Convey("A replica that returns is required at once, and a candidate once that is settled and it has caught up", t, func() {
 		evidence := openTerm()
-		evidence.Writer.RequiredReplicas, evidence.Writer.Candidates = map[string]string{"b": "b-1"}, map[string]string{"b": "b-1"}
+		evidence.Writer.RequiredReplicas = map[string]string{"b": "b-1"}
+		evidence.Writer.Candidates = map[string]string{"b": "b-1"}
 		waited := firstWriter(evidence)
 		So(waited.RequiredReplicas, ShouldContainKey, "c")
 		So(waited.Candidates, ShouldNotContainKey, "c")
-		evidence.Writer, evidence.Settled = waited, false
+		evidence.Writer = waited
+		evidence.Settled = false
 		So(Step(evidence, DefaultTiming()), ShouldBeEmpty)
-		evidence.Settled, evidence.PrimaryPosition = true, model.Position{Term: 1, Index: 98}
+		evidence.Settled = true
+		evidence.PrimaryPosition = model.Position{Term: 1, Index: 98}
 		So(Step(evidence, DefaultTiming()), ShouldBeEmpty)
 		evidence.PrimaryPosition = model.Position{Term: 1, Index: 97}
 		So(firstWriter(evidence).Candidates, ShouldContainKey, "c")
 	})
 	Convey("If the only candidate loses its data while the primary is alive, another replica is required", t, func() {
 		evidence := openTerm()
-		evidence.Writer.RequiredReplicas, evidence.Writer.Candidates = map[string]string{"b": "b-1"}, map[string]string{"b": "b-1"}
+		evidence.Writer.RequiredReplicas = map[string]string{"b": "b-1"}
+		evidence.Writer.Candidates = map[string]string{"b": "b-1"}
 		evidence.Observations[1].Instance.Incarnation = "b-2"
 		evidence.Observations[1].Instance.Position = model.Position{}
 		So(firstWriter(evidence).RequiredReplicas, ShouldContainKey, "c")
--- a/internal/coordination/failover/asyncrepl/step_test.go
+++ b/internal/coordination/failover/asyncrepl/step_test.go
@@ -17,7 +17,8 @@
 		So(firstWriter(evidence).Phase, ShouldEqual, model.PhaseClosing)
 		evidence.Observations[0].SilentNodes = 2
 		So(firstWriter(evidence).Phase, ShouldNotEqual, model.PhaseClosing)
-		evidence.Observations[0].SilentNodes, evidence.Observations[0].ContactAge = 5, time.Second
+		evidence.Observations[0].SilentNodes = 5
+		evidence.Observations[0].ContactAge = time.Second
 		So(firstWriter(evidence).Phase, ShouldNotEqual, model.PhaseClosing)
 	})
 	Convey("The term of a primary that leaves, steps down or comes back without data is closed", t, func() {
@@ -43,7 +44,9 @@
 	})
 	Convey("A new control primary without reports suspects nothing", t, func() {
 		evidence := openTerm()
-		evidence.Observations, evidence.ReportingNodes, evidence.GatheredFor = nil, 0, time.Second
+		evidence.Observations = nil
+		evidence.ReportingNodes = 0
+		evidence.GatheredFor = time.Second
 		So(firstWriter(evidence).Phase, ShouldNotEqual, model.PhaseClosing)
 	})
 }
--- a/internal/coordination/failover/syncrepl/candidate_test.go
+++ b/internal/coordination/failover/syncrepl/candidate_test.go
@@ -21,7 +21,8 @@
 		So(writer.FencingToken, ShouldEqual, 5)
 		evidence.Self = "c2"
 		So(effectsOf[Promote](evidence), ShouldResemble, []Promote{{Database: "db", Instance: "b", LeaseHolder: "c2", FencingToken: 5}})
-		evidence.Writer.Promoter, evidence.Writer.FencingToken = "", 0
+		evidence.Writer.Promoter = ""
+		evidence.Writer.FencingToken = 0
 		So(effectsOf[Promote](evidence)[0].FencingToken, ShouldEqual, 1)
 	})
 	Convey("Terms of positions are compared before indexes", t, func() {
@@ -44,7 +45,8 @@
 		So(intendedPrimary(evidence), ShouldEqual, "b")
 		evidence.GapSequence = 2
 		So(intendedPrimary(evidence), ShouldEqual, "")
-		evidence.CoveredSequence, evidence.CommitBound = 2, positionAt(3, 100)
+		evidence.CoveredSequence = 2
+		evidence.CommitBound = positionAt(3, 100)
 		So(intendedPrimary(evidence), ShouldEqual, "")
 		evidence.CommitBound = positionAt(3, 99)
 		So(intendedPrimary(evidence), ShouldEqual, "b")
@@ -63,12 +65,14 @@
 	})
 	Convey("A replica that is gone may have been the only one to hold a commit", t, func() {
 		evidence := closingTerm(allProbes())
-		evidence.Observations[2].Instance.Stopped, evidence.GapSequence = true, 2
+		evidence.Observations[2].Instance.Stopped = true
+		evidence.GapSequence = 2
 		So(intendedPrimary(evidence), ShouldEqual, "")
 	})
 	Convey("No candidate is chosen where all replicas answered below the confirmed position", t, func() {
 		evidence := closingTerm(allProbes())
-		evidence.Writer.HighWatermark, evidence.CommitBound = positionAt(3, 120), positionAt(3, 120)
+		evidence.Writer.HighWatermark = positionAt(3, 120)
+		evidence.CommitBound = positionAt(3, 120)
 		So(intendedPrimary(evidence), ShouldEqual, "")
 	})
 	Convey("A replica that stays is preferred to one that leaves, unless it lacks commits", t, func() {
--- a/internal/coordination/failover/syncrepl/closing_test.go
+++ b/internal/coordination/failover/syncrepl/closing_test.go
@@ -34,7 +34,8 @@
 		So(intendedPrimary(evidence), ShouldEqual, "")
 		evidence.SettledFor = DefaultTiming().OldPrimaryWait + 10*time.Millisecond
 		So(intendedPrimary(evidence), ShouldEqual, "b")
-		evidence.SettledFor, evidence.Observations[0].Instance.Leaving = 0, true
+		evidence.SettledFor = 0
+		evidence.Observations[0].Instance.Leaving = true
 		So(intendedPrimary(evidence), ShouldEqual, "b")
 	})
 	Convey("The term is reopened under a primary that answers again, unless it leaves or is a replica now", t, func() {
--- a/internal/coordination/failover/syncrepl/discovery_test.go
+++ b/internal/coordination/failover/syncrepl/discovery_test.go
@@ -11,7 +11,8 @@
 func TestDiscovery(t *testing.T) {
 	fresh := func() Evidence {
 		evidence := openTerm()
-		evidence.Known, evidence.Writer = false, model.WriterRole{}
+		evidence.Known = false
+		evidence.Writer = model.WriterRole{}
 		return evidence
 	}
 	Convey("The only primary of a new database is probed, and the role is recorded with its term", t, func() {
--- a/internal/coordination/failover/syncrepl/open_test.go
+++ b/internal/coordination/failover/syncrepl/open_test.go
@@ -23,12 +23,14 @@
 		So(effectsOf[StepDown](evidence), ShouldBeEmpty)
 		evidence.Probes["b"] = answeredProbe(model.RoleReplica, 3, 80)
 		So(effectsOf[StepDown](evidence), ShouldBeEmpty)
-		evidence.Probes, evidence.Observations[1].ContactAge = map[string]ProbeResult{}, 4*time.Second
+		evidence.Probes = map[string]ProbeResult{}
+		evidence.Observations[1].ContactAge = 4 * time.Second
 		So(Step(evidence, DefaultTiming()), ShouldBeEmpty)
 	})
 	Convey("After a reporting gap the primary is probed; its position covers the gap only if probed after it, in the same tenure", t, func() {
 		evidence := openTerm()
-		evidence.GapSequence, evidence.Probes["a"] = 2, answeredProbe(model.RolePrimary, 3, 99)
+		evidence.GapSequence = 2
+		evidence.Probes["a"] = answeredProbe(model.RolePrimary, 3, 99)
 		So(effectsOf[ReportBound](evidence), ShouldBeEmpty)
 		old := evidence.Probes["a"]
 		old.Age = 2 * time.Second
@@ -49,7 +51,8 @@
 		writer, _ := recordedWriter(evidence)
 		So(writer.RequiredReplicas, ShouldContainKey, "d")
 		evidence = openTerm()
-		evidence.GatheredFor, evidence.Observations[2].ContactAge = time.Hour, 30*time.Second
+		evidence.GatheredFor = time.Hour
+		evidence.Observations[2].ContactAge = 30 * time.Second
 		_, recorded := recordedWriter(evidence)
 		So(recorded, ShouldBeFalse)
 		evidence.Observations[2].ContactAge = 2 * time.Minute
--- a/internal/coordination/failover/syncrepl/promoting_test.go
+++ b/internal/coordination/failover/syncrepl/promoting_test.go
@@ -97,7 +97,8 @@
 func TestUnknownPromoteOutcome(t *testing.T) {
 	down := func(calls ...PromoteCall) Evidence {
 		evidence := promotingTerm(map[string]ProbeResult{"b": failedProbe()}, time.Second)
-		evidence.PromoteCalls, evidence.Writer.PromoteCalls = calls, len(calls)
+		evidence.PromoteCalls = calls
+		evidence.Writer.PromoteCalls = len(calls)
 		return evidence
 	}
 	abandoned := func(evidence Evidence) bool {
@@ -106,7 +107,8 @@
 	}
 	fenced := func(calls ...PromoteCall) Evidence {
 		evidence := down(calls...)
-		evidence.FencingEnforced, evidence.Writer.FencingToken = true, calls[len(calls)-1].FencingToken
+		evidence.FencingEnforced = true
+		evidence.Writer.FencingToken = calls[len(calls)-1].FencingToken
 		return evidence
 	}
 	lost := func(fence uint64) PromoteCall {
@@ -123,7 +125,8 @@
 	Convey("Where fencing is enforced, the refusal of a higher token bars every earlier call, of any control server", t, func() {
 		So(abandoned(fenced(lost(4), answered(5, 409))), ShouldBeTrue)
 		evidence := fenced(lost(4), answered(5, 409))
-		evidence.PromoteCalls, evidence.Writer.PromoteCalls = evidence.PromoteCalls[1:], 7
+		evidence.PromoteCalls = evidence.PromoteCalls[1:]
+		evidence.Writer.PromoteCalls = 7
 		So(abandoned(evidence), ShouldBeTrue)
 		evidence = fenced(lost(4), answered(5, 409))
 		evidence.FencingEnforced = false
@@ -156,7 +159,8 @@
 	Convey("Each further call gets a higher token where fencing is enforced, and else only at another control server", t, func() {
 		for _, fenced := range []bool{true, false} {
 			evidence := promotingTerm(map[string]ProbeResult{"b": failedProbe()}, 2*time.Second)
-			evidence.PromoteCalls, evidence.FencingEnforced = []PromoteCall{lost(4)}, fenced
+			evidence.PromoteCalls = []PromoteCall{lost(4)}
+			evidence.FencingEnforced = fenced
 			call := effectsOf[Promote](evidence)
 			So(len(call), ShouldEqual, 1)
 			So(call[0].Instance, ShouldEqual, "b")
@@ -164,30 +168,41 @@
 		}
 	})
 	Convey("After a lost promotion another replica is promoted in time, though the first never returns", t, func() {
-		now, lostFence := time.Duration(0), uint64(4)
 		evidence := promotingTerm(map[string]ProbeResult{"b": failedProbe(), "c": answeredProbe(model.RoleReplica, 3, 99)}, time.Millisecond)
-		evidence.FencingEnforced, evidence.PromoteCalls = true, []PromoteCall{{Instance: "b", FencingToken: lostFence}}
-		chosen := ""
-		for ; now < 10*time.Second && chosen == ""; now += 50 * time.Millisecond {
+		evidence.FencingEnforced = true
+		evidence.PromoteCalls = []PromoteCall{{Instance: "b", FencingToken: 4}}
+		choseAnother := func() bool {
+			return evidence.Writer.Phase == model.PhasePromoting && evidence.Writer.Promoting != "b"
+		}
+		now := time.Duration(0)
+		for ; now < 10*time.Second && !choseAnother(); now += 50 * time.Millisecond {
 			evidence.WallNanos = wallTime + int64(now)
 			evidence.SettledFor = now
-			for _, effect := range Step(evidence, DefaultTiming()) {
-				if record, ok := effect.(failover.Record); ok {
-					if record.Writer.Phase != model.PhasePromoting {
-						evidence.PromoteCalls = nil
-					}
-					evidence.Writer = record.Writer
-				}
-				if call, ok := effect.(Promote); ok {
-					status := map[bool]int{true: 409, false: 200}[call.Instance == "b"]
-					evidence.PromoteCalls = append(evidence.PromoteCalls, PromoteCall{Instance: call.Instance, FencingToken: call.FencingToken, Status: status})
-				}
-			}
-			if evidence.Writer.Phase == model.PhasePromoting && evidence.Writer.Promoting != "b" {
-				chosen = evidence.Writer.Promoting
-			}
+			evidence = stepWithPlatform(evidence, map[string]int{"b": 409, "c": 200})
 		}
-		So(chosen, ShouldEqual, "c")
+		So(choseAnother(), ShouldBeTrue)
+		So(evidence.Writer.Promoting, ShouldEqual, "c")
 		So(now, ShouldBeLessThan, 2*DefaultTiming().PromoteRetryInterval+DefaultTiming().ReplicaWait)
 	})
 }
+
+// stepWithPlatform is the evidence after a step, with its records committed, and its
+// promote calls answered with a status for each instance.
+func stepWithPlatform(evidence Evidence, statuses map[string]int) Evidence {
+	for _, effect := range Step(evidence, DefaultTiming()) {
+		if record, ok := effect.(failover.Record); ok {
+			evidence.Writer = record.Writer
+		}
+		if evidence.Writer.Phase != model.PhasePromoting {
+			evidence.PromoteCalls = nil
+		}
+		if call, ok := effect.(Promote); ok {
+			evidence.PromoteCalls = append(evidence.PromoteCalls, PromoteCall{
+				Instance:     call.Instance,
+				FencingToken: call.FencingToken,
+				Status:       statuses[call.Instance],
+			})
+		}
+	}
+	return evidence
+}
