--- a/internal/coordination/distribution/activation_test.go
+++ b/internal/coordination/distribution/activation_test.go
@@ -32,7 +32,7 @@
 		next := newHarness(2, h.stored)
 		_, due := next.NextActivation(next.wallNanos, next.now)
 		So(due, ShouldBeFalse)
-		next.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: next.stored.Version}, 1, next.now)
+		next.receive("d1", next.stored.Version)
 		write, due := next.NextActivation(next.wallNanos, next.now)
 		So(due, ShouldBeTrue)
 		So(next.write(write), ShouldBeGreaterThan, 0)
@@ -96,37 +96,37 @@
 }
 
 func TestPendingSetOfAnEarlierTenure(t *testing.T) {
+	inherited := func() *store.Table {
+		h := newHarness(1, store.New())
+		h.request("d1", store.Version{})
+		h.putSet(0)
+		return h.stored
+	}
+	getsLease := func(h *harness) bool {
+		h.receive("d1", store.Version{})
+		replies := h.flush()
+		So(len(replies), ShouldEqual, 1)
+		return replies[0].Update.LeaseDuration > 0
+	}
 	Convey("A primary that cannot trust its clock grants no lease beside a pending set that it has inherited", t, func() {
-		first := newHarness(1, store.New())
-		first.request("d1", store.Version{})
-		puts, _ := rollout.AcceptBindings(first.stored, 0, []model.Binding{{Name: "x", Database: "x"}}, "call", first.wallNanos)
-		first.put(puts...)
+		stored := inherited()
 		for _, trusted := range []bool{false, true} {
-			second := newHarness(1, first.stored)
-			second.Machine = New("c2", lease.DefaultTiming(), consensus.Record{Epoch: 1, Primary: "c1"}, first.stored, second.now)
-			second.wallNanos -= int64(4 * time.Second)
-			second.EpochChanged(consensus.Record{Epoch: 2, Primary: "c2"}, first.stored, second.now)
-			second.SetClockTrusted(trusted)
-			second.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy}, 1, second.now)
-			replies := second.Flush(true, second.wallNanos, second.now)
-			So(len(replies), ShouldEqual, 1)
-			So(replies[0].Update.LeaseDuration > 0, ShouldEqual, trusted)
+			h := newHarness(1, stored)
+			h.Machine = New("c2", lease.DefaultTiming(), consensus.Record{Epoch: 1, Primary: "c1"}, stored, h.now)
+			h.wallNanos -= int64(4 * time.Second)
+			h.EpochChanged(consensus.Record{Epoch: 2, Primary: "c2"}, stored, h.now)
+			h.SetClockTrusted(trusted)
+			So(getsLease(h), ShouldEqual, trusted)
 		}
 	})
 	Convey("Nor does one that restarted and is primary by the same record as before", t, func() {
-		first := newHarness(1, store.New())
-		first.request("d1", store.Version{})
-		puts, _ := rollout.AcceptBindings(first.stored, 0, []model.Binding{{Name: "x", Database: "x"}}, "call", first.wallNanos)
-		first.put(puts...)
+		stored := inherited()
 		for _, trusted := range []bool{false, true} {
-			again := newHarness(1, first.stored)
-			again.wallNanos -= int64(4 * time.Second)
-			again.EpochChanged(consensus.Record{Epoch: 2, Primary: "c1"}, first.stored, again.now)
-			again.SetClockTrusted(trusted)
-			again.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy}, 1, again.now)
-			replies := again.Flush(true, again.wallNanos, again.now)
-			So(len(replies), ShouldEqual, 1)
-			So(replies[0].Update.LeaseDuration > 0, ShouldEqual, trusted)
+			h := newHarness(1, stored)
+			h.wallNanos -= int64(4 * time.Second)
+			h.EpochChanged(consensus.Record{Epoch: 2, Primary: "c1"}, stored, h.now)
+			h.SetClockTrusted(trusted)
+			So(getsLease(h), ShouldEqual, trusted)
 		}
 	})
 }
@@ -170,8 +170,8 @@
 		h.request("d1", store.Version{})
 		h.request("d1", h.stored.Version)
 		h.putSet(0)
-		h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: store.Version{}}, 1, h.now)
-		replies := h.Flush(true, h.wallNanos, h.now)
+		h.receive("d1", store.Version{})
+		replies := h.flush()
 		So(replies[0].Update.Snapshot.HasPendingSet(), ShouldBeTrue)
 		So(replies[0].Update.LeaseDuration, ShouldEqual, full)
 	})
@@ -189,15 +189,9 @@
 			h.putSet(1)
 			acceptedAt, lastExpiry := h.now, time.Duration(0)
 			for h.Snapshot().HasPendingSet() && h.now < acceptedAt+5*time.Second {
-				for _, node := range []string{"d1", "d2"} {
-					if node == "d2" && h.now < acceptedAt+silentFor {
-						continue
-					}
-					h.HandleRequest(UpdateRequest{Node: node, Kind: model.KindProxy, Version: store.Version{}}, 1, h.now)
-					for _, reply := range h.Flush(true, h.wallNanos, h.now) {
-						lastExpiry = max(lastExpiry, h.now+reply.Update.LeaseDuration)
-					}
-					h.HandleRequest(UpdateRequest{Node: node, Kind: model.KindProxy, Version: h.stored.Version}, 1, h.now)
+				lastExpiry = max(lastExpiry, h.renewLease("d1"))
+				if h.now >= acceptedAt+silentFor {
+					lastExpiry = max(lastExpiry, h.renewLease("d2"))
 				}
 				h.advance(pace)
 				h.runWrites()
@@ -211,7 +205,7 @@
 		h := newHarness(1, store.New())
 		h.request("d1", store.Version{})
 		h.putSet(0)
-		h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version}, 1, h.now)
+		h.receive("d1", h.stored.Version)
 		h.runWrites()
 		So(h.Snapshot().NewestSet().EffectiveAt-h.wallNanos, ShouldBeLessThan, int64(full/2))
 	})
@@ -251,14 +245,14 @@
 		h := newHarness(3, store.New())
 		h.request("d1", store.Version{})
 		h.putSet(0)
-		h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version}, 5, h.now)
+		h.receive("d1", h.stored.Version)
 		write, due := h.NextActivation(h.wallNanos, h.now)
 		So(due, ShouldBeTrue)
 		h.stored = h.stored.Clone()
 		h.stored.Apply(store.Version{Epoch: 3, Sequence: h.stored.Version.Sequence + 1}, write.Build(h.stored))
 		h.Publish(h.stored)
 		So(h.Snapshot().HasPendingSet(), ShouldBeFalse)
-		replies := h.Flush(true, h.wallNanos, h.now)
+		replies := h.flush()
 		So(len(replies), ShouldEqual, 1)
 		So(replies[0].Update.LeaseDuration, ShouldBeGreaterThan, time.Duration(h.Snapshot().NewestSet().EffectiveAt-h.wallNanos))
 		write.Done()
@@ -271,13 +265,13 @@
 		left := time.Duration(h.Snapshot().NewestSet().EffectiveAt - h.wallNanos)
 		So(left, ShouldBeGreaterThan, 0)
 		h.advance(left - time.Millisecond)
-		h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version}, 8, h.now)
-		So(len(h.Flush(true, h.wallNanos, h.now)), ShouldEqual, 0)
+		h.receive("d1", h.stored.Version)
+		So(len(h.flush()), ShouldEqual, 0)
 		h.advance(2 * time.Millisecond)
-		replies := h.Flush(true, h.wallNanos, h.now)
+		replies := h.flush()
 		So(len(replies), ShouldEqual, 1)
 		So(replies[0].Update.LeaseDuration, ShouldEqual, lease.DefaultTiming().LeaseDuration)
-		h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version}, 9, h.now)
-		So(len(h.Flush(true, h.wallNanos, h.now)), ShouldEqual, 0)
+		h.receive("d1", h.stored.Version)
+		So(len(h.flush()), ShouldEqual, 0)
 	})
 }
--- a/internal/coordination/distribution/coverage_test.go
+++ b/internal/coordination/distribution/coverage_test.go
@@ -13,14 +13,25 @@
 
 func TestCompleteEvidence(t *testing.T) {
 	request := func(h *harness, node string, incarnation int64, high uint64) {
-		h.HandleRequest(UpdateRequest{Node: node, Kind: model.KindProxy, Version: h.stored.Version, Incarnation: incarnation, HighWatermarks: map[string]model.Position{"db": {Term: 3, Index: high}}}, 1, h.now)
+		h.HandleRequest(UpdateRequest{
+			Node:           node,
+			Kind:           model.KindProxy,
+			Version:        h.stored.Version,
+			Incarnation:    incarnation,
+			HighWatermarks: map[string]model.Position{"db": {Term: 3, Index: high}},
+		}, 1, h.now)
 		h.runWrites()
 		h.advance(DefaultPollTimeout)
-		h.Flush(true, h.wallNanos, h.now)
+		h.flush()
 	}
 	cover := func(h *harness) {
 		evidence := h.evidence()
-		h.ConfirmCoverage(syncrepl.ReportBound{Database: "db", Tenure: evidence.Tenure, GapSequence: evidence.GapSequence, Position: model.Position{Term: 3, Index: 50}})
+		h.ConfirmCoverage(syncrepl.ReportBound{
+			Database:    "db",
+			Tenure:      evidence.Tenure,
+			GapSequence: evidence.GapSequence,
+			Position:    model.Position{Term: 3, Index: 50},
+		})
 	}
 	started := func() *harness {
 		h := newHarness(1, store.New())
--- a/internal/coordination/distribution/delta_test.go
+++ b/internal/coordination/distribution/delta_test.go
@@ -15,9 +15,7 @@
 
 func TestDeltas(t *testing.T) {
 	Convey("Given a tenure with a hundred databases and a node that has applied all of it", t, func() {
-		h := newHarness(1, store.New())
-		h.EpochChanged(consensus.Record{Epoch: 2, Primary: "c2", Backup: "c1"}, h.stored, h.now)
-		h.EpochChanged(consensus.Record{Epoch: 3, Primary: "c1", Backup: "c2"}, h.stored, h.now)
+		h := newHarnessInNewTenure()
 		h.put(setPut(1, 1), setPut(2, 2))
 		for number := range 100 {
 			h.put(writerPut(fmt.Sprintf("db%d", number), 1))
@@ -75,46 +73,28 @@
 			{[]store.Put{writerPut("db1", 1)}, false},
 			{[]store.Put{setPut(1, 0)}, false},
 		} {
-			h := newHarness(1, store.New())
-			h.EpochChanged(consensus.Record{Epoch: 2, Primary: "c2"}, h.stored, h.now)
-			h.EpochChanged(consensus.Record{Epoch: 3, Primary: "c1"}, h.stored, h.now)
+			h := newHarnessInNewTenure()
 			h.put(syncWriterPut(model.WriterRole{Database: "db0", Term: 1, Phase: model.PhaseOpen}))
 			h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.Snapshot().Version, AcceptsDelta: true}, 1, h.now)
-			answers := len(h.Flush(true, h.wallNanos, h.now))
+			answers := len(h.flush())
 			for range 10 {
 				h.put(write.puts...)
 				h.advance(5 * time.Millisecond)
-				answers += len(h.Flush(true, h.wallNanos, h.now))
+				answers += len(h.flush())
 			}
 			So(answers == 0, ShouldEqual, write.mayDelay)
 			h.advance(settleDelay)
-			So(answers+len(h.Flush(true, h.wallNanos, h.now)), ShouldEqual, 1)
+			So(answers+len(h.flush()), ShouldEqual, 1)
 		}
 	})
 	Convey("The snapshot that results from deltas is the complete one", t, func() {
 		for seed := range int64(20) {
 			dice := rand.New(rand.NewSource(seed))
-			h := newHarness(1, store.New())
-			h.EpochChanged(consensus.Record{Epoch: 2, Primary: "c2"}, h.stored, h.now)
-			h.EpochChanged(consensus.Record{Epoch: 3, Primary: "c1"}, h.stored, h.now)
+			h := newHarnessInNewTenure()
+			writes := randomWrites{harness: h, dice: dice, lowest: 1}
 			snapshot := model.Snapshot{Writers: map[string]model.WriterRole{}}
-			sequence, lowest := uint64(0), uint64(1)
 			for range 100 {
-				kind := dice.Intn(5)
-				if kind == 0 {
-					sequence++
-					h.put(setPut(sequence, 0))
-				}
-				if kind == 1 && sequence > 0 {
-					h.put(setPut(sequence, int64(dice.Intn(9)+1)))
-				}
-				if kind == 2 && lowest < sequence {
-					h.put(store.Put{Key: model.BindingSetKey(lowest), Deleted: true}, setPut(sequence, 3))
-					lowest++
-				}
-				if kind >= 3 {
-					h.put(writerPut(fmt.Sprintf("db%d", dice.Intn(6)), uint64(dice.Intn(9))))
-				}
+				writes.next()
 				if dice.Intn(3) == 0 {
 					continue
 				}
@@ -140,3 +120,31 @@
 		So(snapshot, ShouldResemble, model.ReadSnapshot(h.stored))
 	})
 }
+
+// randomWrites writes sets and writer roles as dice say. The sets from lowest to
+// sequence are stored.
+type randomWrites struct {
+	harness  *harness
+	dice     *rand.Rand
+	sequence uint64
+	lowest   uint64
+}
+
+// next adds, changes or deletes a set, or changes a writer role.
+func (w *randomWrites) next() {
+	kind := w.dice.Intn(5)
+	if kind == 0 {
+		w.sequence++
+		w.harness.put(setPut(w.sequence, 0))
+	}
+	if kind == 1 && w.sequence > 0 {
+		w.harness.put(setPut(w.sequence, int64(w.dice.Intn(9)+1)))
+	}
+	if kind == 2 && w.lowest < w.sequence {
+		w.harness.put(store.Put{Key: model.BindingSetKey(w.lowest), Deleted: true}, setPut(w.sequence, 3))
+		w.lowest++
+	}
+	if kind >= 3 {
+		w.harness.put(writerPut(fmt.Sprintf("db%d", w.dice.Intn(6)), uint64(w.dice.Intn(9))))
+	}
+}
--- a/internal/coordination/distribution/harness_test.go
+++ b/internal/coordination/distribution/harness_test.go
@@ -49,7 +49,7 @@
 		}, 1, h.now)
 	}
 	h.advance(DefaultPollTimeout)
-	h.Flush(true, h.wallNanos, h.now)
+	h.flush()
 	return h
 }
 
@@ -66,6 +66,15 @@
 	return h
 }
 
+// newHarnessInNewTenure returns one that was primary, lost that, and is so again, by
+// epoch 3.
+func newHarnessInNewTenure() *harness {
+	h := newHarness(1, store.New())
+	h.EpochChanged(consensus.Record{Epoch: 2, Primary: "c2", Backup: "c1"}, h.stored, h.now)
+	h.EpochChanged(consensus.Record{Epoch: 3, Primary: "c1", Backup: "c2"}, h.stored, h.now)
+	return h
+}
+
 func (h *harness) advance(span time.Duration) {
 	h.now, h.wallNanos = h.now+span, h.wallNanos+int64(span)
 }
@@ -115,12 +124,32 @@
 	return writes
 }
 
+// receive takes in a request of a proxy that has applied a version.
+func (h *harness) receive(node string, version store.Version) {
+	h.HandleRequest(UpdateRequest{Node: node, Kind: model.KindProxy, Version: version}, 1, h.now)
+}
+
+// flush returns the primary's replies.
+func (h *harness) flush() []Reply { return h.Flush(true, h.wallNanos, h.now) }
+
+// renewLease has a node get a lease with the newest snapshot, and then acknowledge it. It
+// returns when the last lease that was granted ends.
+func (h *harness) renewLease(node string) time.Duration {
+	h.receive(node, store.Version{})
+	lastExpiry := time.Duration(0)
+	for _, reply := range h.flush() {
+		lastExpiry = max(lastExpiry, h.now+reply.Update.LeaseDuration)
+	}
+	h.receive(node, h.stored.Version)
+	return lastExpiry
+}
+
 // request sends a node's request, waits, and returns the update.
 func (h *harness) request(node string, version store.Version) Update {
-	h.HandleRequest(UpdateRequest{Node: node, Kind: model.KindProxy, Version: version}, 1, h.now)
+	h.receive(node, version)
 	h.runWrites()
 	h.advance(DefaultPollTimeout)
-	replies := h.Flush(true, h.wallNanos, h.now)
+	replies := h.flush()
 	So(len(replies), ShouldBeGreaterThan, 0)
 	return replies[len(replies)-1].Update
 }
@@ -129,7 +158,7 @@
 func (h *harness) requestSnapshot(version store.Version, acceptsDelta bool) *model.Snapshot {
 	h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: version, AcceptsDelta: acceptsDelta}, 1, h.now)
 	h.advance(DefaultPollTimeout)
-	return h.Flush(true, h.wallNanos, h.now)[0].Update.Snapshot
+	return h.flush()[0].Update.Snapshot
 }
 
 // observe updates the instances by those that were observed just now.
--- a/internal/coordination/distribution/instances_test.go
+++ b/internal/coordination/distribution/instances_test.go
@@ -56,27 +56,27 @@
 		h.observe(instance("a", model.RolePrimary))
 		request := UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version}
 		h.HandleRequest(request, 1, h.now)
-		replies := h.Flush(true, h.wallNanos, h.now)
+		replies := h.flush()
 		So(len(replies), ShouldEqual, 1)
 		So(replies[0].Update.ListVersion.Number, ShouldEqual, 1)
 		So(len(replies[0].Update.Instances), ShouldEqual, 1)
 		request.ListVersion = replies[0].Update.ListVersion
 		h.HandleRequest(request, 2, h.now)
-		So(h.Flush(true, h.wallNanos, h.now), ShouldBeEmpty)
+		So(h.flush(), ShouldBeEmpty)
 		h.observe(instance("a", model.RoleReplica))
-		So(h.Flush(true, h.wallNanos, h.now), ShouldBeEmpty)
+		So(h.flush(), ShouldBeEmpty)
 		h.advance(settleDelay)
-		So(h.Flush(true, h.wallNanos, h.now)[0].Update.Instances[0].Role, ShouldEqual, model.RoleReplica)
+		So(h.flush()[0].Update.Instances[0].Role, ShouldEqual, model.RoleReplica)
 		request.ListVersion = ListVersion{Tenure: "c9@1", Number: 2}
 		h.HandleRequest(request, 3, h.now)
-		So(len(h.Flush(true, h.wallNanos, h.now)), ShouldEqual, 1)
+		So(len(h.flush()), ShouldEqual, 1)
 	})
 	Convey("A request with a list of this tenure gets only what changed since", t, func() {
 		h := newHarness(1, store.New())
 		list := func(version ListVersion) (ListVersion, []string) {
 			h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version, ListVersion: version}, 1, h.now)
 			h.advance(settleDelay)
-			update := h.Flush(true, h.wallNanos, h.now)[0].Update
+			update := h.flush()[0].Update
 			var names []string
 			for _, one := range update.Instances {
 				names = append(names, one.Name)
@@ -104,10 +104,10 @@
 		timing := lease.DefaultTiming()
 		timing.PollTimeout = 500 * time.Millisecond
 		h := newHarnessWithTiming(timing, 1, store.New())
-		h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy}, 1, h.now)
+		h.receive("d1", store.Version{})
 		h.advance(400 * time.Millisecond)
-		So(h.Flush(true, h.wallNanos, h.now), ShouldBeEmpty)
+		So(h.flush(), ShouldBeEmpty)
 		h.advance(100 * time.Millisecond)
-		So(len(h.Flush(true, h.wallNanos, h.now)), ShouldEqual, 1)
+		So(len(h.flush()), ShouldEqual, 1)
 	})
 }
--- a/internal/coordination/distribution/manifests_test.go
+++ b/internal/coordination/distribution/manifests_test.go
@@ -13,11 +13,33 @@
 
 func TestManifests(t *testing.T) {
 	put := func(h *harness, version uint64, text string) bool {
-		return h.write(Write{Build: func(state *store.Table) []store.Put {
-			set := model.BindingSet{Bindings: []model.Binding{{Name: "b", Database: "db"}}, Databases: []model.Database{{Name: "db", MaxConnections: 80}}}
-			puts, _ := rollout.AcceptManifest(state, rollout.Manifest{Version: version, Set: set, Compressed: []byte(text), Digest: rollout.DigestOf(set, []byte(text)), Source: "test"}, h.wallNanos)
-			return puts
-		}, Done: func() {}}) > 0
+		set := model.BindingSet{
+			Bindings:  []model.Binding{{Name: "b", Database: "db"}},
+			Databases: []model.Database{{Name: "db", MaxConnections: 80}},
+		}
+		manifest := rollout.Manifest{
+			Version:    version,
+			Set:        set,
+			Compressed: []byte(text),
+			Digest:     rollout.DigestOf(set, []byte(text)),
+			Source:     "test",
+		}
+		puts, _ := rollout.AcceptManifest(h.stored, manifest, h.wallNanos)
+		return h.put(puts...) > 0
+	}
+	// followSets has a node apply and activate each set for some seconds.
+	followSets := func(h *harness) {
+		for range 8 {
+			h.HandleRequest(UpdateRequest{
+				Node:           "d1",
+				Kind:           model.KindProxy,
+				Version:        h.stored.Version,
+				ActiveSequence: h.Snapshot().ActiveSet(h.wallNanos).Sequence,
+			}, 1, h.now)
+			h.runWrites()
+			h.advance(time.Second)
+			h.flush()
+		}
 	}
 	Convey("The highest version is kept, with its text; one not above changes nothing", t, func() {
 		h := newHarness(1, store.New())
@@ -36,12 +58,7 @@
 		h := newHarness(1, store.New())
 		put(h, 1, "one")
 		put(h, 2, "two")
-		for range 8 {
-			h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version, ActiveSequence: h.Snapshot().ActiveSet(h.wallNanos).Sequence}, 1, h.now)
-			h.runWrites()
-			h.advance(time.Second)
-			h.Flush(true, h.wallNanos, h.now)
-		}
+		followSets(h)
 		So(len(h.Snapshot().Sets), ShouldEqual, 1)
 		So(h.stored.Keys(model.PrefixManifest), ShouldResemble, []string{rollout.ManifestKey(2)})
 		_, text, _ := rollout.NewestManifest(h.stored)
@@ -52,12 +69,7 @@
 		put(h, 9, "nine")
 		h.putSet(1)
 		So(h.Snapshot().NewestSet().Version, ShouldEqual, 9)
-		for range 8 {
-			h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version, ActiveSequence: h.Snapshot().ActiveSet(h.wallNanos).Sequence}, 1, h.now)
-			h.runWrites()
-			h.advance(time.Second)
-			h.Flush(true, h.wallNanos, h.now)
-		}
+		followSets(h)
 		So(len(h.Snapshot().Sets), ShouldEqual, 1)
 		set, text, _ := rollout.NewestManifest(h.stored)
 		So(set.Version, ShouldEqual, 9)
--- a/internal/coordination/distribution/nodes_test.go
+++ b/internal/coordination/distribution/nodes_test.go
@@ -24,7 +24,7 @@
 		grant := func(number uint64, incarnation int64) {
 			h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Incarnation: incarnation, RequestNumber: number}, 2, h.now)
 			h.advance(DefaultPollTimeout)
-			h.Flush(true, h.wallNanos, h.now)
+			h.flush()
 		}
 		grant(3, 7)
 		So(hasLease(), ShouldBeTrue)
--- a/internal/coordination/distribution/syncfailover_test.go
+++ b/internal/coordination/distribution/syncfailover_test.go
@@ -15,7 +15,7 @@
 		observed.Instance = instance("a", model.RolePrimary)
 		h.HandleRequest(UpdateRequest{Node: node, Kind: model.KindProxy, Version: h.stored.Version, Reports: []InstanceReport{observed}}, 1, h.now)
 		h.runWrites()
-		h.Flush(true, h.wallNanos, h.now)
+		h.flush()
 	}
 	Convey("Leased nodes with evidence of the last second are counted, by what they observed", t, func() {
 		h := newHarness(1, store.New())
@@ -26,7 +26,7 @@
 			report(h, "d3", InstanceReport{ResponseAge: 400 * time.Millisecond})
 			report(h, "d4", InstanceReport{ResponseAge: time.Hour})
 			h.advance(DefaultPollTimeout)
-			h.Flush(true, h.wallNanos, h.now)
+			h.flush()
 		}
 		observation := h.evidence().Observations[0]
 		So(observation.ReportingNodes, ShouldEqual, 3)
@@ -61,7 +61,7 @@
 		}
 		closeTerm("one")
 		So(h.evidence().Settled, ShouldBeFalse)
-		h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.stored.Version}, 1, h.now)
+		h.receive("d1", h.stored.Version)
 		So(h.evidence().Settled, ShouldBeTrue)
 		closeTerm("two")
 		h.advance(100 * time.Millisecond)
