--- a/internal/coordination/distribution/retention_test.go
+++ b/internal/coordination/distribution/retention_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"fmt"
 	"reflect"
-	"slices"
 	"testing"
 	"time"
 
@@ -46,30 +45,38 @@
 		}
 		return set
 	}
+	accept := func(h *harness, version int, set model.BindingSet, text []byte) []store.Put {
+		manifest := rollout.Manifest{Version: uint64(version), Set: set, Compressed: text, Source: "operator"}
+		puts, _ := rollout.AcceptManifest(h.stored, manifest, h.wallNanos)
+		return puts
+	}
 	Convey("After hundreds of sets, calls and nodes that came and went, no more is stored than after dozens", t, func() {
 		h := newHarness(1, store.New())
-		live := func(from, to int) (int, int) {
+		play := func(from, to int) {
 			for at := from; at < to; at++ {
 				for offset := range 3 {
 					h.request(fmt.Sprintf("d%d", at/2+offset), h.stored.Version)
 				}
-				h.write(Write{Build: func(state *store.Table) []store.Put {
-					puts, _ := rollout.AcceptManifest(state, rollout.Manifest{Version: uint64(at + 1), Set: bindings(3, at), Compressed: []byte("raw"), Source: "operator"}, h.wallNanos)
-					return callresult.Record(state, fmt.Sprint("call", at), callresult.Result{Status: 200, Path: "/v1/manifest/replace"}, puts)
-				}, Done: func() {}})
+				puts := accept(h, at+1, bindings(3, at), []byte("raw"))
+				result := callresult.Result{Status: 200, Path: "/v1/manifest/replace"}
+				h.put(callresult.Record(h.stored, fmt.Sprint("call", at), result, puts)...)
 				for range 5 {
 					h.advance(2 * time.Second)
 					h.runWrites()
 				}
 			}
+		}
+		size := func() (records, inMemory int) {
 			// Audit entries and results of calls have bounds, and tests, of their own.
 			bounded := len(h.stored.Keys(model.PrefixAuditEntry)) + len(h.stored.Keys(model.PrefixCallResult))
 			return len(h.stored.Records) - bounded, elements(reflect.ValueOf(h.Machine))
 		}
-		records, inside := live(0, 60)
-		later, stillInside := live(60, 180)
-		So(later, ShouldBeLessThanOrEqualTo, records+2)
-		So(stillInside, ShouldBeLessThanOrEqualTo, inside+4)
+		play(0, 60)
+		records, inMemory := size()
+		play(60, 180)
+		laterRecords, laterInMemory := size()
+		So(laterRecords, ShouldBeLessThanOrEqualTo, records+2)
+		So(laterInMemory, ShouldBeLessThanOrEqualTo, inMemory+4)
 		So(len(h.Snapshot().Sets), ShouldBeLessThanOrEqualTo, 3)
 	})
 	Convey("Thousands of routes, replaced one after the other, fit a disk of 128 MB many times over, with all versions that are kept", t, func() {
@@ -78,10 +85,7 @@
 		most := 0
 		for at := range 12 {
 			h.request("d1", store.Version{})
-			h.write(Write{Build: func(state *store.Table) []store.Put {
-				puts, _ := rollout.AcceptManifest(state, rollout.Manifest{Version: uint64(at + 1), Set: bindings(8000, at), Compressed: text, Source: "operator"}, h.wallNanos)
-				return puts
-			}, Done: func() {}})
+			h.put(accept(h, at+1, bindings(8000, at), text)...)
 			h.runWrites()
 			most = max(most, len(store.Encode(*h.stored)))
 			h.advance(3 * time.Second)
@@ -94,45 +98,74 @@
 
 func TestScheduledChangesUnderClockSteps(t *testing.T) {
 	steps := [][]time.Duration{
-		{3 * time.Second, -3 * time.Second}, {-4 * time.Second, 4 * time.Second},
-		{2 * time.Second, 2 * time.Second, -5 * time.Second, time.Second}, {-time.Second, -time.Second, -time.Second, 3 * time.Second},
+		{3 * time.Second, -3 * time.Second},
+		{-4 * time.Second, 4 * time.Second},
+		{2 * time.Second, 2 * time.Second, -5 * time.Second, time.Second},
+		{-time.Second, -time.Second, -time.Second, 3 * time.Second},
 	}
 	Convey("However the time of day steps while changes are scheduled, each is accepted once, in order, and none takes effect before an earlier one, also under another primary", t, func() {
 		for _, jumps := range steps {
 			for _, restarts := range []bool{false, true} {
 				h := newHarness(1, store.New())
-				var want, got []string
-				for at := range 6 {
-					id := fmt.Sprintf("b%d", at)
-					puts, _ := rollout.Schedule(h.stored, id, h.wallNanos+int64(time.Duration(2*at+2)*time.Second), []model.Binding{{Name: id, Database: "x"}}, h.wallNanos)
-					So(h.put(puts...), ShouldBeGreaterThan, 0)
-					want = append(want, "booking "+id)
-				}
-				seen := uint64(0)
-				for at := range 400 {
-					if at%40 == 20 {
-						h.wallNanos += int64(jumps[at/40%len(jumps)])
+				want := scheduleChanges(h, 6)
+				log := acceptanceLog{}
+				for round := range 400 {
+					if round%40 == 20 {
+						h.wallNanos += int64(jumps[round/40%len(jumps)])
 					}
-					if restarts && at%100 == 60 {
-						next := newHarness(h.Record().Epoch+1, h.stored)
-						next.now, next.wallNanos = h.now, h.wallNanos
-						h = next
-						h.advance(2 * time.Second)
+					if restarts && round%100 == 60 {
+						h = failOver(h)
 					}
 					h.request("d1", h.stored.Version)
 					h.runWrites()
 					h.advance(80 * time.Millisecond)
-					effectiveAt := int64(0)
-					for _, set := range h.Snapshot().Sets {
-						if set.Sequence > seen {
-							got, seen = append(got, set.Source), set.Sequence
-						}
-						So(set.EffectiveAt == 0 || set.EffectiveAt >= effectiveAt, ShouldBeTrue)
-						effectiveAt = max(effectiveAt, set.EffectiveAt)
-					}
+					log.note(h.Snapshot().Sets)
 				}
-				So(slices.Clone(got), ShouldResemble, want)
+				So(log.sources, ShouldResemble, want)
 			}
 		}
 	})
 }
+
+// scheduleChanges schedules changes two seconds apart, and returns the sources that their
+// sets will have.
+func scheduleChanges(h *harness, count int) []string {
+	var sources []string
+	for at := range count {
+		id := fmt.Sprintf("b%d", at)
+		effectiveAt := h.wallNanos + int64(time.Duration(2*at+2)*time.Second)
+		puts, _ := rollout.Schedule(h.stored, id, effectiveAt, []model.Binding{{Name: id, Database: "x"}}, h.wallNanos)
+		So(h.put(puts...), ShouldBeGreaterThan, 0)
+		sources = append(sources, "booking "+id)
+	}
+	return sources
+}
+
+// failOver returns a new primary with the state and the clocks of another, two seconds
+// later.
+func failOver(h *harness) *harness {
+	next := newHarness(h.Record().Epoch+1, h.stored)
+	next.now, next.wallNanos = h.now, h.wallNanos
+	next.advance(2 * time.Second)
+	return next
+}
+
+// acceptanceLog holds the sources of the sets in the order in which they were accepted.
+type acceptanceLog struct {
+	sources      []string
+	lastSequence uint64
+}
+
+// note adds the new ones of the sets, which must take effect in the order of their
+// sequences.
+func (l *acceptanceLog) note(sets []model.BindingSet) {
+	effectiveAt := int64(0)
+	for _, set := range sets {
+		if set.Sequence > l.lastSequence {
+			l.sources = append(l.sources, set.Source)
+			l.lastSequence = set.Sequence
+		}
+		So(set.EffectiveAt == 0 || set.EffectiveAt >= effectiveAt, ShouldBeTrue)
+		effectiveAt = max(effectiveAt, set.EffectiveAt)
+	}
+}
