--- a/internal/app/httpproxy/effects.go
+++ b/internal/app/httpproxy/effects.go
@@ -28,7 +28,7 @@
 	handleEffect((*Proxy).closeConn)
 	handleEffect(func(p *Proxy, lookup httppool.Lookup) { p.node.Workers.Go(func() { p.lookup(lookup) }) })
 	handleEffect(func(p *Proxy, watch httppool.Watch) { p.node.Workers.Go(func() { p.watchInstance(watch.Instance) }) })
-	handleEffect(func(p *Proxy, _ httppool.Report) { p.sendReport() })
+	handleEffect(func(p *Proxy, _ httppool.Report) { p.control.ScheduleReport() })
 	handleEffect((*Proxy).logWriterChange)
 	handleEffect((*Proxy).logActivation)
 }
--- a/internal/app/httpproxy/proxy.go
+++ b/internal/app/httpproxy/proxy.go
@@ -19,6 +19,7 @@
 	"github.com/juju/errors"
 
 	"tansyseam/internal/app/admin"
+	"tansyseam/internal/app/dataplane"
 	"tansyseam/internal/app/node"
 	"tansyseam/internal/coordination/idempotency"
 	"tansyseam/internal/coordination/pool/httppool"
@@ -42,15 +43,15 @@
 
 // Proxy is the program's state.
 type Proxy struct {
-	node   *node.Node
-	log    hclog.Logger
-	client *httpserver.Client
-	codec  backend.Codec
+	node    *node.Node
+	log     hclog.Logger
+	client  *httpserver.Client
+	codec   backend.Codec
+	control *dataplane.ControlClient
 
-	mutex           sync.Mutex
-	pool            *httppool.Machine
-	reportScheduled bool
-	wasReady        bool
+	mutex    sync.Mutex
+	pool     *httppool.Machine
+	wasReady bool
 
 	bindStage    *worker.Pool[*httppool.Request]
 	enqueueStage *worker.Pool[*httppool.Request]
@@ -72,6 +73,7 @@
 		node: host, log: host.Log, client: client, codec: backend.NewJSONCodec(),
 		pool: httppool.New(self, httppool.DefaultTiming(), host.Counters.Add),
 	}
+	p.control = p.newControlClient()
 	p.startStages()
 	p.registerEvents()
 	p.adminAPI().Register()
@@ -122,7 +124,7 @@
 
 // Start begins to ask for updates and to serve.
 func (p *Proxy) Start() {
-	p.node.Workers.Go(p.pollUpdates)
+	p.node.Workers.Go(p.control.PollUpdates)
 	p.node.Workers.Loop(nil, tickInterval, p.tick)
 }
 
--- a/internal/app/lineproxy/effects.go
+++ b/internal/app/lineproxy/effects.go
@@ -24,7 +24,7 @@
 	handleEffect((*Proxy).openConn)
 	handleEffect((*Proxy).send)
 	handleEffect((*Proxy).closeConn)
-	handleEffect((*Proxy).scheduleReport)
+	handleEffect(func(p *Proxy, _ linepool.Report) { p.control.ScheduleReport() })
 	handleEffect((*Proxy).logWriterChange)
 	handleEffect((*Proxy).logActivation)
 }
--- a/internal/app/lineproxy/proxy.go
+++ b/internal/app/lineproxy/proxy.go
@@ -15,6 +15,7 @@
 	"github.com/juju/errors"
 
 	"tansyseam/internal/app/admin"
+	"tansyseam/internal/app/dataplane"
 	"tansyseam/internal/app/node"
 	"tansyseam/internal/coordination/lease"
 	"tansyseam/internal/coordination/membership"
@@ -33,10 +34,11 @@
 
 // Proxy is the program's state.
 type Proxy struct {
-	node   *node.Node
-	log    hclog.Logger
-	codec  lineproto.Codec
-	server *lineserver.Server
+	node    *node.Node
+	log     hclog.Logger
+	codec   lineproto.Codec
+	server  *lineserver.Server
+	control *dataplane.ControlClient
 	// name is how the node introduces itself to instances.
 	name string
 	// minDrain and maxDrain bound the time that a stop takes.
@@ -45,10 +47,8 @@
 	mutex sync.Mutex
 	pool  *linepool.Machine
 	// buffer is reused for what is written to connections.
-	buffer []byte
-	// reportScheduled says that a report is about to be sent.
-	reportScheduled bool
-	wasReady        bool
+	buffer   []byte
+	wasReady bool
 
 	// liveNames is read and written by tick only.
 	liveNames   []string
@@ -66,6 +66,7 @@
 		minDrain: timing.Linger + drainMargin, maxDrain: timing.EndSessions + drainMargin,
 		pool: linepool.New(self, timing, lease.DefaultTiming(), host.Counters.Add),
 	}
+	p.control = p.newControlClient()
 	p.server = lineserver.NewServer(host.Workers, cfg.LineAddress, lineproto.MaxLineBytes, p.acceptClient)
 	host.ForwardUpdateRequests(forwardTimeout)
 	p.adminAPI().Register()
@@ -78,7 +79,7 @@
 	if err := p.server.Start(); err != nil {
 		return errors.Trace(err)
 	}
-	p.node.Workers.Go(p.pollUpdates)
+	p.node.Workers.Go(p.control.PollUpdates)
 	p.node.Workers.Loop(nil, tickInterval, p.tick)
 	return nil
 }
--- a/internal/app/node/epoch.go
+++ b/internal/app/node/epoch.go
@@ -57,3 +57,11 @@
 	}
 	return "", nodes
 }
+
+// SendToControlPrimary sends a message to the control primary, or drops it if
+// the primary is not known.
+func (n *Node) SendToControlPrimary(message any) {
+	if address, _ := n.ControlPrimary(); address != "" {
+		n.Hub.Send(address, message)
+	}
+}
