--- a/internal/protocol/bindings/bindings.go
+++ b/internal/protocol/bindings/bindings.go
@@ -41,12 +41,11 @@
 )
 
 // Parse reads a binding set in either form, and gives every violation that
-// keeps it from being accepted. The function knows tells whether a database
-// exists.
-func Parse(value *fastjson.Value, knows func(database string) bool) ([]model.Binding, []schema.Violation) {
+// keeps it from being accepted.
+func Parse(value *fastjson.Value, databaseExists func(name string) bool) ([]model.Binding, []schema.Violation) {
 	if value.Exists("routes") {
 		bindings, violations := parseRoutes(value)
-		return bindings, append(violations, validate(bindings, knows, routePaths)...)
+		return bindings, append(violations, validate(bindings, databaseExists, routePaths)...)
 	}
 	var bindings []model.Binding
 	for _, item := range value.GetArray("bindings") {
@@ -56,10 +55,10 @@
 			Freshness: milliseconds(item, "freshness_ms"),
 		})
 	}
-	return bindings, validate(bindings, knows, plainPaths)
+	return bindings, validate(bindings, databaseExists, plainPaths)
 }
 
-func validate(bindings []model.Binding, knows func(string) bool, paths bindingPaths) []schema.Violation {
+func validate(bindings []model.Binding, databaseExists func(name string) bool, paths bindingPaths) []schema.Violation {
 	var violations violationList
 	indexByName := map[string]int{}
 	for index, binding := range bindings {
@@ -67,7 +66,7 @@
 			violations.add(fmt.Sprintf(paths.name, index), "name %q stands already at %s", binding.Name, fmt.Sprintf(paths.name, first))
 		}
 		indexByName[binding.Name] = index
-		if binding.Database != "" && !knows(binding.Database) {
+		if binding.Database != "" && !databaseExists(binding.Database) {
 			violations.add(fmt.Sprintf(paths.database, index), "unknown database %q", binding.Database)
 		}
 		if binding.Freshness > 0 && binding.Freshness < MinFreshness {
--- a/internal/protocol/bindings/bindings_test.go
+++ b/internal/protocol/bindings/bindings_test.go
@@ -11,7 +11,7 @@
 	"tansyseam/internal/state/model"
 )
 
-func knows(database string) bool { return database == "desks1" }
+func databaseExists(name string) bool { return name == "desks1" }
 
 func TestBindingSets(t *testing.T) {
 	route := func(name, rest string) string {
@@ -19,7 +19,7 @@
 			`"spec":{"rules":[{"backendRefs":[{"name":"desks1"` + rest + `}]}]}}`
 	}
 	read := func(text string) ([]model.Binding, []string) {
-		bindings, violations := Parse(fastjson.MustParse(text), knows)
+		bindings, violations := Parse(fastjson.MustParse(text), databaseExists)
 		var paths []string
 		for _, violation := range violations {
 			paths = append(paths, violation.Path)
