--- a/internal/state/versionfile/directory.go
+++ b/internal/state/versionfile/directory.go
@@ -73,7 +73,8 @@
 		return nil, errors.Trace(err)
 	}
 	defer func() { _ = file.Close() }()
-	return io.ReadAll(io.LimitReader(file, maxFileBytes))
+	data, err := io.ReadAll(io.LimitReader(file, maxFileBytes))
+	return data, errors.Trace(err)
 }
 
 // Names lists the regular files.
--- a/internal/state/versionfile/store.go
+++ b/internal/state/versionfile/store.go
@@ -4,10 +4,14 @@
 // A version is written to a temporary file, synced, renamed, and its directory synced,
 // so that after a crash each version is there as a whole or not at all. Older versions
 // stay until newer ones were synced; a reader takes the newest whose checksum fits.
+//
+// A program opens its data directory by OpenDirectory, which removes what an earlier run
+// left half written, and makes a Store of it. A Store has no lock: its caller writes one
+// version at a time.
 package versionfile
 
 import (
-	"sort"
+	"slices"
 
 	"github.com/juju/errors"
 )
@@ -121,6 +125,7 @@
 			sequences = append(sequences, sequence)
 		}
 	}
-	sort.Slice(sequences, func(i, j int) bool { return sequences[i] > sequences[j] })
+	slices.Sort(sequences)
+	slices.Reverse(sequences)
 	return sequences, nil
 }
