--- a/internal/coordination/consensus/clone_test.go
+++ b/internal/coordination/consensus/clone_test.go
@@ -14,7 +14,7 @@
 // replacedFields are those whose content is replaced as a whole, and never changed in
 // place, so that a clone may share it.
 var replacedFields = map[string]bool{
-	"replica": true, "committed": true, "peers.names": true, "peers.byAddress": true, "peers.zones": true,
+	"replica.table": true, "replica.committed": true, "peers.names": true, "peers.byAddress": true, "peers.zones": true,
 	"activeRepair": true, "bootstrap.Seeds": true, "voterState.Acceptor.Value": true,
 }
 
--- a/internal/coordination/consensus/epoch.go
+++ b/internal/coordination/consensus/epoch.go
@@ -22,7 +22,7 @@
 	wasPrimary, previousVoters := m.isRecordedPrimary(), m.voterState.Decided.Voters
 	m.setDecided(record)
 	m.saveVoterState()
-	m.replicaAhead = m.replicaAhead && m.isRecordedPrimary() && record.Backup != ""
+	m.replica.ahead = m.replica.ahead && m.isRecordedPrimary() && record.Backup != ""
 	m.proposals.end()
 	m.activeRepair = nil
 	clear(m.lease.grantSentAt)
@@ -55,7 +55,7 @@
 // becomePrimary drops what is known of the voters from an earlier time as primary.
 func (m *Machine) becomePrimary(now time.Duration) {
 	m.tracker = newVoterTracker(now)
-	m.committed = m.replica
+	m.replica.commit()
 }
 
 // continueAsPrimary renews the lease at once. The pending write, if any, does not wait
--- a/internal/coordination/consensus/machine.go
+++ b/internal/coordination/consensus/machine.go
@@ -20,10 +20,9 @@
 	processIncarnation int64
 
 	// What is on disk, or on the way there. Tables are replaced, never changed.
-	identity      *Identity
-	voterState    VoterState
-	replica       *store.Table
-	tableSequence uint64
+	identity   *Identity
+	voterState VoterState
+	replica    replica
 	// corrupted says that damaged files are still to be removed.
 	corrupted bool
 	// syncPending is for how long the disk has not finished the sync under way.
@@ -43,13 +42,8 @@
 
 	// What follows is used by the primary only.
 
-	tracker voterTracker
-	lease   heldLease
-	// committed is the replica without a write that may not be replicated yet.
-	committed *store.Table
-	// replicaAhead says that the replica may have a write that the backup lacks, from
-	// an earlier run of the program.
-	replicaAhead     bool
+	tracker          voterTracker
+	lease            heldLease
 	pendingWrite     *write
 	submitQueue      []Submit
 	activeRepair     *repair
@@ -69,7 +63,7 @@
 func NewWithBootstrap(self string, bootstrap BootstrapConfig, timing Timing, saved PersistentState, now time.Duration) *Machine {
 	m := &Machine{
 		self: self, bootstrap: bootstrap, timing: timing, startedAt: now,
-		identity: saved.Identity, replica: store.New(), tableSequence: saved.TableSequence,
+		identity: saved.Identity, replica: newReplica(saved),
 		formAcks:         map[string]Member{},
 		contacts:         contacts{received: map[string]time.Duration{}},
 		clock:            clusterClock{peerOffsets: map[string]int64{}},
@@ -79,13 +73,9 @@
 		leavingAnnounced: map[string]time.Duration{},
 	}
 	m.restore(saved)
-	if saved.Table != nil {
-		m.replica = saved.Table
-	}
-	m.committed = m.replica
 	m.proposals.unsettled = m.voterState.Acceptor.Promised.Name == self
 	decided := m.voterState.Decided
-	m.replicaAhead = decided.Primary == self && decided.Backup != "" && m.replica.Version.Epoch == decided.Epoch
+	m.replica.ahead = decided.Primary == self && decided.Backup != "" && m.replica.version().Epoch == decided.Epoch
 	m.requestStatusAtOnce(now)
 	m.contacts.primaryAt = now - m.leases(contactLossLeases)
 	return m
@@ -121,10 +111,10 @@
 
 // CommittedTable gives the state that may be served, to be read only: it has no write
 // that the backup may lack.
-func (m *Machine) CommittedTable() *store.Table { return m.committed }
+func (m *Machine) CommittedTable() *store.Table { return m.replica.committed }
 
 // ReplicaTable gives this node's replica with the write under way, to be read only.
-func (m *Machine) ReplicaTable() *store.Table { return m.replica }
+func (m *Machine) ReplicaTable() *store.Table { return m.replica.table }
 
 // Voters names the voters on the next epoch by the newest record known, sorted. There
 // are none before the cluster is formed.
@@ -149,12 +139,12 @@
 }
 
 // IsPrimary says whether this node holds the lease, and its replica may be served.
-func (m *Machine) IsPrimary(now time.Duration) bool { return m.holdsLease(now) && !m.replicaAhead }
+func (m *Machine) IsPrimary(now time.Duration) bool { return m.holdsLease(now) && !m.replica.ahead }
 
 // LeaseUntil gives the moment until which this node is primary; where it is past or 0,
 // it is none.
 func (m *Machine) LeaseUntil() time.Duration {
-	if m.replicaAhead {
+	if m.replica.ahead {
 		return 0
 	}
 	return m.lease.until
@@ -195,5 +185,5 @@
 func (m *Machine) send(to string, body any) { m.emit(Send{To: to, Body: body}) }
 
 func (m *Machine) emitEpochChanged(reason string) {
-	m.emit(EpochChanged{Record: m.voterState.Decided, Reason: reason, Table: m.committed})
+	m.emit(EpochChanged{Record: m.voterState.Decided, Reason: reason, Table: m.replica.committed})
 }
--- a/internal/coordination/consensus/persist.go
+++ b/internal/coordination/consensus/persist.go
@@ -78,10 +78,7 @@
 	m.emit(Save{Kind: FileVoterState, Sequence: m.voterState.Sequence, Data: store.Encode(m.voterState)})
 }
 
-func (m *Machine) saveTable() {
-	m.tableSequence++
-	m.emit(Save{Kind: FileTable, Sequence: m.tableSequence, Data: store.Encode(*m.replica)})
-}
+func (m *Machine) saveTable() { m.emit(m.replica.save()) }
 
 // restore takes over what the disk held. Where that may be less than what was synced,
 // the node may have forgotten a vote, and continues as one whose disk is blank.
--- a/internal/coordination/consensus/proposer.go
+++ b/internal/coordination/consensus/proposer.go
@@ -96,7 +96,7 @@
 	number := m.proposals.nextNumber(m.self)
 	m.proposals.start(proposal.NewProposer(number, len(m.Voters()), store.EncodePlain(record), now), decided)
 	m.proposals.nextAt = now + m.proposalBackoff()
-	prepare := Prepare{Decided: decided, Number: number, Version: m.replica.Version}
+	prepare := Prepare{Decided: decided, Number: number, Version: m.replica.version()}
 	m.eachOtherVoter(func(name string) { m.send(name, prepare) })
 	if m.voterState.Acceptor.Promise(number) {
 		m.noteVote(m.self)
--- a/internal/coordination/consensus/repair.go
+++ b/internal/coordination/consensus/repair.go
@@ -55,12 +55,12 @@
 }
 
 func (m *Machine) startRepair(peer string, now time.Duration) {
-	m.activeRepair = &repair{peer: peer, sentAt: now, version: m.replica.Version}
+	m.activeRepair = &repair{peer: peer, sentAt: now, version: m.replica.version()}
 	m.sendDigests(peer)
 }
 
 func (m *Machine) sendDigests(peer string) {
-	m.send(peer, RepairDigests{Record: m.voterState.Decided, Version: m.replica.Version, Digests: m.replica.Digests()})
+	m.send(peer, RepairDigests{Record: m.voterState.Decided, Version: m.replica.version(), Digests: m.replica.table.Digests()})
 }
 
 func (m *Machine) onRepairDigests(from string, digests RepairDigests, now time.Duration) {
@@ -68,8 +68,8 @@
 	if !m.followsPrimary(from, digests.Record) {
 		return
 	}
-	ranges := store.DifferingRanges(m.replica.Digests(), digests.Digests)
-	if len(ranges) == 0 && m.replica.Version == digests.Version {
+	ranges := store.DifferingRanges(m.replica.table.Digests(), digests.Digests)
+	if len(ranges) == 0 && m.replica.version() == digests.Version {
 		m.noteReplicaComplete()
 		m.send(from, RepairDone{Version: digests.Version})
 		return
@@ -82,15 +82,15 @@
 	if !isActive && !m.isSpare(from) {
 		return
 	}
-	if request.Version != m.replica.Version {
+	if request.Version != m.replica.version() {
 		if isActive {
 			m.startRepair(from, now)
 		}
 		return
 	}
 	m.send(from, RepairRanges{
-		Record: m.voterState.Decided, Version: m.replica.Version,
-		Ranges: request.Ranges, Records: m.replica.RecordsInRanges(request.Ranges),
+		Record: m.voterState.Decided, Version: m.replica.version(),
+		Ranges: request.Ranges, Records: m.replica.table.RecordsInRanges(request.Ranges),
 	})
 }
 
@@ -98,8 +98,7 @@
 	if !m.followsPrimary(from, repaired.Record) {
 		return
 	}
-	m.replica = m.replica.Clone()
-	m.replica.ReplaceRanges(repaired.Version, repaired.Ranges, repaired.Records)
+	m.replica.replaceRanges(repaired.Version, repaired.Ranges, repaired.Records)
 	m.saveTable()
 	m.noteReplicaComplete()
 	m.send(from, RepairDone{Version: repaired.Version})
@@ -120,7 +119,7 @@
 	if m.activeRepair == nil || m.activeRepair.peer != from || !m.isRecordedPrimary() {
 		return
 	}
-	if done.Version != m.replica.Version || (m.pendingWrite != nil && !m.awaitsBackup()) {
+	if done.Version != m.replica.version() || (m.pendingWrite != nil && !m.awaitsBackup()) {
 		m.startRepair(from, now)
 		return
 	}
--- a/internal/coordination/consensus/replication.go
+++ b/internal/coordination/consensus/replication.go
@@ -33,9 +33,9 @@
 	for len(m.submitQueue) > 0 && m.mayWrite(now) {
 		submit := m.submitQueue[0]
 		m.submitQueue = m.submitQueue[1:]
-		puts := submit.Build(m.replica)
+		puts := submit.Build(m.replica.table)
 		if len(puts) == 0 {
-			m.emit(SubmitResult{Token: submit.Token, Committed: true, Version: m.replica.Version})
+			m.emit(SubmitResult{Token: submit.Token, Committed: true, Version: m.replica.version()})
 			continue
 		}
 		m.startWrite(submit.Token, puts, now)
@@ -47,7 +47,7 @@
 }
 
 func (m *Machine) startWrite(token uint64, puts []store.Put, now time.Duration) {
-	previous := m.replica.Version
+	previous := m.replica.version()
 	version := store.Version{Epoch: m.voterState.Decided.Epoch, Sequence: previous.Sequence + 1}
 	m.applyPuts(version, puts)
 	m.pendingWrite = &write{token: token, puts: puts, version: version, sentAt: now}
@@ -62,8 +62,7 @@
 
 // applyPuts writes to the replica and saves it.
 func (m *Machine) applyPuts(version store.Version, puts []store.Put) {
-	m.replica = m.replica.Clone()
-	m.replica.Apply(version, puts)
+	m.replica.apply(version, puts)
 	m.saveTable()
 }
 
@@ -73,8 +72,8 @@
 		return
 	}
 	version := m.pendingWrite.version
-	m.committed = m.replica
-	m.emit(TableCommitted{Version: version, Table: m.committed})
+	m.replica.commit()
+	m.emit(TableCommitted{Version: version, Table: m.replica.committed})
 	m.emit(SubmitResult{Token: m.pendingWrite.token, Committed: true, Version: version})
 	m.pendingWrite = nil
 	m.startNextWrite(now)
@@ -113,7 +112,7 @@
 	m.adopt(replicate.Record, now, reasonReplicatedWrite)
 	isReplica := m.voterState.Decided.Backup == m.self || m.requiredSpares() > 0
 	ack := ReplicateAck{Version: replicate.Version}
-	if isReplica && m.followsPrimary(from, replicate.Record) && m.replica.Version == replicate.PreviousVersion {
+	if isReplica && m.followsPrimary(from, replicate.Record) && m.replica.version() == replicate.PreviousVersion {
 		m.applyPuts(replicate.Version, replicate.Puts)
 		m.noteReplicaComplete()
 		ack.Synced = true
--- a/internal/coordination/consensus/spares.go
+++ b/internal/coordination/consensus/spares.go
@@ -44,7 +44,7 @@
 	}
 	m.sparesComparedAt = now
 	m.eachSpare(func(name string) {
-		isBehind := !m.tracker.hasSpareSynced(name, m.replica.Version)
+		isBehind := !m.tracker.hasSpareSynced(name, m.replica.version())
 		isBeingRepaired := m.activeRepair != nil && m.activeRepair.peer == name
 		if m.respondsToLease(name, now) && isBehind && !isBeingRepaired {
 			m.sendDigests(name)
@@ -81,10 +81,10 @@
 // than half of the voters, so that one of any majority has it. A spare that could be
 // primary itself leaves the better candidate a lease of time.
 func (m *Machine) yieldToSpare(candidate string, version store.Version, now time.Duration) bool {
-	if m.requiredSpares() == 0 || m.voterState.ReplicaIncomplete || !m.isVoter(candidate) || version.IsBefore(m.replica.Version) {
+	if m.requiredSpares() == 0 || m.voterState.ReplicaIncomplete || !m.isVoter(candidate) || version.IsBefore(m.replica.version()) {
 		return false
 	}
-	isBetter := m.replica.Version.IsBefore(version) || candidate < m.self
+	isBetter := m.replica.version().IsBefore(version) || candidate < m.self
 	if m.isUnnamedVoter() && isBetter {
 		m.proposals.delay(now + m.timing.PrimaryLease)
 	}
--- a/internal/coordination/consensus/tick.go
+++ b/internal/coordination/consensus/tick.go
@@ -76,7 +76,7 @@
 // proposeEpoch proposes a new epoch where one is due, and says whether the primary has
 // to leave all else until it is decided.
 func (m *Machine) proposeEpoch(now time.Duration) bool {
-	if (m.proposals.unsettled || m.replicaAhead) && m.settleFirst(now) {
+	if (m.proposals.unsettled || m.replica.ahead) && m.settleFirst(now) {
 		return true
 	}
 	mayPropose := m.proposals.isDue(now)
@@ -107,7 +107,7 @@
 // write that this replica has.
 func (m *Machine) proposeAfterRefusal(now time.Duration) {
 	record := m.nextRecord(m.voterState.Decided.Backup)
-	if m.replicaAhead {
+	if m.replica.ahead {
 		record.Backup = ""
 	}
 	m.propose(record, now)
--- a/test/modelcheck/encode.go
+++ b/test/modelcheck/encode.go
@@ -19,7 +19,7 @@
 // day, counters of files, and what the cluster was formed by.
 var ignoredFields = map[string]bool{
 	"Machine.clock":           true,
-	"Machine.tableSequence":   true,
+	"replica.fileSequence":    true,
 	"Machine.effects":         true,
 	"peerSet.names":           true,
 	"peerSet.byAddress":       true,
