--- a/internal/coordination/consensus/clone_test.go
+++ b/internal/coordination/consensus/clone_test.go
@@ -39,8 +39,8 @@
 	Convey("A machine and its clone share nothing that either changes in place", t, func() {
 		m := newFormedMachine("c1", time.Hour)
 		m.proposals.current = proposal.NewProposer(proposal.Number{Round: 1, Name: "c1"}, 3, nil, time.Hour)
-		m.pendingWrite, m.activeRepair = &write{}, &repair{}
-		m.submitQueue, m.effects = []Submit{{Token: 1}}, []Effect{RemoveCorrupt{}}
+		m.writes.pending, m.activeRepair = &write{}, &repair{}
+		m.writes.waiting, m.effects = []Submit{{Token: 1}}, []Effect{RemoveCorrupt{}}
 		m.peers = peerSet{names: []string{"c1"}, byAddress: map[string]string{"a": "b"}, zones: map[string]string{"c1": "z"}}
 		assertNothingShared("", reflect.ValueOf(m).Elem(), reflect.ValueOf(m.Clone()).Elem())
 		proposer := m.proposals.current.Clone()
--- a/internal/coordination/consensus/machine.go
+++ b/internal/coordination/consensus/machine.go
@@ -2,7 +2,6 @@
 
 import (
 	"maps"
-	"slices"
 	"time"
 
 	"tansyseam/internal/state/store"
@@ -44,8 +43,7 @@
 
 	tracker          voterTracker
 	lease            heldLease
-	pendingWrite     *write
-	submitQueue      []Submit
+	writes           writeQueue
 	activeRepair     *repair
 	sparesComparedAt time.Duration
 	standbys         map[string]standby
@@ -89,10 +87,6 @@
 		identity := *m.identity
 		other.identity = &identity
 	}
-	if m.pendingWrite != nil {
-		pending := *m.pendingWrite
-		other.pendingWrite = &pending
-	}
 	other.formAcks = maps.Clone(m.formAcks)
 	other.contacts = m.contacts.clone()
 	other.clock.peerOffsets = maps.Clone(m.clock.peerOffsets)
@@ -101,7 +95,7 @@
 	other.lease = m.lease.clone()
 	other.standbys = maps.Clone(m.standbys)
 	other.leavingAnnounced = maps.Clone(m.leavingAnnounced)
-	other.submitQueue = slices.Clone(m.submitQueue)
+	other.writes = m.writes.clone()
 	other.effects = nil
 	return &other
 }
--- a/internal/coordination/consensus/repair.go
+++ b/internal/coordination/consensus/repair.go
@@ -119,7 +119,7 @@
 	if m.activeRepair == nil || m.activeRepair.peer != from || !m.isRecordedPrimary() {
 		return
 	}
-	if done.Version != m.replica.version() || (m.pendingWrite != nil && !m.awaitsBackup()) {
+	if done.Version != m.replica.version() || (m.writes.pending != nil && !m.awaitsBackup()) {
 		m.startRepair(from, now)
 		return
 	}
--- a/internal/coordination/consensus/replication.go
+++ b/internal/coordination/consensus/replication.go
@@ -6,108 +6,12 @@
 	"tansyseam/internal/state/store"
 )
 
-// write is the write under way.
-type write struct {
-	token        uint64
-	puts         []store.Put
-	version      store.Version
-	sentAt       time.Duration
-	backupSynced bool
-}
-
-func (m *Machine) onSubmit(submit Submit, now time.Duration) {
-	if !m.isRecordedPrimary() {
-		m.emit(SubmitResult{Token: submit.Token})
-		return
-	}
-	m.submitQueue = append(m.submitQueue, submit)
-	if m.isDiskStalled() {
-		m.rejectQueueWithoutLease(now)
-		return
-	}
-	m.startNextWrite(now)
-}
-
-// startNextWrite takes writes from the queue until one waits for the backup.
-func (m *Machine) startNextWrite(now time.Duration) {
-	for len(m.submitQueue) > 0 && m.mayWrite(now) {
-		submit := m.submitQueue[0]
-		m.submitQueue = m.submitQueue[1:]
-		puts := submit.Build(m.replica.table)
-		if len(puts) == 0 {
-			m.emit(SubmitResult{Token: submit.Token, Committed: true, Version: m.replica.version()})
-			continue
-		}
-		m.startWrite(submit.Token, puts, now)
-	}
-}
-
-func (m *Machine) mayWrite(now time.Duration) bool {
-	return m.pendingWrite == nil && !m.proposals.unsettled && !m.awaitsBackup() && m.IsPrimary(now)
-}
-
-func (m *Machine) startWrite(token uint64, puts []store.Put, now time.Duration) {
-	previous := m.replica.version()
-	version := store.Version{Epoch: m.voterState.Decided.Epoch, Sequence: previous.Sequence + 1}
-	m.applyPuts(version, puts)
-	m.pendingWrite = &write{token: token, puts: puts, version: version, sentAt: now}
-	if m.voterState.Decided.Backup == "" {
-		m.commitWrite(now)
-		return
-	}
-	replicate := Replicate{Record: m.voterState.Decided, PreviousVersion: previous, Version: version, Puts: puts}
-	m.send(replicate.Record.Backup, replicate)
-	m.eachSpare(func(name string) { m.send(name, replicate) })
-}
-
 // applyPuts writes to the replica and saves it.
 func (m *Machine) applyPuts(version store.Version, puts []store.Put) {
 	m.replica.apply(version, puts)
 	m.saveTable()
 }
 
-// commitWrite ends the pending write, and starts the next.
-func (m *Machine) commitWrite(now time.Duration) {
-	if m.pendingWrite == nil {
-		return
-	}
-	version := m.pendingWrite.version
-	m.replica.commit()
-	m.emit(TableCommitted{Version: version, Table: m.replica.committed})
-	m.emit(SubmitResult{Token: m.pendingWrite.token, Committed: true, Version: version})
-	m.pendingWrite = nil
-	m.startNextWrite(now)
-}
-
-// failWrites ends all writes of a node that is not primary any more.
-func (m *Machine) failWrites() {
-	if m.pendingWrite != nil {
-		m.emit(SubmitResult{Token: m.pendingWrite.token, OutcomeUnknown: true})
-		m.pendingWrite = nil
-	}
-	m.rejectQueue()
-}
-
-func (m *Machine) rejectQueue() {
-	for _, submit := range m.submitQueue {
-		m.emit(SubmitResult{Token: submit.Token})
-	}
-	m.submitQueue = nil
-}
-
-// rejectQueueWithoutLease rejects the writes that were not begun, where the lease has
-// lapsed while the disk is stalled.
-func (m *Machine) rejectQueueWithoutLease(now time.Duration) {
-	if !m.holdsLease(now) {
-		m.rejectQueue()
-	}
-}
-
-// awaitsBackup says whether writes are held until there is a backup.
-func (m *Machine) awaitsBackup() bool {
-	return m.bootstrap.RequireBackup && m.voterState.Decided.Backup == "" && len(m.Voters()) > 1
-}
-
 func (m *Machine) onReplicate(from string, replicate Replicate, now time.Duration) {
 	m.adopt(replicate.Record, now, reasonReplicatedWrite)
 	isReplica := m.voterState.Decided.Backup == m.self || m.requiredSpares() > 0
@@ -132,7 +36,7 @@
 		m.noteSpareVersion(from, ack.Version, ack.Synced, now)
 		return
 	}
-	isAwaited := m.pendingWrite != nil && ack.Version == m.pendingWrite.version
+	isAwaited := m.writes.pending != nil && ack.Version == m.writes.pending.version
 	if !isAwaited || from != m.voterState.Decided.Backup || !m.isRecordedPrimary() {
 		return
 	}
@@ -146,8 +50,8 @@
 }
 
 func (m *Machine) noteBackupSynced(now time.Duration) {
-	if m.pendingWrite != nil {
-		m.pendingWrite.backupSynced = true
+	if m.writes.pending != nil {
+		m.writes.pending.backupSynced = true
 		m.commitIfReplicated(now)
 	}
 }
@@ -155,12 +59,12 @@
 // commitIfReplicated commits the pending write once the backup and enough spare voters
 // have synced it.
 func (m *Machine) commitIfReplicated(now time.Duration) {
-	if m.pendingWrite == nil || !m.pendingWrite.backupSynced {
+	if m.writes.pending == nil || !m.writes.pending.backupSynced {
 		return
 	}
 	synced := 0
 	m.eachSpare(func(name string) {
-		if m.tracker.hasSpareSynced(name, m.pendingWrite.version) {
+		if m.tracker.hasSpareSynced(name, m.writes.pending.version) {
 			synced++
 		}
 	})
--- a/internal/coordination/consensus/tick.go
+++ b/internal/coordination/consensus/tick.go
@@ -55,15 +55,15 @@
 		m.lease.renewedAt = now - m.leases(isolatedRenewLeases)
 		return
 	}
-	if m.pendingWrite != nil && m.syncPending > 0 {
-		m.pendingWrite.sentAt = now
+	if m.writes.pending != nil && m.syncPending > 0 {
+		m.writes.pending.sentAt = now
 	}
 	m.renewLease(now)
 	m.repairSpares(now)
 	if m.isBackupLate(now) {
 		m.dropBackup(now, reasonBackupTimeout)
 	}
-	if m.proposals.isUnderWay() || (m.pendingWrite != nil && !m.awaitsBackup()) {
+	if m.proposals.isUnderWay() || (m.writes.pending != nil && !m.awaitsBackup()) {
 		return
 	}
 	if m.proposeEpoch(now) {
@@ -120,10 +120,10 @@
 
 // isBackupLate says whether the backup has not synced the pending write in time.
 func (m *Machine) isBackupLate(now time.Duration) bool {
-	if m.pendingWrite == nil || m.pendingWrite.backupSynced || m.awaitsBackup() || m.proposals.isUnderWay() {
+	if m.writes.pending == nil || m.writes.pending.backupSynced || m.awaitsBackup() || m.proposals.isUnderWay() {
 		return false
 	}
-	return now-m.pendingWrite.sentAt > m.timing.ReplyTimeout && m.proposals.isDue(now)
+	return now-m.writes.pending.sentAt > m.timing.ReplyTimeout && m.proposals.isDue(now)
 }
 
 func (m *Machine) isBackupSilent(now time.Duration) bool {
