--- a/internal/coordination/consensus/clone_test.go
+++ b/internal/coordination/consensus/clone_test.go
@@ -15,7 +15,7 @@
 // place, so that a clone may share it.
 var replacedFields = map[string]bool{
 	"replica.table": true, "replica.committed": true, "peers.names": true, "peers.byAddress": true, "peers.zones": true,
-	"activeRepair": true, "bootstrap.Seeds": true, "voterState.Acceptor.Value": true,
+	"repairs.active": true, "bootstrap.Seeds": true, "voterState.Acceptor.Value": true,
 }
 
 // assertNothingShared compares the references in the fields of two structs, and of the
@@ -39,7 +39,7 @@
 	Convey("A machine and its clone share nothing that either changes in place", t, func() {
 		m := newFormedMachine("c1", time.Hour)
 		m.proposals.current = proposal.NewProposer(proposal.Number{Round: 1, Name: "c1"}, 3, nil, time.Hour)
-		m.writes.pending, m.activeRepair = &write{}, &repair{}
+		m.writes.pending, m.repairs.active = &write{}, &repair{}
 		m.writes.waiting, m.effects = []Submit{{Token: 1}}, []Effect{RemoveCorrupt{}}
 		m.peers = peerSet{names: []string{"c1"}, byAddress: map[string]string{"a": "b"}, zones: map[string]string{"c1": "z"}}
 		assertNothingShared("", reflect.ValueOf(m).Elem(), reflect.ValueOf(m.Clone()).Elem())
--- a/internal/coordination/consensus/epoch.go
+++ b/internal/coordination/consensus/epoch.go
@@ -24,7 +24,7 @@
 	m.saveVoterState()
 	m.replica.ahead = m.replica.ahead && m.isRecordedPrimary() && record.Backup != ""
 	m.proposals.end()
-	m.activeRepair = nil
+	m.repairs.active = nil
 	clear(m.lease.grantSentAt)
 	m.assumeLease(now)
 	m.forgetReplacedVoters(previousVoters, now)
--- a/internal/coordination/consensus/machine.go
+++ b/internal/coordination/consensus/machine.go
@@ -44,8 +44,7 @@
 	tracker          voterTracker
 	lease            heldLease
 	writes           writeQueue
-	activeRepair     *repair
-	sparesComparedAt time.Duration
+	repairs          repairState
 	standbys         map[string]standby
 	leavingAnnounced map[string]time.Duration
 
--- a/internal/coordination/consensus/repair.go
+++ b/internal/coordination/consensus/repair.go
@@ -13,6 +13,18 @@
 	version store.Version
 }
 
+// repairState is the primary's repair of other voters' replicas.
+type repairState struct {
+	// active is the repair of the voter that is to be the backup, or nil. It is replaced,
+	// never changed.
+	active *repair
+	// sparesComparedAt is when the spares that lack writes were last sent digests.
+	sparesComparedAt time.Duration
+}
+
+// isOf says whether the replica of a voter is repaired to make it the backup.
+func (s *repairState) isOf(peer string) bool { return s.active != nil && s.active.peer == peer }
+
 // recruitBackup repairs the replica of a voter that is to be the backup, where there is
 // none or it leaves. A voter that failed lately is tried only while the backup leaves.
 func (m *Machine) recruitBackup(now time.Duration) {
@@ -21,12 +33,12 @@
 	if (backup != "" && !isLeaving) || !m.IsPrimary(now) {
 		return
 	}
-	if m.activeRepair != nil && now-m.activeRepair.sentAt < m.timing.ReplyTimeout {
+	if m.repairs.active != nil && now-m.repairs.active.sentAt < m.timing.ReplyTimeout {
 		return
 	}
-	if m.activeRepair != nil {
-		m.tracker.exclude(m.activeRepair.peer, now+m.timing.PrimaryLease)
-		m.activeRepair = nil
+	if m.repairs.active != nil {
+		m.tracker.exclude(m.repairs.active.peer, now+m.timing.PrimaryLease)
+		m.repairs.active = nil
 	}
 	peer := m.latestResponder(now, func(name string) bool { return !m.tracker.isExcluded(name, now) })
 	if peer == "" && isLeaving {
@@ -55,7 +67,7 @@
 }
 
 func (m *Machine) startRepair(peer string, now time.Duration) {
-	m.activeRepair = &repair{peer: peer, sentAt: now, version: m.replica.version()}
+	m.repairs.active = &repair{peer: peer, sentAt: now, version: m.replica.version()}
 	m.sendDigests(peer)
 }
 
@@ -78,7 +90,7 @@
 }
 
 func (m *Machine) onRepairRequest(from string, request RepairRequest, now time.Duration) {
-	isActive := m.activeRepair != nil && m.activeRepair.peer == from
+	isActive := m.repairs.isOf(from)
 	if !isActive && !m.isSpare(from) {
 		return
 	}
@@ -116,14 +128,14 @@
 	if m.isSpare(from) {
 		m.noteSpareVersion(from, done.Version, true, now)
 	}
-	if m.activeRepair == nil || m.activeRepair.peer != from || !m.isRecordedPrimary() {
+	if !m.repairs.isOf(from) || !m.isRecordedPrimary() {
 		return
 	}
 	if done.Version != m.replica.version() || (m.writes.pending != nil && !m.awaitsBackup()) {
 		m.startRepair(from, now)
 		return
 	}
-	m.activeRepair = nil
+	m.repairs.active = nil
 	if !m.proposals.isUnderWay() {
 		m.propose(m.nextRecord(from), now)
 	}
--- a/internal/coordination/consensus/spares.go
+++ b/internal/coordination/consensus/spares.go
@@ -39,14 +39,13 @@
 
 // repairSpares sends digests to the spares that lack writes, every ReplyTimeout.
 func (m *Machine) repairSpares(now time.Duration) {
-	if m.requiredSpares() == 0 || now-m.sparesComparedAt < m.timing.ReplyTimeout || !m.holdsLease(now) {
+	if m.requiredSpares() == 0 || now-m.repairs.sparesComparedAt < m.timing.ReplyTimeout || !m.holdsLease(now) {
 		return
 	}
-	m.sparesComparedAt = now
+	m.repairs.sparesComparedAt = now
 	m.eachSpare(func(name string) {
 		isBehind := !m.tracker.hasSpareSynced(name, m.replica.version())
-		isBeingRepaired := m.activeRepair != nil && m.activeRepair.peer == name
-		if m.respondsToLease(name, now) && isBehind && !isBeingRepaired {
+		if m.respondsToLease(name, now) && isBehind && !m.repairs.isOf(name) {
 			m.sendDigests(name)
 		}
 	})
