--- a/internal/coordination/consensus/bootstrap.go
+++ b/internal/coordination/consensus/bootstrap.go
@@ -43,7 +43,7 @@
 // mayBootstrap says whether this node may take part in forming a cluster. One whose
 // files are damaged has been in a cluster before.
 func (m *Machine) mayBootstrap() bool {
-	return !m.corrupted && m.processIncarnation != 0 && (m.bootstrap.ExactVoters > 0 || m.bootstrap.MayBootstrap)
+	return !m.disk.corrupted && m.processIncarnation != 0 && (m.bootstrap.ExactVoters > 0 || m.bootstrap.MayBootstrap)
 }
 
 // seekCluster asks all others for their status, and forms a cluster where none has one.
@@ -146,10 +146,7 @@
 	m.setDecided(record)
 	m.saveVoterState()
 	m.saveIdentity()
-	if m.corrupted {
-		m.corrupted = false
-		m.emit(RemoveCorrupt{})
-	}
+	m.removeCorrupt()
 	m.assumeLease(now)
 	m.startedAt = now
 	m.requestStatusAtOnce(now)
--- a/internal/coordination/consensus/epoch.go
+++ b/internal/coordination/consensus/epoch.go
@@ -76,7 +76,7 @@
 	for _, member := range previous.Members() {
 		if !voters.Has(member) {
 			m.tracker.forget(member.Name)
-			delete(m.leavingAnnounced, member.Name)
+			delete(m.leaving, member.Name)
 			delete(m.clock.peerOffsets, member.Name)
 		}
 	}
--- a/internal/coordination/consensus/leaving_test.go
+++ b/internal/coordination/consensus/leaving_test.go
@@ -90,7 +90,7 @@
 			leaving := c.live()[int(token)%3]
 			leave(c, leaving)
 			SoMsg(leaving, c.submitAndCommit(token), ShouldBeTrue)
-			c.machines[leaving].stopping, c.machines[leaving].releasedEpoch = false, 0
+			c.machines[leaving].shutdown = shutdown{}
 			c.up[leaving] = true
 			c.run(time.Second)
 		}
--- a/internal/coordination/consensus/machine.go
+++ b/internal/coordination/consensus/machine.go
@@ -22,10 +22,7 @@
 	identity   *Identity
 	voterState VoterState
 	replica    replica
-	// corrupted says that damaged files are still to be removed.
-	corrupted bool
-	// syncPending is for how long the disk has not finished the sync under way.
-	syncPending time.Duration
+	disk       diskHealth
 
 	// What is known of the other nodes.
 	peers    peerSet
@@ -41,17 +38,14 @@
 
 	// What follows is used by the primary only.
 
-	tracker          voterTracker
-	lease            heldLease
-	writes           writeQueue
-	repairs          repairState
-	standbys         map[string]standby
-	leavingAnnounced map[string]time.Duration
+	tracker  voterTracker
+	lease    heldLease
+	writes   writeQueue
+	repairs  repairState
+	standbys map[string]standby
+	leaving  leavingNodes
 
-	// stopping says that this node is shutting down, and releasedEpoch is the epoch in
-	// which the primary let it.
-	stopping      bool
-	releasedEpoch uint64
+	shutdown shutdown
 
 	effects []Effect
 }
@@ -61,13 +55,13 @@
 	m := &Machine{
 		self: self, bootstrap: bootstrap, timing: timing, startedAt: now,
 		identity: saved.Identity, replica: newReplica(saved),
-		formAcks:         map[string]Member{},
-		contacts:         contacts{received: map[string]time.Duration{}},
-		clock:            clusterClock{peerOffsets: map[string]int64{}},
-		tracker:          newVoterTracker(now),
-		lease:            heldLease{grantSentAt: map[string]time.Duration{}},
-		standbys:         map[string]standby{},
-		leavingAnnounced: map[string]time.Duration{},
+		formAcks: map[string]Member{},
+		contacts: contacts{received: map[string]time.Duration{}},
+		clock:    clusterClock{peerOffsets: map[string]int64{}},
+		tracker:  newVoterTracker(now),
+		lease:    heldLease{grantSentAt: map[string]time.Duration{}},
+		standbys: map[string]standby{},
+		leaving:  leavingNodes{},
 	}
 	m.restore(saved)
 	m.proposals.unsettled = m.voterState.Acceptor.Promised.Name == self
@@ -93,7 +87,7 @@
 	other.proposals = m.proposals.clone()
 	other.lease = m.lease.clone()
 	other.standbys = maps.Clone(m.standbys)
-	other.leavingAnnounced = maps.Clone(m.leavingAnnounced)
+	other.leaving = maps.Clone(m.leaving)
 	other.writes = m.writes.clone()
 	other.effects = nil
 	return &other
--- a/internal/coordination/consensus/membership.go
+++ b/internal/coordination/consensus/membership.go
@@ -22,6 +22,8 @@
 	epoch uint64
 }
 
+func (s standby) isCurrent(now time.Duration) bool { return now-s.offeredAt < standbyOfferTTL }
+
 // Electorate is what this node's votes on singleton roles depend on.
 type Electorate struct {
 	// Voters are those of the newest record known.
@@ -64,7 +66,7 @@
 // hasStandby says whether a node offered to vote lately, in whichever epoch.
 func (m *Machine) hasStandby(now time.Duration) bool {
 	for name, offer := range m.standbys {
-		if now-offer.offeredAt < standbyOfferTTL && !m.isVoter(name) && !m.hasAnnouncedLeaving(name, now) {
+		if offer.isCurrent(now) && !m.isVoter(name) && !m.leaving.has(name, now) {
 			return true
 		}
 	}
@@ -76,8 +78,8 @@
 	var ready []Member
 	for _, name := range slices.Sorted(maps.Keys(m.standbys)) {
 		offer := m.standbys[name]
-		isCurrent := now-offer.offeredAt < standbyOfferTTL && offer.epoch == m.voterState.Decided.Epoch
-		if isCurrent && !m.hasAnnouncedLeaving(name, now) {
+		isOfEpoch := offer.epoch == m.voterState.Decided.Epoch
+		if offer.isCurrent(now) && isOfEpoch && !m.leaving.has(name, now) {
 			ready = append(ready, Member{Name: name, Incarnation: offer.incarnation})
 		}
 	}
@@ -130,7 +132,7 @@
 
 // needsReplacement says whether a voter is silent, or leaves and is not the backup.
 func (m *Machine) needsReplacement(name string, now time.Duration) bool {
-	isLeaving := m.hasAnnouncedLeaving(name, now) && name != m.voterState.Decided.Backup
+	isLeaving := m.leaving.has(name, now) && name != m.voterState.Decided.Backup
 	return isLeaving || m.tracker.silence(name, now) > m.leases(silentVoterLeases)
 }
 
--- a/internal/coordination/consensus/persist.go
+++ b/internal/coordination/consensus/persist.go
@@ -83,7 +83,7 @@
 // restore takes over what the disk held. Where that may be less than what was synced,
 // the node may have forgotten a vote, and continues as one whose disk is blank.
 func (m *Machine) restore(saved PersistentState) {
-	m.corrupted = saved.Corrupted
+	m.disk.corrupted = saved.Corrupted
 	if saved.VoterState != nil {
 		m.voterState = *saved.VoterState
 	}
--- a/internal/coordination/consensus/quorum.go
+++ b/internal/coordination/consensus/quorum.go
@@ -33,7 +33,7 @@
 func (m *Machine) hasQuorumWithout(leaving string, now time.Duration) bool {
 	return isMajority(m.Voters(), func(name string) bool {
 		responds := name == m.self || m.respondsToLease(name, now)
-		return responds && name != leaving && !m.hasAnnouncedLeaving(name, now)
+		return responds && name != leaving && !m.leaving.has(name, now)
 	})
 }
 
--- a/internal/coordination/consensus/repair.go
+++ b/internal/coordination/consensus/repair.go
@@ -29,7 +29,7 @@
 // none or it leaves. A voter that failed lately is tried only while the backup leaves.
 func (m *Machine) recruitBackup(now time.Duration) {
 	backup := m.voterState.Decided.Backup
-	isLeaving := m.hasAnnouncedLeaving(backup, now)
+	isLeaving := m.leaving.has(backup, now)
 	if (backup != "" && !isLeaving) || !m.IsPrimary(now) {
 		return
 	}
@@ -55,7 +55,7 @@
 	latest := ""
 	m.eachOtherVoter(func(name string) {
 		at, known := m.tracker.lastAck[name]
-		isCandidate := name != m.voterState.Decided.Backup && !m.hasAnnouncedLeaving(name, now) && isAllowed(name)
+		isCandidate := name != m.voterState.Decided.Backup && !m.leaving.has(name, now) && isAllowed(name)
 		if !known || now-at > m.timing.PrimaryLease || !isCandidate {
 			return
 		}
--- a/internal/coordination/consensus/status.go
+++ b/internal/coordination/consensus/status.go
@@ -11,7 +11,7 @@
 		return
 	}
 	m.contacts.statusRequestedAt = now
-	if !m.IsMember() && !m.stopping {
+	if !m.IsMember() && !m.shutdown.requested {
 		m.send(m.voterState.Decided.Primary, Join{
 			Cluster: m.identity.Cluster, Epoch: m.voterState.Decided.Epoch, Incarnation: m.identity.Incarnation,
 		})
--- a/internal/coordination/consensus/tick.go
+++ b/internal/coordination/consensus/tick.go
@@ -13,7 +13,7 @@
 
 func (m *Machine) onTick(tick Tick, now time.Duration) {
 	m.clock.readLocal(tick.WallNanos, now)
-	m.syncPending = tick.SyncPending
+	m.disk.syncPending = tick.SyncPending
 	if m.processIncarnation == 0 {
 		m.processIncarnation = tick.WallNanos
 	}
@@ -34,10 +34,6 @@
 	}
 }
 
-// isDiskStalled says whether the disk has not finished a sync for longer than a
-// backup's is waited for.
-func (m *Machine) isDiskStalled() bool { return m.syncPending > m.timing.ReplyTimeout }
-
 // mayReplacePrimary says whether this node, as backup or spare, is to propose itself
 // as primary.
 func (m *Machine) mayReplacePrimary(now time.Duration) bool {
@@ -55,7 +51,7 @@
 		m.lease.renewedAt = now - m.leases(isolatedRenewLeases)
 		return
 	}
-	if m.writes.pending != nil && m.syncPending > 0 {
+	if m.writes.pending != nil && m.disk.syncPending > 0 {
 		m.writes.pending.sentAt = now
 	}
 	m.renewLease(now)
