--- a/internal/coordination/consensus/clock.go
+++ b/internal/coordination/consensus/clock.go
@@ -1,6 +1,7 @@
 package consensus
 
 import (
+	"maps"
 	"slices"
 	"time"
 )
@@ -29,6 +30,11 @@
 	confirmed bool
 }
 
+func (c clusterClock) clone() clusterClock {
+	c.peerOffsets = maps.Clone(c.peerOffsets)
+	return c
+}
+
 // readLocal takes a reading of this node's wall clock.
 func (c *clusterClock) readLocal(wallNanos int64, now time.Duration) {
 	c.localNanos, c.readAt = wallNanos, now
--- a/internal/coordination/consensus/doc.go
+++ b/internal/coordination/consensus/doc.go
@@ -21,6 +21,13 @@
 // and gives effects to be carried out in order. A SyncGate holds back each effect
 // until the files that it depends on are synced.
 //
+// To read it, begin with the parts of Machine (machine.go) and the table of handlers
+// (dispatch.go). An epoch is proposed in proposer.go, voted on in acceptor.go and taken
+// up in epoch.go; tick.go says when the primary proposes one. The lease is lease.go and
+// grantedlease.go, a write writes.go and replication.go, a replica that lags repair.go
+// and spares.go, a change of voters standbys.go and membership.go, a new cluster
+// bootstrap.go.
+//
 // Spans and moments are time.Duration; fields named Nanos are nanoseconds since 1970
 // of a wall clock.
 package consensus
--- a/internal/coordination/consensus/machine.go
+++ b/internal/coordination/consensus/machine.go
@@ -9,44 +9,47 @@
 
 // Machine is the state machine of one control node. It does no I/O, and is not safe
 // for concurrent use.
+//
+// Each part of its state is a type with one job, which states what holds for its fields.
+// What handles a message, and what the ticks of a role do, is in the file of the part
+// that it is about.
 type Machine struct {
 	self      string
 	bootstrap BootstrapConfig
 	timing    Timing
+	// startedAt is when this run of the program began, or the node entered its cluster.
 	startedAt time.Duration
 	// processIncarnation is the wall clock at the first tick, which distinguishes replies
 	// to an earlier run of the program. It is 0 before that tick.
 	processIncarnation int64
 
-	// What is on disk, or on the way there. Tables are replaced, never changed.
+	// What is on disk, or on the way there. The identity is nil before the node has one.
 	identity   *Identity
 	voterState VoterState
 	replica    replica
 	disk       diskHealth
 
-	// What is known of the other nodes.
+	// What each node keeps.
 	peers    peerSet
 	contacts contacts
+	clock    clusterClock
 	// formAcks are the voters that agreed to form a cluster.
 	formAcks map[string]Member
-	clock    clusterClock
-
-	// granted is the lease that this node granted as a voter.
-	granted grantedLease
+	shutdown shutdown
 
+	// What a voter keeps. Only the primary, its backup and spares propose.
+	granted   grantedLease
 	proposals proposalState
 
-	// What follows is used by the primary only.
-
-	tracker  voterTracker
+	// What the primary keeps.
 	lease    heldLease
+	tracker  voterTracker
 	writes   writeQueue
 	repairs  repairState
 	standbys map[string]standby
 	leaving  leavingNodes
 
-	shutdown shutdown
-
+	// effects are those of the step under way.
 	effects []Effect
 }
 
@@ -55,11 +58,11 @@
 	m := &Machine{
 		self: self, bootstrap: bootstrap, timing: timing, startedAt: now,
 		identity: saved.Identity, replica: newReplica(saved),
-		formAcks: map[string]Member{},
 		contacts: contacts{received: map[string]time.Duration{}},
 		clock:    clusterClock{peerOffsets: map[string]int64{}},
-		tracker:  newVoterTracker(now),
+		formAcks: map[string]Member{},
 		lease:    heldLease{grantSentAt: map[string]time.Duration{}},
+		tracker:  newVoterTracker(now),
 		standbys: map[string]standby{},
 		leaving:  leavingNodes{},
 	}
@@ -80,15 +83,15 @@
 		identity := *m.identity
 		other.identity = &identity
 	}
-	other.formAcks = maps.Clone(m.formAcks)
 	other.contacts = m.contacts.clone()
-	other.clock.peerOffsets = maps.Clone(m.clock.peerOffsets)
-	other.tracker = m.tracker.clone()
+	other.clock = m.clock.clone()
+	other.formAcks = maps.Clone(m.formAcks)
 	other.proposals = m.proposals.clone()
 	other.lease = m.lease.clone()
+	other.tracker = m.tracker.clone()
+	other.writes = m.writes.clone()
 	other.standbys = maps.Clone(m.standbys)
 	other.leaving = maps.Clone(m.leaving)
-	other.writes = m.writes.clone()
 	other.effects = nil
 	return &other
 }
--- a/internal/coordination/consensus/membership.go
+++ b/internal/coordination/consensus/membership.go
@@ -1,90 +1,13 @@
 package consensus
 
 import (
-	"maps"
 	"slices"
 	"time"
 )
 
-const (
-	// standbyOfferTTL is for how long a standby's offer counts.
-	standbyOfferTTL = time.Second
-	// silentVoterLeases is for how many leases a voter may be silent before a standby
-	// replaces it.
-	silentVoterLeases = 3
-)
-
-// standby is a node's offer to vote.
-type standby struct {
-	incarnation uint64
-	offeredAt   time.Duration
-	// epoch is the one by whose record the node is no voter.
-	epoch uint64
-}
-
-func (s standby) isCurrent(now time.Duration) bool { return now-s.offeredAt < standbyOfferTTL }
-
-// Electorate is what this node's votes on singleton roles depend on.
-type Electorate struct {
-	// Voters are those of the newest record known.
-	Voters Voters
-	// IncludesSelf says whether this node is one of them.
-	IncludesSelf bool
-	// Changing says that this node has accepted a record with other voters, which may
-	// be decided.
-	Changing bool
-}
-
-// Electorate gives the voters as this node knows them.
-func (m *Machine) Electorate() Electorate {
-	return Electorate{Voters: m.voterState.Decided.Voters, IncludesSelf: m.IsMember(), Changing: m.isElectorateChanging()}
-}
-
-func (m *Machine) isElectorateChanging() bool {
-	if len(m.voterState.Acceptor.Value) == 0 {
-		return false
-	}
-	accepted, err := decodeRecord(m.voterState.Acceptor.Value)
-	return err != nil || accepted.Voters != m.voterState.Decided.Voters
-}
-
-// onJoin notes an offer, and sends the newest record. An offer counts only in the
-// epoch that its sender knows: a node may have become a voter, and have been replaced,
-// since an older one was sent.
-func (m *Machine) onJoin(from string, join Join, now time.Duration) {
-	if !m.isFormed() || join.Cluster != m.identity.Cluster {
-		return
-	}
-	decided := m.voterState.Decided
-	m.send(from, Decided{Record: decided})
-	isMember := decided.Voters.Has(Member{Name: from, Incarnation: join.Incarnation})
-	if m.isRecordedPrimary() && !isMember && join.Epoch == decided.Epoch {
-		m.standbys[from] = standby{incarnation: join.Incarnation, offeredAt: now, epoch: join.Epoch}
-	}
-}
-
-// hasStandby says whether a node offered to vote lately, in whichever epoch.
-func (m *Machine) hasStandby(now time.Duration) bool {
-	for name, offer := range m.standbys {
-		if offer.isCurrent(now) && !m.isVoter(name) && !m.leaving.has(name, now) {
-			return true
-		}
-	}
-	return false
-}
-
-// readyStandbys lists the standbys whose offers count now, in order of names.
-func (m *Machine) readyStandbys(now time.Duration) []Member {
-	var ready []Member
-	for _, name := range slices.Sorted(maps.Keys(m.standbys)) {
-		offer := m.standbys[name]
-		isOfEpoch := offer.epoch == m.voterState.Decided.Epoch
-		if offer.isCurrent(now) && isOfEpoch && !m.leaving.has(name, now) {
-			ready = append(ready, Member{Name: name, Incarnation: offer.incarnation})
-		}
-	}
-	return ready
-}
+// silentVoterLeases is for how many leases a voter may be silent before a standby
+// replaces it.
+const silentVoterLeases = 3
 
 // replaceVoter proposes an epoch in which a standby is voter in another's place, and
 // says whether it did. One voter is replaced at a time.
