--- a/test/platforme2e/plan.go
+++ b/test/platforme2e/plan.go
@@ -31,55 +31,55 @@
 	rpc, http, session, platform int
 }
 
-func (t *Run) ip(group, number int) string {
-	return fmt.Sprintf("127.%d.%d.%d", t.networkOctet, group, number+1)
+func (r *Run) ip(group, number int) string {
+	return fmt.Sprintf("127.%d.%d.%d", r.networkOctet, group, number+1)
 }
 
-func (t *Run) address(group, number, port int) string {
-	return fmt.Sprint(t.ip(group, number), ":", port)
+func (r *Run) address(group, number, port int) string {
+	return fmt.Sprint(r.ip(group, number), ":", port)
 }
 
 // planProcesses starts the stand-ins, and decides on addresses and
 // configuration files of all processes.
-func (t *Run) planProcesses(root string, programs e2e.Programs, services int) error {
-	ports, err := t.reservePorts(services)
+func (r *Run) planProcesses(root string, programs e2e.Programs, services int) error {
+	ports, err := r.reservePorts(services)
 	if err != nil {
 		return err
 	}
 	for number := range controlCount + spareControlCount {
-		t.controlAddresses = append(t.controlAddresses, t.address(controlGroup, number, ports.http))
+		r.controlAddresses = append(r.controlAddresses, r.address(controlGroup, number, ports.http))
 	}
 	for number := range services {
-		if err := t.startService(number, ports); err != nil {
+		if err := r.startService(number, ports); err != nil {
 			return err
 		}
 	}
-	t.Platform = platformstandin.NewPlatform(t.group, t.Services...)
-	if err := t.Platform.Serve(t.address(platformGroup, 0, ports.platform)); err != nil {
+	r.Platform = platformstandin.NewPlatform(r.group, r.Services...)
+	if err := r.Platform.Serve(r.address(platformGroup, 0, ports.platform)); err != nil {
 		return err
 	}
-	t.Operator = platformstandin.NewOperator(t.group, t.History, t.controlAddresses, t.Services...)
-	controls, err := t.planProgram(root, programs, controlProgram, controlGroup, controlCount+spareControlCount, ports)
+	r.Operator = platformstandin.NewOperator(r.group, r.History, r.controlAddresses, r.Services...)
+	controls, err := r.planProgram(root, programs, controlProgram, controlGroup, controlCount+spareControlCount, ports)
 	if err != nil {
 		return err
 	}
-	t.Controls, t.spareControls = slices.Clip(controls[:controlCount]), controls[controlCount:]
-	t.Proxies, err = t.planProgram(root, programs, proxyProgram, proxyGroup, proxyCount, ports)
+	r.Controls, r.spareControls = slices.Clip(controls[:controlCount]), controls[controlCount:]
+	r.Proxies, err = r.planProgram(root, programs, proxyProgram, proxyGroup, proxyCount, ports)
 	if err != nil {
 		return err
 	}
-	for number, proxy := range t.Proxies {
-		t.Platform.AddNode(proxy.HTTPAddress, t.address(proxyGroup, number, ports.session), proxy.Zone)
+	for number, proxy := range r.Proxies {
+		r.Platform.AddNode(proxy.HTTPAddress, r.address(proxyGroup, number, ports.session), proxy.Zone)
 	}
 	return nil
 }
 
 // reservePorts reserves ports on all IPs of the run, until it ends.
-func (t *Run) reservePorts(services int) (ports, error) {
+func (r *Run) reservePorts(services int) (ports, error) {
 	var ips []string
 	for group, count := range []int{1, proxyCount, controlCount + spareControlCount, services * (replicaCount + 1)} {
 		for number := range count {
-			ips = append(ips, t.ip(group, number))
+			ips = append(ips, r.ip(group, number))
 		}
 	}
 	var found ports
@@ -88,25 +88,25 @@
 		if err != nil {
 			return ports{}, err
 		}
-		t.reservations = append(t.reservations, reservations...)
+		r.reservations = append(r.reservations, reservations...)
 		*port = reservations[0].PortNumber()
 	}
 	return found, nil
 }
 
 // startService starts a service with its instances.
-func (t *Run) startService(number int, ports ports) error {
-	service := platformstandin.NewService(t.group, t.History, platformstandin.ServiceConfig{
+func (r *Run) startService(number int, ports ports) error {
+	service := platformstandin.NewService(r.group, r.History, platformstandin.ServiceConfig{
 		Name: fmt.Sprintf("db%d", number+1), SyncReplicas: 1, ReplicationDelay: 2 * time.Millisecond, ApplyDelay: 8 * time.Millisecond,
 		StatementTime: 2 * time.Millisecond, PromoteDelay: 150 * time.Millisecond, Slots: 8, MaxConnections: 60,
 	})
-	t.Services = append(t.Services, service)
+	r.Services = append(r.Services, service)
 	for member := range replicaCount + 1 {
 		location := platformstandin.Location{
 			ID:      fmt.Sprintf("i-%d%d", number+1, member),
-			Address: t.address(instanceGroup, number*(replicaCount+1)+member, ports.session), Zone: zones[member%len(zones)],
+			Address: r.address(instanceGroup, number*(replicaCount+1)+member, ports.session), Zone: zones[member%len(zones)],
 		}
-		if _, err := service.Add(location, func() []string { return t.controlAddresses }); err != nil {
+		if _, err := service.Add(location, func() []string { return r.controlAddresses }); err != nil {
 			return err
 		}
 	}
@@ -115,7 +115,7 @@
 
 // planProgram plans processes of one program, each with a configuration file
 // that is filled from the deploy template.
-func (t *Run) planProgram(root string, programs e2e.Programs, program string, group, count int, ports ports) ([]*e2e.Process, error) {
+func (r *Run) planProgram(root string, programs e2e.Programs, program string, group, count int, ports ports) ([]*e2e.Process, error) {
 	template, err := os.ReadFile(filepath.Join(root, "deploy", program+".json.tmpl"))
 	if err != nil {
 		return nil, err
@@ -124,11 +124,11 @@
 	for number := range count {
 		name := fmt.Sprintf("%s%d", strings.TrimPrefix(program, "tansyseam-"), number+1)
 		process := &e2e.Process{
-			Name: name, Program: programs.Path(program, number), Zone: zones[number%len(zones)], IP: t.ip(group, number),
-			RPCAddress: t.address(group, number, ports.rpc), HTTPAddress: t.address(group, number, ports.http),
-			DataDirectory: filepath.Join(t.directory, name), ConfigFile: filepath.Join(t.directory, name+".json"),
+			Name: name, Program: programs.Path(program, number), Zone: zones[number%len(zones)], IP: r.ip(group, number),
+			RPCAddress: r.address(group, number, ports.rpc), HTTPAddress: r.address(group, number, ports.http),
+			DataDirectory: filepath.Join(r.directory, name), ConfigFile: filepath.Join(r.directory, name+".json"),
 		}
-		text, err := FillTemplate(string(template), t.templateFields(process, number, ports))
+		text, err := FillTemplate(string(template), r.templateFields(process, number, ports))
 		if err != nil {
 			return nil, err
 		}
@@ -142,9 +142,9 @@
 }
 
 // templateFields are the fields that the users' platform gives to templates.
-func (t *Run) templateFields(process *e2e.Process, number int, ports ports) map[string]any {
+func (r *Run) templateFields(process *e2e.Process, number int, ports ports) map[string]any {
 	seeds := []any{}
-	for _, address := range t.controlAddresses[:controlCount] {
+	for _, address := range r.controlAddresses[:controlCount] {
 		seeds = append(seeds, address)
 	}
 	return map[string]any{
@@ -154,7 +154,7 @@
 			"admin": process.HTTPAddress, "readiness": process.HTTPAddress, "sessions": fmt.Sprint(process.IP, ":", ports.session),
 		},
 		"survive": map[string]any{"machines": 1}, "bounds": map[string]any{"fence_checked": true},
-		"cloud_api":  map[string]any{"address": t.address(platformGroup, 0, ports.platform)},
+		"cloud_api":  map[string]any{"address": r.address(platformGroup, 0, ports.platform)},
 		"seed_nodes": seeds,
 	}
 }
--- a/test/platforme2e/run.go
+++ b/test/platforme2e/run.go
@@ -55,9 +55,9 @@
 var zones = []string{"za", "zb", "zc"}
 
 // Routes returns the run's routes, one of each kind for each service.
-func (t *Run) Routes() []platformstandin.Route {
+func (r *Run) Routes() []platformstandin.Route {
 	var list []platformstandin.Route
-	for _, service := range t.Services {
+	for _, service := range r.Services {
 		list = append(list,
 			platformstandin.Route{
 				Host: "order-" + service.Name, Kind: "primary", Service: service.Name,
@@ -87,56 +87,56 @@
 // the templates of configuration files.
 func Start(root string, programs e2e.Programs, directory string, services int) (*Run, error) {
 	group := worker.NewGroup()
-	t := &Run{
+	r := &Run{
 		Recorder: e2e.Recorder{StartedAt: time.Now()}, History: platformstandin.NewHistory(group),
 		group: group, loadGroup: worker.NewGroup(), directory: directory, networkOctet: 64 + os.Getpid()%150,
 	}
-	if err := t.start(root, programs, services); err != nil {
-		t.Stop()
+	if err := r.start(root, programs, services); err != nil {
+		r.Stop()
 		return nil, err
 	}
-	return t, nil
+	return r, nil
 }
 
-func (t *Run) start(root string, programs e2e.Programs, services int) error {
-	if err := t.planProcesses(root, programs, services); err != nil {
+func (r *Run) start(root string, programs e2e.Programs, services int) error {
+	if err := r.planProcesses(root, programs, services); err != nil {
 		return err
 	}
-	for _, process := range slices.Concat(t.Controls, t.Proxies) {
-		if err := process.Start(t.directory); err != nil {
+	for _, process := range slices.Concat(r.Controls, r.Proxies) {
+		if err := process.Start(r.directory); err != nil {
 			return err
 		}
 	}
-	t.version = 1
-	if status := t.Operator.Replace(t.version, t.Routes(), 0); status != http.StatusOK {
+	r.version = 1
+	if status := r.Operator.Replace(r.version, r.Routes(), 0); status != http.StatusOK {
 		return fmt.Errorf("the first configuration was answered %d", status)
 	}
-	if !t.awaitAllReady(readyTimeout) {
-		return fmt.Errorf("%d of %d nodes ready", t.Platform.ReadyCount(), len(t.Proxies))
+	if !r.awaitAllReady(readyTimeout) {
+		return fmt.Errorf("%d of %d nodes ready", r.Platform.ReadyCount(), len(r.Proxies))
 	}
 	return nil
 }
 
 // awaitAllReady waits until all proxies are ready; false after a timeout.
-func (t *Run) awaitAllReady(timeout time.Duration) bool {
-	return e2e.WaitUntil(timeout, func() bool { return t.Platform.ReadyCount() == len(t.Proxies) })
+func (r *Run) awaitAllReady(timeout time.Duration) bool {
+	return e2e.WaitUntil(timeout, func() bool { return r.Platform.ReadyCount() == len(r.Proxies) })
 }
 
 // AddControl starts a further control process with an empty data directory. It
 // has the seeds that all had at first.
-func (t *Run) AddControl() *e2e.Process {
-	process := t.spareControls[0]
-	t.spareControls = t.spareControls[1:]
-	if err := process.Start(t.directory); err != nil {
-		t.Errorf("%v", err)
+func (r *Run) AddControl() *e2e.Process {
+	process := r.spareControls[0]
+	r.spareControls = r.spareControls[1:]
+	if err := process.Start(r.directory); err != nil {
+		r.Errorf("%v", err)
 	}
-	t.Controls = append(t.Controls, process)
+	r.Controls = append(r.Controls, process)
 	return process
 }
 
 // StartLoad starts the clients, by turns over routes and zones.
-func (t *Run) StartLoad(seed uint64) {
-	clients, routes := platformstandin.NewClients(t.loadGroup, t.Platform, t.History), t.Routes()
+func (r *Run) StartLoad(seed uint64) {
+	clients, routes := platformstandin.NewClients(r.loadGroup, r.Platform, r.History), r.Routes()
 	for number := range sessionCount {
 		mix := mixes[routes[number%len(routes)].Kind]
 		mix.Route, mix.Zone = routes[number%len(routes)], zones[number/len(routes)%len(zones)]
@@ -145,21 +145,21 @@
 }
 
 // Stop ends all that the run has started.
-func (t *Run) Stop() {
-	t.loadGroup.Stop(stopTimeout)
-	for _, process := range slices.Concat(t.Proxies, t.Controls) {
+func (r *Run) Stop() {
+	r.loadGroup.Stop(stopTimeout)
+	for _, process := range slices.Concat(r.Proxies, r.Controls) {
 		process.Signal(syscall.SIGCONT)
 		process.Signal(syscall.SIGKILL)
 		process.AwaitExit(5 * time.Second)
 	}
-	for _, service := range t.Services {
+	for _, service := range r.Services {
 		for _, instance := range service.Instances() {
 			instance.Crash()
 		}
 	}
-	t.group.Stop(10 * time.Second)
-	reserve.ReleaseAll(t.reservations)
+	r.group.Stop(10 * time.Second)
+	reserve.ReleaseAll(r.reservations)
 }
 
 // Sleep lets the load run for a while.
-func (t *Run) Sleep(duration time.Duration) { worker.Await(t.group.Stopping(), duration) }
+func (r *Run) Sleep(duration time.Duration) { worker.Await(r.group.Stopping(), duration) }
--- a/test/platforme2e/runner.go
+++ b/test/platforme2e/runner.go
@@ -25,36 +25,36 @@
 	if err := e2e.EmptyDirectory(directory); err != nil {
 		return result, err
 	}
-	t, err := Start(root, programs, directory, serviceCount)
+	r, err := Start(root, programs, directory, serviceCount)
 	if err != nil {
 		return result, err
 	}
-	defer t.Stop()
-	history := t.play(scenario, seed)
+	defer r.Stop()
+	history := r.play(scenario, seed)
 	result.Violations = linehistory.Violations(history)
-	t.CheckLogs(directory, slices.Concat(t.Proxies, t.Controls))
-	if len(t.Failures) > 0 {
-		result.Violations["scenario"] = t.Failures
+	r.CheckLogs(directory, slices.Concat(r.Proxies, r.Controls))
+	if len(r.Failures) > 0 {
+		result.Violations["scenario"] = r.Failures
 	}
-	result.Notes, result.PromoteCalls = t.Notes, t.Platform.PromoteCalls()
+	result.Notes, result.PromoteCalls = r.Notes, r.Platform.PromoteCalls()
 	result.measure(history)
 	return result, nil
 }
 
 // play runs a scenario under load and returns the history.
-func (t *Run) play(scenario Scenario, seed uint64) linehistory.History {
-	t.StartLoad(seed)
-	t.AwaitService("at the start", serviceTimeout)
-	startedAt := t.group.Now()
-	scenario.Run(t)
-	t.AwaitService("at the end", serviceTimeout)
-	t.loadGroup.Stop(stopTimeout)
-	if status := t.Operator.Fetch(); status != http.StatusOK {
-		t.Errorf("the configuration was read back with %d", status)
+func (r *Run) play(scenario Scenario, seed uint64) linehistory.History {
+	r.StartLoad(seed)
+	r.AwaitService("at the start", serviceTimeout)
+	startedAt := r.group.Now()
+	scenario.Run(r)
+	r.AwaitService("at the end", serviceTimeout)
+	r.loadGroup.Stop(stopTimeout)
+	if status := r.Operator.Fetch(); status != http.StatusOK {
+		r.Errorf("the configuration was read back with %d", status)
 	}
-	history := t.History.Copy()
-	history.End, history.Bounds, history.Logs = t.group.Now(), bounds, map[string][]linehistory.LogEntry{}
-	for _, service := range t.Services {
+	history := r.History.Copy()
+	history.End, history.Bounds, history.Logs = r.group.Now(), bounds, map[string][]linehistory.LogEntry{}
+	for _, service := range r.Services {
 		history.Logs[service.Name] = service.Log()
 	}
 	if scenario.Quiet {
--- a/test/platforme2e/scenario.go
+++ b/test/platforme2e/scenario.go
@@ -30,19 +30,19 @@
 	}
 }
 
-func runSteady(t *Run) {
-	t.Sleep(4 * time.Second)
-	if count := len(t.Platform.PromoteCalls()); count != 0 {
-		t.Errorf("%d promote calls without a cause", count)
+func runSteady(r *Run) {
+	r.Sleep(4 * time.Second)
+	if count := len(r.Platform.PromoteCalls()); count != 0 {
+		r.Errorf("%d promote calls without a cause", count)
 	}
 }
 
-func runLostAnswers(t *Run) {
+func runLostAnswers(r *Run) {
 	for range 4 {
-		for _, instance := range t.Services[0].Instances() {
+		for _, instance := range r.Services[0].Instances() {
 			instance.LoseAnswers(3)
 			instance.RefuseStatements(3)
 		}
-		t.Sleep(500 * time.Millisecond)
+		r.Sleep(500 * time.Millisecond)
 	}
 }
--- a/test/platforme2e/service.go
+++ b/test/platforme2e/service.go
@@ -11,9 +11,9 @@
 
 // CountServed returns how many statements of an act, sent since a time, were
 // answered with success.
-func (t *Run) CountServed(act string, since time.Duration) int {
+func (r *Run) CountServed(act string, since time.Duration) int {
 	count := 0
-	for _, query := range t.History.Copy().Queries {
+	for _, query := range r.History.Copy().Queries {
 		if query.Act == act && query.Code == "" && !query.Cut && query.Sent >= since {
 			count++
 		}
@@ -30,32 +30,32 @@
 
 // AwaitService waits until reads, writes and commits are served again; it
 // records a failure after a timeout.
-func (t *Run) AwaitService(what string, timeout time.Duration) {
-	since := t.group.Now()
+func (r *Run) AwaitService(what string, timeout time.Duration) {
+	since := r.group.Now()
 	reads, writes, commits := 0, 0, 0
 	served := e2e.WaitUntil(timeout, func() bool {
-		reads, writes, commits = t.CountServed(linehistory.ActRead, since), t.CountServed(linehistory.ActWrite, since), t.CountServed(linehistory.ActCommit, since)
+		reads, writes, commits = r.CountServed(linehistory.ActRead, since), r.CountServed(linehistory.ActWrite, since), r.CountServed(linehistory.ActCommit, since)
 		return reads >= servedReads && writes >= servedWrites && commits >= servedCommits
 	})
 	if !served {
-		t.Errorf("%s: reads %d, writes %d, commits %d served within %v", what, reads, writes, commits, timeout)
+		r.Errorf("%s: reads %d, writes %d, commits %d served within %v", what, reads, writes, commits, timeout)
 		return
 	}
-	t.Logf("%s: served after %d ms", what, (t.group.Now() - since).Milliseconds())
+	r.Logf("%s: served after %d ms", what, (r.group.Now() - since).Milliseconds())
 }
 
 // ReplaceConfiguration sends a further version, to the first address first; it
 // records a failure where it is not taken.
-func (t *Run) ReplaceConfiguration(routes []platformstandin.Route, first int) {
-	t.version += versionStep
-	if status := t.Operator.Replace(t.version, routes, first); status != http.StatusOK {
-		t.Errorf("version %d was answered %d", t.version, status)
+func (r *Run) ReplaceConfiguration(routes []platformstandin.Route, first int) {
+	r.version += versionStep
+	if status := r.Operator.Replace(r.version, routes, first); status != http.StatusOK {
+		r.Errorf("version %d was answered %d", r.version, status)
 	}
 }
 
 // ControlPrimary returns the process that is primary of the control plane, nil
 // where none says so.
-func (t *Run) ControlPrimary() *e2e.Process {
+func (r *Run) ControlPrimary() *e2e.Process {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	return e2e.FindControlPrimary(client, t.Controls)
+	return e2e.FindControlPrimary(client, r.Controls)
 }
