--- a/test/standin/connection.go
+++ b/test/standin/connection.go
@@ -29,32 +29,32 @@
 	return c.transaction == nil && len(c.settings) == 0 && len(c.prepared) == 0
 }
 
-func (x *Instance) onConnectionOpened(ctx context.Context, raw net.Conn) context.Context {
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
-	x.connectionCount++
+func (i *Instance) onConnectionOpened(ctx context.Context, raw net.Conn) context.Context {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	i.connectionCount++
 	opened := &connection{
-		id:       fmt.Sprintf("%s#%d#%d", x.config.Name, os.Getpid(), x.connectionCount),
+		id:       fmt.Sprintf("%s#%d#%d", i.config.Name, os.Getpid(), i.connectionCount),
 		settings: map[string]string{}, prepared: map[string]string{},
 	}
-	x.connections.Store(raw, opened)
+	i.connections.Store(raw, opened)
 	return context.WithValue(ctx, connectionKey{}, opened)
 }
 
-func (x *Instance) onConnectionState(raw net.Conn, state http.ConnState) {
+func (i *Instance) onConnectionState(raw net.Conn, state http.ConnState) {
 	if state != http.StateClosed && state != http.StateHijacked {
 		return
 	}
-	if closed, found := x.connections.LoadAndDelete(raw); found {
-		x.onConnectionClosed(closed.(*connection))
+	if closed, found := i.connections.LoadAndDelete(raw); found {
+		i.onConnectionClosed(closed.(*connection))
 	}
 }
 
-func (x *Instance) onConnectionClosed(c *connection) {
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
+func (i *Instance) onConnectionClosed(c *connection) {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
 	if c.open {
-		x.openCount--
+		i.openCount--
 		c.open = false
 	}
 	c.transaction = nil
--- a/test/standin/execution.go
+++ b/test/standin/execution.go
@@ -29,10 +29,10 @@
 }
 
 // recordExecution appends to the execution file; the caller holds mutex.
-func (x *Instance) recordExecution(c *connection, request instanceRequest, text string) {
+func (i *Instance) recordExecution(c *connection, request instanceRequest, text string) {
 	execution := Execution{
-		At: time.Now().UnixNano(), Instance: x.config.Name, Database: x.config.Database, Connection: c.id, Text: text,
-		Arguments: request.Arguments, RequestID: request.RequestID, Action: request.Action, Write: request.Write, Term: x.term, Role: x.role, LeavingSince: x.leavingSince,
+		At: time.Now().UnixNano(), Instance: i.config.Name, Database: i.config.Database, Connection: c.id, Text: text,
+		Arguments: request.Arguments, RequestID: request.RequestID, Action: request.Action, Write: request.Write, Term: i.term, Role: i.role, LeavingSince: i.leavingSince,
 	}
 	if c.transaction != nil {
 		execution.Transaction = c.transaction.id
@@ -44,5 +44,5 @@
 		execution.Prepared = append(execution.Prepared, name)
 	}
 	line, _ := json.Marshal(execution)
-	_, _ = x.executionLog.Write(append(line, '\n'))
+	_, _ = i.executionLog.Write(append(line, '\n'))
 }
--- a/test/standin/instance.go
+++ b/test/standin/instance.go
@@ -77,17 +77,17 @@
 // RunInstance serves a stand-in instance until ctx ends. It resumes from the
 // state, log and execution files in the configured directory.
 func RunInstance(ctx context.Context, config InstanceConfig) error {
-	x := newInstance(config)
-	if err := x.loadFiles(); err != nil {
+	i := newInstance(config)
+	if err := i.loadFiles(); err != nil {
 		return err
 	}
 	listener, err := net.Listen("tcp", config.Address)
 	if err != nil {
 		return err
 	}
-	server := &http.Server{Handler: x.routes(), ConnContext: x.onConnectionOpened, ConnState: x.onConnectionState}
-	go x.announceLoop(ctx)
-	go x.pullLoop(ctx)
+	server := &http.Server{Handler: i.routes(), ConnContext: i.onConnectionOpened, ConnState: i.onConnectionState}
+	go i.announceLoop(ctx)
+	go i.pullLoop(ctx)
 	go func() { <-ctx.Done(); _ = server.Close() }()
 	if err := server.Serve(listener); err != http.ErrServerClosed {
 		return err
@@ -96,7 +96,7 @@
 }
 
 func newInstance(config InstanceConfig) *Instance {
-	x := &Instance{
+	i := &Instance{
 		config: config, slots: make(chan struct{}, config.Slots), role: config.Role, term: 1, upstream: config.Upstream,
 		appended: make(chan struct{}), announceAddresses: map[string]bool{}, slowdown: 1,
 		replicationDelay: time.Duration(config.ReplicationDelayMS) * time.Millisecond,
@@ -104,42 +104,42 @@
 		incarnation:      fmt.Sprintf("%s-%d", config.Name, time.Now().UnixNano()),
 	}
 	for _, address := range config.AnnounceAddresses {
-		x.announceAddresses[address] = true
+		i.announceAddresses[address] = true
 	}
-	return x
+	return i
 }
 
 // position returns the position of the last log entry; the caller holds mutex.
-func (x *Instance) position() Position {
-	if len(x.entries) == 0 {
+func (i *Instance) position() Position {
+	if len(i.entries) == 0 {
 		return Position{}
 	}
-	last := x.entries[len(x.entries)-1]
+	last := i.entries[len(i.entries)-1]
 	return Position{last.Term, last.Index}
 }
 
 // occupySlot takes a slot for the time of one statement, which grows with the
 // load of the instance.
-func (x *Instance) occupySlot(write bool) {
-	x.mutex.Lock()
-	x.waiting++
-	x.mutex.Unlock()
-	x.slots <- struct{}{}
-	x.mutex.Lock()
-	x.waiting--
-	x.busy++
-	service := x.serviceTime(write)
-	x.mutex.Unlock()
+func (i *Instance) occupySlot(write bool) {
+	i.mutex.Lock()
+	i.waiting++
+	i.mutex.Unlock()
+	i.slots <- struct{}{}
+	i.mutex.Lock()
+	i.waiting--
+	i.busy++
+	service := i.serviceTime(write)
+	i.mutex.Unlock()
 	time.Sleep(service)
-	x.mutex.Lock()
-	x.busy--
-	x.mutex.Unlock()
-	<-x.slots
+	i.mutex.Lock()
+	i.busy--
+	i.mutex.Unlock()
+	<-i.slots
 }
 
-func (x *Instance) serviceTime(write bool) time.Duration {
-	service := float64(x.config.ServiceTimeUS) * x.slowdown * (0.6 + 0.8*x.random.Float64())
-	service *= 1 + 0.5*float64(x.busy)/float64(x.config.Slots) + 0.02*float64(x.waiting)
+func (i *Instance) serviceTime(write bool) time.Duration {
+	service := float64(i.config.ServiceTimeUS) * i.slowdown * (0.6 + 0.8*i.random.Float64())
+	service *= 1 + 0.5*float64(i.busy)/float64(i.config.Slots) + 0.02*float64(i.waiting)
 	if !write {
 		service /= 2
 	}
--- a/test/standin/instance_admin.go
+++ b/test/standin/instance_admin.go
@@ -31,25 +31,25 @@
 	}
 }
 
-func (x *Instance) onFault(_ *connection, request instanceRequest) result {
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
+func (i *Instance) onFault(_ *connection, request instanceRequest) result {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
 	fault := request.Fault
 	if fault == nil {
 		return result{http.StatusBadRequest, struct{}{}}
 	}
-	setIfGiven(fault.Slowdown, &x.slowdown)
-	setIfGiven(fault.LoseAnswers, &x.loseAnswers)
-	setIfGiven(fault.ResetConnections, &x.resetConnections)
-	setIfGiven(fault.Silent, &x.silent)
-	setIfGiven(fault.MisreportClean, &x.misreportClean)
+	setIfGiven(fault.Slowdown, &i.slowdown)
+	setIfGiven(fault.LoseAnswers, &i.loseAnswers)
+	setIfGiven(fault.ResetConnections, &i.resetConnections)
+	setIfGiven(fault.Silent, &i.silent)
+	setIfGiven(fault.MisreportClean, &i.misreportClean)
 	if fault.ReplicationDelayMS != nil {
-		x.replicationDelay = time.Duration(*fault.ReplicationDelayMS) * time.Millisecond
+		i.replicationDelay = time.Duration(*fault.ReplicationDelayMS) * time.Millisecond
 	}
 	if fault.Leaving != nil {
-		x.leavingSince = 0
+		i.leavingSince = 0
 		if *fault.Leaving {
-			x.leavingSince = time.Now().UnixNano()
+			i.leavingSince = time.Now().UnixNano()
 		}
 	}
 	return ok(struct{}{})
@@ -61,31 +61,31 @@
 	Term uint64 `json:"term"`
 }
 
-func (x *Instance) roleReply() roleReply { return roleReply{x.role, x.term} }
+func (i *Instance) roleReply() roleReply { return roleReply{i.role, i.term} }
 
-func (x *Instance) onPromote(_ *connection, request instanceRequest) result {
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
-	if x.term >= request.Term && x.role != rolePrimary {
-		return result{http.StatusConflict, x.roleReply()}
+func (i *Instance) onPromote(_ *connection, request instanceRequest) result {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	if i.term >= request.Term && i.role != rolePrimary {
+		return result{http.StatusConflict, i.roleReply()}
 	}
-	if x.term >= request.Term {
-		return ok(x.roleReply())
+	if i.term >= request.Term {
+		return ok(i.roleReply())
 	}
-	x.role, x.term, x.upstream = rolePrimary, request.Term, ""
-	x.saveState()
-	x.recordExecution(&connection{}, instanceRequest{Action: "promote"}, "")
-	x.appendEntry(Entry{Term: x.term, Index: x.position().Index + 1})
-	return ok(x.roleReply())
+	i.role, i.term, i.upstream = rolePrimary, request.Term, ""
+	i.saveState()
+	i.recordExecution(&connection{}, instanceRequest{Action: "promote"}, "")
+	i.appendEntry(Entry{Term: i.term, Index: i.position().Index + 1})
+	return ok(i.roleReply())
 }
 
-func (x *Instance) onFollow(_ *connection, request instanceRequest) result {
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
-	if request.Term < x.term || (x.role == rolePrimary && request.Term == x.term) {
+func (i *Instance) onFollow(_ *connection, request instanceRequest) result {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	if request.Term < i.term || (i.role == rolePrimary && request.Term == i.term) {
 		return result{http.StatusConflict, struct{}{}}
 	}
-	x.role, x.upstream, x.term = roleReplica, request.Upstream, request.Term
-	x.saveState()
+	i.role, i.upstream, i.term = roleReplica, request.Upstream, request.Term
+	i.saveState()
 	return ok(struct{}{})
 }
--- a/test/standin/instance_announce.go
+++ b/test/standin/instance_announce.go
@@ -28,26 +28,26 @@
 	Slots       int      `json:"slots"`
 }
 
-func (x *Instance) announcement() Announcement {
+func (i *Instance) announcement() Announcement {
 	return Announcement{
-		Instance: x.config.Name, Database: x.config.Database, Address: x.config.Address, Zone: x.config.Zone,
-		Role: x.role, Incarnation: x.incarnation, Term: x.term, Position: x.position(), Leaving: x.leavingSince != 0,
-		Connections: x.config.Connections, Slots: x.config.Slots,
+		Instance: i.config.Name, Database: i.config.Database, Address: i.config.Address, Zone: i.config.Zone,
+		Role: i.role, Incarnation: i.incarnation, Term: i.term, Position: i.position(), Leaving: i.leavingSince != 0,
+		Connections: i.config.Connections, Slots: i.config.Slots,
 	}
 }
 
 // announceLoop announces the instance to all nodes that it knows, until ctx ends.
-func (x *Instance) announceLoop(ctx context.Context) {
-	client := newClient(x.config.Address, announceTimeout)
+func (i *Instance) announceLoop(ctx context.Context) {
+	client := newClient(i.config.Address, announceTimeout)
 	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
 	for {
-		x.mutex.Lock()
-		body, silent, addresses := x.announcement(), x.silent, slices.Collect(maps.Keys(x.announceAddresses))
-		x.mutex.Unlock()
+		i.mutex.Lock()
+		body, silent, addresses := i.announcement(), i.silent, slices.Collect(maps.Keys(i.announceAddresses))
+		i.mutex.Unlock()
 		if !silent {
 			for _, address := range addresses {
-				go x.announce(client, address, body)
+				go i.announce(client, address, body)
 			}
 		}
 		select {
@@ -59,16 +59,16 @@
 }
 
 // announce makes one announcement, and learns of further nodes.
-func (x *Instance) announce(client *http.Client, address string, body Announcement) {
+func (i *Instance) announce(client *http.Client, address string, body Announcement) {
 	var answer struct {
 		Nodes []string `json:"nodes"`
 	}
 	if _, err := post(client, address, "/v1/announce", body, &answer); err != nil {
 		return
 	}
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
 	for _, node := range answer.Nodes {
-		x.announceAddresses[node] = true
+		i.announceAddresses[node] = true
 	}
 }
--- a/test/standin/instance_replication.go
+++ b/test/standin/instance_replication.go
@@ -27,13 +27,13 @@
 }
 
 // awaitAppend waits, for a timeout, until the log reaches past a position.
-func (x *Instance) awaitAppend(after Position, timeout time.Duration) {
+func (i *Instance) awaitAppend(after Position, timeout time.Duration) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
-		x.mutex.Lock()
-		appended, changed := precedes(after, x.position()), x.appended
-		x.mutex.Unlock()
+		i.mutex.Lock()
+		appended, changed := precedes(after, i.position()), i.appended
+		i.mutex.Unlock()
 		if appended {
 			return
 		}
@@ -45,44 +45,44 @@
 	}
 }
 
-func (x *Instance) onStatus(c *connection, request instanceRequest) result {
-	x.awaitAppend(request.After, time.Duration(min(request.WaitMS, maxWaitMS))*time.Millisecond)
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
-	return ok(x.reply(c))
+func (i *Instance) onStatus(c *connection, request instanceRequest) result {
+	i.awaitAppend(request.After, time.Duration(min(request.WaitMS, maxWaitMS))*time.Millisecond)
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	return ok(i.reply(c))
 }
 
-func (x *Instance) onPull(_ *connection, request instanceRequest) result {
-	x.awaitAppend(request.After, time.Duration(min(request.WaitMS, maxWaitMS))*time.Millisecond)
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
-	answer := pullResponse{Term: x.term}
+func (i *Instance) onPull(_ *connection, request instanceRequest) result {
+	i.awaitAppend(request.After, time.Duration(min(request.WaitMS, maxWaitMS))*time.Millisecond)
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	answer := pullResponse{Term: i.term}
 	index := int(request.After.Index)
-	if x.holds(request.After) {
-		answer.Entries = append(answer.Entries, x.entries[index:min(len(x.entries), index+pullBatch)]...)
+	if i.holds(request.After) {
+		answer.Entries = append(answer.Entries, i.entries[index:min(len(i.entries), index+pullBatch)]...)
 		return ok(answer)
 	}
 	// Only the log of a primary decides what a replica has to cut off.
-	if x.role == rolePrimary {
-		length := uint64(min(len(x.entries), index-1))
+	if i.role == rolePrimary {
+		length := uint64(min(len(i.entries), index-1))
 		answer.Truncate = &length
 	}
 	return ok(answer)
 }
 
 // holds reports whether the log has the entry at a position; the caller holds mutex.
-func (x *Instance) holds(position Position) bool {
+func (i *Instance) holds(position Position) bool {
 	index := int(position.Index)
-	return index == 0 || (index <= len(x.entries) && x.entries[index-1].Term == position.Term)
+	return index == 0 || (index <= len(i.entries) && i.entries[index-1].Term == position.Term)
 }
 
 // pullLoop has a replica follow its primary's log until ctx ends.
-func (x *Instance) pullLoop(ctx context.Context) {
-	client := newClient(x.config.Address, 3*time.Second)
+func (i *Instance) pullLoop(ctx context.Context) {
+	client := newClient(i.config.Address, 3*time.Second)
 	for ctx.Err() == nil {
-		x.mutex.Lock()
-		role, upstream, after, delay := x.role, x.upstream, x.position(), x.replicationDelay
-		x.mutex.Unlock()
+		i.mutex.Lock()
+		role, upstream, after, delay := i.role, i.upstream, i.position(), i.replicationDelay
+		i.mutex.Unlock()
 		if role != roleReplica || upstream == "" {
 			wait(ctx, 50*time.Millisecond)
 			continue
@@ -95,27 +95,27 @@
 		if len(answer.Entries) > 0 || answer.Truncate != nil {
 			wait(ctx, delay)
 		}
-		x.mutex.Lock()
-		if x.role == roleReplica && x.upstream == upstream && x.position() == after {
-			x.apply(answer)
+		i.mutex.Lock()
+		if i.role == roleReplica && i.upstream == upstream && i.position() == after {
+			i.apply(answer)
 		}
-		x.mutex.Unlock()
+		i.mutex.Unlock()
 	}
 }
 
 // apply takes a primary's answer; the caller holds mutex.
-func (x *Instance) apply(answer pullResponse) {
+func (i *Instance) apply(answer pullResponse) {
 	if answer.Truncate != nil {
-		x.saveDiscarded(x.entries[*answer.Truncate:])
-		x.entries = x.entries[:*answer.Truncate]
-		_ = x.rewriteLog()
+		i.saveDiscarded(i.entries[*answer.Truncate:])
+		i.entries = i.entries[:*answer.Truncate]
+		_ = i.rewriteLog()
 		return
 	}
 	for _, entry := range answer.Entries {
-		x.appendEntry(entry)
+		i.appendEntry(entry)
 	}
-	if answer.Term > x.term {
-		x.term = answer.Term
-		x.saveState()
+	if answer.Term > i.term {
+		i.term = answer.Term
+		i.saveState()
 	}
 }
--- a/test/standin/instance_request.go
+++ b/test/standin/instance_request.go
@@ -62,12 +62,12 @@
 
 type handler func(*connection, instanceRequest) result
 
-func (x *Instance) routes() *http.ServeMux {
+func (i *Instance) routes() *http.ServeMux {
 	mux := http.NewServeMux()
 	for path, handle := range map[string]handler{
-		"/db/open": x.onOpen, "/db/run": x.onRun, "/db/begin": x.onBegin, "/db/commit": x.onCommit,
-		"/db/rollback": x.onRollback, "/db/set": x.onSet, "/db/prepare": x.onPrepare, "/db/status": x.onStatus,
-		"/db/pull": x.onPull, "/admin/fault": x.onFault, "/admin/promote": x.onPromote, "/admin/follow": x.onFollow,
+		"/db/open": i.onOpen, "/db/run": i.onRun, "/db/begin": i.onBegin, "/db/commit": i.onCommit,
+		"/db/rollback": i.onRollback, "/db/set": i.onSet, "/db/prepare": i.onPrepare, "/db/status": i.onStatus,
+		"/db/pull": i.onPull, "/admin/fault": i.onFault, "/admin/promote": i.onPromote, "/admin/follow": i.onFollow,
 	} {
 		mux.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) { serve(w, r, handle) })
 	}
@@ -91,37 +91,37 @@
 	_, _ = w.Write(data)
 }
 
-func (x *Instance) reply(c *connection) statementReply {
+func (i *Instance) reply(c *connection) statementReply {
 	return statementReply{
-		Position: x.position(), Clean: c.isClean() || x.misreportClean, Inside: c.transaction != nil,
-		Role: x.role, Term: x.term, Incarnation: x.incarnation, Leaving: x.leavingSince != 0,
+		Position: i.position(), Clean: c.isClean() || i.misreportClean, Inside: c.transaction != nil,
+		Role: i.role, Term: i.term, Incarnation: i.incarnation, Leaving: i.leavingSince != 0,
 	}
 }
 
-func (x *Instance) reject(c *connection, status int, text string) *result {
-	reply := x.reply(c)
+func (i *Instance) reject(c *connection, status int, text string) *result {
+	reply := i.reply(c)
 	reply.Error = text
 	return &result{status, reply}
 }
 
 // checkRequest returns why a request is rejected, nil where it may proceed.
-func (x *Instance) checkRequest(c *connection, request instanceRequest, write bool) *result {
+func (i *Instance) checkRequest(c *connection, request instanceRequest, write bool) *result {
 	if !c.open {
-		return x.reject(c, http.StatusConflict, "session not open")
+		return i.reject(c, http.StatusConflict, "session not open")
 	}
-	if request.Term != 0 && request.Term != x.term {
-		return x.reject(c, http.StatusConflict, "another term")
+	if request.Term != 0 && request.Term != i.term {
+		return i.reject(c, http.StatusConflict, "another term")
 	}
-	if write && x.role != rolePrimary {
-		return x.reject(c, http.StatusConflict, "not primary")
+	if write && i.role != rolePrimary {
+		return i.reject(c, http.StatusConflict, "not primary")
 	}
 	return nil
 }
 
 // answerOrLose answers, unless answers are to be lost.
-func (x *Instance) answerOrLose(reply statementReply) result {
-	if x.loseAnswers > 0 {
-		x.loseAnswers--
+func (i *Instance) answerOrLose(reply statementReply) result {
+	if i.loseAnswers > 0 {
+		i.loseAnswers--
 		return noAnswer
 	}
 	return ok(reply)
--- a/test/standin/instance_statements.go
+++ b/test/standin/instance_statements.go
@@ -5,76 +5,76 @@
 	"net/http"
 )
 
-func (x *Instance) onOpen(c *connection, request instanceRequest) result {
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
-	if !c.open && x.openCount >= x.config.Connections {
-		return *x.reject(c, http.StatusTooManyRequests, "connections are capped")
+func (i *Instance) onOpen(c *connection, request instanceRequest) result {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	if !c.open && i.openCount >= i.config.Connections {
+		return *i.reject(c, http.StatusTooManyRequests, "connections are capped")
 	}
 	if !c.open {
 		c.open = true
-		x.openCount++
+		i.openCount++
 	}
-	return ok(x.reply(c))
+	return ok(i.reply(c))
 }
 
-func (x *Instance) onRun(c *connection, request instanceRequest) result {
-	text, transaction, early := x.admitStatement(c, request)
+func (i *Instance) onRun(c *connection, request instanceRequest) result {
+	text, transaction, early := i.admitStatement(c, request)
 	if early != nil {
 		return *early
 	}
-	x.occupySlot(request.Write)
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
+	i.occupySlot(request.Write)
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
 	if c.transaction != transaction {
 		return noAnswer
 	}
-	if request.Write && x.role != rolePrimary {
-		return *x.reject(c, http.StatusConflict, "not primary any more")
+	if request.Write && i.role != rolePrimary {
+		return *i.reject(c, http.StatusConflict, "not primary any more")
 	}
-	x.recordExecution(c, request, text)
+	i.recordExecution(c, request, text)
 	if request.Write {
-		x.applyWrite(c, request, text)
+		i.applyWrite(c, request, text)
 	}
-	reply := x.reply(c)
+	reply := i.reply(c)
 	reply.Rows = &statementRows{Settings: c.settings, Text: text}
 	if !request.Write {
-		applied := x.position()
+		applied := i.position()
 		reply.Rows.AppliedPosition = &applied
 	}
-	return x.answerOrLose(reply)
+	return i.answerOrLose(reply)
 }
 
 // admitStatement returns the text that a request is to run and the transaction
 // that it is part of, or the answer of one that is not run.
-func (x *Instance) admitStatement(c *connection, request instanceRequest) (text string, inside *transaction, answer *result) {
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
-	if x.resetConnections > 0 {
-		x.resetConnections--
+func (i *Instance) admitStatement(c *connection, request instanceRequest) (text string, inside *transaction, answer *result) {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	if i.resetConnections > 0 {
+		i.resetConnections--
 		return "", nil, &noAnswer
 	}
-	text, answer = x.statementText(c, request)
+	text, answer = i.statementText(c, request)
 	return text, c.transaction, answer
 }
 
 // applyWrite adds a write to its transaction, or commits it where it has none.
-func (x *Instance) applyWrite(c *connection, request instanceRequest, text string) {
+func (i *Instance) applyWrite(c *connection, request instanceRequest, text string) {
 	if c.transaction != nil {
 		c.transaction.requestIDs = append(c.transaction.requestIDs, request.RequestID)
 		c.transaction.statements = append(c.transaction.statements, text)
 		return
 	}
-	x.appendEntry(Entry{
-		Term: x.term, Index: x.position().Index + 1,
+	i.appendEntry(Entry{
+		Term: i.term, Index: i.position().Index + 1,
 		RequestIDs: []string{request.RequestID}, Statements: []string{text},
 	})
 }
 
 // statementText returns the text that a request is to run, or why it is
 // rejected.
-func (x *Instance) statementText(c *connection, request instanceRequest) (string, *result) {
-	if rejected := x.checkRequest(c, request, request.Write); rejected != nil {
+func (i *Instance) statementText(c *connection, request instanceRequest) (string, *result) {
+	if rejected := i.checkRequest(c, request, request.Write); rejected != nil {
 		return "", rejected
 	}
 	if request.Prepared == "" {
@@ -82,86 +82,86 @@
 	}
 	prepared, found := c.prepared[request.Prepared]
 	if !found {
-		return "", x.reject(c, http.StatusUnprocessableEntity, "no such prepared statement")
+		return "", i.reject(c, http.StatusUnprocessableEntity, "no such prepared statement")
 	}
 	return prepared, nil
 }
 
-func (x *Instance) onBegin(c *connection, request instanceRequest) result {
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
-	if rejected := x.checkRequest(c, request, false); rejected != nil {
+func (i *Instance) onBegin(c *connection, request instanceRequest) result {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	if rejected := i.checkRequest(c, request, false); rejected != nil {
 		return *rejected
 	}
 	if c.transaction != nil {
-		return *x.reject(c, http.StatusUnprocessableEntity, "a transaction is open")
+		return *i.reject(c, http.StatusUnprocessableEntity, "a transaction is open")
 	}
-	x.transactionCount++
-	c.transaction = &transaction{id: fmt.Sprintf("%s/%d", c.id, x.transactionCount)}
-	return x.answerOrLose(x.reply(c))
+	i.transactionCount++
+	c.transaction = &transaction{id: fmt.Sprintf("%s/%d", c.id, i.transactionCount)}
+	return i.answerOrLose(i.reply(c))
 }
 
-func (x *Instance) onCommit(c *connection, request instanceRequest) result {
-	committed, rejected := x.admitCommit(c, request)
+func (i *Instance) onCommit(c *connection, request instanceRequest) result {
+	committed, rejected := i.admitCommit(c, request)
 	if rejected != nil {
 		return *rejected
 	}
-	x.occupySlot(true)
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
-	if x.role != rolePrimary {
-		return *x.reject(c, http.StatusConflict, "not primary any more")
+	i.occupySlot(true)
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	if i.role != rolePrimary {
+		return *i.reject(c, http.StatusConflict, "not primary any more")
 	}
 	request.Action = "commit"
-	x.recordExecution(c, request, "")
+	i.recordExecution(c, request, "")
 	c.transaction = nil
-	x.appendEntry(Entry{
-		Term: x.term, Index: x.position().Index + 1,
+	i.appendEntry(Entry{
+		Term: i.term, Index: i.position().Index + 1,
 		RequestIDs: append(committed.requestIDs, request.RequestID), Statements: committed.statements,
 	})
-	return x.answerOrLose(x.reply(c))
+	return i.answerOrLose(i.reply(c))
 }
 
 // admitCommit returns the transaction that a request is to commit, or why it is
 // rejected.
-func (x *Instance) admitCommit(c *connection, request instanceRequest) (*transaction, *result) {
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
-	if rejected := x.checkRequest(c, request, true); rejected != nil {
+func (i *Instance) admitCommit(c *connection, request instanceRequest) (*transaction, *result) {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	if rejected := i.checkRequest(c, request, true); rejected != nil {
 		return nil, rejected
 	}
 	if c.transaction == nil {
-		return nil, x.reject(c, http.StatusUnprocessableEntity, "no transaction is open")
+		return nil, i.reject(c, http.StatusUnprocessableEntity, "no transaction is open")
 	}
 	return c.transaction, nil
 }
 
-func (x *Instance) onRollback(c *connection, request instanceRequest) result {
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
-	if rejected := x.checkRequest(c, request, false); rejected != nil {
+func (i *Instance) onRollback(c *connection, request instanceRequest) result {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	if rejected := i.checkRequest(c, request, false); rejected != nil {
 		return *rejected
 	}
 	c.transaction = nil
-	return x.answerOrLose(x.reply(c))
+	return i.answerOrLose(i.reply(c))
 }
 
-func (x *Instance) onSet(c *connection, request instanceRequest) result {
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
-	if rejected := x.checkRequest(c, request, false); rejected != nil {
+func (i *Instance) onSet(c *connection, request instanceRequest) result {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	if rejected := i.checkRequest(c, request, false); rejected != nil {
 		return *rejected
 	}
 	c.settings[request.Name] = request.Value
-	return x.answerOrLose(x.reply(c))
+	return i.answerOrLose(i.reply(c))
 }
 
-func (x *Instance) onPrepare(c *connection, request instanceRequest) result {
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
-	if rejected := x.checkRequest(c, request, false); rejected != nil {
+func (i *Instance) onPrepare(c *connection, request instanceRequest) result {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	if rejected := i.checkRequest(c, request, false); rejected != nil {
 		return *rejected
 	}
 	c.prepared[request.Name] = request.Text
-	return x.answerOrLose(x.reply(c))
+	return i.answerOrLose(i.reply(c))
 }
--- a/test/standin/instance_storage.go
+++ b/test/standin/instance_storage.go
@@ -28,40 +28,40 @@
 }
 
 // loadFiles restores state and log, and opens the files that are appended to.
-func (x *Instance) loadFiles() error {
-	if err := os.MkdirAll(x.config.Directory, 0o755); err != nil {
+func (i *Instance) loadFiles() error {
+	if err := os.MkdirAll(i.config.Directory, 0o755); err != nil {
 		return err
 	}
-	x.loadState()
-	x.loadLog()
-	if err := x.rewriteLog(); err != nil {
+	i.loadState()
+	i.loadLog()
+	if err := i.rewriteLog(); err != nil {
 		return err
 	}
 	var err error
-	x.executionLog, err = os.OpenFile(x.path(executionFile), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	i.executionLog, err = os.OpenFile(i.path(executionFile), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
-	x.saveState()
+	i.saveState()
 	return nil
 }
 
-func (x *Instance) path(name string) string { return filepath.Join(x.config.Directory, name) }
+func (i *Instance) path(name string) string { return filepath.Join(i.config.Directory, name) }
 
-func (x *Instance) loadState() {
-	data, err := os.ReadFile(x.path(stateFile))
+func (i *Instance) loadState() {
+	data, err := os.ReadFile(i.path(stateFile))
 	if err != nil {
 		return
 	}
 	var loaded persistentState
 	if json.Unmarshal(data, &loaded) == nil {
-		x.role, x.term, x.upstream, x.incarnation = loaded.Role, loaded.Term, loaded.Upstream, loaded.Incarnation
+		i.role, i.term, i.upstream, i.incarnation = loaded.Role, loaded.Term, loaded.Upstream, loaded.Incarnation
 	}
 }
 
 // loadLog reads entries up to the first line that is torn.
-func (x *Instance) loadLog() {
-	file, err := os.Open(x.path(logFile))
+func (i *Instance) loadLog() {
+	file, err := os.Open(i.path(logFile))
 	if err != nil {
 		return
 	}
@@ -73,25 +73,25 @@
 		if json.Unmarshal(lines.Bytes(), &entry) != nil {
 			return
 		}
-		x.entries = append(x.entries, entry)
+		i.entries = append(i.entries, entry)
 	}
 }
 
-func (x *Instance) saveState() {
-	data, _ := json.Marshal(persistentState{x.role, x.term, x.upstream, x.incarnation})
-	path := x.path(stateFile)
+func (i *Instance) saveState() {
+	data, _ := json.Marshal(persistentState{i.role, i.term, i.upstream, i.incarnation})
+	path := i.path(stateFile)
 	_ = os.WriteFile(path+".new", data, 0o644)
 	_ = os.Rename(path+".new", path)
 }
 
 // rewriteLog replaces the log file by the entries in memory.
-func (x *Instance) rewriteLog() error {
-	if x.log != nil {
-		_ = x.log.Close()
+func (i *Instance) rewriteLog() error {
+	if i.log != nil {
+		_ = i.log.Close()
 	}
-	path := x.path(logFile)
+	path := i.path(logFile)
 	var buffer bytes.Buffer
-	for _, entry := range x.entries {
+	for _, entry := range i.entries {
 		line, _ := json.Marshal(entry)
 		buffer.Write(append(line, '\n'))
 	}
@@ -102,21 +102,21 @@
 		return err
 	}
 	var err error
-	x.log, err = os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0o644)
+	i.log, err = os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0o644)
 	return err
 }
 
-func (x *Instance) appendEntry(entry Entry) {
+func (i *Instance) appendEntry(entry Entry) {
 	line, _ := json.Marshal(entry)
-	_, _ = x.log.Write(append(line, '\n'))
-	x.entries = append(x.entries, entry)
-	close(x.appended)
-	x.appended = make(chan struct{})
+	_, _ = i.log.Write(append(line, '\n'))
+	i.entries = append(i.entries, entry)
+	close(i.appended)
+	i.appended = make(chan struct{})
 }
 
 // saveDiscarded appends entries that replication has cut off.
-func (x *Instance) saveDiscarded(entries []Entry) {
-	file, err := os.OpenFile(x.path(discardedFile), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+func (i *Instance) saveDiscarded(entries []Entry) {
+	file, err := os.OpenFile(i.path(discardedFile), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return
 	}
