--- a/test/history/history_test.go
+++ b/test/history/history_test.go
@@ -10,8 +10,10 @@
 	"tansyseam/test/standin"
 )
 
+// nanos gives a time of the run, in nanoseconds, from milliseconds.
 func nanos(ms int64) int64 { return ms * int64(time.Millisecond) }
 
+// soundEvidence gives the evidence of a run in which every rule is kept.
 func soundEvidence() Evidence {
 	entries := []standin.Entry{
 		{Term: 1, Index: 1, RequestIDs: []string{"s.1"}, Statements: []string{`book "s.1" by ann x`}},
@@ -33,68 +35,73 @@
 	}
 }
 
+// violationByRule breaks, for each rule, that rule in sound evidence.
+var violationByRule = map[string]func(*Evidence){
+	"effect once per go": func(e *Evidence) {
+		e.Logs["d"]["a"] = append(e.Logs["d"]["a"], standin.Entry{Term: 1, Index: 3, RequestIDs: []string{"s.1"}})
+	},
+	"told not kept, yet kept": func(e *Evidence) {
+		e.Events[0].Outcome = "not_kept"
+	},
+	"confirmed commit lost": func(e *Evidence) {
+		e.Logs["d"]["a"] = e.Logs["d"]["a"][:1]
+	},
+	"read misses a confirmed commit": func(e *Evidence) {
+		e.Events[3].AppliedPosition = standin.Position{Term: 1, Index: 1}
+	},
+	"statement in another's transaction or settings": func(e *Evidence) {
+		e.Executions = append(e.Executions, standin.Execution{Text: `look "d" by bob x`, Transaction: "t1"})
+		e.Events = append(e.Events, e.Events[3])
+	},
+	"statement that no caller sent, or with its text changed": func(e *Evidence) {
+		e.Executions[0].Text += " "
+	},
+	"old primary confirms after a promotion": func(e *Evidence) {
+		e.Executions = append(e.Executions, standin.Execution{Instance: "b", Database: "d", Action: "promote", Term: 2, At: nanos(4)})
+	},
+	"binding change ignored or undone": func(e *Evidence) {
+		e.Events[0].Sequence = 2
+		e.Events = append(e.Events, standin.Event{Caller: "bob", Kind: "read", Outcome: "read", SentAt: nanos(300), AnsweredAt: nanos(310), Sequence: 1})
+	},
+	"broken set taken, or a taken one lost": func(e *Evidence) {
+		e.SubmittedSets = []SubmittedSet{{ID: "one", Content: "a"}}
+		e.ServedSets = []ServedSet{{Node: "d1", Sequence: 1, Content: "b"}}
+	},
+	"work reaches a leaving instance": func(e *Evidence) {
+		e.Executions[2].LeavingSince, e.Executions[2].At = nanos(1), nanos(7002)
+	},
+	"planned restart cuts a request off": func(e *Evidence) {
+		e.Restarts = []Restart{{Address: "x", From: nanos(0), Until: nanos(100)}}
+		e.Events = append(e.Events, standin.Event{Address: "x", Kind: "read", Text: `look "d" by bob x`, Outcome: "cut", SentAt: nanos(62), AnsweredAt: nanos(80)})
+	},
+	"service stays down after a closing fault": func(e *Evidence) {
+		for ms := range int64(100) {
+			e.Events = append(e.Events, standin.Event{Database: "d", Kind: "read", Outcome: "read", AppliedPosition: standin.Position{Term: 9}, SentAt: nanos(10 * ms), AnsweredAt: nanos(10*ms + 5)})
+		}
+		e.ClosedFaults = []ClosedFault{{Name: "rush", BeforeFrom: nanos(0), BeforeUntil: nanos(1000), At: nanos(2000)}}
+	},
+	"a calm fleet refuses, or does not know": func(e *Evidence) {
+		e.QuietSpans = []Span{{From: nanos(0), Until: nanos(200)}}
+		e.Events = append(e.Events, standin.Event{Database: "d", Kind: "write", Outcome: "unknown", SentAt: nanos(80), AnsweredAt: nanos(90)})
+	},
+}
+
 func TestCheckersCatchPlantedViolations(t *testing.T) {
-	plants := map[string]func(*Evidence){
-		"effect once per go": func(e *Evidence) {
-			e.Logs["d"]["a"] = append(e.Logs["d"]["a"], standin.Entry{Term: 1, Index: 3, RequestIDs: []string{"s.1"}})
-		},
-		"told not kept, yet kept": func(e *Evidence) {
-			e.Events[0].Outcome = "not_kept"
-		},
-		"confirmed commit lost": func(e *Evidence) {
-			e.Logs["d"]["a"] = e.Logs["d"]["a"][:1]
-		},
-		"read misses a confirmed commit": func(e *Evidence) {
-			e.Events[3].AppliedPosition = standin.Position{Term: 1, Index: 1}
-		},
-		"statement in another's transaction or settings": func(e *Evidence) {
-			e.Executions = append(e.Executions, standin.Execution{Text: `look "d" by bob x`, Transaction: "t1"})
-			e.Events = append(e.Events, e.Events[3])
-		},
-		"statement that no caller sent, or with its text changed": func(e *Evidence) {
-			e.Executions[0].Text += " "
-		},
-		"old primary confirms after a promotion": func(e *Evidence) {
-			e.Executions = append(e.Executions, standin.Execution{Instance: "b", Database: "d", Action: "promote", Term: 2, At: nanos(4)})
-		},
-		"binding change ignored or undone": func(e *Evidence) {
-			e.Events[0].Sequence = 2
-			e.Events = append(e.Events, standin.Event{Caller: "bob", Kind: "read", Outcome: "read", SentAt: nanos(300), AnsweredAt: nanos(310), Sequence: 1})
-		},
-		"broken set taken, or a taken one lost": func(e *Evidence) {
-			e.SubmittedSets = []SubmittedSet{{ID: "one", Content: "a"}}
-			e.ServedSets = []ServedSet{{Node: "d1", Sequence: 1, Content: "b"}}
-		},
-		"work reaches a leaving instance": func(e *Evidence) {
-			e.Executions[2].LeavingSince, e.Executions[2].At = nanos(1), nanos(7002)
-		},
-		"planned restart cuts a request off": func(e *Evidence) {
-			e.Restarts = []Restart{{Address: "x", From: nanos(0), Until: nanos(100)}}
-			e.Events = append(e.Events, standin.Event{Address: "x", Kind: "read", Text: `look "d" by bob x`, Outcome: "cut", SentAt: nanos(62), AnsweredAt: nanos(80)})
-		},
-		"service stays down after a closing fault": func(e *Evidence) {
-			for ms := range int64(100) {
-				e.Events = append(e.Events, standin.Event{Database: "d", Kind: "read", Outcome: "read", AppliedPosition: standin.Position{Term: 9}, SentAt: nanos(10 * ms), AnsweredAt: nanos(10*ms + 5)})
-			}
-			e.ClosedFaults = []ClosedFault{{Name: "rush", BeforeFrom: nanos(0), BeforeUntil: nanos(1000), At: nanos(2000)}}
-		},
-		"a calm fleet refuses, or does not know": func(e *Evidence) {
-			e.QuietSpans = []Span{{From: nanos(0), Until: nanos(200)}}
-			e.Events = append(e.Events, standin.Event{Database: "d", Kind: "write", Outcome: "unknown", SentAt: nanos(80), AnsweredAt: nanos(90)})
-		},
-	}
 	Convey("A sound history passes every rule", t, func() {
 		So(Violations(soundEvidence()), ShouldBeEmpty)
 	})
 	Convey("Each rule catches the violation planted for it, and has one", t, func() {
 		for _, rule := range Rules() {
 			evidence := soundEvidence()
-			plant, planted := plants[rule.Name]
-			So(planted, ShouldBeTrue)
-			plant(&evidence)
+			violate, found := violationByRule[rule.Name]
+			So(found, ShouldBeTrue)
+			violate(&evidence)
 			So(Violations(evidence), ShouldContainKey, rule.Name)
 		}
 	})
+}
+
+func TestFailedRecoveries(t *testing.T) {
 	Convey("Service that comes back for one kind of work but not for another, or falls again later, is caught", t, func() {
 		history := func(kinds ...string) Evidence {
 			e := Evidence{ClosedFaults: []ClosedFault{{Name: "zone", BeforeFrom: nanos(0), BeforeUntil: nanos(3000), At: nanos(6000)}}}
@@ -115,7 +122,10 @@
 			So(FailedRecoveries(e), ShouldNotBeEmpty)
 		}
 	})
-	Convey("A commit that took effect and a door that was closed are told apart", t, func() {
+}
+
+func TestCutRequests(t *testing.T) {
+	Convey("A commit that took effect is told from a request to a process that was stopped", t, func() {
 		evidence := soundEvidence()
 		evidence.Restarts = []Restart{{Address: "x", From: nanos(0), Until: nanos(100)}}
 		evidence.Events = append(evidence.Events, standin.Event{Address: "x", Kind: "set", Outcome: "cut", SentAt: nanos(5), AnsweredAt: nanos(6)})
@@ -124,6 +134,9 @@
 		evidence.Executions = append(evidence.Executions, standin.Execution{Action: "commit", RequestID: "s.3", At: nanos(45)})
 		So(CutRequests(evidence), ShouldNotBeEmpty)
 	})
+}
+
+func TestInconsistentSets(t *testing.T) {
 	Convey("Sets: each way in which one may be lost, doubled, mixed up or put out of order is caught", t, func() {
 		booked := func(id, content string, due int64) SubmittedSet {
 			return SubmittedSet{ID: id, Content: content, Scheduled: true, EffectiveAt: nanos(due)}
@@ -156,6 +169,9 @@
 			So(InconsistentSets(spoiled), ShouldNotBeEmpty)
 		}
 	})
+}
+
+func TestIgnoredChanges(t *testing.T) {
 	Convey("A set that is taken and then ignored for 3 s is caught, and one that comes early", t, func() {
 		evidence := soundEvidence()
 		evidence.AcceptedSets = []AcceptedSet{{Sequence: 2, AcknowledgedAt: nanos(0)}}
