--- a/test/cmd/measure/main.go
+++ b/test/cmd/measure/main.go
@@ -34,7 +34,7 @@
 	{"worst second, part of the median second", func(r e2e.Result) float64 { return r.WorstSecond }},
 	{"single write p50, ms", func(r e2e.Result) float64 { return r.P50 }},
 	{"single write p99, ms", func(r e2e.Result) float64 { return r.P99 }},
-	{"spread of a change over fronts, ms", func(r e2e.Result) float64 { return r.SpreadMS }},
+	{"spread of a change over proxies, ms", func(r e2e.Result) float64 { return r.SpreadMS }},
 	{"broken rules", func(r e2e.Result) float64 { return float64(len(r.Violations)) }},
 }
 
