--- a/test/e2e/result.go
+++ b/test/e2e/result.go
@@ -59,10 +59,15 @@
 	r.WorstSecond = float64(full[0]) / float64(max(full[len(full)/2], 1))
 }
 
+// isKeptWrite reports whether a single write was acknowledged as committed.
+func isKeptWrite(event standin.Event) bool {
+	return event.Kind == history.KindWrite && event.Outcome == history.OutcomeKept
+}
+
 func (r *Result) measureLatencies(events []standin.Event) {
 	var latencies []float64
 	for _, event := range events {
-		if event.Kind == "write" && event.Outcome == "kept" && !event.Retry {
+		if isKeptWrite(event) && !event.Retry {
 			latencies = append(latencies, milliseconds(event.AnsweredAt-event.SentAt))
 		}
 	}
@@ -82,7 +87,7 @@
 func (r *Result) measureGaps(events []standin.Event) {
 	kept := map[string][]int64{}
 	for _, event := range events {
-		if event.Kind == "write" && event.Outcome == "kept" {
+		if isKeptWrite(event) {
 			kept[event.Database] = append(kept[event.Database], event.AnsweredAt)
 		}
 	}
@@ -98,7 +103,7 @@
 	// firstSeen is by sequence and address of a proxy.
 	firstSeen := map[uint64]map[string]int64{}
 	for _, event := range events {
-		if event.Sequence < 2 || event.Outcome == "cut" {
+		if event.Sequence < 2 || event.Outcome == history.OutcomeCut {
 			continue
 		}
 		if firstSeen[event.Sequence] == nil {
--- a/test/e2e/scenario_calls.go
+++ b/test/e2e/scenario_calls.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"tansyseam/internal/protocol/schema"
+	"tansyseam/test/history"
 	"tansyseam/test/standin"
 )
 
@@ -111,12 +112,12 @@
 	read := sessionCall{Session: session, Kind: "read", Text: "look " + author}
 	write := sessionCall{Session: session, Kind: "write", Text: "book " + author, RequestID: session + ".1"}
 	inside := sessionCall{Session: session, Kind: "write", Text: "hold " + author, RequestID: session + ".2"}
-	c.recordStatements(session, sessionCall{Kind: "set", Text: "set " + author}, read, read, write, inside)
+	c.recordStatements(session, sessionCall{Kind: history.KindSet, Text: "set " + author}, read, read, write, inside)
 	bare := sessionCall{Session: session}
 	c.check("/v1/statement", read, http.StatusOK)
 	first := c.check("/v1/statement", write, http.StatusOK)
 	repeated := c.check("/v1/statement", write, http.StatusOK)
-	if first.Position != repeated.Position || first.Outcome != "kept" {
+	if first.Position != repeated.Position || first.Outcome != history.OutcomeKept {
 		c.run.Errorf("a repeat must get the first outcome: %v, %v", first, repeated)
 	}
 	c.check("/v1/setting", sessionCall{Session: session, Name: "app", Value: session}, http.StatusOK)
@@ -139,8 +140,8 @@
 func (c *callChecker) recordStatements(session string, calls ...sessionCall) {
 	for _, call := range calls {
 		kind := "probe"
-		if call.Kind == "set" {
-			kind = "set"
+		if call.Kind == history.KindSet {
+			kind = history.KindSet
 		}
 		c.run.History.Add(standin.Event{Caller: "probe", Session: session, Kind: kind, Database: c.run.database(), Text: call.Text, RequestID: call.RequestID})
 	}
@@ -207,10 +208,10 @@
 	session := call("/v1/session/open", openCall{Binding: r.bindingName()}).Session
 	write := sessionCall{Session: session, Kind: "write", Text: "hold by dying x", RequestID: session + ".1"}
 	call("/v1/begin", sessionCall{Session: session})
-	if inside := call("/v1/statement", write); inside.Outcome != "done" {
+	if inside := call("/v1/statement", write); inside.Outcome != history.OutcomeDone {
 		r.Errorf("a statement in a transaction: %v", inside)
 	}
-	r.History.Add(standin.Event{Caller: "dying", Session: session, Kind: "rollback", Database: r.database(), Text: write.Text, RequestID: write.RequestID})
+	r.History.Add(standin.Event{Caller: "dying", Session: session, Kind: history.KindRollback, Database: r.database(), Text: write.Text, RequestID: write.RequestID})
 	client.CloseIdleConnections()
 	if !WaitUntil(5*time.Second, func() bool { return r.counter(proxy, "sessions_lost") > lostBefore }) {
 		r.Errorf("a client's death did not close its session")
