--- a/test/compatibility/messages_test.go
+++ b/test/compatibility/messages_test.go
@@ -17,9 +17,9 @@
 	"tansyseam/internal/transport/rpc"
 )
 
-// isWriting makes golden files anew. It is for new kinds of message or record
+// writeGolden makes golden files anew. It is for new kinds of message or record
 // only: the files of released ones never change.
-var isWriting = flag.Bool("write-golden", false, "write the golden files that are missing")
+var writeGolden = flag.Bool("write-golden", false, "write the golden files that are missing")
 
 const messageFolder = "testdata/messages"
 
@@ -38,7 +38,7 @@
 		names := message.Names()
 		for at, body := range message.All() {
 			path := fileOf(names[at])
-			if _, err := os.Stat(path); err != nil && *isWriting {
+			if _, err := os.Stat(path); err != nil && *writeGolden {
 				var buffer bytes.Buffer
 				frame := frameOf(message.Encode(filled(body)))
 				So(gob.NewEncoder(&buffer).Encode(&frame), ShouldBeNil)
--- a/test/compatibility/stored_test.go
+++ b/test/compatibility/stored_test.go
@@ -64,7 +64,7 @@
 	Convey("Each stored record, written by 6cad5d2 with no field zero, is read with every field", t, func() {
 		for _, record := range storedRecords() {
 			path := filepath.Join(storedFolder, record.name+".gob")
-			if _, err := os.Stat(path); err != nil && *isWriting {
+			if _, err := os.Stat(path); err != nil && *writeGolden {
 				So(os.MkdirAll(storedFolder, 0o755), ShouldBeNil)
 				So(os.WriteFile(path, record.encode(filled(record.sample)), 0o644), ShouldBeNil)
 			}
@@ -80,7 +80,7 @@
 	})
 	Convey("A data folder of 6cad5d2 is read whole", t, func() {
 		const folder = "testdata/folder"
-		if _, err := os.Stat(folder); err != nil && *isWriting {
+		if _, err := os.Stat(folder); err != nil && *writeGolden {
 			disk, err := versionfile.OpenDirectory(folder)
 			So(err, ShouldBeNil)
 			files := versionfile.NewStore(disk, 2)
@@ -89,7 +89,7 @@
 			So(files.Put(consensus.FileTable, 9, store.Encode(filled(store.Table{}).(store.Table))), ShouldBeNil)
 		}
 		disk := versionfile.Directory(folder)
-		saved, err := consensus.Load(versionfile.NewStore(disk, 2), func(kind string, passed int) { So(passed, ShouldEqual, 0) })
+		saved, err := consensus.Load(versionfile.NewStore(disk, 2), func(_ string, skipped int) { So(skipped, ShouldEqual, 0) })
 		So(err, ShouldBeNil)
 		So(*saved.Identity, ShouldResemble, filled(consensus.Identity{}))
 		So(*saved.VoterState, ShouldResemble, filled(consensus.VoterState{}))
