--- a/cmd/tansyseam-control/main.go
+++ b/cmd/tansyseam-control/main.go
@@ -21,11 +21,13 @@
 type outside struct {
 	// adapters are nil in the product's own mode, which needs none.
 	adapters *control.Adapters
-	start    func() error
+	// start is called once the node has started, before the server acts.
+	start func() error
 }
 
-var outsideByMode = map[string]func(*node.Node) outside{
-	"":                  func(*node.Node) outside { return outside{start: func() error { return nil }} },
+// outsideByMode makes what each mode needs.
+var outsideByMode = map[config.Mode]func(*node.Node) outside{
+	config.ModeNative:   func(*node.Node) outside { return outside{start: func() error { return nil }} },
 	config.ModePlatform: newPlatformOutside,
 }
 
--- a/cmd/tansyseam-proxy/main.go
+++ b/cmd/tansyseam-proxy/main.go
@@ -15,8 +15,8 @@
 )
 
 // openByMode opens the proxy that speaks the protocols of each mode.
-var openByMode = map[string]func(*node.Node) (bootstrap.Daemon, error){
-	"":                  openHTTPProxy,
+var openByMode = map[config.Mode]func(*node.Node) (bootstrap.Daemon, error){
+	config.ModeNative:   openHTTPProxy,
 	config.ModePlatform: openLineProxy,
 }
 
--- a/internal/app/config/settings.go
+++ b/internal/app/config/settings.go
@@ -16,27 +16,35 @@
 	errNotBoolean = errors.ConstError("not true or false")
 )
 
-// setting is one setting: its name in the file, and how its text is read into a
-// configuration and written from it.
+// setting is one setting. A new one is a row of the table settings, with a
+// constraint in validate.go if not every value will do, and a row in
+// docs/settings.md.
 type setting struct {
-	name     string
+	// name is its key in the file.
+	name string
+	// programs have the setting.
 	programs []Program
-	help     string
+	// help says in a line, with the unit, what the setting is.
+	help string
 	// reloadable says that a change is taken while the program runs.
 	reloadable bool
-	parse      func(c *Config, value string) error
-	format     func(Config) string
+	// parse reads a text into the field of a configuration.
+	parse func(c *Config, value string) error
+	// format writes the field as a text that parse reads.
+	format func(Config) string
 }
 
 // flag is the setting's name on the command line, without the dashes.
 func (s setting) flag() string { return strings.ReplaceAll(s.name, "_", "-") }
 
+// Which programs have a setting.
 var (
 	both        = []Program{Proxy, Control}
 	proxyOnly   = []Program{Proxy}
 	controlOnly = []Program{Control}
 )
 
+// settings holds every setting.
 var settings = []setting{
 	stringSetting(both, "name", "name of this node, unlike all others", func(c *Config) *string { return &c.Name }),
 	stringSetting(both, "zone", "failure domain of this machine", func(c *Config) *string { return &c.Zone }),
@@ -57,8 +65,8 @@
 		func(c *Config) *bool { return &c.Bootstrap }),
 	boolSetting(controlOnly, "fenced", "true where the platform checks the fencing tokens of promote calls",
 		func(c *Config) *bool { return &c.PlatformChecksFences }),
-	stringSetting(both, "manner", "protocols spoken with the outside: empty for the product's own, or platform",
-		func(c *Config) *string { return &c.Mode }),
+	modeSetting(both, "manner", "protocols spoken with the outside: empty for the product's own, or platform",
+		func(c *Config) *Mode { return &c.Mode }),
 	stringSetting(proxyOnly, "sessions", "IP:port on which clients' line sessions are taken",
 		func(c *Config) *string { return &c.LineAddress }),
 	intSetting(both, "seed_port", "port of the seeds' links, where seeds names other ports",
@@ -120,6 +128,11 @@
 	return newSetting(programs, name, help, field, func(text string) (string, error) { return text, nil }, same)
 }
 
+func modeSetting(programs []Program, name, help string, field func(*Config) *Mode) setting {
+	parse := func(text string) (Mode, error) { return Mode(text), nil }
+	return newSetting(programs, name, help, field, parse, func(mode Mode) string { return string(mode) })
+}
+
 // listSetting is a list of texts with commas between.
 func listSetting(programs []Program, name, help string, field func(*Config) *[]string) setting {
 	join := func(items []string) string { return strings.Join(items, ",") }
--- a/internal/app/config/validate.go
+++ b/internal/app/config/validate.go
@@ -55,9 +55,9 @@
 	{both, "seeds", "must be three addresses, each IP:port; one to three in another manner", func(c Config) bool {
 		return !allowsSeedCount(c) || slices.ContainsFunc(c.Seeds, func(seed string) bool { return !IsIPPort(seed) })
 	}},
-	{both, "manner", "must be empty or platform", func(c Config) bool { return c.Mode != "" && c.Mode != ModePlatform }},
+	{both, "manner", "must be empty or platform", func(c Config) bool { return c.Mode != ModeNative && c.Mode != ModePlatform }},
 	{proxyOnly, "sessions", "must be IP:port, and is given with a manner only", func(c Config) bool {
-		return (c.Mode != "" && !IsIPPort(c.LineAddress)) || (c.Mode == "" && c.LineAddress != "")
+		return (c.Mode != ModeNative && !IsIPPort(c.LineAddress)) || (c.Mode == ModeNative && c.LineAddress != "")
 	}},
 	{both, "seed_port", "must be from 1 to 65535", func(c Config) bool { return c.SeedRPCPort < 0 || c.SeedRPCPort > maxPort }},
 	{controlOnly, "data", "must name the data folder", func(c Config) bool { return c.DataDir == "" }},
@@ -93,10 +93,10 @@
 	return failures
 }
 
-// allowsSeedCount says whether there are enough seeds: three, or with a mode
-// one at least.
+// allowsSeedCount says whether there are enough seeds: three, or in another mode
+// than the product's own one at least.
 func allowsSeedCount(c Config) bool {
-	return len(c.Seeds) == seedCount || (c.Mode != "" && len(c.Seeds) > 0 && len(c.Seeds) < seedCount)
+	return len(c.Seeds) == seedCount || (c.Mode != ModeNative && len(c.Seeds) > 0 && len(c.Seeds) < seedCount)
 }
 
 // IsIPPort says whether a text is an IP address with a port.
