--- a/internal/app/config/config_test.go
+++ b/internal/app/config/config_test.go
@@ -84,3 +84,22 @@
 		So(strings.Join(Reasons(err), "\n"), ShouldContainSubstring, "/in_force_ms: must be")
 	})
 }
+
+func TestSettingsAreDocumented(t *testing.T) {
+	Convey("Every setting has a help text, and a row in docs/settings.md that names it first", t, func() {
+		page, err := os.ReadFile("../../../docs/settings.md")
+		So(err, ShouldBeNil)
+		documented := map[string]bool{}
+		for _, line := range strings.Split(string(page), "\n") {
+			if cells := strings.Split(line, "|"); len(cells) > 1 {
+				for _, name := range strings.Split(cells[1], ",") {
+					documented[strings.TrimSpace(name)] = true
+				}
+			}
+		}
+		for _, s := range settings {
+			So(s.help, ShouldNotBeBlank)
+			SoMsg(s.name, documented[s.name], ShouldBeTrue)
+		}
+	})
+}
