--- a/internal/app/bootstrap/bootstrap.go
+++ b/internal/app/bootstrap/bootstrap.go
@@ -18,9 +18,17 @@
 
 // Exit codes of the programs.
 const (
-	ExitOK         = 0
-	ExitFailure    = 1
-	ExitBadConfig  = 2
+	// ExitOK is given after a shutdown on a signal, or a check of settings that
+	// are good.
+	ExitOK = 0
+	// ExitFailure is given where a program cannot start, or a query is not
+	// answered in full.
+	ExitFailure = 1
+	// ExitBadConfig is given where arguments, settings or a query cannot be
+	// used.
+	ExitBadConfig = 2
+	// ExitBadDataDir is given where the program cannot be opened on its node: for
+	// the control plane, where its data directory cannot be used.
 	ExitBadDataDir = 3
 )
 
