--- a/test/simulation/lines_node.go
+++ b/test/simulation/lines_node.go
@@ -14,8 +14,10 @@
 	lineHeartbeatInterval = 25 * time.Millisecond
 	lineUpdateTimeout     = 900 * time.Millisecond
 	lineReportDelay       = 5 * time.Millisecond
-	// strandedRetryDelay is how long a node with commits in doubt waits
-	// before it asks for updates.
+	// lineTriesPerRelay has each third try go through another node.
+	lineTriesPerRelay = 3
+	// strandedRetryDelay is how long a node waits whose commits at a closing
+	// primary may still be answered, before it looks again.
 	strandedRetryDelay = 10 * time.Millisecond
 
 	lineStopCheckInterval = 20 * time.Millisecond
@@ -126,17 +128,14 @@
 	})
 }
 
-// requestUpdate asks a control server for the next update; each third try goes
-// through another node.
+// requestUpdate asks a control server for the next update, once no commits at a
+// closing primary may still be answered.
 func (n *lineNode) requestUpdate() {
 	if n.pool.HasStrandedCommits(n.clock()) {
 		n.after(strandedRetryDelay, n.requestUpdate)
 		return
 	}
-	n.control.exchange(updateExchange{
-		node: &n.machine, controls: n.fleet.controls, timeout: lineUpdateTimeout,
-		build: n.buildUpdateRequest, relay: n.chooseRelay, onTimeout: n.onUpdateTimeout, onUpdate: n.onUpdate,
-	})
+	n.control.requestUpdate(n, n.fleet.controls, lineUpdateTimeout)
 }
 
 func (n *lineNode) buildUpdateRequest() (request distribution.UpdateRequest) {
@@ -145,7 +144,7 @@
 }
 
 func (n *lineNode) chooseRelay() *machine {
-	if n.control.missedAnswers%3 != 2 {
+	if !n.control.usesRelay(lineTriesPerRelay) {
 		return nil
 	}
 	return &n.fleet.randomNode().machine
--- a/test/simulation/machine.go
+++ b/test/simulation/machine.go
@@ -47,6 +47,9 @@
 	return &machine{simulator: s, name: "operator", running: true}
 }
 
+// asMachine gives the machine of a process that is one.
+func (m *machine) asMachine() *machine { return m }
+
 // clock gives the machine's monotonic time.
 func (m *machine) clock() time.Duration {
 	return startTime + time.Duration(float64(m.simulator.now-startTime)*(1+m.clockDrift))
--- a/test/simulation/node.go
+++ b/test/simulation/node.go
@@ -14,6 +14,8 @@
 	nodeHeartbeatInterval = 20 * time.Millisecond
 	nodeUpdateTimeout     = 600 * time.Millisecond
 	nodeReportDelay       = 20 * time.Millisecond
+	// nodeTriesPerRelay has each second try go through another node.
+	nodeTriesPerRelay = 2
 )
 
 // node is a data-plane node: the product's pool for its own protocol, on
@@ -84,13 +86,9 @@
 	})
 }
 
-// requestUpdate asks a control server for the next update; each second try
-// goes through another node.
+// requestUpdate asks a control server for the next update.
 func (n *node) requestUpdate() {
-	n.control.exchange(updateExchange{
-		node: &n.machine, controls: n.fleet.controls, timeout: nodeUpdateTimeout,
-		build: n.buildUpdateRequest, relay: n.chooseRelay, onTimeout: n.onUpdateTimeout, onUpdate: n.onUpdate,
-	})
+	n.control.requestUpdate(n, n.fleet.controls, nodeUpdateTimeout)
 }
 
 func (n *node) buildUpdateRequest() (request distribution.UpdateRequest) {
@@ -99,14 +97,16 @@
 }
 
 func (n *node) chooseRelay() *machine {
-	if n.control.missedAnswers%2 == 0 {
+	if !n.control.usesRelay(nodeTriesPerRelay) {
 		return nil
 	}
 	return &n.fleet.randomNode().machine
 }
 
+// onUpdateTimeout turns to the next control server once both ways to this one,
+// direct and through another node, were tried.
 func (n *node) onUpdateTimeout() {
-	if n.control.missedAnswers%2 == 0 {
+	if n.control.missedAnswers%nodeTriesPerRelay == 0 {
 		n.control.index++
 	}
 	n.requestUpdate()
--- a/test/simulation/update_request.go
+++ b/test/simulation/update_request.go
@@ -33,44 +33,48 @@
 // one that an answer names: the named one may be out of reach.
 func (c *controlChoice) skipsRedirect() bool { return c.missedAnswers%4 == 3 }
 
-// updateExchange is a node's request for an update, and what follows on it.
-type updateExchange struct {
-	node     *machine
-	controls []*controlServer
-	timeout  time.Duration
-	// build gives the request.
-	build func() distribution.UpdateRequest
-	// relay gives the node that the request goes through; nil for none.
-	relay func() *machine
-	// onTimeout and onUpdate end the exchange; sent is the node's time when
-	// the request was sent.
-	onTimeout func()
-	onUpdate  func(update distribution.Update, sent time.Duration)
+// usesRelay reports whether the next request goes through another node, as one
+// of each so many tries does.
+func (c *controlChoice) usesRelay(tries int) bool { return c.missedAnswers%tries == tries-1 }
+
+// updateRequester is a node that asks control for updates, one request after
+// another.
+type updateRequester interface {
+	asMachine() *machine
+	buildUpdateRequest() distribution.UpdateRequest
+	// chooseRelay gives the node that the request goes through; nil for none.
+	chooseRelay() *machine
+	// onUpdateTimeout and onUpdate end a request; sent is the node's time when
+	// it was sent.
+	onUpdateTimeout()
+	onUpdate(update distribution.Update, sent time.Duration)
 }
 
-// exchange sends a request to the chosen control server.
-func (c *controlChoice) exchange(e updateExchange) {
+// requestUpdate sends a node's request to the chosen control server, and hands
+// the node the answer to it, or that none came in time.
+func (c *controlChoice) requestUpdate(requester updateRequester, controls []*controlServer, timeout time.Duration) {
+	node := requester.asMachine()
 	c.lastRequest++
-	number, sent := c.lastRequest, e.node.clock()
-	request, target := e.build(), c.server(e.controls)
-	e.node.after(e.timeout, func() {
+	number, sent := c.lastRequest, node.clock()
+	request, target := requester.buildUpdateRequest(), c.server(controls)
+	node.after(timeout, func() {
 		if c.lastRequest == number {
 			c.missedAnswers++
-			e.onTimeout()
+			requester.onUpdateTimeout()
 		}
 	})
-	path := []*machine{e.node, &target.machine}
-	if relay := e.relay(); relay != nil {
-		path = []*machine{e.node, relay, &target.machine}
+	path := []*machine{node, &target.machine}
+	if relay := requester.chooseRelay(); relay != nil {
+		path = []*machine{node, relay, &target.machine}
 	}
-	s := e.node.simulator
+	s := node.simulator
 	s.sendAlong(path, func() {
 		target.onUpdateRequest(request, func(update distribution.Update) {
 			back := slices.Clone(path)
 			slices.Reverse(back)
 			s.sendAlong(back, func() {
 				if c.lastRequest == number {
-					e.onUpdate(update, sent)
+					requester.onUpdate(update, sent)
 				}
 			})
 		})
