--- a/test/simulation/admission.go
+++ b/test/simulation/admission.go
@@ -62,8 +62,7 @@
 	simulator *simulator
 	load      Load
 	start     time.Duration
-	busySlots int
-	queue     []func()
+	slots     serviceSlots
 }
 
 // admissionRun is one run of an experiment.
@@ -81,7 +80,7 @@
 // RunAdmission runs an experiment in virtual time.
 func RunAdmission(seed uint64, load Load) AdmissionResult {
 	s := newSimulator(seed)
-	run := &admissionRun{simulator: s, load: load, start: s.now, server: &sharedServer{simulator: s, load: load, start: s.now}}
+	run := &admissionRun{simulator: s, load: load, start: s.now, server: newSharedServer(s, load)}
 	run.createNodes()
 	for _, node := range run.nodes {
 		s.after(time.Duration(s.random.Float64()*float64(run.arrivalInterval())), func() { run.arrive(node) })
@@ -175,25 +174,18 @@
 	return result
 }
 
+func newSharedServer(s *simulator, load Load) *sharedServer {
+	return &sharedServer{simulator: s, load: load, start: s.now, slots: serviceSlots{limit: load.Slots}}
+}
+
 // run runs a statement once a slot is free.
 func (s *sharedServer) run(long bool, done func()) {
-	begin := func() {
-		s.busySlots++
+	s.slots.run(func() {
 		s.simulator.after(s.serviceTime(long), func() {
-			s.busySlots--
-			if len(s.queue) > 0 {
-				next := s.queue[0]
-				s.queue = s.queue[1:]
-				next()
-			}
+			s.slots.release()
 			done()
 		})
-	}
-	if s.busySlots < s.load.Slots {
-		begin()
-		return
-	}
-	s.queue = append(s.queue, begin)
+	})
 }
 
 func (s *sharedServer) serviceTime(long bool) time.Duration {
--- a/test/simulation/fleet.go
+++ b/test/simulation/fleet.go
@@ -84,7 +84,8 @@
 		name := instanceName(database, rank)
 		created := &instance{
 			machine: newMachine(f.simulator, name), fleet: f, database: database, role: model.RoleReplica, term: 1, incarnationName: name + ".0",
-			upstream: primary, replicationDelay: defaultReplicationDelay, serviceTime: defaultServiceTime, claimsClean: f.defects.DirtyConnections,
+			upstream: primary, replicationDelay: defaultReplicationDelay, serviceTime: defaultServiceTime,
+			slots: serviceSlots{limit: f.config.Slots}, claimsClean: f.defects.DirtyConnections,
 		}
 		created.zone, created.crashHandler = zones[rank], created.onCrash
 		if rank == 0 {
--- a/test/simulation/instance.go
+++ b/test/simulation/instance.go
@@ -56,8 +56,7 @@
 	connections      []*connection
 	connectionsMade  int
 	openConnections  int
-	busySlots        int
-	queue            []func()
+	slots            serviceSlots
 	transactionsMade int
 }
 
--- a/test/simulation/instance_session.go
+++ b/test/simulation/instance_session.go
@@ -56,7 +56,8 @@
 // instance vanished, after a while.
 func (i *instance) onCrash(vanished bool) {
 	connections := i.connections
-	i.connections, i.openConnections, i.busySlots, i.queue = nil, 0, 0, nil
+	i.connections, i.openConnections = nil, 0
+	i.slots.reset()
 	for _, connection := range connections {
 		connection.session.open, connection.session.transaction = false, nil
 		if !vanished {
@@ -132,27 +133,16 @@
 // runInSlot runs work once a slot is free, after its service time. Reads take
 // half as long.
 func (i *instance) runInSlot(write bool, work func()) {
-	begin := func() {
-		i.busySlots++
+	i.slots.run(func() {
 		service := i.simulator.randomDuration(i.serviceTime/2, i.serviceTime)
 		if !write {
 			service /= 2
 		}
 		i.after(service, func() {
-			i.busySlots--
-			if len(i.queue) > 0 {
-				next := i.queue[0]
-				i.queue = i.queue[1:]
-				next()
-			}
+			i.slots.release()
 			work()
 		})
-	}
-	if i.busySlots < i.fleet.config.Slots {
-		begin()
-		return
-	}
-	i.queue = append(i.queue, begin)
+	})
 }
 
 func (i *instance) recordExecution(c *connection, op httppool.Op, text string) {
--- a/test/simulation/lines_fleet.go
+++ b/test/simulation/lines_fleet.go
@@ -89,7 +89,7 @@
 func (l *lineFleet) addInstance(database, name, address, zone string) *lineInstance {
 	added := &lineInstance{
 		machine: newMachine(l.simulator, name), fleet: l, database: database, address: address,
-		replicationDelay: defaultLineReplicationDelay, serviceTime: defaultLineServiceTime,
+		replicationDelay: defaultLineReplicationDelay, serviceTime: defaultLineServiceTime, slots: serviceSlots{limit: l.config.Slots},
 	}
 	added.zone, added.crashHandler = zone, added.onCrash
 	l.instances = append(l.instances, added)
--- a/test/simulation/lines_instance.go
+++ b/test/simulation/lines_instance.go
@@ -42,8 +42,7 @@
 	replicationDelay time.Duration
 	serviceTime      time.Duration
 	sessions         []*serverSession
-	busySlots        int
-	queue            []func()
+	slots            serviceSlots
 	pendingCommits   []pendingCommit
 	logWaiters       logWaiters
 	// announcementsMade numbers the announcements.
@@ -75,7 +74,8 @@
 func (i *lineInstance) start() {
 	i.markStarted()
 	i.logWaiters = logWaiters{}
-	i.sessions, i.busySlots, i.queue, i.pendingCommits = nil, 0, nil, nil
+	i.sessions, i.pendingCommits = nil, nil
+	i.slots.reset()
 	if i.fleet.newestTerms[i.database] > i.term {
 		i.role = model.RoleReplica
 	}
@@ -187,7 +187,7 @@
 }
 
 // isOverloaded reports whether the instance takes no more work.
-func (i *lineInstance) isOverloaded() bool { return len(i.queue) > maxQueueLength }
+func (i *lineInstance) isOverloaded() bool { return i.slots.waiting() > maxQueueLength }
 
 // runInSlot runs work once a slot is free; it gives false where too much work
 // waits. The slot is free again when the work calls release.
@@ -195,23 +195,6 @@
 	if i.isOverloaded() {
 		return false
 	}
-	run := func() {
-		i.busySlots++
-		work(once(i.releaseSlot))
-	}
-	if i.busySlots >= i.fleet.config.Slots {
-		i.queue = append(i.queue, run)
-		return true
-	}
-	run()
+	i.slots.run(func() { work(once(i.slots.release)) })
 	return true
 }
-
-func (i *lineInstance) releaseSlot() {
-	i.busySlots--
-	if len(i.queue) > 0 {
-		next := i.queue[0]
-		i.queue = i.queue[1:]
-		next()
-	}
-}
