--- a/test/simulation/control.go
+++ b/test/simulation/control.go
@@ -93,10 +93,7 @@
 func (c *controlServer) wallNow() int64 { return c.consensus.WallNanos(c.clock()) }
 
 func (c *controlServer) tick() {
-	var names []string
-	for _, control := range c.plane.controls {
-		names = append(names, control.name)
-	}
+	names := controlNames(c.plane.controls)
 	slices.Sort(names)
 	c.step(consensus.Peers{Names: names})
 	c.step(consensus.Tick{WallNanos: c.wallClock(), SyncPending: c.gate.SyncPending(c.clock())})
--- a/test/simulation/control_failover.go
+++ b/test/simulation/control_failover.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"fmt"
 	"slices"
 	"time"
 
@@ -78,11 +79,11 @@
 }
 
 func probeFailover(f *fleet, loss PrimaryLoss, found *ControlFailover) {
-	index := slices.IndexFunc(f.controls, func(control *controlServer) bool { return control.running && control.isPrimary() })
-	if index < 0 {
+	primaries := f.primaries()
+	if len(primaries) == 0 {
 		return
 	}
-	probe := &failoverProbe{fleet: f, lost: f.controls[index], lostAt: f.simulator.now, found: found}
+	probe := &failoverProbe{fleet: f, lost: primaries[0], lostAt: f.simulator.now, found: found}
 	loss.inject(f, probe.lost)
 	probe.check()
 }
@@ -91,15 +92,15 @@
 
 // check looks for another primary, and submits writes to each that is one.
 func (p *failoverProbe) check() {
-	for _, control := range p.fleet.controls {
-		if !control.running || control.frozen || !control.isPrimary() {
+	for _, primary := range p.fleet.primaries() {
+		if primary.frozen {
 			continue
 		}
-		if control != p.lost && p.found.Primacy < 0 {
+		if primary != p.lost && p.found.Primacy < 0 {
 			p.found.Primacy = p.elapsed()
 		}
 		if p.elapsed()%probeWriteInterval == 0 {
-			p.submitWrite(control)
+			p.submitWrite(primary)
 		}
 	}
 	if p.elapsed() < primaryLossDuration && p.found.FirstWrite < 0 {
@@ -110,7 +111,7 @@
 func (p *failoverProbe) submitWrite(control *controlServer) {
 	p.writes++
 	control.submit(func(*store.Table) []store.Put {
-		return []store.Put{{Key: "measured/" + time.Duration(p.writes).String(), Data: []byte("x")}}
+		return []store.Put{{Key: fmt.Sprintf("measured/%d", p.writes), Data: []byte("x")}}
 	}, func(result consensus.SubmitResult) {
 		if result.Committed && control != p.lost && p.found.FirstWrite < 0 {
 			p.found.FirstWrite = p.elapsed()
--- a/test/simulation/control_plane.go
+++ b/test/simulation/control_plane.go
@@ -51,6 +51,14 @@
 	return &controlServer{machine: newMachine(p.simulator, fmt.Sprintf("c%d", number)), plane: p, disk: newDisk()}
 }
 
+func controlNames(controls []*controlServer) []string {
+	var names []string
+	for _, control := range controls {
+		names = append(names, control.name)
+	}
+	return names
+}
+
 // findControl gives a control server by its name, also one that was removed;
 // nil for none.
 func (p *controlPlane) findControl(name string) *controlServer {
@@ -62,12 +70,23 @@
 	return nil
 }
 
-// activePrimary gives the first control server that runs as primary; nil for
-// none.
-func (p *controlPlane) activePrimary() *controlServer {
+// primaries gives the control servers that are primary by their own clocks,
+// also frozen ones. More than one is a violation.
+func (p *controlPlane) primaries() []*controlServer {
+	var found []*controlServer
 	for _, control := range p.controls {
-		if control.running && !control.frozen && control.isPrimary() {
-			return control
+		if control.running && control.isPrimary() {
+			found = append(found, control)
+		}
+	}
+	return found
+}
+
+// activePrimary gives the first primary that is not frozen; nil for none.
+func (p *controlPlane) activePrimary() *controlServer {
+	for _, primary := range p.primaries() {
+		if !primary.frozen {
+			return primary
 		}
 	}
 	return nil
@@ -75,14 +94,8 @@
 
 // checkSinglePrimaryUntil checks that at most one control server is primary.
 func (p *controlPlane) checkSinglePrimaryUntil(until time.Duration) {
-	var primaries []string
-	for _, control := range p.controls {
-		if control.running && control.isPrimary() {
-			primaries = append(primaries, control.name)
-		}
-	}
-	if len(primaries) > 1 {
-		p.recorder.addViolation("%v hold primacy at once at %v", primaries, p.simulator.now)
+	if primaries := p.primaries(); len(primaries) > 1 {
+		p.recorder.addViolation("%v hold primacy at once at %v", controlNames(primaries), p.simulator.now)
 	}
 	if p.simulator.now < until {
 		p.simulator.after(primaryCheckInterval, func() { p.checkSinglePrimaryUntil(until) })
@@ -93,10 +106,8 @@
 // that knows of a backup, so that the fleet survives the loss of one.
 func (p *controlPlane) isControlHealthy() bool {
 	var voters []string
-	for _, control := range p.controls {
-		if control.running && control.isPrimary() {
-			voters = control.consensus.Voters()
-		}
+	for _, primary := range p.primaries() {
+		voters = primary.consensus.Voters()
 	}
 	return len(voters) > 0 && !slices.ContainsFunc(voters, func(name string) bool { return !p.isHealthyVoter(p.findControl(name)) })
 }
--- a/test/simulation/faults.go
+++ b/test/simulation/faults.go
@@ -134,13 +134,9 @@
 // knows them, and those of control.
 func (p *controlPlane) writerPhases() []string {
 	var phases []string
-	hasPrimary := false
-	for _, control := range p.controls {
-		if !control.running || !control.isPrimary() {
-			continue
-		}
-		hasPrimary = true
-		snapshot := control.distributor.Snapshot()
+	primaries := p.primaries()
+	for _, primary := range primaries {
+		snapshot := primary.distributor.Snapshot()
 		for _, database := range p.databases {
 			if phase := snapshot.Writers[database].Phase; phase != "" && !slices.Contains(phases, phase) {
 				phases = append(phases, phase)
@@ -150,7 +146,7 @@
 			phases = append(phases, phaseSetPending)
 		}
 	}
-	if !hasPrimary {
+	if len(primaries) == 0 {
 		phases = append(phases, phaseEpochChange)
 	}
 	return phases
--- a/test/simulation/faults_control.go
+++ b/test/simulation/faults_control.go
@@ -19,11 +19,8 @@
 }
 
 func (p *controlPlane) crashControlPrimary(span time.Duration) {
-	for _, control := range p.controls {
-		if control.running && control.isPrimary() {
-			control.crashAndRestart(control.start, span)
-			return
-		}
+	if primaries := p.primaries(); len(primaries) > 0 {
+		primaries[0].crashAndRestart(primaries[0].start, span)
 	}
 }
 
@@ -63,10 +60,8 @@
 func (c *controlServer) hangDisk(span time.Duration) { c.disk.hangsUntil = c.simulator.now + span }
 
 func (p *controlPlane) hangControlPrimaryDisk(span time.Duration) {
-	for _, control := range p.controls {
-		if control.running && control.isPrimary() {
-			control.hangDisk(span)
-		}
+	for _, primary := range p.primaries() {
+		primary.hangDisk(span)
 	}
 }
 
--- a/test/simulation/lines_run.go
+++ b/test/simulation/lines_run.go
@@ -122,11 +122,9 @@
 // acknowledged configuration.
 func (l *lineFleet) checkNewestVersion() {
 	newest, held := l.checker.versions.newestAcknowledged(), uint64(0)
-	for _, control := range l.controls {
-		if control.running && control.isPrimary() {
-			held = control.distributor.Snapshot().NewestSet().Version
-			l.checkWritersOpen(control)
-		}
+	for _, primary := range l.primaries() {
+		held = primary.distributor.Snapshot().NewestSet().Version
+		l.checkWritersOpen(primary)
 	}
 	if held < newest {
 		l.checker.addViolation(linehistory.RuleLostCommits, "version %d was acknowledged, %d is held", newest, held)
