--- a/internal/coordination/failover/syncrepl/candidate.go
+++ b/internal/coordination/failover/syncrepl/candidate.go
@@ -9,22 +9,13 @@
 
 // chooseCandidate gives the replica to promote with the reason for the audit
 // log, or the reason why none is proven to hold all acknowledged commits.
-// Replicas that stay are preferred to those that are leaving.
 func chooseCandidate(evidence Evidence, poll poll, timing Timing) (candidate, reason string, proven bool) {
 	if len(poll.answered) == 0 {
 		return "", "term is closed, and no replica answers: nothing is promoted", false
 	}
-	best := poll.mostAdvanced(poll.answered)
-	staying := slices.DeleteFunc(slices.Clone(poll.answered), func(instance model.Instance) bool { return instance.Leaving })
-	if len(staying) > 0 {
-		preferred := poll.mostAdvanced(staying)
-		preferredProven := holdsAllCommits(evidence, poll, preferred)
-		if preferredProven {
-			best = preferred
-		}
-		if !preferredProven && evidence.SettledFor < timing.ReplicaWait {
-			return "", "a replica that stays is behind one that leaves", false
-		}
+	best, decided := preferredReplica(evidence, poll, timing)
+	if !decided {
+		return "", "a replica that stays is behind one that leaves", false
 	}
 	if !holdsAllCommits(evidence, poll, best) {
 		return "", fmt.Sprintf("term is closed, and no replica is shown to hold all that was acknowledged (silent %v, gone %v): nothing is promoted", poll.silent, poll.gone), false
@@ -35,6 +26,23 @@
 	return best, reason, true
 }
 
+// preferredReplica gives the most advanced of the replicas that stay, if it is proven to
+// hold all acknowledged commits, and else the most advanced of all: one that leaves
+// would soon have to be replaced. It is not decided while a replica that stays may
+// still catch up.
+func preferredReplica(evidence Evidence, poll poll, timing Timing) (name string, decided bool) {
+	mostAdvanced := poll.mostAdvanced(poll.answered)
+	staying := slices.DeleteFunc(slices.Clone(poll.answered), func(instance model.Instance) bool { return instance.Leaving })
+	if len(staying) == 0 {
+		return mostAdvanced, true
+	}
+	preferred := poll.mostAdvanced(staying)
+	if holdsAllCommits(evidence, poll, preferred) {
+		return preferred, true
+	}
+	return mostAdvanced, evidence.SettledFor >= timing.ReplicaWait
+}
+
 // holdsAllCommits says whether a replica that answered is proven to hold every
 // acknowledged commit. Any of three proofs is enough: it is the most advanced
 // of all replicas there are, or it has reached the complete commit bound of the
