--- a/internal/coordination/failover/asyncrepl/doc.go
+++ b/internal/coordination/failover/asyncrepl/doc.go
@@ -12,5 +12,13 @@
 //   - promoting: the choice is recorded and the promote call is made. Its
 //     outcome is learned from what the instance announces, not from the answer.
 //
-// The machine is pure: Step depends on its arguments only.
+// It keeps these invariants. A replica is called only if it holds all confirmed commits:
+// commits wait for it before it becomes a candidate, and until it is none any more, and
+// its position has reached the high watermark. No second instance is called while the
+// outcome of a call is unknown. No term is opened by two instances: the term of a call
+// that was given up is passed over.
+//
+// The machine is pure: Step depends on its arguments only. Positions and lags count log
+// entries, ages count back from the moment of the evidence, and wall times are Unix
+// times in nanoseconds.
 package asyncrepl
--- a/internal/coordination/failover/syncrepl/doc.go
+++ b/internal/coordination/failover/syncrepl/doc.go
@@ -13,7 +13,12 @@
 //   - promoting: the choice is recorded and the promote call is made, with a
 //     fencing token. Its outcome is learned by probing the instances.
 //
-// Step is a pure function of the evidence. An Observer keeps what one control
-// server itself learned from probes and calls, and adds it to the evidence that
-// the control primary provides.
+// It keeps these invariants. An instance is called only if it is proven to hold every
+// acknowledged commit. No second instance is called while a call for the first may
+// still take effect. The fencing token rises with each choice of a replica and each
+// change of the control server that makes the call.
+//
+// Step is a pure function of the evidence, with the same units as in asyncrepl. An
+// Observer keeps what one control server itself learned from probes and calls, and adds
+// it to the evidence that the control primary provides.
 package syncrepl
