--- a/internal/coordination/callresult/callresult_test.go
+++ b/internal/coordination/callresult/callresult_test.go
@@ -1,8 +1,8 @@
 package callresult
 
 import (
+	"fmt"
 	"testing"
-	"time"
 
 	. "github.com/smartystreets/goconvey/convey"
 
@@ -25,11 +25,11 @@
 	Convey("Results beyond their number are deleted, the oldest first", t, func() {
 		state := store.New()
 		for at := range MaxResults + 3 {
-			puts := Record(state, time.Duration(at).String(), Result{}, []store.Put{{Key: "x"}})
+			puts := Record(state, fmt.Sprint("call-", at), Result{}, []store.Put{{Key: "x"}})
 			state.Apply(store.Version{Epoch: 1, Sequence: uint64(at + 1)}, puts)
 		}
 		So(len(state.Keys(model.PrefixCallResult)), ShouldBeLessThanOrEqualTo, MaxResults+1)
-		_, found := Find(state, "0s")
+		_, found := Find(state, "call-0")
 		So(found, ShouldBeFalse)
 	})
 }
--- a/internal/coordination/connquota/quota_test.go
+++ b/internal/coordination/connquota/quota_test.go
@@ -36,18 +36,24 @@
 
 func TestQuotas(t *testing.T) {
 	Convey("Where each node's share is two or more, all have it exclusively", t, func() {
-		for _, limits := range [][3]int{{1, 20, 10}, {4, 20, 4}, {9, 20, 2}, {90, 420, 4}} {
-			m := newMembers(nodeNames(limits[0]))
-			quota := m.Quota("n0", "a", limits[1])
-			So(quota, ShouldResemble, Quota{MaxIdle: limits[2], MaxOpen: limits[2]})
-			So(quota.IsScarce(), ShouldBeFalse)
+		for _, test := range []struct{ nodes, limit, share int }{
+			{1, 20, 10},
+			{4, 20, 4},
+			{9, 20, 2},
+			{90, 420, 4},
+		} {
+			quota := newMembers(nodeNames(test.nodes)).Quota("n0", "a", test.limit)
+			SoMsg(fmt.Sprintf("%+v", test), quota, ShouldResemble, Quota{MaxIdle: test.share, MaxOpen: test.share})
+			SoMsg(fmt.Sprintf("%+v", test), quota.IsScarce(), ShouldBeFalse)
 		}
 	})
 	Convey("Where it is less, half of the limit is assigned as idle connections", t, func() {
-		for _, limits := range [][2]int{{60, 51}, {60, 110}, {30, 20}, {200, 51}, {930, 110}, {10, 2}, {60, 60}} {
+		for _, test := range []struct{ nodes, limit int }{
+			{60, 51}, {60, 110}, {30, 20}, {200, 51}, {930, 110}, {10, 2}, {60, 60},
+		} {
 			for instance := range 20 {
-				sum, _ := idleQuotas(nodeNames(limits[0]), fmt.Sprint("i", instance), limits[1])
-				So(sum, ShouldEqual, min(limits[1]/2, limits[0]))
+				sum, _ := idleQuotas(nodeNames(test.nodes), fmt.Sprint("i", instance), test.limit)
+				SoMsg(fmt.Sprintf("%+v", test), sum, ShouldEqual, min(test.limit/2, test.nodes))
 			}
 		}
 	})
--- a/internal/coordination/idempotency/machine_test.go
+++ b/internal/coordination/idempotency/machine_test.go
@@ -17,6 +17,12 @@
 		m.OpenSession(sessionID)
 		return m, sessionID
 	}
+	// lookUp has an asking node receive a request, and ask the owner for its status.
+	lookUp := func(asking *Machine, name string, owner *Machine, requestID string) Decision {
+		So(asking.Decide(requestID, name, now), ShouldResemble, Decision{Kind: Lookup, Node: "a"})
+		status := owner.HandleStatusRequest(StatusRequest{RequestID: requestID, Requester: name}, now)
+		return asking.DecideFromPeer(requestID, name, status, now)
+	}
 	Convey("A first attempt is executed; a retry here waits and is answered by the same outcome", t, func() {
 		a, sessionID := newNode("a", "1")
 		So(a.Decide(sessionID+".1", "first", now).Kind, ShouldEqual, Execute)
@@ -33,9 +39,8 @@
 		b, _ := newNode("b", "2")
 		c, _ := newNode("c", "3")
 		id := sessionID + ".7"
-		So(b.Decide(id, "b", now), ShouldResemble, Decision{Kind: Lookup, Node: "a"})
-		So(b.DecideFromPeer(id, "b", a.HandleStatusRequest(StatusRequest{RequestID: id, Requester: "b"}, now), now).Kind, ShouldEqual, Execute)
-		So(c.DecideFromPeer(id, "c", a.HandleStatusRequest(StatusRequest{RequestID: id, Requester: "c"}, now), now), ShouldResemble, Decision{Kind: Lookup, Node: "b"})
+		So(lookUp(b, "b", a, id).Kind, ShouldEqual, Execute)
+		So(lookUp(c, "c", a, id), ShouldResemble, Decision{Kind: Lookup, Node: "b"})
 		So(a.Decide(id, "the first arrives late", now), ShouldResemble, Decision{Kind: Lookup, Node: "b"})
 	})
 	Convey("What was pruned is unknown, and never executed again", t, func() {
@@ -69,10 +74,13 @@
 		b.Import(handover, now)
 		c.Import(Handover{Node: handover.Node, Incarnation: handover.Incarnation, Successor: handover.Successor}, now)
 		So(c.Decide(sessionID+".1", nil, now), ShouldResemble, Decision{Kind: Lookup, Node: "b"})
-		So(b.HandleStatusRequest(StatusRequest{RequestID: sessionID + ".1", Requester: "c"}, now).Position.Index, ShouldEqual, 9)
-		So(b.HandleStatusRequest(StatusRequest{RequestID: sessionID + ".2", Requester: "c"}, now).State, ShouldEqual, StateUnknown)
-		So(b.HandleStatusRequest(StatusRequest{RequestID: sessionID + ".3", Requester: "c"}, now).State, ShouldEqual, StateUnseen)
-		So(b.HandleStatusRequest(StatusRequest{RequestID: sessionID + ".3", Requester: "d"}, now), ShouldResemble, Status{State: StateTransferred, Owner: "c"})
-		So(c.HandleStatusRequest(StatusRequest{RequestID: sessionID + ".1", Requester: "d"}, now).State, ShouldEqual, StateUnknown)
+		ask := func(node *Machine, number, requester string) Status {
+			return node.HandleStatusRequest(StatusRequest{RequestID: sessionID + number, Requester: requester}, now)
+		}
+		So(ask(b, ".1", "c").Position.Index, ShouldEqual, 9)
+		So(ask(b, ".2", "c").State, ShouldEqual, StateUnknown)
+		So(ask(b, ".3", "c").State, ShouldEqual, StateUnseen)
+		So(ask(b, ".3", "d"), ShouldResemble, Status{State: StateTransferred, Owner: "c"})
+		So(ask(c, ".1", "d").State, ShouldEqual, StateUnknown)
 	})
 }
--- a/internal/coordination/rollout/versions_test.go
+++ b/internal/coordination/rollout/versions_test.go
@@ -47,12 +47,17 @@
 			one := acceptedVersion{Version: 2 * sequence, Digest: Digest{byte(sequence), byte(sequence >> 8)}}
 			state.Apply(store.Version{Epoch: 1, Sequence: sequence}, versionPuts(state, sequence, one))
 		}
+		var misjudged []uint64
 		for sequence := uint64(last - MinRetainedVersions + 1); sequence <= last; sequence++ {
 			same := Digest{byte(sequence), byte(sequence >> 8)}
-			if differsFromAccepted(state, 2*sequence, same) || !differsFromAccepted(state, 2*sequence, Digest{}) || differsFromAccepted(state, 2*sequence+1, same) {
-				So(sequence, ShouldEqual, 0)
+			acceptsSame := !differsFromAccepted(state, 2*sequence, same)
+			rejectsOther := differsFromAccepted(state, 2*sequence, Digest{})
+			acceptsUnused := !differsFromAccepted(state, 2*sequence+1, same)
+			if !acceptsSame || !rejectsOther || !acceptsUnused {
+				misjudged = append(misjudged, sequence)
 			}
 		}
+		So(misjudged, ShouldBeEmpty)
 		size := 0
 		for _, key := range state.Keys(model.PrefixManifestVersions) {
 			size += len(state.Records[key].Data)
