--- a/internal/app/httpproxy/proxy.go
+++ b/internal/app/httpproxy/proxy.go
@@ -49,9 +49,9 @@
 	codec   backend.Codec
 	control *dataplane.ControlClient
 
-	mutex    sync.Mutex
-	pool     *httppool.Machine
-	wasReady bool
+	mutex     sync.Mutex
+	pool      *httppool.Machine
+	readiness *dataplane.ReadinessLog
 
 	bindStage    *worker.Pool[*httppool.Request]
 	enqueueStage *worker.Pool[*httppool.Request]
@@ -71,7 +71,8 @@
 	self := httppool.Node{Name: cfg.Name, Zone: cfg.Zone, Incarnation: fmt.Sprintf("%x", host.Self().Incarnation), Weight: cfg.Weight}
 	p := &Proxy{
 		node: host, log: host.Log, client: client, codec: backend.NewJSONCodec(),
-		pool: httppool.New(self, httppool.DefaultTiming(), host.Counters.Add),
+		pool:      httppool.New(self, httppool.DefaultTiming(), host.Counters.Add),
+		readiness: dataplane.NewReadinessLog(host.Log, host.Counters),
 	}
 	p.control = p.newControlClient()
 	p.startStages()
@@ -156,11 +157,6 @@
 	liveProxies, weight := p.node.CountLive(model.KindProxy), p.node.Config().Weight
 	p.apply(func(now time.Duration) {
 		p.pool.Tick(liveProxies, weight, now)
-		ready, reason := p.pool.Ready(now)
-		if ready != p.wasReady {
-			p.wasReady = ready
-			p.node.Counters.Add("ready_turns", 1)
-			p.log.Info("readiness changed", "ready", ready, "reason", reason)
-		}
+		p.readiness.Record(p.pool.Ready(now))
 	})
 }
--- a/internal/app/lineproxy/proxy.go
+++ b/internal/app/lineproxy/proxy.go
@@ -47,8 +47,8 @@
 	mutex sync.Mutex
 	pool  *linepool.Machine
 	// buffer is reused for what is written to connections.
-	buffer   []byte
-	wasReady bool
+	buffer    []byte
+	readiness *dataplane.ReadinessLog
 
 	// liveNames is read and written by tick only.
 	liveNames   []string
@@ -64,7 +64,8 @@
 	p := &Proxy{
 		node: host, log: host.Log, codec: codec, name: cfg.Name,
 		minDrain: timing.Linger + drainMargin, maxDrain: timing.EndSessions + drainMargin,
-		pool: linepool.New(self, timing, lease.DefaultTiming(), host.Counters.Add),
+		pool:      linepool.New(self, timing, lease.DefaultTiming(), host.Counters.Add),
+		readiness: dataplane.NewReadinessLog(host.Log, host.Counters),
 	}
 	p.control = p.newControlClient()
 	p.server = lineserver.NewServer(host.Workers, cfg.LineAddress, lineproto.MaxLineBytes, p.acceptClient)
@@ -100,12 +101,7 @@
 	live, weight := p.liveProxies(), p.node.Config().Weight
 	p.apply(func(now time.Duration) {
 		p.pool.Tick(live, weight, now)
-		ready, reason := p.pool.Ready(now)
-		if ready != p.wasReady {
-			p.wasReady = ready
-			p.node.Counters.Add("ready_turns", 1)
-			p.log.Info("readiness changed", "ready", ready, "reason", reason)
-		}
+		p.readiness.Record(p.pool.Ready(now))
 	})
 }
 
