--- a/internal/app/httpproxy/drain.go
+++ b/internal/app/httpproxy/drain.go
@@ -29,13 +29,13 @@
 	p.node.Leave()
 	p.apply(p.pool.Drain)
 	for until := p.now() + drainTimeout; p.now() < until && p.activeSessions() > 0; {
-		sleep(drainPollInterval)
+		time.Sleep(drainPollInterval)
 	}
 	sessions := 0
 	p.apply(func(time.Duration) { sessions = p.pool.DisconnectSessions() })
 	p.handOver()
 	p.log.Info("shut down", "sessions", sessions, "unfinished", p.activeSessions())
-	sleep(lingerTimeout)
+	time.Sleep(lingerTimeout)
 }
 
 func (p *Proxy) activeSessions() int {
--- a/internal/app/httpproxy/instance_watcher.go
+++ b/internal/app/httpproxy/instance_watcher.go
@@ -36,11 +36,11 @@
 			return
 		}
 		if !watcher.connect(address) {
-			sleep(statusRedialDelay)
+			time.Sleep(statusRedialDelay)
 			continue
 		}
 		if !watcher.poll(after) {
-			sleep(statusRetryDelay)
+			time.Sleep(statusRetryDelay)
 		}
 	}
 }
--- a/internal/app/httpproxy/instances.go
+++ b/internal/app/httpproxy/instances.go
@@ -5,7 +5,6 @@
 
 	"tansyseam/internal/coordination/pool/httppool"
 	"tansyseam/internal/transport/httpserver"
-	"tansyseam/internal/transport/worker"
 )
 
 const (
@@ -56,5 +55,3 @@
 		p.pool.ConnOpened(effect.Conn, reply, err == nil, now)
 	})
 }
-
-func sleep(duration time.Duration) { worker.Await(make(chan struct{}), duration) }
