--- a/internal/app/httpproxy/proxy.go
+++ b/internal/app/httpproxy/proxy.go
@@ -82,6 +82,8 @@
 	return p, nil
 }
 
+// startStages starts the workers of the stages. The names of the stages are keys
+// of the admin API's answers and stay as they are.
 func (p *Proxy) startStages() {
 	workers := p.node.Workers
 	p.bindStage = worker.NewPool(workers, "bind", bindSize.queue, bindSize.workers, p.requestHandler((*httppool.Machine).Bind))
