--- a/internal/coordination/consensus/reasons.go
+++ b/internal/coordination/consensus/reasons.go
@@ -3,15 +3,15 @@
 // Reasons of an EpochChanged. They are in the log of events that operators read.
 const (
 	reasonClusterFormed    = "fleet formed"
-	reasonStatus           = "told standing"
-	reasonDecided          = "told"
-	reasonProposalWon      = "ballot won"
+	reasonStatus           = "status received"
+	reasonDecided          = "decision received"
+	reasonProposalWon      = "proposal won"
 	reasonCandidateAhead   = "candidate is ahead"
 	reasonVoterAhead       = "a voter is ahead"
-	reasonLeaseRenewal     = "renewal"
+	reasonLeaseRenewal     = "lease renewal"
 	reasonReplicatedWrite  = "write from the primary"
-	reasonRepair           = "offer"
+	reasonRepair           = "repaired from a newer record"
 	reasonBackupTimeout    = "backup did not sync in time"
-	reasonBackupSilent     = "backup silent"
-	reasonBackupOutOfOrder = "backup out of step"
+	reasonBackupSilent     = "backup unreachable"
+	reasonBackupOutOfOrder = "backup out of sequence"
 )
--- a/internal/coordination/distribution/writerrole.go
+++ b/internal/coordination/distribution/writerrole.go
@@ -19,7 +19,7 @@
 		At:       wallNanos,
 		Subject:  "database " + change.Next.Database,
 		Action:   change.Action,
-		Evidence: change.Evidence + " (duty held by " + change.RequestedBy + ")",
+		Evidence: change.Evidence + " (singleton role held by " + change.RequestedBy + ")",
 	})...)
 }
 
--- a/internal/coordination/failover/asyncrepl/evidence.go
+++ b/internal/coordination/failover/asyncrepl/evidence.go
@@ -93,5 +93,5 @@
 	if o.ContactAge <= timing.SilenceTimeout || o.SilentNodes*2 <= o.ReportingNodes {
 		return "", false
 	}
-	return fmt.Sprintf("silent for %d ms, to %d of %d nodes", o.ContactAge.Milliseconds(), o.SilentNodes, o.ReportingNodes), true
+	return fmt.Sprintf("unreachable for %d ms, from %d of %d nodes", o.ContactAge.Milliseconds(), o.SilentNodes, o.ReportingNodes), true
 }
--- a/internal/coordination/failover/asyncrepl/promotion.go
+++ b/internal/coordination/failover/asyncrepl/promotion.go
@@ -21,7 +21,7 @@
 		reason := evidence.Writer.Primary + " is back with all that was confirmed, and nothing was promoted"
 		return []failover.Effect{failover.ReopenTerm(evidence.Writer, evidence.WallNanos, reason)}
 	}
-	return failover.RecordReason(evidence.Writer, "term is closed, and no replica that can be heard is shown to hold every confirmed commit: nothing is promoted")
+	return failover.RecordReason(evidence.Writer, "term is closed, and no reachable replica is shown to hold every confirmed commit: nothing is promoted")
 }
 
 // mostAdvanced gives the first of the instances with the highest position.
@@ -87,7 +87,7 @@
 		return retryPromotion(evidence, instance)
 	}
 	if !stillReplica && waited > 2*timing.PromoteRetryInterval {
-		return failover.RecordReason(evidence.Writer, "promotion of "+evidence.Writer.Promoting+" is in doubt until it is heard again: no other is promoted")
+		return failover.RecordReason(evidence.Writer, "promotion of "+evidence.Writer.Promoting+" is undecided until it answers again: no other is promoted")
 	}
 	return nil
 }
@@ -105,7 +105,7 @@
 	confirmed := evidence.Writer.HighWatermark
 	reason := fmt.Sprintf("%s came back without what was confirmed: at %d/%d as %s, confirmed up to %d/%d",
 		instance.Name, instance.Position.Term, instance.Position.Index, instance.Incarnation, confirmed.Term, confirmed.Index)
-	return failover.Record{Writer: writer, Change: "intent given up, its term passed over", Reason: reason}
+	return failover.Record{Writer: writer, Change: "promotion abandoned, its term skipped", Reason: reason}
 }
 
 func openNewTerm(evidence Evidence, primary model.Instance, timing Timing) []failover.Effect {
@@ -116,7 +116,7 @@
 		}
 	}
 	if len(replicas) == 0 {
-		return failover.RecordReason(evidence.Writer, "promoted, but no replica can be heard: commits could not be made safe")
+		return failover.RecordReason(evidence.Writer, "promoted, but no replica is reachable: commits could not be replicated")
 	}
 	writer := model.WriterRole{
 		Database:           evidence.Database,
--- a/internal/coordination/failover/asyncrepl/replicas.go
+++ b/internal/coordination/failover/asyncrepl/replicas.go
@@ -98,7 +98,7 @@
 		return failover.Record{}, false
 	}
 	delete(s.writer.Candidates, s.ineligible)
-	return s.record("replica struck as candidate", s.ineligible+" gone, reborn or behind"), true
+	return s.record("replica removed as candidate", s.ineligible+" gone, restarted or behind"), true
 }
 
 func (s *replicaSets) removeRequired() (failover.Record, bool) {
@@ -109,7 +109,7 @@
 		}
 		delete(s.writer.RequiredReplicas, name)
 		s.excludeSlow(name)
-		return s.record("commits no longer wait for a replica", name+" gone, reborn or behind"), true
+		return s.record("commits no longer wait for a replica", name+" gone, restarted or behind"), true
 	}
 	return failover.Record{}, false
 }
@@ -133,7 +133,7 @@
 			continue
 		}
 		s.writer.RequiredReplicas[name] = s.eligible[name]
-		return s.record("commits wait for a replica", name+" is back and near"), true
+		return s.record("commits wait for a replica", name+" is back and nearly caught up"), true
 	}
 	return failover.Record{}, false
 }
--- a/internal/coordination/failover/asyncrepl/step.go
+++ b/internal/coordination/failover/asyncrepl/step.go
@@ -81,14 +81,14 @@
 		return failover.RecordReason(evidence.Writer, "primary is gone, and no replica is shown to hold every confirmed commit: nothing is promoted")
 	}
 	if known && primary.Instance.Leaving && len(evidence.promotable(timing)) == 0 {
-		return failover.RecordReason(evidence.Writer, "primary is leaving, and no candidate can be heard")
+		return failover.RecordReason(evidence.Writer, "primary is leaving, and no candidate is reachable")
 	}
 	return []failover.Effect{failover.CloseTerm(evidence.Writer, evidence.WallNanos, reason)}
 }
 
 func suspectPrimary(evidence Evidence, primary Observation, known bool, timing Timing) (reason string, suspected bool) {
 	if !known {
-		return "no node has heard of it", evidence.ReportingNodes > 0 && evidence.GatheredFor > 2*timing.SilenceTimeout
+		return "no node has reached it", evidence.ReportingNodes > 0 && evidence.GatheredFor > 2*timing.SilenceTimeout
 	}
 	if primary.Instance.Leaving {
 		return "announces that it is leaving", true
--- a/internal/coordination/failover/syncrepl/candidate.go
+++ b/internal/coordination/failover/syncrepl/candidate.go
@@ -18,10 +18,10 @@
 		return "", "a replica that stays is behind one that leaves", false
 	}
 	if !holdsAllCommits(evidence, poll, best) {
-		return "", fmt.Sprintf("term is closed, and no replica is shown to hold all that was acknowledged (silent %v, gone %v): nothing is promoted", poll.silent, poll.gone), false
+		return "", fmt.Sprintf("term is closed, and no replica is shown to hold all that was acknowledged (unreachable %v, gone %v): nothing is promoted", poll.silent, poll.gone), false
 	}
 	position, bound := poll.positions[best], evidence.CommitBound
-	reason = fmt.Sprintf("%s received %d.%d; heard %d, silent %v, gone %v; acknowledged up to %d.%d, whole %t", best,
+	reason = fmt.Sprintf("%s received %d.%d; answered %d, unreachable %v, gone %v; acknowledged up to %d.%d, complete %t", best,
 		position.Term, position.Index, len(poll.answered), poll.silent, poll.gone, bound.Term, bound.Index, evidence.IsBoundComplete())
 	return best, reason, true
 }
--- a/internal/coordination/failover/syncrepl/open.go
+++ b/internal/coordination/failover/syncrepl/open.go
@@ -19,7 +19,7 @@
 	}
 	reason = evidence.Writer.Primary + " " + reason
 	if !hasOtherInstance(evidence, timing) {
-		return failover.RecordReason(evidence.Writer, reason+", and no other instance can be heard")
+		return failover.RecordReason(evidence.Writer, reason+", and no other instance is reachable")
 	}
 	return []failover.Effect{failover.CloseTerm(evidence.Writer, evidence.WallNanos, reason)}
 }
--- a/internal/coordination/failover/syncrepl/promoting.go
+++ b/internal/coordination/failover/syncrepl/promoting.go
@@ -33,7 +33,7 @@
 		return append(queries, retryPromotion(evidence)...)
 	}
 	if !replica && evidence.sinceTransition() > 2*timing.PromoteRetryInterval {
-		reason := "promotion of " + evidence.Writer.Promoting + " is in doubt until it is heard again: no other is promoted"
+		reason := "promotion of " + evidence.Writer.Promoting + " is undecided until it answers again: no other is promoted"
 		return append(queries, failover.RecordReason(evidence.Writer, reason)...)
 	}
 	return queries
@@ -84,7 +84,7 @@
 	writer.LastTransitionAt = evidence.WallNanos
 	writer.MinPosition = model.Position{}
 	reason := evidence.Writer.Promoting + " is not running, and no call for it can take effect"
-	return failover.Record{Writer: writer, Change: "intent given up", Reason: reason}
+	return failover.Record{Writer: writer, Change: "promotion abandoned", Reason: reason}
 }
 
 func openNewTerm(evidence Evidence, primary model.Instance, probe ProbeResult, timing Timing) failover.Record {
--- a/internal/coordination/failover/syncrepl/suspicion.go
+++ b/internal/coordination/failover/syncrepl/suspicion.go
@@ -15,7 +15,7 @@
 // suspectPrimary gives the first reason to close the term.
 func suspectPrimary(evidence Evidence, primary Observation, known bool, timing Timing) (reason string, suspected bool) {
 	if !known {
-		return "no node has heard of it", evidence.GatheredFor > timing.MaxContactAge
+		return "no node has reached it", evidence.GatheredFor > timing.MaxContactAge
 	}
 	for _, suspect := range suspicions {
 		if reason, suspected := suspect(evidence, primary, timing); suspected {
@@ -51,7 +51,7 @@
 
 func answersLate(evidence Evidence, primary Observation, timing Timing) (string, bool) {
 	majority := primary.OverdueNodes*2 > primary.ReportingNodes
-	reason := fmt.Sprintf("owes answers to %d of %d nodes", primary.OverdueNodes, primary.ReportingNodes)
+	reason := fmt.Sprintf("answers overdue at %d of %d nodes", primary.OverdueNodes, primary.ReportingNodes)
 	return reason, majority && primary.AnswerAge > timing.OverdueTimeout && evidence.warmedUp(timing)
 }
 
--- a/internal/coordination/rollout/manifest.go
+++ b/internal/coordination/rollout/manifest.go
@@ -43,7 +43,7 @@
 		puts = append(puts, store.Put{Key: ManifestKey(set.Sequence), Data: sent.Compressed})
 	}
 	puts = append(puts, versionPuts(state, set.Sequence, acceptedVersion{Version: sent.Version, Digest: sent.Digest})...)
-	action := fmt.Sprintf("version %d taken as sequence %d", sent.Version, set.Sequence)
+	action := fmt.Sprintf("version %d accepted as sequence %d", sent.Version, set.Sequence)
 	return append(puts, auditPuts(state, wallNanos, action, sent.Source)...), nil
 }
 
--- a/internal/coordination/rollout/rollout.go
+++ b/internal/coordination/rollout/rollout.go
@@ -31,7 +31,7 @@
 		return nil, &SequenceError{Expected: expected, Newest: newest.Sequence}
 	}
 	set := successor(newest, model.BindingSet{Bindings: bindings, AcceptedAt: wallNanos, Source: source})
-	action := fmt.Sprintf("sequence %d taken", set.Sequence)
+	action := fmt.Sprintf("sequence %d accepted", set.Sequence)
 	return append([]store.Put{setPut(set)}, auditPuts(state, wallNanos, action, source)...), nil
 }
 
--- a/internal/coordination/rollout/scheduled.go
+++ b/internal/coordination/rollout/scheduled.go
@@ -21,7 +21,7 @@
 	}
 	change := model.ScheduledChange{ID: id, EffectiveAt: effectiveAt, Bindings: bindings, Order: state.Version.Sequence}
 	puts := []store.Put{{Key: model.PrefixScheduledChange + id, Data: store.Encode(change)}}
-	action := "change booked: " + id
+	action := "change scheduled: " + id
 	return append(puts, auditPuts(state, wallNanos, action, fmt.Sprintf("for %d", milliseconds(effectiveAt)))...), nil
 }
 
@@ -49,8 +49,8 @@
 		Source:     "booking " + change.ID,
 	})
 	puts := []store.Put{{Key: model.PrefixScheduledChange + change.ID, Deleted: true}, setPut(set)}
-	action := fmt.Sprintf("booked change %s taken as sequence %d", change.ID, set.Sequence)
-	return append(puts, auditPuts(state, wallNanos, action, "its moment is near")...)
+	action := fmt.Sprintf("scheduled change %s accepted as sequence %d", change.ID, set.Sequence)
+	return append(puts, auditPuts(state, wallNanos, action, "its effective time is near")...)
 }
 
 // AssignEffectiveTimes returns the puts that give the pending sets their effective
@@ -73,7 +73,7 @@
 		return nil
 	}
 	action := fmt.Sprintf("sequence %d takes effect at %d", newest, milliseconds(earliest))
-	return append(puts, auditPuts(state, wallNanos, action, "every leased node has taken it up")...)
+	return append(puts, auditPuts(state, wallNanos, action, "every leased node has acknowledged it")...)
 }
 
 // milliseconds converts a Unix time in nanoseconds.
--- a/test/e2e/scenario_shell.go
+++ b/test/e2e/scenario_shell.go
@@ -18,7 +18,7 @@
 	address := r.Controls[0].HTTPAddress
 	expected := map[string]string{
 		"nodes": "proxy1", "vitals": "control1", "instances": r.database() + "-a", "windows": "threshold", "bindings": "in force", "changes": "at",
-		"epochs": "control2", "duties": "failover/" + r.database(), "leases": "proxy1", "writers": "open", "why": "sequence 1 taken", "counters": "announcements", "help": "epochs",
+		"epochs": "control2", "duties": "failover/" + r.database(), "leases": "proxy1", "writers": "open", "why": "sequence 1 accepted", "counters": "announcements", "help": "epochs",
 	}
 	for query, part := range expected {
 		if output := strings.ToLower(r.shell(shellSuccess, "--at", address, query)); !strings.Contains(output, part) {
--- a/test/simulation/simulator.go
+++ b/test/simulation/simulator.go
@@ -67,7 +67,7 @@
 // record adds a line to the history.
 func (s *simulator) record(format string, parts ...any) {
 	line := fmt.Sprintf("%9.3f ", sinceStartMS(s.now)) + fmt.Sprintf(format, parts...)
-	_, _ = s.trace.Write([]byte(line + "\n"))
+	_, _ = earlierTexts.WriteString(s.trace, line+"\n")
 	s.log("%s", line)
 }
 
