--- a/internal/coordination/pool/linepool/dispatch.go
+++ b/internal/coordination/pool/linepool/dispatch.go
@@ -134,18 +134,14 @@
 	writer, primary, open := m.writer(database)
 	primaryFresh := open && m.Routing().MayWrite(database.name, writer.Term, now)
 	for _, instance := range m.instances.All() {
-		unusable := instance.database != database || instance.drainingSince != 0 || instance.info.Stopped || instance == excluded
-		if unusable {
+		if instance.database != database || instance == excluded || !instance.isServing() {
 			continue
 		}
-		freshEnough := instance == primary && primaryFresh
-		if instance != primary && known {
-			freshEnough = m.isReplicaFresh(instance, database, request, minPosition, now)
+		freshEnough := primaryFresh
+		if instance != primary {
+			freshEnough = known && m.isReplicaFresh(instance, database, request, minPosition, now)
 		}
-		hasConn := len(instance.idle) > 0 || m.canOpen(instance, now)
-		candidate := pool.Candidate(instance.window, hasConn, instance.info.Zone == m.node.Zone, freshEnough)
-		candidate.CostFactor = instance.health.CostFactor(now)
-		candidates = append(candidates, candidate)
+		candidates = append(candidates, m.candidate(instance, freshEnough, now))
 		instances = append(instances, instance)
 	}
 	best := balancer.Pick(candidates)
@@ -158,6 +154,18 @@
 	return instances[best], minPosition
 }
 
+// isServing reports whether an instance takes new reads: it neither drains nor
+// has stopped.
+func (i *instanceState) isServing() bool { return i.drainingSince == 0 && !i.info.Stopped }
+
+func (m *Machine) candidate(instance *instanceState, freshEnough bool, now time.Duration) balancer.Candidate {
+	hasConn := len(instance.idle) > 0 || m.canOpen(instance, now)
+	sameZone := instance.info.Zone == m.node.Zone
+	candidate := pool.Candidate(instance.window, hasConn, sameZone, freshEnough)
+	candidate.CostFactor = instance.health.CostFactor(now)
+	return candidate
+}
+
 // isReplicaFresh reports whether a replica is worth asking for a read. The
 // replica itself refuses what it has not reached yet; a session's own commit
 // that is too recent for most replicas is sent only to one that is known to
--- a/internal/coordination/pool/linepool/forward.go
+++ b/internal/coordination/pool/linepool/forward.go
@@ -15,14 +15,10 @@
 	database.dequeue(request)
 	transaction := request.transaction
 	begins := transaction != nil && transaction.conn == nil
-	commands := m.sessionCommands(conn, request.client, transaction != nil && !begins)
-	commands = append(commands, prepareCommands(request, conn)...)
+	commands := m.forwardCommands(request, conn, begins)
 	if begins {
-		commands = append(commands, beginCommand(request))
 		conn.changed = false
 		transaction.conn, conn.owner, conn.term = conn, request.client, request.term
-	} else {
-		commands = append(commands, statementCommand(request, conn, request.statementMinPosition()))
 	}
 	if transaction != nil && request.write {
 		transaction.hasWrites = true
@@ -37,6 +33,18 @@
 	m.send(conn, attempt, commands)
 }
 
+// forwardCommands returns what is sent for a request: session state, what it has to
+// have prepared, and the statement, or the begin of its transaction.
+func (m *Machine) forwardCommands(request *Request, conn *Conn, begins bool) []Command {
+	inTransaction := request.transaction != nil && !begins
+	commands := m.sessionCommands(conn, request.client, inTransaction)
+	commands = append(commands, prepareCommands(request, conn)...)
+	if begins {
+		return append(commands, beginCommand(request))
+	}
+	return append(commands, statementCommand(request, conn, request.statementMinPosition()))
+}
+
 // statementMinPosition is what the instance must have reached to run the
 // statement. In a transaction the begin has asked for it already.
 func (request *Request) statementMinPosition() model.Position {
