--- a/internal/coordination/pool/linepool/answer.go
+++ b/internal/coordination/pool/linepool/answer.go
@@ -68,15 +68,13 @@
 	}
 }
 
+// onReady takes the last message of an answer.
 func (m *Machine) onReady(conn *Conn, attempt *requestAttempt, message lineproto.Message, now time.Duration) {
 	instance := conn.instance
 	conn.pending = conn.pending[1:]
 	instance.position = instance.position.Max(message.Position)
 	if attempt == nil {
-		if len(conn.pending) == 0 && conn.attempt == nil {
-			m.releaseInState(conn, message.State, now)
-			m.dispatch(instance.database, now)
-		}
+		m.onOwnCommandAnswered(conn, message, now)
 		return
 	}
 	if !attempt.hasResult {
@@ -94,6 +92,15 @@
 	m.dispatch(instance.database, now)
 }
 
+// onOwnCommandAnswered makes a connection idle with the answer to the last of the
+// node's own commands, unless a client's statement was sent behind it.
+func (m *Machine) onOwnCommandAnswered(conn *Conn, ready lineproto.Message, now time.Duration) {
+	if len(conn.pending) == 0 && conn.attempt == nil {
+		m.releaseInState(conn, ready.State, now)
+		m.dispatch(conn.instance.database, now)
+	}
+}
+
 // onBeginAnswered takes the answer to the begin of a transaction, and sends the
 // transaction's first statement.
 func (m *Machine) onBeginAnswered(attempt *requestAttempt, ready lineproto.Message, now time.Duration) {
--- a/internal/coordination/pool/linepool/conn.go
+++ b/internal/coordination/pool/linepool/conn.go
@@ -182,7 +182,7 @@
 	if attempt != nil && attempt.isCurrent() {
 		m.Count("statements_cut", 1)
 		m.onAttemptLost(attempt, now)
-	} else if owner != nil && owner.transaction != nil && owner.transaction.conn == conn {
+	} else if owner.isInTransactionOn(conn) {
 		owner.transaction.conn = nil
 		m.loseTransaction(owner, now)
 	}
--- a/internal/coordination/pool/linepool/transaction.go
+++ b/internal/coordination/pool/linepool/transaction.go
@@ -26,6 +26,12 @@
 
 func (t *transactionState) isOpenAtInstance() bool { return t != nil && t.conn != nil }
 
+// isInTransactionOn reports whether the client's transaction is open on a connection.
+// It is false for nil, the owner of a connection without a transaction.
+func (c *Client) isInTransactionOn(conn *Conn) bool {
+	return c != nil && c.transaction != nil && c.transaction.conn == conn
+}
+
 func (m *Machine) handleBegin(client *Client, _ Query, now time.Duration) {
 	m.begin(client, &transactionState{}, now)
 }
