--- a/internal/coordination/pool/httppool/dispatch.go
+++ b/internal/coordination/pool/httppool/dispatch.go
@@ -39,16 +39,18 @@
 	if primary == nil || primary.incarnation() != writer.PrimaryIncarnation {
 		return
 	}
-	for _, queue := range []*requestQueue{&database.transactions, &database.writes} {
-		for request := queue.front(); request != nil; request = queue.front() {
-			if !primary.window.HasRoom() {
-				return
-			}
-			if !m.assign(request, primary, writer.Term, now) {
-				m.reclaimIdle(primary, request, now)
-				m.openConns(primary, queue.length, now)
-				break
-			}
+	m.dispatchToPrimary(&database.transactions, primary, writer.Term, now)
+	m.dispatchToPrimary(&database.writes, primary, writer.Term, now)
+}
+
+// dispatchToPrimary assigns the requests of a queue in their order, as long as the
+// primary's window has room and a connection is free.
+func (m *Machine) dispatchToPrimary(queue *requestQueue, primary *instanceState, term uint64, now time.Duration) {
+	for request := queue.front(); request != nil && primary.window.HasRoom(); request = queue.front() {
+		if !m.assign(request, primary, term, now) {
+			m.reclaimIdle(primary, request, now)
+			m.openConns(primary, queue.length, now)
+			return
 		}
 	}
 }
@@ -81,14 +83,10 @@
 	var candidates []balancer.Candidate
 	var instances []*instanceState
 	for _, instance := range m.instances.All() {
-		if instance.database != database || instance.leaving() {
-			continue
+		if instance.database == database && !instance.leaving() {
+			candidates = append(candidates, m.candidate(instance, request, now))
+			instances = append(instances, instance)
 		}
-		hasConn := len(instance.idle) > 0 || m.canOpen(instance, now)
-		sameZone := instance.observation.Instance.Zone == m.node.Zone
-		freshEnough := m.Routing().MayRead(instance.name(), request.arrivedAt, request.freshness, request.minPosition, now)
-		candidates = append(candidates, pool.Candidate(instance.window, hasConn, sameZone, freshEnough))
-		instances = append(instances, instance)
 	}
 	best := pick(instances, candidates)
 	if best == nil || len(best.idle) > 0 {
@@ -101,6 +99,13 @@
 	return pick(instances, candidates)
 }
 
+func (m *Machine) candidate(instance *instanceState, request *Request, now time.Duration) balancer.Candidate {
+	hasConn := len(instance.idle) > 0 || m.canOpen(instance, now)
+	sameZone := instance.observation.Instance.Zone == m.node.Zone
+	freshEnough := m.Routing().MayRead(instance.name(), request.arrivedAt, request.freshness, request.minPosition, now)
+	return pool.Candidate(instance.window, hasConn, sameZone, freshEnough)
+}
+
 func pick(instances []*instanceState, candidates []balancer.Candidate) *instanceState {
 	index := balancer.Pick(candidates)
 	if index < 0 {
@@ -119,11 +124,7 @@
 	}
 	m.dequeue(request)
 	if conn == nil {
-		m.discardPinned(request.session)
-		m.recordNotCommitted(request, now)
-		result := notCommitted("the session's state was lost with its instance")
-		result.SessionClosed = true
-		m.respond(request, result, now)
+		m.respondStateLost(request, now)
 		return true
 	}
 	request.conn, request.instance, request.term = conn, instance, term
@@ -136,6 +137,16 @@
 	return true
 }
 
+// respondStateLost ends a request whose pinned connection is lost, and with it the
+// session.
+func (m *Machine) respondStateLost(request *Request, now time.Duration) {
+	m.discardPinned(request.session)
+	m.recordNotCommitted(request, now)
+	result := notCommitted("the session's state was lost with its instance")
+	result.SessionClosed = true
+	m.respond(request, result, now)
+}
+
 // connFor returns the connection that a request is to use: nil if it is pinned to
 // one that is lost. It returns false if none is idle.
 func (m *Machine) connFor(request *Request, instance *instanceState) (conn *Conn, found bool) {
