--- a/internal/coordination/pool/httppool/reply.go
+++ b/internal/coordination/pool/httppool/reply.go
@@ -50,9 +50,14 @@
 		m.discardPinned(request.session)
 	}
 	m.closeConn(request.conn)
-	if request.phase != phaseInFlight {
-		return
+	if request.phase == phaseInFlight {
+		m.respondConnLost(request, now)
 	}
+}
+
+// respondConnLost ends a request whose connection ended before its answer came. A
+// write may have run.
+func (m *Machine) respondConnLost(request *Request, now time.Duration) {
 	request.phase = phaseDone
 	result := notCommitted("the instance's session ended before its answer came")
 	result.RetryAfter = retryAfterLostConn
@@ -69,17 +74,13 @@
 		m.handleFailure(request, reply, now)
 		return
 	}
-	if request.op.Kind == OpCommit || (request.op.Kind == OpRun && request.op.Write && !reply.InTransaction) {
-		request.phase, request.executedAt, request.position, request.rows = phaseUnconfirmed, now, reply.Position, reply.Rows
-		database.unconfirmed = append(database.unconfirmed, request)
-		m.confirmCommits(database, now)
+	singleWrite := request.op.Kind == OpRun && request.op.Write && !reply.InTransaction
+	if request.op.Kind == OpCommit || singleWrite {
+		m.awaitConfirmation(request, database, reply, now)
 		return
 	}
 	if request.isRead() && reply.Position.IsBefore(request.assignedPosition) {
-		m.Count("reads_gone_back", 1)
-		result := notCommitted("the instance went back behind where it stood")
-		result.RetryAfter = retryAfterRegression
-		m.respond(request, result, now)
+		m.rejectRegression(request, now)
 		return
 	}
 	result := Result{Outcome: OutcomeDone, Rows: reply.Rows, Instance: request.Instance(), Position: reply.Position}
@@ -89,6 +90,25 @@
 	m.respond(request, result, now)
 }
 
+// awaitConfirmation keeps a commit that has run until it is known whether it is safe
+// on the replicas.
+func (m *Machine) awaitConfirmation(request *Request, database *databaseState, reply Reply, now time.Duration) {
+	request.phase = phaseUnconfirmed
+	request.executedAt = now
+	request.position, request.rows = reply.Position, reply.Rows
+	database.unconfirmed = append(database.unconfirmed, request)
+	m.confirmCommits(database, now)
+}
+
+// rejectRegression ends a read that an instance answered from before the position
+// that it was known to have reached: its answer may lack what the read must see.
+func (m *Machine) rejectRegression(request *Request, now time.Duration) {
+	m.Count("reads_gone_back", 1)
+	result := notCommitted("the instance went back behind where it stood")
+	result.RetryAfter = retryAfterRegression
+	m.respond(request, result, now)
+}
+
 func (m *Machine) handleFailure(request *Request, reply Reply, now time.Duration) {
 	m.recordNotCommitted(request, now)
 	result := notCommitted(reply.Error)
