--- a/internal/coordination/pool/httppool/accept.go
+++ b/internal/coordination/pool/httppool/accept.go
@@ -23,8 +23,12 @@
 		timeout = m.timing.DefaultDeadline
 	}
 	request = &Request{
-		Token: token, op: op, session: session, arrivedAt: now, deadline: now + timeout,
-		strict: true, inTransaction: session.inTransaction,
+		Token:         token,
+		op:            op,
+		session:       session,
+		arrivedAt:     now,
+		deadline:      now + timeout,
+		inTransaction: session.inTransaction,
 	}
 	if m.Draining() && !session.inTransaction {
 		return nil, m.rejectDraining(request, now), false
@@ -60,19 +64,11 @@
 		m.awaitingLease = append(m.awaitingLease, request)
 		return
 	}
-	session := request.session
-	set := m.EffectiveSet(now)
-	binding, found := set.Binding(session.binding)
-	if !found {
-		m.respond(request, Result{Outcome: m.unsentOutcome(request), Error: noBindingText(session.binding, set.Sequence), Cause: ErrNoBinding}, now)
+	if !m.bindToActiveSet(request, now) {
 		return
 	}
-	request.databaseName, request.freshness, request.bindingSequence = binding.Database, binding.Freshness, set.Sequence
-	if session.isPinnedOutside(binding.Database) {
-		session.stateLost = true
-		result := notCommitted("the binding moved to another database; the session's state is closed")
-		result.SessionClosed = true
-		m.respond(request, result, now)
+	if request.session.isPinnedOutside(request.databaseName) {
+		m.respondBindingMoved(request, now)
 		return
 	}
 	request.setRequirements()
@@ -87,6 +83,35 @@
 	m.Emit(Enqueue{Request: request})
 }
 
+// bindToActiveSet answers the request and returns false if there is no binding of
+// the name that its session gave.
+func (m *Machine) bindToActiveSet(request *Request, now time.Duration) bool {
+	name := request.session.binding
+	set := m.EffectiveSet(now)
+	binding, found := set.Binding(name)
+	if !found {
+		m.respond(request, Result{
+			Outcome: m.unsentOutcome(request),
+			Error:   noBindingText(name, set.Sequence),
+			Cause:   ErrNoBinding,
+		}, now)
+		return false
+	}
+	request.databaseName = binding.Database
+	request.freshness = binding.Freshness
+	request.bindingSequence = set.Sequence
+	return true
+}
+
+// respondBindingMoved ends a request, and its session, whose state is at an instance
+// of the database that the binding named before.
+func (m *Machine) respondBindingMoved(request *Request, now time.Duration) {
+	request.session.stateLost = true
+	result := notCommitted("the binding moved to another database; the session's state is closed")
+	result.SessionClosed = true
+	m.respond(request, result, now)
+}
+
 // resumeAwaitingLease binds the requests that waited for a lease.
 func (m *Machine) resumeAwaitingLease(now time.Duration) {
 	if len(m.awaitingLease) == 0 {
--- a/internal/coordination/pool/httppool/request.go
+++ b/internal/coordination/pool/httppool/request.go
@@ -37,16 +37,19 @@
 	phase     phase
 	responded bool
 
-	// The next are set by Bind. strict requests need the primary, pinned ones
-	// the connection of their session; the others may go to each instance whose
-	// position is not older than freshness and not before minPosition.
+	// inTransaction says that the session was in a transaction at Accept.
+	inTransaction bool
+
+	// The next are set by Bind, the first two by Accept already if the node has
+	// a lease then. strict requests need the primary, pinned ones the connection
+	// of their session; the others may go to each instance whose position is not
+	// older than freshness and not before minPosition.
 	databaseName    string
-	bindingSequence uint64
 	freshness       time.Duration
+	bindingSequence uint64
 	minPosition     model.Position
 	strict          bool
 	pinned          bool
-	inTransaction   bool
 
 	lookupNode  string
 	lookupCount int
