--- a/internal/coordination/pool/httppool/connections.go
+++ b/internal/coordination/pool/httppool/connections.go
@@ -44,20 +44,28 @@
 	if connected && !sameIncarnation {
 		m.Count("sessions_to_reborn", 1)
 	}
-	if !connected || !sameIncarnation || reply.Rejected || reply.Failed {
-		m.closeConn(conn)
-		m.Count("sessions_refused", 1)
-		instance.backoff.Fail(m.timing.BackoffMin, m.timing.BackoffMax, now)
-		m.dispatch(instance.database, now)
-		return
+	if connected && sameIncarnation && !reply.Rejected && !reply.Failed {
+		m.useOpenedConn(conn, now)
+	} else {
+		m.closeRefusedConn(conn, now)
 	}
+	m.dispatch(instance.database, now)
+}
+
+func (m *Machine) useOpenedConn(conn *Conn, now time.Duration) {
 	m.Count("sessions_opened", 1)
+	instance := conn.instance
 	instance.observation.LastResponse = now
 	instance.backoff.Succeed()
-	conn.incarnation = reply.Incarnation
+	conn.incarnation = instance.incarnation()
 	conn.term = m.Routing().WriterRole(instance.database.name).Term
 	m.releaseConn(conn)
-	m.dispatch(instance.database, now)
+}
+
+func (m *Machine) closeRefusedConn(conn *Conn, now time.Duration) {
+	m.closeConn(conn)
+	m.Count("sessions_refused", 1)
+	conn.instance.backoff.Fail(m.timing.BackoffMin, m.timing.BackoffMax, now)
 }
 
 // ConnLost takes the end of a connection that the pool has not closed. A request
@@ -189,17 +197,26 @@
 func (m *Machine) closeOverdue(instance *instanceState, now time.Duration) {
 	for _, request := range slices.Clone(instance.abandoned) {
 		if now-request.sentAt > m.timing.AbandonedTimeout {
-			instance.removeAbandoned(request)
-			if request.session.pinnedConn == request.conn {
-				m.discardPinned(request.session)
-			}
-			m.closeConn(request.conn)
+			m.closeAbandoned(request)
 		}
 	}
-	if !instance.leaving() || now-instance.leavingSince <= m.timing.LeaveGrace {
-		return
+	if instance.leaving() && now-instance.leavingSince > m.timing.LeaveGrace {
+		m.abandonAll(instance, now)
+		m.discardIdlePinned(instance)
+	}
+}
+
+func (m *Machine) closeAbandoned(request *Request) {
+	request.instance.removeAbandoned(request)
+	if request.session.pinnedConn == request.conn {
+		m.discardPinned(request.session)
 	}
-	m.abandonAll(instance, now)
+	m.closeConn(request.conn)
+}
+
+// discardIdlePinned closes the connections that are pinned at an instance, but for
+// those of sessions that wait for an answer.
+func (m *Machine) discardIdlePinned(instance *instanceState) {
 	for _, session := range slices.Clone(instance.pinnedSessions) {
 		if !session.busy {
 			m.discardPinned(session)
--- a/internal/coordination/pool/httppool/machine.go
+++ b/internal/coordination/pool/httppool/machine.go
@@ -85,7 +85,7 @@
 const jitterSteps = 16
 
 // jitter returns a delay that differs from call to call, so that clients that are
-// turned away together don't come back together.
+// rejected together don't retry together.
 func (m *Machine) jitter(step time.Duration) time.Duration {
 	m.jitterCount++
 	return time.Duration(m.jitterCount%jitterSteps) * step
--- a/internal/coordination/pool/httppool/updates.go
+++ b/internal/coordination/pool/httppool/updates.go
@@ -1,7 +1,6 @@
 package httppool
 
 import (
-	"slices"
 	"time"
 
 	"tansyseam/internal/coordination/distribution"
@@ -61,10 +60,8 @@
 	}
 	m.closeIdleConns(primary)
 	m.abandonAll(primary, now)
-	for _, session := range slices.Clone(primary.pinnedSessions) {
+	for _, session := range primary.pinnedSessions {
 		session.stateLost = true
-		if !session.busy {
-			m.discardPinned(session)
-		}
 	}
+	m.discardIdlePinned(primary)
 }
