--- a/internal/app/bootstrap/bootstrap.go
+++ b/internal/app/bootstrap/bootstrap.go
@@ -13,7 +13,6 @@
 	"tansyseam/internal/app/config"
 	"tansyseam/internal/app/node"
 	"tansyseam/internal/state/model"
-	"tansyseam/internal/transport/worker"
 )
 
 // Exit codes of the programs.
@@ -49,27 +48,27 @@
 	Drain func()
 }
 
+// OpenFunc opens a daemon on a node that has not started yet.
+type OpenFunc func(*node.Node, config.Config) (Daemon, error)
+
 // kinds are the kinds of node that the programs run, as the nodes name them to
 // each other.
 var kinds = map[config.Program]string{config.Proxy: model.KindProxy, config.Control: model.KindControl}
 
 // Main runs a daemon until a signal stops it, and gives its exit code.
-func Main(program config.Program, args []string, open func(*node.Node, config.Config) (Daemon, error)) int {
+func Main(program config.Program, args []string, open OpenFunc) int {
 	DisableEngineLog()
 	cfg, err := config.Parse(program, args)
 	if err != nil {
-		for _, reason := range config.Reasons(err) {
-			fmt.Fprintf(os.Stderr, "%s: %s\n", program, reason)
-		}
+		reportInvalid(program, err)
 		return ExitBadConfig
 	}
 	if cfg.CheckOnly {
 		fmt.Printf("%s: settings are good\n", program)
 		return ExitOK
 	}
-	logger := hclog.New(&hclog.LoggerOptions{
-		Name: string(program), Level: hclog.LevelFromString(cfg.LogLevel), JSONFormat: cfg.LogJSON, Output: os.Stderr,
-	})
+	logger := newLogger(program, cfg)
+	// Signals that come during the start wait until it is over.
 	signals := make(chan os.Signal, signalQueueSize)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	node, daemon, err := start(program, cfg, logger, open)
@@ -83,13 +82,19 @@
 	return ExitOK
 }
 
+// reportInvalid writes each reason against a configuration on a line.
+func reportInvalid(program config.Program, err error) {
+	for _, reason := range config.Reasons(err) {
+		fmt.Fprintf(os.Stderr, "%s: %s\n", program, reason)
+	}
+}
+
 // errNotOpened says that the daemon could not be opened.
 const errNotOpened = errors.ConstError("daemon not opened")
 
-// start opens the daemon on a new node and starts both.
-func start(
-	program config.Program, cfg config.Config, logger hclog.Logger, open func(*node.Node, config.Config) (Daemon, error),
-) (*node.Node, Daemon, error) {
+// start opens the daemon on a new node and starts both. Its error is
+// errNotOpened where the daemon could not be opened.
+func start(program config.Program, cfg config.Config, logger hclog.Logger, open OpenFunc) (*node.Node, Daemon, error) {
 	node, err := node.New(kinds[program], cfg, logger)
 	if err != nil {
 		return nil, Daemon{}, errors.Trace(err)
@@ -116,25 +121,21 @@
 
 // run serves until a signal to stop has come and the daemon is drained.
 func run(node *node.Node, daemon Daemon, reloader *reloader, signals <-chan os.Signal) {
-	drained := make(chan struct{})
 	node.Workers.Loop(nil, fileCheckInterval, reloader.checkFile)
 	node.Workers.Loop(nil, countersLogInterval, func() {
 		reloader.logger.Debug("counters", "counts", node.Counters.Snapshot())
 	})
-	node.Workers.Go(func() {
-		for {
-			received, ok := worker.Receive(signals, node.Workers.Stopping())
-			if !ok {
-				return
-			}
-			if received == syscall.SIGHUP {
-				reloader.reload("signal")
-				continue
-			}
-			daemon.Drain()
-			close(drained)
+	awaitStop(signals, func() { reloader.reload("signal") })
+	daemon.Drain()
+}
+
+// awaitStop returns once a signal to stop has come, and reloads on each SIGHUP
+// before.
+func awaitStop(signals <-chan os.Signal, reload func()) {
+	for received := range signals {
+		if received != syscall.SIGHUP {
 			return
 		}
-	})
-	<-drained
+		reload()
+	}
 }
--- a/internal/app/bootstrap/bootstrap_test.go
+++ b/internal/app/bootstrap/bootstrap_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"syscall"
 	"testing"
 
 	"github.com/hashicorp/go-hclog"
@@ -67,3 +68,18 @@
 		So(host.Counters.Snapshot()["settings_refused"], ShouldEqual, 1)
 	})
 }
+
+func TestAwaitStop(t *testing.T) {
+	Convey("SIGTERM and SIGINT end the wait, SIGHUP reloads, and signals behind the one that ends it are left", t, func() {
+		for _, stop := range []os.Signal{syscall.SIGTERM, syscall.SIGINT} {
+			signals := make(chan os.Signal, signalQueueSize)
+			for _, sent := range []os.Signal{syscall.SIGHUP, syscall.SIGHUP, stop, syscall.SIGHUP} {
+				signals <- sent
+			}
+			reloads := 0
+			awaitStop(signals, func() { reloads++ })
+			So(reloads, ShouldEqual, 2)
+			So(len(signals), ShouldEqual, 1)
+		}
+	})
+}
--- a/internal/app/bootstrap/logger.go
+++ b/internal/app/bootstrap/logger.go
@@ -1,6 +1,20 @@
 package bootstrap
 
-import "github.com/lesismal/nbio/logging"
+import (
+	"os"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/lesismal/nbio/logging"
+
+	"tansyseam/internal/app/config"
+)
+
+// newLogger makes the program's log, which is written to standard error.
+func newLogger(program config.Program, cfg config.Config) hclog.Logger {
+	return hclog.New(&hclog.LoggerOptions{
+		Name: string(program), Level: hclog.LevelFromString(cfg.LogLevel), JSONFormat: cfg.LogJSON, Output: os.Stderr,
+	})
+}
 
 // DisableEngineLog drops the log lines of the network engine: they report its
 // own starts and stops, no change of state.
