--- a/internal/app/bootstrap/bootstrap_test.go
+++ b/internal/app/bootstrap/bootstrap_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"sync"
 	"syscall"
 	"testing"
 
@@ -69,6 +70,36 @@
 	})
 }
 
+func TestReloadsDoNotOverlap(t *testing.T) {
+	Convey("A change that a signal and the check of the file notice at the same time is applied once", t, func() {
+		file := filepath.Join(t.TempDir(), "settings.json")
+		write := func(weight int) {
+			So(os.WriteFile(file, fmt.Appendf(nil, `{"weight":%d}`, weight), 0o600), ShouldBeNil)
+		}
+		write(1)
+		args := append([]string{"--config", file}, validArgs...)
+		cfg, err := config.Parse(config.Proxy, args)
+		So(err, ShouldBeNil)
+		host, err := node.New(model.KindProxy, cfg, hclog.NewNullLogger())
+		So(err, ShouldBeNil)
+		reloader := newReloader(config.Proxy, args, host, hclog.NewNullLogger())
+		const changes = 50
+		for change := range changes {
+			write(change + 2)
+			var both sync.WaitGroup
+			for _, notice := range []func(){reloader.checkFile, func() { reloader.reload("signal") }} {
+				both.Add(1)
+				host.Workers.Go(func() {
+					defer both.Done()
+					notice()
+				})
+			}
+			both.Wait()
+		}
+		So(host.Counters.Snapshot()["settings_taken"], ShouldEqual, changes)
+	})
+}
+
 func TestAwaitStop(t *testing.T) {
 	Convey("SIGTERM and SIGINT end the wait, SIGHUP reloads, and signals behind the one that ends it are left", t, func() {
 		for _, stop := range []os.Signal{syscall.SIGTERM, syscall.SIGINT} {
--- a/internal/app/bootstrap/reload.go
+++ b/internal/app/bootstrap/reload.go
@@ -1,6 +1,8 @@
 package bootstrap
 
 import (
+	"sync"
+
 	"github.com/hashicorp/go-hclog"
 
 	"tansyseam/internal/app/config"
@@ -9,10 +11,17 @@
 
 // reloader applies changes of the configuration file to a running node.
 type reloader struct {
-	program     config.Program
-	flagValues  map[string]string
-	node        *node.Node
-	logger      hclog.Logger
+	program config.Program
+	// flagValues are those of the command line, which take precedence over the
+	// file.
+	flagValues map[string]string
+	node       *node.Node
+	logger     hclog.Logger
+
+	// mutex has one reload end before the next: those on a signal and those on a
+	// changed file are made by different goroutines.
+	mutex sync.Mutex
+	// fingerprint is that of the file when it was last read.
 	fingerprint string
 }
 
@@ -25,19 +34,27 @@
 
 // checkFile reloads the file if it has changed.
 func (r *reloader) checkFile() {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	file := r.node.Config().File
 	if file == "" {
 		return
 	}
 	if fingerprint := config.Fingerprint(file); fingerprint != r.fingerprint {
-		r.fingerprint = fingerprint
-		r.reload("file changed")
+		r.reloadLocked("file changed")
 	}
 }
 
 // reload applies the settings of the file that may change while the node runs.
-// A file with any fault changes nothing.
+// A file with any fault changes nothing. The trigger is named in the log.
 func (r *reloader) reload(trigger string) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.reloadLocked(trigger)
+}
+
+// reloadLocked does the same for a caller that holds the mutex.
+func (r *reloader) reloadLocked(trigger string) {
 	old := r.node.Config()
 	r.fingerprint = config.Fingerprint(old.File)
 	loaded, err := config.Load(r.program, old.File, r.flagValues)
