--- a/test/e2e/fleet.go
+++ b/test/e2e/fleet.go
@@ -43,7 +43,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &Fleet{
 		Shape: shape, Directory: directory, Programs: programs, History: &standin.History{}, Relays: map[string]*standin.Relay{},
-		ctx: ctx, cancel: cancel, client: &http.Client{Timeout: 5 * time.Second},
+		ctx: ctx, cancel: cancel, client: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{}},
 	}
 	if err := f.planProcesses(options); err != nil {
 		f.Stop()
--- a/test/standin/platform.go
+++ b/test/standin/platform.go
@@ -27,6 +27,10 @@
 	followInterval = 200 * time.Millisecond
 )
 
+// probeClient opens a connection for each probe. One that it shared with other clients
+// would end with the probe, and with it the session that another had opened on it.
+var probeClient = &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+
 // Platform plays the users' platform: it probes the proxies, hands out those
 // that are ready, and carries out the promote call.
 type Platform struct {
@@ -93,7 +97,6 @@
 }
 
 func (p *Platform) probeLoop() {
-	client := &http.Client{Timeout: probeTimeout}
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
@@ -102,7 +105,7 @@
 		p.mutex.Unlock()
 		var group sync.WaitGroup
 		for _, address := range addresses {
-			group.Go(func() { p.probe(client, address) })
+			group.Go(func() { p.probe(address) })
 		}
 		group.Wait()
 		select {
@@ -113,8 +116,8 @@
 	}
 }
 
-func (p *Platform) probe(client *http.Client, address string) {
-	response, err := client.Post("http://"+address+"/v1/ready", "application/json", nil)
+func (p *Platform) probe(address string) {
+	response, err := probeClient.Post("http://"+address+"/v1/ready", "application/json", nil)
 	ready := err == nil && response.StatusCode == http.StatusOK
 	if err == nil {
 		_ = response.Body.Close()
