--- a/internal/coordination/consensus/repair.go
+++ b/internal/coordination/consensus/repair.go
@@ -8,9 +8,8 @@
 
 // repair brings the replica of a voter up to date that is to be the backup.
 type repair struct {
-	peer    string
-	sentAt  time.Duration
-	version store.Version
+	peer   string
+	sentAt time.Duration
 }
 
 // repairState is the primary's repair of other voters' replicas.
@@ -67,7 +66,7 @@
 }
 
 func (m *Machine) startRepair(peer string, now time.Duration) {
-	m.repairs.active = &repair{peer: peer, sentAt: now, version: m.replica.version()}
+	m.repairs.active = &repair{peer: peer, sentAt: now}
 	m.sendDigests(peer)
 }
 
--- a/internal/coordination/consensus/writes.go
+++ b/internal/coordination/consensus/writes.go
@@ -17,9 +17,11 @@
 
 // write is a write under way.
 type write struct {
-	token        uint64
-	puts         []store.Put
-	version      store.Version
+	// token is that of its Submit, and version that of the table with it.
+	token   uint64
+	version store.Version
+	// sentAt is when the backup was sent it, or the primary's disk last had a sync under
+	// way. The backup has ReplyTimeout from then on.
 	sentAt       time.Duration
 	backupSynced bool
 }
@@ -74,7 +76,7 @@
 	previous := m.replica.version()
 	version := store.Version{Epoch: m.voterState.Decided.Epoch, Sequence: previous.Sequence + 1}
 	m.applyPuts(version, puts)
-	m.writes.pending = &write{token: token, puts: puts, version: version, sentAt: now}
+	m.writes.pending = &write{token: token, version: version, sentAt: now}
 	if m.voterState.Decided.Backup == "" {
 		m.commitWrite(now)
 		return
