--- a/internal/coordination/consensus/lease.go
+++ b/internal/coordination/consensus/lease.go
@@ -21,8 +21,8 @@
 	// was sent.
 	grantSentAt map[string]time.Duration
 	// until is the end of the lease. No other node can become primary before: more than
-	// half of the voters granted a renewal that was sent less than usableLease earlier,
-	// and each of them is bound for longer than that.
+	// half of the voters have granted a renewal that was sent less than the usable span
+	// of a lease earlier, and each of them is bound for longer than that.
 	until time.Duration
 }
 
@@ -37,10 +37,10 @@
 }
 
 // extend sets the end of the lease by the moments at which the voters that have granted
-// it were asked: the latest by which a quorum of them had been.
+// it were asked. A quorum of them was asked at the quorum-th latest moment or later.
 func (l *heldLease) extend(sentAt []time.Duration, quorum int, span time.Duration) {
 	slices.Sort(sentAt)
-	l.until = max(l.until, sentAt[len(sentAt)-quorum]+usableLease(span))
+	l.until = max(l.until, sentAt[len(sentAt)-quorum]+proposal.UsableSpan(span))
 }
 
 func (m *Machine) holdsLease(now time.Duration) bool {
@@ -110,7 +110,3 @@
 	}
 	m.lease.extend(sentAt, quorum, m.timing.PrimaryLease)
 }
-
-// usableLease is the part of a lease that the primary relies on: a tenth is left for
-// clocks that run at different rates.
-func usableLease(lease time.Duration) time.Duration { return lease * 9 / 10 }
