--- a/test/modelcheck/modelcheck.go
+++ b/test/modelcheck/modelcheck.go
@@ -11,7 +11,6 @@
 
 import (
 	"cmp"
-	"slices"
 	"time"
 )
 
@@ -82,22 +81,3 @@
 	}
 	r.AckedWrites = max(r.AckedWrites, len(w.acked))
 }
-
-// traceStep is the last event before a state, with those before it.
-type traceStep struct {
-	previous *traceStep
-	at       time.Duration
-	host     string
-	message  *message
-	action   string
-}
-
-// lines describes the events in the order in which they happened.
-func (s *traceStep) lines() []string {
-	var lines []string
-	for step := s; step != nil; step = step.previous {
-		lines = append(lines, step.String())
-	}
-	slices.Reverse(lines)
-	return lines
-}
--- a/test/modelcheck/successors.go
+++ b/test/modelcheck/successors.go
@@ -1,20 +1,6 @@
 package modelcheck
 
-import (
-	"fmt"
-	"slices"
-)
-
-func (s *traceStep) String() string {
-	text := fmt.Sprintf("%v ", s.at-startTime)
-	if s.host != "" {
-		text += s.host + " "
-	}
-	if s.message != nil {
-		text += fmt.Sprintf("%T from %s to %s ", s.message.body, s.message.from, s.message.to)
-	}
-	return text + s.action
-}
+import "slices"
 
 // isFinal says whether the last round is over.
 func (w *world) isFinal() bool { return w.rounds >= w.config.Rounds && len(w.inFlight) == 0 }
--- a/test/modelcheck/world.go
+++ b/test/modelcheck/world.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"slices"
 	"time"
 
@@ -182,12 +183,15 @@
 	w.submitter = h.name
 	token := uint64(w.writes)
 	w.step(h, consensus.Submit{Token: token, Build: func(*store.Table) []store.Put {
-		return []store.Put{{Key: keyOf(token), Data: []byte("x")}}
+		return []store.Put{{Key: writeKey(token), Data: []byte("x")}}
 	}})
 }
 
-// keyOf gives the key that a write sets.
-func keyOf(token uint64) string { return fmt.Sprintf("w%d", token) }
+// writeKey gives the key that a write sets.
+func writeKey(token uint64) string { return fmt.Sprintf("w%d", token) }
+
+// keysOf lists the keys of a table in order.
+func keysOf(table *store.Table) []string { return slices.Sorted(maps.Keys(table.Records)) }
 
 // isHealthy says whether the cluster can bear a loss: there is a primary with a backup,
 // and all voters work and know its record.
