--- /dev/null
+++ b/internal/coordination/singleton/status.go
@@ -0,0 +1,33 @@
+package singleton
+
+import (
+	"maps"
+	"slices"
+	"strings"
+	"time"
+)
+
+// RoleStatus is the state of a role as it is shown to operators.
+type RoleStatus struct {
+	Role     string `json:"duty"`
+	Database string `json:"database"`
+	// Leading says that this control server leads the role.
+	Leading bool `json:"is_held"`
+	// Leader is the other leader that a voter named last, if any.
+	Leader string `json:"seen_held_by"`
+}
+
+// Roles lists the roles that this control server is a candidate for, by name.
+func (m *Machine) Roles(now time.Duration) []RoleStatus {
+	list := []RoleStatus{}
+	for _, role := range slices.Sorted(maps.Keys(m.candidates)) {
+		candidate := m.candidates[role]
+		list = append(list, RoleStatus{
+			Role:     role,
+			Database: strings.TrimPrefix(role, asyncRolePrefix),
+			Leading:  candidate.IsLeader(now),
+			Leader:   candidate.Leader(),
+		})
+	}
+	return list
+}
