--- a/internal/coordination/consensus/bootstrap_test.go
+++ b/internal/coordination/consensus/bootstrap_test.go
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestFounding(t *testing.T) {
+func TestBootstrap(t *testing.T) {
 	names := []string{"c1", "c2", "c3", "c4", "c5"}
 	seeds := []string{address("c5"), address("c2"), address("c4")}
 	bootstrap := func(string) BootstrapConfig { return BootstrapConfig{Voters: 3, MayBootstrap: true, Seeds: seeds} }
--- a/internal/coordination/consensus/election_test.go
+++ b/internal/coordination/consensus/election_test.go
@@ -79,13 +79,13 @@
 	now := time.Hour
 	record := Record{Epoch: 4, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(five)}
 	version := func(sequence uint64) store.Version { return store.Version{Epoch: 4, Sequence: sequence} }
-	voter := func(ballots VoterState) *Machine {
+	voter := func(voterState VoterState) *Machine {
 		replica := store.New()
 		replica.Apply(version(7), []store.Put{{Key: "k", Data: []byte("x")}})
-		ballots.Sequence, ballots.Decided = 1, record
+		voterState.Sequence, voterState.Decided = 1, record
 		return NewWithBootstrap("c4", BootstrapConfig{Voters: 5, RequireBackup: true}, DefaultTiming(), PersistentState{
 			Identity:   &Identity{Cluster: "x", Self: "c4", Voters: []string{"c1", "c2", "c3", "c4", "c5"}, Formed: true},
-			VoterState: &ballots, Table: replica,
+			VoterState: &voterState, Table: replica,
 		}, now)
 	}
 	late := now + 4*DefaultTiming().PrimaryLease
--- a/internal/coordination/consensus/membership_test.go
+++ b/internal/coordination/consensus/membership_test.go
@@ -179,14 +179,14 @@
 		effects = append(effects, m.Step(Tick{WallNanos: 78}, now+time.Second)...)
 		So(len(bodiesSent[Join](effects)), ShouldEqual, 1)
 		So(bodiesSent[Join](gate.Pass(effects, now)), ShouldBeEmpty)
-		var free []Effect
+		var ready []Effect
 		for range 2 {
 			_, due := gate.Next(now)
 			So(due, ShouldBeTrue)
-			So(bodiesSent[Join](free), ShouldBeEmpty)
-			free = gate.Done(true, now)
+			So(bodiesSent[Join](ready), ShouldBeEmpty)
+			ready = gate.Done(true, now)
 		}
-		So(len(bodiesSent[Join](free)), ShouldEqual, 1)
+		So(len(bodiesSent[Join](ready)), ShouldEqual, 1)
 	})
 	Convey("A voter whose record is replaced by one without it votes for no spare until it is a voter again and repaired", t, func() {
 		record := Record{Epoch: 4, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(five)}
--- a/internal/coordination/consensus/spares_test.go
+++ b/internal/coordination/consensus/spares_test.go
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestTwoCopiesLostAtOnce(t *testing.T) {
+func TestTwoReplicasLostAtOnce(t *testing.T) {
 	Convey("Of five nodes, where two may be lost, any two lose their disks at once: what was acknowledged is still there, and writes are committed", t, func() {
 		names := []string{"c1", "c2", "c3", "c4", "c5"}
 		for at, first := range names {
--- a/internal/coordination/consensus/syncgate_test.go
+++ b/internal/coordination/consensus/syncgate_test.go
@@ -7,10 +7,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestGate(t *testing.T) {
+func TestSyncGate(t *testing.T) {
 	now := time.Hour
 	to := func(body any) Send { return Send{To: "c2", Body: body} }
-	ballots, tables := Save{Kind: FileVoterState, Sequence: 1}, Save{Kind: FileTable, Sequence: 1}
+	voterState, table := Save{Kind: FileVoterState, Sequence: 1}, Save{Kind: FileTable, Sequence: 1}
 	Convey("With nothing to be synced, all passes at once and in order", t, func() {
 		var gate SyncGate
 		So(gate.Pass([]Effect{to(RenewLease{}), TableCommitted{}, SubmitResult{Committed: true}}, now), ShouldResemble, []Effect{to(RenewLease{}), TableCommitted{}, SubmitResult{Committed: true}})
@@ -19,26 +19,26 @@
 	})
 	Convey("What depends on a file waits for its sync; votes and grants do not wait for the table's", t, func() {
 		var gate SyncGate
-		free := gate.Pass([]Effect{to(RenewLease{}), tables, to(Replicate{}), to(RenewLeaseAck{}), TableCommitted{}, SubmitResult{Token: 1, Committed: true}, SubmitResult{Token: 2}}, now)
-		So(free, ShouldResemble, []Effect{to(RenewLease{}), to(RenewLeaseAck{}), SubmitResult{Token: 2}})
-		So(gate.Pass([]Effect{ballots, to(Promise{}), to(StatusRequest{})}, now), ShouldResemble, []Effect{to(StatusRequest{})})
-		work, _ := gate.Next(now)
-		So(work, ShouldResemble, tables)
+		ready := gate.Pass([]Effect{to(RenewLease{}), table, to(Replicate{}), to(RenewLeaseAck{}), TableCommitted{}, SubmitResult{Token: 1, Committed: true}, SubmitResult{Token: 2}}, now)
+		So(ready, ShouldResemble, []Effect{to(RenewLease{}), to(RenewLeaseAck{}), SubmitResult{Token: 2}})
+		So(gate.Pass([]Effect{voterState, to(Promise{}), to(StatusRequest{})}, now), ShouldResemble, []Effect{to(StatusRequest{})})
+		task, _ := gate.Next(now)
+		So(task, ShouldResemble, table)
 		_, due := gate.Next(now)
 		So(due, ShouldBeFalse)
 		So(gate.Done(true, now), ShouldResemble, []Effect{to(Replicate{}), TableCommitted{}, SubmitResult{Token: 1, Committed: true}})
-		work, _ = gate.Next(now)
-		So(work, ShouldResemble, ballots)
+		task, _ = gate.Next(now)
+		So(task, ShouldResemble, voterState)
 		So(gate.Done(true, now), ShouldResemble, []Effect{to(Promise{})})
 		So(gate.SyncPending(now+time.Second), ShouldEqual, 0)
 	})
 	Convey("A save that was not synced stays pending, lets nothing pass and is tried again after a pause", t, func() {
 		var gate SyncGate
-		So(gate.Pass([]Effect{ballots, to(Accepted{})}, now), ShouldBeEmpty)
+		So(gate.Pass([]Effect{voterState, to(Accepted{})}, now), ShouldBeEmpty)
 		for at := range time.Duration(5) {
 			later := now + at*SyncRetryDelay
-			work, _ := gate.Next(later)
-			So(work, ShouldResemble, ballots)
+			task, _ := gate.Next(later)
+			So(task, ShouldResemble, voterState)
 			So(gate.Done(false, later), ShouldBeEmpty)
 			So(gate.SyncPending(later+1), ShouldEqual, at*SyncRetryDelay+1)
 			_, due := gate.Next(later + SyncRetryDelay - 1)
@@ -49,7 +49,7 @@
 	})
 	Convey("While the disk hangs, what waits stays small: one message of a type to a node, one save of a kind", t, func() {
 		var gate SyncGate
-		gate.Pass([]Effect{tables}, now)
+		gate.Pass([]Effect{table}, now)
 		gate.Next(now)
 		for sequence := range uint64(10000) {
 			gate.Pass([]Effect{
@@ -59,18 +59,18 @@
 		So(len(gate.blocked), ShouldEqual, 3)
 		So(len(gate.tasks), ShouldEqual, 2)
 		gate.Done(true, now)
-		work, _ := gate.Next(now)
-		So(work, ShouldResemble, Save{Kind: FileVoterState, Sequence: 9999})
+		task, _ := gate.Next(now)
+		So(task, ShouldResemble, Save{Kind: FileVoterState, Sequence: 9999})
 		So(gate.Done(true, now), ShouldContain, to(Promise{Epoch: 9999}))
 	})
 	Convey("A save that is under way is not replaced", t, func() {
 		var gate SyncGate
-		gate.Pass([]Effect{ballots}, now)
+		gate.Pass([]Effect{voterState}, now)
 		gate.Next(now)
 		gate.Pass([]Effect{Save{Kind: FileVoterState, Sequence: 2}, to(Accepted{})}, now)
 		So(gate.Done(true, now), ShouldBeEmpty)
-		work, _ := gate.Next(now)
-		So(work, ShouldResemble, Save{Kind: FileVoterState, Sequence: 2})
+		task, _ := gate.Next(now)
+		So(task, ShouldResemble, Save{Kind: FileVoterState, Sequence: 2})
 		So(gate.IsEpochChangeBlocked(), ShouldBeFalse)
 		gate.Pass([]Effect{EpochChanged{}}, now)
 		So(gate.IsEpochChangeBlocked(), ShouldBeTrue)
