--- /dev/null
+++ b/internal/coordination/consensus/parts_test.go
@@ -0,0 +1,149 @@
+package consensus
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"tansyseam/internal/coordination/proposal"
+	"tansyseam/internal/state/store"
+)
+
+func TestHeldLease(t *testing.T) {
+	const span = time.Second
+	cases := []struct {
+		about  string
+		before time.Duration
+		sentAt []time.Duration
+		until  time.Duration
+	}{
+		{"is counted from when the last of a quorum was asked", 0, []time.Duration{70, 30, 50}, 50 + span*9/10},
+		{"is not extended by a voter beyond the quorum", 0, []time.Duration{50, 70, 50}, 50 + span*9/10},
+		{"never becomes shorter", 2 * span, []time.Duration{70, 30, 50}, 2 * span},
+	}
+	for _, test := range cases {
+		Convey("The lease that a primary holds "+test.about, t, func() {
+			lease := heldLease{until: test.before}
+			lease.extend(test.sentAt, 2, span)
+			So(lease.until, ShouldEqual, test.until)
+		})
+	}
+}
+
+func TestGrantedLease(t *testing.T) {
+	cases := []struct {
+		about     string
+		granted   grantedLease
+		candidate string
+		until     time.Duration
+	}{
+		{"binds to no one before it is granted", grantedLease{}, "c2", 0},
+		{"does not bind against the primary itself", grantedLease{to: "c1", at: 7}, "c1", 0},
+		{"binds against all others for its span", grantedLease{to: "c1", at: 7}, "c2", 107},
+	}
+	for _, test := range cases {
+		Convey("A lease that a voter grants "+test.about, t, func() {
+			So(test.granted.bindsUntil(test.candidate, 100), ShouldEqual, test.until)
+		})
+	}
+}
+
+func TestProposalState(t *testing.T) {
+	const replyTimeout = 100
+	started := func() proposalState {
+		p := proposalState{nextAt: 50}
+		p.start(proposal.NewProposer(p.nextNumber("c1"), 3, nil, 0), Record{Epoch: 4})
+		return p
+	}
+	Convey("A proposal is for the epoch after its base, and numbered above all that is known", t, func() {
+		p := started()
+		So(p.epoch(), ShouldEqual, 5)
+		So(p.hasNumber(proposal.Number{Round: 1, Name: "c1"}), ShouldBeTrue)
+		p.noteRound(7)
+		p.noteRound(3)
+		So(p.nextNumber("c1"), ShouldResemble, proposal.Number{Round: 8, Name: "c1"})
+	})
+	Convey("One that is given up without an answer may still be decided, until the epoch is", t, func() {
+		p := started()
+		p.expire(replyTimeout, replyTimeout)
+		So(p.isUnderWay(), ShouldBeTrue)
+		p.expire(replyTimeout, replyTimeout+1)
+		So(p.isUnderWay(), ShouldBeFalse)
+		So(p.unsettled, ShouldBeTrue)
+		p.end()
+		So(p.unsettled, ShouldBeFalse)
+		So(p.isDue(0), ShouldBeTrue)
+	})
+	Convey("One that was refused is made again when the first of the voters may vote, though others are later", t, func() {
+		p := started()
+		p.noteRetry(40)
+		p.noteRetry(30)
+		p.noteRetry(60)
+		p.expire(replyTimeout, 29)
+		So(p.isUnderWay(), ShouldBeTrue)
+		p.expire(replyTimeout, 30)
+		So(p.isUnderWay(), ShouldBeFalse)
+		So(p.isDue(30), ShouldBeTrue)
+	})
+	Convey("A delay does not bring the next proposal forward", t, func() {
+		p := started()
+		p.delay(20)
+		So(p.isDue(49), ShouldBeFalse)
+		p.delay(80)
+		So(p.isDue(79), ShouldBeFalse)
+		So(p.isDue(80), ShouldBeTrue)
+	})
+}
+
+func TestVoterTracker(t *testing.T) {
+	version := func(sequence uint64) store.Version { return store.Version{Epoch: 4, Sequence: sequence} }
+	Convey("A voter that has not replied is silent since it is counted on", t, func() {
+		tracker := newVoterTracker(100)
+		So(tracker.silence("c2", 150), ShouldEqual, 50)
+		So(tracker.acknowledgedWithin(200, "c2", 150), ShouldBeFalse)
+		tracker.lastAck["c2"] = 140
+		So(tracker.silence("c2", 150), ShouldEqual, 10)
+		So(tracker.acknowledgedWithin(11, "c2", 150), ShouldBeTrue)
+		So(tracker.acknowledgedWithin(10, "c2", 150), ShouldBeFalse)
+	})
+	Convey("The version of a spare rises only, until it lacks writes or is replaced", t, func() {
+		tracker := newVoterTracker(0)
+		So(tracker.hasSpareSynced("c4", version(1)), ShouldBeFalse)
+		tracker.noteSpareVersion("c4", version(7))
+		tracker.noteSpareVersion("c4", version(6))
+		So(tracker.hasSpareSynced("c4", version(7)), ShouldBeTrue)
+		So(tracker.hasSpareSynced("c4", version(8)), ShouldBeFalse)
+		tracker.noteSpareBehind("c4")
+		So(tracker.hasSpareSynced("c4", version(1)), ShouldBeFalse)
+	})
+	Convey("Nothing is left of a voter that is forgotten", t, func() {
+		tracker := newVoterTracker(0)
+		tracker.lastAck["c4"] = 5
+		tracker.noteSpareVersion("c4", version(7))
+		tracker.exclude("c4", 100)
+		So(tracker.isExcluded("c4", 99), ShouldBeTrue)
+		So(tracker.isExcluded("c4", 100), ShouldBeFalse)
+		tracker.forget("c4")
+		So(tracker, ShouldResemble, newVoterTracker(0))
+	})
+}
+
+func TestPeerSet(t *testing.T) {
+	Convey("The nodes are enough since there have been as many as vote without a break", t, func() {
+		var peers peerSet
+		two, three := Peers{Names: []string{"c1", "c2"}}, Peers{Names: []string{"c3", "c1", "c2"}}
+		peers.update(three, 3, 10)
+		peers.update(three, 3, 20)
+		So(peers.hasEnoughFor(10, 20), ShouldBeTrue)
+		peers.update(two, 3, 30)
+		So(peers.hasEnoughFor(0, 30), ShouldBeFalse)
+		peers.update(three, 3, 40)
+		So(peers.hasEnoughFor(10, 49), ShouldBeFalse)
+		So(peers.sorted(), ShouldResemble, []string{"c1", "c2", "c3"})
+	})
+	Convey("Nodes are found by address in the order asked for, once each", t, func() {
+		peers := peerSet{byAddress: map[string]string{"a:1": "c2", "b:1": "c1", "c:1": "c2"}}
+		So(peers.atAddresses([]string{"c:1", "x:1", "b:1", "a:1"}), ShouldResemble, []string{"c2", "c1"})
+	})
+}
