--- a/internal/coordination/routing/doc.go
+++ b/internal/coordination/routing/doc.go
@@ -4,5 +4,18 @@
 // which binding set is active, which instance may answer a read, and whether a commit
 // is durable.
 //
-// The machine is pure: times named now are monotonic times since the process started.
+// A node keeps one Machine. It sends UpdateRequest, or DeltaUpdateRequest where it
+// observes the instances itself, to the control primary, and passes the answer to
+// ApplyUpdate. It passes what instances announce to HandleAnnouncement and what they
+// answer to HandlePosition. Before each statement it asks MayWrite or MayRead, and
+// CommitVerdict before it answers a commit.
+//
+// Invariants: without a lease nothing may be written and no commit is decided; the
+// active binding set never goes back to an earlier sequence; a position goes back only
+// with a new incarnation of its instance, or if the instance itself answers an earlier
+// one.
+//
+// The machine is pure and must not be used concurrently. All times are durations on the
+// node's monotonic clock, with an arbitrary origin; the time of the control primary,
+// by which sets take effect, is converted with the lease.
 package routing
--- a/internal/coordination/routing/observation.go
+++ b/internal/coordination/routing/observation.go
@@ -16,7 +16,8 @@
 	discardedSamples = 128
 )
 
-// Observation is what the node itself observed of an instance.
+// Observation is what the node itself observed of an instance. Times of observations
+// that were never made are neverObserved.
 type Observation struct {
 	Instance model.Instance
 	// Position is the furthest known, unless the instance is known to have gone back.
@@ -62,9 +63,10 @@
 	observation.Instance, observation.LastAnnouncement = instance, now
 }
 
-// HandlePosition handles an instance's answer to a query for its position, which was
-// sent at a time. It returns true if the instance's role, term or leaving has changed.
-// An instance that is behind the position known when it was asked has gone back.
+// HandlePosition handles an instance's answer to a query for its position; sentAt is
+// when the query was sent. It returns true if the instance's role or term has changed,
+// or whether it is leaving. An instance that answers a position behind the one known
+// when the query was sent has gone back.
 func (m *Machine) HandlePosition(name string, answer model.Instance, sentAt, now time.Duration) bool {
 	observation := m.Observation(name)
 	observation.LastResponse = now
--- a/internal/coordination/routing/reads.go
+++ b/internal/coordination/routing/reads.go
@@ -45,10 +45,10 @@
 	return isCandidate && !observation.Position.IsBefore(role.HighWatermark)
 }
 
-// MayRead says whether an instance may answer a read that was received at a time. The
-// primary of an open term always may. A replica may if it has everything confirmed up
-// to the freshness bound before the read, and minPosition, which is that of the
-// client's own writes; with a bound of 0 it may not.
+// MayRead says whether an instance may answer a read that was received at receivedAt.
+// The primary of an open term always may. A replica may if it has everything that was
+// confirmed until bound before the read, and minPosition, which is that of the client's
+// own writes; with a bound of 0 it may not.
 func (m *Machine) MayRead(name string, receivedAt, bound time.Duration, minPosition model.Position, now time.Duration) bool {
 	observation := m.Observation(name)
 	instance := observation.Instance
--- a/internal/coordination/routing/reporter.go
+++ b/internal/coordination/routing/reporter.go
@@ -9,7 +9,8 @@
 )
 
 // Reporter reduces a node's reports to what the control primary does not have by
-// earlier requests. The primary's tenure that has them is the baseline.
+// earlier requests. The primary's tenure that has them is the baseline. NextReport is
+// called for each request, and Acknowledge with the answer to it.
 type Reporter struct {
 	// baselineTenure is the number of the tenure that has what acknowledged and
 	// acknowledgedWatermarks list; 0 for none.
@@ -38,9 +39,9 @@
 	}
 }
 
-// hasNewsSince says whether a state tells anything that an earlier one does not. A
-// fault is always reported again, also when it has ended.
-func (s reportedState) hasNewsSince(earlier reportedState) bool {
+// differsFrom says whether a state is worth reporting after an earlier one. A fault is
+// always reported again, also when it has ended.
+func (s reportedState) differsFrom(earlier reportedState) bool {
 	return s.instance != earlier.instance || s.answeredAt > earlier.answeredAt || s.faulty || earlier.faulty
 }
 
@@ -69,7 +70,7 @@
 	}
 	for _, report := range complete.Reports {
 		if earlier, found := r.acknowledged[report.Instance.Name]; found {
-			if !reportedStateOf(report, now).hasNewsSince(earlier) {
+			if !reportedStateOf(report, now).differsFrom(earlier) {
 				continue
 			}
 			report.Instance = abbreviate(report.Instance, earlier.instance)
--- a/internal/coordination/routing/updates.go
+++ b/internal/coordination/routing/updates.go
@@ -29,7 +29,8 @@
 	return m.newRequest(m.reporter.NextReport(report, now), now)
 }
 
-// DeltaReport leaves the same out of a report that is sent beside the requests.
+// DeltaReport returns a report to be sent beside the requests, without what the control
+// primary has by earlier requests.
 func (m *Machine) DeltaReport(report distribution.NodeReport, now time.Duration) distribution.NodeReport {
 	return m.reporter.Delta(report, now)
 }
@@ -72,10 +73,11 @@
 	return report
 }
 
-// ApplyUpdate handles the update that answers a request sent at a time. What it forbids
-// applies at once, and the next request tells the primary so. A delta on another version
-// than the node's brings neither a snapshot nor a lease, since that is valid only with
-// the newest snapshot.
+// ApplyUpdate handles the update that answers the request sent at sentAt, and returns
+// the writer roles that it changes. What the update forbids applies at once, and the
+// next request reports so by its version. A delta on another version than the node's
+// brings neither a snapshot nor a lease, since a lease is valid only with the newest
+// snapshot.
 func (m *Machine) ApplyUpdate(update distribution.Update, sentAt, now time.Duration) []WriterRoleChanged {
 	var changes []WriterRoleChanged
 	m.reporter.Acknowledge(update.Tenure)
