--- a/internal/coordination/balancer/balancer.go
+++ b/internal/coordination/balancer/balancer.go
@@ -1,14 +1,19 @@
 // Package balancer chooses the instance that a read is sent to: one that is
-// fresh enough and has capacity, with the lowest expected cost.
+// fresh enough and has capacity, with the lowest expected cost. It keeps no
+// state: the caller describes the instances at each read and passes them to Pick.
 package balancer
 
 import "time"
 
-// An instance in another zone costs otherZoneFactor times as much, and
-// otherZoneCost on top, so that the own zone wins unless it is much slower.
 const (
+	// An instance in another zone costs otherZoneFactor times as much, and
+	// otherZoneCost milliseconds on top, so that the own zone wins unless it is
+	// much slower.
 	otherZoneFactor = 2
 	otherZoneCost   = 1.5
+	// baseCost, in milliseconds, keeps utilization and zone in the cost of an
+	// instance whose latency is not known yet, or is very low.
+	baseCost = 1
 )
 
 // Candidate is the current state of one instance.
@@ -19,7 +24,8 @@
 	SameZone    bool
 	// FreshEnough says that the instance's data meets the read's freshness.
 	FreshEnough bool
-	// Utilization is the used share of the concurrency window.
+	// Utilization is the used share of the concurrency window, from 0; it is
+	// above 1 while a window that has shrunk still has more in flight.
 	Utilization float64
 	// Latency is the time that a statement takes at an idle instance.
 	Latency time.Duration
@@ -44,7 +50,7 @@
 
 // cost is about the expected time of a statement, in milliseconds.
 func cost(candidate Candidate) float64 {
-	total := float64(candidate.Latency)/float64(time.Millisecond) + 1
+	total := float64(candidate.Latency)/float64(time.Millisecond) + baseCost
 	total *= 1 + candidate.Utilization
 	if !candidate.SameZone {
 		total = total*otherZoneFactor + otherZoneCost
--- a/internal/coordination/flowcontrol/doc.go
+++ b/internal/coordination/flowcontrol/doc.go
@@ -12,4 +12,13 @@
 // Nodes that share an instance so come to windows in proportion to their beta
 // without a message between them. docs/paper.md lists what was decided where
 // the paper is silent.
+//
+// A node keeps one Window for each instance. It sends a statement only while
+// HasRoom, calls Acquire as it sends it and, once for each, Release with the
+// outcome and latency, or Abandon and later ReleaseAbandoned. Tick is called at
+// least once a period. PeerCounter counts the nodes that share an instance, to
+// bound w_max by a node's share of its connections (Retune).
+//
+// Windows and slots count statements; latencies and times are durations, the
+// latter on the node's monotonic clock. Nothing here is safe for concurrent use.
 package flowcontrol
--- a/internal/coordination/outlier/outlier.go
+++ b/internal/coordination/outlier/outlier.go
@@ -2,6 +2,10 @@
 // the statements that this node sent there. The rate raises the instance's cost
 // for the load balancer, but never ejects it, so that a database always has an
 // instance left. It decays with time, so that the instance is tried again.
+//
+// A node keeps one FailureRate for each instance, calls Observe with each outcome
+// and passes CostFactor to the balancer. Times are durations on the node's
+// monotonic clock.
 package outlier
 
 import (
--- a/internal/coordination/pool/httppool/doc.go
+++ b/internal/coordination/pool/httppool/doc.go
@@ -10,7 +10,14 @@
 // known to be safe on the replicas. Cancel ends a request in any of these
 // phases.
 //
+// Invariants: a request is answered once (Respond), and a session has at most one
+// without an answer. A request id whose outcome is recorded is not sent again. An
+// assigned request holds one slot of its instance's window until it is queued again,
+// the instance answers, the connection ends or, if it was abandoned, AbandonedTimeout
+// is over. A connection with state of a session is pinned to it and used by no other.
+//
 // The machine is pure: it does no I/O and has no clock. Each method is one
 // event; Effects gives what the events caused, to be carried out in order.
-// Times are offsets on the node's monotonic clock.
+// Times are offsets on the node's monotonic clock. Tick is called every few tens
+// of milliseconds. The machine must not be used concurrently.
 package httppool
