--- a/cmd/tansyseam-control/main.go
+++ b/cmd/tansyseam-control/main.go
@@ -17,37 +17,41 @@
 // that stops.
 const leaveTimeout = 5 * time.Second
 
-// outside is what connects a control node to instances and platform.
-type outside struct {
+// externalClients are what a control node calls instances and platform with.
+type externalClients struct {
 	// adapters are nil in the product's own mode, which needs none.
 	adapters *control.Adapters
 	// start is called once the node has started, before the server acts.
 	start func() error
 }
 
-// outsideByMode makes what each mode needs.
-var outsideByMode = map[config.Mode]func(*node.Node) outside{
-	config.ModeNative:   func(*node.Node) outside { return outside{start: func() error { return nil }} },
-	config.ModePlatform: newPlatformOutside,
+// clientsByMode makes what each mode needs.
+var clientsByMode = map[config.Mode]func(*node.Node) externalClients{
+	config.ModeNative:   newNativeClients,
+	config.ModePlatform: newPlatformClients,
 }
 
-func newPlatformOutside(node *node.Node) outside {
+func newNativeClients(*node.Node) externalClients {
+	return externalClients{start: func() error { return nil }}
+}
+
+func newPlatformClients(node *node.Node) externalClients {
 	node.Translate = platform.Translate
 	commands := control.NewCommandClient(node.Workers, platform.Codec(), node.Config().Name)
 	adapters := &control.Adapters{SendCommand: commands.Send, Promote: control.NewPromoter(node, platform.Promote)}
-	return outside{adapters: adapters, start: commands.Start}
+	return externalClients{adapters: adapters, start: commands.Start}
 }
 
 func main() { os.Exit(bootstrap.Main(config.Control, os.Args[1:], open)) }
 
 func open(node *node.Node, cfg config.Config) (bootstrap.Daemon, error) {
-	outside := outsideByMode[cfg.Mode](node)
-	server, err := control.Open(node, cfg, outside.adapters)
+	clients := clientsByMode[cfg.Mode](node)
+	server, err := control.Open(node, cfg, clients.adapters)
 	if err != nil {
 		return bootstrap.Daemon{}, err
 	}
 	start := func() error {
-		if err := outside.start(); err != nil {
+		if err := clients.start(); err != nil {
 			return err
 		}
 		server.Start()
