--- a/internal/app/control/commands.go
+++ b/internal/app/control/commands.go
@@ -12,7 +12,7 @@
 )
 
 // ErrNoReply says that an instance did not reply to a command.
-const ErrNoReply = errors.ConstError("order not answered")
+const ErrNoReply = errors.ConstError("no reply to the command")
 
 // CommandClient sends admin commands to instances over a line protocol, each
 // over a connection of its own.
@@ -59,11 +59,15 @@
 // exchange reads an instance's reply: ready after the greeting, then a row or
 // an error, then ready again.
 type exchange struct {
-	codec    lineproto.Codec
-	replies  chan CommandReply
-	welcomed bool
-	hasRow   bool
-	reply    CommandReply
+	codec lineproto.Codec
+	// replies takes the first reply.
+	replies chan CommandReply
+	// greeted says that the greeting was answered; what follows answers the
+	// command.
+	greeted bool
+	// hasResult says that reply holds what a status or an error gave.
+	hasResult bool
+	reply     CommandReply
 }
 
 // OnLines takes what the instance sent.
@@ -90,7 +94,7 @@
 
 func (e *exchange) onRow(message lineproto.Message) {
 	status, complete := e.codec.ParseStatus(message.Payload)
-	e.hasRow = complete
+	e.hasResult = complete
 	e.reply = CommandReply{Role: status.Role, Term: status.Term, Position: status.Position}
 }
 
@@ -102,18 +106,19 @@
 	if !e.reply.Busy && !e.reply.Gone {
 		e.reply.Err = errors.Annotatef(ErrNoReply, "%s", message.Payload)
 	}
-	e.hasRow = true
-	if !e.welcomed {
+	e.hasResult = true
+	if !e.greeted {
+		// An instance that refuses the session sends no ready.
 		e.finish(e.reply)
 	}
 }
 
 func (e *exchange) onReady(lineproto.Message) {
-	if !e.welcomed {
-		e.welcomed = true
+	if !e.greeted {
+		e.greeted = true
 		return
 	}
-	if !e.hasRow {
+	if !e.hasResult {
 		e.reply = CommandReply{Err: ErrNoReply}
 	}
 	e.finish(e.reply)
--- a/internal/app/control/server.go
+++ b/internal/app/control/server.go
@@ -41,27 +41,40 @@
 	logger   hclog.Logger
 	store    *versionfile.Store
 	adapters Adapters
+	// platform makes the promote calls for asynchronously replicated databases.
 	platform *platformClient
 
 	// The fields up to the mutex belong to the loop that runs the tasks.
-	tasks            chan func()
-	consensus        *consensus.Machine
-	gate             consensus.SyncGate
-	runOnDisk        func(work func())
-	diskFailing      bool
+
+	// tasks are the steps of the consensus machine that wait.
+	tasks     chan func()
+	consensus *consensus.Machine
+	// gate holds back effects that must wait for a file to be synced.
+	gate consensus.SyncGate
+	// runOnDisk writes files: on a worker of its own, and until Start at once.
+	runOnDisk func(work func())
+	// diskFailing says that the last write of a file failed.
+	diskFailing bool
+	// peersRefreshedAt is when the consensus machine was last told the peers.
 	peersRefreshedAt time.Duration
 	// onReleased, where set, is called once no role is held any more.
 	onReleased func()
 
 	mutex sync.Mutex
 	// lastToken is the last one given to a submitted write or a request.
-	lastToken      uint64
-	writeWaiters   map[uint64]func(consensus.SubmitResult)
-	updateWaiters  map[uint64]func(any)
-	distributor    *distribution.Machine
-	singletons     *singleton.Machine
-	evidence       *syncrepl.Observer
-	voters         []string
+	lastToken uint64
+	// writeWaiters take the outcomes of submitted writes, by token.
+	writeWaiters map[uint64]func(consensus.SubmitResult)
+	// updateWaiters take the replies to requests for an update, by token.
+	updateWaiters map[uint64]func(any)
+	distributor   *distribution.Machine
+	singletons    *singleton.Machine
+	// evidence is what this node itself learns from instances and platform.
+	evidence *syncrepl.Observer
+	// voters are those of the newest epoch record known, sorted; there are none
+	// before the cluster is formed.
+	voters []string
+	// appliedVersion is that of this node's replica of the control state.
 	appliedVersion store.Version
 	// primaryUntil is when this node stops to act as the control primary.
 	primaryUntil time.Duration
@@ -70,7 +83,10 @@
 	wallReadAt time.Duration
 
 	// These belong to the loop that runs the singletons.
-	registrySweptAt  time.Duration
+
+	// registrySweptAt is when instances that no longer count were last removed.
+	registrySweptAt time.Duration
+	// primacyAnnounced says that the proxies were told of this node's primacy.
 	primacyAnnounced bool
 }
 
