--- a/internal/app/control/manifests.go
+++ b/internal/app/control/manifests.go
@@ -14,6 +14,7 @@
 	"tansyseam/internal/coordination/consensus"
 	"tansyseam/internal/coordination/rollout"
 	"tansyseam/internal/protocol/bindings"
+	"tansyseam/internal/protocol/message"
 	"tansyseam/internal/state/model"
 	"tansyseam/internal/state/store"
 )
@@ -35,29 +36,33 @@
 	manifest := rollout.Manifest{
 		Version: set.Version, Set: set, Compressed: compress(raw), Digest: rollout.DigestOf(set, raw), Source: manifestSource,
 	}
-	accepted, conflict := false, false
+	var accepted, conflict bool
 	s.submit(func(state *store.Table) []store.Put {
 		puts, err := rollout.AcceptManifest(state, manifest, s.wallTime())
 		accepted, conflict = len(puts) > 0, errors.Is(err, rollout.ErrVersionConflict)
 		return puts
 	}, func(submitted consensus.SubmitResult) {
-		if !submitted.Committed {
-			call.reply(unacknowledged(node.OutcomeUnknown, manifestRetryMillis))
-			return
-		}
-		if conflict {
-			s.node.Counters.Add("manifests_conflicting", 1)
-			call.reply(rejected(http.StatusConflict,
-				fmt.Sprintf("another manifest was taken as version %d; send this one under a version of its own", set.Version)))
-			return
-		}
-		if accepted {
+		if submitted.Committed && accepted {
 			s.onManifestAccepted(set)
 		}
-		call.reply(newCallResult(http.StatusOK, manifestVersion{Version: set.Version}))
+		call.reply(s.manifestResult(set.Version, submitted.Committed, conflict))
 	})
 }
 
+// manifestResult is the result of a call that gave a manifest. One that was
+// accepted before, or that a newer one has overtaken, succeeds as well.
+func (s *Server) manifestResult(version uint64, committed, conflict bool) message.OperatorCallResult {
+	if !committed {
+		return unacknowledged(node.OutcomeUnknown, manifestRetryMillis)
+	}
+	if conflict {
+		s.node.Counters.Add("manifests_conflicting", 1)
+		return rejected(http.StatusConflict,
+			fmt.Sprintf("another manifest was taken as version %d; send this one under a version of its own", version))
+	}
+	return newCallResult(http.StatusOK, manifestVersion{Version: version})
+}
+
 func (s *Server) onManifestAccepted(set model.BindingSet) {
 	s.node.Counters.Add("manifests_taken", 1)
 	s.logger.Info("manifest accepted", "version", set.Version, "bindings", len(set.Bindings), "databases", len(set.Databases))
