--- a/internal/app/admin/answers.go
+++ b/internal/app/admin/answers.go
@@ -95,12 +95,12 @@
 
 // NewReadiness gives the HTTP status and the answer of a readiness check: 503
 // with the reason where the node is not ready.
-func NewReadiness(ready bool, why string) (status int, answer Readiness) {
+func NewReadiness(ready bool, reason string) (status int, answer Readiness) {
 	status = http.StatusOK
 	if !ready {
 		status = http.StatusServiceUnavailable
 	}
-	return status, Readiness{Ready: ready, Reason: why}
+	return status, Readiness{Ready: ready, Reason: reason}
 }
 
 // NewVersion gives the answer form of a version of the control state.
--- a/internal/app/admin/api.go
+++ b/internal/app/admin/api.go
@@ -38,8 +38,8 @@
 	Routing() *routing.Machine
 	// EffectiveSet gives the binding set in force.
 	EffectiveSet(now time.Duration) model.BindingSet
-	// Ready says whether requests are served, and why not.
-	Ready(now time.Duration) (ready bool, why string)
+	// Ready says whether requests are served; the reason says why not.
+	Ready(now time.Duration) (ready bool, reason string)
 }
 
 // API serves the calls of a data plane. Its functions are called with Locker
@@ -116,19 +116,19 @@
 
 func (a *API) ready() (int, any) {
 	a.Locker.Lock()
-	ready, why := a.Proxy.Ready(a.Node.Now())
+	ready, reason := a.Proxy.Ready(a.Node.Now())
 	a.Locker.Unlock()
-	return NewReadiness(ready, why)
+	return NewReadiness(ready, reason)
 }
 
 func (a *API) health() (int, any) {
 	a.Locker.Lock()
 	defer a.Locker.Unlock()
 	now, router := a.Node.Now(), a.Proxy.Routing()
-	ready, why := a.Proxy.Ready(now)
+	ready, reason := a.Proxy.Ready(now)
 	return http.StatusOK, Health{
 		Epoch: router.Epoch(), Ready: ready, LeaseMillis: router.LeaseRemaining(now).Milliseconds(), Node: a.Node.Config().Name,
-		Queues: a.QueueDepths(now), Sequence: a.Proxy.EffectiveSet(now).Sequence, Sessions: a.SessionCount(), Reason: why,
+		Queues: a.QueueDepths(now), Sequence: a.Proxy.EffectiveSet(now).Sequence, Sessions: a.SessionCount(), Reason: reason,
 	}
 }
 
@@ -150,10 +150,10 @@
 	defer a.Locker.Unlock()
 	now, router, cfg := a.Node.Now(), a.Proxy.Routing(), a.Node.Config()
 	instances, queues := a.Describe(now)
-	ready, why := a.Proxy.Ready(now)
+	ready, reason := a.Proxy.Ready(now)
 	return Report{
 		Instances: instances, Ready: ready, Kind: model.KindProxy, LeaseMillis: router.LeaseRemaining(now).Milliseconds(),
 		Queues: queues, Node: cfg.Name, Sessions: a.SessionCount(), BindingSets: a.bindingSets(now), Version: NewVersion(router.Version()),
-		Weight: cfg.Weight, Query: query, Reason: why, Writers: NewWriterRoles(router.Snapshot()),
+		Weight: cfg.Weight, Query: query, Reason: reason, Writers: NewWriterRoles(router.Snapshot()),
 	}
 }
--- a/internal/app/config/reload.go
+++ b/internal/app/config/reload.go
@@ -7,11 +7,12 @@
 	"strings"
 )
 
-// Diff compares a new configuration with the one in force: the settings that
-// differ and may change while the program runs, and those that need a restart.
-func Diff(program Program, old, new Config) (live, fixed []string) {
+// Diff compares a loaded configuration with the one in force, and names the
+// settings that differ: those that may change while the program runs, and those
+// that need a restart.
+func Diff(program Program, old, loaded Config) (live, fixed []string) {
 	for _, s := range settingsOf(program) {
-		if s.format(old) == s.format(new) {
+		if s.format(old) == s.format(loaded) {
 			continue
 		}
 		if s.reloadable {
@@ -23,13 +24,13 @@
 	return live, fixed
 }
 
-// ApplyLive gives the old configuration with those settings of the new one
+// ApplyLive gives the old configuration with those settings of the loaded one
 // that may change while the program runs.
-func ApplyLive(program Program, old, new Config) Config {
+func ApplyLive(program Program, old, loaded Config) Config {
 	for _, s := range settingsOf(program) {
 		if s.reloadable {
 			// What format writes, parse reads.
-			_ = s.parse(&old, s.format(new))
+			_ = s.parse(&old, s.format(loaded))
 		}
 	}
 	return old
