--- a/test/e2e/brief_test.go
+++ b/test/e2e/brief_test.go
@@ -5,6 +5,7 @@
 	"path/filepath"
 	"reflect"
 	"regexp"
+	"slices"
 	"strings"
 	"testing"
 
@@ -14,6 +15,39 @@
 	"tansyseam/test/simulation"
 )
 
+const (
+	briefPage      = "../../docs/brief.md"
+	briefDirectory = "../../docs/brief"
+)
+
+// partLink is a link from the brief's page to one of its parts.
+var partLink = regexp.MustCompile(`\]\(brief/([^)]+)\)`)
+
+// readBrief gives the text of the brief's page and of all its parts, each of which the
+// page must link.
+func readBrief() string {
+	text, err := os.ReadFile(briefPage)
+	So(err, ShouldBeNil)
+	page := string(text)
+	var linked, parts []string
+	for _, match := range partLink.FindAllStringSubmatch(page, -1) {
+		linked = append(linked, match[1])
+	}
+	entries, err := os.ReadDir(briefDirectory)
+	So(err, ShouldBeNil)
+	for _, entry := range entries {
+		part, err := os.ReadFile(filepath.Join(briefDirectory, entry.Name()))
+		So(err, ShouldBeNil)
+		parts = append(parts, entry.Name())
+		page += "\n" + string(part)
+	}
+	slices.Sort(linked)
+	So(len(parts), ShouldBeGreaterThan, 0)
+	So(linked, ShouldResemble, parts)
+	return page
+}
+
+// testNames are those of all tests of the repository.
 func testNames() map[string]bool {
 	found := map[string]bool{}
 	for _, root := range []string{"../../internal", "../../cmd", "../../platform", "../../test"} {
@@ -30,6 +64,7 @@
 	return found
 }
 
+// knownNames are what a citation may name, by its kind.
 func knownNames() map[string]map[string]bool {
 	names := map[string]map[string]bool{"test": testNames(), "run": {}, "trouble": {}, "rule": {}, "plant": {}}
 	for _, scenario := range Scenarios() {
@@ -48,6 +83,7 @@
 	return names
 }
 
+// pageFaults lists the citations of what does not exist, and what no citation names.
 func pageFaults(page string, names map[string]map[string]bool) []string {
 	var faults []string
 	cited := map[string]bool{}
@@ -73,13 +109,12 @@
 }
 
 func TestBriefPage(t *testing.T) {
-	Convey("Each test, run, trouble, rule, planted defect and package that docs/brief.md names exists, and none is left out", t, func() {
-		page, err := os.ReadFile("../../docs/brief.md")
-		So(err, ShouldBeNil)
+	Convey("Each test, run, trouble, rule, planted defect and package that the pages of the brief name exists, and none is left out", t, func() {
+		page := readBrief()
 		names := knownNames()
 		So(len(names["test"]), ShouldBeGreaterThan, 20)
-		So(pageFaults(string(page), names), ShouldBeEmpty)
-		So(pageFaults(string(page)+"`run:nosuch` `app/nosuch`", names), ShouldHaveLength, 2)
-		So(pageFaults(strings.ReplaceAll(string(page), "`trouble:rush`", ""), names), ShouldHaveLength, 1)
+		So(pageFaults(page, names), ShouldBeEmpty)
+		So(pageFaults(page+"`run:nosuch` `app/nosuch`", names), ShouldHaveLength, 2)
+		So(pageFaults(strings.ReplaceAll(page, "`trouble:rush`", ""), names), ShouldHaveLength, 1)
 	})
 }
