--- a/test/simulation/control_test.go
+++ b/test/simulation/control_test.go
@@ -74,47 +74,64 @@
 	})
 }
 
-func TestControlCutOffForLong(t *testing.T) {
-	onlyWithoutRace(t)
-	ways := map[string]func(isolated, other string) []link{
-		"both ways":     func(isolated, other string) []link { return []link{{isolated, other}, {other, isolated}} },
-		"it hears none": func(isolated, other string) []link { return []link{{isolated, other}} },
-		"none hears it": func(isolated, other string) []link { return []link{{other, isolated}} },
-		"from one alone": func(isolated, other string) []link {
-			return map[bool][]link{true: {{isolated, other}, {other, isolated}}}[other < "c3"]
-		},
-	}
-	configOf := func(way func(isolated, other string) []link, result *struct{ reads, others int }) Config {
-		config := SmallConfig()
-		config.FaultDuration, config.RecoveryDuration = 24*time.Second, 15*time.Second
-		config.Script = func(f *fleet) {
-			f.faults.followUpsLeft = 0
-			isolated := f.activePrimary()
-			for _, other := range f.controls {
-				for _, cut := range way(isolated.name, other.name) {
-					if other != isolated {
-						f.simulator.blockLink(cut, 20*time.Second)
-					}
+// cutOffRun is what a run showed in which the control primary was cut off.
+type cutOffRun struct {
+	violations map[string][]string
+	// answeredReads counts the operators' reads that were answered.
+	answeredReads int
+	// hasSuccessor says that another server was primary soon.
+	hasSuccessor bool
+}
+
+// cutOffPrimary cuts the control primary off from the other control servers for
+// 20 s. The function blocked gives the links that are cut between it and each
+// other server.
+func cutOffPrimary(seed uint64, blocked func(isolated, other string) []link, defects Defects) cutOffRun {
+	run := cutOffRun{}
+	config := SmallConfig()
+	config.FaultDuration, config.RecoveryDuration = 24*time.Second, 15*time.Second
+	config.Script = func(f *fleet) {
+		f.faults.followUpsLeft = 0
+		isolated := f.activePrimary()
+		for _, other := range f.controls {
+			for _, way := range blocked(isolated.name, other.name) {
+				if other != isolated {
+					f.simulator.blockLink(way, 20*time.Second)
 				}
 			}
-			f.simulator.after(4*time.Second, func() {
-				if next := f.activePrimary(); next != nil && next != isolated {
-					result.others++
-				}
-			})
-			f.simulator.after(23*time.Second, func() { result.reads = f.answeredReads })
 		}
-		return config
+		f.simulator.after(4*time.Second, func() {
+			next := f.activePrimary()
+			run.hasSuccessor = next != nil && next != isolated
+		})
+		f.simulator.after(23*time.Second, func() { run.answeredReads = f.answeredReads })
+	}
+	run.violations = Run(seed, config, defects, nil).Violations
+	return run
+}
+
+func TestControlCutOffForLong(t *testing.T) {
+	onlyWithoutRace(t)
+	bothWays := func(isolated, other string) []link { return []link{{isolated, other}, {other, isolated}} }
+	cuts := map[string]func(isolated, other string) []link{
+		"both ways":     bothWays,
+		"none hears it": func(isolated, other string) []link { return []link{{isolated, other}} },
+		"it hears none": func(isolated, other string) []link { return []link{{other, isolated}} },
+		"not from c3": func(isolated, other string) []link {
+			if other == "c3" {
+				return nil
+			}
+			return bothWays(isolated, other)
+		},
 	}
 	Convey("A control primary is cut off from the others for 20 s, while it still meets nodes and operators: nobody reads older than was acknowledged, at most one holds primacy, and orders go on elsewhere", t, func() {
-		for name, way := range ways {
+		for name, blocked := range cuts {
 			for seed := range uint64(4) {
-				var seen struct{ reads, others int }
-				result := Run(40+seed, configOf(way, &seen), Defects{}, nil)
-				SoMsg(name, result.Violations, ShouldBeEmpty)
-				So(seen.reads, ShouldBeGreaterThan, 50)
+				run := cutOffPrimary(40+seed, blocked, Defects{})
+				SoMsg(name, run.violations, ShouldBeEmpty)
+				SoMsg(name, run.answeredReads, ShouldBeGreaterThan, 50)
 				if name == "both ways" {
-					So(seen.others, ShouldEqual, 1)
+					So(run.hasSuccessor, ShouldBeTrue)
 				}
 			}
 		}
@@ -122,9 +139,8 @@
 	Convey("A control machine that answers reads without primacy is found by it", t, func() {
 		broken := 0
 		for seed := range uint64(4) {
-			var seen struct{ reads, others int }
-			result := Run(40+seed, configOf(ways["both ways"], &seen), Defects{ReadWithoutPrimacy: true}, nil)
-			broken += len(result.Violations[ownRule])
+			run := cutOffPrimary(40+seed, bothWays, Defects{ReadWithoutPrimacy: true})
+			broken += len(run.violations[ownRule])
 		}
 		So(broken, ShouldBeGreaterThan, 0)
 	})
--- a/test/simulation/defects_test.go
+++ b/test/simulation/defects_test.go
@@ -10,6 +10,23 @@
 	"tansyseam/test/history"
 )
 
+// cutOffNodeAndFreezePrimary cuts a node off and freezes the primary of its
+// database until after another was promoted. The platform does not tell the old
+// one, so that the node still finds a primary.
+func cutOffNodeAndFreezePrimary(f *fleet) {
+	isolated, old := f.nodes[0], f.currentPrimary(f.databases[0])
+	for _, control := range f.controls {
+		f.simulator.blockBothWays(link{isolated.name, control.name}, 10*time.Second)
+	}
+	for _, other := range f.nodes[1:] {
+		f.simulator.blockLink(link{other.name, isolated.name}, 10*time.Second)
+	}
+	f.platform.keepsOldPrimary = true
+	f.simulator.after(500*time.Millisecond, old.freeze)
+	f.simulator.after(4*time.Second, old.thaw)
+	f.simulator.after(10*time.Second, func() { f.platform.keepsOldPrimary = false })
+}
+
 func TestPlantedDefectsAreSeen(t *testing.T) {
 	onlyWithoutRace(t)
 	with := func(only ...string) Config {
@@ -19,19 +36,7 @@
 	}
 	cutOff := SmallConfig()
 	cutOff.FaultDuration = 12 * time.Second
-	cutOff.Script = func(f *fleet) {
-		isolated, old := f.nodes[0], f.currentPrimary(f.databases[0])
-		for _, control := range f.controls {
-			f.simulator.blockBothWays(link{isolated.name, control.name}, 10*time.Second)
-		}
-		for _, other := range f.nodes[1:] {
-			f.simulator.blockLink(link{other.name, isolated.name}, 10*time.Second)
-		}
-		f.platform.keepsOldPrimary = true
-		f.simulator.after(500*time.Millisecond, old.freeze)
-		f.simulator.after(4*time.Second, old.thaw)
-		f.simulator.after(10*time.Second, func() { f.platform.keepsOldPrimary = false })
-	}
+	cutOff.Script = cutOffNodeAndFreezePrimary
 	plants := []struct {
 		name   string
 		plant  Defects
--- a/test/simulation/lines_defects_test.go
+++ b/test/simulation/lines_defects_test.go
@@ -10,6 +10,44 @@
 	"tansyseam/test/linehistory"
 )
 
+// cutOffNodeAndOldPrimary cuts a node off, and then the primary of a database
+// with it, so that the primary is replaced where the node cannot hear of it. The
+// other nodes lose their connections to the old primary, and control is told that
+// it leaves.
+func cutOffNodeAndOldPrimary(l *lineFleet) {
+	isolated := l.nodes[0]
+	for _, control := range l.controls {
+		l.simulator.blockBothWays(link{isolated.name, control.name}, 9*time.Second)
+	}
+	for _, other := range l.nodes[1:] {
+		l.simulator.blockLink(link{other.name, isolated.name}, 9*time.Second)
+	}
+	old := l.primaryOf(l.databases[0])
+	for _, control := range l.controls {
+		l.simulator.blockBothWays(link{old.name, control.name}, 8*time.Second)
+	}
+	next, last := l.instancesByAddress["db1-b:1"], l.instancesByAddress["db1-c:1"]
+	last.replicationDelay = 60 * time.Millisecond
+	for _, way := range []link{{next.name, last.name}, {last.name, next.name}, {next.name, old.name}} {
+		l.simulator.after(1500*time.Millisecond, func() { l.simulator.blockLink(way, 8*time.Second) })
+	}
+	l.simulator.after(time.Second, func() {
+		for _, node := range l.nodes[1:] {
+			for _, connection := range node.connections {
+				if connection.instance == old {
+					connection.session.close()
+					connection.breakOff()
+				}
+			}
+		}
+		old.leavingSince = l.simulator.now
+		for _, control := range l.controls {
+			control.onAnnouncement(old.info())
+		}
+		old.leavingSince = 0
+	})
+}
+
 func TestLinesPlantedDefects(t *testing.T) {
 	onlyWithoutRace(t)
 	with := func(longest time.Duration, only ...string) LineConfig {
@@ -18,39 +56,7 @@
 		return config
 	}
 	cutOff := shortLines()
-	cutOff.Script = func(l *lineFleet) {
-		isolated := l.nodes[0]
-		for _, control := range l.controls {
-			l.simulator.blockBothWays(link{isolated.name, control.name}, 9*time.Second)
-		}
-		for _, other := range l.nodes[1:] {
-			l.simulator.blockLink(link{other.name, isolated.name}, 9*time.Second)
-		}
-		old := l.primaryOf(l.databases[0])
-		for _, control := range l.controls {
-			l.simulator.blockBothWays(link{old.name, control.name}, 8*time.Second)
-		}
-		next, last := l.instancesByAddress["db1-b:1"], l.instancesByAddress["db1-c:1"]
-		last.replicationDelay = 60 * time.Millisecond
-		for _, way := range []link{{next.name, last.name}, {last.name, next.name}, {next.name, old.name}} {
-			l.simulator.after(1500*time.Millisecond, func() { l.simulator.blockLink(way, 8*time.Second) })
-		}
-		l.simulator.after(time.Second, func() {
-			for _, node := range l.nodes[1:] {
-				for _, connection := range node.connections {
-					if connection.instance == old {
-						connection.session.close()
-						connection.breakOff()
-					}
-				}
-			}
-			old.leavingSince = l.simulator.now
-			for _, control := range l.controls {
-				control.onAnnouncement(old.info())
-			}
-			old.leavingSince = 0
-		})
-	}
+	cutOff.Script = cutOffNodeAndOldPrimary
 	planted := []struct {
 		name    string
 		defects LineDefects
--- a/test/simulation/lines_test.go
+++ b/test/simulation/lines_test.go
@@ -27,15 +27,19 @@
 	})
 }
 
+// soServesAllWithoutFaults checks a run without any fault.
+func soServesAllWithoutFaults(config LineConfig) {
+	config.Script = func(*lineFleet) {}
+	result := RunLines(1, config, LineDefects{}, nil)
+	So(result.Violations, ShouldBeEmpty)
+	So(result.FailureCodes, ShouldBeEmpty)
+	So(result.Terms, ShouldEqual, 1)
+	So(result.Served, ShouldBeGreaterThan, 1000)
+}
+
 func TestLinesFixedSeeds(t *testing.T) {
 	Convey("Without trouble all is served, and without a promise or a cut", t, func() {
-		config := shortLines()
-		config.Script = func(*lineFleet) {}
-		result := RunLines(1, config, LineDefects{}, nil)
-		So(result.Violations, ShouldBeEmpty)
-		So(result.FailureCodes, ShouldBeEmpty)
-		So(result.Terms, ShouldEqual, 1)
-		So(result.Served, ShouldBeGreaterThan, 1000)
+		soServesAllWithoutFaults(shortLines())
 	})
 	Convey("Every rule holds under random troubles, by fixed seeds", t, func() {
 		count := uint64(16)
@@ -54,13 +58,7 @@
 
 func TestLinesCrowded(t *testing.T) {
 	Convey("With more nodes than an instance takes connections all is served, and without a promise or a cut", t, func() {
-		config := CrowdedLineConfig()
-		config.Script = func(*lineFleet) {}
-		result := RunLines(1, config, LineDefects{}, nil)
-		So(result.Violations, ShouldBeEmpty)
-		So(result.FailureCodes, ShouldBeEmpty)
-		So(result.Terms, ShouldEqual, 1)
-		So(result.Served, ShouldBeGreaterThan, 1000)
+		soServesAllWithoutFaults(CrowdedLineConfig())
 	})
 	Convey("So every rule holds there under random troubles", t, func() {
 		onlyWithoutRace(t)
