--- a/internal/coordination/pool/linepool/conn_test.go
+++ b/internal/coordination/pool/linepool/conn_test.go
@@ -9,6 +9,18 @@
 	"tansyseam/internal/state/lineproto"
 )
 
+// sendLast submits one query, or a begin and another, and returns the write of the last
+// one. A begin is answered.
+func (h *harness) sendLast(client *Client, queries []Query) Send {
+	for _, query := range queries {
+		h.query(client, query)
+	}
+	if len(queries) == 1 {
+		return h.nextSend()
+	}
+	return h.answerBegin()
+}
+
 func TestLostConnections(t *testing.T) {
 	Convey("A queued statement outlives connections that end", t, func() {
 		h := newHarness(20)
@@ -61,15 +73,7 @@
 		Convey("A connection lost with "+end.name+" in flight is answered with "+end.response, t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
-			for _, query := range end.queries {
-				query.ID += "x"
-				h.query(client, query)
-			}
-			send := h.nextSend()
-			if len(end.queries) > 1 {
-				h.answerSend(send, lineproto.StateInTransaction, done("-"))
-				send = h.nextSend()
-			}
+			send := h.sendLast(client, end.queries)
 			h.loseConn(send.Conn)
 			So(h.lastResponse(client), ShouldEqual, end.response)
 			So(h.sends, ShouldBeEmpty)
@@ -78,14 +82,7 @@
 		Convey("A missing answer to "+end.name+" is reported at its deadline", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
-			for _, query := range end.queries {
-				h.query(client, query)
-			}
-			send := h.nextSend()
-			if len(end.queries) > 1 {
-				h.answerSend(send, lineproto.StateInTransaction, done("-"))
-				send = h.nextSend()
-			}
+			send := h.sendLast(client, end.queries)
 			h.advanceInTicks(2100 * time.Millisecond)
 			So(h.lastResponse(client), ShouldEqual, end.response)
 			So(send.Conn.IsClosed(), ShouldBeTrue)
@@ -122,130 +119,9 @@
 			So(h.invariantViolation(), ShouldEqual, "")
 		}
 	})
-	Convey("An unexpected message on a transaction's connection ends the transaction as a lost connection does", t, func() {
-		h := newHarness(20)
-		client := h.client("strict")
-		h.query(client, begin())
-		h.query(client, write("1"))
-		send := h.answerBegin()
-		h.answerSend(send, lineproto.StateInTransaction, done("w"))
-		h.receive(send.Conn, failure(lineproto.CodeOther))
-		So(send.Conn.IsClosed(), ShouldBeTrue)
-		So(h.invariantViolation(), ShouldEqual, "")
-		h.query(client, commit())
-		So(h.lastResponse(client), ShouldEqual, "ERROR ABORTED / READY I")
-		So(h.sends, ShouldBeEmpty)
-	})
-	Convey("An answer without a result is malformed: the connection is closed, and the client is answered at once", t, func() {
-		for _, one := range []struct {
-			query    Query
-			response string
-		}{{read("1"), "READY I"}, {write("1"), "ERROR UNKNOWN / READY I"}} {
-			h := newHarness(20)
-			client := h.client("strict")
-			h.query(client, one.query)
-			send := h.nextSend()
-			h.receive(send.Conn, h.readyIn(lineproto.StateIdle))
-			So(send.Conn.IsClosed(), ShouldBeTrue)
-			So(h.lastResponse(client), ShouldEqual, one.response)
-			So(h.invariantViolation(), ShouldEqual, "")
-			if one.response == "READY I" {
-				h.answerSend(h.nextSend(), lineproto.StateIdle, done("s"))
-				So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
-			}
-		}
-	})
-	Convey("Rows or a second result after the result are malformed too", t, func() {
-		for _, late := range []lineproto.Message{row("r"), done("s2"), failure(lineproto.CodeBusy)} {
-			h := newHarness(20)
-			client := h.client("strict")
-			h.query(client, write("1"))
-			send := h.nextSend()
-			h.receive(send.Conn, done("s"), late)
-			So(send.Conn.IsClosed(), ShouldBeTrue)
-			So(h.lastResponse(client), ShouldEqual, "ERROR UNKNOWN / READY I")
-			So(h.invariantViolation(), ShouldEqual, "")
-		}
-	})
-	Convey("Rows are passed on as they came, with the result and the state", t, func() {
-		h := newHarness(20)
-		client := h.client("strict")
-		h.query(client, read("1"))
-		h.answerSend(h.nextSend(), lineproto.StateIdle, row("r1"), row("r2"), done("s"))
-		So(h.lastResponse(client), ShouldEqual, "ROW r1 / ROW r2 / DONE s / READY I")
-	})
-	Convey("Errors of an instance are passed on as they came", t, func() {
-		for _, code := range []lineproto.Code{lineproto.CodeFailed, lineproto.CodeTimeout, lineproto.CodeOther} {
-			for _, query := range []Query{read("1"), write("1")} {
-				h := newHarness(20)
-				client := h.client("strict")
-				h.query(client, query)
-				h.answerSend(h.nextSend(), lineproto.StateIdle, failure(code))
-				if code == lineproto.CodeFailed && query.Statement.Action == lineproto.ActionRead {
-					So(h.responseCount(client), ShouldEqual, 1)
-					h.advanceInTicks(50 * time.Millisecond)
-					h.answerSend(h.nextSend(), lineproto.StateIdle, failure(code))
-				}
-				So(h.lastResponse(client), ShouldEqual, "ERROR "+codeNames[code]+" / READY I")
-				h.advanceInTicks(200 * time.Millisecond)
-				So(h.sends, ShouldBeEmpty)
-			}
-		}
-	})
-	Convey("A read that an instance failed is run once more, at another instance if there is one", t, func() {
-		h := newHarness(20)
-		h.samplePosition()
-		client := h.client("stale")
-		h.advanceInTicks(200 * time.Millisecond)
-		h.query(client, read("1"))
-		first := h.nextSend()
-		h.answerSend(first, lineproto.StateIdle, failure(lineproto.CodeFailed))
-		h.advanceInTicks(50 * time.Millisecond)
-		second := h.nextSend()
-		So(second.target(), ShouldNotEqual, first.target())
-		So(formatCommands(second), ShouldEqual, "read 1")
-		h.answerSend(second, lineproto.StateIdle, done("s"))
-		So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
-		So(h.invariantViolation(), ShouldEqual, "")
-	})
-	Convey("Reads are sent to instances that fail fewer, and return after a while", t, func() {
-		h := newHarness(20)
-		h.samplePosition()
-		h.advanceInTicks(200 * time.Millisecond)
-		client := h.client("stale")
-		readTarget := func() string {
-			h.query(client, read("1"))
-			send := h.nextSend()
-			h.answerSend(send, lineproto.StateIdle, done("s"))
-			return send.target()
-		}
-		So(readTarget(), ShouldEqual, "b")
-		for range 3 {
-			h.instance("b").health.Observe(true, h.now)
-		}
-		So(readTarget(), ShouldNotEqual, "b")
-		for range 16 {
-			h.advanceInTicks(time.Second)
-			h.samplePosition()
-		}
-		h.advanceInTicks(200 * time.Millisecond)
-		So(readTarget(), ShouldEqual, "b")
-	})
-	Convey("A statement that fails its transaction has it rolled back at the instance; the client still has to end it", t, func() {
-		h := newHarness(20)
-		client := h.client("strict")
-		h.query(client, begin())
-		h.query(client, write("1"))
-		send := h.answerBegin()
-		h.answerSend(send, lineproto.StateFailed, failure(lineproto.CodeFailed))
-		So(h.lastResponse(client), ShouldEqual, "ERROR FAILED / READY E")
-		So(formatCommands(h.nextSend()), ShouldEqual, "rollback")
-		h.query(client, write("2"))
-		So(h.lastResponse(client), ShouldEqual, "ERROR MALFORMED / READY E")
-		h.query(client, commit())
-		So(h.lastResponse(client), ShouldEqual, "ERROR ABORTED / READY I")
-		So(h.invariantViolation(), ShouldEqual, "")
-	})
+}
+
+func TestRefusedConnections(t *testing.T) {
 	Convey("The backoff after refused connections grows, also where the instance answers the handshake with the refusal", t, func() {
 		h := newHarness(20)
 		h.manualOpen = true
