--- a/internal/coordination/pool/linepool/harness_test.go
+++ b/internal/coordination/pool/linepool/harness_test.go
@@ -48,43 +48,66 @@
 func newHarness(connections int) *harness { return newHarnessFor("d1", connections) }
 
 func newHarnessFor(name string, connections int) *harness {
-	h := &harness{now: time.Hour, counts: map[string]int64{}, responses: map[*Client][]string{}, closedClients: map[*Client]bool{}, logIndex: 100}
-	h.Machine = New(Node{Name: name, Zone: "za", Incarnation: 1, Weight: 1}, DefaultTiming(), lease.DefaultTiming(), func(name string, by int64) { h.counts[name] += by })
-	for index, name := range []string{"a", "b", "c", "d"} {
-		database, role := "x", model.RoleReplica
-		if name == "d" {
-			database = "y"
-		}
-		if name == "a" || name == "d" {
-			role = model.RolePrimary
-		}
-		h.registry = append(h.registry, model.Instance{
-			Name: name, Database: database, Address: name + ":1", Zone: []string{"zc", "za", "zb", "za"}[index], Role: role, SyncReplication: true,
-		})
+	h := &harness{
+		now:           time.Hour,
+		counts:        map[string]int64{},
+		responses:     map[*Client][]string{},
+		closedClients: map[*Client]bool{},
+		logIndex:      100,
+		registry:      testRegistry(),
+		snapshot:      testSnapshot(connections),
+	}
+	node := Node{Name: name, Zone: "za", Incarnation: 1, Weight: 1}
+	h.Machine = New(node, DefaultTiming(), lease.DefaultTiming(), func(name string, by int64) { h.counts[name] += by })
+	h.update(leaseDuration)
+	return h
+}
+
+func testRegistry() []model.Instance {
+	instance := func(name, database, zone, role string) model.Instance {
+		return model.Instance{Name: name, Database: database, Address: name + ":1", Zone: zone, Role: role, SyncReplication: true}
 	}
-	template := model.Binding{Database: "x", Timeout: 2 * time.Second, LatencyTarget: 200 * time.Millisecond, Priority: 1}
-	binding := func(name string, freshness time.Duration, readYourWrites bool) model.Binding {
-		binding := template
-		binding.Name, binding.Freshness, binding.ReadYourWrites = name, freshness, readYourWrites
-		return binding
+	return []model.Instance{
+		instance("a", "x", "zc", model.RolePrimary),
+		instance("b", "x", "za", model.RoleReplica),
+		instance("c", "x", "zb", model.RoleReplica),
+		instance("d", "y", "za", model.RolePrimary),
 	}
-	urgent := binding("urgent", 0, false)
-	urgent.Priority = 0
-	other := binding("other", 0, false)
-	other.Database = "y"
-	h.snapshot = model.Snapshot{
+}
+
+// testSnapshot has an open term for each database, and one binding set in force.
+func testSnapshot(connections int) model.Snapshot {
+	database := func(name string) model.Database {
+		return model.Database{Name: name, MaxConnections: connections, MinSyncReplicas: 1}
+	}
+	return model.Snapshot{
 		Writers: map[string]model.WriterRole{
 			"x": {Database: "x", Term: 3, Primary: "a", Phase: model.PhaseOpen, SyncReplication: true},
 			"y": {Database: "y", Term: 1, Primary: "d", Phase: model.PhaseOpen, SyncReplication: true},
 		},
 		Sets: []model.BindingSet{{
-			Sequence: 1, EffectiveAt: 1, Version: 5, Limits: model.Limits{TransactionIdleTimeout: 3 * time.Second},
-			Databases: []model.Database{{Name: "x", MaxConnections: connections, MinSyncReplicas: 1}, {Name: "y", MaxConnections: connections, MinSyncReplicas: 1}},
-			Bindings:  []model.Binding{binding("strict", 0, false), binding("stale", 1500*time.Millisecond, false), binding("own", 1500*time.Millisecond, true), urgent, other},
+			Sequence:    1,
+			EffectiveAt: 1,
+			Version:     5,
+			Limits:      model.Limits{TransactionIdleTimeout: 3 * time.Second},
+			Databases:   []model.Database{database("x"), database("y")},
+			Bindings:    testBindings(),
 		}},
 	}
-	h.update(leaseDuration)
-	return h
+}
+
+// testBindings are named by what is special about them; strict is the ordinary one.
+func testBindings() []model.Binding {
+	strict := model.Binding{Name: "strict", Database: "x", Timeout: 2 * time.Second, LatencyTarget: 200 * time.Millisecond, Priority: 1}
+	stale := strict
+	stale.Name, stale.Freshness = "stale", 1500*time.Millisecond
+	own := stale
+	own.Name, own.ReadYourWrites = "own", true
+	urgent := strict
+	urgent.Name, urgent.Priority = "urgent", 0
+	other := strict
+	other.Name, other.Database = "other", "y"
+	return []model.Binding{strict, stale, own, urgent, other}
 }
 
 // update brings the state as it is now, with a lease.
