--- a/internal/app/config/config_test.go
+++ b/internal/app/config/config_test.go
@@ -4,6 +4,7 @@
 	"maps"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -65,6 +66,28 @@
 	})
 }
 
+func TestFlagsOfReload(t *testing.T) {
+	var fixed []string
+	for name, value := range validFlags {
+		fixed = append(fixed, "--"+name, value)
+	}
+	for _, given := range [][]string{
+		{"--weight", "2"}, {"--weight=2"}, {"-weight", "2"}, {"-weight=2"}, {"--weight=3", "--weight", "2"},
+		{"--weight=2", "--log-level="}, {"--check", "--weight", "2"},
+	} {
+		Convey("A reload reads the flags as the start did: "+strings.Join(given, " "), t, func() {
+			args := append(slices.Clone(fixed), given...)
+			started, err := Parse(Proxy, args)
+			So(err, ShouldBeNil)
+			So(started.Weight, ShouldEqual, 2)
+			reloaded, err := Load(Proxy, "", FlagValues(Proxy, args))
+			So(err, ShouldBeNil)
+			reloaded.CheckOnly = started.CheckOnly
+			So(reloaded, ShouldResemble, started)
+		})
+	}
+}
+
 func TestDurationBounds(t *testing.T) {
 	Convey("Durations are read in the unit that their name gives, have defaults, and must lie within their bounds", t, func() {
 		loaded, err := Load(Proxy, "", validFlags)
--- a/internal/app/config/load.go
+++ b/internal/app/config/load.go
@@ -4,7 +4,6 @@
 	"os"
 	"strings"
 
-	"github.com/integrii/flaggy"
 	"github.com/juju/errors"
 	"github.com/valyala/fastjson"
 	"go.uber.org/multierr"
@@ -21,28 +20,12 @@
 // Parse reads the arguments of a program, then the file that they name. Its
 // errors are ErrInvalid; Reasons lists what is behind them.
 func Parse(program Program, args []string) (Config, error) {
-	parser := flaggy.NewParser(string(program))
-	parser.Description = descriptions[program]
-	parser.Version = Version
-	file, checkOnly := "", false
-	parser.String(&file, "c", "config", "settings file (JSON)")
-	parser.Bool(&checkOnly, "", "check", "check the settings, say what is wrong, and end")
-	values := map[string]*string{}
-	for _, s := range settingsOf(program) {
-		values[s.name] = new(string)
-		parser.String(values[s.name], "", s.flag(), s.help)
-	}
-	if err := parser.ParseArgs(args); err != nil {
+	parsed, err := parseArguments(program, args)
+	if err != nil {
 		return Config{}, errors.WithType(err, ErrInvalid)
 	}
-	flags := map[string]string{}
-	for name, value := range values {
-		if *value != "" {
-			flags[name] = *value
-		}
-	}
-	loaded, err := Load(program, file, flags)
-	loaded.CheckOnly = checkOnly
+	loaded, err := Load(program, parsed.file, parsed.flagValues)
+	loaded.CheckOnly = parsed.checkOnly
 	return loaded, err
 }
 
--- a/internal/app/config/reload.go
+++ b/internal/app/config/reload.go
@@ -4,7 +4,6 @@
 	"crypto/sha256"
 	"fmt"
 	"os"
-	"strings"
 )
 
 // Diff compares a loaded configuration with the one in force, and names the
@@ -45,21 +44,3 @@
 	}
 	return fmt.Sprintf("%x", sha256.Sum256(data))
 }
-
-// FlagValues gives the values of the flags among the arguments by setting. They
-// take precedence over the file on a reload too.
-func FlagValues(program Program, args []string) map[string]string {
-	values := map[string]string{}
-	for _, s := range settingsOf(program) {
-		flag := "--" + s.flag()
-		for index, arg := range args {
-			if arg == flag && index+1 < len(args) {
-				values[s.name] = args[index+1]
-			}
-			if value, joined := strings.CutPrefix(arg, flag+"="); joined {
-				values[s.name] = value
-			}
-		}
-	}
-	return values
-}
