--- a/internal/coordination/lease/lease.go
+++ b/internal/coordination/lease/lease.go
@@ -27,17 +27,20 @@
 
 // primaryClock is the best reading of the primary's time.
 type primaryClock struct {
-	known  bool
+	known bool
+	// offset is the primary's Unix time less this node's time, in nanoseconds.
 	offset int64
-	error  time.Duration
-	readAt time.Duration
+	// maxError bounds the error of offset at readAt, when it was read.
+	maxError time.Duration
+	readAt   time.Duration
 }
 
-func (c primaryClock) errorAt(now time.Duration) time.Duration {
+// maxErrorAt bounds the error of the estimate now, which grows as the clocks run apart.
+func (c primaryClock) maxErrorAt(now time.Duration) time.Duration {
 	if !c.known {
 		return unknownClockError
 	}
-	return c.error + (now-c.readAt)*clockDriftPercent/100
+	return c.maxError + (now-c.readAt)*clockDriftPercent/100
 }
 
 // Grant is what an answer of the primary says.
@@ -67,7 +70,7 @@
 	if l.ClockError(now) > MaxClockError {
 		return false
 	}
-	driftAllowance := grant.Duration * l.timing.DriftPercent / 100
+	driftAllowance := grant.Duration * time.Duration(l.timing.DriftPercent) / 100
 	l.expiresAt = max(l.expiresAt, sentAt+grant.Duration-driftAllowance)
 	return true
 }
@@ -81,7 +84,7 @@
 	if grant.Epoch <= l.epoch && maxError > l.ClockError(now) {
 		return
 	}
-	l.clock = primaryClock{known: true, offset: grant.PrimaryTime + int64(maxError) - int64(now), error: maxError, readAt: now}
+	l.clock = primaryClock{known: true, offset: grant.PrimaryTime + int64(maxError) - int64(now), maxError: maxError, readAt: now}
 }
 
 // ConfirmExpired returns true if the lease has ended. Grants for requests sent before
@@ -101,7 +104,7 @@
 func (l *Lease) Remaining(now time.Duration) time.Duration { return max(l.expiresAt-now, 0) }
 
 // ClockError bounds the error of PrimaryTime.
-func (l *Lease) ClockError(now time.Duration) time.Duration { return l.clock.errorAt(now) }
+func (l *Lease) ClockError(now time.Duration) time.Duration { return l.clock.maxErrorAt(now) }
 
 // PrimaryTime estimates the primary's Unix time in nanoseconds.
 func (l *Lease) PrimaryTime(now time.Duration) int64 { return l.clock.offset + int64(now) }
--- a/internal/coordination/lease/timing.go
+++ b/internal/coordination/lease/timing.go
@@ -17,7 +17,7 @@
 	LeaseDuration time.Duration
 	// DriftPercent is the part of a lease that a node gives up for clocks that run
 	// apart.
-	DriftPercent time.Duration
+	DriftPercent int
 	// ActivationMargin is how long after the last lease that was granted without it an
 	// effective time lies.
 	ActivationMargin time.Duration
