--- a/internal/coordination/pool/linepool/answer.go
+++ b/internal/coordination/pool/linepool/answer.go
@@ -198,12 +198,8 @@
 	if code == lineproto.CodeNotFound {
 		attempt.conn.dirty = true
 	}
-	if m.shouldRetry(attempt) {
-		if attempt.hasOtherAttempt() {
-			attempt.abandoned = true
-			return
-		}
-		m.requeueAfterRefusal(request, code, now)
+	if attempt.isRetryable() {
+		m.retry(attempt, now)
 		return
 	}
 	client := request.client
@@ -214,19 +210,37 @@
 	m.handlePipelined(client, now)
 }
 
-// shouldRetry reports whether a request whose attempt ended with an error is
-// sent again, and notes a failed attempt for the choice of the next instance.
-func (m *Machine) shouldRetry(attempt *requestAttempt) bool {
+// isRetryable reports whether the request of an attempt that ended with an error may
+// be sent again. A statement that was not prepared has not run; other errors are
+// retried for reads alone, and those that instances ran and failed only so often.
+func (attempt *requestAttempt) isRetryable() bool {
+	request := attempt.request
+	if attempt.isError(lineproto.CodeNotFound) {
+		return request.transaction == nil
+	}
+	if !request.isRetryableRead() {
+		return false
+	}
+	if attempt.isError(lineproto.CodeFailed) {
+		return request.failures+1 < request.maxAttempts()
+	}
+	return attempt.isError(lineproto.CodeLagging, lineproto.CodeBusy, lineproto.CodeReadOnly)
+}
+
+// retry queues the request of an attempt that ended with an error again, unless it is
+// still in flight at another instance.
+func (m *Machine) retry(attempt *requestAttempt, now time.Duration) {
 	request := attempt.request
-	if request.isRetryableRead() && attempt.isError(lineproto.CodeFailed) && request.failures+1 < request.maxAttempts() {
+	if attempt.isError(lineproto.CodeFailed) {
+		m.Count("reads_failed_elsewhere", 1)
 		request.failures++
 		request.avoid = attempt.conn.instance
-		m.Count("reads_failed_elsewhere", 1)
-		return true
 	}
-	rejected := attempt.isError(lineproto.CodeLagging, lineproto.CodeBusy, lineproto.CodeReadOnly)
-	notPrepared := attempt.isError(lineproto.CodeNotFound)
-	return (request.isRetryableRead() && rejected) || (request.transaction == nil && notPrepared)
+	if attempt.hasOtherAttempt() {
+		attempt.abandoned = true
+		return
+	}
+	m.requeueAfterRefusal(request, attempt.result.Code, now)
 }
 
 // requeueAfterRefusal queues a request that an instance refused, to be sent
