--- a/internal/app/bootstrap/bootstrap_test.go
+++ b/internal/app/bootstrap/bootstrap_test.go
@@ -38,6 +38,17 @@
 	})
 }
 
+// newTestReloader makes the reloader of a proxy with the arguments given beside
+// those that are required, and gives it with its node.
+func newTestReloader(args ...string) (*node.Node, *reloader) {
+	args = append(args, validArgs...)
+	cfg, err := config.Parse(config.Proxy, args)
+	So(err, ShouldBeNil)
+	host, err := node.New(model.KindProxy, cfg, hclog.NewNullLogger())
+	So(err, ShouldBeNil)
+	return host, newReloader(config.Proxy, args, host, hclog.NewNullLogger())
+}
+
 func TestReload(t *testing.T) {
 	Convey("A changed file is applied but for what needs a restart, flags stay over it, and a file with a fault changes nothing", t, func() {
 		file := filepath.Join(t.TempDir(), "settings.json")
@@ -45,12 +56,7 @@
 			So(os.WriteFile(file, fmt.Appendf(nil, format, arguments...), 0o600), ShouldBeNil)
 		}
 		write(`{"weight":1,"log_level":"info"}`)
-		args := append([]string{"--config", file, "--log-level=warn"}, validArgs...)
-		cfg, err := config.Parse(config.Proxy, args)
-		So(err, ShouldBeNil)
-		host, err := node.New(model.KindProxy, cfg, hclog.NewNullLogger())
-		So(err, ShouldBeNil)
-		reloader := newReloader(config.Proxy, args, host, hclog.NewNullLogger())
+		host, reloader := newTestReloader("--config", file, "--log-level=warn")
 
 		reloader.checkFile()
 		So(host.Counters.Snapshot(), ShouldBeEmpty)
@@ -77,12 +83,7 @@
 			So(os.WriteFile(file, fmt.Appendf(nil, `{"weight":%d}`, weight), 0o600), ShouldBeNil)
 		}
 		write(1)
-		args := append([]string{"--config", file}, validArgs...)
-		cfg, err := config.Parse(config.Proxy, args)
-		So(err, ShouldBeNil)
-		host, err := node.New(model.KindProxy, cfg, hclog.NewNullLogger())
-		So(err, ShouldBeNil)
-		reloader := newReloader(config.Proxy, args, host, hclog.NewNullLogger())
+		host, reloader := newTestReloader("--config", file)
 		const changes = 50
 		for change := range changes {
 			write(change + 2)
