--- a/internal/coordination/flowcontrol/parameters.go
+++ b/internal/coordination/flowcontrol/parameters.go
@@ -13,7 +13,7 @@
 	Period time.Duration
 	// Beta is the growth of the window in each step, this node's weight.
 	Beta float64
-	// InitialWindow is the window of an instance just met or met again.
+	// InitialWindow is the window of an instance that is new, or has come back.
 	InitialWindow float64
 	// MinWindow keeps one statement in flight, so that there are latencies to
 	// observe.
--- a/internal/coordination/flowcontrol/window.go
+++ b/internal/coordination/flowcontrol/window.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Outcome says what the end of a statement tells about the instance's latency.
+// Outcome says whether and how a statement's end counts as a latency of the instance.
 type Outcome int
 
 // Outcomes of a statement.
@@ -48,7 +48,7 @@
 	wasFull bool
 }
 
-// NewWindow makes the window of an instance newly met.
+// NewWindow returns the window of a new instance, at its initial size.
 func NewWindow(parameters Parameters) *Window {
 	w := &Window{parameters: parameters}
 	w.size = w.initialSize()
--- a/internal/coordination/pool/linepool/scarce_test.go
+++ b/internal/coordination/pool/linepool/scarce_test.go
@@ -3,6 +3,7 @@
 import (
 	"math/rand/v2"
 	"slices"
+	"strings"
 	"testing"
 	"time"
 
@@ -136,18 +137,13 @@
 
 func (f *fleet) advanceOperation(node *fleetNode, operation *clientOperation) {
 	for _, answer := range node.responses[operation.client] {
-		failed := len(answer) > 5 && answer[:5] == "ERROR"
-		if failed && !operation.idle {
+		if strings.HasPrefix(answer, "ERROR") && !operation.idle {
 			f.failed++
 			operation.remaining = nil
 		}
 		operation.dueAt = f.now + thinkTime
 		if len(operation.remaining) == 0 && !operation.idle {
-			node.operations = slices.DeleteFunc(node.operations, func(other *clientOperation) bool { return other == operation })
-			f.done++
-			f.slowest = max(f.slowest, f.now-operation.startedAt)
-			node.Terminate(operation.client, f.now)
-			node.applyEffects()
+			f.endOperation(node, operation)
 			return
 		}
 	}
@@ -161,6 +157,16 @@
 	}
 }
 
+func (f *fleet) endOperation(node *fleetNode, operation *clientOperation) {
+	node.operations = slices.DeleteFunc(node.operations, func(other *clientOperation) bool { return other == operation })
+	f.done++
+	f.slowest = max(f.slowest, f.now-operation.startedAt)
+	node.Terminate(operation.client, f.now)
+	node.applyEffects()
+}
+
+// collect brings what a node asked for to the shared instance, which refuses a
+// connection beyond its limit.
 func (f *fleet) collect(node *fleetNode) {
 	for _, conn := range node.closedConns {
 		f.conns = slices.DeleteFunc(f.conns, func(other *serverConn) bool { return other.conn == conn })
@@ -282,11 +288,11 @@
 		}
 		f.run(10 * time.Second)
 		So(f.failed, ShouldEqual, 0)
-		rested := int64(0)
+		timedOut := int64(0)
 		for _, node := range f.nodes {
-			rested += node.counts["transactions_rested_out"]
+			timedOut += node.counts["transactions_rested_out"]
 		}
-		So(rested, ShouldEqual, len(f.share(3)))
+		So(timedOut, ShouldEqual, len(f.share(3)))
 	})
 	Convey("Where idle transactions take all connections, the others are served again once those are ended", t, func() {
 		f := newFleet(4, 60, 51, 0)
