--- a/internal/coordination/lease/grantor.go
+++ b/internal/coordination/lease/grantor.go
@@ -7,15 +7,16 @@
 	"tansyseam/internal/state/store"
 )
 
-// Grantor keeps the leases that the control primary has granted, or that an earlier
-// primary may have granted.
+// Grantor tracks the leases that the control primary has granted and those that an
+// earlier primary may have granted.
 type Grantor struct {
 	timing    Timing
 	startedAt time.Duration
 	leases    map[string]nodeLease
-	// frozenUntil bounds the ends of new leases, 0 for no bound.
+	// frozenUntil is the latest time at which a new lease may end, or 0 for no limit.
 	frozenUntil time.Duration
-	// lapseCount counts the lapsed leases; no other lapses before nextExpiry.
+	// lapseCount is the number of lapsed leases counted so far. No other lease lapses
+	// before nextExpiry.
 	lapseCount uint64
 	nextExpiry time.Duration
 }
@@ -24,12 +25,12 @@
 	expiresAt time.Duration
 	// acknowledged is the newest version that the node has applied.
 	acknowledged store.Version
-	// lapsePending says that the lease's lapse has not been counted yet.
+	// lapsePending is true if the lapse of the lease has not been counted yet.
 	lapsePending bool
 }
 
-// NewGrantor returns a grantor without leases of its own. Each of the registered nodes
-// may hold one of an earlier primary, for up to a full lease.
+// NewGrantor returns a grantor that has granted no leases. It assumes that each of the
+// registered nodes holds a lease from an earlier primary, for one full lease duration.
 func NewGrantor(timing Timing, nodes []string, now time.Duration) *Grantor {
 	expiresAt := now + timing.LeaseDuration
 	g := &Grantor{timing: timing, startedAt: now, leases: map[string]nodeLease{}, nextExpiry: expiresAt}
@@ -39,13 +40,13 @@
 	return g
 }
 
-// StartedAt returns when the grantor began.
+// StartedAt returns when the grantor was created.
 func (g *Grantor) StartedAt() time.Duration { return g.startedAt }
 
-// Acknowledge notes the version that a node has applied.
+// Acknowledge records the version that a node has applied.
 func (g *Grantor) Acknowledge(node string, version store.Version, now time.Duration) {
-	lease, known := g.leases[node]
-	if !known {
+	lease, found := g.leases[node]
+	if !found {
 		lease.expiresAt = now
 	}
 	if lease.acknowledged.IsBefore(version) {
@@ -54,10 +55,10 @@
 	g.leases[node] = lease
 }
 
-// Release notes that a node holds no lease, and will accept no earlier grant.
+// Release records that a node holds no lease and will accept no earlier grant.
 func (g *Grantor) Release(node string, now time.Duration) {
-	lease, known := g.leases[node]
-	if !known {
+	lease, found := g.leases[node]
+	if !found {
 		return
 	}
 	lease.expiresAt = min(lease.expiresAt, now)
@@ -65,8 +66,8 @@
 	g.leases[node] = lease
 }
 
-// Grant returns the duration of a new lease of at most limit, which the node counts
-// from when it sent the request. It may be 0.
+// Grant grants a new lease of at most limit to a node and returns its duration, which
+// may be 0. The node counts the duration from when it sent the request.
 func (g *Grantor) Grant(node string, limit, now time.Duration) time.Duration {
 	duration := min(g.timing.LeaseDuration, limit)
 	if g.frozenUntil != 0 {
@@ -82,7 +83,7 @@
 	return duration
 }
 
-// Remove forgets a node that is no longer registered.
+// Remove removes a node that is no longer registered.
 func (g *Grantor) Remove(node string) {
 	if g.leases[node].lapsePending {
 		g.lapseCount++
@@ -90,8 +91,8 @@
 	delete(g.leases, node)
 }
 
-// LapseCount returns how many leases have lapsed until now. The leases are looked
-// through only if one may have lapsed since the last call.
+// LapseCount returns how many leases have lapsed by now. It scans the leases only if
+// one may have lapsed since the last call.
 func (g *Grantor) LapseCount(now time.Duration) uint64 {
 	if now < g.nextExpiry {
 		return g.lapseCount
@@ -111,13 +112,15 @@
 	return g.lapseCount
 }
 
-// Freeze bars leases past a time, until Unfreeze is called.
+// Freeze prevents Grant from granting leases that end after until. It stays in force
+// until Unfreeze is called.
 func (g *Grantor) Freeze(until time.Duration) { g.frozenUntil = until }
 
-// Unfreeze ends the bar of Freeze.
+// Unfreeze removes the limit set by Freeze.
 func (g *Grantor) Unfreeze() { g.frozenUntil = 0 }
 
-// AllAcknowledged says whether every node that may hold a lease has applied a version.
+// AllAcknowledged reports whether every node that may hold a lease has applied at least
+// version.
 func (g *Grantor) AllAcknowledged(version store.Version, now time.Duration) bool {
 	for _, lease := range g.leases {
 		if lease.expiresAt > now && lease.acknowledged.IsBefore(version) {
@@ -136,7 +139,7 @@
 	return latest
 }
 
-// HasLease says whether a node may hold a lease.
+// HasLease reports whether a node may hold a lease.
 func (g *Grantor) HasLease(node string, now time.Duration) bool {
 	return g.leases[node].expiresAt > now
 }
@@ -153,7 +156,7 @@
 	return nodes
 }
 
-// LapsedNodes returns the nodes, sorted, whose lease ended longer ago than a duration.
+// LapsedNodes returns, sorted, the nodes whose lease ended more than duration ago.
 func (g *Grantor) LapsedNodes(now, duration time.Duration) []string {
 	var nodes []string
 	for node, lease := range g.leases {
--- a/internal/coordination/lease/lease.go
+++ b/internal/coordination/lease/lease.go
@@ -2,14 +2,16 @@
 
 import "time"
 
-// MaxClockError is how far a node's estimate of the primary's time may be off for the
-// node to serve by it.
+// MaxClockError is the largest error of a node's estimate of the primary's time at which
+// the node may still serve.
 const MaxClockError = 80 * time.Millisecond
 
 const (
-	// clockDriftPercent bounds how far two clocks run apart.
+	// clockDriftPercent is the largest assumed difference between the rates of two
+	// clocks.
 	clockDriftPercent = 2
-	// unknownClockError stands for the error of a time that was never read.
+	// unknownClockError is the error assumed for the primary's time before its first
+	// reading.
 	unknownClockError = time.Hour
 )
 
@@ -17,38 +19,41 @@
 type Lease struct {
 	timing    Timing
 	expiresAt time.Duration
-	// epoch is the highest one that granted.
+	// epoch is the highest epoch among the grants that Accept has not ignored.
 	epoch uint64
 	clock primaryClock
-	// ignoredBefore is when the node said that it holds no lease: grants for requests
-	// sent before are ignored.
+	// ignoredBefore is when the node last confirmed that its lease had expired. Grants
+	// for requests sent before that time are ignored.
 	ignoredBefore time.Duration
 }
 
-// primaryClock is the best reading of the primary's time.
+// primaryClock is the reading of the primary's time that the estimate is based on.
 type primaryClock struct {
-	known bool
-	// offset is the primary's Unix time less this node's time, in nanoseconds.
+	// hasReading is false until the primary's time has been read.
+	hasReading bool
+	// offset is the primary's Unix time minus this node's monotonic time, in
+	// nanoseconds.
 	offset int64
-	// maxError bounds the error of offset at readAt, when it was read.
+	// maxError is the bound on the error of offset at readAt, the time of the reading.
 	maxError time.Duration
 	readAt   time.Duration
 }
 
-// maxErrorAt bounds the error of the estimate now, which grows as the clocks run apart.
+// maxErrorAt returns the bound on the error of the estimate at now. The bound grows with
+// the age of the reading, because the clocks may run at different rates.
 func (c primaryClock) maxErrorAt(now time.Duration) time.Duration {
-	if !c.known {
+	if !c.hasReading {
 		return unknownClockError
 	}
 	return c.maxError + (now-c.readAt)*clockDriftPercent/100
 }
 
-// Grant is what an answer of the primary says.
+// Grant is the content of the primary's answer to a lease request.
 type Grant struct {
 	Epoch uint64
 	// Duration counts from when the request was sent.
 	Duration time.Duration
-	// PrimaryTime is the primary's Unix time, in nanoseconds, of the answer.
+	// PrimaryTime is the primary's Unix time when it answered, in nanoseconds.
 	PrimaryTime int64
 	// QueuedFor is how long the request waited at the primary.
 	QueuedFor time.Duration
@@ -57,10 +62,10 @@
 // NewLease returns a node's lease before the first grant.
 func NewLease(timing Timing) *Lease { return &Lease{timing: timing} }
 
-// Accept handles the grant for a request sent at a time. It returns false, and does not
-// extend the lease, if the grant is of an older epoch than an earlier one, if the
-// node has meanwhile said that it holds no lease, or if the primary's time is not known
-// well enough.
+// Accept handles the grant for a request that was sent at sentAt. It returns false, and
+// does not extend the lease, if an earlier grant had a newer epoch, if the node has
+// since confirmed that its lease had expired, or if the estimate of the primary's time
+// is not accurate enough. In the first two cases it ignores the grant completely.
 func (l *Lease) Accept(grant Grant, sentAt, now time.Duration) bool {
 	if grant.Epoch < l.epoch || sentAt < l.ignoredBefore {
 		return false
@@ -75,20 +80,21 @@
 	return true
 }
 
-// readClock takes the primary's time from a grant, if it is of a new epoch or better
-// than what is known. The answer was written within the time of the round trip, so that
-// half of that bounds the error.
+// readClock takes the primary's time from a grant if the grant has a newer epoch or its
+// reading is at least as accurate as the current estimate. The reading assumes that the
+// primary wrote the answer in the middle of the round trip. The primary wrote it at some
+// time during the round trip, so half of the round trip bounds the error.
 func (l *Lease) readClock(grant Grant, sentAt, now time.Duration) {
 	roundTrip := max(now-sentAt-grant.QueuedFor, 0)
 	maxError := roundTrip / 2
 	if grant.Epoch <= l.epoch && maxError > l.ClockError(now) {
 		return
 	}
-	l.clock = primaryClock{known: true, offset: grant.PrimaryTime + int64(maxError) - int64(now), maxError: maxError, readAt: now}
+	l.clock = primaryClock{hasReading: true, offset: grant.PrimaryTime + int64(maxError) - int64(now), maxError: maxError, readAt: now}
 }
 
-// ConfirmExpired returns true if the lease has ended. Grants for requests sent before
-// are then ignored, so that the node may report that it holds no lease.
+// ConfirmExpired reports whether the lease has expired. If it has, Accept ignores grants
+// for requests sent before now, so that the node may report that it holds no lease.
 func (l *Lease) ConfirmExpired(now time.Duration) bool {
 	if l.IsValid(now) {
 		return false
@@ -97,17 +103,17 @@
 	return true
 }
 
-// IsValid says whether the node may serve.
+// IsValid reports whether the lease is valid, so that the node may serve.
 func (l *Lease) IsValid(now time.Duration) bool { return now < l.expiresAt }
 
 // Remaining returns how long the lease still lasts.
 func (l *Lease) Remaining(now time.Duration) time.Duration { return max(l.expiresAt-now, 0) }
 
-// ClockError bounds the error of PrimaryTime.
+// ClockError returns the bound on the error of PrimaryTime.
 func (l *Lease) ClockError(now time.Duration) time.Duration { return l.clock.maxErrorAt(now) }
 
-// PrimaryTime estimates the primary's Unix time in nanoseconds.
+// PrimaryTime returns the estimate of the primary's Unix time, in nanoseconds.
 func (l *Lease) PrimaryTime(now time.Duration) int64 { return l.clock.offset + int64(now) }
 
-// Epoch returns the highest epoch that granted.
+// Epoch returns the highest epoch among the grants that Accept has not ignored.
 func (l *Lease) Epoch() uint64 { return l.epoch }
--- a/internal/coordination/lease/timing.go
+++ b/internal/coordination/lease/timing.go
@@ -6,38 +6,39 @@
 	// silentNodeMargin is the part of the activation deadline that is left for
 	// distributing the effective time once the last lease has lapsed.
 	silentNodeMargin = 600 * time.Millisecond
-	// previousSetMargin is the part of the activation deadline in which no node may
-	// serve by the previous set any more.
+	// previousSetMargin is the last part of the activation deadline, in which no node may
+	// serve with the previous set any more.
 	previousSetMargin = 300 * time.Millisecond
 )
 
-// Timing holds the durations that leases and the activation of binding sets rest on.
+// Timing holds the durations used for leases and for the activation of binding sets.
 type Timing struct {
 	// LeaseDuration is the longest lease.
 	LeaseDuration time.Duration
-	// DriftPercent is the part of a lease that a node gives up for clocks that run
-	// apart.
+	// DriftPercent is the percentage of a lease that a node gives up, because its clock
+	// and the primary's may run at different rates.
 	DriftPercent int
-	// ActivationMargin is how long after the last lease that was granted without it an
-	// effective time lies.
+	// ActivationMargin is how far an effective time lies after the end of the last lease
+	// that was granted without knowledge of it.
 	ActivationMargin time.Duration
-	// PollTimeout is the longest that a request waits for an update.
+	// PollTimeout is the longest time that a request waits for an update.
 	PollTimeout time.Duration
-	// ActivationDeadline is how long after it was accepted, at the latest, a set is in
-	// effect on all nodes.
+	// ActivationDeadline is the longest time from the acceptance of a set until the set
+	// is in effect on all nodes.
 	ActivationDeadline time.Duration
 }
 
-// PreviousSetLimit is how long after a set was accepted, or was to take effect, leases
-// to serve by the previous one may last. From then on nodes without the set wait.
+// PreviousSetLimit returns how long leases to serve with the previous set may last,
+// counted from when the new set was accepted or, if later, was due to take effect.
+// After that, nodes that do not have the new set wait.
 func (t Timing) PreviousSetLimit() time.Duration { return t.ActivationDeadline - previousSetMargin }
 
-// PendingSetLimit is how long after a set was accepted leases may last while it has no
-// effective time. A node that is silent has no lease from then on, so that the set can
-// get its effective time.
+// PendingSetLimit returns how long leases may last after a set was accepted, while the
+// set has no effective time. After that, a silent node has no lease, so that the set can
+// be assigned its effective time.
 func (t Timing) PendingSetLimit() time.Duration { return t.ActivationDeadline - silentNodeMargin }
 
-// DefaultTiming returns the durations used unless the configuration sets others.
+// DefaultTiming returns the durations that are used unless the configuration sets others.
 func DefaultTiming() Timing {
 	return Timing{
 		LeaseDuration:      1600 * time.Millisecond,
--- a/internal/coordination/proposal/acceptor.go
+++ b/internal/coordination/proposal/acceptor.go
@@ -3,29 +3,31 @@
 import "cmp"
 
 // Number orders the proposals for one value: by round, then by the name of the
-// proposer. The zero Number is lower than any proposal's.
+// proposer. The zero Number is lower than the Number of any proposal.
 type Number struct {
 	Round uint64
 	Name  string
 }
 
-// IsBefore says whether n is lower than other.
+// IsBefore reports whether n is lower than other.
 func (n Number) IsBefore(other Number) bool {
 	return cmp.Or(cmp.Compare(n.Round, other.Round), cmp.Compare(n.Name, other.Name)) < 0
 }
 
-// Acceptor is the state of one voter on one value. It must be synced to disk before
+// Acceptor is the state of one voter for one value. It must be synced to disk before
 // the voter answers.
 type Acceptor struct {
-	// Promised is the highest proposal that a promise was given for.
+	// Promised is the number of the highest proposal that the voter has promised or
+	// accepted.
 	Promised Number
-	// Accepted is the highest proposal accepted, and Value its value.
+	// Accepted is the number of the highest proposal that the voter has accepted, and
+	// Value is the value of that proposal.
 	Accepted Number
 	Value    []byte
 }
 
-// Promise rejects from now on the proposals below number. It gives false, and changes
-// nothing, where number itself or a higher one was promised before.
+// Promise makes the acceptor reject, from now on, all proposals below number. It returns
+// false, and changes nothing, if number or a higher one has already been promised.
 func (a *Acceptor) Promise(number Number) bool {
 	if !a.Promised.IsBefore(number) {
 		return false
@@ -34,8 +36,8 @@
 	return true
 }
 
-// Accept takes a value. It gives false, and changes nothing, where a higher proposal
-// was promised.
+// Accept accepts a value. It returns false, and changes nothing, if a higher proposal
+// has been promised.
 func (a *Acceptor) Accept(number Number, value []byte) bool {
 	if number.IsBefore(a.Promised) {
 		return false
--- a/internal/coordination/proposal/clockmargin.go
+++ b/internal/coordination/proposal/clockmargin.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// UsableSpan is the part of the span of a vote or lease that its holder relies on,
-// counted from when it asked for it: a tenth is left for clocks that run at different
-// rates.
+// UsableSpan returns how long the holder of a vote or lease may rely on it, counted from
+// when the holder sent its request. It leaves a tenth of span as a margin for clocks
+// that run at different rates.
 func UsableSpan(span time.Duration) time.Duration { return span * 9 / 10 }
--- a/internal/coordination/proposal/doc.go
+++ b/internal/coordination/proposal/doc.go
@@ -1,10 +1,10 @@
-// Package proposal has two kinds of majority vote among the control nodes.
+// Package proposal implements two kinds of majority vote among the control nodes.
 //
-// Single-decree Paxos settles one value for good: a Proposer collects promises for a
+// Single-decree Paxos decides one value permanently: a Proposer collects promises for a
 // Number and then acceptances of a value, and each voter is an Acceptor. Package
-// consensus settles the record of each epoch with it.
+// consensus uses it to decide the record of each epoch.
 //
-// Elections fill singleton roles for a bounded time: a Candidate asks for votes, and
-// each voter's Grantor gives one at a time, which lapses unless it is renewed. Package
-// singleton fills its roles with them.
+// Elections assign singleton roles for a limited time: a Candidate requests votes, and
+// each voter's Grantor grants one vote per role at a time, which expires unless it is
+// renewed. Package singleton uses elections to assign its roles.
 package proposal
--- a/internal/coordination/proposal/election_test.go
+++ b/internal/coordination/proposal/election_test.go
@@ -7,13 +7,15 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
+// elect runs three candidates, each of which is also a voter and has voted for itself at
+// the start. It returns the leaders at each time until span at which there are any.
 func elect(span time.Duration, isDown func(name string, now time.Duration) bool) (leaders map[time.Duration][]string) {
-	const term = 1200 * time.Millisecond
+	const voteDuration = 1200 * time.Millisecond
 	names := []string{"a", "b", "c"}
 	grantors, candidates := map[string]*Grantor{}, map[string]*Candidate{}
 	for rank, name := range names {
-		grantors[name] = NewGrantor(term, -term)
-		candidates[name] = NewCandidate("role", len(names), rank, term)
+		grantors[name] = NewGrantor(voteDuration, -voteDuration)
+		candidates[name] = NewCandidate("role", len(names), rank, voteDuration)
 		grantors[name].OnVoteRequest(name, VoteRequest{Role: "role"}, 0)
 	}
 	leaders = map[time.Duration][]string{}
@@ -39,49 +41,49 @@
 }
 
 func TestSingletonElection(t *testing.T) {
-	Convey("Votes split among candidates lapse, the role is won, and never by two at once", t, func() {
+	Convey("Votes that are split among candidates expire, and then one candidate wins the role, with never two leaders at once", t, func() {
 		leaders := elect(8*time.Second, func(string, time.Duration) bool { return false })
 		for _, names := range leaders {
 			So(len(names), ShouldEqual, 1)
 		}
 		So(len(leaders[4*time.Second]), ShouldEqual, 1)
 	})
-	Convey("A role that falls vacant is won by another", t, func() {
-		before := elect(4*time.Second, func(string, time.Duration) bool { return false })
-		first := before[3990*time.Millisecond][0]
-		after := elect(12*time.Second, func(name string, now time.Duration) bool { return name == first && now > 4*time.Second })
-		for _, names := range after {
+	Convey("When the leader goes down, another candidate wins the role", t, func() {
+		leadersBefore := elect(4*time.Second, func(string, time.Duration) bool { return false })
+		firstLeader := leadersBefore[3990*time.Millisecond][0]
+		leadersAfter := elect(12*time.Second, func(name string, now time.Duration) bool { return name == firstLeader && now > 4*time.Second })
+		for _, names := range leadersAfter {
 			So(len(names), ShouldEqual, 1)
 		}
-		So(after[11*time.Second], ShouldNotContain, first)
-		So(len(after[11*time.Second]), ShouldEqual, 1)
+		So(leadersAfter[11*time.Second], ShouldNotContain, firstLeader)
+		So(len(leadersAfter[11*time.Second]), ShouldEqual, 1)
 	})
-	Convey("Who has won a role keeps it without a gap, whatever its rank among the candidates", t, func() {
-		const term, voters = 1200 * time.Millisecond, 5
+	Convey("A candidate that has won a role keeps it without a gap, whatever its rank", t, func() {
+		const voteDuration, voters = 1200 * time.Millisecond, 5
 		for rank := range 2 * voters {
 			var grantors [voters]*Grantor
-			for at := range grantors {
-				grantors[at] = NewGrantor(term, -term)
-				grantors[at].OnVoteRequest("z", VoteRequest{Role: "role"}, time.Duration(at)*100*time.Millisecond)
+			for index := range grantors {
+				grantors[index] = NewGrantor(voteDuration, -voteDuration)
+				grantors[index].OnVoteRequest("z", VoteRequest{Role: "role"}, time.Duration(index)*100*time.Millisecond)
 			}
-			candidate, since := NewCandidate("role", voters, rank, term), time.Duration(0)
+			candidate, wonAt := NewCandidate("role", voters, rank, voteDuration), time.Duration(0)
 			for now := time.Duration(0); now < 60*time.Second; now += 10 * time.Millisecond {
 				if request, due := candidate.Tick(now); due {
-					for at := range grantors {
-						candidate.OnVote(string(rune('a'+at)), grantors[at].OnVoteRequest("me", request, now), now)
+					for index := range grantors {
+						candidate.OnVote(string(rune('a'+index)), grantors[index].OnVoteRequest("me", request, now), now)
 					}
 				}
-				if since == 0 && candidate.IsLeader(now) {
-					since = now
+				if wonAt == 0 && candidate.IsLeader(now) {
+					wonAt = now
 				}
-				if since != 0 && !candidate.IsLeader(now) {
-					So([]time.Duration{time.Duration(rank), since, now}, ShouldBeEmpty)
+				if wonAt != 0 && !candidate.IsLeader(now) {
+					So([]time.Duration{time.Duration(rank), wonAt, now}, ShouldBeEmpty)
 				}
 			}
-			So(since, ShouldBeBetween, 0, 5*time.Second)
+			So(wonAt, ShouldBeBetween, 0, 5*time.Second)
 		}
 	})
-	Convey("A grantor that has just started may have forgotten a vote and gives none for the duration of a vote", t, func() {
+	Convey("A grantor grants no vote for one vote duration after its start, since it may have granted a vote before a restart", t, func() {
 		grantor := NewGrantor(time.Second, 0)
 		So(grantor.OnVoteRequest("a", VoteRequest{Role: "x"}, 999*time.Millisecond).Granted, ShouldBeFalse)
 		So(grantor.OnVoteRequest("a", VoteRequest{Role: "x"}, time.Second).Granted, ShouldBeTrue)
--- a/internal/coordination/proposal/proposer.go
+++ b/internal/coordination/proposal/proposer.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// Proposer runs one round of one proposal: it prepares until a majority has promised,
-// and then has its value accepted.
+// Proposer runs one round of a proposal: it collects promises until a majority has
+// promised, and then collects acceptances of its value.
 type Proposer struct {
 	Number Number
-	// Value is the proposer's own, until a promise tells of one accepted before.
+	// Value is the proposer's own value, unless a promise has reported a value that was
+	// already accepted.
 	Value     []byte
 	StartedAt time.Duration
 
@@ -20,7 +21,7 @@
 	preparing       bool
 }
 
-// NewProposer starts a round that needs a majority of so many voters.
+// NewProposer starts a round that needs a majority of the given number of voters.
 func NewProposer(number Number, voters int, value []byte, now time.Duration) *Proposer {
 	return &Proposer{
 		Number: number, Value: value, StartedAt: now, quorum: Majority(voters),
@@ -28,20 +29,20 @@
 	}
 }
 
-// IsPreparing says whether promises are still too few.
+// IsPreparing reports whether fewer than a majority of the voters have promised.
 func (p *Proposer) IsPreparing() bool { return p.preparing }
 
-// Clone copies the proposer.
+// Clone returns a copy of the proposer.
 func (p *Proposer) Clone() *Proposer {
 	other := *p
 	other.promises, other.accepts = maps.Clone(p.promises), maps.Clone(p.accepts)
 	return &other
 }
 
-// OnPromise counts a promise, with the highest proposal that its voter accepted, if
-// any. It gives true once: when a majority has promised and Value is to be sent for
-// acceptance. Value is by then that of the highest proposal accepted before, since
-// that one may have been decided.
+// OnPromise counts a promise, which carries the highest proposal that its voter has
+// accepted, if any. It returns true once: when a majority has promised and Value is to
+// be sent for acceptance. If the promises reported accepted proposals, Value is then the
+// value of the highest of them, since that value may already have been decided.
 func (p *Proposer) OnPromise(from string, accepted Number, value []byte) bool {
 	if !p.preparing {
 		return false
@@ -57,8 +58,8 @@
 	return true
 }
 
-// OnAccepted counts an acceptance. It gives true once: when a majority has accepted,
-// so that Value is decided.
+// OnAccepted counts an acceptance. It returns true once: when a majority has accepted,
+// and Value is therefore decided.
 func (p *Proposer) OnAccepted(from string) bool {
 	if p.preparing || p.accepts[from] {
 		return false
@@ -67,5 +68,5 @@
 	return len(p.accepts) == p.quorum
 }
 
-// Majority is how many of so many voters are more than half.
+// Majority returns the smallest number of votes that is more than half of voters.
 func Majority(voters int) int { return voters/2 + 1 }
--- a/internal/coordination/proposal/proposer_test.go
+++ b/internal/coordination/proposal/proposer_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestPaxosRounds(t *testing.T) {
-	Convey("A value once accepted by a majority is the only one that a later proposal can decide", t, func() {
+	Convey("Once a majority has accepted a value, a later proposal can decide only that value", t, func() {
 		acceptors := []*Acceptor{{}, {}, {}}
 		first := NewProposer(Number{1, "a"}, 3, []byte("a"), 0)
 		So(acceptors[0].Promise(first.Number), ShouldBeTrue)
@@ -23,7 +23,7 @@
 		So(second.OnPromise("1", acceptors[1].Accepted, acceptors[1].Value), ShouldBeTrue)
 		So(string(second.Value), ShouldEqual, "a")
 	})
-	Convey("A promise bars lower proposals, and a vote counts once", t, func() {
+	Convey("An acceptor rejects proposals below its promise, and a proposer counts each voter's acceptance once", t, func() {
 		acceptor := &Acceptor{}
 		So(acceptor.Promise(Number{3, "a"}), ShouldBeTrue)
 		So(acceptor.Promise(Number{2, "z"}), ShouldBeFalse)
