--- a/internal/coordination/singleton/campaign.go
+++ b/internal/coordination/singleton/campaign.go
@@ -16,43 +16,46 @@
 	// refreshInterval is the time between requests for the list of databases at a
 	// control server that is not the primary.
 	refreshInterval = time.Second
-	// remoteEvaluateInterval is the time between evaluations of the databases with
-	// synchronous replication at a leader that is not the control primary, and
-	// has to fetch the evidence from there.
-	remoteEvaluateInterval = 300 * time.Millisecond
+	// remoteEvaluationInterval is the time between evaluations of the databases with
+	// synchronous replication at a leader that is not the control primary. Such a
+	// leader has to fetch the evidence from the control primary.
+	remoteEvaluationInterval = 300 * time.Millisecond
 	// takeoverDelay is how long a role must be vacant before a control server
 	// that is not the primary campaigns for it.
 	takeoverDelay = 2 * LeaseDuration
 )
 
-// NodeState is what the machine depends on of its own control server.
+// NodeState is the state of the machine's own control server that campaigns depend on.
 type NodeState struct {
-	// Primary says that it is the control primary.
+	// Primary is true if the control server is the control primary.
 	Primary bool
-	// FailoverActive says that a writer role is being moved, so that each step is
-	// to be taken as soon as possible.
+	// FailoverActive is true if a writer role is being moved. Campaigns are then due at
+	// each TickInterval, so that each step of the failover is taken as soon as
+	// possible.
 	FailoverActive bool
 }
 
-// Effect is what Machine.Campaign wants done: RequestVotes or Evaluate.
+// Effect is an action that Machine.Campaign requests of its caller: RequestVotes or
+// Evaluate.
 type Effect any
 
-// RequestVotes is the effect of sending a request to all voters, this control
-// server included.
+// RequestVotes is the effect of sending a vote request to all voters, including this
+// control server.
 type RequestVotes struct {
 	Request proposal.VoteRequest
 	Voters  []string
 }
 
-// Evaluate is the effect of deciding on a database as leader of its role.
+// Evaluate is the effect of deciding, as the leader of a database's role, on a failover of
+// the database.
 type Evaluate struct {
 	Database string
-	// Synced says that the database replicates synchronously.
+	// Synced is true if the database replicates synchronously.
 	Synced bool
 }
 
-// Due says whether to campaign now, and whether to refresh the list of databases
-// from the control primary before.
+// Due reports whether to campaign now, and whether to refresh the list of databases
+// from the control primary before the campaign.
 func (m *Machine) Due(state NodeState, now time.Duration) (campaign, refresh bool) {
 	if now < m.nextCampaign {
 		return false, false
@@ -69,7 +72,7 @@
 }
 
 // Campaign returns the effects of campaigning for all roles and of evaluating the
-// databases of those that this control server leads.
+// databases whose roles this control server leads.
 func (m *Machine) Campaign(state NodeState, now time.Duration) []Effect {
 	var effects []Effect
 	for _, database := range m.databases {
@@ -96,17 +99,17 @@
 // campaignForSync campaigns for the role of all databases with synchronous replication.
 func (m *Machine) campaignForSync(state NodeState, now time.Duration) []Effect {
 	effects := m.requestVotes(syncRole, state, now)
-	if !m.isLeader(syncRole, now) || (!state.Primary && now < m.nextRemoteEvaluate) {
+	if !m.isLeader(syncRole, now) || (!state.Primary && now < m.nextRemoteEvaluation) {
 		return effects
 	}
-	m.nextRemoteEvaluate = now + remoteEvaluateInterval
+	m.nextRemoteEvaluation = now + remoteEvaluationInterval
 	for _, database := range m.synced {
 		effects = append(effects, Evaluate{Database: database, Synced: true})
 	}
 	return effects
 }
 
-// requestVotes gives the vote request for a role that is due now, if any.
+// requestVotes returns the vote request for a role, if one is due now.
 func (m *Machine) requestVotes(role string, state NodeState, now time.Duration) []Effect {
 	candidate, found := m.candidate(role)
 	if !found || !m.voters.IncludesSelf {
@@ -123,8 +126,9 @@
 	return []Effect{RequestVotes{Request: request, Voters: m.voters.Voters.Names()}}
 }
 
-// BeginEvaluation says whether an evaluation of a database may begin: one runs at
-// a time, until EndEvaluation.
+// BeginEvaluation reports whether an evaluation of a database may begin, and if so
+// records that it has begun. At most one evaluation of a database runs at a time, until
+// EndEvaluation is called.
 func (m *Machine) BeginEvaluation(database string) bool {
 	if m.evaluating[database] {
 		return false
@@ -133,5 +137,5 @@
 	return true
 }
 
-// EndEvaluation ends the evaluation of a database.
+// EndEvaluation records that the evaluation of a database has ended.
 func (m *Machine) EndEvaluation(database string) { delete(m.evaluating, database) }
--- a/internal/coordination/singleton/singleton.go
+++ b/internal/coordination/singleton/singleton.go
@@ -1,13 +1,15 @@
-// Package singleton is the state machine by which a control server campaigns for
-// the singleton roles of deciding on failovers, and keeps those that it wins.
+// Package singleton is the state machine with which a control server campaigns for the
+// singleton roles and renews those that it has won. The holder of a role decides on
+// failovers.
 //
-// There is a role for each database with asynchronous replication, and one for
-// all databases with synchronous replication. A role is held by a lease, which a
-// majority of the voters grants. The control primary campaigns for all roles;
-// another voter campaigns for a role only once it has been vacant for a while.
+// There is one role for each database with asynchronous replication, and one role
+// for all databases with synchronous replication. A role is held under a lease, which
+// a majority of the voters grants. The control primary campaigns for all roles.
+// Another voter campaigns for a role only after the role has been vacant for
+// takeoverDelay.
 //
-// The machine is pure: the caller passes the time, as a duration on its
-// monotonic clock, and executes the effects.
+// The machine reads no clock and does no I/O: the caller passes the time, as a
+// duration on the caller's monotonic clock, and executes the effects.
 package singleton
 
 import (
@@ -21,34 +23,35 @@
 // LeaseDuration is how long a vote for a role binds the voter.
 const LeaseDuration = 1200 * time.Millisecond
 
-// Names of the roles as they are sent and shown.
+// Names of the roles in messages and in the status shown to operators.
 const (
 	syncRole        = "takeover"
 	asyncRolePrefix = "failover/"
 )
 
-// Machine is the part of one control server. It is not safe for concurrent use.
+// Machine is the state of one control server. It is not safe for concurrent use.
 type Machine struct {
 	self    string
 	voters  consensus.Electorate
 	grantor *proposal.Grantor
-	// candidates are by role.
+	// candidates holds this control server's candidates by role.
 	candidates map[string]*proposal.Candidate
-	// evaluating has the databases whose evaluation has begun and not ended.
+	// evaluating holds the databases whose evaluation has begun and has not ended.
 	evaluating map[string]bool
-	// databases lists all databases, synced those with synchronous replication.
+	// databases lists all databases. synced lists those with synchronous replication.
 	databases []string
 	synced    []string
 
-	// nextCampaign, nextRefresh and nextRemoteEvaluate are when the next campaign, request
-	// for the list of databases and evaluation from remote evidence are due.
-	nextCampaign       time.Duration
-	nextRefresh        time.Duration
-	nextRemoteEvaluate time.Duration
+	// nextCampaign is when the next campaign is due, nextRefresh is when the next request
+	// for the list of databases is due, and nextRemoteEvaluation is when the next
+	// evaluation from remote evidence is due.
+	nextCampaign         time.Duration
+	nextRefresh          time.Duration
+	nextRemoteEvaluation time.Duration
 }
 
-// New returns a machine without databases. It grants no vote until one lease
-// duration has passed, since a lease it granted before a restart may still bind.
+// New returns a machine without databases. It grants no vote until one lease duration
+// has passed, since a vote that it granted before a restart may still bind.
 func New(self string, now time.Duration) *Machine {
 	return &Machine{
 		self:       self,
@@ -58,8 +61,8 @@
 	}
 }
 
-// SetVoters sets the current voters. A control server that becomes a voter grants
-// no vote for one lease duration: the votes of the one that it replaced may bind
+// SetVoters sets the current voters. A control server that becomes a voter grants no
+// vote for one lease duration, since the votes of the server that it replaced may bind
 // until then.
 func (m *Machine) SetVoters(voters consensus.Electorate, now time.Duration) {
 	if voters.IncludesSelf && !m.voters.IncludesSelf {
@@ -68,15 +71,16 @@
 	m.voters = voters
 }
 
-// SetDatabases sets the list of all databases, and of those among them with
-// synchronous replication.
+// SetDatabases sets the list of all databases and the list of those with synchronous
+// replication.
 func (m *Machine) SetDatabases(databases, synced []string) {
 	m.databases = databases
 	m.synced = synced
 }
 
-// candidate gives the candidate for a role, which is made once this control
-// server is a voter. Ranks differ by role, so that they spread the backoff.
+// candidate returns the candidate for a role and creates it if needed. It returns false
+// if there is none and this control server is not a voter. A server's rank varies
+// between roles, so that the backoffs are spread.
 func (m *Machine) candidate(role string) (*proposal.Candidate, bool) {
 	if candidate, found := m.candidates[role]; found {
 		return candidate, true
@@ -96,10 +100,10 @@
 	return found && candidate.IsLeader(now)
 }
 
-// OnVoteRequest returns the vote of this control server. It grants a vote only to
-// a candidate that counts the same voters, and none while a change of voters may
-// be decided: a majority of the old voters has accepted each change, so that none
-// of them can extend a lease once another may be won among the new ones.
+// OnVoteRequest returns the vote of this control server. It grants a vote only to a
+// candidate that counts the same voters, and grants none while a change of voters may
+// be decided. A majority of the old voters has accepted each change, so the old voters
+// can no longer extend a lease once another lease may be won among the new voters.
 func (m *Machine) OnVoteRequest(from string, request proposal.VoteRequest, now time.Duration) proposal.Vote {
 	eligible := m.voters.IncludesSelf && !m.voters.Changing && request.Voters == string(m.voters.Voters)
 	if !eligible {
@@ -110,8 +114,8 @@
 	return vote
 }
 
-// OnVote counts a vote, and says whether it newly wins the role. A vote of another
-// control server than the one that was asked is ignored.
+// OnVote counts a vote and reports whether the vote newly wins the role. It ignores a
+// vote from a control server other than the one that was asked.
 func (m *Machine) OnVote(from string, vote proposal.Vote, now time.Duration) bool {
 	candidate, found := m.candidates[vote.Role]
 	return found && vote.Voter == from && candidate.OnVote(from, vote, now)
--- a/internal/coordination/singleton/singleton_test.go
+++ b/internal/coordination/singleton/singleton_test.go
@@ -11,6 +11,7 @@
 	"tansyseam/internal/coordination/proposal"
 )
 
+// cluster runs the machines of several control servers, whose messages arrive at once.
 type cluster struct {
 	names          []string
 	members        map[string]*Machine
@@ -70,7 +71,7 @@
 }
 
 func TestRoles(t *testing.T) {
-	Convey("The control primary wins every role, one for all synchronous databases, and evaluates at the campaign interval", t, func() {
+	Convey("The control primary wins the role of each asynchronous database and the one role of all synchronous databases, and evaluates at the campaign interval", t, func() {
 		c := newCluster("c1", "c2", "c3")
 		c.advance(LeaseDuration)
 		So(c.leaders, ShouldBeEmpty)
@@ -82,7 +83,7 @@
 		c.advance(time.Second)
 		So(c.evaluations["s by c1"], ShouldBeGreaterThan, 35)
 	})
-	Convey("When the primary changes, the roles follow it, and no two servers evaluate one database", t, func() {
+	Convey("When the control primary changes, the new one wins the roles, and each database is evaluated by only one server", t, func() {
 		c := newCluster("c1", "c2", "c3", "c4", "c5")
 		c.advance(5 * LeaseDuration)
 		c.primary = "c4"
@@ -92,30 +93,30 @@
 		c.advance(time.Second)
 		So(len(c.evaluations), ShouldEqual, 4)
 	})
-	Convey("While the primary is down another server wins the roles, and evaluates synchronous databases less often", t, func() {
+	Convey("While the control primary is down, another server wins the roles and evaluates synchronous databases less often", t, func() {
 		c := newCluster("c1", "c2", "c3")
 		c.primary, c.down["c1"] = "c1", true
 		c.advance(20 * LeaseDuration)
 		So(c.leaders["takeover"], ShouldBeIn, "c2", "c3")
 		c.evaluations = map[string]int{}
-		most := 0
+		maxEvaluations := 0
 		for range 20 {
 			c.advance(3 * time.Second)
-			most = max(most, c.evaluations["s by c2"], c.evaluations["s by c3"])
+			maxEvaluations = max(maxEvaluations, c.evaluations["s by c2"], c.evaluations["s by c3"])
 		}
-		So(most, ShouldBeBetween, 0, 11)
+		So(maxEvaluations, ShouldBeBetween, 0, 11)
 	})
-	Convey("A server that is no voter campaigns for nothing, nor does one without databases", t, func() {
+	Convey("A server that is not a voter does not campaign, and neither does a voter without databases", t, func() {
 		machine, voters := New("c9", 0), electorate("c1", "c2")
 		machine.SetDatabases([]string{"a", "s"}, []string{"s"})
 		machine.SetVoters(consensus.Electorate{Voters: voters.Voters}, 0)
 		So(machine.Campaign(NodeState{}, time.Hour), ShouldBeEmpty)
 		So(machine.Roles(time.Hour), ShouldBeEmpty)
-		other := New("c1", 0)
-		other.SetVoters(voters, 0)
-		So(other.Campaign(NodeState{Primary: true}, time.Hour), ShouldBeEmpty)
+		withoutDatabases := New("c1", 0)
+		withoutDatabases.SetVoters(voters, 0)
+		So(withoutDatabases.Campaign(NodeState{Primary: true}, time.Hour), ShouldBeEmpty)
 	})
-	Convey("The list of databases is refreshed once a second, and by the primary each time", t, func() {
+	Convey("The list of databases is refreshed once a second, and at each campaign of the control primary", t, func() {
 		refreshes := func(state NodeState) int {
 			machine, count := New("c1", 0), 0
 			for now := time.Hour; now < time.Hour+10*time.Second; now += TickInterval {
@@ -129,7 +130,7 @@
 		So(refreshes(NodeState{Primary: true}), ShouldEqual, 100)
 		So(refreshes(NodeState{Primary: true, FailoverActive: true}), ShouldEqual, 400)
 	})
-	Convey("One evaluation of a database runs at a time", t, func() {
+	Convey("Only one evaluation of a database runs at a time", t, func() {
 		machine := New("c1", 0)
 		So(machine.BeginEvaluation("a"), ShouldBeTrue)
 		So(machine.BeginEvaluation("a"), ShouldBeFalse)
@@ -137,41 +138,41 @@
 		machine.EndEvaluation("a")
 		So(machine.BeginEvaluation("a"), ShouldBeTrue)
 	})
-	Convey("Roles are listed by name, with their database", t, func() {
+	Convey("Roles are listed in the order of their names, with their database", t, func() {
 		c := newCluster("c1")
 		c.advance(3 * LeaseDuration)
-		shown := c.members["c1"].Roles(c.now)
-		So(slices.IndexFunc(shown, func(machine RoleStatus) bool { return !machine.Leading }), ShouldEqual, -1)
-		So([]string{shown[0].Role, shown[0].Database, shown[2].Role}, ShouldResemble, []string{"failover/a", "a", "takeover"})
+		roles := c.members["c1"].Roles(c.now)
+		So(slices.IndexFunc(roles, func(status RoleStatus) bool { return !status.Leading }), ShouldEqual, -1)
+		So([]string{roles[0].Role, roles[0].Database, roles[2].Role}, ShouldResemble, []string{"failover/a", "a", "takeover"})
 	})
 }
 
 func TestVoterChange(t *testing.T) {
 	oldVoters, newVoters := electorate("c1", "c2", "c3"), electorate("c1", "c2", "n1")
 	now := time.Hour
-	voter := func(name string, of consensus.Electorate) *Machine {
+	voter := func(name string, voters consensus.Electorate) *Machine {
 		m := New(name, now-time.Minute)
-		m.SetVoters(of, now-time.Minute)
+		m.SetVoters(voters, now-time.Minute)
 		return m
 	}
-	request := func(m *Machine, from string, voters consensus.Electorate, renewal bool, now time.Duration) bool {
+	grantsVote := func(m *Machine, from string, voters consensus.Electorate, renewal bool, now time.Duration) bool {
 		return m.OnVoteRequest(from, proposal.VoteRequest{Role: "x", Attempt: 1, Renewal: renewal, Voters: string(voters.Voters)}, now).Granted
 	}
-	Convey("A vote is granted only to a candidate with the same voters, and none while a change of voters may be decided", t, func() {
+	Convey("A vote is granted only to a candidate that counts the same voters, and never while a change of voters may be decided", t, func() {
 		m := voter("c2", oldVoters)
-		So(request(m, "c1", newVoters, false, now), ShouldBeFalse)
-		So(request(m, "c1", oldVoters, false, now), ShouldBeTrue)
+		So(grantsVote(m, "c1", newVoters, false, now), ShouldBeFalse)
+		So(grantsVote(m, "c1", oldVoters, false, now), ShouldBeTrue)
 		changing := oldVoters
 		changing.Changing = true
 		m.SetVoters(changing, now)
-		So(request(m, "c1", oldVoters, true, now), ShouldBeFalse)
-		So(request(m, "c1", newVoters, true, now), ShouldBeFalse)
+		So(grantsVote(m, "c1", oldVoters, true, now), ShouldBeFalse)
+		So(grantsVote(m, "c1", newVoters, true, now), ShouldBeFalse)
 		m.SetVoters(newVoters, now)
-		So(request(m, "c1", oldVoters, true, now), ShouldBeFalse)
-		So(request(m, "c1", newVoters, true, now), ShouldBeTrue)
-		So(request(m, "n1", newVoters, false, now), ShouldBeFalse)
+		So(grantsVote(m, "c1", oldVoters, true, now), ShouldBeFalse)
+		So(grantsVote(m, "c1", newVoters, true, now), ShouldBeTrue)
+		So(grantsVote(m, "n1", newVoters, false, now), ShouldBeFalse)
 	})
-	Convey("The vote of a server that answers at another's address is ignored", t, func() {
+	Convey("The vote of a server that answers at the address of another server is ignored", t, func() {
 		candidate := voter("c1", oldVoters)
 		candidate.SetDatabases([]string{"db"}, []string{"db"})
 		requestVotes := candidate.Campaign(NodeState{Primary: true}, now)[0].(RequestVotes)
@@ -182,31 +183,31 @@
 		So(candidate.candidates[syncRole].IsLeader(now), ShouldBeFalse)
 		So(candidate.OnVote("c1", candidate.OnVoteRequest("c1", requestVotes.Request, now), now), ShouldBeTrue)
 	})
-	Convey("A server that becomes a voter, or becomes one again, grants no vote for a lease duration", t, func() {
-		outside := oldVoters
-		outside.IncludesSelf = false
-		m := voter("n1", outside)
+	Convey("A server that becomes a voter, for the first time or again, grants no vote for one lease duration", t, func() {
+		withoutSelf := oldVoters
+		withoutSelf.IncludesSelf = false
+		m := voter("n1", withoutSelf)
 		for range 2 {
-			So(request(m, "c1", oldVoters, false, now), ShouldBeFalse)
+			So(grantsVote(m, "c1", oldVoters, false, now), ShouldBeFalse)
 			m.SetVoters(newVoters, now)
 			m.SetVoters(newVoters, now+LeaseDuration/2)
-			So(request(m, "c1", newVoters, false, now+LeaseDuration-1), ShouldBeFalse)
-			So(request(m, "c1", newVoters, false, now+LeaseDuration), ShouldBeTrue)
-			m.SetVoters(outside, now+LeaseDuration)
+			So(grantsVote(m, "c1", newVoters, false, now+LeaseDuration-1), ShouldBeFalse)
+			So(grantsVote(m, "c1", newVoters, false, now+LeaseDuration), ShouldBeTrue)
+			m.SetVoters(withoutSelf, now+LeaseDuration)
 			now += time.Minute
 		}
 	})
-	Convey("A leader that missed a change of voters cannot extend its lease with the old ones, and another wins the role only after it expired", t, func() {
+	Convey("A leader that missed a change of voters cannot extend its lease with the old voters, and another server wins the role only after that lease has expired", t, func() {
 		leader, other := voter("c3", oldVoters), voter("c1", oldVoters)
 		second, newcomer := voter("c2", oldVoters), New("n1", now)
-		all := map[string]*Machine{"c1": other, "c2": second, "c3": leader, "n1": newcomer}
-		campaign := func(m *Machine, reached ...string) bool {
+		machines := map[string]*Machine{"c1": other, "c2": second, "c3": leader, "n1": newcomer}
+		campaign := func(m *Machine, reachable ...string) bool {
 			m.SetDatabases([]string{"db"}, []string{"db"})
 			for _, effect := range m.Campaign(NodeState{Primary: true}, now) {
 				requestVotes, ok := effect.(RequestVotes)
 				for _, name := range requestVotes.Voters {
-					if ok && slices.Contains(reached, name) {
-						m.OnVote(name, all[name].OnVoteRequest(m.self, requestVotes.Request, now), now)
+					if ok && slices.Contains(reachable, name) {
+						m.OnVote(name, machines[name].OnVoteRequest(m.self, requestVotes.Request, now), now)
 					}
 				}
 			}
@@ -214,7 +215,7 @@
 		}
 		So(campaign(leader, "c2", "c3"), ShouldBeTrue)
 		for _, name := range []string{"c1", "c2", "n1"} {
-			all[name].SetVoters(newVoters, now)
+			machines[name].SetVoters(newVoters, now)
 		}
 		wasLeading, otherLeading := true, false
 		for range 200 {
--- a/internal/coordination/singleton/status.go
+++ b/internal/coordination/singleton/status.go
@@ -11,13 +11,13 @@
 type RoleStatus struct {
 	Role     string `json:"duty"`
 	Database string `json:"database"`
-	// Leading says that this control server leads the role.
+	// Leading is true if this control server leads the role.
 	Leading bool `json:"is_held"`
-	// Leader is the other leader that a voter named last, if any.
+	// Leader is the leader that a voter named in its last refused vote, if any.
 	Leader string `json:"seen_held_by"`
 }
 
-// Roles lists the roles that this control server is a candidate for, by name.
+// Roles returns the roles for which this control server has a candidate, sorted by name.
 func (m *Machine) Roles(now time.Duration) []RoleStatus {
 	list := []RoleStatus{}
 	for _, role := range slices.Sorted(maps.Keys(m.candidates)) {
