--- a/internal/coordination/membership/cluster_test.go
+++ b/internal/coordination/membership/cluster_test.go
@@ -8,17 +8,20 @@
 	"tansyseam/internal/state/model"
 )
 
-// cluster runs machines whose messages arrive at once, on a clock of its own.
+// cluster runs the machines of several nodes on a simulated clock. Messages arrive at
+// once.
 type cluster struct {
 	machines map[string]*Machine
-	// names are those of the nodes, in the order in which their ticks come.
+	// names are the names of the nodes, in the order in which their machines receive
+	// ticks.
 	names []string
 	now   time.Duration
-	// blocked says whether messages between two nodes are lost; stopped names the nodes
-	// that do not run.
+	// blocked reports whether messages from one node to another are lost. stopped holds
+	// the names of the nodes that do not run.
 	blocked func(from, to string) bool
 	stopped map[string]bool
-	// entriesSent and messagesSent count what was sent, lost or not.
+	// entriesSent and messagesSent count all entries and messages sent, including lost
+	// ones.
 	entriesSent  int
 	messagesSent int
 }
@@ -29,8 +32,8 @@
 		stopped:  map[string]bool{},
 		blocked:  func(string, string) bool { return false },
 	}
-	for at := range count {
-		c.add(fmt.Sprintf("n%02d", at))
+	for index := range count {
+		c.add(fmt.Sprintf("n%02d", index))
 	}
 	return c
 }
@@ -46,7 +49,7 @@
 	c.machines[name] = New(node, []string{"n00", "n01", "n02"}, DefaultTiming())
 }
 
-// heal ends all blocks.
+// heal removes all blocks between nodes.
 func (c *cluster) heal() { c.blocked = func(string, string) bool { return false } }
 
 func (c *cluster) setKind(kind string, names ...string) {
@@ -55,8 +58,8 @@
 	}
 }
 
-// deliver carries out the messages among the effects of a node's step, and those that
-// they bring about.
+// deliver delivers the messages among the effects of a node's step, and the messages
+// that result from them.
 func (c *cluster) deliver(from string, effects []Effect) {
 	for _, effect := range effects {
 		if send, ok := effect.(Send); ok {
@@ -67,16 +70,16 @@
 	}
 }
 
-// receive has the node at the address of a message handle it, if the message arrives.
+// receive passes a message to the node at its address, unless the message is lost.
 func (c *cluster) receive(from string, send Send) {
-	target, known := c.machines[send.Address]
-	if !known || c.stopped[send.Address] || c.blocked(from, send.Address) {
+	target, found := c.machines[send.Address]
+	if !found || c.stopped[send.Address] || c.blocked(from, send.Address) {
 		return
 	}
 	c.deliver(send.Address, target.Step(GossipReceived{Gossip: send.Gossip}, c.now))
 }
 
-// advance has time pass in steps shorter than a heartbeat interval.
+// advance advances the clock in steps that are shorter than a heartbeat interval.
 func (c *cluster) advance(span time.Duration) {
 	for end := c.now + span; c.now < end; c.now += 50 * time.Millisecond {
 		for _, name := range c.names {
@@ -87,8 +90,9 @@
 	}
 }
 
-// countHolding returns how many running nodes hold a node to have a status.
-func (c *cluster) countHolding(name, status string) int {
+// countObservers returns the number of other running nodes whose machines report the
+// given status for a node.
+func (c *cluster) countObservers(name, status string) int {
 	count := 0
 	for _, other := range c.names {
 		if other != name && !c.stopped[other] && c.machines[other].Status(name) == status {
--- a/internal/coordination/membership/digest.go
+++ b/internal/coordination/membership/digest.go
@@ -9,8 +9,8 @@
 	"tansyseam/internal/state/model"
 )
 
-// DigestRanges is the number of ranges of node names that have digests of their
-// own.
+// DigestRanges is the number of ranges of node names, each of which has its own
+// digest.
 const DigestRanges = 16
 
 // fnvPrime is the prime of the 64-bit FNV hash.
@@ -23,14 +23,15 @@
 	stale  bool
 }
 
-// rangeOf returns the range of a node's name.
+// rangeOf returns the index of the range that a node's name belongs to.
 func rangeOf(name string) int {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(name))
 	return int(hash.Sum32() % DigestRanges)
 }
 
-// digestOf returns the digest of an entry, which its heartbeat does not change.
+// digestOf returns the digest of an entry. The digest does not depend on the
+// entry's heartbeat.
 func digestOf(node model.Node) uint64 {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprint(hash, node.Name, "|", node.Incarnation, "|", node.Left, "|", node.RPCAddress, "|", node.HTTPAddress, "|", node.Weight)
@@ -54,8 +55,9 @@
 	m.digests = fresh
 }
 
-// offerDigests has a reply start an exchange of entries, unless one with the
-// same node began a short time ago.
+// offerDigests adds this node's range digests to a reply, which starts an
+// exchange of entries. It adds nothing if an exchange with the same node began
+// less than DigestInterval ago.
 func (m *Machine) offerDigests(reply *Gossip, sender *peer, now time.Duration) {
 	if sender != nil && now-sender.lastCompared < m.timing.DigestInterval {
 		return
@@ -67,8 +69,9 @@
 	}
 }
 
-// fillRanges adds to a reply the entries of the ranges that differ or were
-// asked for, and asks for the sender's entries of those that differ.
+// fillRanges adds to a reply the entries of the ranges that differ or that the
+// sender requested. For the ranges that differ, it also requests the sender's
+// entries.
 func (m *Machine) fillRanges(reply *Gossip, gossip Gossip) {
 	reply.From = m.self
 	wanted := slices.Clone(gossip.WantRanges)
--- a/internal/coordination/membership/event.go
+++ b/internal/coordination/membership/event.go
@@ -6,12 +6,13 @@
 	"tansyseam/internal/state/model"
 )
 
-// Event is what Machine.Step handles: GossipReceived or Tick.
+// Event is an input of Machine.Step: GossipReceived or Tick.
 type Event interface {
 	apply(m *Machine, now time.Duration)
 }
 
-// Effect is what Machine.Step wants done: Send or StatusChanged.
+// Effect is an action that Machine.Step requests of its caller: Send or
+// StatusChanged.
 type Effect interface {
 	isEffect()
 }
@@ -21,7 +22,7 @@
 	Gossip Gossip
 }
 
-// Tick is the event that time has passed. It may come more often than the
+// Tick is the event that time has passed. Ticks may be more frequent than the
 // heartbeat interval.
 type Tick struct{}
 
@@ -31,8 +32,8 @@
 	Gossip  Gossip
 }
 
-// StatusChanged is the effect that a node's status has changed. Reason is for
-// the log.
+// StatusChanged is the effect of reporting that a node's status has changed.
+// Reason is for the log.
 type StatusChanged struct {
 	Node   model.Node
 	Status string
@@ -49,15 +50,15 @@
 
 // The statuses of a known node.
 const (
-	// StatusLive is that of a node whose heartbeats arrive.
+	// StatusLive is the status of a node whose heartbeats arrive.
 	StatusLive = "live"
-	// StatusDead is that of a node that its watchers have found silent.
+	// StatusDead is the status of a node that its watchers have found silent.
 	StatusDead = "dead"
-	// StatusLeft is that of a node that announced its shutdown.
+	// StatusLeft is the status of a node that has announced its shutdown.
 	StatusLeft = "left"
 )
 
-// Reasons of a change of status.
+// Reasons for a change of status.
 const (
 	reasonDiscovered = "discovered"
 	reasonResumed    = "responds again"
--- a/internal/coordination/membership/gossip.go
+++ b/internal/coordination/membership/gossip.go
@@ -8,30 +8,34 @@
 	"tansyseam/internal/state/model"
 )
 
-// Gossip is the message between nodes. Each is a heartbeat of its sender.
+// Gossip is the message that nodes exchange. Each message is also a heartbeat of
+// its sender.
 type Gossip struct {
-	// From is the sender's entry. Only name, incarnation, heartbeat and Left are
-	// set if the receiver is known to have the rest.
+	// From is the sender's entry. If the sender assumes that the receiver has the
+	// complete entry, only Name, Incarnation, Heartbeat and Left are set.
 	From       model.Node
 	Nodes      []model.Node
 	Suspicions []Suspicion
-	// Reply says that the message needs no answer.
+	// Reply is true if the message needs no answer.
 	Reply bool
-	// Subscribe asks the receiver to send its heartbeats for some time.
+	// Subscribe asks the receiver to send its heartbeats to the sender until the
+	// subscription expires.
 	Subscribe bool
-	// Digest is the digest of all that the sender knows.
+	// Digest is the digest of all entries of the sender except those of dead nodes.
 	Digest uint64
-	// RangeDigests are those of the ranges, sent to a node whose Digest differs.
-	// WantRanges asks for the receiver's entries of some ranges, by index.
+	// RangeDigests are the digests of the ranges, which are sent to a node whose
+	// Digest differs. WantRanges holds the indexes of the ranges whose entries the
+	// receiver is asked to send.
 	RangeDigests []uint64
 	WantRanges   []int
 }
 
-// newGossip returns the message for a peer, which is nil if not known.
+// newGossip returns the message for a peer. The peer is nil if this node has no
+// entry for the receiver.
 func (m *Machine) newGossip(to *peer, now time.Duration) Gossip {
 	m.refreshDigests()
 	gossip := Gossip{From: m.self, Digest: m.digests.total}
-	if to != nil && to.knowsSelf && m.selfGossipUntil <= now {
+	if to != nil && to.hasSelfEntry && m.selfGossipUntil <= now {
 		gossip.From = heartbeatOnly(m.self)
 	}
 	gossip.Nodes = m.recentChanges(to, now)
@@ -39,7 +43,8 @@
 	return gossip
 }
 
-// recentChanges returns the entries that a message for a peer carries.
+// recentChanges returns the recently changed entries, and those that refute a
+// suspicion, to attach to a message for a peer.
 func (m *Machine) recentChanges(to *peer, now time.Duration) []model.Node {
 	if m.gossipUntil <= now {
 		return nil
@@ -56,8 +61,8 @@
 	return nodes
 }
 
-// sharedSuspicions returns the suspicions that a message carries: those of live
-// nodes, and for a short time those of nodes that are no longer live.
+// sharedSuspicions returns the suspicions to attach to a message: suspicions of
+// live nodes and, for the gossip period, of nodes that are no longer live.
 func (m *Machine) sharedSuspicions(now time.Duration) []Suspicion {
 	var suspicions []Suspicion
 	for suspicion, since := range m.suspicions {
@@ -72,14 +77,14 @@
 	return suspicions
 }
 
-// scheduleGossip has a peer's entry attached to messages for nodes with another
-// digest.
+// scheduleGossip attaches a peer's entry, until the given time, to messages for
+// nodes whose digest differs from this node's.
 func (m *Machine) scheduleGossip(other *peer, until time.Duration) {
 	other.gossipUntil = max(other.gossipUntil, until)
 	m.gossipUntil = max(m.gossipUntil, until)
 }
 
-// scheduleRefutation has a peer's entry attached to all messages.
+// scheduleRefutation attaches a peer's entry to all messages until the given time.
 func (m *Machine) scheduleRefutation(other *peer, until time.Duration) {
 	other.refuteUntil = max(other.refuteUntil, until)
 	m.gossipUntil = max(m.gossipUntil, until)
@@ -103,8 +108,9 @@
 	}
 }
 
-// newReply returns the answer to a message, with the next step of an exchange of
-// entries where the digests differ. The sender is nil if not known.
+// newReply returns the answer to a message. If the digests differ, the answer
+// contains the next step of an exchange of entries. The sender is nil if this node
+// has no entry for it.
 func (m *Machine) newReply(gossip Gossip, sender *peer, now time.Duration) Gossip {
 	reply := m.newGossip(sender, now)
 	reply.Reply = true
@@ -118,26 +124,29 @@
 	return reply
 }
 
-// exchangesRanges says whether a message is part of an exchange of entries.
+// exchangesRanges reports whether a message is part of an exchange of entries.
 func (g Gossip) exchangesRanges() bool { return len(g.RangeDigests) > 0 || len(g.WantRanges) > 0 }
 
-// updateSender notes what a message says about its sender's knowledge and wishes.
+// updateSender records whether a message's sender has this node's complete entry,
+// and its subscription if the message contains one.
 func (m *Machine) updateSender(sender *peer, gossip Gossip, now time.Duration) {
-	// With equal digests both have the same entries, this node's own among them.
-	sender.knowsSelf = gossip.Digest == m.digests.total
+	// If the digests are equal, both nodes have the same entries, including this
+	// node's own.
+	sender.hasSelfEntry = gossip.Digest == m.digests.total
 	if gossip.Subscribe {
 		sender.subscribedUntil = now + subscriptionLifetime*m.timing.SubscriptionInterval
 	}
 }
 
-// needsReply says whether an answer is expected, or brings an exchange of entries
-// further. Else two nodes would answer each other's answers without end.
+// needsReply reports whether the sender expects an answer or the answer continues
+// an exchange of entries. Other answers are not sent, since two nodes would
+// otherwise answer each other's answers endlessly.
 func needsReply(gossip, reply Gossip) bool {
 	fillsRanges := gossip.exchangesRanges() && (len(reply.Nodes) > 0 || len(reply.WantRanges) > 0)
 	return !gossip.Reply || len(reply.RangeDigests) > 0 || fillsRanges
 }
 
-// merge takes the entries and suspicions of a message.
+// merge merges the entries and suspicions of a message into this node's.
 func (m *Machine) merge(gossip Gossip, now time.Duration) {
 	m.observe(gossip.From, now, true)
 	for _, node := range gossip.Nodes {
@@ -148,8 +157,8 @@
 	}
 }
 
-// sendReply answers a message. The sender's address is that of its entry, or of
-// the message if the sender is not known.
+// sendReply sends the answer to a message. It uses the address in this node's
+// entry for the sender, or the address in the message if there is no such entry.
 func (m *Machine) sendReply(from model.Node, sender *peer, reply Gossip, now time.Duration) {
 	address := from.RPCAddress
 	if sender != nil {
--- a/internal/coordination/membership/gossip_test.go
+++ b/internal/coordination/membership/gossip_test.go
@@ -9,25 +9,25 @@
 )
 
 func TestGossipCost(t *testing.T) {
-	Convey("Without changes the messages of a node do not grow with the number of nodes, and carry no entries", t, func() {
+	Convey("Without changes, the number of messages per node does not grow with the number of nodes, and messages carry no entries", t, func() {
 		for _, count := range []int{8, 40} {
 			cluster := newCluster(count)
 			cluster.advance(8 * time.Second)
 			cluster.messagesSent, cluster.entriesSent = 0, 0
 			cluster.advance(5 * time.Second)
 			So(cluster.entriesSent, ShouldEqual, 0)
-			SoMsg("a heartbeat to each watcher, and a subscription with its answer at each eighth", cluster.messagesSent, ShouldBeLessThan, count*(5*1000/350+1)*WatchersPerNode*3/2)
+			SoMsg("messages: a heartbeat to each watcher, and a subscription and its answer at every eighth heartbeat", cluster.messagesSent, ShouldBeLessThan, count*(5*1000/350+1)*WatchersPerNode*3/2)
 		}
 	})
-	Convey("Nodes that start together receive each other's entries a few times, not in each message of the gossip period", t, func() {
+	Convey("Nodes that start together receive each other's entries only a few times, instead of in each message of the gossip period", t, func() {
 		cluster := newCluster(40)
 		cluster.advance(4 * time.Second)
 		for _, name := range cluster.names {
-			So(cluster.countHolding(name, StatusLive), ShouldEqual, 39)
+			So(cluster.countObservers(name, StatusLive), ShouldEqual, 39)
 		}
-		SoMsg("entries sent to each node of each other", cluster.entriesSent/(40*39), ShouldBeLessThan, 12)
+		SoMsg("average number of times that a node's entry is sent to another node", cluster.entriesSent/(40*39), ShouldBeLessThan, 12)
 	})
-	Convey("A live seed is contacted seldom, a missing one at every eighth heartbeat", t, func() {
+	Convey("A live seed is contacted rarely, whereas a missing seed would be contacted at every eighth heartbeat", t, func() {
 		cluster := newCluster(40)
 		cluster.advance(10 * time.Second)
 		const seed = "n01"
@@ -46,7 +46,7 @@
 	})
 }
 
-// countContacts returns how many messages to an address are no replies.
+// countContacts returns the number of messages to an address that are not replies.
 func countContacts(effects []Effect, address string) int {
 	count := 0
 	for _, effect := range effects {
@@ -59,7 +59,7 @@
 }
 
 func TestRepair(t *testing.T) {
-	Convey("A node that was partitioned while others joined and left is repaired by digests, after the gossip period", t, func() {
+	Convey("A node that was partitioned while others joined and left receives the changes through digests, even after the gossip period", t, func() {
 		cluster := newCluster(14)
 		cluster.advance(4 * time.Second)
 		cluster.blocked = func(from, to string) bool { return (from == "n07") != (to == "n07") }
@@ -72,9 +72,9 @@
 		cluster.advance(6 * time.Second)
 		So(cluster.machines["n07"].Status("n99"), ShouldEqual, StatusLive)
 		So(cluster.machines["n07"].Status("n05"), ShouldEqual, StatusLeft)
-		So(cluster.countHolding("n07", StatusLive), ShouldEqual, 14)
+		So(cluster.countObservers("n07", StatusLive), ShouldEqual, 14)
 	})
-	Convey("A wrong suspicion is refuted by the next heartbeats of the node", t, func() {
+	Convey("A wrong suspicion is refuted by the next heartbeats of the suspected node", t, func() {
 		cluster := newCluster(14)
 		cluster.advance(4 * time.Second)
 		reporter, suspected := cluster.machines["n01"].Self(), cluster.machines["n07"].Self()
--- a/internal/coordination/membership/machine.go
+++ b/internal/coordination/membership/machine.go
@@ -9,31 +9,31 @@
 	"tansyseam/internal/state/model"
 )
 
-// Machine holds what one node knows about the others. It is not safe for
-// concurrent use.
+// Machine is the membership state of one node. It is not safe for concurrent use.
 type Machine struct {
 	self model.Node
-	// seeds are RPC addresses; this node's own may be one of them.
+	// seeds are RPC addresses. This node's own address may be one of them.
 	seeds  []string
 	timing Timing
-	// peers are the other nodes by name, those that are dead or have left included.
+	// peers holds the other nodes by name, including those that are dead or have left.
 	peers map[string]*peer
-	// suspicions are those of all watchers, with the time when each was learned or,
-	// if it is this node's own, last confirmed.
+	// suspicions holds the suspicions from all watchers. The value is the time when the
+	// suspicion was first received or, if it is this node's own, last confirmed.
 	suspicions map[Suspicion]time.Duration
 	// lastHeartbeat is when this node last sent heartbeats.
 	lastHeartbeat time.Duration
 	// lastSeedContact is when a seed was last contacted in turn. seedContacts counts
-	// these contacts from 1; at 0 none has been planned yet.
+	// these contacts, starting at 1. It is 0 until the first contact is scheduled.
 	lastSeedContact time.Duration
 	seedContacts    int
-	// selfGossipUntil is until when this node's complete entry is attached to its
-	// messages, and gossipUntil the latest time until which any other is.
+	// selfGossipUntil is the time until which this node's complete entry is included in
+	// all its messages. gossipUntil is the latest time until which any peer's entry is
+	// attached to messages.
 	selfGossipUntil time.Duration
 	gossipUntil     time.Duration
 	digests         digestCache
 
-	// watched and liveByKind are caches that a change of any status invalidates.
+	// watched and liveByKind are caches. A change of any node's status invalidates them.
 	watched         []string
 	watchedValid    bool
 	liveByKind      map[string]int
@@ -55,7 +55,8 @@
 	}
 }
 
-// Step handles an event and returns its effects, to be carried out in order.
+// Step handles an event and returns its effects, which the caller must carry out in
+// order.
 func (m *Machine) Step(event Event, now time.Duration) []Effect {
 	m.effects = nil
 	event.apply(m, now)
@@ -65,7 +66,8 @@
 // Self returns this node's own entry.
 func (m *Machine) Self() model.Node { return m.self }
 
-// Leave marks this node as shutting down, which later messages tell the others.
+// Leave marks this node as shutting down. Later messages announce this to the other
+// nodes.
 func (m *Machine) Leave() {
 	m.self.Left = true
 	m.digests.stale = true
@@ -79,7 +81,7 @@
 }
 
 // Nodes returns the known nodes with one of the statuses, sorted by name. This
-// node is one of the live nodes.
+// node counts as live.
 func (m *Machine) Nodes(statuses ...string) []model.Node {
 	var nodes []model.Node
 	if slices.Contains(statuses, StatusLive) {
@@ -128,16 +130,16 @@
 	if name == m.self.Name {
 		return StatusLive
 	}
-	if other, known := m.peers[name]; known {
+	if other, found := m.peers[name]; found {
 		return other.status
 	}
 	return ""
 }
 
-// SinceHeartbeat returns the time since the last new heartbeat of a node, or 0
-// if the node is not known.
+// SinceHeartbeat returns the time since a new heartbeat of a node was last received,
+// or 0 if the node is not known.
 func (m *Machine) SinceHeartbeat(name string, now time.Duration) time.Duration {
-	if other, known := m.peers[name]; known {
+	if other, found := m.peers[name]; found {
 		return now - other.lastHeartbeat
 	}
 	return 0
@@ -159,8 +161,8 @@
 	return m.watched
 }
 
-// Peers returns the live nodes of this node's kind that it watches, or, if it
-// watches none of them, all live nodes of its kind.
+// Peers returns the live nodes of this node's kind that it watches. If it watches
+// none of them, Peers returns all other live nodes of its kind.
 func (m *Machine) Peers() []model.Node {
 	var watched, live []model.Node
 	for _, node := range m.Nodes(StatusLive) {
@@ -190,8 +192,8 @@
 	return names
 }
 
-// liveAt returns the live node with an RPC address, or nil.
-func (m *Machine) liveAt(address string) *peer {
+// livePeerAt returns the live peer with an RPC address, or nil.
+func (m *Machine) livePeerAt(address string) *peer {
 	for _, other := range m.peers {
 		if other.node.RPCAddress == address && other.status == StatusLive {
 			return other
--- a/internal/coordination/membership/messages_test.go
+++ b/internal/coordination/membership/messages_test.go
@@ -10,7 +10,7 @@
 	"tansyseam/internal/state/model"
 )
 
-// proxyNodes returns the entries of count nodes with a heartbeat.
+// proxyNodes returns the entries of count proxies, all with the given heartbeat.
 func proxyNodes(count int, heartbeat uint64) []model.Node {
 	var nodes []model.Node
 	for number := range count {
@@ -24,7 +24,7 @@
 
 func TestMessagesOfOneHeartbeat(t *testing.T) {
 	const heartbeats = 8
-	Convey("The messages of a heartbeat are bounded by the watchers of a node and a seed now and then, however many nodes there are", t, func() {
+	Convey("The number of messages per heartbeat is bounded by the number of watchers per node and occasional seed contacts, whatever the number of nodes", t, func() {
 		for _, count := range []int{30, 120} {
 			nodes := proxyNodes(count, 0)
 			machine := New(nodes[0], []string{nodes[1].RPCAddress, nodes[2].RPCAddress, nodes[3].RPCAddress}, DefaultTiming())
--- a/internal/coordination/membership/peer.go
+++ b/internal/coordination/membership/peer.go
@@ -6,51 +6,52 @@
 	"tansyseam/internal/state/model"
 )
 
-// peer is what this node knows about another.
+// peer is the state that this node holds about another node.
 type peer struct {
 	node model.Node
-	// lastHeartbeat is when a new heartbeat of the node was learned, from
-	// whomever; lastContact is when a message came from the node itself.
+	// lastHeartbeat is when a new heartbeat of the node was last received, directly
+	// or through another node. lastContact is when a message from the node itself was
+	// last received.
 	lastHeartbeat time.Duration
 	lastContact   time.Duration
 	status        string
 	statusSince   time.Duration
-	// gossipUntil is until when the entry is attached to messages for nodes with
-	// another digest; refuteUntil is until when it is attached to all messages,
-	// because its heartbeat refutes a suspicion.
+	// gossipUntil is the time until which the entry is attached to messages for nodes
+	// whose digest differs. refuteUntil is the time until which the entry is attached
+	// to all messages, because its heartbeat refutes a suspicion.
 	gossipUntil time.Duration
 	refuteUntil time.Duration
-	// digest is the last that the node sent, and lastCompared is when range
-	// digests were last compared with it.
+	// digest is the last digest that the node sent. lastCompared is when range digests
+	// were last sent to the node to start an exchange.
 	digest       uint64
 	lastCompared time.Duration
-	// knowsSelf says that the node has this node's complete entry.
-	knowsSelf bool
-	// lastRequested is when its heartbeats were last subscribed to,
-	// subscribedUntil is until when it subscribes to those of this node, and
-	// lastSent is when a message was last sent to it.
+	// hasSelfEntry is true if the node has this node's complete entry.
+	hasSelfEntry bool
+	// lastRequested is when this node last subscribed to the peer's heartbeats.
+	// subscribedUntil is when the peer's subscription to this node's heartbeats ends.
+	// lastSent is when a message was last sent to the peer.
 	lastRequested   time.Duration
 	subscribedUntil time.Duration
 	lastSent        time.Duration
 }
 
-// heartbeatOnly returns the part of an entry that changes with each heartbeat,
-// for receivers that have the rest.
+// heartbeatOnly returns the part of an entry that is sent to receivers that have
+// the rest: the name, the incarnation, the heartbeat and whether the node has left.
 func heartbeatOnly(node model.Node) model.Node {
 	return model.Node{Name: node.Name, Incarnation: node.Incarnation, Heartbeat: node.Heartbeat, Left: node.Left}
 }
 
-// isHeartbeatOnly says whether an entry was made by heartbeatOnly.
+// isHeartbeatOnly reports whether an entry was made by heartbeatOnly.
 func isHeartbeatOnly(node model.Node) bool { return node.RPCAddress == "" }
 
-// observe merges an entry from a message. The entry is direct if the message
+// observe merges an entry from a message. The direct flag is true if the message
 // came from the node itself.
 func (m *Machine) observe(node model.Node, now time.Duration, direct bool) {
 	if node.Name == m.self.Name || node.Name == "" {
 		return
 	}
-	other, known := m.peers[node.Name]
-	if !known {
+	other, found := m.peers[node.Name]
+	if !found {
 		if node.Left || isHeartbeatOnly(node) {
 			return
 		}
@@ -70,7 +71,7 @@
 	}
 }
 
-// updatePeer replaces a peer's entry by a newer one.
+// updatePeer replaces a peer's entry with a newer one.
 func (m *Machine) updatePeer(other *peer, node model.Node, restarted bool, now time.Duration) {
 	if isHeartbeatOnly(node) {
 		heartbeat, left := node.Heartbeat, node.Left
@@ -79,7 +80,7 @@
 	}
 	m.refuteSuspicions(other, node, now)
 	if restarted {
-		other.knowsSelf = false
+		other.hasSelfEntry = false
 	}
 	changed := restarted || digestOf(node) != digestOf(other.node)
 	other.node, other.lastHeartbeat = node, now
@@ -105,8 +106,8 @@
 	m.effects = append(m.effects, StatusChanged{Node: other.node, Status: status, Reason: reason})
 }
 
-// forget removes a peer that has long been dead.
-func (m *Machine) forget(name string) {
+// removePeer removes a peer that has been dead for longer than DeadRetention.
+func (m *Machine) removePeer(name string) {
 	delete(m.peers, name)
 	m.digests.stale = true
 }
--- a/internal/coordination/membership/timing.go
+++ b/internal/coordination/membership/timing.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// WatchersPerNode is how many other nodes watch each node.
+// WatchersPerNode is the number of other nodes that watch each node.
 const WatchersPerNode = 3
 
 const (
-	// suspicionQuorum is how many watchers must suspect a node before it is
-	// declared dead, where it has as many.
+	// suspicionQuorum is the number of watchers that must suspect a node before it
+	// is declared dead. A node with fewer watchers needs the suspicion of each.
 	suspicionQuorum = 2
-	// enoughLiveNodes is the number of live nodes, this one included, from which
-	// on the seeds are no longer contacted in each heartbeat interval.
-	enoughLiveNodes = 4
-	// missingSeedHeartbeats is how many heartbeat intervals pass between two
-	// attempts to reach a seed at whose address no live node is known.
+	// minLiveNodes is the number of live nodes, this one included, below which all
+	// seeds are contacted in each heartbeat interval.
+	minLiveNodes = 4
+	// missingSeedHeartbeats is the number of heartbeat intervals between two
+	// attempts to reach the seeds while no live node is known at the address of one
+	// of them.
 	missingSeedHeartbeats = 8
-	// missedHeartbeats is after how many heartbeat intervals without contact a
-	// watcher asks again before its subscription needs renewal.
+	// missedHeartbeats is the number of heartbeat intervals without contact after
+	// which a watcher subscribes again, before its subscription needs renewal.
 	missedHeartbeats = 2
 	// subscriptionLifetime is how long a subscription lasts, in subscription
 	// intervals.
 	subscriptionLifetime = 2
-	// suspicionLifetime is how long a suspicion lasts that nothing confirms or
-	// refutes, in suspicion timeouts.
+	// suspicionLifetime is how long a suspicion lasts if it is neither confirmed nor
+	// refuted, in suspicion timeouts.
 	suspicionLifetime = 10
 )
 
@@ -33,19 +34,19 @@
 	// SuspicionTimeout is how long a node may be silent before a watcher
 	// suspects it.
 	SuspicionTimeout time.Duration
-	// DeadRetention is how long a dead node is remembered, and contacted in case
-	// it has only been cut off.
+	// DeadRetention is how long the entry of a dead node is kept. Until then the
+	// node is contacted, in case it was only partitioned from this one.
 	DeadRetention time.Duration
 	// GossipPeriod is how long a change is attached to messages.
 	GossipPeriod time.Duration
-	// DigestInterval is the least time between two comparisons of range digests
+	// DigestInterval is the minimum time between two comparisons of range digests
 	// with the same node.
 	DigestInterval time.Duration
 	// SubscriptionInterval is the time after which a watcher renews its
 	// subscription to a node's heartbeats.
 	SubscriptionInterval time.Duration
 	// SeedInterval is the time between two contacts with a seed while all seeds
-	// are known to be live. It heals a partition of the whole fleet.
+	// are live. These contacts heal a partition of the whole fleet.
 	SeedInterval time.Duration
 }
 
@@ -62,6 +63,7 @@
 	}
 }
 
-// heartbeatTolerance is the least time between two heartbeats. It is a little
-// less than the interval, so that a tick that comes early is not missed.
-func (t Timing) heartbeatTolerance() time.Duration { return t.HeartbeatInterval * 9 / 10 }
+// minHeartbeatInterval returns the minimum time between two heartbeats. It is a
+// little shorter than HeartbeatInterval, so that a tick that comes early is not
+// skipped.
+func (t Timing) minHeartbeatInterval() time.Duration { return t.HeartbeatInterval * 9 / 10 }
