--- a/internal/coordination/callresult/callresult_test.go
+++ b/internal/coordination/callresult/callresult_test.go
@@ -15,18 +15,18 @@
 		state := store.New()
 		puts := Record(state, "call-1", Result{Status: 200, Body: []byte("one")}, []store.Put{{Key: "x"}})
 		state.Apply(store.Version{Epoch: 1, Sequence: 1}, puts)
-		past, found := Find(state, "call-1")
+		result, found := Find(state, "call-1")
 		So(found, ShouldBeTrue)
-		So(string(past.Body), ShouldEqual, "one")
-		So(past.Status, ShouldEqual, 200)
+		So(string(result.Body), ShouldEqual, "one")
+		So(result.Status, ShouldEqual, 200)
 		_, found = Find(state, "call-2")
 		So(found, ShouldBeFalse)
 	})
 	Convey("Results beyond their number are deleted, the oldest first", t, func() {
 		state := store.New()
-		for at := range MaxResults + 3 {
-			puts := Record(state, fmt.Sprint("call-", at), Result{}, []store.Put{{Key: "x"}})
-			state.Apply(store.Version{Epoch: 1, Sequence: uint64(at + 1)}, puts)
+		for number := range MaxResults + 3 {
+			puts := Record(state, fmt.Sprint("call-", number), Result{}, []store.Put{{Key: "x"}})
+			state.Apply(store.Version{Epoch: 1, Sequence: uint64(number + 1)}, puts)
 		}
 		So(len(state.Keys(model.PrefixCallResult)), ShouldBeLessThanOrEqualTo, MaxResults+1)
 		_, found := Find(state, "call-0")
--- a/internal/coordination/distribution/activation.go
+++ b/internal/coordination/distribution/activation.go
@@ -45,9 +45,9 @@
 		return nil
 	}
 	effectiveAt := wallNanos + int64(m.freezeLeases(now)-now)
-	seen, tenure := m.snapshot.Version, m.tenure
+	applied, tenure := m.snapshot.Version, m.tenure
 	return func(state *store.Table) []store.Put {
-		return rollout.AssignEffectiveTimes(state, seen, effectiveAt, wallNanos, tenure)
+		return rollout.AssignEffectiveTimes(state, applied, effectiveAt, wallNanos, tenure)
 	}
 }
 
@@ -76,8 +76,8 @@
 		if set.EffectiveAt <= wallNanos {
 			continue
 		}
-		isWrong := set.ScheduledBy != m.tenure && wallNanos >= set.NotBefore && !m.trustsEffectiveTime(set, wallNanos)
-		if set.Sequence <= m.highestActive || isWrong {
+		isImplausible := set.ScheduledBy != m.tenure && wallNanos >= set.NotBefore && !m.trustsEffectiveTime(set, wallNanos)
+		if set.Sequence <= m.highestActive || isImplausible {
 			set.EffectiveAt = effectiveAtOnce
 			overdue = append(overdue, set)
 		}
--- a/internal/coordination/distribution/activation_test.go
+++ b/internal/coordination/distribution/activation_test.go
@@ -48,17 +48,17 @@
 		for h.wallNanos < acceptedAt+int64(lease.DefaultTiming().PendingSetLimit()) {
 			h.Machine.grantor.Acknowledge("d2", store.Version{}, h.now)
 			h.Machine.grantor.Grant("d2", time.Minute, h.now)
-			left := time.Duration(acceptedAt + int64(lease.DefaultTiming().PendingSetLimit()) - h.wallNanos)
-			So(h.request("d1", h.stored.Version).LeaseDuration, ShouldBeLessThanOrEqualTo, min(lease.DefaultTiming().LeaseDuration, left))
+			timeLeft := time.Duration(acceptedAt + int64(lease.DefaultTiming().PendingSetLimit()) - h.wallNanos)
+			So(h.request("d1", h.stored.Version).LeaseDuration, ShouldBeLessThanOrEqualTo, min(lease.DefaultTiming().LeaseDuration, timeLeft))
 		}
 		h.Machine.grantor.Acknowledge("d2", store.Version{}, h.now)
 		h.Machine.grantor.Grant("d2", time.Minute, h.now)
 		So(h.request("d1", h.stored.Version).LeaseDuration, ShouldEqual, 0)
 	})
 	Convey("With a node that falls silent, a set takes effect within the configured deadline", t, func() {
-		for _, bound := range []time.Duration{2500 * time.Millisecond, 3 * time.Second, 4 * time.Second, 11 * time.Second} {
+		for _, deadline := range []time.Duration{2500 * time.Millisecond, 3 * time.Second, 4 * time.Second, 11 * time.Second} {
 			timing := lease.DefaultTiming()
-			timing.ActivationDeadline = bound
+			timing.ActivationDeadline = deadline
 			h := newHarnessWithTiming(timing, 1, store.New())
 			for range 2 {
 				h.request("d1", h.stored.Version)
@@ -71,7 +71,7 @@
 				h.runWrites()
 				h.advance(50 * time.Millisecond)
 			}
-			SoMsg(bound.String(), time.Duration(h.Snapshot().NewestSet().EffectiveAt-acceptedAt), ShouldBeBetween, 0, bound)
+			SoMsg(deadline.String(), time.Duration(h.Snapshot().NewestSet().EffectiveAt-acceptedAt), ShouldBeBetween, 0, deadline)
 		}
 	})
 	Convey("An implausible effective time of an earlier tenure is brought forward before any lease is granted", t, func() {
@@ -96,7 +96,7 @@
 }
 
 func TestPendingSetOfAnEarlierTenure(t *testing.T) {
-	inherited := func() *store.Table {
+	newInheritedState := func() *store.Table {
 		h := newHarness(1, store.New())
 		h.request("d1", store.Version{})
 		h.putSet(0)
@@ -109,7 +109,7 @@
 		return replies[0].Update.LeaseDuration > 0
 	}
 	Convey("A primary that cannot trust its clock grants no lease beside a pending set that it has inherited", t, func() {
-		stored := inherited()
+		stored := newInheritedState()
 		for _, trusted := range []bool{false, true} {
 			h := newHarness(1, stored)
 			h.Machine = New("c2", lease.DefaultTiming(), consensus.Record{Epoch: 1, Primary: "c1"}, stored, h.now)
@@ -120,7 +120,7 @@
 		}
 	})
 	Convey("Nor does one that restarted and is primary by the same record as before", t, func() {
-		stored := inherited()
+		stored := newInheritedState()
 		for _, trusted := range []bool{false, true} {
 			h := newHarness(1, stored)
 			h.wallNanos -= int64(4 * time.Second)
@@ -132,14 +132,14 @@
 }
 
 func TestScheduledChangesActivateInOrder(t *testing.T) {
-	at := func(h *harness, span time.Duration) int64 { return h.wallNanos + int64(span) }
+	after := func(h *harness, span time.Duration) int64 { return h.wallNanos + int64(span) }
 	scheduleAt := func(h *harness, id string, effectiveAt int64) bool {
 		puts, _ := rollout.Schedule(h.stored, id, effectiveAt, []model.Binding{{Name: id, Database: "x"}}, h.wallNanos)
 		return h.put(puts...) > 0
 	}
 	Convey("A change for an earlier time than that of a set already being distributed is rejected, and a later one is not", t, func() {
 		h := newHarness(1, store.New())
-		later := at(h, time.Second)
+		later := after(h, time.Second)
 		So(scheduleAt(h, "later", later), ShouldBeTrue)
 		h.runWrites()
 		So(h.Snapshot().NewestSet().Source, ShouldEqual, "booking later")
@@ -153,10 +153,10 @@
 	})
 	Convey("A change scheduled between the choice and the write of another, for an earlier time, is accepted first", t, func() {
 		h := newHarness(1, store.New())
-		So(scheduleAt(h, "later", at(h, time.Second)), ShouldBeTrue)
+		So(scheduleAt(h, "later", after(h, time.Second)), ShouldBeTrue)
 		acceptance, due := h.NextActivation(h.wallNanos, h.now)
 		So(due, ShouldBeTrue)
-		So(scheduleAt(h, "earlier", at(h, 500*time.Millisecond)), ShouldBeTrue)
+		So(scheduleAt(h, "earlier", after(h, 500*time.Millisecond)), ShouldBeTrue)
 		h.write(acceptance)
 		So(h.Snapshot().NewestSet().Source, ShouldEqual, "booking earlier")
 	})
@@ -164,7 +164,7 @@
 
 func TestEffectiveTimesBesideLeases(t *testing.T) {
 	full := lease.DefaultTiming().LeaseDuration
-	const pace = 50 * time.Millisecond
+	const step = 50 * time.Millisecond
 	Convey("A newly accepted set shortens no lease, so that one outlasts the election of another primary", t, func() {
 		h := newHarness(1, store.New())
 		h.request("d1", store.Version{})
@@ -193,7 +193,7 @@
 				if h.now >= acceptedAt+silentFor {
 					lastExpiry = max(lastExpiry, h.renewLease("d2"))
 				}
-				h.advance(pace)
+				h.advance(step)
 				h.runWrites()
 			}
 			effectiveAt := h.now + time.Duration(h.Snapshot().NewestSet().EffectiveAt-h.wallNanos)
@@ -262,9 +262,9 @@
 func TestRequestsEndWithActivation(t *testing.T) {
 	Convey("A request received before a set's effective time is answered when that is past, with a full lease again", t, func() {
 		h := newHarnessWithSetAhead(3)
-		left := time.Duration(h.Snapshot().NewestSet().EffectiveAt - h.wallNanos)
-		So(left, ShouldBeGreaterThan, 0)
-		h.advance(left - time.Millisecond)
+		timeLeft := time.Duration(h.Snapshot().NewestSet().EffectiveAt - h.wallNanos)
+		So(timeLeft, ShouldBeGreaterThan, 0)
+		h.advance(timeLeft - time.Millisecond)
 		h.receive("d1", h.stored.Version)
 		So(len(h.flush()), ShouldEqual, 0)
 		h.advance(2 * time.Millisecond)
--- a/internal/coordination/distribution/asyncfailover.go
+++ b/internal/coordination/distribution/asyncfailover.go
@@ -22,11 +22,11 @@
 // AsyncFailoverEvidence returns the evidence on a database with asynchronous
 // replication.
 func (m *Machine) AsyncFailoverEvidence(database string, observations []Observation, wallNanos int64, now time.Duration) asyncrepl.Evidence {
-	role, known := m.writerRole(database)
+	role, found := m.writerRole(database)
 	evidence := asyncrepl.Evidence{
 		Database:    database,
 		Writer:      role,
-		Known:       known,
+		Known:       found,
 		WallNanos:   wallNanos,
 		GatheredFor: now - m.grantor.StartedAt(),
 	}
@@ -47,28 +47,28 @@
 // asyncObservation joins this node's own observation of an instance with the reports
 // of the leased nodes. The instance is as the newest of them has it.
 func (m *Machine) asyncObservation(own Observation, now time.Duration) asyncrepl.Observation {
-	joined := asyncrepl.Observation{Instance: own.Instance, ContactAge: now - own.ObservedAt, PositionAge: neverObserved}
-	newest := joined.ContactAge
+	merged := asyncrepl.Observation{Instance: own.Instance, ContactAge: now - own.ObservedAt, PositionAge: neverObserved}
+	newest := merged.ContactAge
 	reports := m.reports.byInstance[own.Instance.Name]
 	for _, node := range slices.Sorted(maps.Keys(reports)) {
 		report, age := reports[node].report, now-reports[node].receivedAt
 		if age > reportWindow || !m.grantor.HasLease(node, now) {
 			continue
 		}
-		joined.ReportingNodes++
+		merged.ReportingNodes++
 		contactAge := min(report.AnnouncementAge, report.ResponseAge) + age
-		joined.ContactAge = min(joined.ContactAge, contactAge)
+		merged.ContactAge = min(merged.ContactAge, contactAge)
 		if contactAge > asyncrepl.DefaultTiming().SilenceTimeout {
-			joined.SilentNodes++
+			merged.SilentNodes++
 		}
 		// A response may have come without a position, so its age alone doesn't count.
 		instanceAge := age + min(report.AnnouncementAge, max(report.PositionAge, report.ResponseAge))
 		if instanceAge < newest {
-			newest, joined.Instance, joined.PositionAge = instanceAge, report.Instance, report.PositionAge+age
+			newest, merged.Instance, merged.PositionAge = instanceAge, report.Instance, report.PositionAge+age
 		}
-		joined.CommitWait = max(joined.CommitWait, report.MaxCommitWait)
+		merged.CommitWait = max(merged.CommitWait, report.MaxCommitWait)
 	}
-	return joined
+	return merged
 }
 
 // markRoleAcknowledged adds since when every leased node has applied the writer role,
@@ -95,12 +95,12 @@
 
 // recentPrimaryPosition returns the primary's position, if there was contact with it
 // within a time.
-func recentPrimaryPosition(evidence *asyncrepl.Evidence, within time.Duration) (model.Position, bool) {
-	at := slices.IndexFunc(evidence.Observations, func(observation asyncrepl.Observation) bool {
-		return observation.Instance.Name == evidence.Writer.Primary && observation.ContactAge < within
+func recentPrimaryPosition(evidence *asyncrepl.Evidence, maxAge time.Duration) (model.Position, bool) {
+	index := slices.IndexFunc(evidence.Observations, func(observation asyncrepl.Observation) bool {
+		return observation.Instance.Name == evidence.Writer.Primary && observation.ContactAge < maxAge
 	})
-	if at < 0 {
+	if index < 0 {
 		return model.Position{}, false
 	}
-	return evidence.Observations[at].Instance.Position, true
+	return evidence.Observations[index].Instance.Position, true
 }
--- a/internal/coordination/distribution/asyncfailover_test.go
+++ b/internal/coordination/distribution/asyncfailover_test.go
@@ -27,7 +27,7 @@
 		So(observation.ContactAge, ShouldEqual, 10*time.Millisecond)
 		So(observation.PositionAge, ShouldEqual, 80*time.Millisecond)
 		h.HandleReport(NodeReport{Node: "d1"}, h.now)
-		late := []Observation{{Instance: observations[0].Instance, ObservedAt: h.now}}
-		So(h.AsyncFailoverEvidence("x", late, h.wallNanos, h.now).Observations[0].PositionAge, ShouldEqual, time.Hour)
+		recentObservations := []Observation{{Instance: observations[0].Instance, ObservedAt: h.now}}
+		So(h.AsyncFailoverEvidence("x", recentObservations, h.wallNanos, h.now).Observations[0].PositionAge, ShouldEqual, time.Hour)
 	})
 }
--- a/internal/coordination/distribution/coverage.go
+++ b/internal/coordination/distribution/coverage.go
@@ -25,17 +25,17 @@
 	return reportCoverage{gapSequence: 1, covered: map[string]uint64{}, bounds: map[string]model.Position{}}
 }
 
-// noteLapses counts a gap if leases have lapsed since the last call.
-func (c *reportCoverage) noteLapses(lapseCount uint64) {
+// countLapses counts a gap if leases have lapsed since the last call.
+func (c *reportCoverage) countLapses(lapseCount uint64) {
 	if lapseCount != c.lapseCount {
 		c.gapSequence++
 		c.lapseCount = lapseCount
 	}
 }
 
-// noteTermChanges covers all gaps of the databases that are in a new term: it began
+// coverChangedTerms covers all gaps of the databases that are in a new term: it began
 // past every commit of the terms before.
-func (c *reportCoverage) noteTermChanges(previous, current map[string]model.WriterRole) {
+func (c *reportCoverage) coverChangedTerms(previous, current map[string]model.WriterRole) {
 	for database, role := range current {
 		before, found := previous[database]
 		if found && role.Term != before.Term {
--- a/internal/coordination/distribution/coverage_test.go
+++ b/internal/coordination/distribution/coverage_test.go
@@ -24,7 +24,7 @@
 		h.advance(DefaultPollTimeout)
 		h.flush()
 	}
-	cover := func(h *harness) {
+	coverGaps := func(h *harness) {
 		evidence := h.evidence()
 		h.ConfirmCoverage(syncrepl.ReportBound{
 			Database:    "db",
@@ -33,7 +33,7 @@
 			Position:    model.Position{Term: 3, Index: 50},
 		})
 	}
-	started := func() *harness {
+	newHarnessWithRequests := func() *harness {
 		h := newHarness(1, store.New())
 		h.openTerm(3)
 		request(h, "d1", 7, 40)
@@ -41,9 +41,9 @@
 		return h
 	}
 	Convey("A new tenure does not know what was acknowledged before, until a position of the primary covers it", t, func() {
-		h := started()
+		h := newHarnessWithRequests()
 		So(h.evidence().IsBoundComplete(), ShouldBeFalse)
-		cover(h)
+		coverGaps(h)
 		evidence := h.evidence()
 		So(evidence.IsBoundComplete(), ShouldBeTrue)
 		So(evidence.CommitBound, ShouldResemble, model.Position{Term: 3, Index: 50})
@@ -52,17 +52,17 @@
 		So(h.evidence().CommitBound, ShouldResemble, model.Position{Term: 3, Index: 60})
 	})
 	Convey("A bound of another tenure, or of a gap that does not exist, covers nothing", t, func() {
-		h := started()
+		h := newHarnessWithRequests()
 		h.ConfirmCoverage(syncrepl.ReportBound{Database: "db", Tenure: "c9@1", GapSequence: 1})
 		h.ConfirmCoverage(syncrepl.ReportBound{Database: "db", Tenure: h.evidence().Tenure, GapSequence: 99})
 		So(h.evidence().IsBoundComplete(), ShouldBeFalse)
 	})
 	Convey("A node that restarts, and a lease that lapses, leave a gap; a new term covers it", t, func() {
-		h := started()
-		cover(h)
+		h := newHarnessWithRequests()
+		coverGaps(h)
 		request(h, "d1", 8, 0)
 		So(h.evidence().IsBoundComplete(), ShouldBeFalse)
-		cover(h)
+		coverGaps(h)
 		So(h.evidence().IsBoundComplete(), ShouldBeTrue)
 		h.advance(3 * time.Second)
 		So(h.evidence().IsBoundComplete(), ShouldBeFalse)
@@ -70,8 +70,8 @@
 		So(h.evidence().IsBoundComplete(), ShouldBeTrue)
 	})
 	Convey("A lapse between two requests of the same node is noticed too", t, func() {
-		h := started()
-		cover(h)
+		h := newHarnessWithRequests()
+		coverGaps(h)
 		h.advance(3 * time.Second)
 		request(h, "d1", 7, 40)
 		So(h.evidence().IsBoundComplete(), ShouldBeFalse)
--- a/internal/coordination/distribution/delta_test.go
+++ b/internal/coordination/distribution/delta_test.go
@@ -76,26 +76,26 @@
 			h := newHarnessInNewTenure()
 			h.put(syncWriterPut(model.WriterRole{Database: "db0", Term: 1, Phase: model.PhaseOpen}))
 			h.HandleRequest(UpdateRequest{Node: "d1", Kind: model.KindProxy, Version: h.Snapshot().Version, AcceptsDelta: true}, 1, h.now)
-			answers := len(h.flush())
+			replyCount := len(h.flush())
 			for range 10 {
 				h.put(write.puts...)
 				h.advance(5 * time.Millisecond)
-				answers += len(h.flush())
+				replyCount += len(h.flush())
 			}
-			So(answers == 0, ShouldEqual, write.mayDelay)
+			So(replyCount == 0, ShouldEqual, write.mayDelay)
 			h.advance(settleDelay)
-			So(answers+len(h.flush()), ShouldEqual, 1)
+			So(replyCount+len(h.flush()), ShouldEqual, 1)
 		}
 	})
 	Convey("The snapshot that results from deltas is the complete one", t, func() {
 		for seed := range int64(20) {
-			dice := rand.New(rand.NewSource(seed))
+			random := rand.New(rand.NewSource(seed))
 			h := newHarnessInNewTenure()
-			writes := randomWrites{harness: h, dice: dice, lowest: 1}
+			writes := randomWrites{harness: h, random: random, lowest: 1}
 			snapshot := model.Snapshot{Writers: map[string]model.WriterRole{}}
 			for range 100 {
 				writes.next()
-				if dice.Intn(3) == 0 {
+				if random.Intn(3) == 0 {
 					continue
 				}
 				if update := h.requestSnapshot(snapshot.Version, true); update != nil {
@@ -125,26 +125,26 @@
 // sequence are stored.
 type randomWrites struct {
 	harness  *harness
-	dice     *rand.Rand
+	random   *rand.Rand
 	sequence uint64
 	lowest   uint64
 }
 
 // next adds, changes or deletes a set, or changes a writer role.
 func (w *randomWrites) next() {
-	kind := w.dice.Intn(5)
+	kind := w.random.Intn(5)
 	if kind == 0 {
 		w.sequence++
 		w.harness.put(setPut(w.sequence, 0))
 	}
 	if kind == 1 && w.sequence > 0 {
-		w.harness.put(setPut(w.sequence, int64(w.dice.Intn(9)+1)))
+		w.harness.put(setPut(w.sequence, int64(w.random.Intn(9)+1)))
 	}
 	if kind == 2 && w.lowest < w.sequence {
 		w.harness.put(store.Put{Key: model.BindingSetKey(w.lowest), Deleted: true}, setPut(w.sequence, 3))
 		w.lowest++
 	}
 	if kind >= 3 {
-		w.harness.put(writerPut(fmt.Sprintf("db%d", w.dice.Intn(6)), uint64(w.dice.Intn(9))))
+		w.harness.put(writerPut(fmt.Sprintf("db%d", w.random.Intn(6)), uint64(w.random.Intn(9))))
 	}
 }
--- a/internal/coordination/distribution/evaluation.go
+++ b/internal/coordination/distribution/evaluation.go
@@ -26,14 +26,14 @@
 
 // DatabasesByReplication returns the names of all databases, sorted, and of those among
 // them with synchronous replication. Each kind has singleton roles of its own.
-func (m *Machine) DatabasesByReplication(observations []Observation) (all, synced []string) {
+func (m *Machine) DatabasesByReplication(observations []Observation) (all, synchronous []string) {
 	all = m.Databases(observations)
 	for _, database := range all {
 		if m.UsesSyncReplication(database, observations) {
-			synced = append(synced, database)
+			synchronous = append(synchronous, database)
 		}
 	}
-	return all, synced
+	return all, synchronous
 }
 
 // IsSyncFailoverActive says whether the writer role of a database with synchronous
--- a/internal/coordination/distribution/evaluation_test.go
+++ b/internal/coordination/distribution/evaluation_test.go
@@ -10,9 +10,9 @@
 )
 
 // observationOf returns an observation of an instance of a database.
-func observationOf(h *harness, database string, synced bool) Observation {
+func observationOf(h *harness, database string, synchronous bool) Observation {
 	observed := instance(database+"-a", model.RolePrimary)
-	observed.Database, observed.SyncReplication = database, synced
+	observed.Database, observed.SyncReplication = database, synchronous
 	return Observation{Instance: observed, ObservedAt: h.now}
 }
 
@@ -24,10 +24,10 @@
 		So(async.Async.Database, ShouldEqual, "async")
 		So(async.Async.Observations, ShouldHaveLength, 1)
 		So(async.Sync.Database, ShouldBeEmpty)
-		synced := h.FailoverEvidence("sync", observations, h.wallNanos, h.now)
-		So(synced.Sync.Database, ShouldEqual, "sync")
-		So(synced.Sync.Observations, ShouldHaveLength, 1)
-		So(synced.Async.Database, ShouldBeEmpty)
+		synchronous := h.FailoverEvidence("sync", observations, h.wallNanos, h.now)
+		So(synchronous.Sync.Database, ShouldEqual, "sync")
+		So(synchronous.Sync.Observations, ShouldHaveLength, 1)
+		So(synchronous.Async.Database, ShouldBeEmpty)
 	})
 	Convey("A database with a writer role of synchronous replication has that kind, with nothing observed", t, func() {
 		h := newHarness(1, store.New())
@@ -39,13 +39,13 @@
 func TestDatabasesByReplication(t *testing.T) {
 	Convey("All databases are listed by name, and those with synchronous replication apart", t, func() {
 		h := newHarness(1, store.New())
-		all, synced := h.DatabasesByReplication(nil)
+		all, synchronous := h.DatabasesByReplication(nil)
 		So(all, ShouldBeEmpty)
-		So(synced, ShouldBeEmpty)
+		So(synchronous, ShouldBeEmpty)
 		h.openTerm(3)
-		all, synced = h.DatabasesByReplication([]Observation{observationOf(h, "x", true), observationOf(h, "a", false)})
+		all, synchronous = h.DatabasesByReplication([]Observation{observationOf(h, "x", true), observationOf(h, "a", false)})
 		So(all, ShouldResemble, []string{"a", "db", "x"})
-		So(synced, ShouldResemble, []string{"db", "x"})
+		So(synchronous, ShouldResemble, []string{"db", "x"})
 	})
 }
 
--- a/internal/coordination/distribution/instances.go
+++ b/internal/coordination/distribution/instances.go
@@ -50,8 +50,8 @@
 	return true
 }
 
-// since returns the instances that changed after a number, by name.
-func (l *instanceList) since(number uint64) []model.Instance {
+// changedSince returns the instances that changed after a number, by name.
+func (l *instanceList) changedSince(number uint64) []model.Instance {
 	var changed []model.Instance
 	for _, listed := range l.entries {
 		if listed.changeNumber > number {
@@ -87,8 +87,8 @@
 	return ListVersion{Tenure: m.ensureTenure(wallNanos), Number: m.instances.number}
 }
 
-// knownNumber returns the number of this tenure's list that a node has, 0 for none.
-func (m *Machine) knownNumber(version ListVersion) uint64 {
+// listNumberOf returns the number of this tenure's list that a node has, 0 for none.
+func (m *Machine) listNumberOf(version ListVersion) uint64 {
 	if version.Tenure != m.tenure {
 		return 0
 	}
--- a/internal/coordination/distribution/instances_test.go
+++ b/internal/coordination/distribution/instances_test.go
@@ -16,19 +16,19 @@
 	Convey("A new tenure lists an instance only if it was observed shortly before or since: nodes may have newer facts from the tenure before", t, func() {
 		h := newHarness(1, store.New())
 		h.observe(instance("a", model.RolePrimary), instance("b", model.RoleReplica))
-		old := []Observation{{Instance: instance("a", model.RolePrimary), ObservedAt: h.now}, {Instance: instance("b", model.RoleReplica), ObservedAt: h.now}}
+		observations := []Observation{{Instance: instance("a", model.RolePrimary), ObservedAt: h.now}, {Instance: instance("b", model.RoleReplica), ObservedAt: h.now}}
 		h.EpochChanged(consensus.Record{Epoch: 2, Primary: "c2"}, h.stored, h.now)
 		h.advance(maxObservationAge + time.Millisecond)
 		h.EpochChanged(consensus.Record{Epoch: 3, Primary: "c1"}, h.stored, h.now)
-		So(h.UpdateInstances(old), ShouldBeFalse)
-		old[0].ObservedAt = h.now - maxObservationAge
-		So(h.UpdateInstances(old), ShouldBeTrue)
+		So(h.UpdateInstances(observations), ShouldBeFalse)
+		observations[0].ObservedAt = h.now - maxObservationAge
+		So(h.UpdateInstances(observations), ShouldBeTrue)
 		So(len(h.instances.entries), ShouldEqual, 1)
-		So(h.instances.entries["a"].instance, ShouldResemble, listEntry(old[0].Instance))
+		So(h.instances.entries["a"].instance, ShouldResemble, listEntry(observations[0].Instance))
 		h.advance(time.Minute)
 		leaving := instance("b", model.RoleReplica)
 		leaving.Leaving = true
-		So(h.UpdateInstances([]Observation{old[0], {Instance: leaving, ObservedAt: h.now}}), ShouldBeTrue)
+		So(h.UpdateInstances([]Observation{observations[0], {Instance: leaving, ObservedAt: h.now}}), ShouldBeTrue)
 		So(len(h.instances.entries), ShouldEqual, 2)
 		So(h.instances.entries["b"].instance.Leaving, ShouldBeTrue)
 	})
@@ -36,19 +36,19 @@
 		h := newHarness(1, store.New())
 		first := instance("a", model.RolePrimary)
 		So(h.observe(first), ShouldBeTrue)
-		again := first
-		again.AnnouncementNumber, again.Position, again.Term = 7, model.Position{Term: 3, Index: 9}, 3
-		So(h.observe(again), ShouldBeFalse)
+		changed := first
+		changed.AnnouncementNumber, changed.Position, changed.Term = 7, model.Position{Term: 3, Index: 9}, 3
+		So(h.observe(changed), ShouldBeFalse)
 		for _, change := range []func(*model.Instance){
 			func(i *model.Instance) { i.Address = "x:1" }, func(i *model.Instance) { i.Zone = "z" }, func(i *model.Instance) { i.Role = model.RoleReplica },
 			func(i *model.Instance) { i.Leaving = true }, func(i *model.Instance) { i.Stopped = true }, func(i *model.Instance) { i.Connections = 9 },
 			func(i *model.Instance) { i.Slots = 9 },
 		} {
-			change(&again)
-			So(h.observe(again), ShouldBeTrue)
+			change(&changed)
+			So(h.observe(changed), ShouldBeTrue)
 		}
-		So(h.observe(again, instance("b", model.RoleReplica)), ShouldBeTrue)
-		So(h.observe(again, instance("b", model.RoleReplica), model.Instance{Name: "plain", Database: "x"}), ShouldBeFalse)
+		So(h.observe(changed, instance("b", model.RoleReplica)), ShouldBeTrue)
+		So(h.observe(changed, instance("b", model.RoleReplica), model.Instance{Name: "plain", Database: "x"}), ShouldBeFalse)
 	})
 	Convey("A request with a list of another tenure is answered at once, one with an older list after the settle delay; one with the newest waits", t, func() {
 		h := newHarness(1, store.New())
@@ -78,22 +78,22 @@
 			h.advance(settleDelay)
 			update := h.flush()[0].Update
 			var names []string
-			for _, one := range update.Instances {
-				names = append(names, one.Name)
+			for _, listed := range update.Instances {
+				names = append(names, listed.Name)
 			}
 			return update.ListVersion, names
 		}
 		first, second := instance("a", model.RolePrimary), instance("b", model.RoleReplica)
 		h.observe(second, first)
-		early, names := list(ListVersion{})
+		earlyVersion, names := list(ListVersion{})
 		So(names, ShouldResemble, []string{"a", "b"})
 		h.observe(first, second, instance("c", model.RoleReplica))
 		second.Leaving = true
 		So(h.RegisterInstance(second), ShouldBeTrue)
 		So(h.RegisterInstance(second), ShouldBeFalse)
-		_, names = list(early)
+		_, names = list(earlyVersion)
 		So(names, ShouldResemble, []string{"b", "c"})
-		_, names = list(ListVersion{Tenure: "c9@1", Number: early.Number})
+		_, names = list(ListVersion{Tenure: "c9@1", Number: earlyVersion.Number})
 		So(names, ShouldResemble, []string{"a", "b", "c"})
 		h.observe(first, second)
 		h.RegisterInstance(instance("d", model.RoleReplica))
--- a/internal/coordination/distribution/leaselimit.go
+++ b/internal/coordination/distribution/leaselimit.go
@@ -17,8 +17,8 @@
 	longest := m.timing.LeaseDuration
 	for _, set := range m.snapshot.Sets {
 		isPending := set.EffectiveAt == 0
-		isAhead := set.EffectiveAt > wallNanos
-		if !isPending && !isAhead {
+		isUpcoming := set.EffectiveAt > wallNanos
+		if !isPending && !isUpcoming {
 			continue
 		}
 		if !m.clockTrusted && m.isInherited(set) {
--- a/internal/coordination/distribution/machine.go
+++ b/internal/coordination/distribution/machine.go
@@ -43,8 +43,8 @@
 	grantor          *lease.Grantor
 	// registering names the nodes that a pending write registers or removes.
 	registering map[string]bool
-	// complete names the nodes of which this tenure has all that they reported.
-	complete map[string]bool
+	// nodesWithBaseline names the nodes of which this tenure has all that they reported.
+	nodesWithBaseline map[string]bool
 	// activeSequences are the sequences active at the nodes, and highestActive is
 	// the highest one reported.
 	activeSequences map[string]uint64
@@ -83,7 +83,7 @@
 		inheritedVersion:   m.state.Version,
 		grantor:            lease.NewGrantor(m.timing, m.registeredNodes(), now),
 		registering:        map[string]bool{},
-		complete:           map[string]bool{},
+		nodesWithBaseline:  map[string]bool{},
 		activeSequences:    map[string]uint64{},
 		instances:          newInstanceList(),
 		incarnations:       map[string]nodeIncarnations{},
@@ -130,7 +130,7 @@
 		// that it may last beyond it, even if the write has not ended yet.
 		m.grantor.Unfreeze()
 	}
-	m.coverage.noteTermChanges(previous.Writers, m.snapshot.Writers)
+	m.coverage.coverChangedTerms(previous.Writers, m.snapshot.Writers)
 }
 
 // ensureTenure returns the identifier of the tenure, which its first use assigns.
--- a/internal/coordination/distribution/nodes.go
+++ b/internal/coordination/distribution/nodes.go
@@ -67,7 +67,7 @@
 func (m *Machine) removeNode(node string) {
 	m.grantor.Remove(node)
 	m.reports.removeNode(node)
-	delete(m.complete, node)
+	delete(m.nodesWithBaseline, node)
 	delete(m.activeSequences, node)
 	delete(m.incarnations, node)
 }
@@ -80,26 +80,26 @@
 	past        []int64
 }
 
-// noteIncarnation notes the run of the process that a request is from, and counts a
+// trackIncarnation notes the run of the process that a request is from, and counts a
 // reporting gap if that is a new one. It returns true if the request was delayed: it is
 // of an earlier run, or was overtaken by another of the same run.
-func (m *Machine) noteIncarnation(request UpdateRequest) (delayed bool) {
+func (m *Machine) trackIncarnation(request UpdateRequest) (delayed bool) {
 	if request.Incarnation == 0 {
 		return false
 	}
-	known := m.incarnations[request.Node]
-	if slices.Contains(known.past, request.Incarnation) {
+	incarnations := m.incarnations[request.Node]
+	if slices.Contains(incarnations.past, request.Incarnation) {
 		return true
 	}
-	if known.current != request.Incarnation {
-		if known.current != 0 {
+	if incarnations.current != request.Incarnation {
+		if incarnations.current != 0 {
 			m.coverage.gapSequence++
-			known.past = append(known.past, known.current)
+			incarnations.past = append(incarnations.past, incarnations.current)
 		}
-		known.current, known.lastRequest = request.Incarnation, 0
+		incarnations.current, incarnations.lastRequest = request.Incarnation, 0
 	}
-	overtaken := request.RequestNumber < known.lastRequest
-	known.lastRequest = max(known.lastRequest, request.RequestNumber)
-	m.incarnations[request.Node] = known
+	overtaken := request.RequestNumber < incarnations.lastRequest
+	incarnations.lastRequest = max(incarnations.lastRequest, request.RequestNumber)
+	m.incarnations[request.Node] = incarnations
 	return overtaken
 }
--- a/internal/coordination/distribution/reports.go
+++ b/internal/coordination/distribution/reports.go
@@ -45,10 +45,10 @@
 	s.byInstance[name][node] = receivedReport{report: report, receivedAt: now}
 	s.instancesByDatabase[database][name] = true
 	s.lastReceived[node] = now
-	s.noteEvidence(report, now)
+	s.updateLastEvidence(report, now)
 }
 
-func (s *reportStore) noteEvidence(report InstanceReport, now time.Duration) {
+func (s *reportStore) updateLastEvidence(report InstanceReport, now time.Duration) {
 	at := now - report.ResponseAge
 	if report.reportsFault() {
 		at = now
--- a/internal/coordination/distribution/reports_test.go
+++ b/internal/coordination/distribution/reports_test.go
@@ -11,9 +11,9 @@
 func TestReportsBesideRequests(t *testing.T) {
 	Convey("A report beside the requests, which may be delayed, brings evidence and leaves the instance as the requests have it", t, func() {
 		h := newHarnessWithNodes(2)
-		old := instance("a0", model.RolePrimary)
-		old.Database, old.Address, old.Position = "db0", "old:1", model.Position{Term: 1, Index: 8}
-		h.HandleReport(NodeReport{Node: "d0", Reports: []InstanceReport{{Instance: old, RefusedConnections: 2}}}, h.now)
+		delayed := instance("a0", model.RolePrimary)
+		delayed.Database, delayed.Address, delayed.Position = "db0", "old:1", model.Position{Term: 1, Index: 8}
+		h.HandleReport(NodeReport{Node: "d0", Reports: []InstanceReport{{Instance: delayed, RefusedConnections: 2}}}, h.now)
 		h.HandleReport(NodeReport{Node: "d0", Reports: []InstanceReport{{Instance: model.Instance{Name: "unknown"}}}}, h.now)
 		evidence := h.SyncFailoverEvidence("db0", nil, h.wallNanos, h.now)
 		So(len(evidence.Observations), ShouldEqual, 1)
--- a/internal/coordination/distribution/requests.go
+++ b/internal/coordination/distribution/requests.go
@@ -22,8 +22,8 @@
 	receivedAt time.Duration
 	// tenureCount is that of the tenure in which the request came; incomplete says
 	// that the request leaves out reports that this tenure does not have.
-	tenureCount uint64
-	incomplete  bool
+	tenureCount     uint64
+	baselineMissing bool
 }
 
 // Reply is an effect: the response to the request of a token.
@@ -34,25 +34,25 @@
 
 // HandleRequest takes a request in; Flush returns the reply.
 func (m *Machine) HandleRequest(request UpdateRequest, token uint64, now time.Duration) {
-	hasBaseline := request.BaselineTenure == m.tenureNumber && m.complete[request.Node]
-	incomplete := request.BaselineTenure != 0 && !hasBaseline
-	if request.Kind == model.KindProxy && !incomplete {
-		m.noteRequest(request, now)
+	hasBaseline := request.BaselineTenure == m.tenureNumber && m.nodesWithBaseline[request.Node]
+	baselineMissing := request.BaselineTenure != 0 && !hasBaseline
+	if request.Kind == model.KindProxy && !baselineMissing {
+		m.processRequest(request, now)
 	}
 	m.pending = append(m.pending, pendingRequest{
-		request: request, token: token, receivedAt: now, tenureCount: m.tenureCount, incomplete: incomplete,
+		request: request, token: token, receivedAt: now, tenureCount: m.tenureCount, baselineMissing: baselineMissing,
 	})
 }
 
-func (m *Machine) noteRequest(request UpdateRequest, now time.Duration) {
-	m.coverage.noteLapses(m.grantor.LapseCount(now))
-	delayed := m.noteIncarnation(request)
+func (m *Machine) processRequest(request UpdateRequest, now time.Duration) {
+	m.coverage.countLapses(m.grantor.LapseCount(now))
+	delayed := m.trackIncarnation(request)
 	m.grantor.Acknowledge(request.Node, request.Version, now)
 	if request.WithoutLease && !delayed && request.Incarnation != 0 {
 		m.grantor.Release(request.Node, now)
 	}
 	if !delayed {
-		m.complete[request.Node] = true
+		m.nodesWithBaseline[request.Node] = true
 		m.storeReports(request.Node, request.Reports, true, now)
 	}
 	m.raiseWatermarks(request.HighWatermarks)
@@ -66,7 +66,7 @@
 	var replies []Reply
 	var waiting []pendingRequest
 	for _, pending := range m.pending {
-		if isPrimary && !m.isIncomplete(pending) && m.mayWait(pending, wallNanos, now) {
+		if isPrimary && !m.isBaselineMissing(pending) && m.mayWait(pending, wallNanos, now) {
 			waiting = append(waiting, pending)
 			continue
 		}
@@ -80,10 +80,10 @@
 	return replies
 }
 
-// isIncomplete says whether this tenure lacks what a request left out or reported to
+// isBaselineMissing says whether this tenure lacks what a request left out or reported to
 // the tenure before.
-func (m *Machine) isIncomplete(pending pendingRequest) bool {
-	return pending.incomplete || pending.tenureCount != m.tenureCount
+func (m *Machine) isBaselineMissing(pending pendingRequest) bool {
+	return pending.baselineMissing || pending.tenureCount != m.tenureCount
 }
 
 // mayWait says whether there is no update yet for a request, or none that is urgent.
@@ -108,7 +108,7 @@
 func (m *Machine) fillUpdate(update *Update, pending pendingRequest, wallNanos int64, now time.Duration) {
 	m.ensureTenure(wallNanos)
 	update.Tenure = m.tenureNumber
-	if m.isIncomplete(pending) {
+	if m.isBaselineMissing(pending) {
 		return
 	}
 	request := pending.request
@@ -117,7 +117,7 @@
 	}
 	if m.hasInstanceUpdate(request, wallNanos) {
 		update.ListVersion = m.listVersion(wallNanos)
-		update.Instances = m.instances.since(m.knownNumber(request.ListVersion))
+		update.Instances = m.instances.changedSince(m.listNumberOf(request.ListVersion))
 	}
 	if request.Kind == model.KindProxy && m.isRegistered(request.Node) && !m.registering[request.Node] {
 		update.LeaseDuration = m.grantor.Grant(request.Node, m.maxLease(wallNanos), now)
@@ -145,32 +145,32 @@
 // request's version: all except writer roles with synchronous replication that were
 // never transferred.
 func (m *Machine) isUrgent(request UpdateRequest) bool {
-	if !m.knowsHistory(request) {
+	if !m.hasVersionOfTenure(request) {
 		return true
 	}
-	isWritten := func(key string) bool { return request.Version.IsBefore(m.state.Records[key].Version) }
-	isSetWritten := func(set model.BindingSet) bool { return isWritten(model.BindingSetKey(set.Sequence)) }
-	if slices.ContainsFunc(m.snapshot.Sets, isSetWritten) {
+	isNewer := func(key string) bool { return request.Version.IsBefore(m.state.Records[key].Version) }
+	isSetNewer := func(set model.BindingSet) bool { return isNewer(model.BindingSetKey(set.Sequence)) }
+	if slices.ContainsFunc(m.snapshot.Sets, isSetNewer) {
 		return true
 	}
 	for database, role := range m.snapshot.Writers {
-		isSteady := role.SyncReplication && role.Phase == model.PhaseOpen && role.Promoter == ""
-		if !isSteady && isWritten(model.PrefixWriterRole+database) {
+		isDeferrable := role.SyncReplication && role.Phase == model.PhaseOpen && role.Promoter == ""
+		if !isDeferrable && isNewer(model.PrefixWriterRole+database) {
 			return true
 		}
 	}
 	return false
 }
 
-// knowsHistory says whether a request's version is one that this tenure published, so
+// hasVersionOfTenure says whether a request's version is one that this tenure published, so
 // that what was written after it is known.
-func (m *Machine) knowsHistory(request UpdateRequest) bool {
+func (m *Machine) hasVersionOfTenure(request UpdateRequest) bool {
 	return m.firstVersion != (store.Version{}) && !request.Version.IsBefore(m.firstVersion)
 }
 
 func (m *Machine) snapshotFor(request UpdateRequest) *model.Snapshot {
 	snapshot := m.snapshot
-	if request.AcceptsDelta && m.knowsHistory(request) {
+	if request.AcceptsDelta && m.hasVersionOfTenure(request) {
 		snapshot = snapshot.DeltaSince(request.Version, m.state)
 	}
 	return &snapshot
--- a/internal/coordination/distribution/retention_test.go
+++ b/internal/coordination/distribution/retention_test.go
@@ -17,13 +17,13 @@
 
 // elements counts the elements of the maps and slices of a value, also behind pointers,
 // except those of the control state.
-func elements(value reflect.Value) int {
+func countElements(value reflect.Value) int {
 	kind := value.Kind()
 	if value.Type() == reflect.TypeFor[*store.Table]() {
 		return 0
 	}
 	if kind == reflect.Pointer && !value.IsNil() {
-		return elements(value.Elem())
+		return countElements(value.Elem())
 	}
 	if kind == reflect.Map || kind == reflect.Slice {
 		return value.Len()
@@ -31,17 +31,17 @@
 	count := 0
 	if kind == reflect.Struct {
 		for at := range value.NumField() {
-			count += elements(value.Field(at))
+			count += countElements(value.Field(at))
 		}
 	}
 	return count
 }
 
 func TestRetention(t *testing.T) {
-	bindings := func(count, salt int) model.BindingSet {
+	bindings := func(count, generation int) model.BindingSet {
 		set := model.BindingSet{}
 		for at := range count {
-			set.Bindings = append(set.Bindings, model.Binding{Name: fmt.Sprintf("r-%d-%d", salt, at), Database: "db"})
+			set.Bindings = append(set.Bindings, model.Binding{Name: fmt.Sprintf("r-%d-%d", generation, at), Database: "db"})
 		}
 		return set
 	}
@@ -52,7 +52,7 @@
 	}
 	Convey("After hundreds of sets, calls and nodes that came and went, no more is stored than after dozens", t, func() {
 		h := newHarness(1, store.New())
-		play := func(from, to int) {
+		runRounds := func(from, to int) {
 			for at := from; at < to; at++ {
 				for offset := range 3 {
 					h.request(fmt.Sprintf("d%d", at/2+offset), h.stored.Version)
@@ -69,11 +69,11 @@
 		size := func() (records, inMemory int) {
 			// Audit entries and results of calls have bounds, and tests, of their own.
 			bounded := len(h.stored.Keys(model.PrefixAuditEntry)) + len(h.stored.Keys(model.PrefixCallResult))
-			return len(h.stored.Records) - bounded, elements(reflect.ValueOf(h.Machine))
+			return len(h.stored.Records) - bounded, countElements(reflect.ValueOf(h.Machine))
 		}
-		play(0, 60)
+		runRounds(0, 60)
 		records, inMemory := size()
-		play(60, 180)
+		runRounds(60, 180)
 		laterRecords, laterInMemory := size()
 		So(laterRecords, ShouldBeLessThanOrEqualTo, records+2)
 		So(laterInMemory, ShouldBeLessThanOrEqualTo, inMemory+4)
@@ -82,36 +82,36 @@
 	Convey("Thousands of routes, replaced one after the other, fit a disk of 128 MB many times over, with all versions that are kept", t, func() {
 		h := newHarness(1, store.New())
 		text := bytes.Repeat([]byte("x"), 2<<20)
-		most := 0
+		maxEncodedSize := 0
 		for at := range 12 {
 			h.request("d1", store.Version{})
 			h.put(accept(h, at+1, bindings(8000, at), text)...)
 			h.runWrites()
-			most = max(most, len(store.Encode(*h.stored)))
+			maxEncodedSize = max(maxEncodedSize, len(store.Encode(*h.stored)))
 			h.advance(3 * time.Second)
 			h.runWrites()
 		}
 		const versions = 5
-		So(most*versions, ShouldBeLessThan, 128<<20)
+		So(maxEncodedSize*versions, ShouldBeLessThan, 128<<20)
 	})
 }
 
 func TestScheduledChangesUnderClockSteps(t *testing.T) {
-	steps := [][]time.Duration{
+	stepSequences := [][]time.Duration{
 		{3 * time.Second, -3 * time.Second},
 		{-4 * time.Second, 4 * time.Second},
 		{2 * time.Second, 2 * time.Second, -5 * time.Second, time.Second},
 		{-time.Second, -time.Second, -time.Second, 3 * time.Second},
 	}
 	Convey("However the time of day steps while changes are scheduled, each is accepted once, in order, and none takes effect before an earlier one, also under another primary", t, func() {
-		for _, jumps := range steps {
+		for _, clockSteps := range stepSequences {
 			for _, restarts := range []bool{false, true} {
 				h := newHarness(1, store.New())
 				want := scheduleChanges(h, 6)
 				log := acceptanceLog{}
 				for round := range 400 {
 					if round%40 == 20 {
-						h.wallNanos += int64(jumps[round/40%len(jumps)])
+						h.wallNanos += int64(clockSteps[round/40%len(clockSteps)])
 					}
 					if restarts && round%100 == 60 {
 						h = failOver(h)
--- a/internal/coordination/distribution/syncfailover.go
+++ b/internal/coordination/distribution/syncfailover.go
@@ -26,12 +26,12 @@
 // SyncFailoverEvidence returns the evidence on a database with synchronous
 // replication.
 func (m *Machine) SyncFailoverEvidence(database string, observations []Observation, wallNanos int64, now time.Duration) syncrepl.Evidence {
-	m.coverage.noteLapses(m.grantor.LapseCount(now))
-	role, known := m.writerRole(database)
+	m.coverage.countLapses(m.grantor.LapseCount(now))
+	role, found := m.writerRole(database)
 	evidence := syncrepl.Evidence{
 		Database:        database,
 		Writer:          role,
-		Known:           known,
+		Known:           found,
 		Version:         m.state.Records[model.PrefixWriterRole+database].Version,
 		WallNanos:       wallNanos,
 		GatheredFor:     now - m.grantor.StartedAt(),
@@ -60,7 +60,7 @@
 // syncObservation joins what this node knows of an instance with the reports of the
 // leased nodes: of those, the ones count that lately had a response or noticed a fault.
 func (m *Machine) syncObservation(instance model.Instance, contactAge, now time.Duration) syncrepl.Observation {
-	joined := syncrepl.Observation{
+	merged := syncrepl.Observation{
 		Instance:      instance,
 		ContactAge:    contactAge,
 		AnswerAge:     neverObserved,
@@ -68,29 +68,29 @@
 	}
 	for node, received := range m.reports.byInstance[instance.Name] {
 		if m.grantor.HasLease(node, now) {
-			addReport(&joined, received.report, now-received.receivedAt)
+			addReport(&merged, received.report, now-received.receivedAt)
 		}
 	}
-	return joined
+	return merged
 }
 
 // addReport adds the report of one node, received some time ago, to an observation.
-func addReport(joined *syncrepl.Observation, report InstanceReport, age time.Duration) {
+func addReport(merged *syncrepl.Observation, report InstanceReport, age time.Duration) {
 	responseAge := report.ResponseAge + age
-	joined.AnswerAge = min(joined.AnswerAge, responseAge)
-	joined.ContactAge = min(joined.ContactAge, responseAge)
+	merged.AnswerAge = min(merged.AnswerAge, responseAge)
+	merged.ContactAge = min(merged.ContactAge, responseAge)
 	isRecent := age <= reportWindow
 	hasFault := isRecent && report.reportsFault()
 	hasResponse := responseAge <= reportWindow
 	if !hasFault && !hasResponse {
 		return
 	}
-	joined.ReportingNodes++
+	merged.ReportingNodes++
 	if isRecent && report.RefusedConnections >= minRefusals {
-		joined.RefusedNodes++
+		merged.RefusedNodes++
 	}
 	if isRecent && report.OldestStatementAge > syncrepl.DefaultTiming().OverdueTimeout {
-		joined.OverdueNodes++
+		merged.OverdueNodes++
 	}
 }
 
@@ -101,7 +101,7 @@
 	}
 	role := evidence.Writer
 	phase, found := m.acknowledgedPhases[evidence.Database]
-	if !found || !phase.isOf(role) {
+	if !found || !phase.matches(role) {
 		phase = acknowledgedPhase{term: role.Term, phase: role.Phase, lastTransitionAt: role.LastTransitionAt, version: evidence.Version}
 	}
 	settled := m.grantor.AllAcknowledged(phase.version, now)
@@ -117,6 +117,6 @@
 	}
 }
 
-func (p acknowledgedPhase) isOf(role model.WriterRole) bool {
+func (p acknowledgedPhase) matches(role model.WriterRole) bool {
 	return p.term == role.Term && p.phase == role.Phase && p.lastTransitionAt == role.LastTransitionAt
 }
--- a/internal/coordination/rollout/manifest.go
+++ b/internal/coordination/rollout/manifest.go
@@ -27,24 +27,24 @@
 // AcceptManifest returns the puts that accept a manifest. It returns none if the
 // manifest's version was accepted before or has been overtaken, and ErrVersionConflict
 // if it was accepted with other content.
-func AcceptManifest(state *store.Table, sent Manifest, wallNanos int64) ([]store.Put, error) {
+func AcceptManifest(state *store.Table, manifest Manifest, wallNanos int64) ([]store.Put, error) {
 	newest := model.ReadSnapshot(state).NewestSet()
-	if newest.Version >= sent.Version {
-		if differsFromAccepted(state, sent.Version, sent.Digest) {
+	if newest.Version >= manifest.Version {
+		if differsFromAccepted(state, manifest.Version, manifest.Digest) {
 			return nil, ErrVersionConflict
 		}
 		return nil, nil
 	}
-	set := sent.Set
-	set.Version, set.AcceptedAt, set.Source = sent.Version, wallNanos, sent.Source
+	set := manifest.Set
+	set.Version, set.AcceptedAt, set.Source = manifest.Version, wallNanos, manifest.Source
 	set = successor(newest, set)
 	puts := []store.Put{setPut(set)}
-	if len(sent.Compressed) > 0 {
-		puts = append(puts, store.Put{Key: ManifestKey(set.Sequence), Data: sent.Compressed})
+	if len(manifest.Compressed) > 0 {
+		puts = append(puts, store.Put{Key: ManifestKey(set.Sequence), Data: manifest.Compressed})
 	}
-	puts = append(puts, versionPuts(state, set.Sequence, acceptedVersion{Version: sent.Version, Digest: sent.Digest})...)
-	action := fmt.Sprintf("version %d accepted as sequence %d", sent.Version, set.Sequence)
-	return append(puts, auditPuts(state, wallNanos, action, sent.Source)...), nil
+	puts = append(puts, versionPuts(state, set.Sequence, acceptedVersion{Version: manifest.Version, Digest: manifest.Digest})...)
+	action := fmt.Sprintf("version %d accepted as sequence %d", manifest.Version, set.Sequence)
+	return append(puts, auditPuts(state, wallNanos, action, manifest.Source)...), nil
 }
 
 // NewestManifest returns the set that the newest manifest became, and its
--- a/internal/coordination/rollout/scheduled.go
+++ b/internal/coordination/rollout/scheduled.go
@@ -57,12 +57,12 @@
 // time, which is earliest or later. Sets written after the version seen are left
 // out, since not every node is known to have them. Tenure identifies the primary's
 // tenure that assigns the times.
-func AssignEffectiveTimes(state *store.Table, seen store.Version, earliest, wallNanos int64, tenure string) []store.Put {
+func AssignEffectiveTimes(state *store.Table, applied store.Version, earliest, wallNanos int64, tenure string) []store.Put {
 	var puts []store.Put
 	newest := uint64(0)
 	for _, set := range schedule.AssignEffectiveTimes(model.ReadSnapshot(state).Sets, earliest) {
 		version := state.Records[model.BindingSetKey(set.Sequence)].Version
-		if seen.IsBefore(version) {
+		if applied.IsBefore(version) {
 			continue
 		}
 		set.ScheduledBy = tenure
--- a/internal/coordination/rollout/versions.go
+++ b/internal/coordination/rollout/versions.go
@@ -41,19 +41,19 @@
 	Digest  Digest
 }
 
-func versionsKey(block uint64) string {
-	return fmt.Sprintf("%s%012d", model.PrefixManifestVersions, block)
+func versionsKey(recordNumber uint64) string {
+	return fmt.Sprintf("%s%012d", model.PrefixManifestVersions, recordNumber)
 }
 
 // versionPuts returns the puts that store an accepted version, by the sequence that
 // its manifest became, and delete the oldest ones.
 func versionPuts(state *store.Table, sequence uint64, accepted acceptedVersion) []store.Put {
 	key := versionsKey(sequence / versionsPerRecord)
-	list, _ := store.GetPlain[[]acceptedVersion](state, key)
-	puts := []store.Put{{Key: key, Data: store.EncodePlain(append(slices.Clone(list), accepted))}}
+	versions, _ := store.GetPlain[[]acceptedVersion](state, key)
+	puts := []store.Put{{Key: key, Data: store.EncodePlain(append(slices.Clone(versions), accepted))}}
 	keys := state.Keys(model.PrefixManifestVersions)
 	records := len(keys)
-	if len(list) == 0 {
+	if len(versions) == 0 {
 		records++
 	}
 	for index := 0; index+maxVersionsRecords < records; index++ {
@@ -66,8 +66,8 @@
 // under a version.
 func differsFromAccepted(state *store.Table, version uint64, digest Digest) bool {
 	for _, key := range slices.Backward(state.Keys(model.PrefixManifestVersions)) {
-		list, _ := store.GetPlain[[]acceptedVersion](state, key)
-		for _, accepted := range list {
+		versions, _ := store.GetPlain[[]acceptedVersion](state, key)
+		for _, accepted := range versions {
 			if accepted.Version == version {
 				return accepted.Digest != digest
 			}
--- a/internal/coordination/rollout/versions_test.go
+++ b/internal/coordination/rollout/versions_test.go
@@ -18,8 +18,8 @@
 func TestOneContentUnderOneVersion(t *testing.T) {
 	Convey("Of two contents under one version the first is accepted, and the other rejected; the first is acknowledged again", t, func() {
 		state := store.New()
-		put := func(sent Manifest) (accepted, conflict bool) {
-			puts, err := AcceptManifest(state, sent, 1)
+		put := func(manifest Manifest) (accepted, conflict bool) {
+			puts, err := AcceptManifest(state, manifest, 1)
 			if len(puts) > 0 {
 				state.Apply(store.Version{Epoch: 1, Sequence: state.Version.Sequence + 1}, puts)
 			}
@@ -28,10 +28,10 @@
 		for version := uint64(3); version <= 60; version += 3 {
 			accepted, _ := put(manifestOf(version, "first"))
 			So(accepted, ShouldBeTrue)
-			for back := uint64(3); back <= version; back += 3 {
-				accepted, conflict := put(manifestOf(back, "first"))
+			for earlierVersion := uint64(3); earlierVersion <= version; earlierVersion += 3 {
+				accepted, conflict := put(manifestOf(earlierVersion, "first"))
 				So(accepted || conflict, ShouldBeFalse)
-				accepted, conflict = put(manifestOf(back, "second"))
+				accepted, conflict = put(manifestOf(earlierVersion, "second"))
 				So(accepted, ShouldBeFalse)
 				So(conflict, ShouldBeTrue)
 			}
@@ -47,17 +47,17 @@
 			one := acceptedVersion{Version: 2 * sequence, Digest: Digest{byte(sequence), byte(sequence >> 8)}}
 			state.Apply(store.Version{Epoch: 1, Sequence: sequence}, versionPuts(state, sequence, one))
 		}
-		var misjudged []uint64
+		var wrongSequences []uint64
 		for sequence := uint64(last - MinRetainedVersions + 1); sequence <= last; sequence++ {
 			same := Digest{byte(sequence), byte(sequence >> 8)}
 			acceptsSame := !differsFromAccepted(state, 2*sequence, same)
 			rejectsOther := differsFromAccepted(state, 2*sequence, Digest{})
 			acceptsUnused := !differsFromAccepted(state, 2*sequence+1, same)
 			if !acceptsSame || !rejectsOther || !acceptsUnused {
-				misjudged = append(misjudged, sequence)
+				wrongSequences = append(wrongSequences, sequence)
 			}
 		}
-		So(misjudged, ShouldBeEmpty)
+		So(wrongSequences, ShouldBeEmpty)
 		size := 0
 		for _, key := range state.Keys(model.PrefixManifestVersions) {
 			size += len(state.Records[key].Data)
@@ -67,9 +67,9 @@
 	})
 	Convey("Without the bytes that were sent, what a manifest says is compared", t, func() {
 		one, other := model.BindingSet{Bindings: []model.Binding{{Name: "a"}}}, model.BindingSet{Bindings: []model.Binding{{Name: "b"}}}
-		again := one
-		again.Sequence, again.AcceptedAt = 7, 9
-		So(DigestOf(one, nil), ShouldEqual, DigestOf(again, nil))
+		sameContent := one
+		sameContent.Sequence, sameContent.AcceptedAt = 7, 9
+		So(DigestOf(one, nil), ShouldEqual, DigestOf(sameContent, nil))
 		So(DigestOf(one, nil), ShouldNotEqual, DigestOf(other, nil))
 	})
 }
