--- a/internal/coordination/audit/audit.go
+++ b/internal/coordination/audit/audit.go
@@ -1,5 +1,5 @@
-// Package audit keeps, in the control state, the log of what the control plane
-// decided: on what subject, when, and on which evidence.
+// Package audit keeps the audit log of the control plane in the control state. Each
+// entry records one decision with its subject, its time and its evidence.
 package audit
 
 import (
@@ -9,11 +9,11 @@
 	"tansyseam/internal/state/store"
 )
 
-// MaxEntries is how many entries are kept beside the newest.
+// MaxEntries is the number of entries that are kept in addition to the newest one.
 const MaxEntries = 400
 
-// Puts returns the puts that append an entry to the log and delete the entries
-// beyond MaxEntries. The entry's sequence is assigned here.
+// Puts returns the puts that append an entry to the log and delete the oldest entries
+// beyond MaxEntries. It assigns the entry's sequence.
 func Puts(state *store.Table, entry model.AuditEntry) []store.Put {
 	keys := state.Keys(model.PrefixAuditEntry)
 	entry.Sequence = nextSequence(state, keys)
--- a/internal/coordination/audit/audit_test.go
+++ b/internal/coordination/audit/audit_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestLog(t *testing.T) {
-	Convey("Entries are numbered in order, and the oldest beyond the bound are deleted", t, func() {
+	Convey("Entries are numbered consecutively, and the oldest entries beyond the limit are deleted", t, func() {
 		state := store.New()
 		for sequence := uint64(1); sequence <= MaxEntries+5; sequence++ {
 			puts := Puts(state, model.AuditEntry{Subject: "x"})
--- a/internal/coordination/callresult/callresult_test.go
+++ b/internal/coordination/callresult/callresult_test.go
@@ -22,7 +22,7 @@
 		_, found = Find(state, "call-2")
 		So(found, ShouldBeFalse)
 	})
-	Convey("Results beyond their number are deleted, the oldest first", t, func() {
+	Convey("Results beyond the limit are deleted, the oldest first", t, func() {
 		state := store.New()
 		for number := range MaxResults + 3 {
 			puts := Record(state, fmt.Sprint("call-", number), Result{}, []store.Put{{Key: "x"}})
--- a/internal/coordination/distribution/activation.go
+++ b/internal/coordination/distribution/activation.go
@@ -45,9 +45,9 @@
 		return nil
 	}
 	effectiveAt := wallNanos + int64(m.freezeLeases(now)-now)
-	applied, tenure := m.snapshot.Version, m.tenure
+	snapshotVersion, tenure := m.snapshot.Version, m.tenure
 	return func(state *store.Table) []store.Put {
-		return rollout.AssignEffectiveTimes(state, applied, effectiveAt, wallNanos, tenure)
+		return rollout.AssignEffectiveTimes(state, snapshotVersion, effectiveAt, wallNanos, tenure)
 	}
 }
 
--- a/internal/coordination/rollout/errors.go
+++ b/internal/coordination/rollout/errors.go
@@ -8,11 +8,11 @@
 	"tansyseam/internal/state/model"
 )
 
-// ErrVersionConflict says that a manifest with other content was accepted under the
-// same version.
+// ErrVersionConflict is returned when a manifest with other content was already accepted
+// under the same version.
 const ErrVersionConflict = errors.ConstError("another manifest was accepted under this version")
 
-// SequenceError says that the newest set is not the one that the caller expected.
+// SequenceError is returned when the newest set is not the one that the caller expected.
 type SequenceError struct {
 	Expected uint64
 	Newest   uint64
@@ -22,8 +22,8 @@
 	return fmt.Sprintf("sequence %d was expected, but the newest is %d", e.Expected, e.Newest)
 }
 
-// OrderError says that a change cannot be scheduled for a time, because a set that is
-// already being distributed takes effect after it.
+// OrderError is returned when a change cannot be scheduled for the requested time, because
+// Set is already being distributed and takes effect later than that.
 type OrderError struct {
 	Set model.BindingSet
 }
--- a/internal/coordination/rollout/manifest.go
+++ b/internal/coordination/rollout/manifest.go
@@ -11,22 +11,24 @@
 type Manifest struct {
 	Version uint64
 	Set     model.BindingSet
-	// Compressed is the text as it was sent, compressed; empty if it is not kept.
+	// Compressed is the compressed text of the manifest as it was sent, or empty if the
+	// text is not kept.
 	Compressed []byte
 	// Digest identifies the content, see DigestOf.
 	Digest Digest
-	// Source names the call that brought it.
+	// Source is the name of the call by which the manifest was sent.
 	Source string
 }
 
-// ManifestKey is the key of the text of the manifest that became a sequence.
+// ManifestKey returns the key under which the text of the manifest accepted as a sequence
+// is stored.
 func ManifestKey(sequence uint64) string {
 	return fmt.Sprintf("%s%012d", model.PrefixManifest, sequence)
 }
 
-// AcceptManifest returns the puts that accept a manifest. It returns none if the
-// manifest's version was accepted before or has been overtaken, and ErrVersionConflict
-// if it was accepted with other content.
+// AcceptManifest returns the puts that accept a manifest. It returns no puts if the
+// manifest's version is not above the newest accepted version, and ErrVersionConflict if
+// that version was accepted with other content.
 func AcceptManifest(state *store.Table, manifest Manifest, wallNanos int64) ([]store.Put, error) {
 	newest := model.ReadSnapshot(state).NewestSet()
 	if newest.Version >= manifest.Version {
@@ -47,8 +49,8 @@
 	return append(puts, auditPuts(state, wallNanos, action, manifest.Source)...), nil
 }
 
-// NewestManifest returns the set that the newest manifest became, and its
-// compressed text, which is nil if it was not kept. It returns false if there is no
+// NewestManifest returns the binding set of the newest manifest and the compressed text
+// of the manifest, which is nil if the text was not kept. It returns false if there is no
 // manifest.
 func NewestManifest(state *store.Table) (model.BindingSet, []byte, bool) {
 	var newest model.BindingSet
--- a/internal/coordination/rollout/rollout.go
+++ b/internal/coordination/rollout/rollout.go
@@ -1,14 +1,19 @@
 // Package rollout decides how binding sets change: how a set is accepted from an
-// operator or from the schedule, at what time it takes effect on all nodes, and when
-// it is deleted. Its functions return the puts that carry out a decision against a
-// copy of the control state; where that no longer applies, they return none or an error.
+// operator or from the schedule, when it takes effect on all nodes, and when it is
+// deleted. Its functions take a copy of the control state and return the puts that carry
+// out a decision. If the decision does not apply to that state, they return no puts or an
+// error.
 //
-// A set passes through these states: scheduled (a model.ScheduledChange), pending
-// (accepted under a sequence, without an effective time, while it is distributed to
-// the nodes), waiting for its effective time, active, and obsolete.
+// A set passes through these states:
+//   - scheduled: it is stored as a model.ScheduledChange;
+//   - pending: it is accepted under a sequence and distributed to the nodes, but has no
+//     effective time yet;
+//   - waiting for its effective time;
+//   - active;
+//   - obsolete.
 //
-// The parameter wallNanos is the control primary's Unix time in nanoseconds, and so are
-// effective times.
+// The parameter wallNanos is the Unix time in nanoseconds by the control primary's clock.
+// Effective times are Unix times in nanoseconds too.
 package rollout
 
 import (
@@ -22,9 +27,8 @@
 // auditSubject is the subject of the audit entries about binding sets.
 const auditSubject = "bindings"
 
-// AcceptBindings returns the puts that accept a set of bindings as the successor of
-// the sequence that the caller expects to be the newest. It returns a SequenceError if
-// another one is.
+// AcceptBindings returns the puts that accept a set of bindings as the successor of the
+// sequence expected. It returns a SequenceError if expected is not the newest sequence.
 func AcceptBindings(state *store.Table, expected uint64, bindings []model.Binding, source string, wallNanos int64) ([]store.Put, error) {
 	newest := model.ReadSnapshot(state).NewestSet()
 	if newest.Sequence != expected {
@@ -35,7 +39,7 @@
 	return append([]store.Put{setPut(set)}, auditPuts(state, wallNanos, action, source)...), nil
 }
 
-// auditPuts returns the puts that log a decision about binding sets.
+// auditPuts returns the puts that add a decision about binding sets to the audit log.
 func auditPuts(state *store.Table, wallNanos int64, action, evidence string) []store.Put {
 	return audit.Puts(state, model.AuditEntry{
 		At:       wallNanos,
@@ -45,8 +49,8 @@
 	})
 }
 
-// successor gives a set the sequence after the newest. A set that is not of a
-// manifest keeps the newest manifest's version, databases and limits.
+// successor returns a set with the sequence that follows the newest one. A set that does
+// not come from a manifest inherits the version, databases and limits of the newest set.
 func successor(newest, set model.BindingSet) model.BindingSet {
 	set.Sequence = newest.Sequence + 1
 	if set.Version == 0 {
@@ -59,8 +63,8 @@
 	return store.Put{Key: model.BindingSetKey(set.Sequence), Data: store.Encode(set)}
 }
 
-// ReplaceSets returns the puts that write changed sets in place of those stored; a
-// set that is stored no more stays deleted.
+// ReplaceSets returns the puts that overwrite the stored sets with the given ones. A set
+// that has been deleted in the meantime stays deleted.
 func ReplaceSets(state *store.Table, sets []model.BindingSet) []store.Put {
 	var puts []store.Put
 	for _, set := range sets {
@@ -71,8 +75,8 @@
 	return puts
 }
 
-// DeleteObsolete returns the puts that delete the sets below a sequence, and the
-// manifests they were read from; the newest manifest is always kept.
+// DeleteObsolete returns the puts that delete the sets with a sequence below lowest, and
+// the texts of their manifests. The text of the newest manifest is always kept.
 func DeleteObsolete(state *store.Table, lowest uint64) []store.Put {
 	var puts []store.Put
 	for _, set := range model.ReadSnapshot(state).Sets {
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestAcceptBindings(t *testing.T) {
-	Convey("A set in place of another than the newest is not accepted, and the newest sequence is returned", t, func() {
+	Convey("A set is rejected with the newest sequence if the caller expected another sequence", t, func() {
 		state := store.New()
 		puts, err := AcceptBindings(state, 0, nil, "x", 1)
 		So(puts, ShouldNotBeEmpty)
@@ -25,7 +25,7 @@
 }
 
 func TestSchedule(t *testing.T) {
-	Convey("A change for an earlier time than that of a set being distributed is rejected with that set", t, func() {
+	Convey("A change scheduled for an earlier time than that of a set being distributed is rejected with that set", t, func() {
 		state := store.New()
 		pending := model.BindingSet{Sequence: 1, NotBefore: 100}
 		state.Apply(store.Version{Epoch: 1, Sequence: 1}, []store.Put{setPut(pending)})
@@ -36,7 +36,7 @@
 		So(puts, ShouldNotBeEmpty)
 		So(err, ShouldBeNil)
 	})
-	Convey("A change is accepted a lead time before it takes effect", t, func() {
+	Convey("A scheduled change is accepted one lead time before it takes effect", t, func() {
 		state := store.New()
 		effectiveAt := int64(time.Hour)
 		puts, _ := Schedule(state, "a", effectiveAt, nil, 1)
--- a/internal/coordination/rollout/scheduled.go
+++ b/internal/coordination/rollout/scheduled.go
@@ -9,9 +9,9 @@
 	"tansyseam/internal/state/store"
 )
 
-// Schedule returns the puts that store a change of the bindings for a later time.
-// Sets take effect in the order of their sequences, so it returns an OrderError if a
-// set with a later effective time is already being distributed.
+// Schedule returns the puts that store a change of the bindings for a later time. It
+// returns an OrderError if a set with a later effective time is already being distributed,
+// since sets take effect in the order of their sequences.
 func Schedule(state *store.Table, id string, effectiveAt int64, bindings []model.Binding, wallNanos int64) ([]store.Put, error) {
 	for _, set := range model.ReadSnapshot(state).Sets {
 		isActive := set.EffectiveAt != 0 && set.EffectiveAt <= wallNanos
@@ -25,7 +25,8 @@
 	return append(puts, auditPuts(state, wallNanos, action, fmt.Sprintf("for %d", milliseconds(effectiveAt)))...), nil
 }
 
-// NextScheduled returns the scheduled change that is due to be accepted.
+// NextScheduled returns the first scheduled change, and reports whether it is due to be
+// accepted now.
 func NextScheduled(state *store.Table, wallNanos int64) (model.ScheduledChange, bool) {
 	var changes []model.ScheduledChange
 	for _, key := range state.Keys(model.PrefixScheduledChange) {
@@ -36,7 +37,8 @@
 	return schedule.NextDue(changes, wallNanos)
 }
 
-// AcceptScheduled returns the puts that accept the scheduled change that is due.
+// AcceptScheduled returns the puts that accept the next scheduled change. It returns no
+// puts if no change is due.
 func AcceptScheduled(state *store.Table, wallNanos int64) []store.Put {
 	change, due := NextScheduled(state, wallNanos)
 	if !due {
@@ -53,16 +55,16 @@
 	return append(puts, auditPuts(state, wallNanos, action, "its effective time is near")...)
 }
 
-// AssignEffectiveTimes returns the puts that give the pending sets their effective
-// time, which is earliest or later. Sets written after the version seen are left
-// out, since not every node is known to have them. Tenure identifies the primary's
-// tenure that assigns the times.
-func AssignEffectiveTimes(state *store.Table, applied store.Version, earliest, wallNanos int64, tenure string) []store.Put {
+// AssignEffectiveTimes returns the puts that assign effective times to the pending sets,
+// none of them before earliest. Sets written after snapshotVersion are left out, since
+// some leased nodes may not have applied them yet. The parameter tenure identifies the
+// primary's tenure that assigns the times.
+func AssignEffectiveTimes(state *store.Table, snapshotVersion store.Version, earliest, wallNanos int64, tenure string) []store.Put {
 	var puts []store.Put
 	newest := uint64(0)
 	for _, set := range schedule.AssignEffectiveTimes(model.ReadSnapshot(state).Sets, earliest) {
 		version := state.Records[model.BindingSetKey(set.Sequence)].Version
-		if applied.IsBefore(version) {
+		if snapshotVersion.IsBefore(version) {
 			continue
 		}
 		set.ScheduledBy = tenure
@@ -76,5 +78,5 @@
 	return append(puts, auditPuts(state, wallNanos, action, "every leased node has acknowledged it")...)
 }
 
-// milliseconds converts a Unix time in nanoseconds.
+// milliseconds converts a Unix time in nanoseconds to milliseconds.
 func milliseconds(wallNanos int64) int64 { return wallNanos / int64(time.Millisecond) }
--- a/internal/coordination/rollout/versions.go
+++ b/internal/coordination/rollout/versions.go
@@ -9,11 +9,11 @@
 	"tansyseam/internal/state/store"
 )
 
-// MinRetainedVersions is for how many manifests, at least, the content accepted
-// under their versions stays known.
+// MinRetainedVersions is the minimum number of manifests whose accepted versions and
+// digests stay stored.
 const MinRetainedVersions = 1024
 
-// Accepted versions are stored many to a record, so that few keys are needed.
+// Many accepted versions are stored in one record, so that few keys are needed.
 const (
 	versionsPerRecord  = 64
 	maxVersionsRecords = MinRetainedVersions/versionsPerRecord + 1
@@ -24,8 +24,8 @@
 // Digest identifies the content of a manifest.
 type Digest [digestLength]byte
 
-// DigestOf returns the digest of a manifest: of its text as it was sent or, if that
-// is not known, of the set that it became.
+// DigestOf returns the digest of a manifest. The digest covers the text as it was sent or,
+// if text is empty, the content of the binding set.
 func DigestOf(set model.BindingSet, text []byte) Digest {
 	if len(text) == 0 {
 		text = store.Encode(model.BindingSet{Bindings: set.Bindings, Databases: set.Databases, Limits: set.Limits})
@@ -34,8 +34,8 @@
 	return Digest(sum[:digestLength])
 }
 
-// acceptedVersion is the digest of the manifest accepted under a version. It is
-// stored by the names of its fields, which must therefore not change.
+// acceptedVersion is a manifest version with the digest of the manifest accepted under it.
+// The stored form contains the names of its fields, which must therefore not change.
 type acceptedVersion struct {
 	Version uint64
 	Digest  Digest
@@ -45,8 +45,8 @@
 	return fmt.Sprintf("%s%012d", model.PrefixManifestVersions, recordNumber)
 }
 
-// versionPuts returns the puts that store an accepted version, by the sequence that
-// its manifest became, and delete the oldest ones.
+// versionPuts returns the puts that store an accepted version and delete the oldest
+// records. The sequence of the manifest's binding set selects the record.
 func versionPuts(state *store.Table, sequence uint64, accepted acceptedVersion) []store.Put {
 	key := versionsKey(sequence / versionsPerRecord)
 	versions, _ := store.GetPlain[[]acceptedVersion](state, key)
@@ -62,7 +62,7 @@
 	return puts
 }
 
-// differsFromAccepted says whether another content is known to have been accepted
+// differsFromAccepted reports whether a manifest with another digest is stored as accepted
 // under a version.
 func differsFromAccepted(state *store.Table, version uint64, digest Digest) bool {
 	for _, key := range slices.Backward(state.Keys(model.PrefixManifestVersions)) {
--- a/internal/coordination/rollout/versions_test.go
+++ b/internal/coordination/rollout/versions_test.go
@@ -16,7 +16,7 @@
 }
 
 func TestOneContentUnderOneVersion(t *testing.T) {
-	Convey("Of two contents under one version the first is accepted, and the other rejected; the first is acknowledged again", t, func() {
+	Convey("The first content sent under a version is accepted, a different one is rejected, and a repetition of the first changes nothing", t, func() {
 		state := store.New()
 		put := func(manifest Manifest) (accepted, conflict bool) {
 			puts, err := AcceptManifest(state, manifest, 1)
@@ -40,12 +40,12 @@
 		accepted, conflict := put(manifestOf(59, "overtaken"))
 		So(accepted || conflict, ShouldBeFalse)
 	})
-	Convey("What was accepted under the last thousand versions is known after thousands, and what is stored of that is bounded", t, func() {
+	Convey("After thousands of versions the digests of the last MinRetainedVersions are still stored, in bounded space", t, func() {
 		state := store.New()
 		const last = 3 * MinRetainedVersions
 		for sequence := uint64(1); sequence <= last; sequence++ {
-			one := acceptedVersion{Version: 2 * sequence, Digest: Digest{byte(sequence), byte(sequence >> 8)}}
-			state.Apply(store.Version{Epoch: 1, Sequence: sequence}, versionPuts(state, sequence, one))
+			accepted := acceptedVersion{Version: 2 * sequence, Digest: Digest{byte(sequence), byte(sequence >> 8)}}
+			state.Apply(store.Version{Epoch: 1, Sequence: sequence}, versionPuts(state, sequence, accepted))
 		}
 		var wrongSequences []uint64
 		for sequence := uint64(last - MinRetainedVersions + 1); sequence <= last; sequence++ {
@@ -65,11 +65,11 @@
 		So(len(state.Keys(model.PrefixManifestVersions)), ShouldBeLessThanOrEqualTo, MinRetainedVersions/versionsPerRecord+1)
 		So(size, ShouldBeLessThan, 40*MinRetainedVersions)
 	})
-	Convey("Without the bytes that were sent, what a manifest says is compared", t, func() {
-		one, other := model.BindingSet{Bindings: []model.Binding{{Name: "a"}}}, model.BindingSet{Bindings: []model.Binding{{Name: "b"}}}
-		sameContent := one
+	Convey("Without the text as it was sent, the digest covers the content of the binding set", t, func() {
+		first, second := model.BindingSet{Bindings: []model.Binding{{Name: "a"}}}, model.BindingSet{Bindings: []model.Binding{{Name: "b"}}}
+		sameContent := first
 		sameContent.Sequence, sameContent.AcceptedAt = 7, 9
-		So(DigestOf(one, nil), ShouldEqual, DigestOf(sameContent, nil))
-		So(DigestOf(one, nil), ShouldNotEqual, DigestOf(other, nil))
+		So(DigestOf(first, nil), ShouldEqual, DigestOf(sameContent, nil))
+		So(DigestOf(first, nil), ShouldNotEqual, DigestOf(second, nil))
 	})
 }
--- a/internal/coordination/schedule/schedule.go
+++ b/internal/coordination/schedule/schedule.go
@@ -1,6 +1,6 @@
-// Package schedule orders changes of the bindings in time: each scheduled change is
-// accepted once, and sets take effect in the order of their sequences, none before its
-// time.
+// Package schedule determines when changes of the bindings are accepted and take effect.
+// Each scheduled change is accepted once. Binding sets take effect in the order of their
+// sequences, and no set takes effect before its scheduled time.
 package schedule
 
 import (
@@ -11,14 +11,14 @@
 	"tansyseam/internal/state/model"
 )
 
-// LeadTime is how long before its effective time a scheduled change is accepted, so
-// that it is distributed to all nodes in time.
+// LeadTime is the time by which a scheduled change is accepted before its effective time,
+// so that it is distributed to all nodes in time.
 const LeadTime = 1800 * time.Millisecond
 
-// NextDue returns the scheduled change that is to be accepted now, if one is due. Order
-// is by effective time, then by the order in which changes were scheduled; a change
-// whose time has passed is due at once. The time wallNanos is a Unix time
-// in nanoseconds.
+// NextDue returns the first scheduled change, and reports whether it is due to be accepted
+// now. Changes are ordered by effective time, and changes with the same effective time by
+// the order in which they were scheduled. A change whose effective time has passed is due
+// immediately. The current time wallNanos is a Unix time in nanoseconds.
 func NextDue(changes []model.ScheduledChange, wallNanos int64) (model.ScheduledChange, bool) {
 	if len(changes) == 0 {
 		return model.ScheduledChange{}, false
@@ -29,10 +29,11 @@
 	return first, first.EffectiveAt-int64(LeadTime) <= wallNanos
 }
 
-// AssignEffectiveTimes returns the pending sets with the effective time that each gets:
-// not before earliest, which is after the last lease that may lack the set, not before
-// its own NotBefore, and not before that of a set with a lower sequence. Sets are given
-// by sequence; times are Unix times in nanoseconds.
+// AssignEffectiveTimes returns the pending sets with an effective time assigned to each.
+// The effective time of a set is the latest of earliest, its own NotBefore, and the
+// effective times of all sets with a lower sequence. The caller chooses earliest so that
+// every lease granted without the set has ended by then. The parameter sets is sorted by
+// sequence. Times are Unix times in nanoseconds.
 func AssignEffectiveTimes(sets []model.BindingSet, earliest int64) []model.BindingSet {
 	var assigned []model.BindingSet
 	latest := int64(0)
--- a/internal/coordination/schedule/schedule_test.go
+++ b/internal/coordination/schedule/schedule_test.go
@@ -11,7 +11,7 @@
 
 func TestNextDue(t *testing.T) {
 	const now = int64(time.Hour)
-	Convey("The change with the earliest effective time is due a lead time before, the one scheduled first among equals", t, func() {
+	Convey("The change with the earliest effective time is due one lead time before it; of equal times, the change scheduled first is due", t, func() {
 		changes := []model.ScheduledChange{
 			{ID: "late", EffectiveAt: now + int64(LeadTime) + 2, Order: 1},
 			{ID: "second", EffectiveAt: now + int64(LeadTime), Order: 3},
@@ -25,7 +25,7 @@
 		_, due = NextDue(changes[:1], now)
 		So(due, ShouldBeFalse)
 	})
-	Convey("A change whose time has passed is due; without changes none is", t, func() {
+	Convey("A change whose time has passed is due; an empty schedule has no due change", t, func() {
 		_, due := NextDue([]model.ScheduledChange{{EffectiveAt: 1}}, now)
 		So(due, ShouldBeTrue)
 		_, due = NextDue(nil, now)
@@ -34,7 +34,7 @@
 }
 
 func TestAssignEffectiveTimes(t *testing.T) {
-	Convey("Pending sets get the earliest time that is late enough for them and all sets before", t, func() {
+	Convey("A pending set takes effect no earlier than the given time, its own NotBefore and all sets before it", t, func() {
 		sets := []model.BindingSet{
 			{Sequence: 1, EffectiveAt: 50}, {Sequence: 2}, {Sequence: 3, NotBefore: 80}, {Sequence: 4},
 		}
