--- a/internal/coordination/consensus/acceptor.go
+++ b/internal/coordination/consensus/acceptor.go
@@ -10,7 +10,7 @@
 	promise := Promise{Epoch: prepare.Decided.Epoch + 1, Number: prepare.Number, Decided: m.voterState.Decided}
 	eligible := m.isEligible(from, prepare, now)
 	if m.IsMember() {
-		promise.RetryAfter = m.voteBoundFor(from, now)
+		promise.RetryAfter = m.voteBlockedFor(from, now)
 		if eligible && promise.RetryAfter == 0 {
 			m.vote(from, &promise)
 		}
@@ -25,7 +25,7 @@
 	if decided != prepare.Decided {
 		return false
 	}
-	return candidate == decided.Primary || candidate == decided.Backup || m.yieldToSpare(candidate, prepare.Version, now)
+	return candidate == decided.Primary || candidate == decided.Backup || m.votesForSpare(candidate, prepare.Version, now)
 }
 
 // vote promises a candidate's proposal, unless a higher one was promised before.
@@ -50,7 +50,7 @@
 	if !m.IsMember() || accept.Epoch != m.voterState.Decided.Epoch+1 {
 		return
 	}
-	if m.voteBoundFor(from, now) > 0 || !m.voterState.Acceptor.Accept(accept.Number, accept.Value) {
+	if m.voteBlockedFor(from, now) > 0 || !m.voterState.Acceptor.Accept(accept.Number, accept.Value) {
 		return
 	}
 	m.noteVote(from)
--- a/internal/coordination/consensus/bootstrap.go
+++ b/internal/coordination/consensus/bootstrap.go
@@ -46,8 +46,8 @@
 	return !m.disk.corrupted && m.processIncarnation != 0 && (m.bootstrap.ExactVoters > 0 || m.bootstrap.MayBootstrap)
 }
 
-// seekCluster asks all others for their status, and forms a cluster where none has one.
-func (m *Machine) seekCluster(now time.Duration) {
+// discoverCluster asks all others for their status, and forms a cluster where none has one.
+func (m *Machine) discoverCluster(now time.Duration) {
 	if !m.isStatusRequestDue(now) {
 		return
 	}
@@ -147,8 +147,8 @@
 	m.saveVoterState()
 	m.saveIdentity()
 	m.removeCorrupt()
-	m.assumeLease(now)
+	m.assumeLeaseGranted(now)
 	m.startedAt = now
-	m.requestStatusAtOnce(now)
+	m.requestStatusOnNextTick(now)
 	m.emitEpochChanged(reason)
 }
--- a/internal/coordination/consensus/clock_test.go
+++ b/internal/coordination/consensus/clock_test.go
@@ -35,9 +35,9 @@
 		now := time.Hour
 		primary := newFormedMachine("c1", now)
 		primary.Step(Tick{WallNanos: wall}, now)
-		for at, name := range []string{"c2", "c3"} {
+		for i, name := range []string{"c2", "c3"} {
 			other := newFormedMachine(name, now)
-			other.Step(Tick{WallNanos: wall + int64(at+1)*int64(time.Second)}, now)
+			other.Step(Tick{WallNanos: wall + int64(i+1)*int64(time.Second)}, now)
 			ack := bodiesSent[RenewLeaseAck](other.Step(Received{From: "c1", Body: RenewLease{Record: primary.Record(), SentAt: now, Incarnation: primary.processIncarnation}}, now))[0]
 			primary.Step(Received{From: name, Body: ack}, now)
 		}
--- a/internal/coordination/consensus/cluster_test.go
+++ b/internal/coordination/consensus/cluster_test.go
@@ -17,7 +17,7 @@
 	up           map[string]bool
 	results      map[uint64]SubmitResult
 	epochChanges int
-	sent         func(from, to string, body any)
+	onSend       func(from, to string, body any)
 }
 
 func address(name string) string { return name + ":1" }
@@ -33,16 +33,16 @@
 
 func (c *cluster) apply(name string, effects []Effect) {
 	for _, effect := range effects {
-		if answer, ok := effect.(SubmitResult); ok {
-			c.results[answer.Token] = answer
+		if result, ok := effect.(SubmitResult); ok {
+			c.results[result.Token] = result
 		}
 		if changed, ok := effect.(EpochChanged); ok {
 			c.epochChanges++
 			So(changed.Table, ShouldNotBeNil)
 		}
 		if send, ok := effect.(Send); ok && c.up[send.To] && c.up[name] {
-			if c.sent != nil {
-				c.sent(name, send.To, send.Body)
+			if c.onSend != nil {
+				c.onSend(name, send.To, send.Body)
 			}
 			c.step(send.To, Received{From: name, Body: send.Body})
 		}
@@ -51,7 +51,7 @@
 
 func (c *cluster) step(name string, event any) { c.apply(name, c.machines[name].Step(event, c.now)) }
 
-func (c *cluster) live() []string {
+func (c *cluster) upNodes() []string {
 	var names []string
 	for name, up := range c.up {
 		if up {
@@ -65,11 +65,11 @@
 func (c *cluster) run(span time.Duration) {
 	for until := c.now + span; c.now < until; c.now += 20 * time.Millisecond {
 		peers := Peers{ByAddress: map[string]string{}}
-		for _, name := range c.live() {
+		for _, name := range c.upNodes() {
 			peers.Names = append(peers.Names, name)
 			peers.ByAddress[address(name)] = name
 		}
-		for _, name := range c.live() {
+		for _, name := range c.upNodes() {
 			c.step(name, peers)
 			c.step(name, Tick{WallNanos: int64(c.now)})
 		}
@@ -77,7 +77,7 @@
 }
 
 func (c *cluster) primary() string {
-	for _, name := range c.live() {
+	for _, name := range c.upNodes() {
 		if c.machines[name].IsPrimary(c.now) {
 			return name
 		}
@@ -117,8 +117,8 @@
 // newFormedCluster makes a cluster of the first names, so many of which vote.
 func newFormedCluster(voters int, names ...string) (*cluster, func(string) BootstrapConfig) {
 	var seeds []string
-	for at := range 3 {
-		seeds = append(seeds, address(names[at]))
+	for i := range 3 {
+		seeds = append(seeds, address(names[i]))
 	}
 	bootstrap := func(string) BootstrapConfig {
 		return BootstrapConfig{Voters: voters, MayBootstrap: true, RequireBackup: true, Seeds: seeds}
@@ -129,8 +129,8 @@
 	return c, bootstrap
 }
 
-// add starts a node with a blank disk.
-func (c *cluster) add(bootstrap func(string) BootstrapConfig, name string) {
+// startBlankNode starts a node with a blank disk.
+func (c *cluster) startBlankNode(bootstrap func(string) BootstrapConfig, name string) {
 	blank := bootstrap(name)
 	blank.MayBootstrap = false
 	c.machines[name] = NewWithBootstrap(name, blank, DefaultTiming(), PersistentState{}, c.now)
@@ -154,8 +154,8 @@
 	return ""
 }
 
-// lossTargets gives the node of each role.
-var lossTargets = map[string]func(c *cluster) string{
+// nodeByRole gives the node of each role.
+var nodeByRole = map[string]func(c *cluster) string{
 	"primary": func(c *cluster) string { return c.primary() },
 	"backup":  func(c *cluster) string { return c.machines[c.primary()].Record().Backup },
 	"witness": func(c *cluster) string { return c.witness() },
@@ -172,8 +172,8 @@
 	return c, bootstrap
 }
 
-// wipe restarts nodes with blank disks.
-func (c *cluster) wipe(bootstrap func(string) BootstrapConfig, names ...string) {
+// wipeDisks restarts nodes with blank disks.
+func (c *cluster) wipeDisks(bootstrap func(string) BootstrapConfig, names ...string) {
 	for _, name := range names {
 		blank := bootstrap(name)
 		blank.MayBootstrap = false
--- a/internal/coordination/consensus/contacts.go
+++ b/internal/coordination/consensus/contacts.go
@@ -27,8 +27,8 @@
 	return c
 }
 
-// requestStatusAtOnce has the next tick ask for the status of the others.
-func (m *Machine) requestStatusAtOnce(now time.Duration) {
+// requestStatusOnNextTick has the next tick ask for the status of the others.
+func (m *Machine) requestStatusOnNextTick(now time.Duration) {
 	m.contacts.statusRequestedAt = now - m.timing.FormInterval
 }
 
@@ -44,13 +44,13 @@
 }
 
 func (m *Machine) hasLostPrimary(now time.Duration) bool {
-	return now-m.contacts.primaryAt >= m.leases(contactLossLeases)
+	return now-m.contacts.primaryAt >= m.leaseDurations(contactLossLeases)
 }
 
-// hearsQuorum says whether a majority of the voters, this node among them, has sent
+// receivesFromQuorum says whether a majority of the voters, this node among them, has sent
 // any message lately, or may not have had the time since this node started.
-func (m *Machine) hearsQuorum(now time.Duration) bool {
+func (m *Machine) receivesFromQuorum(now time.Duration) bool {
 	return isMajority(m.Voters(), func(name string) bool {
-		return name == m.self || now-max(m.contacts.received[name], m.startedAt) < m.leases(contactLossLeases)
+		return name == m.self || now-max(m.contacts.received[name], m.startedAt) < m.leaseDurations(contactLossLeases)
 	})
 }
--- a/internal/coordination/consensus/diskloss_test.go
+++ b/internal/coordination/consensus/diskloss_test.go
@@ -30,7 +30,7 @@
 			saved.VoterState = voterState
 		}
 	}
-	return newMachine(self, len(five), DefaultTiming(), saved, now)
+	return newMachine(self, len(fiveNodes), DefaultTiming(), saved, now)
 }
 
 // countParticipation counts how often a node grants, votes, proposes or syncs, whatever
@@ -62,7 +62,7 @@
 	Convey("Whatever role it had, a node that lost its disk does not grant, vote, propose or sync until a record has its new disk, also after a restart", t, func() {
 		for _, self := range []string{"c1", "c2", "c3"} {
 			now := time.Hour
-			record := Record{Epoch: 4, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(five)}
+			record := Record{Epoch: 4, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(fiveNodes)}
 			m := newBlankMachine(self, now)
 			effects := m.Step(Received{From: "c4", Body: Status{Cluster: "x", Decided: record}}, now)
 			So(m.Record(), ShouldResemble, record)
@@ -87,7 +87,7 @@
 	})
 	Convey("A record that has an older disk of the node gives it no vote", t, func() {
 		m := newBlankMachine("c3", time.Hour)
-		record := Record{Epoch: 4, Primary: "c1", Voters: votersWithoutIncarnation(five).Replace(Member{Name: "c3"}, Member{Name: "c3", Incarnation: 76})}
+		record := Record{Epoch: 4, Primary: "c1", Voters: votersWithoutIncarnation(fiveNodes).Replace(Member{Name: "c3"}, Member{Name: "c3", Incarnation: 76})}
 		m.Step(Received{From: "c4", Body: Status{Cluster: "x", Decided: record}}, time.Hour)
 		So(m.IsMember(), ShouldBeFalse)
 		So(countParticipation(m, "c1", time.Hour), ShouldEqual, 0)
@@ -97,16 +97,16 @@
 func TestOlderFilesThanWereSynced(t *testing.T) {
 	Convey("A node whose newest files are damaged, or whose votes are gone, is as one whose disk is blank, formed or not", t, func() {
 		now := time.Hour
-		old := Record{Epoch: 2, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(five)}
-		record := Record{Epoch: 4, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(five)}
+		oldRecord := Record{Epoch: 2, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(fiveNodes)}
+		record := Record{Epoch: 4, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(fiveNodes)}
 		for _, saved := range []PersistentState{
-			{Identity: &Identity{Cluster: "x", Self: "c3", Voters: five, Formed: true}, VoterState: &VoterState{Sequence: 1, Decided: old}, Corrupted: true},
-			{Identity: &Identity{Cluster: "x", Self: "c3", Voters: five}, VoterState: &VoterState{Sequence: 1, Decided: old}, Corrupted: true},
-			{Identity: &Identity{Cluster: "x", Self: "c3", Voters: five, Formed: true}},
+			{Identity: &Identity{Cluster: "x", Self: "c3", Voters: fiveNodes, Formed: true}, VoterState: &VoterState{Sequence: 1, Decided: oldRecord}, Corrupted: true},
+			{Identity: &Identity{Cluster: "x", Self: "c3", Voters: fiveNodes}, VoterState: &VoterState{Sequence: 1, Decided: oldRecord}, Corrupted: true},
+			{Identity: &Identity{Cluster: "x", Self: "c3", Voters: fiveNodes, Formed: true}},
 		} {
-			m := newMachine("c3", len(five), DefaultTiming(), saved, now)
-			m.Step(Peers{Names: five}, now)
-			So(len(bodiesSent[StatusRequest](m.Step(Tick{WallNanos: 77}, now))), ShouldEqual, len(five)-1)
+			m := newMachine("c3", len(fiveNodes), DefaultTiming(), saved, now)
+			m.Step(Peers{Names: fiveNodes}, now)
+			So(len(bodiesSent[StatusRequest](m.Step(Tick{WallNanos: 77}, now))), ShouldEqual, len(fiveNodes)-1)
 			So(countParticipation(m, "c1", now), ShouldEqual, 0)
 			m.Step(Received{From: "c1", Body: Decided{Record: record}}, now)
 			So(countParticipation(m, "c1", now), ShouldEqual, 0)
--- a/internal/coordination/consensus/dispatch.go
+++ b/internal/coordination/consensus/dispatch.go
@@ -70,7 +70,7 @@
 // effects to be carried out, in order.
 func (m *Machine) Step(event any, now time.Duration) []Effect {
 	m.effects = nil
-	if handle, known := eventHandlers[reflect.TypeOf(event)]; known {
+	if handle, ok := eventHandlers[reflect.TypeOf(event)]; ok {
 		handle(m, event, now)
 	}
 	return m.effects
@@ -78,7 +78,7 @@
 
 func (m *Machine) onReceived(event Received, now time.Duration) {
 	m.contacts.received[event.From] = now
-	if handle, known := messageHandlers[reflect.TypeOf(event.Body)]; known {
+	if handle, ok := messageHandlers[reflect.TypeOf(event.Body)]; ok {
 		handle(m, event.From, event.Body, now)
 	}
 }
--- a/internal/coordination/consensus/election_test.go
+++ b/internal/coordination/consensus/election_test.go
@@ -14,28 +14,28 @@
 	Convey("A voter that has granted the lease lately refuses the backup and says for how long; the backup asks again then, and no sooner", t, func() {
 		start := time.Hour
 		backup, voter := newFormedMachine("c2", start), newFormedMachine("c3", start)
-		record, primacy := backup.Record(), DefaultTiming().PrimaryLease
-		last := start + time.Second
-		backup.Step(Received{From: "c1", Body: RenewLease{Record: record}}, last)
-		voter.Step(Received{From: "c1", Body: RenewLease{Record: record}}, last+60*time.Millisecond)
-		first := backup.Step(Tick{WallNanos: 77}, last+primacy)
-		prepares := bodiesSent[Prepare](first)
+		record, lease := backup.Record(), DefaultTiming().PrimaryLease
+		lastRenewal := start + time.Second
+		backup.Step(Received{From: "c1", Body: RenewLease{Record: record}}, lastRenewal)
+		voter.Step(Received{From: "c1", Body: RenewLease{Record: record}}, lastRenewal+60*time.Millisecond)
+		effects := backup.Step(Tick{WallNanos: 77}, lastRenewal+lease)
+		prepares := bodiesSent[Prepare](effects)
 		So(len(prepares), ShouldEqual, 2)
-		refused := bodiesSent[Promise](voter.Step(Received{From: "c2", Body: prepares[0]}, last+primacy))
+		refused := bodiesSent[Promise](voter.Step(Received{From: "c2", Body: prepares[0]}, lastRenewal+lease))
 		So(refused[0].Granted, ShouldBeFalse)
 		So(refused[0].RetryAfter, ShouldEqual, 60*time.Millisecond)
-		backup.Step(Received{From: "c3", Body: refused[0]}, last+primacy)
-		So(bodiesSent[Prepare](backup.Step(Tick{WallNanos: 77}, last+primacy+59*time.Millisecond)), ShouldBeEmpty)
-		again := bodiesSent[Prepare](backup.Step(Tick{WallNanos: 77}, last+primacy+60*time.Millisecond))
-		So(len(again), ShouldEqual, 2)
-		So(prepares[0].Number.IsBefore(again[0].Number), ShouldBeTrue)
-		given := bodiesSent[Promise](voter.Step(Received{From: "c2", Body: again[0]}, last+primacy+60*time.Millisecond))
-		So(given[0].Granted, ShouldBeTrue)
+		backup.Step(Received{From: "c3", Body: refused[0]}, lastRenewal+lease)
+		So(bodiesSent[Prepare](backup.Step(Tick{WallNanos: 77}, lastRenewal+lease+59*time.Millisecond)), ShouldBeEmpty)
+		retried := bodiesSent[Prepare](backup.Step(Tick{WallNanos: 77}, lastRenewal+lease+60*time.Millisecond))
+		So(len(retried), ShouldEqual, 2)
+		So(prepares[0].Number.IsBefore(retried[0].Number), ShouldBeTrue)
+		granted := bodiesSent[Promise](voter.Step(Received{From: "c2", Body: retried[0]}, lastRenewal+lease+60*time.Millisecond))
+		So(granted[0].Granted, ShouldBeTrue)
 	})
 	Convey("A voter that has just started says so too", t, func() {
 		voter := newFormedMachine("c3", time.Hour)
-		ask := Prepare{Decided: voter.Record(), Number: proposal.Number{Round: 1, Name: "c2"}}
-		refused := bodiesSent[Promise](voter.Step(Received{From: "c2", Body: ask}, time.Hour+200*time.Millisecond))
+		prepare := Prepare{Decided: voter.Record(), Number: proposal.Number{Round: 1, Name: "c2"}}
+		refused := bodiesSent[Promise](voter.Step(Received{From: "c2", Body: prepare}, time.Hour+200*time.Millisecond))
 		So(refused[0].Granted, ShouldBeFalse)
 		So(refused[0].RetryAfter, ShouldEqual, DefaultTiming().PrimaryLease-200*time.Millisecond)
 	})
@@ -59,15 +59,15 @@
 		now += DefaultTiming().PrimaryLease + time.Millisecond
 		So(bodiesSent[Prepare](backup.Step(Tick{}, now)), ShouldNotBeEmpty)
 		number := backup.proposals.current.Number
-		wait := DefaultTiming().PrimaryLease - 50*time.Millisecond
-		refused := now + 2*time.Millisecond
-		backup.Step(Received{From: "c1", Body: Promise{Epoch: 5, Number: number, RetryAfter: wait, Decided: backup.Record(), HighestPromised: proposal.Number{Round: 9, Name: "c1"}}}, refused)
-		for now < refused+wait-20*time.Millisecond {
+		retryAfter := DefaultTiming().PrimaryLease - 50*time.Millisecond
+		refusedAt := now + 2*time.Millisecond
+		backup.Step(Received{From: "c1", Body: Promise{Epoch: 5, Number: number, RetryAfter: retryAfter, Decided: backup.Record(), HighestPromised: proposal.Number{Round: 9, Name: "c1"}}}, refusedAt)
+		for now < refusedAt+retryAfter-20*time.Millisecond {
 			now += 10 * time.Millisecond
 			So(bodiesSent[Prepare](backup.Step(Tick{}, now)), ShouldBeEmpty)
 		}
 		prepares := 0
-		for now < refused+wait+40*time.Millisecond {
+		for now < refusedAt+retryAfter+40*time.Millisecond {
 			now += 10 * time.Millisecond
 			prepares += len(bodiesSent[Prepare](backup.Step(Tick{}, now)))
 		}
@@ -77,9 +77,9 @@
 
 func TestVotesForASpare(t *testing.T) {
 	now := time.Hour
-	record := Record{Epoch: 4, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(five)}
+	record := Record{Epoch: 4, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(fiveNodes)}
 	version := func(sequence uint64) store.Version { return store.Version{Epoch: 4, Sequence: sequence} }
-	voter := func(voterState VoterState) *Machine {
+	newVoter := func(voterState VoterState) *Machine {
 		replica := store.New()
 		replica.Apply(version(7), []store.Put{{Key: "k", Data: []byte("x")}})
 		voterState.Sequence, voterState.Decided = 1, record
@@ -88,39 +88,39 @@
 			VoterState: &voterState, Table: replica,
 		}, now)
 	}
-	late := now + 4*DefaultTiming().PrimaryLease
-	ask := func(m *Machine, from string, sequence uint64) bool {
+	afterExpiry := now + 4*DefaultTiming().PrimaryLease
+	requestVote := func(m *Machine, from string, sequence uint64) bool {
 		prepare := Prepare{Decided: record, Number: proposal.Number{Round: 1, Name: from}, Version: version(sequence)}
-		promises := bodiesSent[Promise](m.Step(Received{From: from, Body: prepare}, late))
+		promises := bodiesSent[Promise](m.Step(Received{From: from, Body: prepare}, afterExpiry))
 		So(len(promises), ShouldEqual, 1)
 		return promises[0].Granted
 	}
 	Convey("A spare is voted for only where its replica is not behind the voter's, and by nobody that may still be relied on by the primary", t, func() {
-		So(ask(voter(VoterState{}), "c5", 7), ShouldBeTrue)
-		So(ask(voter(VoterState{}), "c5", 8), ShouldBeTrue)
-		So(ask(voter(VoterState{}), "c5", 6), ShouldBeFalse)
-		So(ask(voter(VoterState{}), "c9", 7), ShouldBeFalse)
-		bound := voter(VoterState{})
-		bound.Step(Received{From: "c1", Body: RenewLease{Record: record, SentAt: late}}, late-time.Millisecond)
-		So(ask(bound, "c5", 8), ShouldBeFalse)
+		So(requestVote(newVoter(VoterState{}), "c5", 7), ShouldBeTrue)
+		So(requestVote(newVoter(VoterState{}), "c5", 8), ShouldBeTrue)
+		So(requestVote(newVoter(VoterState{}), "c5", 6), ShouldBeFalse)
+		So(requestVote(newVoter(VoterState{}), "c9", 7), ShouldBeFalse)
+		blocked := newVoter(VoterState{})
+		blocked.Step(Received{From: "c1", Body: RenewLease{Record: record, SentAt: afterExpiry}}, afterExpiry-time.Millisecond)
+		So(requestVote(blocked, "c5", 8), ShouldBeFalse)
 	})
 	Convey("One whose own replica was lost and not repaired since votes for no spare, and does not propose, until it is repaired", t, func() {
-		incomplete := voter(VoterState{ReplicaIncomplete: true})
-		So(ask(incomplete, "c5", 9), ShouldBeFalse)
-		So(bodiesSent[Prepare](incomplete.Step(Tick{}, late)), ShouldBeEmpty)
-		So(bodiesSent[Prepare](voter(VoterState{}).Step(Tick{}, late)), ShouldNotBeEmpty)
-		repaired := voter(VoterState{ReplicaIncomplete: true})
+		incomplete := newVoter(VoterState{ReplicaIncomplete: true})
+		So(requestVote(incomplete, "c5", 9), ShouldBeFalse)
+		So(bodiesSent[Prepare](incomplete.Step(Tick{}, afterExpiry)), ShouldBeEmpty)
+		So(bodiesSent[Prepare](newVoter(VoterState{}).Step(Tick{}, afterExpiry)), ShouldNotBeEmpty)
+		repaired := newVoter(VoterState{ReplicaIncomplete: true})
 		repaired.Step(Received{From: "c1", Body: RepairDigests{Record: record, Version: repaired.ReplicaTable().Version, Digests: repaired.ReplicaTable().Digests()}}, now)
-		So(ask(repaired, "c5", 9), ShouldBeTrue)
+		So(requestVote(repaired, "c5", 9), ShouldBeTrue)
 	})
 	Convey("One that voted for a spare syncs nothing more for the primary before", t, func() {
-		m := voter(VoterState{})
+		m := newVoter(VoterState{})
 		write := Replicate{Record: record, PreviousVersion: version(7), Version: version(8), Puts: []store.Put{{Key: "w", Data: []byte("x")}}}
-		So(ask(m, "c5", 7), ShouldBeTrue)
-		acks := bodiesSent[ReplicateAck](m.Step(Received{From: "c1", Body: write}, late))
+		So(requestVote(m, "c5", 7), ShouldBeTrue)
+		acks := bodiesSent[ReplicateAck](m.Step(Received{From: "c1", Body: write}, afterExpiry))
 		So(len(acks), ShouldEqual, 1)
 		So(acks[0].Synced, ShouldBeFalse)
-		So(bodiesSent[RepairDone](m.Step(Received{From: "c1", Body: RepairDigests{Record: record, Version: m.ReplicaTable().Version, Digests: m.ReplicaTable().Digests()}}, late)), ShouldBeEmpty)
-		So(bodiesSent[ReplicateAck](voter(VoterState{}).Step(Received{From: "c1", Body: write}, late))[0].Synced, ShouldBeTrue)
+		So(bodiesSent[RepairDone](m.Step(Received{From: "c1", Body: RepairDigests{Record: record, Version: m.ReplicaTable().Version, Digests: m.ReplicaTable().Digests()}}, afterExpiry)), ShouldBeEmpty)
+		So(bodiesSent[ReplicateAck](newVoter(VoterState{}).Step(Received{From: "c1", Body: write}, afterExpiry))[0].Synced, ShouldBeTrue)
 	})
 }
--- a/internal/coordination/consensus/epoch.go
+++ b/internal/coordination/consensus/epoch.go
@@ -22,11 +22,11 @@
 	wasPrimary, previousVoters := m.isRecordedPrimary(), m.voterState.Decided.Voters
 	m.setDecided(record)
 	m.saveVoterState()
-	m.replica.ahead = m.replica.ahead && m.isRecordedPrimary() && record.Backup != ""
+	m.replica.mayBeAhead = m.replica.mayBeAhead && m.isRecordedPrimary() && record.Backup != ""
 	m.proposals.end()
 	m.repairs.active = nil
 	clear(m.lease.grantSentAt)
-	m.assumeLease(now)
+	m.assumeLeaseGranted(now)
 	m.forgetReplacedVoters(previousVoters, now)
 	if !m.isRecordedPrimary() {
 		m.lease.until = 0
@@ -34,7 +34,7 @@
 	}
 	if m.IsStandby() {
 		// The new primary is offered a standby at once.
-		m.requestStatusAtOnce(now)
+		m.requestStatusOnNextTick(now)
 	}
 	if m.isRecordedPrimary() && !wasPrimary {
 		m.becomePrimary(now)
@@ -83,9 +83,9 @@
 	m.tracker.since = now
 }
 
-// audienceOf names the other nodes that are sent a record as soon as it is decided: the
+// decisionRecipients names the other nodes that are sent a record as soon as it is decided: the
 // voters before and after it, and the standbys. It is sorted.
-func (m *Machine) audienceOf(record Record) []string {
+func (m *Machine) decisionRecipients(record Record) []string {
 	names := slices.Concat(m.Voters(), record.Voters.Names(), slices.Collect(maps.Keys(m.standbys)))
 	slices.Sort(names)
 	return slices.DeleteFunc(slices.Compact(names), func(name string) bool { return name == m.self })
--- a/internal/coordination/consensus/grantedlease.go
+++ b/internal/coordination/consensus/grantedlease.go
@@ -6,18 +6,18 @@
 // primary may rely on it until PrimaryLease has passed, so that the voter votes for no
 // other candidate before.
 type grantedLease struct {
-	// to is the primary, empty where none was granted.
-	to string
-	at time.Duration
+	// primary is the primary, empty where none was granted.
+	primary   string
+	grantedAt time.Duration
 }
 
-// bindsUntil gives the moment before which the voter must not vote for a candidate, or
+// blocksUntil gives the moment before which the voter must not vote for a candidate, or
 // 0 where the lease does not keep it from that.
-func (l grantedLease) bindsUntil(candidate string, span time.Duration) time.Duration {
-	if l.to == "" || l.to == candidate {
+func (l grantedLease) blocksUntil(candidate string, span time.Duration) time.Duration {
+	if l.primary == "" || l.primary == candidate {
 		return 0
 	}
-	return l.at + span
+	return l.grantedAt + span
 }
 
 func (m *Machine) onRenewLease(from string, renewal RenewLease, now time.Duration) {
@@ -29,7 +29,7 @@
 	decided := m.voterState.Decided
 	granted := decided == renewal.Record && decided.Primary == from && !m.voterState.VotedForOther
 	if granted {
-		m.granted = grantedLease{to: from, at: now}
+		m.granted = grantedLease{primary: from, grantedAt: now}
 	}
 	m.send(from, RenewLeaseAck{
 		Decided: decided, SentAt: renewal.SentAt, Incarnation: renewal.Incarnation,
@@ -37,18 +37,18 @@
 	})
 }
 
-// assumeLease treats the primary of the newest record as one that this node has just
+// assumeLeaseGranted treats the primary of the newest record as one that this node has just
 // granted the lease.
-func (m *Machine) assumeLease(now time.Duration) {
-	m.granted = grantedLease{to: m.voterState.Decided.Primary, at: now}
+func (m *Machine) assumeLeaseGranted(now time.Duration) {
+	m.granted = grantedLease{primary: m.voterState.Decided.Primary, grantedAt: now}
 	m.contacts.primaryAt = now
 }
 
-// voteBoundFor says for how long this node must not vote for a candidate: a lease that
+// voteBlockedFor says for how long this node must not vote for a candidate: a lease that
 // it granted to another or holds itself may still be relied on, or one that it granted
 // before its restart.
-func (m *Machine) voteBoundFor(candidate string, now time.Duration) time.Duration {
-	until := m.granted.bindsUntil(candidate, m.timing.PrimaryLease)
+func (m *Machine) voteBlockedFor(candidate string, now time.Duration) time.Duration {
+	until := m.granted.blocksUntil(candidate, m.timing.PrimaryLease)
 	if m.isRecordedPrimary() {
 		until = max(until, m.lease.until)
 	}
@@ -58,8 +58,8 @@
 	return max(until-now, 0)
 }
 
-// isLeaseSilentFor says whether this node has granted no lease for a span, nor may
+// hasGrantedNoLeaseFor says whether this node has granted no lease for a span, nor may
 // have before it started.
-func (m *Machine) isLeaseSilentFor(span time.Duration, now time.Duration) bool {
-	return now >= m.granted.at+span && now >= m.startedAt+span
+func (m *Machine) hasGrantedNoLeaseFor(span time.Duration, now time.Duration) bool {
+	return now >= m.granted.grantedAt+span && now >= m.startedAt+span
 }
--- a/internal/coordination/consensus/helpers_test.go
+++ b/internal/coordination/consensus/helpers_test.go
@@ -8,7 +8,7 @@
 	"tansyseam/internal/state/store"
 )
 
-var five = []string{"c1", "c2", "c3", "c4", "c5"}
+var fiveNodes = []string{"c1", "c2", "c3", "c4", "c5"}
 
 // newMachine makes a node of a cluster in which exactly so many nodes vote.
 func newMachine(self string, voters int, timing Timing, saved PersistentState, now time.Duration) *Machine {
@@ -27,9 +27,9 @@
 
 // newBlankMachine makes a node with a blank disk, which asks the others for their status.
 func newBlankMachine(self string, now time.Duration) *Machine {
-	m := newMachine(self, len(five), DefaultTiming(), PersistentState{}, now)
-	m.Step(Peers{Names: five}, now)
-	So(len(bodiesSent[StatusRequest](m.Step(Tick{WallNanos: 77}, now))), ShouldBeGreaterThanOrEqualTo, len(five)-1)
+	m := newMachine(self, len(fiveNodes), DefaultTiming(), PersistentState{}, now)
+	m.Step(Peers{Names: fiveNodes}, now)
+	So(len(bodiesSent[StatusRequest](m.Step(Tick{WallNanos: 77}, now))), ShouldBeGreaterThanOrEqualTo, len(fiveNodes)-1)
 	return m
 }
 
--- a/internal/coordination/consensus/lease.go
+++ b/internal/coordination/consensus/lease.go
@@ -60,10 +60,10 @@
 }
 
 func (m *Machine) renewInterval(now time.Duration) time.Duration {
-	if m.holdsLease(now) || m.hearsQuorum(now) {
+	if m.holdsLease(now) || m.receivesFromQuorum(now) {
 		return m.timing.RenewInterval
 	}
-	return m.leases(isolatedRenewLeases)
+	return m.leaseDurations(isolatedRenewLeases)
 }
 
 func (m *Machine) onRenewLeaseAck(from string, ack RenewLeaseAck, now time.Duration) {
@@ -97,7 +97,7 @@
 		sentAt = append(sentAt, now)
 	}
 	m.eachOtherVoter(func(name string) {
-		if at, known := m.lease.grantSentAt[name]; known {
+		if at, ok := m.lease.grantSentAt[name]; ok {
 			sentAt = append(sentAt, at)
 		}
 	})
--- a/internal/coordination/consensus/lease_test.go
+++ b/internal/coordination/consensus/lease_test.go
@@ -25,9 +25,9 @@
 	}
 	Convey("A primary promises its backup nothing while it holds the lease, and says for how long", t, func() {
 		m := newPrimary()
-		answer := bodiesSent[Promise](m.Step(prepare(m), now+100*time.Millisecond))[0]
-		So(answer.Granted, ShouldBeFalse)
-		So(answer.RetryAfter, ShouldEqual, timing.PrimaryLease*9/10-100*time.Millisecond)
+		promise := bodiesSent[Promise](m.Step(prepare(m), now+100*time.Millisecond))[0]
+		So(promise.Granted, ShouldBeFalse)
+		So(promise.RetryAfter, ShouldEqual, timing.PrimaryLease*9/10-100*time.Millisecond)
 		So(bodiesSent[Promise](m.Step(prepare(m), now+timing.PrimaryLease))[0].Granted, ShouldBeTrue)
 	})
 	Convey("Once it has promised, its own grant counts no more", t, func() {
@@ -72,25 +72,25 @@
 	Convey("A primary whose messages arrive, and that receives none, leaves them the time to make the backup primary", t, func() {
 		now := time.Hour + time.Second
 		primary, backup, witness := newFormedMachine("c1", time.Hour), newFormedMachine("c2", time.Hour), newFormedMachine("c3", time.Hour)
-		all := map[string]*Machine{"c2": backup, "c3": witness}
-		var carry func(from string, effects []Effect)
-		carry = func(from string, effects []Effect) {
+		receivers := map[string]*Machine{"c2": backup, "c3": witness}
+		var deliver func(from string, effects []Effect)
+		deliver = func(from string, effects []Effect) {
 			for len(effects) > 0 {
 				send, ok := effects[0].(Send)
 				effects = effects[1:]
-				if to := all[send.To]; ok && to != nil && from != send.To {
-					for _, answer := range to.Step(Received{From: from, Body: send.Body}, now) {
-						if back, ok := answer.(Send); ok && all[back.To] != nil {
-							carry(send.To, []Effect{back})
+				if to := receivers[send.To]; ok && to != nil && from != send.To {
+					for _, effect := range to.Step(Received{From: from, Body: send.Body}, now) {
+						if reply, ok := effect.(Send); ok && receivers[reply.To] != nil {
+							deliver(send.To, []Effect{reply})
 						}
 					}
 				}
 			}
 		}
 		for until := now + 6*time.Second; now < until && !backup.IsPrimary(now); now += 20 * time.Millisecond {
-			carry("c1", primary.Step(Tick{WallNanos: 7}, now))
-			carry("c2", backup.Step(Tick{WallNanos: 7}, now))
-			carry("c3", witness.Step(Tick{WallNanos: 7}, now))
+			deliver("c1", primary.Step(Tick{WallNanos: 7}, now))
+			deliver("c2", backup.Step(Tick{WallNanos: 7}, now))
+			deliver("c3", witness.Step(Tick{WallNanos: 7}, now))
 			So(primary.IsPrimary(now), ShouldBeFalse)
 		}
 		So(backup.IsPrimary(now), ShouldBeTrue)
@@ -116,26 +116,26 @@
 		m.Step(Tick{WallNanos: 77}, now)
 		grant(m, now)
 		So(m.IsPrimary(now), ShouldBeTrue)
-		last := time.Duration(0)
-		for owed := time.Duration(0); owed < 2*time.Second; owed += 50 * time.Millisecond {
-			at := now + owed
-			effects := m.Step(Tick{WallNanos: 77, SyncPending: owed}, at)
+		lastRenewal := time.Duration(0)
+		for syncPending := time.Duration(0); syncPending < 2*time.Second; syncPending += 50 * time.Millisecond {
+			at := now + syncPending
+			effects := m.Step(Tick{WallNanos: 77, SyncPending: syncPending}, at)
 			if len(bodiesSent[RenewLease](effects)) > 0 {
-				last = owed
+				lastRenewal = syncPending
 				grant(m, at)
 			}
 			So(bodiesSent[Prepare](effects), ShouldBeEmpty)
 		}
-		So(last, ShouldBeBetween, DefaultTiming().ReplyTimeout-DefaultTiming().RenewInterval, DefaultTiming().ReplyTimeout+1)
+		So(lastRenewal, ShouldBeBetween, DefaultTiming().ReplyTimeout-DefaultTiming().RenewInterval, DefaultTiming().ReplyTimeout+1)
 		So(m.IsPrimary(now+2*time.Second), ShouldBeFalse)
 		So(m.Step(Submit{Token: 5}, now+2*time.Second), ShouldResemble, []Effect{SubmitResult{Token: 5}})
 		So(bodiesSent[RenewLease](m.Step(Tick{WallNanos: 77}, now+2*time.Second)), ShouldNotBeEmpty)
 	})
 	Convey("A backup whose disk hangs does not propose", t, func() {
-		for _, owed := range []time.Duration{0, time.Second} {
+		for _, syncPending := range []time.Duration{0, time.Second} {
 			m := newFormedMachine("c2", now)
-			effects := m.Step(Tick{WallNanos: 77, SyncPending: owed}, now+time.Second)
-			So(len(bodiesSent[Prepare](effects)) > 0, ShouldEqual, owed == 0)
+			effects := m.Step(Tick{WallNanos: 77, SyncPending: syncPending}, now+time.Second)
+			So(len(bodiesSent[Prepare](effects)) > 0, ShouldEqual, syncPending == 0)
 		}
 	})
 	Convey("A write that still waits for the primary's own disk is no failure of the backup", t, func() {
--- a/internal/coordination/consensus/leaving.go
+++ b/internal/coordination/consensus/leaving.go
@@ -18,8 +18,8 @@
 
 // has says whether a node's announcement counts.
 func (l leavingNodes) has(name string, now time.Duration) bool {
-	at, known := l[name]
-	return known && now-at < leavingTTL
+	at, ok := l[name]
+	return ok && now-at < leavingTTL
 }
 
 func (m *Machine) onLeave(_ Leave, now time.Duration) {
--- a/internal/coordination/consensus/leaving_test.go
+++ b/internal/coordination/consensus/leaving_test.go
@@ -9,16 +9,16 @@
 
 func TestPlannedLeaving(t *testing.T) {
 	leave := func(c *cluster, name string) time.Duration {
-		from := c.now
+		start := c.now
 		c.step(name, Leave{})
-		for c.now < from+3*time.Second && !c.machines[name].MayStop() {
+		for c.now < start+3*time.Second && !c.machines[name].MayStop() {
 			c.run(20 * time.Millisecond)
 		}
 		c.up[name] = false
-		return c.now - from
+		return c.now - start
 	}
 	Convey("A node that shuts down hands its role over first, in less time than a failover takes, and what is acknowledged is on two disks beside it", t, func() {
-		for role, pick := range lossTargets {
+		for role, pick := range nodeByRole {
 			c, _ := newFormedCluster(3, "c1", "c2", "c3")
 			So(c.submitAndCommit(1), ShouldBeTrue)
 			leaving := pick(c)
@@ -33,9 +33,9 @@
 		}
 	})
 	Convey("Where a standby is there, it takes the vote of the node that leaves", t, func() {
-		for role, pick := range lossTargets {
+		for role, pick := range nodeByRole {
 			c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
-			c.add(bootstrap, "n1")
+			c.startBlankNode(bootstrap, "n1")
 			c.run(2 * time.Second)
 			So(c.machines["n1"].IsMember(), ShouldBeFalse)
 			leaving := pick(c)
@@ -51,14 +51,14 @@
 	Convey("Where the disk of one node is lost and another voter leaves before that one is back, its place is taken first", t, func() {
 		c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
 		So(c.submitAndCommit(1), ShouldBeTrue)
-		c.add(bootstrap, "n1")
+		c.startBlankNode(bootstrap, "n1")
 		c.run(2 * time.Second)
 		record, witness := c.machines[c.primary()].Record(), c.witness()
 		c.up[record.Backup] = false
 		c.run(100 * time.Millisecond)
 		So(leave(c, witness), ShouldBeLessThan, 500*time.Millisecond)
 		So(c.machines["n1"].IsMember(), ShouldBeTrue)
-		c.add(bootstrap, record.Backup)
+		c.startBlankNode(bootstrap, record.Backup)
 		c.run(catchUpTime)
 		So(c.submitAndCommit(2), ShouldBeTrue)
 	})
@@ -70,7 +70,7 @@
 		c.step(witness, Leave{})
 		c.run(time.Second)
 		So(c.machines[witness].MayStop(), ShouldBeFalse)
-		c.add(bootstrap, "n1")
+		c.startBlankNode(bootstrap, "n1")
 		c.run(time.Second)
 		So(c.machines[witness].MayStop(), ShouldBeTrue)
 		c.up[witness] = false
@@ -87,7 +87,7 @@
 	Convey("All nodes may be restarted in turn, many times, and writes are committed", t, func() {
 		c, _ := newFormedCluster(3, "c1", "c2", "c3")
 		for token := uint64(1); token < 20; token++ {
-			leaving := c.live()[int(token)%3]
+			leaving := c.upNodes()[int(token)%3]
 			leave(c, leaving)
 			SoMsg(leaving, c.submitAndCommit(token), ShouldBeTrue)
 			c.machines[leaving].shutdown = shutdown{}
@@ -97,7 +97,7 @@
 	})
 	Convey("A node that shuts down is no standby", t, func() {
 		m := newBlankMachine("n1", time.Hour)
-		m.Step(Received{From: "c2", Body: Status{Cluster: "x", Decided: Record{Epoch: 4, Primary: "c1", Voters: votersWithoutIncarnation(five)}}}, time.Hour)
+		m.Step(Received{From: "c2", Body: Status{Cluster: "x", Decided: Record{Epoch: 4, Primary: "c1", Voters: votersWithoutIncarnation(fiveNodes)}}}, time.Hour)
 		m.Step(Leave{}, time.Hour)
 		So(bodiesSent[Join](m.Step(Tick{WallNanos: 78}, 2*time.Hour)), ShouldBeEmpty)
 		So(m.MayStop(), ShouldBeTrue)
--- a/internal/coordination/consensus/load.go
+++ b/internal/coordination/consensus/load.go
@@ -60,8 +60,8 @@
 	return table, err
 }
 
-func decodePointer[Value, Encoded any](data []byte, from func(Encoded) Value) (*Value, error) {
-	value, err := store.Decode(data, from)
+func decodePointer[Value, Encoded any](data []byte, convert func(Encoded) Value) (*Value, error) {
+	value, err := store.Decode(data, convert)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/coordination/consensus/machine.go
+++ b/internal/coordination/consensus/machine.go
@@ -69,9 +69,9 @@
 	m.restore(saved)
 	m.proposals.unsettled = m.voterState.Acceptor.Promised.Name == self
 	decided := m.voterState.Decided
-	m.replica.ahead = decided.Primary == self && decided.Backup != "" && m.replica.version().Epoch == decided.Epoch
-	m.requestStatusAtOnce(now)
-	m.contacts.primaryAt = now - m.leases(contactLossLeases)
+	m.replica.mayBeAhead = decided.Primary == self && decided.Backup != "" && m.replica.version().Epoch == decided.Epoch
+	m.requestStatusOnNextTick(now)
+	m.contacts.primaryAt = now - m.leaseDurations(contactLossLeases)
 	return m
 }
 
@@ -129,12 +129,14 @@
 }
 
 // IsPrimary says whether this node holds the lease, and its replica may be served.
-func (m *Machine) IsPrimary(now time.Duration) bool { return m.holdsLease(now) && !m.replica.ahead }
+func (m *Machine) IsPrimary(now time.Duration) bool {
+	return m.holdsLease(now) && !m.replica.mayBeAhead
+}
 
 // LeaseUntil gives the moment until which this node is primary; where it is past or 0,
 // it is none.
 func (m *Machine) LeaseUntil() time.Duration {
-	if m.replica.ahead {
+	if m.replica.mayBeAhead {
 		return 0
 	}
 	return m.lease.until
@@ -162,10 +164,10 @@
 	return found
 }
 
-func (m *Machine) eachOtherVoter(each func(name string)) {
+func (m *Machine) eachOtherVoter(visit func(name string)) {
 	for _, name := range m.Voters() {
 		if name != m.self {
-			each(name)
+			visit(name)
 		}
 	}
 }
--- a/internal/coordination/consensus/membership.go
+++ b/internal/coordination/consensus/membership.go
@@ -56,7 +56,7 @@
 // needsReplacement says whether a voter is silent, or leaves and is not the backup.
 func (m *Machine) needsReplacement(name string, now time.Duration) bool {
 	isLeaving := m.leaving.has(name, now) && name != m.voterState.Decided.Backup
-	return isLeaving || m.tracker.silence(name, now) > m.leases(silentVoterLeases)
+	return isLeaving || m.tracker.silence(name, now) > m.leaseDurations(silentVoterLeases)
 }
 
 // pickStandby gives the standby in the zone with the fewest voters besides the one that
--- a/internal/coordination/consensus/membership_test.go
+++ b/internal/coordination/consensus/membership_test.go
@@ -13,26 +13,26 @@
 
 func TestReplacement(t *testing.T) {
 	Convey("Whichever node is gone, one that comes in its place votes and is repaired within the time that it has, so that the next loss, of any, is borne; many times over", t, func() {
-		for first, lose := range lossTargets {
-			for second, loseNext := range lossTargets {
+		for firstRole, pickFirst := range nodeByRole {
+			for secondRole, pickSecond := range nodeByRole {
 				c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
 				token := uint64(1)
 				So(c.submitAndCommit(token), ShouldBeTrue)
 				for round := range 4 {
-					about := fmt.Sprintf("%s, then %s, %d", first, second, round)
-					c.up[lose(c)] = false
+					scenario := fmt.Sprintf("%s, then %s, %d", firstRole, secondRole, round)
+					c.up[pickFirst(c)] = false
 					c.run(time.Second)
 					name := fmt.Sprintf("n%d", round)
-					c.add(bootstrap, name)
+					c.startBlankNode(bootstrap, name)
 					c.run(catchUpTime)
 					So(c.primary(), ShouldNotBeEmpty)
-					SoMsg(about, c.machines[name].IsMember(), ShouldBeTrue)
-					SoMsg(about, c.machines[c.primary()].Record().Backup, ShouldNotBeEmpty)
-					lost := loseNext(c)
+					SoMsg(scenario, c.machines[name].IsMember(), ShouldBeTrue)
+					SoMsg(scenario, c.machines[c.primary()].Record().Backup, ShouldNotBeEmpty)
+					lost := pickSecond(c)
 					c.up[lost] = false
 					c.run(3 * time.Second)
 					token++
-					SoMsg(about, c.submitAndCommit(token), ShouldBeTrue)
+					SoMsg(scenario, c.submitAndCommit(token), ShouldBeTrue)
 					So(c.machines[c.primary()].CommittedTable().Records, ShouldContainKey, "1")
 					c.up[lost] = true
 					c.run(5 * time.Second)
@@ -41,63 +41,63 @@
 		}
 	})
 	Convey("The disk of any node is lost, and another's once the first has been back for the time that it has: all that was acknowledged is there", t, func() {
-		for _, lose := range lossTargets {
-			for _, loseNext := range lossTargets {
+		for _, pickFirst := range nodeByRole {
+			for _, pickSecond := range nodeByRole {
 				c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
 				for token := uint64(1); token < 8; token += 2 {
 					So(c.submitAndCommit(token), ShouldBeTrue)
-					c.add(bootstrap, lose(c))
+					c.startBlankNode(bootstrap, pickFirst(c))
 					c.run(catchUpTime)
 					So(c.submitAndCommit(token+1), ShouldBeTrue)
-					c.add(bootstrap, loseNext(c))
+					c.startBlankNode(bootstrap, pickSecond(c))
 					c.run(catchUpTime)
-					for before := uint64(1); before <= token+1; before++ {
-						So(c.machines[c.primary()].CommittedTable().Records, ShouldContainKey, fmt.Sprint(before))
+					for earlierToken := uint64(1); earlierToken <= token+1; earlierToken++ {
+						So(c.machines[c.primary()].CommittedTable().Records, ShouldContainKey, fmt.Sprint(earlierToken))
 					}
 				}
 			}
 		}
 	})
 	Convey("Of five nodes, where two may be lost, two are gone and two others come; then any two lose their disks", t, func() {
-		for _, first := range []string{"primary", "backup", "witness"} {
+		for _, role := range []string{"primary", "backup", "witness"} {
 			c, bootstrap := newFormedCluster(5, "c1", "c2", "c3", "c4", "c5")
 			So(c.submitAndCommit(1), ShouldBeTrue)
 			for round := range 3 {
-				gone := lossTargets[first](c)
+				firstLost := nodeByRole[role](c)
 				voters := c.machines[c.primary()].Record().Voters.Names()
-				also := voters[round]
-				if also == gone {
-					also = voters[round+1]
+				secondLost := voters[round]
+				if secondLost == firstLost {
+					secondLost = voters[round+1]
 				}
-				c.up[gone], c.up[also] = false, false
+				c.up[firstLost], c.up[secondLost] = false, false
 				c.run(time.Second)
-				c.add(bootstrap, fmt.Sprintf("n%d", 2*round))
-				c.add(bootstrap, fmt.Sprintf("n%d", 2*round+1))
+				c.startBlankNode(bootstrap, fmt.Sprintf("n%d", 2*round))
+				c.startBlankNode(bootstrap, fmt.Sprintf("n%d", 2*round+1))
 				c.run(6 * time.Second)
 				record := c.machines[c.primary()].Record()
 				for name, up := range c.up {
 					So(record.Voters.Names(), map[bool]func(any, ...any) string{true: ShouldContain, false: ShouldNotContain}[up], name)
 				}
 				So(c.submitAndCommit(uint64(round+2)), ShouldBeTrue)
-				c.wipe(bootstrap, record.Primary, record.Backup)
+				c.wipeDisks(bootstrap, record.Primary, record.Backup)
 				c.run(8 * time.Second)
-				for before := 1; before <= round+2; before++ {
-					So(c.machines[c.primary()].CommittedTable().Records, ShouldContainKey, fmt.Sprint(before))
+				for earlierToken := 1; earlierToken <= round+2; earlierToken++ {
+					So(c.machines[c.primary()].CommittedTable().Records, ShouldContainKey, fmt.Sprint(earlierToken))
 				}
 			}
 		}
 	})
 	Convey("A node that was replaced while it was away comes back with its disk as a standby, and its old epoch makes nobody primary", t, func() {
 		c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
-		away := c.primary()
-		c.up[away] = false
+		absent := c.primary()
+		c.up[absent] = false
 		c.run(time.Second)
-		c.add(bootstrap, "n1")
+		c.startBlankNode(bootstrap, "n1")
 		c.run(catchUpTime)
-		for _, name := range c.live() {
+		for _, name := range c.upNodes() {
 			c.up[name] = false
 		}
-		c.up[away] = true
+		c.up[absent] = true
 		c.run(5 * time.Second)
 		So(c.primary(), ShouldBeEmpty)
 		for name := range c.up {
@@ -105,16 +105,16 @@
 		}
 		c.run(3 * time.Second)
 		So(c.primary(), ShouldNotBeEmpty)
-		So(c.primary(), ShouldNotEqual, away)
-		So(c.machines[away].IsStandby(), ShouldBeTrue)
-		So(c.machines[away].Record(), ShouldResemble, c.machines[c.primary()].Record())
+		So(c.primary(), ShouldNotEqual, absent)
+		So(c.machines[absent].IsStandby(), ShouldBeTrue)
+		So(c.machines[absent].Record(), ShouldResemble, c.machines[c.primary()].Record())
 		c.up["n1"] = false
 		c.run(catchUpTime)
-		So(c.machines[away].IsMember(), ShouldBeTrue)
+		So(c.machines[absent].IsMember(), ShouldBeTrue)
 	})
 	Convey("No voter is replaced while it answers, nor before it was silent for a while, nor by one that is not there", t, func() {
 		c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
-		c.add(bootstrap, "n1")
+		c.startBlankNode(bootstrap, "n1")
 		c.run(20 * time.Second)
 		So(c.machines["n1"].IsMember(), ShouldBeFalse)
 		witness := c.witness()
@@ -141,32 +141,32 @@
 
 func TestOffers(t *testing.T) {
 	now := time.Hour
-	primary := func() *Machine {
+	newPrimary := func() *Machine {
 		m := newFormedMachine("c1", now)
 		m.Step(Tick{WallNanos: 77}, now)
 		m.Step(Received{From: "c3", Body: RenewLeaseAck{Decided: m.Record(), SentAt: now, Incarnation: m.processIncarnation, Granted: true}}, now)
 		So(m.IsPrimary(now), ShouldBeTrue)
 		return m
 	}
-	offer := func(m *Machine, join Join) []Effect {
+	sendOffer := func(m *Machine, join Join) []Effect {
 		return m.Step(Received{From: "n1", Body: join}, now)
 	}
 	Convey("An offer is answered by the newest record, and counts only from a node that has synced that one and is no voter by it", t, func() {
-		m := primary()
-		effects := offer(m, Join{Cluster: "x", Epoch: 3, Incarnation: 7})
+		m := newPrimary()
+		effects := sendOffer(m, Join{Cluster: "x", Epoch: 3, Incarnation: 7})
 		So(bodiesSent[Decided](effects), ShouldResemble, []Decided{{Record: m.Record()}})
 		So(m.readyStandbys(now), ShouldBeEmpty)
-		offer(m, Join{Cluster: "other", Epoch: 4, Incarnation: 7})
+		sendOffer(m, Join{Cluster: "other", Epoch: 4, Incarnation: 7})
 		So(m.readyStandbys(now), ShouldBeEmpty)
-		offer(m, Join{Cluster: "x", Epoch: 4, Incarnation: 7})
+		sendOffer(m, Join{Cluster: "x", Epoch: 4, Incarnation: 7})
 		So(m.readyStandbys(now), ShouldResemble, []Member{{"n1", 7}})
 		So(m.readyStandbys(now+standbyOfferTTL), ShouldBeEmpty)
 		m.Step(Received{From: "c2", Body: Join{Cluster: "x", Epoch: 4}}, now)
 		So(len(m.readyStandbys(now)), ShouldEqual, 1)
 	})
 	Convey("An offer that rests on an older epoch counts no more once there is a newer one", t, func() {
-		m := primary()
-		offer(m, Join{Cluster: "x", Epoch: 4, Incarnation: 7})
+		m := newPrimary()
+		sendOffer(m, Join{Cluster: "x", Epoch: 4, Incarnation: 7})
 		next := m.Record()
 		next.Epoch, next.Backup = 5, "c3"
 		m.Step(Received{From: "c3", Body: Decided{Record: next}}, now)
@@ -175,7 +175,7 @@
 	Convey("A standby's offer waits until the record that gives it no vote is synced", t, func() {
 		m := newBlankMachine("n1", now)
 		var gate SyncGate
-		effects := m.Step(Received{From: "c2", Body: Status{Cluster: "x", Decided: Record{Epoch: 4, Primary: "c1", Voters: votersWithoutIncarnation(five)}}}, now)
+		effects := m.Step(Received{From: "c2", Body: Status{Cluster: "x", Decided: Record{Epoch: 4, Primary: "c1", Voters: votersWithoutIncarnation(fiveNodes)}}}, now)
 		effects = append(effects, m.Step(Tick{WallNanos: 78}, now+time.Second)...)
 		So(len(bodiesSent[Join](effects)), ShouldEqual, 1)
 		So(bodiesSent[Join](gate.Pass(effects, now)), ShouldBeEmpty)
@@ -189,15 +189,15 @@
 		So(len(bodiesSent[Join](ready)), ShouldEqual, 1)
 	})
 	Convey("A voter whose record is replaced by one without it votes for no spare until it is a voter again and repaired", t, func() {
-		record := Record{Epoch: 4, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(five)}
+		record := Record{Epoch: 4, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(fiveNodes)}
 		m := NewWithBootstrap("c4", BootstrapConfig{Voters: 5, RequireBackup: true}, DefaultTiming(), PersistentState{
-			Identity:   &Identity{Cluster: "x", Self: "c4", Voters: five, Formed: true},
+			Identity:   &Identity{Cluster: "x", Self: "c4", Voters: fiveNodes, Formed: true},
 			VoterState: &VoterState{Sequence: 1, Decided: record}, Table: store.New(),
 		}, now)
 		So(m.voterState.ReplicaIncomplete, ShouldBeFalse)
-		without := record
-		without.Epoch, without.Voters = 5, record.Voters.Replace(Member{Name: "c4"}, Member{Name: "n1", Incarnation: 9})
-		m.Step(Received{From: "c1", Body: Decided{Record: without}}, now)
+		withoutNode := record
+		withoutNode.Epoch, withoutNode.Voters = 5, record.Voters.Replace(Member{Name: "c4"}, Member{Name: "n1", Incarnation: 9})
+		m.Step(Received{From: "c1", Body: Decided{Record: withoutNode}}, now)
 		So(m.voterState.ReplicaIncomplete, ShouldBeTrue)
 		record.Epoch = 6
 		m.Step(Received{From: "c1", Body: Decided{Record: record}}, now)
--- a/internal/coordination/consensus/parts_test.go
+++ b/internal/coordination/consensus/parts_test.go
@@ -13,59 +13,59 @@
 func TestHeldLease(t *testing.T) {
 	const span = time.Second
 	cases := []struct {
-		about  string
-		before time.Duration
-		sentAt []time.Duration
-		until  time.Duration
+		behavior      string
+		previousUntil time.Duration
+		sentAt        []time.Duration
+		wantUntil     time.Duration
 	}{
 		{"is counted from when the last of a quorum was asked", 0, []time.Duration{70, 30, 50}, 50 + span*9/10},
 		{"is not extended by a voter beyond the quorum", 0, []time.Duration{50, 70, 50}, 50 + span*9/10},
 		{"never becomes shorter", 2 * span, []time.Duration{70, 30, 50}, 2 * span},
 	}
 	for _, test := range cases {
-		Convey("The lease that a primary holds "+test.about, t, func() {
-			lease := heldLease{until: test.before}
+		Convey("The lease that a primary holds "+test.behavior, t, func() {
+			lease := heldLease{until: test.previousUntil}
 			lease.extend(test.sentAt, 2, span)
-			So(lease.until, ShouldEqual, test.until)
+			So(lease.until, ShouldEqual, test.wantUntil)
 		})
 	}
 }
 
 func TestGrantedLease(t *testing.T) {
 	cases := []struct {
-		about     string
+		behavior  string
 		granted   grantedLease
 		candidate string
-		until     time.Duration
+		wantUntil time.Duration
 	}{
 		{"binds to no one before it is granted", grantedLease{}, "c2", 0},
-		{"does not bind against the primary itself", grantedLease{to: "c1", at: 7}, "c1", 0},
-		{"binds against all others for its span", grantedLease{to: "c1", at: 7}, "c2", 107},
+		{"does not bind against the primary itself", grantedLease{primary: "c1", grantedAt: 7}, "c1", 0},
+		{"binds against all others for its span", grantedLease{primary: "c1", grantedAt: 7}, "c2", 107},
 	}
 	for _, test := range cases {
-		Convey("A lease that a voter grants "+test.about, t, func() {
-			So(test.granted.bindsUntil(test.candidate, 100), ShouldEqual, test.until)
+		Convey("A lease that a voter grants "+test.behavior, t, func() {
+			So(test.granted.blocksUntil(test.candidate, 100), ShouldEqual, test.wantUntil)
 		})
 	}
 }
 
 func TestProposalState(t *testing.T) {
 	const replyTimeout = 100
-	started := func() proposalState {
+	startProposal := func() proposalState {
 		p := proposalState{nextAt: 50}
 		p.start(proposal.NewProposer(p.nextNumber("c1"), 3, nil, 0), Record{Epoch: 4})
 		return p
 	}
 	Convey("A proposal is for the epoch after its base, and numbered above all that is known", t, func() {
-		p := started()
+		p := startProposal()
 		So(p.epoch(), ShouldEqual, 5)
 		So(p.hasNumber(proposal.Number{Round: 1, Name: "c1"}), ShouldBeTrue)
-		p.noteRound(7)
-		p.noteRound(3)
+		p.observeRound(7)
+		p.observeRound(3)
 		So(p.nextNumber("c1"), ShouldResemble, proposal.Number{Round: 8, Name: "c1"})
 	})
 	Convey("One that is given up without an answer may still be decided, until the epoch is", t, func() {
-		p := started()
+		p := startProposal()
 		p.expire(replyTimeout, replyTimeout)
 		So(p.isUnderWay(), ShouldBeTrue)
 		p.expire(replyTimeout, replyTimeout+1)
@@ -76,10 +76,10 @@
 		So(p.isDue(0), ShouldBeTrue)
 	})
 	Convey("One that was refused is made again when the first of the voters may vote, though others are later", t, func() {
-		p := started()
-		p.noteRetry(40)
-		p.noteRetry(30)
-		p.noteRetry(60)
+		p := startProposal()
+		p.scheduleRetry(40)
+		p.scheduleRetry(30)
+		p.scheduleRetry(60)
 		p.expire(replyTimeout, 29)
 		So(p.isUnderWay(), ShouldBeTrue)
 		p.expire(replyTimeout, 30)
@@ -87,10 +87,10 @@
 		So(p.isDue(30), ShouldBeTrue)
 	})
 	Convey("A delay does not bring the next proposal forward", t, func() {
-		p := started()
-		p.delay(20)
+		p := startProposal()
+		p.delayUntil(20)
 		So(p.isDue(49), ShouldBeFalse)
-		p.delay(80)
+		p.delayUntil(80)
 		So(p.isDue(79), ShouldBeFalse)
 		So(p.isDue(80), ShouldBeTrue)
 	})
@@ -132,13 +132,13 @@
 func TestPeerSet(t *testing.T) {
 	Convey("The nodes are enough since there have been as many as vote without a break", t, func() {
 		var peers peerSet
-		two, three := Peers{Names: []string{"c1", "c2"}}, Peers{Names: []string{"c3", "c1", "c2"}}
-		peers.update(three, 3, 10)
-		peers.update(three, 3, 20)
+		twoPeers, threePeers := Peers{Names: []string{"c1", "c2"}}, Peers{Names: []string{"c3", "c1", "c2"}}
+		peers.update(threePeers, 3, 10)
+		peers.update(threePeers, 3, 20)
 		So(peers.hasEnoughFor(10, 20), ShouldBeTrue)
-		peers.update(two, 3, 30)
+		peers.update(twoPeers, 3, 30)
 		So(peers.hasEnoughFor(0, 30), ShouldBeFalse)
-		peers.update(three, 3, 40)
+		peers.update(threePeers, 3, 40)
 		So(peers.hasEnoughFor(10, 49), ShouldBeFalse)
 		So(peers.sorted(), ShouldResemble, []string{"c1", "c2", "c3"})
 	})
--- a/internal/coordination/consensus/peers.go
+++ b/internal/coordination/consensus/peers.go
@@ -39,8 +39,8 @@
 func (p *peerSet) atAddresses(addresses []string) []string {
 	var names []string
 	for _, address := range addresses {
-		name, met := p.byAddress[address]
-		if met && !slices.Contains(names, name) {
+		name, found := p.byAddress[address]
+		if found && !slices.Contains(names, name) {
 			names = append(names, name)
 		}
 	}
--- a/internal/coordination/consensus/proposer.go
+++ b/internal/coordination/consensus/proposer.go
@@ -38,8 +38,8 @@
 // isDue says whether this node may propose again.
 func (p *proposalState) isDue(now time.Duration) bool { return now >= p.nextAt }
 
-// delay has this node not propose before a moment.
-func (p *proposalState) delay(until time.Duration) { p.nextAt = max(p.nextAt, until) }
+// delayUntil has this node not propose before a moment.
+func (p *proposalState) delayUntil(until time.Duration) { p.nextAt = max(p.nextAt, until) }
 
 // epoch is the one whose record is proposed.
 func (p *proposalState) epoch() uint64 { return p.base.Epoch + 1 }
@@ -49,8 +49,8 @@
 	return p.current != nil && p.current.Number == number
 }
 
-// noteRound notes the round of a proposal that a voter has promised.
-func (p *proposalState) noteRound(round uint64) { p.highestRound = max(p.highestRound, round) }
+// observeRound notes the round of a proposal that a voter has promised.
+func (p *proposalState) observeRound(round uint64) { p.highestRound = max(p.highestRound, round) }
 
 // nextNumber gives the number of a new proposal, which is higher than all known.
 func (p *proposalState) nextNumber(name string) proposal.Number {
@@ -75,8 +75,8 @@
 	}
 }
 
-// noteRetry plans another proposal for the moment at which a voter may vote for it.
-func (p *proposalState) noteRetry(at time.Duration) {
+// scheduleRetry plans another proposal for the moment at which a voter may vote for it.
+func (p *proposalState) scheduleRetry(at time.Duration) {
 	if p.retryAt == 0 || at < p.retryAt {
 		p.retryAt = at
 	}
@@ -92,7 +92,7 @@
 		return
 	}
 	decided := m.voterState.Decided
-	m.proposals.noteRound(m.voterState.Acceptor.Promised.Round)
+	m.proposals.observeRound(m.voterState.Acceptor.Promised.Round)
 	number := m.proposals.nextNumber(m.self)
 	m.proposals.start(proposal.NewProposer(number, len(m.Voters()), store.EncodePlain(record), now), decided)
 	m.proposals.nextAt = now + m.proposalBackoff()
@@ -117,7 +117,7 @@
 
 func (m *Machine) onPromise(from string, promise Promise, now time.Duration) {
 	m.adopt(promise.Decided, now, reasonVoterAhead)
-	m.proposals.noteRound(promise.HighestPromised.Round)
+	m.proposals.observeRound(promise.HighestPromised.Round)
 	if !m.proposals.hasNumber(promise.Number) {
 		return
 	}
@@ -138,10 +138,10 @@
 func (m *Machine) noteRefusal(voter string, retryAfter time.Duration, now time.Duration) {
 	retryAt := now + retryAfter
 	if retryAfter > 0 {
-		m.proposals.noteRetry(retryAt)
+		m.proposals.scheduleRetry(retryAt)
 	}
-	if voter == m.voterState.Decided.Primary || m.isUnnamedVoter() {
-		m.proposals.delay(retryAt)
+	if voter == m.voterState.Decided.Primary || m.isSpareVoter() {
+		m.proposals.delayUntil(retryAt)
 	}
 }
 
@@ -169,9 +169,9 @@
 	if err != nil {
 		return
 	}
-	audience := m.audienceOf(record)
+	recipients := m.decisionRecipients(record)
 	m.adopt(record, now, reasonProposalWon)
-	for _, name := range audience {
+	for _, name := range recipients {
 		m.send(name, Decided{Record: record})
 	}
 }
--- a/internal/coordination/consensus/repair.go
+++ b/internal/coordination/consensus/repair.go
@@ -17,16 +17,16 @@
 	// active is the repair of the voter that is to be the backup, or nil. It is replaced,
 	// never changed.
 	active *repair
-	// sparesComparedAt is when the spares that lack writes were last sent digests.
-	sparesComparedAt time.Duration
+	// spareDigestsSentAt is when the spares that lack writes were last sent digests.
+	spareDigestsSentAt time.Duration
 }
 
-// isOf says whether the replica of a voter is repaired to make it the backup.
-func (s *repairState) isOf(peer string) bool { return s.active != nil && s.active.peer == peer }
+// isRepairing says whether the replica of a voter is repaired to make it the backup.
+func (s *repairState) isRepairing(peer string) bool { return s.active != nil && s.active.peer == peer }
 
-// recruitBackup repairs the replica of a voter that is to be the backup, where there is
+// repairNextBackup repairs the replica of a voter that is to be the backup, where there is
 // none or it leaves. A voter that failed lately is tried only while the backup leaves.
-func (m *Machine) recruitBackup(now time.Duration) {
+func (m *Machine) repairNextBackup(now time.Duration) {
 	backup := m.voterState.Decided.Backup
 	isLeaving := m.leaving.has(backup, now)
 	if (backup != "" && !isLeaving) || !m.IsPrimary(now) {
@@ -53,9 +53,9 @@
 func (m *Machine) latestResponder(now time.Duration, isAllowed func(name string) bool) string {
 	latest := ""
 	m.eachOtherVoter(func(name string) {
-		at, known := m.tracker.lastAck[name]
+		at, found := m.tracker.lastAck[name]
 		isCandidate := name != m.voterState.Decided.Backup && !m.leaving.has(name, now) && isAllowed(name)
-		if !known || now-at > m.timing.PrimaryLease || !isCandidate {
+		if !found || now-at > m.timing.PrimaryLease || !isCandidate {
 			return
 		}
 		if latest == "" || m.tracker.lastAck[latest] < at {
@@ -89,7 +89,7 @@
 }
 
 func (m *Machine) onRepairRequest(from string, request RepairRequest, now time.Duration) {
-	isActive := m.repairs.isOf(from)
+	isActive := m.repairs.isRepairing(from)
 	if !isActive && !m.isSpare(from) {
 		return
 	}
@@ -127,7 +127,7 @@
 	if m.isSpare(from) {
 		m.noteSpareVersion(from, done.Version, true, now)
 	}
-	if !m.repairs.isOf(from) || !m.isRecordedPrimary() {
+	if !m.repairs.isRepairing(from) || !m.isRecordedPrimary() {
 		return
 	}
 	if done.Version != m.replica.version() || (m.writes.pending != nil && !m.awaitsBackup()) {
--- a/internal/coordination/consensus/repair_test.go
+++ b/internal/coordination/consensus/repair_test.go
@@ -11,9 +11,9 @@
 
 func TestCatchUpAfterManyChanges(t *testing.T) {
 	const keys = 200
-	// away has a node miss so many changes, and gives the bytes that are sent to it until
+	// measureCatchUp has a node miss so many changes, and gives the bytes that are sent to it until
 	// it is repaired, and how long that takes.
-	away := func(changes int, blankDisk bool) (size int, span time.Duration) {
+	measureCatchUp := func(changes int, blankDisk bool) (size int, span time.Duration) {
 		c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
 		for number := range keys {
 			c.submitChange(number, keys)
@@ -27,39 +27,39 @@
 		So(c.results[uint64(1000+changes-1)].Committed, ShouldBeTrue)
 		c.up[lost] = true
 		if blankDisk {
-			c.add(bootstrap, lost)
+			c.startBlankNode(bootstrap, lost)
 		}
-		c.sent = func(_, to string, body any) {
-			if fill, ok := body.(RepairRanges); ok && to == lost {
-				size += len(store.EncodePlain(fill))
+		c.onSend = func(_, to string, body any) {
+			if ranges, ok := body.(RepairRanges); ok && to == lost {
+				size += len(store.EncodePlain(ranges))
 			}
 		}
-		from := c.now
+		start := c.now
 		c.run(time.Second)
 		So(c.machines[lost].IsPrimary(c.now), ShouldBeFalse)
 		c.up[c.machines[c.primary()].Record().Backup] = false
-		for c.now < from+20*time.Second && c.machines[c.primary()].Record().Backup != lost {
+		for c.now < start+20*time.Second && c.machines[c.primary()].Record().Backup != lost {
 			c.submitChange(changes+keys, keys)
 			c.run(20 * time.Millisecond)
 		}
 		So(c.machines[lost].ReplicaTable().Records, ShouldResemble, c.machines[c.primary()].ReplicaTable().Records)
-		return size, c.now - from
+		return size, c.now - start
 	}
 	Convey("What is sent to a node that missed changes is bounded by the state, not by their number, whether it has its disk or not, and it has no role before it is repaired", t, func() {
 		for _, blankDisk := range []bool{false, true} {
-			few, _ := away(keys, blankDisk)
+			baselineSize, _ := measureCatchUp(keys, blankDisk)
 			for _, changes := range []int{1000, 4000} {
-				size, span := away(changes, blankDisk)
+				size, span := measureCatchUp(changes, blankDisk)
 				So(size, ShouldBeGreaterThan, 0)
-				So(size, ShouldBeLessThan, 2*few)
+				So(size, ShouldBeLessThan, 2*baselineSize)
 				So(span, ShouldBeLessThan, catchUpTime+time.Second)
 			}
 		}
 	})
 	Convey("A node that missed one change of two hundred keys is sent one range of sixteen", t, func() {
-		all, _ := away(keys, false)
-		one, _ := away(1, false)
-		So(one, ShouldBeGreaterThan, 0)
-		So(one, ShouldBeLessThan, all/4)
+		fullSize, _ := measureCatchUp(keys, false)
+		oneChangeSize, _ := measureCatchUp(1, false)
+		So(oneChangeSize, ShouldBeGreaterThan, 0)
+		So(oneChangeSize, ShouldBeLessThan, fullSize/4)
 	})
 }
--- a/internal/coordination/consensus/replication_test.go
+++ b/internal/coordination/consensus/replication_test.go
@@ -11,27 +11,27 @@
 
 func TestPairedWrites(t *testing.T) {
 	names := []string{"c1", "c2", "c3"}
-	newPair := func(requireBackup bool) *cluster {
+	newThreeVoterCluster := func(requireBackup bool) *cluster {
 		c := newCluster(names, func(string) BootstrapConfig { return BootstrapConfig{ExactVoters: 3, RequireBackup: requireBackup} })
 		c.run(3 * time.Second)
 		So(c.primary(), ShouldNotBeEmpty)
 		return c
 	}
-	loses := []func(c *cluster){
+	failures := []func(c *cluster){
 		func(c *cluster) { c.up[c.machines[c.primary()].Record().Backup] = false },
 		func(c *cluster) { c.up[c.primary()] = false },
 	}
 	Convey("With one of three lost, primary or backup, the others make one of them backup within seconds, and what is acknowledged is on two disks", t, func() {
-		for _, lose := range loses {
-			c := newPair(true)
-			lose(c)
+		for _, fail := range failures {
+			c := newThreeVoterCluster(true)
+			fail(c)
 			token := uint64(100)
-			for at := time.Duration(0); at < 6*time.Second; at += 100 * time.Millisecond {
+			for elapsed := time.Duration(0); elapsed < 6*time.Second; elapsed += 100 * time.Millisecond {
 				token++
 				c.submit(token)
 				c.run(100 * time.Millisecond)
-				for number, answer := range c.results {
-					if answer.Committed {
+				for number, result := range c.results {
+					if result.Committed {
 						So(c.replicasWith(number), ShouldBeGreaterThanOrEqualTo, 2)
 					}
 				}
@@ -42,16 +42,16 @@
 	})
 	Convey("A write that is pending when the backup is lost is not acknowledged before another has it; where no backup is required, it is", t, func() {
 		for _, requireBackup := range []bool{true, false} {
-			c := newPair(requireBackup)
-			first := c.primary()
-			backup := c.machines[first].Record().Backup
+			c := newThreeVoterCluster(requireBackup)
+			primary := c.primary()
+			backup := c.machines[primary].Record().Backup
 			c.up[backup] = false
 			c.submit(7)
 			committedAlone := false
 			for range 200 {
 				c.run(20 * time.Millisecond)
-				if answer, ok := c.results[7]; ok && answer.Committed {
-					committedAlone = c.machines[first].Record().Backup == ""
+				if result, ok := c.results[7]; ok && result.Committed {
+					committedAlone = c.machines[primary].Record().Backup == ""
 					break
 				}
 			}
@@ -61,32 +61,32 @@
 	})
 	Convey("A write that comes while the primary is alone waits; where no backup is required, it does not", t, func() {
 		for _, requireBackup := range []bool{true, false} {
-			c := newPair(requireBackup)
-			first := c.primary()
-			for _, name := range c.live() {
-				c.machines[first].tracker.excludedUntil[name] = c.now + time.Hour
+			c := newThreeVoterCluster(requireBackup)
+			primary := c.primary()
+			for _, name := range c.upNodes() {
+				c.machines[primary].tracker.excludedUntil[name] = c.now + time.Hour
 			}
-			c.up[c.machines[first].Record().Backup] = false
+			c.up[c.machines[primary].Record().Backup] = false
 			for range 500 {
 				c.run(20 * time.Millisecond)
-				if c.machines[first].Record().Backup == "" {
+				if c.machines[primary].Record().Backup == "" {
 					break
 				}
 			}
-			So(c.machines[first].Record().Backup, ShouldBeEmpty)
-			So(c.primary(), ShouldEqual, first)
+			So(c.machines[primary].Record().Backup, ShouldBeEmpty)
+			So(c.primary(), ShouldEqual, primary)
 			c.submit(8)
 			So(c.results[8].Committed, ShouldNotEqual, requireBackup)
-			clear(c.machines[first].tracker.excludedUntil)
+			clear(c.machines[primary].tracker.excludedUntil)
 			c.run(time.Second)
 			So(c.results[8].Committed, ShouldBeTrue)
 			So(c.replicasWith(8), ShouldBeGreaterThanOrEqualTo, 2)
 		}
 	})
 	Convey("The others have a primary and a backup within 2 s of the loss", t, func() {
-		for _, lose := range loses {
-			c := newPair(true)
-			lose(c)
+		for _, fail := range failures {
+			c := newThreeVoterCluster(true)
+			fail(c)
 			c.submit(9)
 			c.run(2 * time.Second)
 			So(c.primary(), ShouldNotBeEmpty)
@@ -98,12 +98,12 @@
 func TestPrimaryThatComesBackAheadOfItsBackup(t *testing.T) {
 	const wall = int64(1_700_000_000_000_000_000)
 	voters := []string{"c1", "c2", "c3"}
-	restarted := func(record Record, written uint64, now time.Duration) *Machine {
-		copied := store.New()
-		copied.Apply(store.Version{Epoch: written, Sequence: 9}, []store.Put{{Key: "set", Data: []byte("x")}})
+	restarted := func(record Record, tableEpoch uint64, now time.Duration) *Machine {
+		table := store.New()
+		table.Apply(store.Version{Epoch: tableEpoch, Sequence: 9}, []store.Put{{Key: "set", Data: []byte("x")}})
 		return newMachine("c1", len(voters), DefaultTiming(), PersistentState{
 			Identity:   &Identity{Cluster: "x", Self: "c1", Voters: voters, Formed: true},
-			VoterState: &VoterState{Sequence: 1, Decided: record}, Table: copied,
+			VoterState: &VoterState{Sequence: 1, Decided: record}, Table: table,
 		}, now)
 	}
 	renew := func(m *Machine, now time.Duration) []Effect {
@@ -159,9 +159,9 @@
 			VoterState: &VoterState{Sequence: 1, Decided: Record{Epoch: 4, Primary: "c1"}}, Table: store.New(),
 		}, now)
 		m.Step(Tick{WallNanos: wall}, now)
-		for at := range 3 {
-			m.Step(Submit{Token: uint64(at + 1), Build: func(*store.Table) []store.Put {
-				return []store.Put{{Key: string(rune('a' + at)), Data: []byte("x")}}
+		for i := range 3 {
+			m.Step(Submit{Token: uint64(i + 1), Build: func(*store.Table) []store.Put {
+				return []store.Put{{Key: string(rune('a' + i)), Data: []byte("x")}}
 			}}, now)
 		}
 		effects := m.Step(Received{From: "c3", Body: RenewLeaseAck{Decided: m.Record(), SentAt: now, Incarnation: m.processIncarnation, WallNanos: wall, Granted: true}}, now)
@@ -170,10 +170,10 @@
 			if save, ok := effect.(Save); ok && save.Kind == FileTable {
 				saved++
 			}
-			if wrote, ok := effect.(TableCommitted); ok {
+			if committed, ok := effect.(TableCommitted); ok {
 				published++
-				So(len(wrote.Table.Records), ShouldEqual, saved)
-				So(wrote.Table.Version, ShouldResemble, wrote.Version)
+				So(len(committed.Table.Records), ShouldEqual, saved)
+				So(committed.Table.Version, ShouldResemble, committed.Version)
 			}
 		}
 		So(published, ShouldEqual, 3)
@@ -183,15 +183,15 @@
 func TestWritesWithSpares(t *testing.T) {
 	Convey("A write is acknowledged on three disks at least, also with any two nodes down, and waits with more", t, func() {
 		names := []string{"c1", "c2", "c3", "c4", "c5"}
-		for at, first := range names {
-			for _, second := range names[at+1:] {
+		for i, first := range names {
+			for _, second := range names[i+1:] {
 				c, _ := newFiveVoterCluster()
 				c.up[first], c.up[second] = false, false
 				for token := uint64(1); token <= 100; token++ {
 					c.submit(token)
 					c.run(100 * time.Millisecond)
-					for number, answer := range c.results {
-						if answer.Committed {
+					for number, result := range c.results {
+						if result.Committed {
 							So(c.replicasWith(number), ShouldBeGreaterThanOrEqualTo, 3)
 						}
 					}
--- a/internal/coordination/consensus/spares.go
+++ b/internal/coordination/consensus/spares.go
@@ -29,23 +29,23 @@
 	return m.requiredSpares() > 0 && m.isRecordedPrimary() && isOther && m.isVoter(name)
 }
 
-func (m *Machine) eachSpare(each func(name string)) {
+func (m *Machine) eachSpare(visit func(name string)) {
 	m.eachOtherVoter(func(name string) {
 		if m.isSpare(name) {
-			each(name)
+			visit(name)
 		}
 	})
 }
 
 // repairSpares sends digests to the spares that lack writes, every ReplyTimeout.
 func (m *Machine) repairSpares(now time.Duration) {
-	if m.requiredSpares() == 0 || now-m.repairs.sparesComparedAt < m.timing.ReplyTimeout || !m.holdsLease(now) {
+	if m.requiredSpares() == 0 || now-m.repairs.spareDigestsSentAt < m.timing.ReplyTimeout || !m.holdsLease(now) {
 		return
 	}
-	m.repairs.sparesComparedAt = now
+	m.repairs.spareDigestsSentAt = now
 	m.eachSpare(func(name string) {
 		isBehind := !m.tracker.hasSpareSynced(name, m.replica.version())
-		if m.respondsToLease(name, now) && isBehind && !m.repairs.isOf(name) {
+		if m.respondsWithinLease(name, now) && isBehind && !m.repairs.isRepairing(name) {
 			m.sendDigests(name)
 		}
 	})
@@ -62,8 +62,8 @@
 	m.commitIfReplicated(now)
 }
 
-// isUnnamedVoter says whether this node is a spare voter of whoever is primary.
-func (m *Machine) isUnnamedVoter() bool {
+// isSpareVoter says whether this node is a spare voter of whoever is primary.
+func (m *Machine) isSpareVoter() bool {
 	decided := m.voterState.Decided
 	return m.requiredSpares() > 0 && m.IsMember() && decided.Primary != m.self && decided.Backup != m.self
 }
@@ -71,21 +71,21 @@
 // mayProposeAsSpare says whether this node may propose itself as primary though the
 // record does not name it.
 func (m *Machine) mayProposeAsSpare(now time.Duration) bool {
-	isSilent := m.isLeaseSilentFor(m.leases(spareProposalLeases), now)
-	return m.isUnnamedVoter() && isSilent && !m.voterState.ReplicaIncomplete && !m.isDiskStalled()
+	hasNoRecentLease := m.hasGrantedNoLeaseFor(m.leaseDurations(spareProposalLeases), now)
+	return m.isSpareVoter() && hasNoRecentLease && !m.voterState.ReplicaIncomplete && !m.isDiskStalled()
 }
 
-// yieldToSpare says whether this node votes for a spare: only where its own replica is
+// votesForSpare says whether this node votes for a spare: only where its own replica is
 // complete and not ahead of the candidate's. Each committed write was synced by more
 // than half of the voters, so that one of any majority has it. A spare that could be
 // primary itself leaves the better candidate a lease of time.
-func (m *Machine) yieldToSpare(candidate string, version store.Version, now time.Duration) bool {
+func (m *Machine) votesForSpare(candidate string, version store.Version, now time.Duration) bool {
 	if m.requiredSpares() == 0 || m.voterState.ReplicaIncomplete || !m.isVoter(candidate) || version.IsBefore(m.replica.version()) {
 		return false
 	}
 	isBetter := m.replica.version().IsBefore(version) || candidate < m.self
-	if m.isUnnamedVoter() && isBetter {
-		m.proposals.delay(now + m.timing.PrimaryLease)
+	if m.isSpareVoter() && isBetter {
+		m.proposals.delayUntil(now + m.timing.PrimaryLease)
 	}
 	return true
 }
--- a/internal/coordination/consensus/spares_test.go
+++ b/internal/coordination/consensus/spares_test.go
@@ -10,13 +10,13 @@
 func TestTwoReplicasLostAtOnce(t *testing.T) {
 	Convey("Of five nodes, where two may be lost, any two lose their disks at once: what was acknowledged is still there, and writes are committed", t, func() {
 		names := []string{"c1", "c2", "c3", "c4", "c5"}
-		for at, first := range names {
-			for _, second := range names[at+1:] {
+		for i, first := range names {
+			for _, second := range names[i+1:] {
 				c, bootstrap := newFiveVoterCluster()
 				c.submit(1)
 				c.run(time.Second)
 				So(c.results[1].Committed, ShouldBeTrue)
-				c.wipe(bootstrap, first, second)
+				c.wipeDisks(bootstrap, first, second)
 				c.run(20 * time.Second)
 				SoMsg(first+" and "+second, c.primary(), ShouldNotBeEmpty)
 				So(c.machines[c.primary()].ReplicaTable().Records, ShouldContainKey, "1")
@@ -34,11 +34,11 @@
 			c.run(time.Second)
 			So(c.results[token].Committed, ShouldBeTrue)
 			record := c.machines[c.primary()].Record()
-			c.wipe(bootstrap, record.Primary, record.Backup)
+			c.wipeDisks(bootstrap, record.Primary, record.Backup)
 			c.run(20 * time.Second)
 			So(c.primary(), ShouldNotBeEmpty)
-			for before := uint64(1); before <= token; before++ {
-				So(c.replicasWith(before), ShouldBeGreaterThanOrEqualTo, 3)
+			for earlierToken := uint64(1); earlierToken <= token; earlierToken++ {
+				So(c.replicasWith(earlierToken), ShouldBeGreaterThanOrEqualTo, 3)
 			}
 		}
 	})
--- a/internal/coordination/consensus/syncgate.go
+++ b/internal/coordination/consensus/syncgate.go
@@ -71,7 +71,7 @@
 		return 0
 	}
 	if send, ok := effect.(Send); ok {
-		if required, known := syncRequirements[reflect.TypeOf(send.Body)]; known {
+		if required, ok := syncRequirements[reflect.TypeOf(send.Body)]; ok {
 			return required(g)
 		}
 	}
@@ -136,11 +136,11 @@
 
 // block keeps the last message of each type to each node only: the network may lose
 // any, and a disk that hangs must not fill the memory.
-func (g *SyncGate) block(next blockedEffect) {
-	if send, ok := next.effect.(Send); ok {
+func (g *SyncGate) block(added blockedEffect) {
+	if send, ok := added.effect.(Send); ok {
 		g.blocked = slices.DeleteFunc(g.blocked, func(other blockedEffect) bool { return isSameMessage(other.effect, send) })
 	}
-	g.blocked = append(g.blocked, next)
+	g.blocked = append(g.blocked, added)
 }
 
 // isSameMessage says whether an effect sends the same type of message to the same node.
--- a/internal/coordination/consensus/syncgate_test.go
+++ b/internal/coordination/consensus/syncgate_test.go
@@ -9,43 +9,43 @@
 
 func TestSyncGate(t *testing.T) {
 	now := time.Hour
-	to := func(body any) Send { return Send{To: "c2", Body: body} }
+	sendToPeer := func(body any) Send { return Send{To: "c2", Body: body} }
 	voterState, table := Save{Kind: FileVoterState, Sequence: 1}, Save{Kind: FileTable, Sequence: 1}
 	Convey("With nothing to be synced, all passes at once and in order", t, func() {
 		var gate SyncGate
-		So(gate.Pass([]Effect{to(RenewLease{}), TableCommitted{}, SubmitResult{Committed: true}}, now), ShouldResemble, []Effect{to(RenewLease{}), TableCommitted{}, SubmitResult{Committed: true}})
+		So(gate.Pass([]Effect{sendToPeer(RenewLease{}), TableCommitted{}, SubmitResult{Committed: true}}, now), ShouldResemble, []Effect{sendToPeer(RenewLease{}), TableCommitted{}, SubmitResult{Committed: true}})
 		_, due := gate.Next(now)
 		So(due, ShouldBeFalse)
 	})
 	Convey("What depends on a file waits for its sync; votes and grants do not wait for the table's", t, func() {
 		var gate SyncGate
-		ready := gate.Pass([]Effect{to(RenewLease{}), table, to(Replicate{}), to(RenewLeaseAck{}), TableCommitted{}, SubmitResult{Token: 1, Committed: true}, SubmitResult{Token: 2}}, now)
-		So(ready, ShouldResemble, []Effect{to(RenewLease{}), to(RenewLeaseAck{}), SubmitResult{Token: 2}})
-		So(gate.Pass([]Effect{voterState, to(Promise{}), to(StatusRequest{})}, now), ShouldResemble, []Effect{to(StatusRequest{})})
+		ready := gate.Pass([]Effect{sendToPeer(RenewLease{}), table, sendToPeer(Replicate{}), sendToPeer(RenewLeaseAck{}), TableCommitted{}, SubmitResult{Token: 1, Committed: true}, SubmitResult{Token: 2}}, now)
+		So(ready, ShouldResemble, []Effect{sendToPeer(RenewLease{}), sendToPeer(RenewLeaseAck{}), SubmitResult{Token: 2}})
+		So(gate.Pass([]Effect{voterState, sendToPeer(Promise{}), sendToPeer(StatusRequest{})}, now), ShouldResemble, []Effect{sendToPeer(StatusRequest{})})
 		task, _ := gate.Next(now)
 		So(task, ShouldResemble, table)
 		_, due := gate.Next(now)
 		So(due, ShouldBeFalse)
-		So(gate.Done(true, now), ShouldResemble, []Effect{to(Replicate{}), TableCommitted{}, SubmitResult{Token: 1, Committed: true}})
+		So(gate.Done(true, now), ShouldResemble, []Effect{sendToPeer(Replicate{}), TableCommitted{}, SubmitResult{Token: 1, Committed: true}})
 		task, _ = gate.Next(now)
 		So(task, ShouldResemble, voterState)
-		So(gate.Done(true, now), ShouldResemble, []Effect{to(Promise{})})
+		So(gate.Done(true, now), ShouldResemble, []Effect{sendToPeer(Promise{})})
 		So(gate.SyncPending(now+time.Second), ShouldEqual, 0)
 	})
 	Convey("A save that was not synced stays pending, lets nothing pass and is tried again after a pause", t, func() {
 		var gate SyncGate
-		So(gate.Pass([]Effect{voterState, to(Accepted{})}, now), ShouldBeEmpty)
-		for at := range time.Duration(5) {
-			later := now + at*SyncRetryDelay
+		So(gate.Pass([]Effect{voterState, sendToPeer(Accepted{})}, now), ShouldBeEmpty)
+		for attempt := range time.Duration(5) {
+			later := now + attempt*SyncRetryDelay
 			task, _ := gate.Next(later)
 			So(task, ShouldResemble, voterState)
 			So(gate.Done(false, later), ShouldBeEmpty)
-			So(gate.SyncPending(later+1), ShouldEqual, at*SyncRetryDelay+1)
+			So(gate.SyncPending(later+1), ShouldEqual, attempt*SyncRetryDelay+1)
 			_, due := gate.Next(later + SyncRetryDelay - 1)
 			So(due, ShouldBeFalse)
 		}
 		gate.Next(now + 5*SyncRetryDelay)
-		So(gate.Done(true, now+5*SyncRetryDelay), ShouldResemble, []Effect{to(Accepted{})})
+		So(gate.Done(true, now+5*SyncRetryDelay), ShouldResemble, []Effect{sendToPeer(Accepted{})})
 	})
 	Convey("While the disk hangs, what waits stays small: one message of a type to a node, one save of a kind", t, func() {
 		var gate SyncGate
@@ -53,7 +53,7 @@
 		gate.Next(now)
 		for sequence := range uint64(10000) {
 			gate.Pass([]Effect{
-				Save{Kind: FileVoterState, Sequence: sequence}, to(RenewLeaseAck{}), to(Promise{Epoch: sequence}), Send{To: "c3", Body: RenewLeaseAck{}},
+				Save{Kind: FileVoterState, Sequence: sequence}, sendToPeer(RenewLeaseAck{}), sendToPeer(Promise{Epoch: sequence}), Send{To: "c3", Body: RenewLeaseAck{}},
 			}, now)
 		}
 		So(len(gate.blocked), ShouldEqual, 3)
@@ -61,13 +61,13 @@
 		gate.Done(true, now)
 		task, _ := gate.Next(now)
 		So(task, ShouldResemble, Save{Kind: FileVoterState, Sequence: 9999})
-		So(gate.Done(true, now), ShouldContain, to(Promise{Epoch: 9999}))
+		So(gate.Done(true, now), ShouldContain, sendToPeer(Promise{Epoch: 9999}))
 	})
 	Convey("A save that is under way is not replaced", t, func() {
 		var gate SyncGate
 		gate.Pass([]Effect{voterState}, now)
 		gate.Next(now)
-		gate.Pass([]Effect{Save{Kind: FileVoterState, Sequence: 2}, to(Accepted{})}, now)
+		gate.Pass([]Effect{Save{Kind: FileVoterState, Sequence: 2}, sendToPeer(Accepted{})}, now)
 		So(gate.Done(true, now), ShouldBeEmpty)
 		task, _ := gate.Next(now)
 		So(task, ShouldResemble, Save{Kind: FileVoterState, Sequence: 2})
--- a/internal/coordination/consensus/tick.go
+++ b/internal/coordination/consensus/tick.go
@@ -18,7 +18,7 @@
 		m.processIncarnation = tick.WallNanos
 	}
 	if !m.isFormed() {
-		m.seekCluster(now)
+		m.discoverCluster(now)
 		return
 	}
 	m.refreshStatus(now)
@@ -41,14 +41,14 @@
 	if !isBackup && !m.mayProposeAsSpare(now) {
 		return false
 	}
-	return m.isLeaseSilentFor(m.timing.PrimaryLease, now) && !m.proposals.isUnderWay() && m.proposals.isDue(now)
+	return m.hasGrantedNoLeaseFor(m.timing.PrimaryLease, now) && !m.proposals.isUnderWay() && m.proposals.isDue(now)
 }
 
 func (m *Machine) tickPrimary(now time.Duration) {
 	if m.isDiskStalled() {
 		m.rejectQueueWithoutLease(now)
 		// The lease is renewed at once when the disk works again.
-		m.lease.renewedAt = now - m.leases(isolatedRenewLeases)
+		m.lease.renewedAt = now - m.leaseDurations(isolatedRenewLeases)
 		return
 	}
 	if m.writes.pending != nil && m.disk.syncPending > 0 {
@@ -65,14 +65,14 @@
 	if m.proposeEpoch(now) {
 		return
 	}
-	m.recruitBackup(now)
+	m.repairNextBackup(now)
 	m.startNextWrite(now)
 }
 
 // proposeEpoch proposes a new epoch where one is due, and says whether the primary has
 // to leave all else until it is decided.
 func (m *Machine) proposeEpoch(now time.Duration) bool {
-	if (m.proposals.unsettled || m.replica.ahead) && m.settleFirst(now) {
+	if (m.proposals.unsettled || m.replica.mayBeAhead) && m.settleUncertainState(now) {
 		return true
 	}
 	mayPropose := m.proposals.isDue(now)
@@ -90,9 +90,9 @@
 	return false
 }
 
-// settleFirst proposes an epoch without a backup, after which it is certain what was
+// settleUncertainState proposes an epoch without a backup, after which it is certain what was
 // decided and which writes are kept. It says whether the primary has to wait for it.
-func (m *Machine) settleFirst(now time.Duration) bool {
+func (m *Machine) settleUncertainState(now time.Duration) bool {
 	if m.proposals.isDue(now) && m.holdsLease(now) {
 		m.propose(m.nextRecord(""), now)
 	}
@@ -103,7 +103,7 @@
 // write that this replica has.
 func (m *Machine) proposeAfterRefusal(now time.Duration) {
 	record := m.nextRecord(m.voterState.Decided.Backup)
-	if m.replica.ahead {
+	if m.replica.mayBeAhead {
 		record.Backup = ""
 	}
 	m.propose(record, now)
@@ -111,7 +111,7 @@
 
 // isLeaseRefused says whether voters respond and yet the lease has lapsed.
 func (m *Machine) isLeaseRefused(now time.Duration) bool {
-	return !m.holdsLease(now) && now-m.startedAt > m.timing.PrimaryLease && m.hasResponder(now)
+	return !m.holdsLease(now) && now-m.startedAt > m.timing.PrimaryLease && m.hasRespondingVoter(now)
 }
 
 // isBackupLate says whether the backup has not synced the pending write in time.
@@ -123,13 +123,13 @@
 }
 
 func (m *Machine) isBackupSilent(now time.Duration) bool {
-	backup, patience := m.voterState.Decided.Backup, m.leases(backupSilentLeases)
-	return backup != "" && now-m.tracker.lastAck[backup] > patience && now-m.startedAt > patience
+	backup, maxSilence := m.voterState.Decided.Backup, m.leaseDurations(backupSilentLeases)
+	return backup != "" && now-m.tracker.lastAck[backup] > maxSilence && now-m.startedAt > maxSilence
 }
 
 // dropBackup proposes an epoch without a backup.
 func (m *Machine) dropBackup(now time.Duration, reason string) {
-	m.tracker.exclude(m.voterState.Decided.Backup, now+m.leases(droppedBackupLeases))
+	m.tracker.exclude(m.voterState.Decided.Backup, now+m.leaseDurations(droppedBackupLeases))
 	m.emitEpochChanged(reason)
 	m.propose(m.nextRecord(""), now)
 }
--- a/internal/coordination/consensus/tracker.go
+++ b/internal/coordination/consensus/tracker.go
@@ -47,8 +47,8 @@
 // acknowledgedWithin says whether a voter has replied to a renewal of the lease within
 // a span before now.
 func (t *voterTracker) acknowledgedWithin(span time.Duration, name string, now time.Duration) bool {
-	at, known := t.lastAck[name]
-	return known && now-at < span
+	at, ok := t.lastAck[name]
+	return ok && now-at < span
 }
 
 // silence is for how long a voter has not replied since it is counted on.
