--- a/internal/coordination/consensus/epoch.go
+++ b/internal/coordination/consensus/epoch.go
@@ -22,7 +22,7 @@
 	wasPrimary, previousVoters := m.isRecordedPrimary(), m.voterState.Decided.Voters
 	m.setDecided(record)
 	m.saveVoterState()
-	m.replica.mayBeAhead = m.replica.mayBeAhead && m.isRecordedPrimary() && record.Backup != ""
+	m.replica.ahead = m.replica.ahead && m.isRecordedPrimary() && record.Backup != ""
 	m.proposals.end()
 	m.repairs.active = nil
 	clear(m.lease.grantSentAt)
--- a/internal/coordination/consensus/machine.go
+++ b/internal/coordination/consensus/machine.go
@@ -69,7 +69,7 @@
 	m.restore(saved)
 	m.proposals.unsettled = m.voterState.Acceptor.Promised.Name == self
 	decided := m.voterState.Decided
-	m.replica.mayBeAhead = decided.Primary == self && decided.Backup != "" && m.replica.version().Epoch == decided.Epoch
+	m.replica.ahead = decided.Primary == self && decided.Backup != "" && m.replica.version().Epoch == decided.Epoch
 	m.requestStatusOnNextTick(now)
 	m.contacts.primaryAt = now - m.leaseDurations(contactLossLeases)
 	return m
@@ -129,14 +129,12 @@
 }
 
 // IsPrimary says whether this node holds the lease, and its replica may be served.
-func (m *Machine) IsPrimary(now time.Duration) bool {
-	return m.holdsLease(now) && !m.replica.mayBeAhead
-}
+func (m *Machine) IsPrimary(now time.Duration) bool { return m.holdsLease(now) && !m.replica.ahead }
 
 // LeaseUntil gives the moment until which this node is primary; where it is past or 0,
 // it is none.
 func (m *Machine) LeaseUntil() time.Duration {
-	if m.replica.mayBeAhead {
+	if m.replica.ahead {
 		return 0
 	}
 	return m.lease.until
--- a/internal/coordination/consensus/replica.go
+++ b/internal/coordination/consensus/replica.go
@@ -12,10 +12,10 @@
 	// committed is the table without a write that may not be replicated yet. The primary
 	// serves it; other nodes do not keep it up.
 	committed *store.Table
-	// mayBeAhead says that the table may have a write that the backup lacks, from an earlier
+	// ahead says that the table may have a write that the backup lacks, from an earlier
 	// run of the program. The primary serves nothing until an epoch without a backup
 	// settles that the write is kept.
-	mayBeAhead bool
+	ahead bool
 }
 
 // newReplica takes over the table that the disk held, if any.
--- a/internal/coordination/consensus/tick.go
+++ b/internal/coordination/consensus/tick.go
@@ -72,7 +72,7 @@
 // proposeEpoch proposes a new epoch where one is due, and says whether the primary has
 // to leave all else until it is decided.
 func (m *Machine) proposeEpoch(now time.Duration) bool {
-	if (m.proposals.unsettled || m.replica.mayBeAhead) && m.settleUncertainState(now) {
+	if (m.proposals.unsettled || m.replica.ahead) && m.settleUncertainState(now) {
 		return true
 	}
 	mayPropose := m.proposals.isDue(now)
@@ -103,7 +103,7 @@
 // write that this replica has.
 func (m *Machine) proposeAfterRefusal(now time.Duration) {
 	record := m.nextRecord(m.voterState.Decided.Backup)
-	if m.replica.mayBeAhead {
+	if m.replica.ahead {
 		record.Backup = ""
 	}
 	m.propose(record, now)
