--- a/internal/coordination/consensus/acceptor.go
+++ b/internal/coordination/consensus/acceptor.go
@@ -18,8 +18,9 @@
 	m.send(from, promise)
 }
 
-// isEligible says whether a candidate may become primary: one that the newest record
-// names, or a spare voter.
+// isEligible reports whether a candidate may become primary. The candidate's newest
+// record must be the same as that of this node. The candidate must also be the primary
+// or the backup of that record, or a spare voter that votesForSpare accepts.
 func (m *Machine) isEligible(candidate string, prepare Prepare, now time.Duration) bool {
 	decided := m.voterState.Decided
 	if decided != prepare.Decided {
@@ -28,7 +29,8 @@
 	return candidate == decided.Primary || candidate == decided.Backup || m.votesForSpare(candidate, prepare.Version, now)
 }
 
-// vote promises a candidate's proposal, unless a higher one was promised before.
+// vote fills in the promise and grants it, unless this node has already promised a
+// higher proposal.
 func (m *Machine) vote(candidate string, promise *Promise) {
 	acceptor := &m.voterState.Acceptor
 	promise.Accepted, promise.Value = acceptor.Accepted, acceptor.Value
@@ -40,8 +42,8 @@
 	}
 }
 
-// noteVote notes a vote for a candidate. The next epoch may be decided by it even
-// after this node has voted for the primary again.
+// noteVote records a vote for a candidate. VotedForOther stays set when this node votes
+// for the primary again, because the earlier vote may still decide the next epoch.
 func (m *Machine) noteVote(candidate string) {
 	m.voterState.VotedForOther = m.voterState.VotedForOther || candidate != m.voterState.Decided.Primary
 }
--- a/internal/coordination/consensus/bootstrap.go
+++ b/internal/coordination/consensus/bootstrap.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// peerSettleDelay is for how long enough nodes must have been met before some of
-	// them are made voters, and seedWaitDelay the same while not all seeds are met.
+	// peerSettleDelay is the minimum time between the discovery of enough nodes and the
+	// choice of the voters among them.
 	peerSettleDelay = time.Second
-	seedWaitDelay   = 3 * time.Second
+	// seedWaitDelay replaces peerSettleDelay while not all seeds have been discovered.
+	seedWaitDelay = 3 * time.Second
 )
 
-// bootstrapVoters names the voters of a new cluster, sorted; there are none before
-// enough nodes were met. The first of them forms the cluster.
+// bootstrapVoters returns the names of the voters of a new cluster, sorted. It returns
+// none before enough nodes have been discovered. The first voter forms the cluster.
 func (m *Machine) bootstrapVoters(now time.Duration) []string {
 	if m.bootstrap.ExactVoters > 0 {
 		if len(m.peers.names) != m.bootstrap.ExactVoters {
@@ -40,13 +41,14 @@
 	return m.peers.sorted()[:m.bootstrap.Voters]
 }
 
-// mayBootstrap says whether this node may take part in forming a cluster. One whose
-// files are damaged has been in a cluster before.
+// mayBootstrap reports whether this node may take part in forming a cluster. A node
+// with damaged files may not, because it has been in a cluster before.
 func (m *Machine) mayBootstrap() bool {
 	return !m.disk.corrupted && m.processIncarnation != 0 && (m.bootstrap.ExactVoters > 0 || m.bootstrap.MayBootstrap)
 }
 
-// discoverCluster asks all others for their status, and forms a cluster where none has one.
+// discoverCluster asks all other nodes for their status. Until a cluster is found, it
+// also starts to form one, or continues to, if this node is the initiator.
 func (m *Machine) discoverCluster(now time.Duration) {
 	if !m.isStatusRequestDue(now) {
 		return
@@ -61,7 +63,8 @@
 	}
 }
 
-// bootstrapCluster begins to form a cluster, where this node is the one to do so.
+// bootstrapCluster starts to form a cluster if this node is the first of the chosen
+// voters.
 func (m *Machine) bootstrapCluster(now time.Duration) {
 	voters := m.bootstrapVoters(now)
 	if len(voters) == 0 || voters[0] != m.self || !m.mayBootstrap() {
@@ -70,14 +73,15 @@
 	m.beginFormation(fmt.Sprintf("%s-%d", m.self, m.clock.localNanos), voters)
 }
 
-// beginFormation agrees to form a cluster with some voters.
+// beginFormation records that this node agrees to form a cluster with the given voters.
 func (m *Machine) beginFormation(cluster string, voters []string) {
 	m.identity = &Identity{Cluster: cluster, Self: m.self, Incarnation: m.diskIncarnation(), Voters: voters}
 	m.saveIdentity()
 }
 
-// diskIncarnation names the disk of this node. It differs from those of earlier disks,
-// since only one of them was blank when this run of the program began.
+// diskIncarnation returns the identifier of this node's disk. It differs from those of
+// the node's earlier disks, because only one disk was blank when this run of the
+// program began.
 func (m *Machine) diskIncarnation() uint64 { return uint64(m.processIncarnation) }
 
 func (m *Machine) requestFormation(now time.Duration) {
@@ -127,9 +131,10 @@
 	}
 }
 
-// abandonFormation gives up forming a cluster in favour of one that is formed. Only
-// the first of the voters can complete the formation, so that this is safe for that
-// one, and for the others on a message of it.
+// abandonFormation gives up forming a cluster in favour of a cluster that is already
+// formed. Only the first voter can complete a formation. The first voter itself can
+// therefore give up safely. Another voter can do so when the first voter reports that
+// it is in a different cluster.
 func (m *Machine) abandonFormation(from string, status Status) {
 	if m.identity == nil || m.identity.Formed || m.identity.Cluster == status.Cluster {
 		return
@@ -140,7 +145,8 @@
 	}
 }
 
-// enterCluster makes this node part of a cluster that is formed, by a record of it.
+// enterCluster makes this node part of a formed cluster, starting from a record of that
+// cluster.
 func (m *Machine) enterCluster(record Record, now time.Duration, reason string) {
 	m.identity.Formed = true
 	m.setDecided(record)
--- a/internal/coordination/consensus/clock.go
+++ b/internal/coordination/consensus/clock.go
@@ -7,23 +7,26 @@
 )
 
 const (
-	// maxClockSlewNanos is by how much the cluster clock is moved at once while it is
-	// in use.
+	// maxClockSlewNanos is the largest single adjustment of the cluster clock while the
+	// clock is in use.
 	maxClockSlewNanos = int64(time.Millisecond)
-	// maxClockRoundTrip is the longest round trip after which another node's reading
-	// is used, and the difference below which two nodes' clocks agree.
+	// maxClockRoundTrip is the round trip from which on another node's clock reading is
+	// ignored. Two nodes' clocks agree if they differ by less than this.
 	maxClockRoundTrip = 200 * time.Millisecond
-	// clockReadingTTL is for how long a voter's reading is used after its last reply.
+	// clockReadingTTL is how long a voter's clock reading is used after the voter's
+	// last reply.
 	clockReadingTTL = 5 * time.Second
 )
 
-// clusterClock estimates the wall clock that a majority of the voters agrees on, as an
-// offset in nanoseconds from this node's monotonic clock.
+// clusterClock estimates the wall clock that a majority of the voters agrees on. The
+// estimate is an offset in nanoseconds from this node's monotonic clock.
 type clusterClock struct {
-	// localNanos is this node's wall clock, 0 before it was read, and readAt when.
+	// localNanos is this node's wall clock as read at readAt, or 0 before the first
+	// reading.
 	localNanos int64
 	readAt     time.Duration
-	// peerOffsets are those of other voters, by name.
+	// peerOffsets are the offsets of the other voters' wall clocks from this node's
+	// monotonic clock, by voter name.
 	peerOffsets map[string]int64
 
 	offset    int64
@@ -35,12 +38,12 @@
 	return c
 }
 
-// readLocal takes a reading of this node's wall clock.
+// readLocal records a reading of this node's wall clock.
 func (c *clusterClock) readLocal(wallNanos int64, now time.Duration) {
 	c.localNanos, c.readAt = wallNanos, now
 }
 
-// local gives this node's wall clock now, or 0 where it was not read yet.
+// local returns this node's current wall clock, or 0 before the first reading.
 func (c *clusterClock) local(now time.Duration) int64 {
 	if c.localNanos == 0 {
 		return 0
@@ -48,8 +51,8 @@
 	return c.localNanos + int64(now-c.readAt)
 }
 
-// readPeer takes a voter's reading from the reply to a request that was sent at a
-// moment; it is taken for the middle of the round trip.
+// readPeer records a voter's clock reading from the reply to a request sent at sentAt.
+// It assumes that the reading was taken in the middle of the round trip.
 func (c *clusterClock) readPeer(name string, wallNanos int64, sentAt, now time.Duration) {
 	roundTrip := now - sentAt
 	if wallNanos != 0 && roundTrip < maxClockRoundTrip {
@@ -57,9 +60,9 @@
 	}
 }
 
-// adjust moves the estimate to the median of this node and the voters that replied
-// lately. While inUse, it moves by steps of maxClockSlewNanos only, so that what
-// nodes have computed by it stays close.
+// adjust moves the estimate to the median of the clocks of this node and of the voters
+// that have replied recently. While inUse is true, each call moves the estimate by at
+// most maxClockSlewNanos, so that values that nodes have computed from it stay close.
 func (c *clusterClock) adjust(lastReply map[string]time.Duration, inUse bool, now time.Duration) {
 	offsets := []int64{c.localNanos - int64(c.readAt)}
 	for name, offset := range c.peerOffsets {
@@ -78,13 +81,13 @@
 	c.confirmed = len(offsets) > 2 || twoAgree
 }
 
-// WallNanos gives the wall clock that a majority of the voters agrees on, in
-// nanoseconds since 1970. It is the median of theirs, so that a single wrong clock has
-// no effect; while the lease is held it moves by small steps only.
+// WallNanos returns the wall clock that a majority of the voters agrees on, in
+// nanoseconds since 1970. It is the median of the voters' clocks, so a single wrong
+// clock has no effect. While the lease is held, it is adjusted in small steps only.
 func (m *Machine) WallNanos(now time.Duration) int64 { return m.clock.offset + int64(now) }
 
-// IsClockConfirmed says whether the cluster's clock was taken from three nodes or
-// more, or from two that agree.
+// IsClockConfirmed reports whether the cluster clock was derived from at least three
+// nodes, or from two nodes whose clocks agree.
 func (m *Machine) IsClockConfirmed() bool { return m.clock.confirmed }
 
 func (m *Machine) adjustClock(now time.Duration) {
--- a/internal/coordination/consensus/contacts.go
+++ b/internal/coordination/consensus/contacts.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// contactLossLeases is for how many leases a node receives nothing of another before it
-// takes the contact for lost. One that has lost the primary asks all others for their
-// status.
+// contactLossLeases is the number of leases without a message from a node after which
+// contact with that node is considered lost. A node that has lost contact with the
+// primary asks all other nodes for their status.
 const contactLossLeases = 2
 
-// contacts is when this node last heard of others, and last asked them.
+// contacts holds when this node last received messages from other nodes, and when it
+// last sent them requests.
 type contacts struct {
-	// received is when each node last sent any message.
+	// received is when the last message of any kind arrived from each node.
 	received map[string]time.Duration
-	// primaryAt is when the primary of the newest epoch known last sent a message that
-	// names this epoch, or when this node learnt of it.
+	// primaryAt is when the primary of the newest known epoch last sent a message that
+	// names this epoch, or when this node received the record of the epoch.
 	primaryAt time.Duration
-	// statusRequestedAt is when all others were last asked for their status, or this
-	// node last offered itself to the primary.
+	// statusRequestedAt is when this node last asked all others for their status, or
+	// last offered itself to the primary as a standby.
 	statusRequestedAt time.Duration
 }
 
@@ -27,7 +28,7 @@
 	return c
 }
 
-// requestStatusOnNextTick has the next tick ask for the status of the others.
+// requestStatusOnNextTick makes the next tick request the status of the other nodes.
 func (m *Machine) requestStatusOnNextTick(now time.Duration) {
 	m.contacts.statusRequestedAt = now - m.timing.FormInterval
 }
@@ -36,7 +37,8 @@
 	return now-m.contacts.statusRequestedAt >= m.timing.FormInterval
 }
 
-// notePrimaryContact notes a message of the primary of the newest epoch known.
+// notePrimaryContact records the time of a message from the primary of the newest known
+// epoch.
 func (m *Machine) notePrimaryContact(from string, record Record, now time.Duration) {
 	if m.isFormed() && m.voterState.Decided == record && record.Primary == from {
 		m.contacts.primaryAt = now
@@ -47,8 +49,9 @@
 	return now-m.contacts.primaryAt >= m.leaseDurations(contactLossLeases)
 }
 
-// receivesFromQuorum says whether a majority of the voters, this node among them, has sent
-// any message lately, or may not have had the time since this node started.
+// receivesFromQuorum reports whether a majority of the voters, including this node, has
+// sent any message recently. Soon after the start of this node it reports true, because
+// the voters may not have had the time to send one.
 func (m *Machine) receivesFromQuorum(now time.Duration) bool {
 	return isMajority(m.Voters(), func(name string) bool {
 		return name == m.self || now-max(m.contacts.received[name], m.startedAt) < m.leaseDurations(contactLossLeases)
--- a/internal/coordination/consensus/disk.go
+++ b/internal/coordination/consensus/disk.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// diskHealth is what is known of this node's disk.
+// diskHealth is the observed condition of this node's disk.
 type diskHealth struct {
-	// corrupted says that damaged files are still to be removed.
+	// corrupted is true while damaged files still have to be removed.
 	corrupted bool
-	// syncPending is for how long the disk has not finished the sync under way.
+	// syncPending is how long the sync in progress has not finished, or 0 if there is
+	// none.
 	syncPending time.Duration
 }
 
-// isDiskStalled says whether the disk has not finished a sync for longer than a
-// backup's is waited for.
+// isDiskStalled reports whether the disk has not finished a sync within ReplyTimeout,
+// which is also the time limit for a sync by the backup.
 func (m *Machine) isDiskStalled() bool { return m.disk.syncPending > m.timing.ReplyTimeout }
 
-// removeCorrupt removes the damaged files, once this node is in a cluster that has what
-// they held.
+// removeCorrupt removes the damaged files. It is called once this node is in a cluster
+// whose other nodes have the lost content.
 func (m *Machine) removeCorrupt() {
 	if m.disk.corrupted {
 		m.disk.corrupted = false
--- a/internal/coordination/consensus/dispatch.go
+++ b/internal/coordination/consensus/dispatch.go
@@ -57,7 +57,7 @@
 	handleMessage((*Machine).onRepairDone)
 }
 
-// Messages gives a zero value of each message type, in no order.
+// Messages returns a zero value of each message type, in no particular order.
 func Messages() []any {
 	var bodies []any
 	for messageType := range messageHandlers {
@@ -66,8 +66,8 @@
 	return bodies
 }
 
-// Step takes one event, a Tick, Received, Peers, Submit or Leave, and gives the
-// effects to be carried out, in order.
+// Step processes one event, which is a Tick, Received, Peers, Submit or Leave. It
+// returns the effects to be carried out, in order.
 func (m *Machine) Step(event any, now time.Duration) []Effect {
 	m.effects = nil
 	if handle, ok := eventHandlers[reflect.TypeOf(event)]; ok {
--- a/internal/coordination/consensus/electorate.go
+++ b/internal/coordination/consensus/electorate.go
@@ -1,17 +1,17 @@
 package consensus
 
-// Electorate is what this node's votes on singleton roles depend on.
+// Electorate describes the voters on which this node's votes on singleton roles depend.
 type Electorate struct {
-	// Voters are those of the newest record known.
+	// Voters are the voters of the newest known record.
 	Voters Voters
-	// IncludesSelf says whether this node is one of them.
+	// IncludesSelf is true if this node is one of Voters.
 	IncludesSelf bool
-	// Changing says that this node has accepted a record with other voters, which may
-	// be decided.
+	// Changing is true if this node has accepted a record with different voters, which
+	// may have been decided.
 	Changing bool
 }
 
-// Electorate gives the voters as this node knows them.
+// Electorate returns the voters known to this node, and whether they may be changing.
 func (m *Machine) Electorate() Electorate {
 	return Electorate{Voters: m.voterState.Decided.Voters, IncludesSelf: m.IsMember(), Changing: m.isElectorateChanging()}
 }
--- a/internal/coordination/consensus/encoding.go
+++ b/internal/coordination/consensus/encoding.go
@@ -2,7 +2,7 @@
 
 import "tansyseam/internal/coordination/proposal"
 
-// The encoded names are those of the first release; see package encoded.
+// The encoded field names are those of the first release; see package encoded.
 
 // EncodedIdentity is Identity as it is stored and sent.
 type EncodedIdentity struct {
@@ -13,7 +13,7 @@
 	IsFormed    bool
 }
 
-// Encoded gives the form that is stored and sent.
+// Encoded returns the form that is stored and sent.
 func (i Identity) Encoded() EncodedIdentity {
 	return EncodedIdentity{
 		Cluster:     i.Cluster,
@@ -24,7 +24,7 @@
 	}
 }
 
-// IdentityFrom reads the form that is stored and sent.
+// IdentityFrom returns the Identity whose stored or sent form is e.
 func IdentityFrom(e EncodedIdentity) Identity {
 	return Identity{
 		Cluster:     e.Cluster,
@@ -44,7 +44,7 @@
 	IsHollow  bool
 }
 
-// Encoded gives the form that is stored and sent.
+// Encoded returns the form that is stored and sent.
 func (v VoterState) Encoded() EncodedVoterState {
 	return EncodedVoterState{
 		Sequence:  v.Sequence,
@@ -55,7 +55,7 @@
 	}
 }
 
-// VoterStateFrom reads the form that is stored and sent.
+// VoterStateFrom returns the VoterState whose stored or sent form is e.
 func VoterStateFrom(e EncodedVoterState) VoterState {
 	return VoterState{
 		Sequence:          e.Sequence,
--- a/internal/coordination/consensus/epoch.go
+++ b/internal/coordination/consensus/epoch.go
@@ -8,13 +8,14 @@
 	"tansyseam/internal/coordination/proposal"
 )
 
-// nextRecord gives the record of the next epoch with this node as primary.
+// nextRecord returns a record of the next epoch with this node as primary and the given
+// backup.
 func (m *Machine) nextRecord(backup string) Record {
 	decided := m.voterState.Decided
 	return Record{Epoch: decided.Epoch + 1, Primary: m.self, Backup: backup, Voters: decided.Voters}
 }
 
-// adopt takes over the record of a newer epoch.
+// adopt makes record the newest known record if it belongs to a newer epoch.
 func (m *Machine) adopt(record Record, now time.Duration, reason string) {
 	if record.Epoch <= m.voterState.Decided.Epoch || !m.isFormed() {
 		return
@@ -33,7 +34,7 @@
 		m.failWrites()
 	}
 	if m.IsStandby() {
-		// The new primary is offered a standby at once.
+		// Offer this standby to the new primary on the next tick.
 		m.requestStatusOnNextTick(now)
 	}
 	if m.isRecordedPrimary() && !wasPrimary {
@@ -45,21 +46,23 @@
 	}
 }
 
-// setDecided replaces the newest record known, and begins to vote on the one after it.
+// setDecided replaces the newest known record and resets the acceptor, which then votes
+// on the epoch after that record.
 func (m *Machine) setDecided(record Record) {
 	state := &m.voterState
 	state.Decided, state.Acceptor, state.VotedForOther = record, proposal.Acceptor{}, false
 	state.ReplicaIncomplete = state.ReplicaIncomplete || (m.requiredSpares() > 0 && !m.IsMember())
 }
 
-// becomePrimary drops what is known of the voters from an earlier time as primary.
+// becomePrimary discards the state of the voters that remains from an earlier time as
+// primary.
 func (m *Machine) becomePrimary(now time.Duration) {
 	m.tracker = newVoterTracker(now)
 	m.replica.commit()
 }
 
-// continueAsPrimary renews the lease at once. The pending write, if any, does not wait
-// for the backup of the epoch before.
+// continueAsPrimary renews the lease at once. A pending write does not wait for the
+// backup of the previous epoch.
 func (m *Machine) continueAsPrimary(now time.Duration) {
 	m.lease.renewedAt = now - m.timing.RenewInterval
 	if !m.awaitsBackup() {
@@ -67,7 +70,7 @@
 	}
 }
 
-// forgetReplacedVoters drops what is known of voters that the new record does not have.
+// forgetReplacedVoters discards the state of the voters that are not in the new record.
 func (m *Machine) forgetReplacedVoters(previous Voters, now time.Duration) {
 	voters := m.voterState.Decided.Voters
 	if previous == voters {
@@ -83,8 +86,9 @@
 	m.tracker.since = now
 }
 
-// decisionRecipients names the other nodes that are sent a record as soon as it is decided: the
-// voters before and after it, and the standbys. It is sorted.
+// decisionRecipients returns the sorted names of the other nodes to which a record is
+// sent as soon as it is decided. These are the voters before and after the decision,
+// and the standbys.
 func (m *Machine) decisionRecipients(record Record) []string {
 	names := slices.Concat(m.Voters(), record.Voters.Names(), slices.Collect(maps.Keys(m.standbys)))
 	slices.Sort(names)
--- a/internal/coordination/consensus/events.go
+++ b/internal/coordination/consensus/events.go
@@ -6,49 +6,50 @@
 	"tansyseam/internal/state/store"
 )
 
-// The events that Machine.Step takes.
+// The events that Machine.Step processes.
 type (
-	// Tick is due several times within each span of Timing.
+	// Tick is the periodic event. It must occur several times within each duration of
+	// Timing.
 	Tick struct {
 		// WallNanos is this node's wall clock.
 		WallNanos int64
-		// SyncPending is for how long the disk has not finished the sync under way; see
+		// SyncPending is how long the sync in progress has not finished; see
 		// SyncGate.SyncPending.
 		SyncPending time.Duration
 	}
-	// Received is a message of another node.
+	// Received is a message from another node.
 	Received struct {
 		From string
 		Body any
 	}
-	// Peers gives the control nodes met so far.
+	// Peers lists the control nodes discovered so far.
 	Peers struct {
 		Names []string
-		// ByAddress gives the node at an RPC address, where it is known.
+		// ByAddress maps an RPC address to the name of its node, if that is known.
 		ByAddress map[string]string
-		// Zones gives the failure domain of each node.
+		// Zones maps the name of a node to its failure domain.
 		Zones map[string]string
 	}
-	// Leave says that this node is shutting down: it hands its roles over.
+	// Leave requests that this node hand over its roles, because it is shutting down.
 	Leave struct{}
-	// Submit asks for a write.
+	// Submit requests a write.
 	Submit struct {
-		// Token tells the SubmitResult that answers.
+		// Token identifies the SubmitResult that answers this Submit.
 		Token uint64
-		// Build gives the puts by the state that they apply to, which is to be read
-		// only. None is no write.
+		// Build returns the puts of the write, given the state that they apply to. It
+		// must not change that state. If it returns no puts, nothing is written.
 		Build func(*store.Table) []store.Put
 	}
 )
 
-// Effect is what Machine.Step wants done: one of Send, Save, RemoveCorrupt,
-// SubmitResult, EpochChanged and TableCommitted. Effects are to be carried out in
-// order, each once what it depends on is synced; see SyncGate.
+// Effect is an action requested by Machine.Step: one of Send, Save, RemoveCorrupt,
+// SubmitResult, EpochChanged and TableCommitted. Effects must be carried out in order,
+// each once the files that it depends on are synced; see SyncGate.
 type Effect any
 
-// The effects.
+// The types of effects.
 type (
-	// Send sends a message to another node. It may be lost.
+	// Send sends a message to another node. The message may be lost.
 	Send struct {
 		To   string
 		Body any
@@ -64,23 +65,25 @@
 	// SubmitResult answers a Submit.
 	SubmitResult struct {
 		Token uint64
-		// Committed says that the write is durable; else it was not made.
+		// Committed is true if the write is durable. If it is false, the write was not made,
+		// unless OutcomeUnknown is true.
 		Committed bool
-		// OutcomeUnknown says that the write, though not committed, may yet be.
+		// OutcomeUnknown is true if the write is not committed but may still be
+		// committed later.
 		OutcomeUnknown bool
-		// Version is that of the table with the write.
+		// Version is the version of the table that includes the write.
 		Version store.Version
 	}
-	// EpochChanged tells of a new epoch, or of the failure of a backup.
+	// EpochChanged reports a new epoch, or the failure of a backup.
 	EpochChanged struct {
 		Record Record
-		// Reason is for the log.
+		// Reason is the text for the log.
 		Reason string
-		// Table is the state that may be served from here on. It is part of the effect
-		// since the machine's own may already have writes of later effects.
+		// Table is the state that may be served from now on. It is part of the effect
+		// because the machine's own table may already include writes of later effects.
 		Table *store.Table
 	}
-	// TableCommitted tells of a committed write.
+	// TableCommitted reports a committed write.
 	TableCommitted struct {
 		Version store.Version
 		Table   *store.Table
--- a/internal/coordination/consensus/grantedlease.go
+++ b/internal/coordination/consensus/grantedlease.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// grantedLease is the last lease that a voter granted, or is taken to have granted. A
-// primary may rely on it until PrimaryLease has passed, so that the voter votes for no
-// other candidate before.
+// grantedLease is the last lease that a voter granted, or is assumed to have granted.
+// The primary may rely on it until PrimaryLease has passed, so the voter votes for no
+// other candidate before then.
 type grantedLease struct {
-	// primary is the primary, empty where none was granted.
+	// primary is the node that the lease was granted to, or empty if none was granted.
 	primary   string
 	grantedAt time.Duration
 }
 
-// blocksUntil gives the moment before which the voter must not vote for a candidate, or
-// 0 where the lease does not keep it from that.
+// blocksUntil returns the time before which the voter must not vote for a candidate, or
+// 0 if the lease does not block that vote.
 func (l grantedLease) blocksUntil(candidate string, span time.Duration) time.Duration {
 	if l.primary == "" || l.primary == candidate {
 		return 0
@@ -37,16 +37,16 @@
 	})
 }
 
-// assumeLeaseGranted treats the primary of the newest record as one that this node has just
-// granted the lease.
+// assumeLeaseGranted treats the lease as just granted by this node to the primary of
+// the newest known record.
 func (m *Machine) assumeLeaseGranted(now time.Duration) {
 	m.granted = grantedLease{primary: m.voterState.Decided.Primary, grantedAt: now}
 	m.contacts.primaryAt = now
 }
 
-// voteBlockedFor says for how long this node must not vote for a candidate: a lease that
-// it granted to another or holds itself may still be relied on, or one that it granted
-// before its restart.
+// voteBlockedFor returns how long this node must not vote for a candidate. Another node
+// may still rely on a lease that this node granted, possibly before a restart, or this
+// node may still hold the lease itself.
 func (m *Machine) voteBlockedFor(candidate string, now time.Duration) time.Duration {
 	until := m.granted.blocksUntil(candidate, m.timing.PrimaryLease)
 	if m.isRecordedPrimary() {
@@ -58,8 +58,9 @@
 	return max(until-now, 0)
 }
 
-// hasGrantedNoLeaseFor says whether this node has granted no lease for a span, nor may
-// have before it started.
+// hasGrantedNoLeaseFor reports whether this node has granted no lease for the given
+// span. It is false if the node started less than the span ago, because the node may
+// have granted a lease before its start.
 func (m *Machine) hasGrantedNoLeaseFor(span time.Duration, now time.Duration) bool {
 	return now >= m.granted.grantedAt+span && now >= m.startedAt+span
 }
--- a/internal/coordination/consensus/lease.go
+++ b/internal/coordination/consensus/lease.go
@@ -8,21 +8,23 @@
 	"tansyseam/internal/coordination/proposal"
 )
 
-// isolatedRenewLeases is how many leases a primary that does not hear a majority
-// leaves between renewals: each binds the voters that receive it for one lease, and
-// they could not vote for the backup if renewals were closer.
+// isolatedRenewLeases is the number of leases between two renewals by a primary that
+// receives no messages from a majority. Each renewal keeps the voters that receive it
+// from voting for another candidate for one lease. With shorter intervals they could
+// not vote for the backup.
 const isolatedRenewLeases = 3
 
-// heldLease is the lease of the primary, as a majority of the voters has granted it.
+// heldLease is the lease of the primary as granted by a majority of the voters.
 type heldLease struct {
-	// renewedAt is when the voters were last asked for it.
+	// renewedAt is when the voters were last asked to renew the lease.
 	renewedAt time.Duration
-	// grantSentAt is when the last renewal that each other voter granted in this epoch
-	// was sent.
+	// grantSentAt holds, for each other voter, when the last renewal that it granted in
+	// this epoch was sent.
 	grantSentAt map[string]time.Duration
-	// until is the end of the lease. No other node can become primary before: more than
-	// half of the voters have granted a renewal that was sent less than the usable span
-	// of a lease earlier, and each of them is bound for longer than that.
+	// until is the end of the lease. No other node can become primary before then: more
+	// than half of the voters have granted a renewal that was sent less than the usable
+	// span of a lease earlier, and each of them votes for no other candidate for longer
+	// than that.
 	until time.Duration
 }
 
@@ -31,13 +33,14 @@
 	return l
 }
 
-// noteGrant notes that a voter has granted the renewal sent at a moment.
+// noteGrant records that a voter has granted the renewal sent at sentAt.
 func (l *heldLease) noteGrant(voter string, sentAt time.Duration) {
 	l.grantSentAt[voter] = max(l.grantSentAt[voter], sentAt)
 }
 
-// extend sets the end of the lease by the moments at which the voters that have granted
-// it were asked. A quorum of them was asked at the quorum-th latest moment or later.
+// extend sets the end of the lease, given the times at which the granted renewals were
+// sent. A quorum of the renewals was sent at or after the quorum-th latest of these
+// times, from which the lease is counted.
 func (l *heldLease) extend(sentAt []time.Duration, quorum int, span time.Duration) {
 	slices.Sort(sentAt)
 	l.until = max(l.until, sentAt[len(sentAt)-quorum]+proposal.UsableSpan(span))
@@ -47,7 +50,7 @@
 	return m.isRecordedPrimary() && now < m.lease.until
 }
 
-// renewLease asks the voters for the lease where that is due.
+// renewLease asks the voters to renew the lease if a renewal is due.
 func (m *Machine) renewLease(now time.Duration) {
 	if now-m.lease.renewedAt < m.renewInterval(now) {
 		return
@@ -80,8 +83,8 @@
 	}
 }
 
-// isOwnRequest says whether a reply is to a renewal that this run of the program sent.
-// Builds that do not know the field leave Incarnation at 0.
+// isOwnRequest reports whether a reply answers a renewal sent by this run of the
+// program. Builds that do not support the Incarnation field leave it at 0.
 func (m *Machine) isOwnRequest(ack RenewLeaseAck, now time.Duration) bool {
 	if ack.SentAt > now || m.processIncarnation == 0 {
 		return false
@@ -89,8 +92,8 @@
 	return ack.Incarnation == 0 || ack.Incarnation == m.processIncarnation
 }
 
-// extendLease extends the lease where a majority of the voters has granted it, of which
-// this node, unless it has voted for another candidate, is one.
+// extendLease extends the lease if a majority of the voters has granted it. This node
+// counts as one of them, unless it has voted for another candidate.
 func (m *Machine) extendLease(now time.Duration) {
 	var sentAt []time.Duration
 	if !m.voterState.VotedForOther {
--- a/internal/coordination/consensus/leaving.go
+++ b/internal/coordination/consensus/leaving.go
@@ -2,21 +2,23 @@
 
 import "time"
 
-// leavingTTL is for how long a node's announcement that it leaves counts.
+// leavingTTL is how long a node's announcement that it is leaving stays valid.
 const leavingTTL = time.Second
 
-// shutdown is the planned end of this node.
+// shutdown is the state of this node's planned shutdown.
 type shutdown struct {
-	// requested says that this node is to end.
+	// requested is true if this node is to shut down.
 	requested bool
-	// releasedEpoch is the epoch in which the primary let it, or 0.
+	// releasedEpoch is the epoch in which the primary released this node, or 0 if it
+	// has not.
 	releasedEpoch uint64
 }
 
-// leavingNodes is when each node last announced to the primary that it shuts down.
+// leavingNodes holds when each node last announced to the primary that it is shutting
+// down.
 type leavingNodes map[string]time.Duration
 
-// has says whether a node's announcement counts.
+// has reports whether a node's announcement is still valid.
 func (l leavingNodes) has(name string, now time.Duration) bool {
 	at, ok := l[name]
 	return ok && now-at < leavingTTL
@@ -27,15 +29,15 @@
 	m.announceLeaving(now)
 }
 
-// announceLeaving tells the primary that this node is shutting down.
+// announceLeaving notifies the primary that this node is shutting down.
 func (m *Machine) announceLeaving(now time.Duration) {
 	if m.shutdown.requested && m.isFormed() && !m.holdsLease(now) && m.voterState.Decided.Primary != m.self {
 		m.send(m.voterState.Decided.Primary, Leaving{})
 	}
 }
 
-// onLeaving notes that a voter leaves. It is released at once where no standby could
-// vote in its place, and the others are a majority without it.
+// onLeaving records that a node is leaving. A node without a role is released at once
+// if no standby could vote in its place and the other voters are a majority without it.
 func (m *Machine) onLeaving(from string, _ Leaving, now time.Duration) {
 	m.leaving[from] = now
 	decided := m.voterState.Decided
@@ -51,16 +53,17 @@
 	}
 }
 
-// MayStop says whether this node may shut down without a gap in service: it is no
-// voter, or is neither primary nor backup and was released.
+// MayStop reports whether this node may shut down without interrupting the service. It
+// may if it is not a voter, or if it is neither primary nor backup and the primary has
+// released it.
 func (m *Machine) MayStop() bool {
 	decided := m.voterState.Decided
 	hasRole := decided.Primary == m.self || decided.Backup == m.self
 	return !m.IsMember() || (!hasRole && m.shutdown.releasedEpoch == decided.Epoch)
 }
 
-// transferPrimary proposes an epoch in which the backup is primary, where this primary
-// is shutting down, and says whether it did.
+// transferPrimary proposes an epoch in which the backup is primary, if this primary is
+// shutting down and the backup is ready. It reports whether it proposed one.
 func (m *Machine) transferPrimary(now time.Duration) bool {
 	decided := m.voterState.Decided
 	isReady := decided.Backup != "" && m.tracker.acknowledgedWithin(m.timing.PrimaryLease/2, decided.Backup, now) &&
--- a/internal/coordination/consensus/load.go
+++ b/internal/coordination/consensus/load.go
@@ -7,9 +7,9 @@
 	"tansyseam/internal/state/versionfile"
 )
 
-// Load reads what a Machine has saved. Damaged files are skipped and reported to
-// onSkipped. The error is store.ErrDecode where a sound file has another content than
-// it should, or one of the disk.
+// Load reads the state that a Machine has saved. Damaged files are skipped and reported
+// to onSkipped. The error is store.ErrDecode if an undamaged file has unexpected
+// content, or an error of the disk.
 func Load(files *versionfile.Store, onSkipped func(kind string, skipped int)) (PersistentState, error) {
 	saved := PersistentState{}
 	for _, kind := range FileKinds() {
@@ -31,7 +31,7 @@
 	return saved, nil
 }
 
-// decode takes over the content of one file.
+// decode decodes the content of one file into s.
 func (s *PersistentState) decode(kind string, latest versionfile.Version) (err error) {
 	decoders := map[string]func(){
 		FileIdentity:   func() { s.Identity, err = DecodeIdentity(latest.Data) },
@@ -45,13 +45,14 @@
 	return err
 }
 
-// DecodeIdentity reads the content of a FileIdentity. The error is store.ErrDecode.
+// DecodeIdentity decodes the content of a FileIdentity. The error is store.ErrDecode.
 func DecodeIdentity(data []byte) (*Identity, error) { return decodePointer(data, IdentityFrom) }
 
-// DecodeVoterState reads the content of a FileVoterState. The error is store.ErrDecode.
+// DecodeVoterState decodes the content of a FileVoterState. The error is
+// store.ErrDecode.
 func DecodeVoterState(data []byte) (*VoterState, error) { return decodePointer(data, VoterStateFrom) }
 
-// DecodeTable reads the content of a FileTable. The error is store.ErrDecode.
+// DecodeTable decodes the content of a FileTable. The error is store.ErrDecode.
 func DecodeTable(data []byte) (*store.Table, error) {
 	table, err := decodePointer(data, store.TableFrom)
 	if err == nil && table.Records == nil {
