--- a/internal/coordination/consensus/machine.go
+++ b/internal/coordination/consensus/machine.go
@@ -7,41 +7,44 @@
 	"tansyseam/internal/state/store"
 )
 
-// Machine is the state machine of one control node. It does no I/O, and is not safe
-// for concurrent use.
+// Machine is the state machine of one control node. It does no I/O, and is not safe for
+// concurrent use.
 //
-// Each part of its state is a type with one job, which states what holds for its fields.
-// What handles a message, and what the ticks of a role do, is in the file of the part
-// that it is about.
+// Each part of its state is a type with a single purpose, which documents the
+// invariants of its fields. The message handlers and the tick functions of a role are
+// in the file of the part that they concern.
 type Machine struct {
 	self      string
 	bootstrap BootstrapConfig
 	timing    Timing
-	// startedAt is when this run of the program began, or the node entered its cluster.
+	// startedAt is when this run of the program began, or when the node entered its
+	// cluster.
 	startedAt time.Duration
-	// processIncarnation is the wall clock at the first tick, which distinguishes replies
-	// to an earlier run of the program. It is 0 before that tick.
+	// processIncarnation is the wall clock at the first tick. It distinguishes replies
+	// to this run of the program from replies to an earlier run. It is 0 before the
+	// first tick.
 	processIncarnation int64
 
-	// What is on disk, or on the way there. The identity is nil before the node has one.
+	// State that is on disk or being written to disk. The identity is nil until the
+	// node has one.
 	identity   *Identity
 	voterState VoterState
 	replica    replica
 	disk       diskHealth
 
-	// What each node keeps.
+	// State of every node.
 	peers    peerSet
 	contacts contacts
 	clock    clusterClock
-	// formAcks are the voters that agreed to form a cluster.
+	// formAcks holds the voters that agreed to form a cluster, by name.
 	formAcks map[string]Member
 	shutdown shutdown
 
-	// What a voter keeps. Only the primary, its backup and spares propose.
+	// State of a voter. Only the primary, the backup and spares propose.
 	granted   grantedLease
 	proposals proposalState
 
-	// What the primary keeps.
+	// State of the primary.
 	lease    heldLease
 	tracker  voterTracker
 	writes   writeQueue
@@ -49,11 +52,12 @@
 	standbys map[string]standby
 	leaving  leavingNodes
 
-	// effects are those of the step under way.
+	// effects are the effects of the step in progress.
 	effects []Effect
 }
 
-// NewWithBootstrap makes the machine of a node from what its disk held.
+// NewWithBootstrap returns the machine of a node, restored from the content of its
+// disk.
 func NewWithBootstrap(self string, bootstrap BootstrapConfig, timing Timing, saved PersistentState, now time.Duration) *Machine {
 	m := &Machine{
 		self: self, bootstrap: bootstrap, timing: timing, startedAt: now,
@@ -75,8 +79,8 @@
 	return m
 }
 
-// Clone gives a machine in the same state, which shares with the first only
-// what neither changes.
+// Clone returns a machine in the same state. The two machines share only data that
+// neither of them changes.
 func (m *Machine) Clone() *Machine {
 	other := *m
 	if m.identity != nil {
@@ -96,18 +100,19 @@
 	return &other
 }
 
-// Record gives the newest epoch record known.
+// Record returns the newest known epoch record.
 func (m *Machine) Record() Record { return m.voterState.Decided }
 
-// CommittedTable gives the state that may be served, to be read only: it has no write
-// that the backup may lack.
+// CommittedTable returns the state that may be served. It contains no write that the
+// backup may lack. The caller must not change it.
 func (m *Machine) CommittedTable() *store.Table { return m.replica.committed }
 
-// ReplicaTable gives this node's replica with the write under way, to be read only.
+// ReplicaTable returns this node's replica, including the write in progress. The caller
+// must not change it.
 func (m *Machine) ReplicaTable() *store.Table { return m.replica.table }
 
-// Voters names the voters on the next epoch by the newest record known, sorted. There
-// are none before the cluster is formed.
+// Voters returns the sorted names of the voters on the next epoch according to the
+// newest known record. It returns none before the cluster is formed.
 func (m *Machine) Voters() []string {
 	if !m.isFormed() {
 		return nil
@@ -115,7 +120,7 @@
 	return m.voterState.Decided.Voters.Names()
 }
 
-// Cluster gives the name of the cluster, or "" before this node knows one.
+// Cluster returns the name of the cluster, or "" if this node has not received one yet.
 func (m *Machine) Cluster() string {
 	if m.identity == nil {
 		return ""
@@ -123,16 +128,16 @@
 	return m.identity.Cluster
 }
 
-// IsSettled says whether this node has no part in a proposal for the next epoch.
+// IsSettled reports whether this node takes part in no proposal for the next epoch.
 func (m *Machine) IsSettled() bool {
 	return !m.proposals.isUnderWay() && m.voterState.Acceptor.Promised.Name == ""
 }
 
-// IsPrimary says whether this node holds the lease, and its replica may be served.
+// IsPrimary reports whether this node holds the lease and its replica may be served.
 func (m *Machine) IsPrimary(now time.Duration) bool { return m.holdsLease(now) && !m.replica.ahead }
 
-// LeaseUntil gives the moment until which this node is primary; where it is past or 0,
-// it is none.
+// LeaseUntil returns the time until which this node is primary. If it is 0 or in the
+// past, this node is not primary.
 func (m *Machine) LeaseUntil() time.Duration {
 	if m.replica.ahead {
 		return 0
@@ -140,19 +145,19 @@
 	return m.lease.until
 }
 
-// IsMember says whether this node is a voter by the newest record known, with the disk
-// that it has.
+// IsMember reports whether this node, with its current disk, is a voter according to
+// the newest known record.
 func (m *Machine) IsMember() bool {
 	return m.isFormed() && m.voterState.Decided.Voters.Has(Member{Name: m.self, Incarnation: m.identity.Incarnation})
 }
 
-// IsStandby says whether this node knows a cluster and is no voter in it.
+// IsStandby reports whether this node belongs to a formed cluster and is not a voter.
 func (m *Machine) IsStandby() bool { return m.isFormed() && !m.IsMember() }
 
 func (m *Machine) isFormed() bool { return m.identity != nil && m.identity.Formed }
 
-// isRecordedPrimary says whether the newest record names this node the primary. It may
-// still have no lease.
+// isRecordedPrimary reports whether the newest known record names this node as primary.
+// The node does not necessarily hold the lease.
 func (m *Machine) isRecordedPrimary() bool {
 	return m.IsMember() && m.voterState.Decided.Primary == m.self
 }
--- a/internal/coordination/consensus/membership.go
+++ b/internal/coordination/consensus/membership.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// silentVoterLeases is for how many leases a voter may be silent before a standby
-// replaces it.
+// silentVoterLeases is the number of leases for which a voter may be silent before a
+// standby replaces it.
 const silentVoterLeases = 3
 
-// replaceVoter proposes an epoch in which a standby is voter in another's place, and
-// says whether it did. One voter is replaced at a time.
+// replaceVoter proposes an epoch in which a standby replaces a voter, and reports
+// whether it proposed one. Only one voter is replaced at a time.
 func (m *Machine) replaceVoter(now time.Duration) bool {
 	replacement, ok := m.nextReplacement(now)
 	if !ok {
@@ -32,8 +32,9 @@
 // replacement is a voter and the standby that is to vote in its place.
 type replacement struct{ old, next Member }
 
-// nextReplacement gives a voter that is to be replaced: first a node that came back
-// without its disk, by itself, and else one that is silent or leaves, by a standby.
+// nextReplacement returns a voter that has to be replaced and the node that replaces
+// it. A node that returned without its disk comes first and replaces itself. Otherwise,
+// a standby replaces a voter that is silent or leaving.
 func (m *Machine) nextReplacement(now time.Duration) (replacement, bool) {
 	ready := m.readyStandbys(now)
 	voters := m.voterState.Decided.Voters
@@ -53,14 +54,15 @@
 	return replacement{}, false
 }
 
-// needsReplacement says whether a voter is silent, or leaves and is not the backup.
+// needsReplacement reports whether a voter is silent, or is leaving and is not the
+// backup.
 func (m *Machine) needsReplacement(name string, now time.Duration) bool {
 	isLeaving := m.leaving.has(name, now) && name != m.voterState.Decided.Backup
 	return isLeaving || m.tracker.silence(name, now) > m.leaseDurations(silentVoterLeases)
 }
 
-// pickStandby gives the standby in the zone with the fewest voters besides the one that
-// is replaced, the first by name of several.
+// pickStandby returns the standby in the zone with the fewest voters, not counting the
+// replaced voter. If several standbys qualify, it returns the first by name.
 func (m *Machine) pickStandby(ready []Member, replaced Member) Member {
 	votersInZone := map[string]int{}
 	for _, member := range m.voterState.Decided.Voters.Members() {
--- a/internal/coordination/consensus/peers.go
+++ b/internal/coordination/consensus/peers.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// peerSet is the control nodes met so far, this node among them. The slice and the maps
-// are replaced as a whole, never changed in place.
+// peerSet is the set of control nodes discovered so far, including this node. The slice
+// and the maps are replaced as a whole and never changed in place.
 type peerSet struct {
 	names []string
-	// byAddress gives the node at an RPC address, where it is known.
+	// byAddress maps an RPC address to the name of its node, if that is known.
 	byAddress map[string]string
-	// zones gives the failure domain of each node.
+	// zones maps the name of a node to its failure domain.
 	zones map[string]string
-	// enoughSince is since when there are as many nodes as vote, or 0 while there are
-	// fewer.
+	// enoughSince is when the number of nodes last reached the number of voters, or 0
+	// while there are fewer nodes.
 	enoughSince time.Duration
 }
 
-// update takes over what was reported, for a cluster with so many voters.
+// update replaces the set with the reported nodes. The voters argument is the number of
+// voters of the cluster.
 func (p *peerSet) update(reported Peers, voters int, now time.Duration) {
 	p.names, p.byAddress, p.zones = reported.Names, reported.ByAddress, reported.Zones
 	if len(p.names) < voters {
@@ -30,12 +31,14 @@
 	}
 }
 
-// hasEnoughFor says whether there have been as many nodes as vote for a span.
+// hasEnoughFor reports whether there have been at least as many nodes as voters for the
+// given span.
 func (p *peerSet) hasEnoughFor(span, now time.Duration) bool {
 	return p.enoughSince != 0 && now-p.enoughSince >= span
 }
 
-// atAddresses names the nodes that were met at some addresses, in the order of these.
+// atAddresses returns the names of the nodes at the given addresses, in the order of
+// the addresses.
 func (p *peerSet) atAddresses(addresses []string) []string {
 	var names []string
 	for _, address := range addresses {
@@ -47,7 +50,7 @@
 	return names
 }
 
-// sorted lists the nodes in order of names.
+// sorted returns the names of the nodes in sorted order.
 func (p *peerSet) sorted() []string { return slices.Sorted(slices.Values(p.names)) }
 
 func (m *Machine) onPeers(peers Peers, now time.Duration) {
--- a/internal/coordination/consensus/persist.go
+++ b/internal/coordination/consensus/persist.go
@@ -5,61 +5,62 @@
 	"tansyseam/internal/state/store"
 )
 
-// The kinds of files. The names are on disk and must not change.
+// The kinds of files. The values are part of the stored data and must not change.
 const (
 	FileIdentity   = "identity"
 	FileVoterState = "ballots"
 	FileTable      = "table"
 )
 
-// FileKinds lists the kinds of files.
+// FileKinds returns the kinds of files.
 func FileKinds() []string { return []string{FileIdentity, FileVoterState, FileTable} }
 
-// Identity is the content of a FileIdentity: which cluster a data directory belongs
-// to, and which of the node's disks it is on.
+// Identity is the content of a FileIdentity. It records the cluster that a data
+// directory belongs to, and which of the node's disks holds the directory.
 type Identity struct {
-	// Cluster names the cluster; it is unique.
+	// Cluster is the unique name of the cluster.
 	Cluster string
 	// Self is the name of the node.
 	Self string
-	// Incarnation tells the disk from those that the node had before.
+	// Incarnation distinguishes the disk from the disks that the node had before.
 	Incarnation uint64
-	// Voters names the nodes that the cluster is formed with.
+	// Voters are the names of the nodes that the cluster is formed with.
 	Voters []string
-	// Formed says that all of Voters have agreed.
+	// Formed is true once all Voters have agreed.
 	Formed bool
 }
 
-// VoterState is the content of a FileVoterState: what a voter must not forget.
+// VoterState is the content of a FileVoterState, which a voter must not lose.
 type VoterState struct {
 	// Sequence counts the versions of the file.
 	Sequence uint64
-	// Decided is the newest epoch record known.
+	// Decided is the newest known epoch record.
 	Decided Record
 	// Acceptor is the vote on the record of the epoch after Decided.
 	Acceptor proposal.Acceptor
-	// VotedForOther says that the node has promised or accepted for another candidate
-	// than the primary since Decided: it grants no more leases in that epoch.
+	// VotedForOther is true if, since Decided, the node has promised or accepted a
+	// proposal by a candidate other than the primary. The node then grants no more
+	// leases in that epoch.
 	VotedForOther bool
-	// ReplicaIncomplete says that the node lost its replica, or did not vote for a
-	// time, and was not repaired since.
+	// ReplicaIncomplete is true if the node lost its replica, or was not a voter for a
+	// time, and has not been repaired since.
 	ReplicaIncomplete bool
 }
 
-// PersistentState is what the disk held when the node started.
+// PersistentState is the content of the disk when the node started.
 type PersistentState struct {
-	// Identity, VoterState and Table are nil where the disk held none.
+	// Identity, VoterState and Table are nil if the disk held none.
 	Identity   *Identity
 	VoterState *VoterState
 	Table      *store.Table
-	// TableSequence is the sequence of the file of Table.
+	// TableSequence is the sequence number of the file that holds Table.
 	TableSequence uint64
-	// Corrupted says that damaged files were skipped, so that what was read may be
+	// Corrupted is true if damaged files were skipped, so that the content read may be
 	// older than what was synced.
 	Corrupted bool
 }
 
-// Sequences of an identity's file.
+// Sequence numbers of the identity file.
 const (
 	identityForming = 1
 	identityFormed  = 2
@@ -80,8 +81,9 @@
 
 func (m *Machine) saveTable() { m.emit(m.replica.save()) }
 
-// restore takes over what the disk held. Where that may be less than what was synced,
-// the node may have forgotten a vote, and continues as one whose disk is blank.
+// restore sets the state of the machine from the content of the disk. If the content
+// may be less than what was synced, the node may have lost a vote, so it continues like
+// a node with a blank disk.
 func (m *Machine) restore(saved PersistentState) {
 	m.disk.corrupted = saved.Corrupted
 	if saved.VoterState != nil {
--- a/internal/coordination/consensus/proposer.go
+++ b/internal/coordination/consensus/proposer.go
@@ -8,21 +8,23 @@
 	"tansyseam/internal/state/store"
 )
 
-// proposalState is this node's part as proposer of the record of the next epoch. At most
-// one proposal is under way.
+// proposalState is this node's state as a proposer of the record of the next epoch. At
+// most one proposal is in progress.
 type proposalState struct {
-	// current is the proposal under way, or nil, and base the record that it follows.
+	// current is the proposal in progress, or nil. base is the record that the proposed
+	// record follows.
 	current *proposal.Proposer
 	base    Record
-	// unsettled says that a proposal of this node may still be decided: the one under
-	// way, or one that it gave up, even before its restart. It ends with the next epoch.
+	// unsettled is true if a proposal of this node may still be decided. This is either
+	// the proposal in progress or a proposal that the node gave up, possibly before its
+	// restart. It is reset when the next epoch is decided.
 	unsettled bool
-	// highestRound is the highest round of a proposal known, its own or another's.
+	// highestRound is the highest known round of a proposal by this node or another.
 	highestRound uint64
 	// nextAt is when this node may propose again.
 	nextAt time.Duration
-	// retryAt is when voters that refused the current proposal may vote for it, or 0
-	// where none has said.
+	// retryAt is when the first of the voters that refused the current proposal may
+	// vote for it, or 0 if none of them has reported a time.
 	retryAt time.Duration
 }
 
@@ -35,37 +37,39 @@
 
 func (p *proposalState) isUnderWay() bool { return p.current != nil }
 
-// isDue says whether this node may propose again.
+// isDue reports whether this node may propose again.
 func (p *proposalState) isDue(now time.Duration) bool { return now >= p.nextAt }
 
-// delayUntil has this node not propose before a moment.
+// delayUntil prevents this node from proposing before the given time.
 func (p *proposalState) delayUntil(until time.Duration) { p.nextAt = max(p.nextAt, until) }
 
-// epoch is the one whose record is proposed.
+// epoch returns the epoch whose record is proposed.
 func (p *proposalState) epoch() uint64 { return p.base.Epoch + 1 }
 
-// hasNumber says whether a number is that of the proposal under way.
+// hasNumber reports whether the proposal in progress has the given number.
 func (p *proposalState) hasNumber(number proposal.Number) bool {
 	return p.current != nil && p.current.Number == number
 }
 
-// observeRound notes the round of a proposal that a voter has promised.
+// observeRound records the round of a proposal that a voter has promised.
 func (p *proposalState) observeRound(round uint64) { p.highestRound = max(p.highestRound, round) }
 
-// nextNumber gives the number of a new proposal, which is higher than all known.
+// nextNumber returns the number of a new proposal, which is higher than all known
+// numbers.
 func (p *proposalState) nextNumber(name string) proposal.Number {
 	p.highestRound++
 	return proposal.Number{Round: p.highestRound, Name: name}
 }
 
-// start replaces the proposal under way, if any.
+// start replaces the proposal in progress, if any.
 func (p *proposalState) start(current *proposal.Proposer, base Record) {
 	p.current, p.base = current, base
 	p.unsettled, p.retryAt = true, 0
 }
 
-// expire gives up a proposal without an answer in time, or one whose voters said that
-// they may vote by now.
+// expire gives up a proposal that was not decided within replyTimeout. It also gives up
+// a proposal that is still being prepared once a voter that refused it may vote for it,
+// so that this node can propose again at once.
 func (p *proposalState) expire(replyTimeout, now time.Duration) {
 	if p.current != nil && now-p.current.StartedAt > replyTimeout {
 		p.current = nil
@@ -75,15 +79,16 @@
 	}
 }
 
-// scheduleRetry plans another proposal for the moment at which a voter may vote for it.
+// scheduleRetry schedules another proposal for the earliest time at which a voter may
+// vote for it.
 func (p *proposalState) scheduleRetry(at time.Duration) {
 	if p.retryAt == 0 || at < p.retryAt {
 		p.retryAt = at
 	}
 }
 
-// end drops the proposal under way once the epoch is decided. The next may follow at
-// once.
+// end discards the proposal in progress once the epoch is decided. The next proposal
+// may follow at once.
 func (p *proposalState) end() { p.current, p.unsettled, p.nextAt = nil, false, 0 }
 
 // propose starts a proposal for the record of the next epoch.
@@ -108,8 +113,9 @@
 	}
 }
 
-// proposalBackoff is the least time between two proposals of this node. It differs
-// among the voters, so that proposals that collided do so only once.
+// proposalBackoff returns the minimum time between two proposals of this node. It
+// differs among the voters, so that proposals that collided do not collide a second
+// time.
 func (m *Machine) proposalBackoff() time.Duration {
 	rank := slices.Index(m.Voters(), m.self)
 	return m.timing.ReplyTimeout/2 + time.Duration(rank)*m.timing.ReplyTimeout/4
@@ -133,8 +139,8 @@
 	}
 }
 
-// noteRefusal plans the next proposal after one that a voter refused, by the time for
-// which it may not vote.
+// noteRefusal schedules the next proposal after a voter has refused one. The voter must
+// not vote for this node for retryAfter.
 func (m *Machine) noteRefusal(voter string, retryAfter time.Duration, now time.Duration) {
 	retryAt := now + retryAfter
 	if retryAfter > 0 {
@@ -145,7 +151,8 @@
 	}
 }
 
-// sendAccept has the value of a prepared proposal accepted, by this node first.
+// sendAccept asks the voters to accept the value of a prepared proposal. This node
+// accepts it first.
 func (m *Machine) sendAccept(now time.Duration) {
 	accept := Accept{Epoch: m.proposals.epoch(), Number: m.proposals.current.Number, Value: m.proposals.current.Value}
 	accepted := m.voterState.Acceptor.Accept(accept.Number, accept.Value)
--- a/internal/coordination/consensus/reasons.go
+++ b/internal/coordination/consensus/reasons.go
@@ -1,6 +1,6 @@
 package consensus
 
-// Reasons of an EpochChanged. They are in the log of events that operators read.
+// Reasons of an EpochChanged. Operators read them in the event log.
 const (
 	reasonClusterFormed    = "fleet formed"
 	reasonStatus           = "status received"
--- a/internal/coordination/consensus/record.go
+++ b/internal/coordination/consensus/record.go
@@ -9,33 +9,34 @@
 	"tansyseam/internal/state/store"
 )
 
-// Record names the primary and the backup of an epoch, and the voters on the epoch
-// after it. Records compare with ==.
+// Record names the primary and the backup of an epoch, and the voters that decide the
+// record of the next epoch. Records can be compared with ==.
 type Record struct {
 	Epoch   uint64
 	Primary string
-	// Backup is empty in an epoch without one.
+	// Backup is empty in an epoch without a backup.
 	Backup string
 	Voters Voters
 }
 
-// decodeRecord reads the value of a proposal. The error is store.ErrDecode.
+// decodeRecord decodes the value of a proposal. The error is store.ErrDecode.
 func decodeRecord(data []byte) (Record, error) {
 	var record Record
 	err := store.DecodePlain(data, &record)
 	return record, err
 }
 
-// Member is a voter: a node, and which of its disks it votes with. A node that lost its
-// disk comes back with another incarnation, and so as no member.
+// Member is a voter, identified by a node and the incarnation of the disk that it votes
+// with. A node that lost its disk returns with another incarnation, and is then not a
+// member.
 type Member struct {
 	Name        string
 	Incarnation uint64
 }
 
-// Voters is a set of members in a canonical text form, so that it compares with
-// ==: each as name, a tab and incarnation, in order of names, joined by newlines. It is
-// stored and sent in that form.
+// Voters is a set of members in a canonical text form, so that sets can be compared
+// with ==. Each member is written as its name, a tab and its incarnation. The members
+// are sorted by name and joined by newlines. The set is stored and sent in this form.
 type Voters string
 
 const (
@@ -43,7 +44,7 @@
 	incarnationSeparator = "\t"
 )
 
-// NewVoters makes the set of some members.
+// NewVoters returns the set of the given members.
 func NewVoters(members ...Member) Voters {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
@@ -54,7 +55,7 @@
 	return Voters(strings.Join(lines, memberSeparator))
 }
 
-// votersWithoutIncarnation makes the set of a cluster that was formed by a build
+// votersWithoutIncarnation returns the voters of a cluster that was formed by a build
 // without incarnations.
 func votersWithoutIncarnation(names []string) Voters {
 	var members []Member
@@ -64,7 +65,7 @@
 	return NewVoters(members...)
 }
 
-// Members lists the set in order of names.
+// Members returns the members of the set, sorted by name.
 func (v Voters) Members() []Member {
 	if v == "" {
 		return nil
@@ -78,7 +79,7 @@
 	return members
 }
 
-// Names lists the nodes of the set in order.
+// Names returns the names of the nodes in the set, sorted.
 func (v Voters) Names() []string {
 	var names []string
 	for _, member := range v.Members() {
@@ -87,10 +88,10 @@
 	return names
 }
 
-// Has says whether a member is in the set.
+// Has reports whether a member is in the set.
 func (v Voters) Has(member Member) bool { return slices.Contains(v.Members(), member) }
 
-// Find gives the member with a name.
+// Find returns the member with the given name, and reports whether there is one.
 func (v Voters) Find(name string) (Member, bool) {
 	for _, member := range v.Members() {
 		if member.Name == name {
@@ -100,7 +101,7 @@
 	return Member{}, false
 }
 
-// Replace gives the set with one member in another's place.
+// Replace returns the set with the member old replaced by next.
 func (v Voters) Replace(old, next Member) Voters {
 	members := slices.DeleteFunc(v.Members(), func(member Member) bool { return member == old })
 	return NewVoters(append(members, next)...)
--- a/internal/coordination/consensus/repair.go
+++ b/internal/coordination/consensus/repair.go
@@ -6,26 +6,28 @@
 	"tansyseam/internal/state/store"
 )
 
-// repair brings the replica of a voter up to date that is to be the backup.
+// repair is the repair of the replica of a voter that is to become the backup.
 type repair struct {
 	peer   string
 	sentAt time.Duration
 }
 
-// repairState is the primary's repair of other voters' replicas.
+// repairState is the state of the primary's repairs of other voters' replicas.
 type repairState struct {
-	// active is the repair of the voter that is to be the backup, or nil. It is replaced,
-	// never changed.
+	// active is the repair of the voter that is to become the backup, or nil. It is
+	// replaced as a whole and never changed in place.
 	active *repair
-	// spareDigestsSentAt is when the spares that lack writes were last sent digests.
+	// spareDigestsSentAt is when digests were last sent to the spares that lack writes.
 	spareDigestsSentAt time.Duration
 }
 
-// isRepairing says whether the replica of a voter is repaired to make it the backup.
+// isRepairing reports whether the replica of the given voter is being repaired to make
+// the voter the backup.
 func (s *repairState) isRepairing(peer string) bool { return s.active != nil && s.active.peer == peer }
 
-// repairNextBackup repairs the replica of a voter that is to be the backup, where there is
-// none or it leaves. A voter that failed lately is tried only while the backup leaves.
+// repairNextBackup repairs the replica of a voter that is to become the backup, if
+// there is no backup or the backup is leaving. A voter that failed recently is tried
+// only if the backup is leaving and no other voter is available.
 func (m *Machine) repairNextBackup(now time.Duration) {
 	backup := m.voterState.Decided.Backup
 	isLeaving := m.leaving.has(backup, now)
@@ -48,8 +50,8 @@
 	}
 }
 
-// latestResponder gives the voter that replied last of those that may be the backup, or
-// "" where there is none.
+// latestResponder returns the voter with the latest reply among those that may become
+// the backup, or "" if there is none.
 func (m *Machine) latestResponder(now time.Duration, isAllowed func(name string) bool) string {
 	latest := ""
 	m.eachOtherVoter(func(name string) {
@@ -115,7 +117,8 @@
 	m.send(from, RepairDone{Version: repaired.Version})
 }
 
-// noteReplicaComplete notes that the replica is complete, where it was lost before.
+// noteReplicaComplete records that the replica is complete, if it was incomplete
+// before.
 func (m *Machine) noteReplicaComplete() {
 	if m.voterState.ReplicaIncomplete {
 		m.voterState.ReplicaIncomplete = false
--- a/internal/coordination/consensus/replica.go
+++ b/internal/coordination/consensus/replica.go
@@ -2,23 +2,26 @@
 
 import "tansyseam/internal/state/store"
 
-// replica is this node's copy of the control state, on disk or on the way there. Its
-// tables are replaced, never changed, since effects and readers share them.
+// replica is this node's copy of the control state, which is on disk or being written
+// to disk. Its tables are replaced and never changed in place, because effects and
+// readers share them.
 type replica struct {
-	// table has all writes that this node has saved, the one under way included.
+	// table contains all writes that this node has saved, including the write in
+	// progress.
 	table *store.Table
 	// fileSequence counts the versions of the table's file.
 	fileSequence uint64
-	// committed is the table without a write that may not be replicated yet. The primary
-	// serves it; other nodes do not keep it up.
+	// committed is the table without the write that may not be replicated yet. The
+	// primary serves it. Other nodes do not keep it up to date.
 	committed *store.Table
-	// ahead says that the table may have a write that the backup lacks, from an earlier
-	// run of the program. The primary serves nothing until an epoch without a backup
-	// settles that the write is kept.
+	// ahead is true if the table may contain a write from an earlier run of the program
+	// that the backup lacks. The primary serves nothing until an epoch without a backup
+	// is decided, after which the write is certain to be kept.
 	ahead bool
 }
 
-// newReplica takes over the table that the disk held, if any.
+// newReplica returns a replica with the table that the disk held, or an empty table if
+// it held none.
 func newReplica(saved PersistentState) replica {
 	table := saved.Table
 	if table == nil {
@@ -29,22 +32,23 @@
 
 func (r *replica) version() store.Version { return r.table.Version }
 
-// apply takes a write.
+// apply adds a write to the table.
 func (r *replica) apply(version store.Version, puts []store.Put) {
 	r.table = r.table.Clone()
 	r.table.Apply(version, puts)
 }
 
-// replaceRanges takes over the records of some key ranges of another replica at a version.
+// replaceRanges replaces the records of some key ranges by those of another replica at
+// the given version.
 func (r *replica) replaceRanges(version store.Version, ranges []int, records map[string]store.Record) {
 	r.table = r.table.Clone()
 	r.table.ReplaceRanges(version, ranges, records)
 }
 
-// commit takes all writes for replicated.
+// commit treats all writes in the table as replicated.
 func (r *replica) commit() { r.committed = r.table }
 
-// save gives the effect that writes the table's file.
+// save returns the effect that writes the table's file.
 func (r *replica) save() Save {
 	r.fileSequence++
 	return Save{Kind: FileTable, Sequence: r.fileSequence, Data: store.Encode(*r.table)}
--- a/internal/coordination/consensus/replication.go
+++ b/internal/coordination/consensus/replication.go
@@ -6,7 +6,7 @@
 	"tansyseam/internal/state/store"
 )
 
-// applyPuts writes to the replica and saves it.
+// applyPuts applies a write to the replica and saves the replica.
 func (m *Machine) applyPuts(version store.Version, puts []store.Put) {
 	m.replica.apply(version, puts)
 	m.saveTable()
@@ -24,9 +24,9 @@
 	m.send(from, ack)
 }
 
-// followsPrimary says whether this node takes over the state of the primary of a
-// record: it is that of the newest epoch known, and this node has promised its vote to
-// nobody who may lack that state.
+// followsPrimary reports whether this node accepts state from the primary of a record.
+// The record must be the newest known record, and this node must not have promised its
+// vote to a candidate that may lack that state.
 func (m *Machine) followsPrimary(from string, record Record) bool {
 	return m.voterState.Decided == record && record.Primary == from && m.IsMember() && !m.hasPromisedOther(from)
 }
--- a/internal/coordination/consensus/spares.go
+++ b/internal/coordination/consensus/spares.go
@@ -6,16 +6,16 @@
 	"tansyseam/internal/state/store"
 )
 
-// Where more than one disk may be lost at once, a write is synced by the backup and by
-// so many spare voters, which the record does not name, that more than half of the
-// voters have it. A replica takes a write only on top of the version before it, so
-// that its version tells all that it has.
+// A spare voter is a voter that is neither primary nor backup in the record. If more
+// than one disk may be lost at once, a write is synced by the backup and by enough
+// spare voters that more than half of the voters have it. A replica accepts a write
+// only on top of the previous version, so its version determines which writes it has.
 
-// spareProposalLeases is for how many leases a spare leaves it to the nodes that the
-// record names to propose an epoch.
+// spareProposalLeases is the number of leases for which a spare lets the primary and
+// the backup propose an epoch before it proposes one itself.
 const spareProposalLeases = 3
 
-// requiredSpares is how many spare voters must sync each write.
+// requiredSpares returns the number of spare voters that must sync each write.
 func (m *Machine) requiredSpares() int {
 	if !m.bootstrap.RequireBackup {
 		return 0
@@ -23,7 +23,8 @@
 	return max(m.bootstrap.Voters/2-1, 0)
 }
 
-// isSpare says whether a node is a spare voter of this primary.
+// isSpare reports whether this node is the primary and the named node is one of its
+// spare voters.
 func (m *Machine) isSpare(name string) bool {
 	isOther := name != m.voterState.Decided.Backup && name != m.self
 	return m.requiredSpares() > 0 && m.isRecordedPrimary() && isOther && m.isVoter(name)
@@ -37,7 +38,7 @@
 	})
 }
 
-// repairSpares sends digests to the spares that lack writes, every ReplyTimeout.
+// repairSpares sends digests to the spares that lack writes, once per ReplyTimeout.
 func (m *Machine) repairSpares(now time.Duration) {
 	if m.requiredSpares() == 0 || now-m.repairs.spareDigestsSentAt < m.timing.ReplyTimeout || !m.holdsLease(now) {
 		return
@@ -51,8 +52,8 @@
 	})
 }
 
-// noteSpareVersion notes the version that a spare has synced, or that it could not take
-// a write.
+// noteSpareVersion records the version that a spare has synced, or that the spare could
+// not apply a write.
 func (m *Machine) noteSpareVersion(name string, version store.Version, synced bool, now time.Duration) {
 	if !synced {
 		m.tracker.noteSpareBehind(name)
@@ -62,23 +63,24 @@
 	m.commitIfReplicated(now)
 }
 
-// isSpareVoter says whether this node is a spare voter of whoever is primary.
+// isSpareVoter reports whether this node is a spare voter.
 func (m *Machine) isSpareVoter() bool {
 	decided := m.voterState.Decided
 	return m.requiredSpares() > 0 && m.IsMember() && decided.Primary != m.self && decided.Backup != m.self
 }
 
-// mayProposeAsSpare says whether this node may propose itself as primary though the
-// record does not name it.
+// mayProposeAsSpare reports whether this node may propose itself as primary although it
+// is neither primary nor backup in the record.
 func (m *Machine) mayProposeAsSpare(now time.Duration) bool {
 	hasNoRecentLease := m.hasGrantedNoLeaseFor(m.leaseDurations(spareProposalLeases), now)
 	return m.isSpareVoter() && hasNoRecentLease && !m.voterState.ReplicaIncomplete && !m.isDiskStalled()
 }
 
-// votesForSpare says whether this node votes for a spare: only where its own replica is
-// complete and not ahead of the candidate's. Each committed write was synced by more
-// than half of the voters, so that one of any majority has it. A spare that could be
-// primary itself leaves the better candidate a lease of time.
+// votesForSpare reports whether this node votes for a spare. It does so only if its own
+// replica is complete and not ahead of the candidate's. Each committed write was synced
+// by more than half of the voters, so at least one member of any majority has it. A
+// spare that could become primary itself delays its own proposals by one lease in
+// favour of a better candidate.
 func (m *Machine) votesForSpare(candidate string, version store.Version, now time.Duration) bool {
 	if m.requiredSpares() == 0 || m.voterState.ReplicaIncomplete || !m.isVoter(candidate) || version.IsBefore(m.replica.version()) {
 		return false
@@ -90,8 +92,8 @@
 	return true
 }
 
-// hasPromisedOther says whether this node has promised its vote to a candidate that may
-// lack what the primary would have it sync now.
+// hasPromisedOther reports whether this node has promised its vote to a candidate that
+// may lack the writes that the primary now asks this node to sync.
 func (m *Machine) hasPromisedOther(primary string) bool {
 	promised := m.voterState.Acceptor.Promised.Name
 	return m.requiredSpares() > 0 && promised != "" && promised != m.self && promised != primary
--- a/internal/coordination/consensus/standbys.go
+++ b/internal/coordination/consensus/standbys.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// standbyOfferTTL is for how long a standby's offer counts.
+// standbyOfferTTL is how long a standby's offer stays valid.
 const standbyOfferTTL = time.Second
 
-// standby is a node's offer to vote.
+// standby is a node's offer to become a voter.
 type standby struct {
 	incarnation uint64
 	offeredAt   time.Duration
-	// epoch is the one by whose record the node is no voter.
+	// epoch is the epoch of the record according to which the node is not a voter.
 	epoch uint64
 }
 
 func (s standby) isCurrent(now time.Duration) bool { return now-s.offeredAt < standbyOfferTTL }
 
-// onJoin notes an offer, and sends the newest record. An offer counts only in the
-// epoch that its sender knows: a node may have become a voter, and have been replaced,
-// since an older one was sent.
+// onJoin replies with the newest known record and records the offer. An offer is valid
+// only in the epoch that it names. The sender of an older offer may since have become a
+// voter and been replaced.
 func (m *Machine) onJoin(from string, join Join, now time.Duration) {
 	if !m.isFormed() || join.Cluster != m.identity.Cluster {
 		return
@@ -34,7 +34,8 @@
 	}
 }
 
-// hasStandby says whether a node offered to vote lately, in whichever epoch.
+// hasStandby reports whether a node has recently offered to become a voter, in any
+// epoch.
 func (m *Machine) hasStandby(now time.Duration) bool {
 	for name, offer := range m.standbys {
 		if offer.isCurrent(now) && !m.isVoter(name) && !m.leaving.has(name, now) {
@@ -44,7 +45,7 @@
 	return false
 }
 
-// readyStandbys lists the standbys whose offers count now, in order of names.
+// readyStandbys returns the standbys whose offers are valid now, sorted by name.
 func (m *Machine) readyStandbys(now time.Duration) []Member {
 	var ready []Member
 	for _, name := range slices.Sorted(maps.Keys(m.standbys)) {
--- a/internal/coordination/consensus/status.go
+++ b/internal/coordination/consensus/status.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// refreshStatus asks the others for newer records while the primary is silent, and
-// offers this node to the primary while it is no voter.
+// refreshStatus asks the other nodes for newer records while the primary is silent. It
+// also offers this node to the primary as a standby while the node is not a voter.
 func (m *Machine) refreshStatus(now time.Duration) {
 	hasLostPrimary := m.hasLostPrimary(now)
 	isDue := m.isStatusRequestDue(now) && !m.holdsLease(now)
--- a/internal/coordination/consensus/syncgate.go
+++ b/internal/coordination/consensus/syncgate.go
@@ -6,24 +6,26 @@
 	"time"
 )
 
-// SyncRetryDelay is the pause before the disk is given work again that it has refused.
+// SyncRetryDelay is the delay before a failed disk task is retried.
 const SyncRetryDelay = 100 * time.Millisecond
 
 // SyncGate holds back each effect until the files that it depends on are synced, so
-// that a Machine can go on while its disk works, hangs or refuses.
+// that a Machine can continue while its disk is busy, hangs or returns errors.
 //
-// Its owner passes the effects of each step through Pass, gives the disk one task at a
-// time from Next, and reports its end to Done. Tasks are done in order; one that was
-// refused is done again. The zero SyncGate is ready for use.
+// The owner of a SyncGate passes the effects of each step to Pass, carries out the disk
+// tasks returned by Next one at a time, and reports the end of each task to Done. Tasks
+// are carried out in order, and a failed task is retried. The zero SyncGate is ready
+// for use.
 type SyncGate struct {
 	tasks   []syncTask
 	blocked []blockedEffect
-	// lastIssued and lastSynced number the tasks, and lastVoterStateTask is the last
-	// one that votes depend on.
+	// lastIssued and lastSynced are the numbers of the last task issued and the last
+	// task synced. lastVoterStateTask is the number of the last task that votes depend
+	// on.
 	lastIssued         uint64
 	lastSynced         uint64
 	lastVoterStateTask uint64
-	// inFlight says that the disk is at work on the first task.
+	// inFlight is true while the disk works on the first task.
 	inFlight     bool
 	pendingSince time.Duration
 	retryAt      time.Duration
@@ -35,7 +37,7 @@
 	number uint64
 }
 
-// blockedEffect waits for the task of a number to be synced.
+// blockedEffect is an effect that waits until the task with a given number is synced.
 type blockedEffect struct {
 	effect       Effect
 	requiredSync uint64
@@ -45,8 +47,8 @@
 func requiresVoterState(g *SyncGate) uint64 { return g.lastVoterStateTask }
 func requiresAllFiles(g *SyncGate) uint64   { return g.lastIssued }
 
-// syncRequirements gives the last task that a message depends on, by the type of the
-// message. All other effects depend on all files.
+// syncRequirements maps the type of a message to a function that returns the number of
+// the last task that the message depends on. All other effects depend on all files.
 var syncRequirements = map[reflect.Type]func(*SyncGate) uint64{
 	reflect.TypeFor[StatusRequest]():  requiresNoSync,
 	reflect.TypeFor[Leaving]():        requiresNoSync,
@@ -65,7 +67,7 @@
 	reflect.TypeFor[Decided]():        requiresVoterState,
 }
 
-// requiredSync gives the number of the last task that an effect depends on.
+// requiredSync returns the number of the last task that an effect depends on.
 func (g *SyncGate) requiredSync(effect Effect) uint64 {
 	if result, ok := effect.(SubmitResult); ok && !result.Committed {
 		return 0
@@ -78,7 +80,7 @@
 	return requiresAllFiles(g)
 }
 
-// Pass takes the effects of a step, and gives those that may be carried out at once.
+// Pass adds the effects of a step and returns those that may be carried out at once.
 func (g *SyncGate) Pass(effects []Effect, now time.Duration) []Effect {
 	var ready []Effect
 	for _, effect := range effects {
@@ -96,8 +98,8 @@
 	return ready
 }
 
-// taskKind says whether an effect is a task of the disk, and gives the kind of file
-// that it saves, which is empty for a RemoveCorrupt.
+// taskKind reports whether an effect is a disk task. It also returns the kind of file
+// that the task saves, which is empty for a RemoveCorrupt.
 func taskKind(effect Effect) (kind string, ok bool) {
 	if save, isSave := effect.(Save); isSave {
 		return save.Kind, true
@@ -106,8 +108,8 @@
 	return "", ok
 }
 
-// enqueue adds a task. A save that follows one of the same kind, which the disk has not
-// begun, replaces it.
+// enqueue adds a task. A Save replaces the last task if that saves the same kind of
+// file and the disk has not started it.
 func (g *SyncGate) enqueue(effect Effect, kind string, now time.Duration) {
 	if len(g.tasks) == 0 {
 		g.pendingSince = now
@@ -124,7 +126,8 @@
 	g.tasks = append(g.tasks, task)
 }
 
-// isReplaceable says whether a task saves a kind of file, and was not begun.
+// isReplaceable reports whether a task saves the given kind of file and has not been
+// started.
 func (g *SyncGate) isReplaceable(index int, kind string) bool {
 	isWaiting := index > 0 || (index == 0 && !g.inFlight)
 	if !isWaiting {
@@ -134,8 +137,9 @@
 	return ok && save.Kind == kind
 }
 
-// block keeps the last message of each type to each node only: the network may lose
-// any, and a disk that hangs must not fill the memory.
+// block adds a blocked effect. It keeps only the last message of each type to each
+// node, because the network may lose any message and a disk that hangs must not fill
+// the memory.
 func (g *SyncGate) block(added blockedEffect) {
 	if send, ok := added.effect.(Send); ok {
 		g.blocked = slices.DeleteFunc(g.blocked, func(other blockedEffect) bool { return isSameMessage(other.effect, send) })
@@ -143,14 +147,15 @@
 	g.blocked = append(g.blocked, added)
 }
 
-// isSameMessage says whether an effect sends the same type of message to the same node.
+// isSameMessage reports whether an effect sends the same type of message to the same
+// node.
 func isSameMessage(effect Effect, send Send) bool {
 	other, ok := effect.(Send)
 	return ok && other.To == send.To && reflect.TypeOf(other.Body) == reflect.TypeOf(send.Body)
 }
 
-// Next gives the disk's next task, a Save or RemoveCorrupt, or false where one is under
-// way or none is due.
+// Next returns the disk's next task, which is a Save or RemoveCorrupt. It returns false
+// if a task is in progress or none is due.
 func (g *SyncGate) Next(now time.Duration) (Effect, bool) {
 	if len(g.tasks) == 0 || g.inFlight || now < g.retryAt {
 		return nil, false
@@ -159,8 +164,8 @@
 	return g.tasks[0].effect, true
 }
 
-// Done ends the task under way, and gives the effects that waited for it. One that was
-// not synced is the next again, after SyncRetryDelay.
+// Done ends the task in progress and returns the effects that waited for it. If the
+// task was not synced, Next returns it again after SyncRetryDelay.
 func (g *SyncGate) Done(synced bool, now time.Duration) []Effect {
 	g.inFlight = false
 	if !synced {
@@ -173,7 +178,7 @@
 	return g.release()
 }
 
-// release takes out the effects whose files are synced.
+// release removes and returns the effects whose files are synced.
 func (g *SyncGate) release() []Effect {
 	var ready []Effect
 	var blocked []blockedEffect
@@ -188,8 +193,8 @@
 	return ready
 }
 
-// SyncPending says for how long the disk has had the task under way, or the next. It is
-// 0 where there is none.
+// SyncPending returns how long the first task in the queue has been pending, whether or
+// not the disk has started it. It is 0 if there is no task.
 func (g *SyncGate) SyncPending(now time.Duration) time.Duration {
 	if len(g.tasks) == 0 {
 		return 0
@@ -197,7 +202,8 @@
 	return max(now-g.pendingSince, 1)
 }
 
-// IsEpochChangeBlocked says whether an EpochChanged waits for its files.
+// IsEpochChangeBlocked reports whether an EpochChanged waits for its files to be
+// synced.
 func (g *SyncGate) IsEpochChangeBlocked() bool {
 	return slices.ContainsFunc(g.blocked, func(waiting blockedEffect) bool {
 		_, ok := waiting.effect.(EpochChanged)
@@ -205,7 +211,7 @@
 	})
 }
 
-// Clone copies the gate.
+// Clone returns a copy of the gate.
 func (g *SyncGate) Clone() *SyncGate {
 	other := *g
 	other.tasks, other.blocked = slices.Clone(g.tasks), slices.Clone(g.blocked)
--- a/internal/coordination/consensus/tick.go
+++ b/internal/coordination/consensus/tick.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	// backupSilentLeases is for how many leases a backup may not reply before an epoch
-	// without it is proposed.
+	// backupSilentLeases is the number of leases for which the backup may fail to reply
+	// before the primary proposes an epoch without it.
 	backupSilentLeases = 3
-	// droppedBackupLeases is for how many leases a backup that was dropped is not
+	// droppedBackupLeases is the number of leases for which a dropped backup is not
 	// tried again.
 	droppedBackupLeases = 4
 )
@@ -34,8 +34,8 @@
 	}
 }
 
-// mayReplacePrimary says whether this node, as backup or spare, is to propose itself
-// as primary.
+// mayReplacePrimary reports whether this node, as the backup or a spare, may propose
+// itself as primary now.
 func (m *Machine) mayReplacePrimary(now time.Duration) bool {
 	isBackup := m.voterState.Decided.Backup == m.self && m.IsMember() && !m.isDiskStalled()
 	if !isBackup && !m.mayProposeAsSpare(now) {
@@ -47,7 +47,7 @@
 func (m *Machine) tickPrimary(now time.Duration) {
 	if m.isDiskStalled() {
 		m.rejectQueueWithoutLease(now)
-		// The lease is renewed at once when the disk works again.
+		// Renew the lease at once when the disk works again.
 		m.lease.renewedAt = now - m.leaseDurations(isolatedRenewLeases)
 		return
 	}
@@ -69,8 +69,8 @@
 	m.startNextWrite(now)
 }
 
-// proposeEpoch proposes a new epoch where one is due, and says whether the primary has
-// to leave all else until it is decided.
+// proposeEpoch proposes a new epoch if one is due. It reports whether the primary must
+// postpone all other work until the epoch is decided.
 func (m *Machine) proposeEpoch(now time.Duration) bool {
 	if (m.proposals.unsettled || m.replica.ahead) && m.settleUncertainState(now) {
 		return true
@@ -90,8 +90,9 @@
 	return false
 }
 
-// settleUncertainState proposes an epoch without a backup, after which it is certain what was
-// decided and which writes are kept. It says whether the primary has to wait for it.
+// settleUncertainState proposes an epoch without a backup. Once that epoch is decided,
+// it is certain which record was decided before and which writes are kept. The function
+// reports whether the primary must wait for the decision.
 func (m *Machine) settleUncertainState(now time.Duration) bool {
 	if m.proposals.isDue(now) && m.holdsLease(now) {
 		m.propose(m.nextRecord(""), now)
@@ -99,8 +100,8 @@
 	return m.proposals.isUnderWay() || m.holdsLease(now)
 }
 
-// proposeAfterRefusal proposes an epoch that keeps the backup, unless that may lack a
-// write that this replica has.
+// proposeAfterRefusal proposes an epoch that keeps the backup, unless the backup may
+// lack a write that this replica has.
 func (m *Machine) proposeAfterRefusal(now time.Duration) {
 	record := m.nextRecord(m.voterState.Decided.Backup)
 	if m.replica.ahead {
@@ -109,12 +110,12 @@
 	m.propose(record, now)
 }
 
-// isLeaseRefused says whether voters respond and yet the lease has lapsed.
+// isLeaseRefused reports whether the lease has lapsed although voters respond.
 func (m *Machine) isLeaseRefused(now time.Duration) bool {
 	return !m.holdsLease(now) && now-m.startedAt > m.timing.PrimaryLease && m.hasRespondingVoter(now)
 }
 
-// isBackupLate says whether the backup has not synced the pending write in time.
+// isBackupLate reports whether the backup has failed to sync the pending write in time.
 func (m *Machine) isBackupLate(now time.Duration) bool {
 	if m.writes.pending == nil || m.writes.pending.backupSynced || m.awaitsBackup() || m.proposals.isUnderWay() {
 		return false
--- a/internal/coordination/consensus/tracker.go
+++ b/internal/coordination/consensus/tracker.go
@@ -7,17 +7,19 @@
 	"tansyseam/internal/state/store"
 )
 
-// voterTracker is what the primary knows of the other voters. It begins anew when a node
-// becomes primary, and forgets the voters that are replaced.
+// voterTracker is the primary's record of the other voters. It is created anew when a
+// node becomes primary, and the entries of replaced voters are removed.
 type voterTracker struct {
-	// since is when this primary began to count on its voters: when it became primary,
-	// or the voters last changed.
+	// since is when the node became primary or the voters last changed. The silence of
+	// a voter is counted from then at the earliest.
 	since time.Duration
 	// lastAck is when each voter last replied to a renewal of the lease.
 	lastAck map[string]time.Duration
-	// spareVersions are the versions up to which spare voters have synced the replica.
+	// spareVersions holds the version up to which each spare voter has synced the
+	// replica.
 	spareVersions map[string]store.Version
-	// excludedUntil is until when a voter that failed as backup is not tried again.
+	// excludedUntil holds, for each voter that failed as backup, the time before which
+	// it is not tried again.
 	excludedUntil map[string]time.Duration
 }
 
@@ -37,43 +39,44 @@
 	return t
 }
 
-// forget drops all that is known of one voter.
+// forget removes all entries of one voter.
 func (t *voterTracker) forget(name string) {
 	delete(t.lastAck, name)
 	delete(t.spareVersions, name)
 	delete(t.excludedUntil, name)
 }
 
-// acknowledgedWithin says whether a voter has replied to a renewal of the lease within
-// a span before now.
+// acknowledgedWithin reports whether a voter has replied to a renewal of the lease
+// within the given span before now.
 func (t *voterTracker) acknowledgedWithin(span time.Duration, name string, now time.Duration) bool {
 	at, ok := t.lastAck[name]
 	return ok && now-at < span
 }
 
-// silence is for how long a voter has not replied since it is counted on.
+// silence returns how long a voter has not replied, counted from since at the earliest.
 func (t *voterTracker) silence(name string, now time.Duration) time.Duration {
 	return now - max(t.lastAck[name], t.since)
 }
 
-// exclude has a voter not tried as backup before a moment.
+// exclude prevents a voter from being tried as backup before the given time.
 func (t *voterTracker) exclude(name string, until time.Duration) { t.excludedUntil[name] = until }
 
 func (t *voterTracker) isExcluded(name string, now time.Duration) bool {
 	return now < t.excludedUntil[name]
 }
 
-// noteSpareVersion notes that a spare voter has synced the replica up to a version.
+// noteSpareVersion records that a spare voter has synced the replica up to a version.
 func (t *voterTracker) noteSpareVersion(name string, version store.Version) {
 	if t.spareVersions[name].IsBefore(version) {
 		t.spareVersions[name] = version
 	}
 }
 
-// noteSpareBehind notes that a spare voter lacks writes, in what version is unknown.
+// noteSpareBehind records that a spare voter lacks writes, so that its version is
+// unknown.
 func (t *voterTracker) noteSpareBehind(name string) { delete(t.spareVersions, name) }
 
-// hasSpareSynced says whether a spare voter has synced the replica up to a version.
+// hasSpareSynced reports whether a spare voter has synced the replica up to a version.
 func (t *voterTracker) hasSpareSynced(name string, version store.Version) bool {
 	return !t.spareVersions[name].IsBefore(version)
 }
--- a/internal/coordination/consensus/writes.go
+++ b/internal/coordination/consensus/writes.go
@@ -7,21 +7,25 @@
 	"tansyseam/internal/state/store"
 )
 
-// writeQueue has the writes that were submitted to the primary. They are made one at a
-// time, so that at most one may be on this disk and not yet on the others'.
+// writeQueue holds the writes that were submitted to the primary. The primary makes one
+// write at a time, so that at most one write may be on its own disk and not yet on the
+// other disks.
 type writeQueue struct {
-	// pending is the write under way, or nil. waiting are those after it, in order.
+	// pending is the write in progress, or nil. waiting are the writes after it, in
+	// order.
 	pending *write
 	waiting []Submit
 }
 
-// write is a write under way.
+// write is a write in progress.
 type write struct {
-	// token is that of its Submit, and version that of the table with it.
+	// token identifies the Submit of the write. version is the version of the table
+	// with the write.
 	token   uint64
 	version store.Version
-	// sentAt is when the backup was sent it, or the primary's disk last had a sync under
-	// way. The backup has ReplyTimeout from then on.
+	// sentAt is when the write was sent to the backup, or when a sync of the primary's
+	// disk was last in progress, if that is later. The backup must reply within
+	// ReplyTimeout of it.
 	sentAt       time.Duration
 	backupSynced bool
 }
@@ -35,7 +39,7 @@
 	return q
 }
 
-// next takes out the first of the writes that wait.
+// next removes and returns the first waiting write.
 func (q *writeQueue) next() Submit {
 	first := q.waiting[0]
 	q.waiting = q.waiting[1:]
@@ -55,7 +59,7 @@
 	m.startNextWrite(now)
 }
 
-// startNextWrite takes writes from the queue until one waits for the backup.
+// startNextWrite starts waiting writes until one of them has to wait for the backup.
 func (m *Machine) startNextWrite(now time.Duration) {
 	for len(m.writes.waiting) > 0 && m.mayWrite(now) {
 		submit := m.writes.next()
@@ -86,7 +90,7 @@
 	m.eachSpare(func(name string) { m.send(name, replicate) })
 }
 
-// commitWrite ends the pending write, and starts the next.
+// commitWrite commits the pending write and starts the next one.
 func (m *Machine) commitWrite(now time.Duration) {
 	if m.writes.pending == nil {
 		return
@@ -99,7 +103,7 @@
 	m.startNextWrite(now)
 }
 
-// failWrites ends all writes of a node that is not primary any more.
+// failWrites fails all writes of a node that is no longer primary.
 func (m *Machine) failWrites() {
 	if m.writes.pending != nil {
 		m.emit(SubmitResult{Token: m.writes.pending.token, OutcomeUnknown: true})
@@ -115,15 +119,15 @@
 	m.writes.waiting = nil
 }
 
-// rejectQueueWithoutLease rejects the writes that were not begun, where the lease has
-// lapsed while the disk is stalled.
+// rejectQueueWithoutLease rejects the waiting writes if the lease has lapsed while the
+// disk is stalled.
 func (m *Machine) rejectQueueWithoutLease(now time.Duration) {
 	if !m.holdsLease(now) {
 		m.rejectQueue()
 	}
 }
 
-// awaitsBackup says whether writes are held until there is a backup.
+// awaitsBackup reports whether writes are held until there is a backup.
 func (m *Machine) awaitsBackup() bool {
 	return m.bootstrap.RequireBackup && m.voterState.Decided.Backup == "" && len(m.Voters()) > 1
 }
