--- a/internal/coordination/consensus/bootstrap_test.go
+++ b/internal/coordination/consensus/bootstrap_test.go
@@ -11,7 +11,7 @@
 	names := []string{"c1", "c2", "c3", "c4", "c5"}
 	seeds := []string{address("c5"), address("c2"), address("c4")}
 	bootstrap := func(string) BootstrapConfig { return BootstrapConfig{Voters: 3, MayBootstrap: true, Seeds: seeds} }
-	Convey("The voters are those at the addresses of the seeds; the others are standbys, and know the primary", t, func() {
+	Convey("If nodes are found at the seed addresses, they become the voters, and the other nodes become standbys that follow the newest record", t, func() {
 		c := newCluster(names, bootstrap)
 		c.run(5 * time.Second)
 		So(c.machines["c2"].Voters(), ShouldResemble, []string{"c2", "c4", "c5"})
@@ -27,7 +27,7 @@
 		So(c.primary(), ShouldNotBeEmpty)
 		So(c.machines["c1"].Record(), ShouldResemble, c.machines[c.primary()].Record())
 	})
-	Convey("Where too few seeds are met, the first by name vote, once they have been met for a while", t, func() {
+	Convey("If too few seeds are discovered, the first nodes by name become the voters after a delay", t, func() {
 		c := newCluster(names, func(string) BootstrapConfig {
 			return BootstrapConfig{Voters: 3, MayBootstrap: true, Seeds: []string{address("c5"), "x:1", "y:1"}}
 		})
@@ -36,7 +36,7 @@
 		c.run(3 * time.Second)
 		So(c.machines["c1"].Voters(), ShouldResemble, []string{"c1", "c2", "c3"})
 	})
-	Convey("Nodes that may not bootstrap form no cluster, and agree to none", t, func() {
+	Convey("Nodes that may not bootstrap neither form a cluster nor agree to form one", t, func() {
 		c := newCluster(names, func(string) BootstrapConfig { return BootstrapConfig{Voters: 3, Seeds: seeds} })
 		c.run(20 * time.Second)
 		for _, machine := range c.machines {
@@ -48,7 +48,7 @@
 		So(effects, ShouldBeEmpty)
 		So(blank.Cluster(), ShouldBeEmpty)
 	})
-	Convey("A node that knows a cluster without it forms no second one", t, func() {
+	Convey("A node that belongs to a cluster in which it does not vote forms no second cluster", t, func() {
 		c := newCluster(names, bootstrap)
 		c.run(5 * time.Second)
 		for _, name := range []string{"c2", "c4", "c5"} {
@@ -66,7 +66,7 @@
 		}
 		So(c.primary(), ShouldBeEmpty)
 	})
-	Convey("Exactly the number of voters forms a cluster, and no other number does", t, func() {
+	Convey("With ExactVoters set, exactly that number of nodes forms a cluster, and a larger number does not", t, func() {
 		c := newCluster(names[:3], func(string) BootstrapConfig { return BootstrapConfig{ExactVoters: 3} })
 		c.run(3 * time.Second)
 		So(c.primary(), ShouldEqual, "c1")
@@ -79,7 +79,7 @@
 func TestFormationAbandoned(t *testing.T) {
 	names := []string{"c1", "c2", "c3"}
 	record := Record{Epoch: 7, Primary: "c4", Voters: NewVoters(Member{"c4", 1}, Member{"c5", 2}, Member{"c6", 3})}
-	Convey("A node gives up forming a cluster for one that is formed", t, func() {
+	Convey("A node gives up forming a cluster when it receives the status of a formed cluster", t, func() {
 		m := newMachine("c1", 3, DefaultTiming(), PersistentState{}, time.Hour)
 		m.Step(Peers{Names: names}, time.Hour)
 		So(bodiesSent[FormCluster](m.Step(Tick{WallNanos: 77}, time.Hour)), ShouldNotBeEmpty)
@@ -91,7 +91,7 @@
 		So(m.Record(), ShouldResemble, record)
 		So(m.IsMember(), ShouldBeFalse)
 	})
-	Convey("One that agreed to form a cluster does so only on a message of the initiator, which might still complete it", t, func() {
+	Convey("A node that agreed to form a cluster gives up only on a message from the initiator, which might still complete the formation", t, func() {
 		m := newMachine("c2", 3, DefaultTiming(), PersistentState{}, time.Hour)
 		m.Step(Tick{WallNanos: 77}, time.Hour)
 		form := FormCluster{Identity: Identity{Cluster: "c1-1", Self: "c1", Voters: names}}
@@ -104,7 +104,7 @@
 }
 
 func TestFormedByStatusOfAPeer(t *testing.T) {
-	Convey("A node that agreed to form a cluster and missed that it is formed learns it by the first status", t, func() {
+	Convey("A node that agreed to form a cluster but missed its completion enters the cluster on the first status of that cluster", t, func() {
 		names := []string{"c1", "c2", "c3"}
 		m := newMachine("c2", 3, DefaultTiming(), PersistentState{}, time.Hour)
 		m.Step(Peers{Names: names}, time.Hour)
--- a/internal/coordination/consensus/clock_test.go
+++ b/internal/coordination/consensus/clock_test.go
@@ -9,7 +9,7 @@
 
 func TestClockOfAMachineJustStarted(t *testing.T) {
 	const wall = int64(1_700_000_000_000_000_000)
-	Convey("A primary that comes back uses no clock of a node that has not read its own yet", t, func() {
+	Convey("A restarted primary ignores the clock of a node that has not read its own clock yet", t, func() {
 		now := time.Hour
 		primary, other := newFormedMachine("c1", now), newFormedMachine("c3", now)
 		primary.Step(Tick{WallNanos: wall}, now)
@@ -20,7 +20,7 @@
 		So(primary.IsPrimary(now+time.Millisecond), ShouldBeTrue)
 		So(primary.WallNanos(now), ShouldEqual, wall)
 	})
-	Convey("A grant that an earlier run of the program asked for gives no lease, though its clock reading would fit", t, func() {
+	Convey("A grant requested by an earlier run of the program extends no lease, even if its clock reading is plausible", t, func() {
 		now := time.Hour
 		primary := newFormedMachine("c1", now)
 		stale := RenewLeaseAck{Decided: primary.Record(), SentAt: now, Incarnation: wall - 1, WallNanos: wall, Granted: true}
@@ -31,7 +31,7 @@
 		So(primary.IsPrimary(now), ShouldBeFalse)
 		So(primary.WallNanos(now), ShouldEqual, wall)
 	})
-	Convey("It takes the median of those that have", t, func() {
+	Convey("A restarted primary uses the median of the clocks of the nodes that have read their own clock", t, func() {
 		now := time.Hour
 		primary := newFormedMachine("c1", now)
 		primary.Step(Tick{WallNanos: wall}, now)
--- a/internal/coordination/consensus/clone_test.go
+++ b/internal/coordination/consensus/clone_test.go
@@ -11,15 +11,15 @@
 	"tansyseam/internal/state/store"
 )
 
-// replacedFields are those whose content is replaced as a whole, and never changed in
-// place, so that a clone may share it.
+// replacedFields lists the fields whose content is replaced as a whole and never
+// changed in place, so that a clone may share it.
 var replacedFields = map[string]bool{
 	"replica.table": true, "replica.committed": true, "peers.names": true, "peers.byAddress": true, "peers.zones": true,
 	"repairs.active": true, "bootstrap.Seeds": true, "voterState.Acceptor.Value": true,
 }
 
-// assertNothingShared compares the references in the fields of two structs, and of the
-// structs within.
+// assertNothingShared asserts that two structs, including their nested structs, share
+// no maps, slices or pointers except in replacedFields.
 func assertNothingShared(path string, a, b reflect.Value) {
 	for index := range a.NumField() {
 		name, field, other := path+a.Type().Field(index).Name, a.Field(index), b.Field(index)
@@ -48,7 +48,7 @@
 		So(m.proposals.current.OnPromise("c3", proposal.Number{}, nil), ShouldBeFalse)
 		So(m.proposals.current.OnPromise("c1", proposal.Number{}, nil), ShouldBeTrue)
 	})
-	Convey("A clone changes by itself", t, func() {
+	Convey("Events processed by a clone do not change the original machine", t, func() {
 		m := newFormedMachine("c1", time.Hour)
 		m.Step(Tick{WallNanos: 77}, time.Hour)
 		other := m.Clone()
--- a/internal/coordination/consensus/cluster_test.go
+++ b/internal/coordination/consensus/cluster_test.go
@@ -10,7 +10,7 @@
 	"tansyseam/internal/state/store"
 )
 
-// cluster runs some nodes, whose messages arrive at once.
+// cluster runs several nodes and delivers their messages immediately.
 type cluster struct {
 	now          time.Duration
 	machines     map[string]*Machine
@@ -93,7 +93,7 @@
 	}
 }
 
-// replicasWith counts the replicas that have a write.
+// replicasWith returns the number of replicas that contain a write.
 func (c *cluster) replicasWith(token uint64) int {
 	count := 0
 	for _, machine := range c.machines {
@@ -104,17 +104,20 @@
 	return count
 }
 
-// submitChange writes one of so many keys at the primary.
+// submitChange submits a write to the primary that changes one of the given number of
+// keys.
 func (c *cluster) submitChange(number, keys int) {
 	c.step(c.primary(), Submit{Token: uint64(1000 + number), Build: func(*store.Table) []store.Put {
 		return []store.Put{{Key: fmt.Sprint("key", number%keys), Data: []byte(fmt.Sprintf("%06d", number))}}
 	}})
 }
 
-// catchUpTime is the time that a node has to be repaired and vote after its start.
+// catchUpTime is the time within which a node must be repaired and vote after its
+// start.
 const catchUpTime = 4 * time.Second
 
-// newFormedCluster makes a cluster of the first names, so many of which vote.
+// newFormedCluster returns a formed cluster of the first of the given names. The voters
+// argument is the number of its nodes, all of which vote.
 func newFormedCluster(voters int, names ...string) (*cluster, func(string) BootstrapConfig) {
 	var seeds []string
 	for i := range 3 {
@@ -143,7 +146,7 @@
 	return c.results[token].Committed
 }
 
-// witness gives a voter that the record does not name.
+// witness returns a voter that is neither primary nor backup.
 func (c *cluster) witness() string {
 	record := c.machines[c.primary()].Record()
 	for _, name := range record.Voters.Names() {
@@ -154,14 +157,14 @@
 	return ""
 }
 
-// nodeByRole gives the node of each role.
+// nodeByRole maps each role to a function that returns the node with that role.
 var nodeByRole = map[string]func(c *cluster) string{
 	"primary": func(c *cluster) string { return c.primary() },
 	"backup":  func(c *cluster) string { return c.machines[c.primary()].Record().Backup },
 	"witness": func(c *cluster) string { return c.witness() },
 }
 
-// newFiveVoterCluster makes a cluster of c1 to c5, all of which vote.
+// newFiveVoterCluster returns a formed cluster of c1 to c5, all of which vote.
 func newFiveVoterCluster() (*cluster, func(name string) BootstrapConfig) {
 	bootstrap := func(string) BootstrapConfig {
 		return BootstrapConfig{Voters: 5, MayBootstrap: true, RequireBackup: true, Seeds: []string{address("c1"), address("c2"), address("c3")}}
--- a/internal/coordination/consensus/diskloss_test.go
+++ b/internal/coordination/consensus/diskloss_test.go
@@ -11,7 +11,8 @@
 	"tansyseam/internal/state/store"
 )
 
-// restart makes a machine anew from what its effects have saved.
+// restart returns a new machine that is restored from the files saved by the given
+// effects.
 func restart(self string, effects []Effect, now time.Duration) *Machine {
 	saved := PersistentState{}
 	for _, effect := range effects {
@@ -33,8 +34,8 @@
 	return newMachine(self, len(fiveNodes), DefaultTiming(), saved, now)
 }
 
-// countParticipation counts how often a node grants, votes, proposes or syncs, whatever
-// it is asked.
+// countParticipation returns how often a node grants, votes, proposes or syncs when it
+// receives each kind of request and a tick.
 func countParticipation(m *Machine, from string, now time.Duration) int {
 	record := m.Record()
 	number := proposal.Number{Round: 1, Name: from}
@@ -59,7 +60,7 @@
 }
 
 func TestMachineThatLostItsDisk(t *testing.T) {
-	Convey("Whatever role it had, a node that lost its disk does not grant, vote, propose or sync until a record has its new disk, also after a restart", t, func() {
+	Convey("A node that lost its disk does not grant, vote, propose or sync until a record includes its new disk, whatever its role was, and even after a restart", t, func() {
 		for _, self := range []string{"c1", "c2", "c3"} {
 			now := time.Hour
 			record := Record{Epoch: 4, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(fiveNodes)}
@@ -85,7 +86,7 @@
 			So(countParticipation(m, "c4", now), ShouldBeGreaterThan, 0)
 		}
 	})
-	Convey("A record that has an older disk of the node gives it no vote", t, func() {
+	Convey("A record that includes an older disk of a node gives the node no vote", t, func() {
 		m := newBlankMachine("c3", time.Hour)
 		record := Record{Epoch: 4, Primary: "c1", Voters: votersWithoutIncarnation(fiveNodes).Replace(Member{Name: "c3"}, Member{Name: "c3", Incarnation: 76})}
 		m.Step(Received{From: "c4", Body: Status{Cluster: "x", Decided: record}}, time.Hour)
@@ -95,7 +96,7 @@
 }
 
 func TestOlderFilesThanWereSynced(t *testing.T) {
-	Convey("A node whose newest files are damaged, or whose votes are gone, is as one whose disk is blank, formed or not", t, func() {
+	Convey("A node with damaged files or without its voter state behaves like a node with a blank disk, whether or not its cluster was formed", t, func() {
 		now := time.Hour
 		oldRecord := Record{Epoch: 2, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(fiveNodes)}
 		record := Record{Epoch: 4, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(fiveNodes)}
@@ -121,7 +122,7 @@
 			So(countParticipation(m, "c1", now), ShouldBeGreaterThan, 0)
 		}
 	})
-	Convey("A node whose files are damaged forms no cluster and agrees to none", t, func() {
+	Convey("A node with damaged files neither forms a cluster nor agrees to form one", t, func() {
 		m := newMachine("c1", 3, DefaultTiming(), PersistentState{Corrupted: true}, time.Hour)
 		m.Step(Peers{Names: []string{"c1", "c2", "c3"}}, time.Hour)
 		effects := m.Step(Tick{WallNanos: 77}, time.Hour)
@@ -132,7 +133,7 @@
 }
 
 func TestFilesOfABuildWithoutIncarnations(t *testing.T) {
-	Convey("A record without voters on disk has the nodes that the cluster was formed with", t, func() {
+	Convey("If the record on disk has no voters, the voters are the nodes that the cluster was formed with", t, func() {
 		m := newFormedMachine("c2", time.Hour)
 		So(m.IsMember(), ShouldBeTrue)
 		So(m.Record().Voters, ShouldEqual, votersWithoutIncarnation([]string{"c1", "c2", "c3"}))
--- a/internal/coordination/consensus/disktask_test.go
+++ b/internal/coordination/consensus/disktask_test.go
@@ -18,7 +18,7 @@
 		directory, err := versionfile.OpenDirectory(path)
 		So(err, ShouldBeNil)
 		files := versionfile.NewStore(directory, 2)
-		Convey("A Save writes one version of one kind", func() {
+		Convey("A Save writes one version of one kind of file", func() {
 			So(RunDiskTask(files, Save{Kind: FileTable, Sequence: 7, Data: []byte("seven")}), ShouldBeNil)
 			latest, _, err := files.Latest(FileTable)
 			So(err, ShouldBeNil)
@@ -42,7 +42,7 @@
 				So(string(latest.Data), ShouldEqual, "sound")
 			}
 		})
-		Convey("The error of the disk is given", func() {
+		Convey("An error of the disk is returned", func() {
 			missing := versionfile.NewStore(versionfile.Directory(filepath.Join(path, "missing")), 2)
 			So(RunDiskTask(missing, Save{Kind: FileTable, Sequence: 1}), ShouldNotBeNil)
 			So(RunDiskTask(missing, RemoveCorrupt{}), ShouldNotBeNil)
@@ -50,7 +50,7 @@
 	})
 }
 
-// tearNewest cuts the newest file of each kind in half.
+// tearNewest truncates the newest file of each kind to half its size.
 func tearNewest(path string) {
 	for _, kind := range FileKinds() {
 		names, err := filepath.Glob(filepath.Join(path, kind+"*"))
--- a/internal/coordination/consensus/election_test.go
+++ b/internal/coordination/consensus/election_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestCandidateIsToldWhenToAskAgain(t *testing.T) {
-	Convey("A voter that has granted the lease lately refuses the backup and says for how long; the backup asks again then, and no sooner", t, func() {
+	Convey("A voter that recently granted the lease refuses the backup and reports for how long; the backup proposes again at that time and no earlier", t, func() {
 		start := time.Hour
 		backup, voter := newFormedMachine("c2", start), newFormedMachine("c3", start)
 		record, lease := backup.Record(), DefaultTiming().PrimaryLease
@@ -32,14 +32,14 @@
 		granted := bodiesSent[Promise](voter.Step(Received{From: "c2", Body: retried[0]}, lastRenewal+lease+60*time.Millisecond))
 		So(granted[0].Granted, ShouldBeTrue)
 	})
-	Convey("A voter that has just started says so too", t, func() {
+	Convey("A voter that has just started refuses a candidate and reports for how long", t, func() {
 		voter := newFormedMachine("c3", time.Hour)
 		prepare := Prepare{Decided: voter.Record(), Number: proposal.Number{Round: 1, Name: "c2"}}
 		refused := bodiesSent[Promise](voter.Step(Received{From: "c2", Body: prepare}, time.Hour+200*time.Millisecond))
 		So(refused[0].Granted, ShouldBeFalse)
 		So(refused[0].RetryAfter, ShouldEqual, DefaultTiming().PrimaryLease-200*time.Millisecond)
 	})
-	Convey("Once a majority has promised, a refusal does not end it", t, func() {
+	Convey("Once a majority has promised, a refusal does not end the proposal", t, func() {
 		now := time.Hour + time.Second
 		backup := newFormedMachine("c2", time.Hour)
 		prepare := bodiesSent[Prepare](backup.Step(Tick{WallNanos: 77}, now))[0]
@@ -53,7 +53,7 @@
 }
 
 func TestBackupRefusedByThePrimary(t *testing.T) {
-	Convey("A backup whose proposal was refused by a primary that is back leaves it the time that it asks for, and then proposes again", t, func() {
+	Convey("A backup whose proposal is refused by the returned primary waits for the reported time and then proposes again", t, func() {
 		now := time.Hour
 		backup := newFormedMachine("c2", now)
 		now += DefaultTiming().PrimaryLease + time.Millisecond
@@ -95,7 +95,7 @@
 		So(len(promises), ShouldEqual, 1)
 		return promises[0].Granted
 	}
-	Convey("A spare is voted for only where its replica is not behind the voter's, and by nobody that may still be relied on by the primary", t, func() {
+	Convey("A node votes for a spare only if the spare is a voter whose replica is not behind its own, and not while the lease that the node granted is valid", t, func() {
 		So(requestVote(newVoter(VoterState{}), "c5", 7), ShouldBeTrue)
 		So(requestVote(newVoter(VoterState{}), "c5", 8), ShouldBeTrue)
 		So(requestVote(newVoter(VoterState{}), "c5", 6), ShouldBeFalse)
@@ -104,7 +104,7 @@
 		blocked.Step(Received{From: "c1", Body: RenewLease{Record: record, SentAt: afterExpiry}}, afterExpiry-time.Millisecond)
 		So(requestVote(blocked, "c5", 8), ShouldBeFalse)
 	})
-	Convey("One whose own replica was lost and not repaired since votes for no spare, and does not propose, until it is repaired", t, func() {
+	Convey("A voter with an incomplete replica neither votes for a spare nor proposes until it is repaired", t, func() {
 		incomplete := newVoter(VoterState{ReplicaIncomplete: true})
 		So(requestVote(incomplete, "c5", 9), ShouldBeFalse)
 		So(bodiesSent[Prepare](incomplete.Step(Tick{}, afterExpiry)), ShouldBeEmpty)
@@ -113,7 +113,7 @@
 		repaired.Step(Received{From: "c1", Body: RepairDigests{Record: record, Version: repaired.ReplicaTable().Version, Digests: repaired.ReplicaTable().Digests()}}, now)
 		So(requestVote(repaired, "c5", 9), ShouldBeTrue)
 	})
-	Convey("One that voted for a spare syncs nothing more for the primary before", t, func() {
+	Convey("A voter that voted for a spare syncs no more writes or repairs of the previous primary", t, func() {
 		m := newVoter(VoterState{})
 		write := Replicate{Record: record, PreviousVersion: version(7), Version: version(8), Puts: []store.Put{{Key: "w", Data: []byte("x")}}}
 		So(requestVote(m, "c5", 7), ShouldBeTrue)
--- a/internal/coordination/consensus/helpers_test.go
+++ b/internal/coordination/consensus/helpers_test.go
@@ -10,13 +10,13 @@
 
 var fiveNodes = []string{"c1", "c2", "c3", "c4", "c5"}
 
-// newMachine makes a node of a cluster in which exactly so many nodes vote.
+// newMachine returns a node of a cluster with exactly the given number of voters.
 func newMachine(self string, voters int, timing Timing, saved PersistentState, now time.Duration) *Machine {
 	return NewWithBootstrap(self, BootstrapConfig{ExactVoters: voters}, timing, saved, now)
 }
 
-// newFormedMachine makes c1, c2 or c3 of a formed cluster: the primary, the backup or a
-// witness.
+// newFormedMachine returns node c1, c2 or c3 of a formed cluster, which is the primary,
+// the backup or a witness, respectively.
 func newFormedMachine(self string, now time.Duration) *Machine {
 	voters := []string{"c1", "c2", "c3"}
 	return newMachine(self, len(voters), DefaultTiming(), PersistentState{
@@ -25,7 +25,8 @@
 	}, now)
 }
 
-// newBlankMachine makes a node with a blank disk, which asks the others for their status.
+// newBlankMachine returns a node with a blank disk that has asked the other nodes for
+// their status.
 func newBlankMachine(self string, now time.Duration) *Machine {
 	m := newMachine(self, len(fiveNodes), DefaultTiming(), PersistentState{}, now)
 	m.Step(Peers{Names: fiveNodes}, now)
@@ -33,7 +34,7 @@
 	return m
 }
 
-// bodiesSent lists the messages of one type among the effects.
+// bodiesSent returns the messages of one type among the effects.
 func bodiesSent[T any](effects []Effect) []T {
 	var bodies []T
 	for _, effect := range effects {
@@ -46,7 +47,7 @@
 	return bodies
 }
 
-// putKey gives a Submit.Build that sets one key.
+// putKey returns a Submit.Build that sets one key.
 func putKey(key string) func(*store.Table) []store.Put {
 	return func(*store.Table) []store.Put { return []store.Put{{Key: key, Data: []byte("x")}} }
 }
--- a/internal/coordination/consensus/lease_test.go
+++ b/internal/coordination/consensus/lease_test.go
@@ -23,14 +23,14 @@
 	prepare := func(m *Machine) Received {
 		return Received{From: "c2", Body: Prepare{Decided: m.Record(), Number: number}}
 	}
-	Convey("A primary promises its backup nothing while it holds the lease, and says for how long", t, func() {
+	Convey("While a primary holds the lease, it refuses the backup's proposal and reports for how long", t, func() {
 		m := newPrimary()
 		promise := bodiesSent[Promise](m.Step(prepare(m), now+100*time.Millisecond))[0]
 		So(promise.Granted, ShouldBeFalse)
 		So(promise.RetryAfter, ShouldEqual, timing.PrimaryLease*9/10-100*time.Millisecond)
 		So(bodiesSent[Promise](m.Step(prepare(m), now+timing.PrimaryLease))[0].Granted, ShouldBeTrue)
 	})
-	Convey("Once it has promised, its own grant counts no more", t, func() {
+	Convey("After a primary has promised another candidate, its own grant no longer counts towards the lease", t, func() {
 		m := newPrimary()
 		later := now + timing.PrimaryLease
 		m.Step(prepare(m), later)
@@ -38,7 +38,7 @@
 		m.Step(Tick{WallNanos: 77}, later+timing.RenewInterval)
 		So(m.IsPrimary(later+timing.RenewInterval), ShouldBeFalse)
 	})
-	Convey("Nor once it has voted for itself again since, or a voter for it: the next epoch may be decided by the vote before", t, func() {
+	Convey("After a vote for another candidate, a later vote for the primary does not restore the lease, because the earlier vote may decide the next epoch", t, func() {
 		m, voter := newFormedMachine("c1", time.Hour), newFormedMachine("c3", time.Hour)
 		later := now + timing.PrimaryLease
 		So(bodiesSent[Promise](m.Step(prepare(m), later))[0].Granted, ShouldBeTrue)
@@ -53,7 +53,7 @@
 		m.Step(Tick{WallNanos: 77}, later+2*timing.RenewInterval)
 		So(m.IsPrimary(later+2*timing.RenewInterval), ShouldBeFalse)
 	})
-	Convey("A voter accepts nobody's record, promised or not, while its grant to another holds, nor just after its start", t, func() {
+	Convey("A voter accepts no record of another candidate, promised or not, while the lease that it granted is valid or before one lease has passed since its start", t, func() {
 		accept := func(from string) Received {
 			return Received{From: from, Body: Accept{Epoch: 5, Number: number, Value: []byte("x")}}
 		}
@@ -69,7 +69,7 @@
 }
 
 func TestPrimaryThatHearsNobody(t *testing.T) {
-	Convey("A primary whose messages arrive, and that receives none, leaves them the time to make the backup primary", t, func() {
+	Convey("A primary that can send but not receive messages leaves the voters enough time to make the backup primary", t, func() {
 		now := time.Hour + time.Second
 		primary, backup, witness := newFormedMachine("c1", time.Hour), newFormedMachine("c2", time.Hour), newFormedMachine("c3", time.Hour)
 		receivers := map[string]*Machine{"c2": backup, "c3": witness}
@@ -96,7 +96,7 @@
 		So(backup.IsPrimary(now), ShouldBeTrue)
 		So(now, ShouldBeLessThan, time.Hour+6*time.Second)
 	})
-	Convey("One that receives messages of a majority again asks at once", t, func() {
+	Convey("A primary that receives messages from a majority again renews its lease at once", t, func() {
 		now := time.Hour + 10*time.Second
 		m := newFormedMachine("c1", time.Hour)
 		So(bodiesSent[RenewLease](m.Step(Tick{WallNanos: 7}, now)), ShouldNotBeEmpty)
@@ -111,7 +111,7 @@
 	grant := func(m *Machine, at time.Duration) {
 		m.Step(Received{From: "c3", Body: RenewLeaseAck{Decided: m.Record(), SentAt: at, Incarnation: m.processIncarnation, Granted: true}}, at)
 	}
-	Convey("It renews the lease for as long as a backup is waited for, then no more: the lease lapses, writes not begun are rejected at once", t, func() {
+	Convey("A primary whose disk hangs stops renewing the lease after ReplyTimeout; the lease then lapses and waiting writes are rejected at once", t, func() {
 		m := newFormedMachine("c1", now)
 		m.Step(Tick{WallNanos: 77}, now)
 		grant(m, now)
@@ -131,14 +131,14 @@
 		So(m.Step(Submit{Token: 5}, now+2*time.Second), ShouldResemble, []Effect{SubmitResult{Token: 5}})
 		So(bodiesSent[RenewLease](m.Step(Tick{WallNanos: 77}, now+2*time.Second)), ShouldNotBeEmpty)
 	})
-	Convey("A backup whose disk hangs does not propose", t, func() {
+	Convey("A backup whose disk hangs does not propose itself as primary", t, func() {
 		for _, syncPending := range []time.Duration{0, time.Second} {
 			m := newFormedMachine("c2", now)
 			effects := m.Step(Tick{WallNanos: 77, SyncPending: syncPending}, now+time.Second)
 			So(len(bodiesSent[Prepare](effects)) > 0, ShouldEqual, syncPending == 0)
 		}
 	})
-	Convey("A write that still waits for the primary's own disk is no failure of the backup", t, func() {
+	Convey("A write that still waits for the primary's own disk does not count as a failure of the backup", t, func() {
 		m := newFormedMachine("c1", now)
 		m.Step(Tick{WallNanos: 77}, now)
 		grant(m, now)
--- a/internal/coordination/consensus/leaving_test.go
+++ b/internal/coordination/consensus/leaving_test.go
@@ -17,7 +17,7 @@
 		c.up[name] = false
 		return c.now - start
 	}
-	Convey("A node that shuts down hands its role over first, in less time than a failover takes, and what is acknowledged is on two disks beside it", t, func() {
+	Convey("A node that shuts down hands over its role in less time than a failover takes, and acknowledged writes are on two disks besides its own", t, func() {
 		for role, pick := range nodeByRole {
 			c, _ := newFormedCluster(3, "c1", "c2", "c3")
 			So(c.submitAndCommit(1), ShouldBeTrue)
@@ -32,7 +32,7 @@
 			So(c.submitAndCommit(2), ShouldBeTrue)
 		}
 	})
-	Convey("Where a standby is there, it takes the vote of the node that leaves", t, func() {
+	Convey("If there is a standby, it replaces the leaving node as a voter", t, func() {
 		for role, pick := range nodeByRole {
 			c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
 			c.startBlankNode(bootstrap, "n1")
@@ -48,7 +48,7 @@
 			So(c.submitAndCommit(2), ShouldBeTrue)
 		}
 	})
-	Convey("Where the disk of one node is lost and another voter leaves before that one is back, its place is taken first", t, func() {
+	Convey("If a voter leaves while the backup is down, a standby replaces the leaving voter before it stops, and the backup can return with a blank disk", t, func() {
 		c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
 		So(c.submitAndCommit(1), ShouldBeTrue)
 		c.startBlankNode(bootstrap, "n1")
@@ -62,7 +62,7 @@
 		c.run(catchUpTime)
 		So(c.submitAndCommit(2), ShouldBeTrue)
 	})
-	Convey("A voter without which there is no majority waits for a standby that comes while it shuts down", t, func() {
+	Convey("If there is no majority without a leaving voter, the voter does not stop until a standby arrives", t, func() {
 		c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
 		witness := c.witness()
 		c.up[c.machines[c.primary()].Record().Backup] = false
@@ -77,14 +77,14 @@
 		c.run(time.Second)
 		So(c.submitAndCommit(1), ShouldBeTrue)
 	})
-	Convey("A backup that leaves is followed by a voter that failed lately, where there is no other", t, func() {
+	Convey("A leaving backup is replaced by a voter that failed recently if there is no other voter", t, func() {
 		c, _ := newFormedCluster(3, "c1", "c2", "c3")
 		backup := c.machines[c.primary()].Record().Backup
 		c.machines[c.primary()].tracker.excludedUntil[c.witness()] = c.now + time.Hour
 		So(leave(c, backup), ShouldBeLessThan, time.Second)
 		So(c.submitAndCommit(1), ShouldBeTrue)
 	})
-	Convey("All nodes may be restarted in turn, many times, and writes are committed", t, func() {
+	Convey("When nodes are restarted in turn many times, writes are committed each time", t, func() {
 		c, _ := newFormedCluster(3, "c1", "c2", "c3")
 		for token := uint64(1); token < 20; token++ {
 			leaving := c.upNodes()[int(token)%3]
@@ -95,7 +95,7 @@
 			c.run(time.Second)
 		}
 	})
-	Convey("A node that shuts down is no standby", t, func() {
+	Convey("A node that is shutting down does not offer itself as a standby", t, func() {
 		m := newBlankMachine("n1", time.Hour)
 		m.Step(Received{From: "c2", Body: Status{Cluster: "x", Decided: Record{Epoch: 4, Primary: "c1", Voters: votersWithoutIncarnation(fiveNodes)}}}, time.Hour)
 		m.Step(Leave{}, time.Hour)
--- a/internal/coordination/consensus/membership_test.go
+++ b/internal/coordination/consensus/membership_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestReplacement(t *testing.T) {
-	Convey("Whichever node is gone, one that comes in its place votes and is repaired within the time that it has, so that the next loss, of any, is borne; many times over", t, func() {
+	Convey("When a node of any role is lost, its replacement votes and is repaired within catchUpTime, so that the cluster tolerates the loss of any further node, repeatedly", t, func() {
 		for firstRole, pickFirst := range nodeByRole {
 			for secondRole, pickSecond := range nodeByRole {
 				c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
@@ -40,7 +40,7 @@
 			}
 		}
 	})
-	Convey("The disk of any node is lost, and another's once the first has been back for the time that it has: all that was acknowledged is there", t, func() {
+	Convey("When the disk of any node is lost, and another disk after catchUpTime, all acknowledged writes are kept", t, func() {
 		for _, pickFirst := range nodeByRole {
 			for _, pickSecond := range nodeByRole {
 				c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
@@ -58,7 +58,7 @@
 			}
 		}
 	})
-	Convey("Of five nodes, where two may be lost, two are gone and two others come; then any two lose their disks", t, func() {
+	Convey("When two of five nodes are replaced and the primary and the backup then lose their disks, all acknowledged writes are kept", t, func() {
 		for _, role := range []string{"primary", "backup", "witness"} {
 			c, bootstrap := newFormedCluster(5, "c1", "c2", "c3", "c4", "c5")
 			So(c.submitAndCommit(1), ShouldBeTrue)
@@ -87,7 +87,7 @@
 			}
 		}
 	})
-	Convey("A node that was replaced while it was away comes back with its disk as a standby, and its old epoch makes nobody primary", t, func() {
+	Convey("A node that was replaced while it was down returns as a standby, and makes no node primary in its old epoch", t, func() {
 		c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
 		absent := c.primary()
 		c.up[absent] = false
@@ -112,7 +112,7 @@
 		c.run(catchUpTime)
 		So(c.machines[absent].IsMember(), ShouldBeTrue)
 	})
-	Convey("No voter is replaced while it answers, nor before it was silent for a while, nor by one that is not there", t, func() {
+	Convey("A voter is not replaced while it replies, before it has been silent for silentVoterLeases, or by a standby that is down", t, func() {
 		c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
 		c.startBlankNode(bootstrap, "n1")
 		c.run(20 * time.Second)
@@ -129,7 +129,7 @@
 		c.run(20 * time.Second)
 		So(c.machines[c.primary()].Record().Voters.Names(), ShouldContain, witness)
 	})
-	Convey("A standby in the zone with the fewest voters is taken", t, func() {
+	Convey("The standby in the zone with the fewest voters is chosen", t, func() {
 		m := newFormedMachine("c1", time.Hour)
 		m.peers.zones = map[string]string{"c1": "a", "c2": "b", "c3": "c", "n1": "a", "n2": "b", "n3": "c", "n4": "c"}
 		ready := []Member{{"n1", 1}, {"n2", 1}, {"n3", 1}, {"n4", 1}}
@@ -151,7 +151,7 @@
 	sendOffer := func(m *Machine, join Join) []Effect {
 		return m.Step(Received{From: "n1", Body: join}, now)
 	}
-	Convey("An offer is answered by the newest record, and counts only from a node that has synced that one and is no voter by it", t, func() {
+	Convey("An offer is answered with the newest record, and is valid only if its sender has synced that record and is not a voter in it", t, func() {
 		m := newPrimary()
 		effects := sendOffer(m, Join{Cluster: "x", Epoch: 3, Incarnation: 7})
 		So(bodiesSent[Decided](effects), ShouldResemble, []Decided{{Record: m.Record()}})
@@ -164,7 +164,7 @@
 		m.Step(Received{From: "c2", Body: Join{Cluster: "x", Epoch: 4}}, now)
 		So(len(m.readyStandbys(now)), ShouldEqual, 1)
 	})
-	Convey("An offer that rests on an older epoch counts no more once there is a newer one", t, func() {
+	Convey("An offer made in an older epoch is no longer valid in a newer epoch", t, func() {
 		m := newPrimary()
 		sendOffer(m, Join{Cluster: "x", Epoch: 4, Incarnation: 7})
 		next := m.Record()
@@ -172,7 +172,7 @@
 		m.Step(Received{From: "c3", Body: Decided{Record: next}}, now)
 		So(m.readyStandbys(now), ShouldBeEmpty)
 	})
-	Convey("A standby's offer waits until the record that gives it no vote is synced", t, func() {
+	Convey("A standby's offer is held back until the record without the standby as a voter is synced", t, func() {
 		m := newBlankMachine("n1", now)
 		var gate SyncGate
 		effects := m.Step(Received{From: "c2", Body: Status{Cluster: "x", Decided: Record{Epoch: 4, Primary: "c1", Voters: votersWithoutIncarnation(fiveNodes)}}}, now)
@@ -188,7 +188,7 @@
 		}
 		So(len(bodiesSent[Join](ready)), ShouldEqual, 1)
 	})
-	Convey("A voter whose record is replaced by one without it votes for no spare until it is a voter again and repaired", t, func() {
+	Convey("A voter that is removed by a new record has an incomplete replica, and so votes for no spare, until it is a voter again and is repaired", t, func() {
 		record := Record{Epoch: 4, Primary: "c1", Backup: "c2", Voters: votersWithoutIncarnation(fiveNodes)}
 		m := NewWithBootstrap("c4", BootstrapConfig{Voters: 5, RequireBackup: true}, DefaultTiming(), PersistentState{
 			Identity:   &Identity{Cluster: "x", Self: "c4", Voters: fiveNodes, Formed: true},
@@ -209,7 +209,7 @@
 }
 
 func TestElectorate(t *testing.T) {
-	Convey("A voter that has accepted a record with other voters says so until the epoch is decided", t, func() {
+	Convey("A voter that has accepted a record with different voters reports a changing electorate until the epoch is decided", t, func() {
 		now := time.Hour + time.Second
 		m := newFormedMachine("c3", time.Hour)
 		So(m.Electorate(), ShouldResemble, Electorate{Voters: m.Record().Voters, IncludesSelf: true})
--- a/internal/coordination/consensus/parts_test.go
+++ b/internal/coordination/consensus/parts_test.go
@@ -18,7 +18,7 @@
 		sentAt        []time.Duration
 		wantUntil     time.Duration
 	}{
-		{"is counted from when the last of a quorum was asked", 0, []time.Duration{70, 30, 50}, 50 + span*9/10},
+		{"is counted from the time at which the last voter of a quorum was asked", 0, []time.Duration{70, 30, 50}, 50 + span*9/10},
 		{"is not extended by a voter beyond the quorum", 0, []time.Duration{50, 70, 50}, 50 + span*9/10},
 		{"never becomes shorter", 2 * span, []time.Duration{70, 30, 50}, 2 * span},
 	}
@@ -38,9 +38,9 @@
 		candidate string
 		wantUntil time.Duration
 	}{
-		{"binds to no one before it is granted", grantedLease{}, "c2", 0},
-		{"does not bind against the primary itself", grantedLease{primary: "c1", grantedAt: 7}, "c1", 0},
-		{"binds against all others for its span", grantedLease{primary: "c1", grantedAt: 7}, "c2", 107},
+		{"blocks no vote before it is granted", grantedLease{}, "c2", 0},
+		{"does not block a vote for the primary itself", grantedLease{primary: "c1", grantedAt: 7}, "c1", 0},
+		{"blocks votes for all other candidates for its span", grantedLease{primary: "c1", grantedAt: 7}, "c2", 107},
 	}
 	for _, test := range cases {
 		Convey("A lease that a voter grants "+test.behavior, t, func() {
@@ -56,7 +56,7 @@
 		p.start(proposal.NewProposer(p.nextNumber("c1"), 3, nil, 0), Record{Epoch: 4})
 		return p
 	}
-	Convey("A proposal is for the epoch after its base, and numbered above all that is known", t, func() {
+	Convey("A proposal is for the epoch after its base record, and a new number is higher than all known rounds", t, func() {
 		p := startProposal()
 		So(p.epoch(), ShouldEqual, 5)
 		So(p.hasNumber(proposal.Number{Round: 1, Name: "c1"}), ShouldBeTrue)
@@ -64,7 +64,7 @@
 		p.observeRound(3)
 		So(p.nextNumber("c1"), ShouldResemble, proposal.Number{Round: 8, Name: "c1"})
 	})
-	Convey("One that is given up without an answer may still be decided, until the epoch is", t, func() {
+	Convey("A proposal that timed out may still be decided until its epoch ends", t, func() {
 		p := startProposal()
 		p.expire(replyTimeout, replyTimeout)
 		So(p.isUnderWay(), ShouldBeTrue)
@@ -75,7 +75,7 @@
 		So(p.unsettled, ShouldBeFalse)
 		So(p.isDue(0), ShouldBeTrue)
 	})
-	Convey("One that was refused is made again when the first of the voters may vote, though others are later", t, func() {
+	Convey("A refused proposal is retried when the first of the refusing voters may vote, even if others may vote only later", t, func() {
 		p := startProposal()
 		p.scheduleRetry(40)
 		p.scheduleRetry(30)
@@ -86,7 +86,7 @@
 		So(p.isUnderWay(), ShouldBeFalse)
 		So(p.isDue(30), ShouldBeTrue)
 	})
-	Convey("A delay does not bring the next proposal forward", t, func() {
+	Convey("A delay postpones the next proposal and never advances it", t, func() {
 		p := startProposal()
 		p.delayUntil(20)
 		So(p.isDue(49), ShouldBeFalse)
@@ -98,7 +98,7 @@
 
 func TestVoterTracker(t *testing.T) {
 	version := func(sequence uint64) store.Version { return store.Version{Epoch: 4, Sequence: sequence} }
-	Convey("A voter that has not replied is silent since it is counted on", t, func() {
+	Convey("The silence of a voter that has not replied is counted from the start of the tracker", t, func() {
 		tracker := newVoterTracker(100)
 		So(tracker.silence("c2", 150), ShouldEqual, 50)
 		So(tracker.acknowledgedWithin(200, "c2", 150), ShouldBeFalse)
@@ -107,7 +107,7 @@
 		So(tracker.acknowledgedWithin(11, "c2", 150), ShouldBeTrue)
 		So(tracker.acknowledgedWithin(10, "c2", 150), ShouldBeFalse)
 	})
-	Convey("The version of a spare rises only, until it lacks writes or is replaced", t, func() {
+	Convey("The recorded version of a spare never decreases, and is cleared when the spare lacks writes", t, func() {
 		tracker := newVoterTracker(0)
 		So(tracker.hasSpareSynced("c4", version(1)), ShouldBeFalse)
 		tracker.noteSpareVersion("c4", version(7))
@@ -117,7 +117,7 @@
 		tracker.noteSpareBehind("c4")
 		So(tracker.hasSpareSynced("c4", version(1)), ShouldBeFalse)
 	})
-	Convey("Nothing is left of a voter that is forgotten", t, func() {
+	Convey("Forgetting a voter removes all its entries", t, func() {
 		tracker := newVoterTracker(0)
 		tracker.lastAck["c4"] = 5
 		tracker.noteSpareVersion("c4", version(7))
@@ -130,7 +130,7 @@
 }
 
 func TestPeerSet(t *testing.T) {
-	Convey("The nodes are enough since there have been as many as vote without a break", t, func() {
+	Convey("The time with enough nodes restarts whenever there are fewer nodes than voters", t, func() {
 		var peers peerSet
 		twoPeers, threePeers := Peers{Names: []string{"c1", "c2"}}, Peers{Names: []string{"c3", "c1", "c2"}}
 		peers.update(threePeers, 3, 10)
@@ -142,7 +142,7 @@
 		So(peers.hasEnoughFor(10, 49), ShouldBeFalse)
 		So(peers.sorted(), ShouldResemble, []string{"c1", "c2", "c3"})
 	})
-	Convey("Nodes are found by address in the order asked for, once each", t, func() {
+	Convey("Nodes are looked up by address in the given order, and each is returned once", t, func() {
 		peers := peerSet{byAddress: map[string]string{"a:1": "c2", "b:1": "c1", "c:1": "c2"}}
 		So(peers.atAddresses([]string{"c:1", "x:1", "b:1", "a:1"}), ShouldResemble, []string{"c2", "c1"})
 	})
--- a/internal/coordination/consensus/repair_test.go
+++ b/internal/coordination/consensus/repair_test.go
@@ -11,8 +11,9 @@
 
 func TestCatchUpAfterManyChanges(t *testing.T) {
 	const keys = 200
-	// measureCatchUp has a node miss so many changes, and gives the bytes that are sent to it until
-	// it is repaired, and how long that takes.
+	// measureCatchUp makes a node miss the given number of changes. It returns the
+	// number of bytes that are sent to the node until it is repaired, and how long the
+	// repair takes.
 	measureCatchUp := func(changes int, blankDisk bool) (size int, span time.Duration) {
 		c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
 		for number := range keys {
@@ -45,7 +46,7 @@
 		So(c.machines[lost].ReplicaTable().Records, ShouldResemble, c.machines[c.primary()].ReplicaTable().Records)
 		return size, c.now - start
 	}
-	Convey("What is sent to a node that missed changes is bounded by the state, not by their number, whether it has its disk or not, and it has no role before it is repaired", t, func() {
+	Convey("The data sent to a node that missed changes is bounded by the size of the state, not by the number of changes, with or without its old disk, and the node has no role before it is repaired", t, func() {
 		for _, blankDisk := range []bool{false, true} {
 			baselineSize, _ := measureCatchUp(keys, blankDisk)
 			for _, changes := range []int{1000, 4000} {
@@ -56,7 +57,7 @@
 			}
 		}
 	})
-	Convey("A node that missed one change of two hundred keys is sent one range of sixteen", t, func() {
+	Convey("A node that missed a change of one of two hundred keys is sent one of the sixteen key ranges", t, func() {
 		fullSize, _ := measureCatchUp(keys, false)
 		oneChangeSize, _ := measureCatchUp(1, false)
 		So(oneChangeSize, ShouldBeGreaterThan, 0)
--- a/internal/coordination/consensus/replication_test.go
+++ b/internal/coordination/consensus/replication_test.go
@@ -21,7 +21,7 @@
 		func(c *cluster) { c.up[c.machines[c.primary()].Record().Backup] = false },
 		func(c *cluster) { c.up[c.primary()] = false },
 	}
-	Convey("With one of three lost, primary or backup, the others make one of them backup within seconds, and what is acknowledged is on two disks", t, func() {
+	Convey("When the primary or the backup of three nodes is lost, the others have a backup within seconds, and acknowledged writes are on two disks", t, func() {
 		for _, fail := range failures {
 			c := newThreeVoterCluster(true)
 			fail(c)
@@ -40,7 +40,7 @@
 			So(c.machines[c.primary()].Record().Backup, ShouldNotBeEmpty)
 		}
 	})
-	Convey("A write that is pending when the backup is lost is not acknowledged before another has it; where no backup is required, it is", t, func() {
+	Convey("A write that is pending when the backup is lost is acknowledged only once another backup has it; if no backup is required, the primary acknowledges it without one", t, func() {
 		for _, requireBackup := range []bool{true, false} {
 			c := newThreeVoterCluster(requireBackup)
 			primary := c.primary()
@@ -59,7 +59,7 @@
 			So(committedAlone, ShouldNotEqual, requireBackup)
 		}
 	})
-	Convey("A write that comes while the primary is alone waits; where no backup is required, it does not", t, func() {
+	Convey("A write submitted while there is no backup waits for a backup, unless no backup is required", t, func() {
 		for _, requireBackup := range []bool{true, false} {
 			c := newThreeVoterCluster(requireBackup)
 			primary := c.primary()
@@ -83,7 +83,7 @@
 			So(c.replicasWith(8), ShouldBeGreaterThanOrEqualTo, 2)
 		}
 	})
-	Convey("The others have a primary and a backup within 2 s of the loss", t, func() {
+	Convey("When the primary or the backup is lost, the others have a primary and a backup within 2 s", t, func() {
 		for _, fail := range failures {
 			c := newThreeVoterCluster(true)
 			fail(c)
@@ -113,7 +113,7 @@
 		return append(effects, m.Step(Tick{WallNanos: wall}, now+20*time.Millisecond)...)
 	}
 	now := time.Hour
-	Convey("What a primary wrote last before it stopped may be on no backup: it is served only once an epoch without one is decided", t, func() {
+	Convey("The last write of a primary before its restart, which the backup may lack, is served only once an epoch without a backup is decided", t, func() {
 		m := restarted(Record{Epoch: 4, Primary: "c1", Backup: "c2"}, 4, now)
 		prepares := bodiesSent[Prepare](renew(m, now))
 		now := now + 20*time.Millisecond
@@ -128,7 +128,7 @@
 		So(m.IsPrimary(now+120*time.Millisecond), ShouldBeTrue)
 		So(m.CommittedTable().Records, ShouldContainKey, "set")
 	})
-	Convey("Nor does it propose an epoch that keeps the backup while a voter refuses it", t, func() {
+	Convey("A restarted primary whose backup may lack a write proposes an epoch without the backup when a voter refuses the lease", t, func() {
 		m := restarted(Record{Epoch: 4, Primary: "c1", Backup: "c2"}, 4, now)
 		later := now + time.Second
 		m.Step(Tick{WallNanos: wall}, later)
@@ -139,7 +139,7 @@
 		So(store.DecodePlain(m.proposals.current.Value, &proposed), ShouldBeNil)
 		So(proposed, ShouldResemble, Record{Epoch: 5, Primary: "c1", Voters: votersWithoutIncarnation(voters)})
 	})
-	Convey("With nothing written in its epoch, or no backup in it, it continues at once", t, func() {
+	Convey("A restarted primary continues at once if it wrote nothing in its epoch or the epoch has no backup", t, func() {
 		for _, m := range []*Machine{
 			restarted(Record{Epoch: 4, Primary: "c1", Backup: "c2"}, 3, now), restarted(Record{Epoch: 4, Primary: "c1"}, 4, now),
 		} {
@@ -151,7 +151,7 @@
 
 func TestWhatIsPublishedIsSynced(t *testing.T) {
 	const wall = int64(1_700_000_000_000_000_000)
-	Convey("Where writes follow each other in one step, each is committed with what was synced by then, and no more", t, func() {
+	Convey("When several writes are committed in one step, each is published with exactly the writes saved by then", t, func() {
 		now := time.Hour
 		voters := []string{"c1", "c2", "c3"}
 		m := newMachine("c1", len(voters), DefaultTiming(), PersistentState{
@@ -181,7 +181,7 @@
 }
 
 func TestWritesWithSpares(t *testing.T) {
-	Convey("A write is acknowledged on three disks at least, also with any two nodes down, and waits with more", t, func() {
+	Convey("With five voters, a write is acknowledged only when it is on at least three disks, and writes are still committed with any two nodes down", t, func() {
 		names := []string{"c1", "c2", "c3", "c4", "c5"}
 		for i, first := range names {
 			for _, second := range names[i+1:] {
@@ -200,7 +200,7 @@
 			}
 		}
 	})
-	Convey("Where one node may be lost, two disks hold a write and no third is written", t, func() {
+	Convey("With three voters, a write is stored on exactly two disks", t, func() {
 		c := newCluster([]string{"c1", "c2", "c3"}, func(string) BootstrapConfig {
 			return BootstrapConfig{Voters: 3, MayBootstrap: true, RequireBackup: true, Seeds: []string{address("c1"), address("c2"), address("c3")}}
 		})
--- a/internal/coordination/consensus/spares_test.go
+++ b/internal/coordination/consensus/spares_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestTwoReplicasLostAtOnce(t *testing.T) {
-	Convey("Of five nodes, where two may be lost, any two lose their disks at once: what was acknowledged is still there, and writes are committed", t, func() {
+	Convey("When any two of five nodes lose their disks at once, acknowledged writes are kept and new writes are committed", t, func() {
 		names := []string{"c1", "c2", "c3", "c4", "c5"}
 		for i, first := range names {
 			for _, second := range names[i+1:] {
@@ -27,7 +27,7 @@
 			}
 		}
 	})
-	Convey("And two more, once the first are repaired", t, func() {
+	Convey("When the primary and the backup of five nodes lose their disks repeatedly, each time after the last repair, acknowledged writes are kept", t, func() {
 		c, bootstrap := newFiveVoterCluster()
 		for token := uint64(1); token < 5; token++ {
 			c.submit(token)
--- a/internal/coordination/consensus/syncgate_test.go
+++ b/internal/coordination/consensus/syncgate_test.go
@@ -11,13 +11,13 @@
 	now := time.Hour
 	sendToPeer := func(body any) Send { return Send{To: "c2", Body: body} }
 	voterState, table := Save{Kind: FileVoterState, Sequence: 1}, Save{Kind: FileTable, Sequence: 1}
-	Convey("With nothing to be synced, all passes at once and in order", t, func() {
+	Convey("If no file has to be synced, all effects pass at once and in order", t, func() {
 		var gate SyncGate
 		So(gate.Pass([]Effect{sendToPeer(RenewLease{}), TableCommitted{}, SubmitResult{Committed: true}}, now), ShouldResemble, []Effect{sendToPeer(RenewLease{}), TableCommitted{}, SubmitResult{Committed: true}})
 		_, due := gate.Next(now)
 		So(due, ShouldBeFalse)
 	})
-	Convey("What depends on a file waits for its sync; votes and grants do not wait for the table's", t, func() {
+	Convey("Effects wait for the sync of the files that they depend on; votes and lease grants do not wait for the table", t, func() {
 		var gate SyncGate
 		ready := gate.Pass([]Effect{sendToPeer(RenewLease{}), table, sendToPeer(Replicate{}), sendToPeer(RenewLeaseAck{}), TableCommitted{}, SubmitResult{Token: 1, Committed: true}, SubmitResult{Token: 2}}, now)
 		So(ready, ShouldResemble, []Effect{sendToPeer(RenewLease{}), sendToPeer(RenewLeaseAck{}), SubmitResult{Token: 2}})
@@ -32,7 +32,7 @@
 		So(gate.Done(true, now), ShouldResemble, []Effect{sendToPeer(Promise{})})
 		So(gate.SyncPending(now+time.Second), ShouldEqual, 0)
 	})
-	Convey("A save that was not synced stays pending, lets nothing pass and is tried again after a pause", t, func() {
+	Convey("A save that failed stays pending, blocks the effects that depend on it and is retried after SyncRetryDelay", t, func() {
 		var gate SyncGate
 		So(gate.Pass([]Effect{voterState, sendToPeer(Accepted{})}, now), ShouldBeEmpty)
 		for attempt := range time.Duration(5) {
@@ -47,7 +47,7 @@
 		gate.Next(now + 5*SyncRetryDelay)
 		So(gate.Done(true, now+5*SyncRetryDelay), ShouldResemble, []Effect{sendToPeer(Accepted{})})
 	})
-	Convey("While the disk hangs, what waits stays small: one message of a type to a node, one save of a kind", t, func() {
+	Convey("While the disk hangs, at most one message per type and node and one save per kind of file are queued", t, func() {
 		var gate SyncGate
 		gate.Pass([]Effect{table}, now)
 		gate.Next(now)
@@ -63,7 +63,7 @@
 		So(task, ShouldResemble, Save{Kind: FileVoterState, Sequence: 9999})
 		So(gate.Done(true, now), ShouldContain, sendToPeer(Promise{Epoch: 9999}))
 	})
-	Convey("A save that is under way is not replaced", t, func() {
+	Convey("A save that the disk has started is not replaced", t, func() {
 		var gate SyncGate
 		gate.Pass([]Effect{voterState}, now)
 		gate.Next(now)
