--- a/internal/coordination/consensus/acceptor.go
+++ b/internal/coordination/consensus/acceptor.go
@@ -10,7 +10,7 @@
 	promise := Promise{Epoch: prepare.Decided.Epoch + 1, Number: prepare.Number, Decided: m.voterState.Decided}
 	eligible := m.isEligible(from, prepare, now)
 	if m.IsMember() {
-		promise.RetryAfter = m.voteBoundFor(from, now)
+		promise.RetryAfter = m.voteBlockedFor(from, now)
 		if eligible && promise.RetryAfter == 0 {
 			m.vote(from, &promise)
 		}
@@ -18,17 +18,19 @@
 	m.send(from, promise)
 }
 
-// isEligible says whether a candidate may become primary: one that the newest record
-// names, or a spare voter.
+// isEligible reports whether a candidate may become primary. The candidate's newest
+// record must be the same as that of this node. The candidate must also be the primary
+// or the backup of that record, or a spare voter that votesForSpare accepts.
 func (m *Machine) isEligible(candidate string, prepare Prepare, now time.Duration) bool {
 	decided := m.voterState.Decided
 	if decided != prepare.Decided {
 		return false
 	}
-	return candidate == decided.Primary || candidate == decided.Backup || m.yieldToSpare(candidate, prepare.Version, now)
+	return candidate == decided.Primary || candidate == decided.Backup || m.votesForSpare(candidate, prepare.Version, now)
 }
 
-// vote promises a candidate's proposal, unless a higher one was promised before.
+// vote fills in the promise and grants it, unless this node has already promised a
+// higher proposal.
 func (m *Machine) vote(candidate string, promise *Promise) {
 	acceptor := &m.voterState.Acceptor
 	promise.Accepted, promise.Value = acceptor.Accepted, acceptor.Value
@@ -40,8 +42,8 @@
 	}
 }
 
-// noteVote notes a vote for a candidate. The next epoch may be decided by it even
-// after this node has voted for the primary again.
+// noteVote records a vote for a candidate. VotedForOther stays set when this node votes
+// for the primary again, because the earlier vote may still decide the next epoch.
 func (m *Machine) noteVote(candidate string) {
 	m.voterState.VotedForOther = m.voterState.VotedForOther || candidate != m.voterState.Decided.Primary
 }
@@ -50,7 +52,7 @@
 	if !m.IsMember() || accept.Epoch != m.voterState.Decided.Epoch+1 {
 		return
 	}
-	if m.voteBoundFor(from, now) > 0 || !m.voterState.Acceptor.Accept(accept.Number, accept.Value) {
+	if m.voteBlockedFor(from, now) > 0 || !m.voterState.Acceptor.Accept(accept.Number, accept.Value) {
 		return
 	}
 	m.noteVote(from)
--- a/internal/coordination/consensus/cluster_test.go
+++ b/internal/coordination/consensus/cluster_test.go
@@ -10,14 +10,14 @@
 	"tansyseam/internal/state/store"
 )
 
-// cluster runs some nodes, whose messages arrive at once.
+// cluster runs several nodes and delivers their messages immediately.
 type cluster struct {
 	now          time.Duration
 	machines     map[string]*Machine
 	up           map[string]bool
 	results      map[uint64]SubmitResult
 	epochChanges int
-	sent         func(from, to string, body any)
+	onSend       func(from, to string, body any)
 }
 
 func address(name string) string { return name + ":1" }
@@ -33,16 +33,16 @@
 
 func (c *cluster) apply(name string, effects []Effect) {
 	for _, effect := range effects {
-		if answer, ok := effect.(SubmitResult); ok {
-			c.results[answer.Token] = answer
+		if result, ok := effect.(SubmitResult); ok {
+			c.results[result.Token] = result
 		}
 		if changed, ok := effect.(EpochChanged); ok {
 			c.epochChanges++
 			So(changed.Table, ShouldNotBeNil)
 		}
 		if send, ok := effect.(Send); ok && c.up[send.To] && c.up[name] {
-			if c.sent != nil {
-				c.sent(name, send.To, send.Body)
+			if c.onSend != nil {
+				c.onSend(name, send.To, send.Body)
 			}
 			c.step(send.To, Received{From: name, Body: send.Body})
 		}
@@ -51,7 +51,7 @@
 
 func (c *cluster) step(name string, event any) { c.apply(name, c.machines[name].Step(event, c.now)) }
 
-func (c *cluster) live() []string {
+func (c *cluster) upNodes() []string {
 	var names []string
 	for name, up := range c.up {
 		if up {
@@ -65,11 +65,11 @@
 func (c *cluster) run(span time.Duration) {
 	for until := c.now + span; c.now < until; c.now += 20 * time.Millisecond {
 		peers := Peers{ByAddress: map[string]string{}}
-		for _, name := range c.live() {
+		for _, name := range c.upNodes() {
 			peers.Names = append(peers.Names, name)
 			peers.ByAddress[address(name)] = name
 		}
-		for _, name := range c.live() {
+		for _, name := range c.upNodes() {
 			c.step(name, peers)
 			c.step(name, Tick{WallNanos: int64(c.now)})
 		}
@@ -77,7 +77,7 @@
 }
 
 func (c *cluster) primary() string {
-	for _, name := range c.live() {
+	for _, name := range c.upNodes() {
 		if c.machines[name].IsPrimary(c.now) {
 			return name
 		}
@@ -93,7 +93,7 @@
 	}
 }
 
-// replicasWith counts the replicas that have a write.
+// replicasWith returns the number of replicas that contain a write.
 func (c *cluster) replicasWith(token uint64) int {
 	count := 0
 	for _, machine := range c.machines {
@@ -104,21 +104,24 @@
 	return count
 }
 
-// submitChange writes one of so many keys at the primary.
+// submitChange submits a write to the primary that changes one of the given number of
+// keys.
 func (c *cluster) submitChange(number, keys int) {
 	c.step(c.primary(), Submit{Token: uint64(1000 + number), Build: func(*store.Table) []store.Put {
 		return []store.Put{{Key: fmt.Sprint("key", number%keys), Data: []byte(fmt.Sprintf("%06d", number))}}
 	}})
 }
 
-// catchUpTime is the time that a node has to be repaired and vote after its start.
+// catchUpTime is the time within which a node must be repaired and vote after its
+// start.
 const catchUpTime = 4 * time.Second
 
-// newFormedCluster makes a cluster of the first names, so many of which vote.
+// newFormedCluster returns a formed cluster of the first of the given names. The voters
+// argument is the number of its nodes, all of which vote.
 func newFormedCluster(voters int, names ...string) (*cluster, func(string) BootstrapConfig) {
 	var seeds []string
-	for at := range 3 {
-		seeds = append(seeds, address(names[at]))
+	for i := range 3 {
+		seeds = append(seeds, address(names[i]))
 	}
 	bootstrap := func(string) BootstrapConfig {
 		return BootstrapConfig{Voters: voters, MayBootstrap: true, RequireBackup: true, Seeds: seeds}
@@ -129,8 +132,8 @@
 	return c, bootstrap
 }
 
-// add starts a node with a blank disk.
-func (c *cluster) add(bootstrap func(string) BootstrapConfig, name string) {
+// startBlankNode starts a node with a blank disk.
+func (c *cluster) startBlankNode(bootstrap func(string) BootstrapConfig, name string) {
 	blank := bootstrap(name)
 	blank.MayBootstrap = false
 	c.machines[name] = NewWithBootstrap(name, blank, DefaultTiming(), PersistentState{}, c.now)
@@ -143,7 +146,7 @@
 	return c.results[token].Committed
 }
 
-// witness gives a voter that the record does not name.
+// witness returns a voter that is neither primary nor backup.
 func (c *cluster) witness() string {
 	record := c.machines[c.primary()].Record()
 	for _, name := range record.Voters.Names() {
@@ -154,14 +157,14 @@
 	return ""
 }
 
-// lossTargets gives the node of each role.
-var lossTargets = map[string]func(c *cluster) string{
+// nodeByRole maps each role to a function that returns the node with that role.
+var nodeByRole = map[string]func(c *cluster) string{
 	"primary": func(c *cluster) string { return c.primary() },
 	"backup":  func(c *cluster) string { return c.machines[c.primary()].Record().Backup },
 	"witness": func(c *cluster) string { return c.witness() },
 }
 
-// newFiveVoterCluster makes a cluster of c1 to c5, all of which vote.
+// newFiveVoterCluster returns a formed cluster of c1 to c5, all of which vote.
 func newFiveVoterCluster() (*cluster, func(name string) BootstrapConfig) {
 	bootstrap := func(string) BootstrapConfig {
 		return BootstrapConfig{Voters: 5, MayBootstrap: true, RequireBackup: true, Seeds: []string{address("c1"), address("c2"), address("c3")}}
@@ -172,8 +175,8 @@
 	return c, bootstrap
 }
 
-// wipe restarts nodes with blank disks.
-func (c *cluster) wipe(bootstrap func(string) BootstrapConfig, names ...string) {
+// wipeDisks restarts nodes with blank disks.
+func (c *cluster) wipeDisks(bootstrap func(string) BootstrapConfig, names ...string) {
 	for _, name := range names {
 		blank := bootstrap(name)
 		blank.MayBootstrap = false
--- a/internal/coordination/consensus/dispatch.go
+++ b/internal/coordination/consensus/dispatch.go
@@ -57,7 +57,7 @@
 	handleMessage((*Machine).onRepairDone)
 }
 
-// Messages gives a zero value of each message type, in no order.
+// Messages returns a zero value of each message type, in no particular order.
 func Messages() []any {
 	var bodies []any
 	for messageType := range messageHandlers {
@@ -66,11 +66,11 @@
 	return bodies
 }
 
-// Step takes one event, a Tick, Received, Peers, Submit or Leave, and gives the
-// effects to be carried out, in order.
+// Step processes one event, which is a Tick, Received, Peers, Submit or Leave. It
+// returns the effects to be carried out, in order.
 func (m *Machine) Step(event any, now time.Duration) []Effect {
 	m.effects = nil
-	if handle, known := eventHandlers[reflect.TypeOf(event)]; known {
+	if handle, ok := eventHandlers[reflect.TypeOf(event)]; ok {
 		handle(m, event, now)
 	}
 	return m.effects
@@ -78,7 +78,7 @@
 
 func (m *Machine) onReceived(event Received, now time.Duration) {
 	m.contacts.received[event.From] = now
-	if handle, known := messageHandlers[reflect.TypeOf(event.Body)]; known {
+	if handle, ok := messageHandlers[reflect.TypeOf(event.Body)]; ok {
 		handle(m, event.From, event.Body, now)
 	}
 }
--- a/internal/coordination/consensus/grantedlease.go
+++ b/internal/coordination/consensus/grantedlease.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// grantedLease is the last lease that a voter granted, or is taken to have granted. A
-// primary may rely on it until PrimaryLease has passed, so that the voter votes for no
-// other candidate before.
+// grantedLease is the last lease that a voter granted, or is assumed to have granted.
+// The primary may rely on it until PrimaryLease has passed, so the voter votes for no
+// other candidate before then.
 type grantedLease struct {
-	// to is the primary, empty where none was granted.
-	to string
-	at time.Duration
+	// primary is the node that the lease was granted to, or empty if none was granted.
+	primary   string
+	grantedAt time.Duration
 }
 
-// bindsUntil gives the moment before which the voter must not vote for a candidate, or
-// 0 where the lease does not keep it from that.
-func (l grantedLease) bindsUntil(candidate string, span time.Duration) time.Duration {
-	if l.to == "" || l.to == candidate {
+// blocksUntil returns the time before which the voter must not vote for a candidate, or
+// 0 if the lease does not block that vote.
+func (l grantedLease) blocksUntil(candidate string, span time.Duration) time.Duration {
+	if l.primary == "" || l.primary == candidate {
 		return 0
 	}
-	return l.at + span
+	return l.grantedAt + span
 }
 
 func (m *Machine) onRenewLease(from string, renewal RenewLease, now time.Duration) {
@@ -29,7 +29,7 @@
 	decided := m.voterState.Decided
 	granted := decided == renewal.Record && decided.Primary == from && !m.voterState.VotedForOther
 	if granted {
-		m.granted = grantedLease{to: from, at: now}
+		m.granted = grantedLease{primary: from, grantedAt: now}
 	}
 	m.send(from, RenewLeaseAck{
 		Decided: decided, SentAt: renewal.SentAt, Incarnation: renewal.Incarnation,
@@ -37,18 +37,18 @@
 	})
 }
 
-// assumeLease treats the primary of the newest record as one that this node has just
-// granted the lease.
-func (m *Machine) assumeLease(now time.Duration) {
-	m.granted = grantedLease{to: m.voterState.Decided.Primary, at: now}
+// assumeLeaseGranted treats the lease as just granted by this node to the primary of
+// the newest known record.
+func (m *Machine) assumeLeaseGranted(now time.Duration) {
+	m.granted = grantedLease{primary: m.voterState.Decided.Primary, grantedAt: now}
 	m.contacts.primaryAt = now
 }
 
-// voteBoundFor says for how long this node must not vote for a candidate: a lease that
-// it granted to another or holds itself may still be relied on, or one that it granted
-// before its restart.
-func (m *Machine) voteBoundFor(candidate string, now time.Duration) time.Duration {
-	until := m.granted.bindsUntil(candidate, m.timing.PrimaryLease)
+// voteBlockedFor returns how long this node must not vote for a candidate. Another node
+// may still rely on a lease that this node granted, possibly before a restart, or this
+// node may still hold the lease itself.
+func (m *Machine) voteBlockedFor(candidate string, now time.Duration) time.Duration {
+	until := m.granted.blocksUntil(candidate, m.timing.PrimaryLease)
 	if m.isRecordedPrimary() {
 		until = max(until, m.lease.until)
 	}
@@ -58,8 +58,9 @@
 	return max(until-now, 0)
 }
 
-// isLeaseSilentFor says whether this node has granted no lease for a span, nor may
-// have before it started.
-func (m *Machine) isLeaseSilentFor(span time.Duration, now time.Duration) bool {
-	return now >= m.granted.at+span && now >= m.startedAt+span
+// hasGrantedNoLeaseFor reports whether this node has granted no lease for the given
+// span. It is false if the node started less than the span ago, because the node may
+// have granted a lease before its start.
+func (m *Machine) hasGrantedNoLeaseFor(span time.Duration, now time.Duration) bool {
+	return now >= m.granted.grantedAt+span && now >= m.startedAt+span
 }
--- a/internal/coordination/consensus/leaving_test.go
+++ b/internal/coordination/consensus/leaving_test.go
@@ -9,16 +9,16 @@
 
 func TestPlannedLeaving(t *testing.T) {
 	leave := func(c *cluster, name string) time.Duration {
-		from := c.now
+		start := c.now
 		c.step(name, Leave{})
-		for c.now < from+3*time.Second && !c.machines[name].MayStop() {
+		for c.now < start+3*time.Second && !c.machines[name].MayStop() {
 			c.run(20 * time.Millisecond)
 		}
 		c.up[name] = false
-		return c.now - from
+		return c.now - start
 	}
-	Convey("A node that shuts down hands its role over first, in less time than a failover takes, and what is acknowledged is on two disks beside it", t, func() {
-		for role, pick := range lossTargets {
+	Convey("A node that shuts down hands over its role in less time than a failover takes, and acknowledged writes are on two disks besides its own", t, func() {
+		for role, pick := range nodeByRole {
 			c, _ := newFormedCluster(3, "c1", "c2", "c3")
 			So(c.submitAndCommit(1), ShouldBeTrue)
 			leaving := pick(c)
@@ -32,10 +32,10 @@
 			So(c.submitAndCommit(2), ShouldBeTrue)
 		}
 	})
-	Convey("Where a standby is there, it takes the vote of the node that leaves", t, func() {
-		for role, pick := range lossTargets {
+	Convey("If there is a standby, it replaces the leaving node as a voter", t, func() {
+		for role, pick := range nodeByRole {
 			c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
-			c.add(bootstrap, "n1")
+			c.startBlankNode(bootstrap, "n1")
 			c.run(2 * time.Second)
 			So(c.machines["n1"].IsMember(), ShouldBeFalse)
 			leaving := pick(c)
@@ -48,21 +48,21 @@
 			So(c.submitAndCommit(2), ShouldBeTrue)
 		}
 	})
-	Convey("Where the disk of one node is lost and another voter leaves before that one is back, its place is taken first", t, func() {
+	Convey("If a voter leaves while the backup is down, a standby replaces the leaving voter before it stops, and the backup can return with a blank disk", t, func() {
 		c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
 		So(c.submitAndCommit(1), ShouldBeTrue)
-		c.add(bootstrap, "n1")
+		c.startBlankNode(bootstrap, "n1")
 		c.run(2 * time.Second)
 		record, witness := c.machines[c.primary()].Record(), c.witness()
 		c.up[record.Backup] = false
 		c.run(100 * time.Millisecond)
 		So(leave(c, witness), ShouldBeLessThan, 500*time.Millisecond)
 		So(c.machines["n1"].IsMember(), ShouldBeTrue)
-		c.add(bootstrap, record.Backup)
+		c.startBlankNode(bootstrap, record.Backup)
 		c.run(catchUpTime)
 		So(c.submitAndCommit(2), ShouldBeTrue)
 	})
-	Convey("A voter without which there is no majority waits for a standby that comes while it shuts down", t, func() {
+	Convey("If there is no majority without a leaving voter, the voter does not stop until a standby arrives", t, func() {
 		c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
 		witness := c.witness()
 		c.up[c.machines[c.primary()].Record().Backup] = false
@@ -70,24 +70,24 @@
 		c.step(witness, Leave{})
 		c.run(time.Second)
 		So(c.machines[witness].MayStop(), ShouldBeFalse)
-		c.add(bootstrap, "n1")
+		c.startBlankNode(bootstrap, "n1")
 		c.run(time.Second)
 		So(c.machines[witness].MayStop(), ShouldBeTrue)
 		c.up[witness] = false
 		c.run(time.Second)
 		So(c.submitAndCommit(1), ShouldBeTrue)
 	})
-	Convey("A backup that leaves is followed by a voter that failed lately, where there is no other", t, func() {
+	Convey("A leaving backup is replaced by a voter that failed recently if there is no other voter", t, func() {
 		c, _ := newFormedCluster(3, "c1", "c2", "c3")
 		backup := c.machines[c.primary()].Record().Backup
 		c.machines[c.primary()].tracker.excludedUntil[c.witness()] = c.now + time.Hour
 		So(leave(c, backup), ShouldBeLessThan, time.Second)
 		So(c.submitAndCommit(1), ShouldBeTrue)
 	})
-	Convey("All nodes may be restarted in turn, many times, and writes are committed", t, func() {
+	Convey("When nodes are restarted in turn many times, writes are committed each time", t, func() {
 		c, _ := newFormedCluster(3, "c1", "c2", "c3")
 		for token := uint64(1); token < 20; token++ {
-			leaving := c.live()[int(token)%3]
+			leaving := c.upNodes()[int(token)%3]
 			leave(c, leaving)
 			SoMsg(leaving, c.submitAndCommit(token), ShouldBeTrue)
 			c.machines[leaving].shutdown = shutdown{}
@@ -95,9 +95,9 @@
 			c.run(time.Second)
 		}
 	})
-	Convey("A node that shuts down is no standby", t, func() {
+	Convey("A node that is shutting down does not offer itself as a standby", t, func() {
 		m := newBlankMachine("n1", time.Hour)
-		m.Step(Received{From: "c2", Body: Status{Cluster: "x", Decided: Record{Epoch: 4, Primary: "c1", Voters: votersWithoutIncarnation(five)}}}, time.Hour)
+		m.Step(Received{From: "c2", Body: Status{Cluster: "x", Decided: Record{Epoch: 4, Primary: "c1", Voters: votersWithoutIncarnation(fiveNodes)}}}, time.Hour)
 		m.Step(Leave{}, time.Hour)
 		So(bodiesSent[Join](m.Step(Tick{WallNanos: 78}, 2*time.Hour)), ShouldBeEmpty)
 		So(m.MayStop(), ShouldBeTrue)
--- a/internal/coordination/consensus/replication_test.go
+++ b/internal/coordination/consensus/replication_test.go
@@ -11,27 +11,27 @@
 
 func TestPairedWrites(t *testing.T) {
 	names := []string{"c1", "c2", "c3"}
-	newPair := func(requireBackup bool) *cluster {
+	newThreeVoterCluster := func(requireBackup bool) *cluster {
 		c := newCluster(names, func(string) BootstrapConfig { return BootstrapConfig{ExactVoters: 3, RequireBackup: requireBackup} })
 		c.run(3 * time.Second)
 		So(c.primary(), ShouldNotBeEmpty)
 		return c
 	}
-	loses := []func(c *cluster){
+	failures := []func(c *cluster){
 		func(c *cluster) { c.up[c.machines[c.primary()].Record().Backup] = false },
 		func(c *cluster) { c.up[c.primary()] = false },
 	}
-	Convey("With one of three lost, primary or backup, the others make one of them backup within seconds, and what is acknowledged is on two disks", t, func() {
-		for _, lose := range loses {
-			c := newPair(true)
-			lose(c)
+	Convey("When the primary or the backup of three nodes is lost, the others have a backup within seconds, and acknowledged writes are on two disks", t, func() {
+		for _, fail := range failures {
+			c := newThreeVoterCluster(true)
+			fail(c)
 			token := uint64(100)
-			for at := time.Duration(0); at < 6*time.Second; at += 100 * time.Millisecond {
+			for elapsed := time.Duration(0); elapsed < 6*time.Second; elapsed += 100 * time.Millisecond {
 				token++
 				c.submit(token)
 				c.run(100 * time.Millisecond)
-				for number, answer := range c.results {
-					if answer.Committed {
+				for number, result := range c.results {
+					if result.Committed {
 						So(c.replicasWith(number), ShouldBeGreaterThanOrEqualTo, 2)
 					}
 				}
@@ -40,18 +40,18 @@
 			So(c.machines[c.primary()].Record().Backup, ShouldNotBeEmpty)
 		}
 	})
-	Convey("A write that is pending when the backup is lost is not acknowledged before another has it; where no backup is required, it is", t, func() {
+	Convey("A write that is pending when the backup is lost is acknowledged only once another backup has it; if no backup is required, the primary acknowledges it without one", t, func() {
 		for _, requireBackup := range []bool{true, false} {
-			c := newPair(requireBackup)
-			first := c.primary()
-			backup := c.machines[first].Record().Backup
+			c := newThreeVoterCluster(requireBackup)
+			primary := c.primary()
+			backup := c.machines[primary].Record().Backup
 			c.up[backup] = false
 			c.submit(7)
 			committedAlone := false
 			for range 200 {
 				c.run(20 * time.Millisecond)
-				if answer, ok := c.results[7]; ok && answer.Committed {
-					committedAlone = c.machines[first].Record().Backup == ""
+				if result, ok := c.results[7]; ok && result.Committed {
+					committedAlone = c.machines[primary].Record().Backup == ""
 					break
 				}
 			}
@@ -59,34 +59,34 @@
 			So(committedAlone, ShouldNotEqual, requireBackup)
 		}
 	})
-	Convey("A write that comes while the primary is alone waits; where no backup is required, it does not", t, func() {
+	Convey("A write submitted while there is no backup waits for a backup, unless no backup is required", t, func() {
 		for _, requireBackup := range []bool{true, false} {
-			c := newPair(requireBackup)
-			first := c.primary()
-			for _, name := range c.live() {
-				c.machines[first].tracker.excludedUntil[name] = c.now + time.Hour
+			c := newThreeVoterCluster(requireBackup)
+			primary := c.primary()
+			for _, name := range c.upNodes() {
+				c.machines[primary].tracker.excludedUntil[name] = c.now + time.Hour
 			}
-			c.up[c.machines[first].Record().Backup] = false
+			c.up[c.machines[primary].Record().Backup] = false
 			for range 500 {
 				c.run(20 * time.Millisecond)
-				if c.machines[first].Record().Backup == "" {
+				if c.machines[primary].Record().Backup == "" {
 					break
 				}
 			}
-			So(c.machines[first].Record().Backup, ShouldBeEmpty)
-			So(c.primary(), ShouldEqual, first)
+			So(c.machines[primary].Record().Backup, ShouldBeEmpty)
+			So(c.primary(), ShouldEqual, primary)
 			c.submit(8)
 			So(c.results[8].Committed, ShouldNotEqual, requireBackup)
-			clear(c.machines[first].tracker.excludedUntil)
+			clear(c.machines[primary].tracker.excludedUntil)
 			c.run(time.Second)
 			So(c.results[8].Committed, ShouldBeTrue)
 			So(c.replicasWith(8), ShouldBeGreaterThanOrEqualTo, 2)
 		}
 	})
-	Convey("The others have a primary and a backup within 2 s of the loss", t, func() {
-		for _, lose := range loses {
-			c := newPair(true)
-			lose(c)
+	Convey("When the primary or the backup is lost, the others have a primary and a backup within 2 s", t, func() {
+		for _, fail := range failures {
+			c := newThreeVoterCluster(true)
+			fail(c)
 			c.submit(9)
 			c.run(2 * time.Second)
 			So(c.primary(), ShouldNotBeEmpty)
@@ -98,12 +98,12 @@
 func TestPrimaryThatComesBackAheadOfItsBackup(t *testing.T) {
 	const wall = int64(1_700_000_000_000_000_000)
 	voters := []string{"c1", "c2", "c3"}
-	restarted := func(record Record, written uint64, now time.Duration) *Machine {
-		copied := store.New()
-		copied.Apply(store.Version{Epoch: written, Sequence: 9}, []store.Put{{Key: "set", Data: []byte("x")}})
+	restarted := func(record Record, tableEpoch uint64, now time.Duration) *Machine {
+		table := store.New()
+		table.Apply(store.Version{Epoch: tableEpoch, Sequence: 9}, []store.Put{{Key: "set", Data: []byte("x")}})
 		return newMachine("c1", len(voters), DefaultTiming(), PersistentState{
 			Identity:   &Identity{Cluster: "x", Self: "c1", Voters: voters, Formed: true},
-			VoterState: &VoterState{Sequence: 1, Decided: record}, Table: copied,
+			VoterState: &VoterState{Sequence: 1, Decided: record}, Table: table,
 		}, now)
 	}
 	renew := func(m *Machine, now time.Duration) []Effect {
@@ -113,7 +113,7 @@
 		return append(effects, m.Step(Tick{WallNanos: wall}, now+20*time.Millisecond)...)
 	}
 	now := time.Hour
-	Convey("What a primary wrote last before it stopped may be on no backup: it is served only once an epoch without one is decided", t, func() {
+	Convey("The last write of a primary before its restart, which the backup may lack, is served only once an epoch without a backup is decided", t, func() {
 		m := restarted(Record{Epoch: 4, Primary: "c1", Backup: "c2"}, 4, now)
 		prepares := bodiesSent[Prepare](renew(m, now))
 		now := now + 20*time.Millisecond
@@ -128,7 +128,7 @@
 		So(m.IsPrimary(now+120*time.Millisecond), ShouldBeTrue)
 		So(m.CommittedTable().Records, ShouldContainKey, "set")
 	})
-	Convey("Nor does it propose an epoch that keeps the backup while a voter refuses it", t, func() {
+	Convey("A restarted primary whose backup may lack a write proposes an epoch without the backup when a voter refuses the lease", t, func() {
 		m := restarted(Record{Epoch: 4, Primary: "c1", Backup: "c2"}, 4, now)
 		later := now + time.Second
 		m.Step(Tick{WallNanos: wall}, later)
@@ -139,7 +139,7 @@
 		So(store.DecodePlain(m.proposals.current.Value, &proposed), ShouldBeNil)
 		So(proposed, ShouldResemble, Record{Epoch: 5, Primary: "c1", Voters: votersWithoutIncarnation(voters)})
 	})
-	Convey("With nothing written in its epoch, or no backup in it, it continues at once", t, func() {
+	Convey("A restarted primary continues at once if it wrote nothing in its epoch or the epoch has no backup", t, func() {
 		for _, m := range []*Machine{
 			restarted(Record{Epoch: 4, Primary: "c1", Backup: "c2"}, 3, now), restarted(Record{Epoch: 4, Primary: "c1"}, 4, now),
 		} {
@@ -151,7 +151,7 @@
 
 func TestWhatIsPublishedIsSynced(t *testing.T) {
 	const wall = int64(1_700_000_000_000_000_000)
-	Convey("Where writes follow each other in one step, each is committed with what was synced by then, and no more", t, func() {
+	Convey("When several writes are committed in one step, each is published with exactly the writes saved by then", t, func() {
 		now := time.Hour
 		voters := []string{"c1", "c2", "c3"}
 		m := newMachine("c1", len(voters), DefaultTiming(), PersistentState{
@@ -159,9 +159,9 @@
 			VoterState: &VoterState{Sequence: 1, Decided: Record{Epoch: 4, Primary: "c1"}}, Table: store.New(),
 		}, now)
 		m.Step(Tick{WallNanos: wall}, now)
-		for at := range 3 {
-			m.Step(Submit{Token: uint64(at + 1), Build: func(*store.Table) []store.Put {
-				return []store.Put{{Key: string(rune('a' + at)), Data: []byte("x")}}
+		for i := range 3 {
+			m.Step(Submit{Token: uint64(i + 1), Build: func(*store.Table) []store.Put {
+				return []store.Put{{Key: string(rune('a' + i)), Data: []byte("x")}}
 			}}, now)
 		}
 		effects := m.Step(Received{From: "c3", Body: RenewLeaseAck{Decided: m.Record(), SentAt: now, Incarnation: m.processIncarnation, WallNanos: wall, Granted: true}}, now)
@@ -170,10 +170,10 @@
 			if save, ok := effect.(Save); ok && save.Kind == FileTable {
 				saved++
 			}
-			if wrote, ok := effect.(TableCommitted); ok {
+			if committed, ok := effect.(TableCommitted); ok {
 				published++
-				So(len(wrote.Table.Records), ShouldEqual, saved)
-				So(wrote.Table.Version, ShouldResemble, wrote.Version)
+				So(len(committed.Table.Records), ShouldEqual, saved)
+				So(committed.Table.Version, ShouldResemble, committed.Version)
 			}
 		}
 		So(published, ShouldEqual, 3)
@@ -181,17 +181,17 @@
 }
 
 func TestWritesWithSpares(t *testing.T) {
-	Convey("A write is acknowledged on three disks at least, also with any two nodes down, and waits with more", t, func() {
+	Convey("With five voters, a write is acknowledged only when it is on at least three disks, and writes are still committed with any two nodes down", t, func() {
 		names := []string{"c1", "c2", "c3", "c4", "c5"}
-		for at, first := range names {
-			for _, second := range names[at+1:] {
+		for i, first := range names {
+			for _, second := range names[i+1:] {
 				c, _ := newFiveVoterCluster()
 				c.up[first], c.up[second] = false, false
 				for token := uint64(1); token <= 100; token++ {
 					c.submit(token)
 					c.run(100 * time.Millisecond)
-					for number, answer := range c.results {
-						if answer.Committed {
+					for number, result := range c.results {
+						if result.Committed {
 							So(c.replicasWith(number), ShouldBeGreaterThanOrEqualTo, 3)
 						}
 					}
@@ -200,7 +200,7 @@
 			}
 		}
 	})
-	Convey("Where one node may be lost, two disks hold a write and no third is written", t, func() {
+	Convey("With three voters, a write is stored on exactly two disks", t, func() {
 		c := newCluster([]string{"c1", "c2", "c3"}, func(string) BootstrapConfig {
 			return BootstrapConfig{Voters: 3, MayBootstrap: true, RequireBackup: true, Seeds: []string{address("c1"), address("c2"), address("c3")}}
 		})
