--- a/internal/app/control/bindings.go
+++ b/internal/app/control/bindings.go
@@ -16,7 +16,7 @@
 	"tansyseam/internal/state/store"
 )
 
-func (s *Server) knowsDatabase(database string) bool {
+func (s *Server) databaseExists(database string) bool {
 	observations := s.observations()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -24,7 +24,7 @@
 }
 
 func (s *Server) putBindings(call operatorCall) {
-	set, violations := bindings.Parse(call.value, s.knowsDatabase)
+	set, violations := bindings.Parse(call.value, s.databaseExists)
 	if len(violations) > 0 {
 		call.reply(rejected(http.StatusUnprocessableEntity, "the set is broken; nothing of it was taken", violations...))
 		return
@@ -41,21 +41,21 @@
 }
 
 func (s *Server) scheduleChange(call operatorCall) {
-	set, violations := bindings.Parse(call.value, s.knowsDatabase)
-	at, timeViolations := bindings.ParseScheduledTime(call.value, s.wallTime())
+	set, violations := bindings.Parse(call.value, s.databaseExists)
+	effectiveAt, timeViolations := bindings.ParseScheduledTime(call.value, s.wallTime())
 	violations = append(violations, timeViolations...)
 	s.applyOnce(call, func(state *store.Table, wallTime int64) (message.OperatorCallResult, []store.Put) {
 		if len(violations) > 0 {
 			return rejected(http.StatusUnprocessableEntity, "the change is broken; nothing of it was taken", violations...), nil
 		}
-		puts, err := rollout.Schedule(state, call.id(), at, set, wallTime)
+		puts, err := rollout.Schedule(state, call.id(), effectiveAt, set, wallTime)
 		var conflict *rollout.OrderError
 		if errors.As(err, &conflict) {
 			reason := fmt.Sprintf("sequence %d, due at %d, is on its way already: book for that moment or later",
 				conflict.Set.Sequence, millis(conflict.Set.NotBefore))
 			return conflicting(reason, conflict.Set.Sequence), nil
 		}
-		return newCallResult(http.StatusOK, scheduleChangeAnswer{EffectiveAtMillis: millis(at), ID: call.id()}), puts
+		return newCallResult(http.StatusOK, scheduleChangeAnswer{EffectiveAtMillis: millis(effectiveAt), ID: call.id()}), puts
 	})
 }
 
--- a/internal/app/control/commands.go
+++ b/internal/app/control/commands.go
@@ -34,12 +34,12 @@
 // Send sends a command and waits for the reply; its Err is ErrNoReply where
 // none comes in time.
 func (c *CommandClient) Send(command Command) CommandReply {
-	ongoing := &exchange{codec: c.codec, replies: make(chan CommandReply, 1)}
+	pending := &exchange{codec: c.codec, replies: make(chan CommandReply, 1)}
 	opened := make(chan *lineserver.Conn, 1)
-	c.engine.Dial(command.Address, c.request(command), command.Timeout, ongoing, func(conn *lineserver.Conn) { opened <- conn })
+	c.engine.Dial(command.Address, c.request(command), command.Timeout, pending, func(conn *lineserver.Conn) { opened <- conn })
 	timer := time.NewTimer(command.Timeout)
 	defer timer.Stop()
-	reply, ok := worker.Receive(ongoing.replies, timer.C)
+	reply, ok := worker.Receive(pending.replies, timer.C)
 	if !ok {
 		reply = CommandReply{Err: ErrNoReply}
 	}
@@ -62,9 +62,9 @@
 	codec lineproto.Codec
 	// replies takes the first reply.
 	replies chan CommandReply
-	// greeted says that the greeting was answered; what follows answers the
+	// connected says that the greeting was answered; what follows answers the
 	// command.
-	greeted bool
+	connected bool
 	// hasResult says that reply holds what a status or an error gave.
 	hasResult bool
 	reply     CommandReply
@@ -74,7 +74,7 @@
 func (e *exchange) OnLines(lines [][]byte) {
 	for _, line := range lines {
 		message := e.codec.Parse(string(line))
-		if handle, known := exchangeHandlers[message.Kind]; known {
+		if handle, found := exchangeHandlers[message.Kind]; found {
 			handle(e, message)
 		}
 	}
@@ -107,15 +107,15 @@
 		e.reply.Err = errors.Annotatef(ErrNoReply, "%s", message.Payload)
 	}
 	e.hasResult = true
-	if !e.greeted {
+	if !e.connected {
 		// An instance that refuses the session sends no ready.
 		e.finish(e.reply)
 	}
 }
 
 func (e *exchange) onReady(lineproto.Message) {
-	if !e.greeted {
-		e.greeted = true
+	if !e.connected {
+		e.connected = true
 		return
 	}
 	if !e.hasResult {
--- a/internal/app/control/commands_test.go
+++ b/internal/app/control/commands_test.go
@@ -105,33 +105,33 @@
 }
 
 func TestExchange(t *testing.T) {
-	for _, given := range exchangeCases {
-		Convey("The reply of an instance is read from what it sends: "+given.name, t, func() {
+	for _, testCase := range exchangeCases {
+		Convey("The reply of an instance is read from what it sends: "+testCase.name, t, func() {
 			// One call with all lines, and a call for each, read the same.
-			together, apart := newTestExchange(), newTestExchange()
-			together.OnLines(linesOf(given.lines))
-			for _, line := range linesOf(given.lines) {
-				apart.OnLines([][]byte{line})
+			batched, separate := newTestExchange(), newTestExchange()
+			batched.OnLines(linesOf(testCase.lines))
+			for _, line := range linesOf(testCase.lines) {
+				separate.OnLines([][]byte{line})
 			}
-			for _, ongoing := range []*exchange{together, apart} {
-				reply, found := worker.TryReceive(ongoing.replies)
-				So(found, ShouldEqual, !given.unfinished)
+			for _, pending := range []*exchange{batched, separate} {
+				reply, found := worker.TryReceive(pending.replies)
+				So(found, ShouldEqual, !testCase.unfinished)
 				if found {
-					given.checkReply(reply)
+					testCase.checkReply(reply)
 				}
 			}
 		})
 	}
 	Convey("A connection that ends before the reply is complete gives ErrNoReply, and one that ends after it changes nothing", t, func() {
-		cut := newTestExchange()
-		cut.OnLines(linesOf("ready/status"))
-		cut.OnClose(errors.New("reset"))
-		So(errors.Is((<-cut.replies).Err, ErrNoReply), ShouldBeTrue)
-		ended := newTestExchange()
-		ended.OnLines(linesOf("ready/status/ready"))
-		ended.OnClose(nil)
-		So(<-ended.replies, ShouldResemble, primaryReply)
-		So(ended.replies, ShouldBeEmpty)
+		interrupted := newTestExchange()
+		interrupted.OnLines(linesOf("ready/status"))
+		interrupted.OnClose(errors.New("reset"))
+		So(errors.Is((<-interrupted.replies).Err, ErrNoReply), ShouldBeTrue)
+		completed := newTestExchange()
+		completed.OnLines(linesOf("ready/status/ready"))
+		completed.OnClose(nil)
+		So(<-completed.replies, ShouldResemble, primaryReply)
+		So(completed.replies, ShouldBeEmpty)
 	})
 }
 
@@ -142,10 +142,10 @@
 // commandTestTimeout bounds waits; no reply of these tests takes that long.
 const commandTestTimeout = 10 * time.Second
 
-// instanceScript plays an instance on one connection: it sends the lines given
+// runFakeInstance plays an instance on one connection: it sends the lines given
 // once it has read the greeting and the command, and then reads until the
 // connection ends.
-func instanceScript(listener net.Listener, lines string, received chan<- string) {
+func runFakeInstance(listener net.Listener, lines string, received chan<- string) {
 	defer close(received)
 	conn, err := listener.Accept()
 	if err != nil {
@@ -183,7 +183,7 @@
 		listener := listen()
 		defer listener.Close()
 		received := make(chan string, 10)
-		workers.Go(func() { instanceScript(listener, "ready/status/ready", received) })
+		workers.Go(func() { runFakeInstance(listener, "ready/status/ready", received) })
 		So(send(listener.Addr().String()), ShouldResemble, primaryReply)
 		var lines []string
 		for line := range received {
--- a/internal/app/control/consensus.go
+++ b/internal/app/control/consensus.go
@@ -76,7 +76,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.primaryUntil = min(s.primaryUntil, primaryUntil)
-	s.wall, s.wallReadAt = s.consensus.WallNanos(now), now
+	s.wallNanos, s.wallReadAt = s.consensus.WallNanos(now), now
 	s.distributor.SetClockTrusted(s.consensus.IsClockConfirmed())
 	s.voters = s.consensus.Voters()
 	s.singletons.SetVoters(s.consensus.Electorate(), now)
@@ -94,7 +94,7 @@
 // execute carries out one effect of the consensus machine.
 func (s *Server) execute(effect consensus.Effect) {
 	if send, ok := effect.(consensus.Send); ok {
-		if peer, known := s.node.FindNode(send.To); known {
+		if peer, found := s.node.FindNode(send.To); found {
 			s.node.Hub.Send(peer.RPCAddress, send.Body)
 		}
 		return
@@ -189,4 +189,4 @@
 }
 
 // wallTimeLocked does the same for a caller that holds the mutex.
-func (s *Server) wallTimeLocked() int64 { return s.wall + int64(s.node.Now()-s.wallReadAt) }
+func (s *Server) wallTimeLocked() int64 { return s.wallNanos + int64(s.node.Now()-s.wallReadAt) }
--- a/internal/app/control/disk.go
+++ b/internal/app/control/disk.go
@@ -14,22 +14,22 @@
 		return
 	}
 	s.runOnDisk(func() {
-		began := time.Now()
+		startedAt := time.Now()
 		err := consensus.RunDiskTask(s.store, task)
-		s.node.Counters.Add("files_sync_us", time.Since(began).Microseconds())
+		s.node.Counters.Add("files_sync_us", time.Since(startedAt).Microseconds())
 		s.enqueue(func() { s.onDiskWritten(err) })
 	})
 }
 
 func (s *Server) onDiskWritten(err error) {
-	s.noteDiskOutcome(err)
+	s.recordDiskResult(err)
 	now := s.node.Now()
 	s.applyEffects(s.gate.Done(err == nil, now), now)
 }
 
-// noteDiskOutcome counts the outcome, and logs when writes begin or cease to
+// recordDiskResult counts the outcome, and logs when writes begin or cease to
 // fail.
-func (s *Server) noteDiskOutcome(err error) {
+func (s *Server) recordDiskResult(err error) {
 	counter := "files_synced"
 	if err != nil {
 		counter = "files_refused"
--- a/internal/app/control/disk_fault_test.go
+++ b/internal/app/control/disk_fault_test.go
@@ -20,13 +20,13 @@
 
 type faultyDisk struct {
 	versionfile.Directory
-	refusing bool
-	refusals int
+	failing  bool
+	failures int
 }
 
 func (d *faultyDisk) Write(name string, data []byte) error {
-	if d.refusing {
-		d.refusals++
+	if d.failing {
+		d.failures++
 		return errors.New("no space left on device")
 	}
 	return d.Directory.Write(name, data)
@@ -54,16 +54,16 @@
 		s, disk := newServerOnFaultyDisk(t)
 		s.runPending()
 		So(s.isPrimary(), ShouldBeTrue)
-		disk.refusing = true
-		answered := s.replaceManifestAsync(7)
+		disk.failing = true
+		result := s.replaceManifestAsync(7)
 		s.runPending()
-		So(disk.refusals, ShouldEqual, 1)
-		So(answered.Status, ShouldEqual, 0)
+		So(disk.failures, ShouldEqual, 1)
+		So(result.Status, ShouldEqual, 0)
 		So(s.node.Counters.Snapshot()["files_refused"], ShouldEqual, 1)
-		disk.refusing = false
+		disk.failing = false
 		s.startDiskWrite(s.node.Now() + consensus.SyncRetryDelay)
 		s.runPending()
-		So(answered.Status, ShouldEqual, http.StatusOK)
+		So(result.Status, ShouldEqual, http.StatusOK)
 		reopened, err := OpenOn(s.node, s.node.Config(), disk, nil)
 		So(err, ShouldBeNil)
 		So(reopened.consensus.ReplicaTable().Version, ShouldResemble, s.consensus.ReplicaTable().Version)
@@ -74,11 +74,11 @@
 	Convey("While a sync is in flight, the loop handles messages and replies to what depends on no file, and to nothing else", t, func() {
 		s, _ := newServerOnFaultyDisk(t)
 		s.runPending()
-		var work []func()
-		s.runOnDisk = func(write func()) { work = append(work, write) }
+		var writes []func()
+		s.runOnDisk = func(write func()) { writes = append(writes, write) }
 		first := s.replaceManifestAsync(7)
 		s.runPending()
-		So(len(work), ShouldEqual, 1)
+		So(len(writes), ShouldEqual, 1)
 		So(first.Status, ShouldEqual, 0)
 		So(s.isPrimary(), ShouldBeTrue)
 		So(s.gate.SyncPending(s.node.Now()), ShouldBeGreaterThan, 0)
@@ -88,7 +88,7 @@
 		So(s.consensus.IsPrimary(now), ShouldBeFalse)
 		rejected := s.consensus.Step(consensus.Submit{Token: 99}, now)
 		So(rejected, ShouldResemble, []consensus.Effect{consensus.SubmitResult{Token: 99}})
-		work[0]()
+		writes[0]()
 		s.runPending()
 		So(first.Status, ShouldEqual, http.StatusOK)
 	})
--- a/internal/app/control/elections.go
+++ b/internal/app/control/elections.go
@@ -11,10 +11,10 @@
 // voteTimeout bounds a request for a vote.
 const voteTimeout = 300 * time.Millisecond
 
-// runSingletons does the work that is due from time to time: that of the
+// runPeriodicWork does the work that is due from time to time: that of the
 // control primary, and the elections of the singleton roles, one a database,
 // whose leader decides on failovers.
-func (s *Server) runSingletons() {
+func (s *Server) runPeriodicWork() {
 	s.flushUpdates()
 	s.runMaintenance()
 	s.announcePrimacy()
@@ -72,7 +72,7 @@
 			s.onVote(self, s.voteFor(self, request.Request))
 			continue
 		}
-		if voter, known := s.node.FindNode(name); known {
+		if voter, found := s.node.FindNode(name); found {
 			s.node.Workers.Go(func() { s.requestVote(voter, request.Request) })
 		}
 	}
--- a/internal/app/control/manifests_test.go
+++ b/internal/app/control/manifests_test.go
@@ -11,8 +11,8 @@
 
 func TestManifestCalls(t *testing.T) {
 	Convey("A manifest is accepted by version, rejected when broken, and returned as it was sent, also after a restart", t, func() {
-		folder := t.TempDir()
-		h := newHarness(t, folder)
+		dataDir := t.TempDir()
+		h := newHarness(t, dataDir)
 		status, _ := h.operate("/v1/manifest/fetch", "")
 		So(status, ShouldEqual, http.StatusNotFound)
 		status, answer := h.operate("/v1/manifest/replace", manifestOf(7, 1000))
@@ -33,8 +33,8 @@
 		}
 		status, _ = h.operate("/v1/manifest/replace", `{"version":`)
 		So(status, ShouldEqual, http.StatusBadRequest)
-		for _, reader := range []*harness{h, newHarness(t, folder)} {
-			status, answer = reader.operate("/v1/manifest/fetch", "")
+		for _, server := range []*harness{h, newHarness(t, dataDir)} {
+			status, answer = server.operate("/v1/manifest/fetch", "")
 			So(status, ShouldEqual, http.StatusOK)
 			So(answer.GetInt("version"), ShouldEqual, 7)
 			raw, _ := base64.StdEncoding.DecodeString(string(answer.GetStringBytes("raw")))
--- a/internal/app/control/operations.go
+++ b/internal/app/control/operations.go
@@ -45,8 +45,8 @@
 		return
 	}
 	value, violations := s.node.Schemas.ValidateRequest(call.Path, call.Body)
-	operate, known := operations[call.Path]
-	if len(violations) > 0 || !known {
+	operate, found := operations[call.Path]
+	if len(violations) > 0 || !found {
 		reply(rejected(http.StatusBadRequest, "call refused", violations...))
 		return
 	}
--- a/internal/app/control/platform_test.go
+++ b/internal/app/control/platform_test.go
@@ -25,7 +25,7 @@
 		h.node.Workers.Stop(5 * time.Second)
 		h.mutex.Lock()
 		defer h.mutex.Unlock()
-		calls := h.evidence.Augment(syncrepl.Evidence{Database: "db"}, h.node.Now()).PromoteCalls
+		calls := h.observer.Augment(syncrepl.Evidence{Database: "db"}, h.node.Now()).PromoteCalls
 		So(len(calls), ShouldEqual, 1)
 		So(calls[0].Unsent, ShouldBeTrue)
 		So(calls[0].FencingToken, ShouldEqual, 4)
--- a/internal/app/control/server.go
+++ b/internal/app/control/server.go
@@ -69,8 +69,8 @@
 	updateWaiters map[uint64]func(any)
 	distributor   *distribution.Machine
 	singletons    *singleton.Machine
-	// evidence is what this node itself learns from instances and platform.
-	evidence *syncrepl.Observer
+	// observer is what this node itself learns from instances and platform.
+	observer *syncrepl.Observer
 	// voters are those of the newest epoch record known, sorted; there are none
 	// before the cluster is formed.
 	voters []string
@@ -78,8 +78,8 @@
 	appliedVersion store.Version
 	// primaryUntil is when this node stops to act as the control primary.
 	primaryUntil time.Duration
-	// wall is the cluster's wall time in ns since 1970, as of wallReadAt.
-	wall       int64
+	// wallNanos is the cluster's wall time in ns since 1970, as of wallReadAt.
+	wallNanos  int64
 	wallReadAt time.Duration
 
 	// These belong to the loop that runs the singletons.
@@ -107,7 +107,7 @@
 		node: node, logger: node.Log, store: versionfile.NewStore(disk, fileVersions), platform: newPlatformClient(node),
 		tasks: make(chan func(), taskQueueSize), runOnDisk: func(work func()) { work() },
 		writeWaiters: map[uint64]func(consensus.SubmitResult){}, updateWaiters: map[uint64]func(any){},
-		evidence: syncrepl.NewObserver(cfg.Name),
+		observer: syncrepl.NewObserver(cfg.Name),
 	}
 	if adapters != nil {
 		s.adapters = *adapters
@@ -154,7 +154,7 @@
 	disk := worker.NewPool(s.node.Workers, "disk", 1, 1, func(work func()) { work() })
 	s.runOnDisk = func(work func()) { disk.TrySubmit(work) }
 	s.node.Workers.Loop(s.tasks, tickInterval, s.tick)
-	s.node.Workers.Loop(nil, singleton.TickInterval, s.runSingletons)
+	s.node.Workers.Loop(nil, singleton.TickInterval, s.runPeriodicWork)
 }
 
 // Leave hands the roles of this node over to others, and waits until that is
--- a/internal/app/control/syncfailover.go
+++ b/internal/app/control/syncfailover.go
@@ -25,7 +25,7 @@
 	executor := failover.Executor{
 		Record: func(decision failover.Record, committed func()) {
 			if s.recordDecision(evidence.Writer, evidence.Known, decision) {
-				s.noteCommitted(decision)
+				s.recordCommitted(decision)
 				committed()
 			}
 		},
@@ -34,10 +34,10 @@
 	executor.Execute(syncrepl.Step(evidence, syncrepl.DefaultTiming()))
 }
 
-func (s *Server) noteCommitted(decision failover.Record) {
+func (s *Server) recordCommitted(decision failover.Record) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.evidence.RecordCommitted(decision)
+	s.observer.RecordCommitted(decision)
 }
 
 // augment adds what this node itself has learned from the instances and the
@@ -46,7 +46,7 @@
 	evidence.FencingEnforced = s.node.Config().PlatformChecksFences
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.evidence.Augment(evidence, s.node.Now())
+	return s.observer.Augment(evidence, s.node.Now())
 }
 
 func (s *Server) executeSyncEffect(evidence syncrepl.Evidence, effect failover.Effect) {
@@ -94,7 +94,7 @@
 		return
 	}
 	s.mutex.Lock()
-	report := s.evidence.BeginProbe(evidence, command.Instance)
+	report := s.observer.BeginProbe(evidence, command.Instance)
 	s.mutex.Unlock()
 	if report == nil {
 		return
@@ -124,7 +124,7 @@
 	}
 	s.node.Counters.Add("promote_calls", 1)
 	s.mutex.Lock()
-	report := s.evidence.BeginPromote(call, s.node.Now())
+	report := s.observer.BeginPromote(call, s.node.Now())
 	s.mutex.Unlock()
 	s.node.Workers.Go(func() {
 		status, err := s.adapters.Promote(s.node.Config(), adapter.Promotion{
--- a/internal/app/control/syncfailover_test.go
+++ b/internal/app/control/syncfailover_test.go
@@ -26,7 +26,7 @@
 	augment := func(h *harness, evidence syncrepl.Evidence) syncrepl.Evidence {
 		h.mutex.Lock()
 		defer h.mutex.Unlock()
-		return h.evidence.Augment(evidence, h.node.Now())
+		return h.observer.Augment(evidence, h.node.Now())
 	}
 	Convey("A status counts as read after the settling only in the episode in which it was queried, and only if that was settled", t, func() {
 		h := newHarness(t, t.TempDir())
@@ -107,8 +107,8 @@
 			defer h.mutex.Unlock()
 			return h.distributor.Snapshot().Writers["db"]
 		}
-		steps := func(reached func() bool) bool {
-			for until := h.node.Now() + 5*time.Second; h.node.Now() < until; {
+		stepUntil := func(reached func() bool) bool {
+			for deadline := h.node.Now() + 5*time.Second; h.node.Now() < deadline; {
 				done := make(chan struct{})
 				h.node.Workers.Go(func() { h.runExclusive("db", h.decideSyncFailover); close(done) })
 				for !worker.Await(done, 5*time.Millisecond) {
@@ -121,22 +121,22 @@
 			}
 			return false
 		}
-		So(steps(func() bool { return writer().Phase == model.PhaseOpen && writer().Primary == "a" }), ShouldBeTrue)
+		So(stepUntil(func() bool { return writer().Phase == model.PhaseOpen && writer().Primary == "a" }), ShouldBeTrue)
 		So(writer().Term, ShouldEqual, 3)
 		leaving := announced("a", model.RolePrimary, 2)
 		leaving.Leaving = true
 		h.node.Announce(leaving)
-		So(steps(func() bool { return writer().Phase == model.PhasePromoting }), ShouldBeTrue)
+		So(stepUntil(func() bool { return writer().Phase == model.PhasePromoting }), ShouldBeTrue)
 		So(writer().Promoting, ShouldEqual, "b")
 		So(writer().Promoter, ShouldEqual, "c1")
 		So(writer().FencingToken, ShouldEqual, 1)
 		So(writer().MinPosition, ShouldResemble, model.Position{Term: 3, Index: 50})
-		So(steps(func() bool { return len(h.promotions) == 1 }), ShouldBeTrue)
+		So(stepUntil(func() bool { return len(h.promotions) == 1 }), ShouldBeTrue)
 		So(<-h.promotions, ShouldResemble, adapter.Promotion{Database: "db", Instance: "b", LeaseHolder: "c1", FencingToken: 1})
 		h.mutex.Lock()
 		h.replies["b"] = CommandReply{Role: model.RolePrimary, Term: 4, Position: model.Position{Term: 4, Index: 51}}
 		h.mutex.Unlock()
-		So(steps(func() bool { return writer().Phase == model.PhaseOpen }), ShouldBeTrue)
+		So(stepUntil(func() bool { return writer().Phase == model.PhaseOpen }), ShouldBeTrue)
 		So(writer().Primary, ShouldEqual, "b")
 		So(writer().Term, ShouldEqual, 4)
 		So(writer().PreviousTerm, ShouldEqual, 3)
--- a/internal/app/node/announce.go
+++ b/internal/app/node/announce.go
@@ -66,7 +66,7 @@
 		return n.announceSynced(instance)
 	}
 	if !n.RecordAnnouncement(instance) {
-		return otherDatabase(instance)
+		return databaseConflict(instance)
 	}
 	response := AnnounceResponse{Nodes: []string{}}
 	for _, node := range n.Nodes("", membership.StatusLive) {
@@ -93,6 +93,6 @@
 	return n.onSyncedAnnouncement(instance)
 }
 
-func otherDatabase(instance model.Instance) (int, any) {
+func databaseConflict(instance model.Instance) (int, any) {
 	return http.StatusConflict, NewErrorResponse("instance " + instance.Name + " belongs to another database")
 }
--- a/internal/app/node/announce_test.go
+++ b/internal/app/node/announce_test.go
@@ -82,9 +82,9 @@
 		So(result, ShouldEqual, announcementRecorded)
 		So(changed, ShouldBeTrue)
 		Convey("The same number again is stale, until it may be that of a restarted instance", func() {
-			_, _, result = table.record(synced(4), time.Minute+numberLifetime-1)
+			_, _, result = table.record(synced(4), time.Minute+announcementNumberLifetime-1)
 			So(result, ShouldEqual, announcementStale)
-			_, changed, result = table.record(synced(4), time.Minute+numberLifetime)
+			_, changed, result = table.record(synced(4), time.Minute+announcementNumberLifetime)
 			So(result, ShouldEqual, announcementRecorded)
 			So(changed, ShouldBeFalse)
 		})
@@ -95,7 +95,7 @@
 			expected := synced(5)
 			expected.Stopped, expected.Leaving = true, true
 			So(stopped, ShouldResemble, expected)
-			_, _, result = table.record(synced(5), time.Minute+2*numberLifetime)
+			_, _, result = table.record(synced(5), time.Minute+2*announcementNumberLifetime)
 			So(result, ShouldEqual, announcementStale)
 			_, _, result = table.record(model.Instance{Name: "i-9", Stopped: true}, time.Minute)
 			So(result, ShouldEqual, announcementUnknown)
--- a/internal/app/node/calls.go
+++ b/internal/app/node/calls.go
@@ -91,8 +91,8 @@
 }
 
 func (n *Node) dispatchCall(path string, raw []byte, r *http.Request) (int, any) {
-	handle, known := n.callHandlers[path]
-	if !known {
+	handle, found := n.callHandlers[path]
+	if !found {
 		return http.StatusNotFound, NewErrorResponse("no such call: " + path)
 	}
 	body, violations := n.Schemas.ValidateRequest(path, raw)
--- a/internal/app/node/forward.go
+++ b/internal/app/node/forward.go
@@ -58,8 +58,8 @@
 			return result, errors.Trace(err)
 		}
 		result, _ = reply.(message.OperatorCallResult)
-		primary, known := n.FindNode(result.Primary)
-		if !result.NotPrimary || !known || primary.RPCAddress == address {
+		primary, found := n.FindNode(result.Primary)
+		if !result.NotPrimary || !found || primary.RPCAddress == address {
 			break
 		}
 		address = primary.RPCAddress
--- a/internal/app/node/instances.go
+++ b/internal/app/node/instances.go
@@ -15,9 +15,9 @@
 	instanceLifetime = 5 * time.Minute
 	// sweepInterval is the least time between two removals of expired instances.
 	sweepInterval = 10 * time.Second
-	// numberLifetime is how long the number of an instance's last announcement
+	// announcementNumberLifetime is how long the number of an instance's last announcement
 	// counts. An instance that restarted begins with low numbers again.
-	numberLifetime = 5 * time.Second
+	announcementNumberLifetime = 5 * time.Second
 )
 
 // AnnouncedInstance is an instance with the time of its last announcement, by
@@ -30,8 +30,8 @@
 // isStale says whether an announcement of the same instance is older than this
 // one, which is known of instances that number their announcements.
 func (a AnnouncedInstance) isStale(instance model.Instance, now time.Duration) bool {
-	behind := instance.SyncReplication && instance.AnnouncementNumber <= a.Instance.AnnouncementNumber
-	return behind && (a.Instance.Stopped || now-a.AnnouncedAt < numberLifetime)
+	notNewer := instance.SyncReplication && instance.AnnouncementNumber <= a.Instance.AnnouncementNumber
+	return notNewer && (a.Instance.Stopped || now-a.AnnouncedAt < announcementNumberLifetime)
 }
 
 // announcementResult is what became of an announcement.
@@ -62,17 +62,17 @@
 // record puts an announcement into the table. It returns the instance as it was
 // recorded, and whether that is an event worth logging.
 func (t *instanceTable) record(instance model.Instance, now time.Duration) (recorded model.Instance, changed bool, result announcementResult) {
-	previous, known := t.byName[instance.Name]
+	previous, found := t.byName[instance.Name]
 	if instance.Stopped && instance.Database == "" {
-		if !known {
+		if !found {
 			return instance, false, announcementUnknown
 		}
-		instance = stoppedAfter(previous.Instance)
+		instance = markStopped(previous.Instance)
 	}
-	if known && instance.ConflictsWith(previous.Instance) {
+	if found && instance.ConflictsWith(previous.Instance) {
 		return instance, false, announcementConflicting
 	}
-	if known && previous.isStale(instance, now) {
+	if found && previous.isStale(instance, now) {
 		return instance, false, announcementStale
 	}
 	t.put(&AnnouncedInstance{Instance: instance, AnnouncedAt: now})
@@ -80,12 +80,12 @@
 		t.lastSweep = now
 		t.sweep(now)
 	}
-	return instance, !known || stateChanged(previous.Instance, instance), announcementRecorded
+	return instance, !found || stateChanged(previous.Instance, instance), announcementRecorded
 }
 
-// stoppedAfter returns the entry of an instance whose last announcement says
+// markStopped returns the entry of an instance whose last announcement says
 // only that it has stopped.
-func stoppedAfter(previous model.Instance) model.Instance {
+func markStopped(previous model.Instance) model.Instance {
 	stopped := previous
 	stopped.Stopped, stopped.Leaving = true, true
 	stopped.AnnouncementNumber++
--- a/internal/app/node/membership.go
+++ b/internal/app/node/membership.go
@@ -74,8 +74,8 @@
 		return node, true
 	}
 	n.nodesByName, n.nodesByNameAt = map[string]model.Node{}, n.Now()
-	for _, known := range n.membership.Nodes(membership.StatusLive, membership.StatusDead) {
-		n.nodesByName[known.Name] = known
+	for _, member := range n.membership.Nodes(membership.StatusLive, membership.StatusDead) {
+		n.nodesByName[member.Name] = member
 	}
 	node, found = n.nodesByName[name]
 	return node, found
--- a/internal/app/node/messages.go
+++ b/internal/app/node/messages.go
@@ -22,8 +22,8 @@
 	if n.stopped.Load() {
 		return
 	}
-	handle, known := n.messageHandlers[reflect.TypeOf(body)]
-	if !known {
+	handle, found := n.messageHandlers[reflect.TypeOf(body)]
+	if !found {
 		n.Counters.Add("link_unknown_message", 1)
 		return
 	}
--- a/internal/app/node/update.go
+++ b/internal/app/node/update.go
@@ -67,13 +67,13 @@
 	}
 	return func(yield func(distribution.Update) bool) {
 		for range attempts {
-			ended, ok := worker.Receive(outcomes, primaryChanged)
+			received, ok := worker.Receive(outcomes, primaryChanged)
 			if !ok {
 				n.Counters.Add("news_turned", 1)
 				return
 			}
-			update, isUpdate := ended.reply.(distribution.Update)
-			if ended.err == nil && isUpdate && !yield(update) {
+			update, isUpdate := received.reply.(distribution.Update)
+			if received.err == nil && isUpdate && !yield(update) {
 				return
 			}
 		}
