--- a/internal/app/control/adapters.go
+++ b/internal/app/control/adapters.go
@@ -9,7 +9,7 @@
 )
 
 // Adapters connect the control plane to synchronously replicated instances and
-// to their platform. A field that is not set is not called.
+// to their platform. A nil field is not called.
 type Adapters struct {
 	SendCommand func(Command) CommandReply
 	Promote     Promoter
@@ -22,7 +22,8 @@
 	Instance string
 	// Name is one of the admin commands of package lineproto.
 	Name string
-	// Term is given with a command to step down: the term that is to end.
+	// Term is the argument of the step-down command: a primary of an earlier term
+	// becomes a replica.
 	Term uint64
 	// Timeout bounds the wait for the reply.
 	Timeout time.Duration
@@ -33,15 +34,16 @@
 	Role     string
 	Term     uint64
 	Position model.Position
-	// Busy says that the instance lives and gave no status.
+	// Busy is true if the instance is running but returned no status.
 	Busy bool
-	// Gone says that no instance of that name is at the address.
+	// Gone is true if no instance of that name is at the address.
 	Gone bool
-	// Err says that there was no reply.
+	// Err is not nil if there was no reply.
 	Err error
 }
 
-// Promoter makes the platform's call that promotes an instance, and gives the
-// HTTP status of the response. Its error is ErrNotSent where the call certainly
-// did not leave this node; after any other error it may have been received.
+// Promoter makes the platform call that promotes an instance and returns the
+// HTTP status of the response. The error is ErrNotSent if the call certainly did
+// not leave this node. After any other error the platform may have received the
+// call.
 type Promoter func(cfg config.Config, promotion adapter.Promotion) (status int, err error)
--- a/internal/app/control/answers.go
+++ b/internal/app/control/answers.go
@@ -6,9 +6,9 @@
 	"tansyseam/internal/app/admin"
 )
 
-// The JSON keys of the types below are fixed by the schema of the product's
-// calls. Their fields stand in the alphabetical order of the keys, since
-// answers have always been written so.
+// The schema of the API fixes the JSON keys of the types below. The fields are
+// declared in the alphabetical order of their keys, because answers have always
+// been encoded in that order.
 
 type healthAnswer struct {
 	Backup   string `json:"backup"`
@@ -43,14 +43,14 @@
 	Version uint64 `json:"version"`
 }
 
-// rawManifest is a manifest as the operator sent it, in base64.
+// rawManifest is a manifest in the bytes that the operator sent, as base64.
 type rawManifest struct {
 	Raw     string `json:"raw"`
 	Version uint64 `json:"version"`
 }
 
-// encode writes an answer as JSON. The answers of this package hold nothing
-// that JSON cannot write.
+// encode returns an answer as JSON. It ignores the error, because the answers of
+// this package contain only values that JSON can represent.
 func encode(answer any) []byte {
 	data, _ := json.Marshal(answer)
 	return data
--- a/internal/app/control/asyncfailover.go
+++ b/internal/app/control/asyncfailover.go
@@ -8,8 +8,8 @@
 	"tansyseam/internal/protocol/promotion"
 )
 
-// decideAsyncFailover decides on a database whose commits the proxies confirm,
-// and carries the decision out.
+// decideAsyncFailover decides on the failover of a database with asynchronous
+// replication, whose commits the proxies confirm, and executes the decision.
 func (s *Server) decideAsyncFailover(database string) {
 	response, ok := s.requestEvidence(database)
 	if !ok || response.Evidence.Database != database {
@@ -33,8 +33,8 @@
 	}
 }
 
-// promoteAsync makes the promote call. Its response is logged only: whether the
-// instance was promoted is learned from the instance.
+// promoteAsync makes the promote call. The response is only logged, because the
+// instance itself reports whether it was promoted.
 func (s *Server) promoteAsync(call asyncrepl.Promote) {
 	s.node.Counters.Add("promote_calls", 1)
 	status, err := s.platform.promote(s.node.Config(), promotion.NewRequest(call.Database, call.Instance, call.Term))
--- a/internal/app/control/bindings.go
+++ b/internal/app/control/bindings.go
@@ -81,5 +81,5 @@
 	call.reply(newCallResult(http.StatusOK, admin.NewBindingSets(s.node.Config().Name, snapshot, snapshot.ActiveSet(wallTime))))
 }
 
-// millis gives a wall time in ns as one in ms.
+// millis converts a wall time from ns to ms.
 func millis(wallTime int64) int64 { return wallTime / int64(time.Millisecond) }
--- a/internal/app/control/commands.go
+++ b/internal/app/control/commands.go
@@ -11,28 +11,28 @@
 	"tansyseam/internal/transport/worker"
 )
 
-// ErrNoReply says that an instance did not reply to a command.
+// ErrNoReply is returned when an instance did not reply to a command.
 const ErrNoReply = errors.ConstError("no reply to the command")
 
-// CommandClient sends admin commands to instances over a line protocol, each
-// over a connection of its own.
+// CommandClient sends admin commands to instances over a line protocol. It opens
+// a separate connection for each command.
 type CommandClient struct {
 	engine     *lineserver.Server
 	codec      lineproto.Codec
 	clientName string
 }
 
-// NewCommandClient makes a client that names itself clientName to instances;
-// Start must be called before the first command.
+// NewCommandClient returns a client that identifies itself to instances as
+// clientName. Start must be called before the first command.
 func NewCommandClient(workers *worker.Group, codec lineproto.Codec, clientName string) *CommandClient {
 	return &CommandClient{engine: lineserver.NewServer(workers, "", lineproto.MaxLineBytes, nil), codec: codec, clientName: clientName}
 }
 
-// Start starts the engine of the connections.
+// Start starts the event loop of the connections.
 func (c *CommandClient) Start() error { return errors.Trace(c.engine.Start()) }
 
-// Send sends a command and waits for the reply; its Err is ErrNoReply where
-// none comes in time.
+// Send sends a command and waits for the reply. The reply's Err is ErrNoReply if
+// none arrives within the timeout.
 func (c *CommandClient) Send(command Command) CommandReply {
 	pending := &exchange{codec: c.codec, replies: make(chan CommandReply, 1)}
 	opened := make(chan *lineserver.Conn, 1)
@@ -50,27 +50,27 @@
 	return reply
 }
 
-// request writes all that is sent: the greeting, and the command behind it.
+// request returns the bytes to send: the connect message, followed by the command.
 func (c *CommandClient) request(command Command) []byte {
 	data := c.codec.Connect(nil, command.Database, c.clientName, command.Instance)
 	return c.codec.Query(data, "", c.codec.AdminCommand(command.Name, command.Term), model.Position{})
 }
 
-// exchange reads an instance's reply: ready after the greeting, then a row or
-// an error, then ready again.
+// exchange parses an instance's reply: ready in response to the connect message,
+// then a row or an error in response to the command, then ready again.
 type exchange struct {
 	codec lineproto.Codec
-	// replies takes the first reply.
+	// replies receives the first reply.
 	replies chan CommandReply
-	// connected says that the greeting was answered; what follows answers the
-	// command.
+	// connected is true once the instance has accepted the session. Later messages
+	// are responses to the command.
 	connected bool
-	// hasResult says that reply holds what a status or an error gave.
+	// hasResult is true if reply was set from a status or an error.
 	hasResult bool
 	reply     CommandReply
 }
 
-// OnLines takes what the instance sent.
+// OnLines handles the lines that the instance sent.
 func (e *exchange) OnLines(lines [][]byte) {
 	for _, line := range lines {
 		message := e.codec.Parse(string(line))
@@ -80,10 +80,10 @@
 	}
 }
 
-// OnClose takes the end of the connection.
+// OnClose handles the end of the connection.
 func (e *exchange) OnClose(error) { e.finish(CommandReply{Err: ErrNoReply}) }
 
-// finish gives the reply, unless one was given before.
+// finish delivers the reply, unless one was delivered before.
 func (e *exchange) finish(reply CommandReply) { worker.TrySend(e.replies, reply) }
 
 var exchangeHandlers = map[lineproto.Kind]func(*exchange, lineproto.Message){
@@ -108,7 +108,7 @@
 	}
 	e.hasResult = true
 	if !e.connected {
-		// An instance that refuses the session sends no ready.
+		// An instance that refuses the session does not send ready.
 		e.finish(e.reply)
 	}
 }
--- a/internal/app/control/commands_test.go
+++ b/internal/app/control/commands_test.go
@@ -17,7 +17,7 @@
 	"tansyseam/internal/transport/worker"
 )
 
-// replyMessages are the messages of the test protocol, by their line.
+// replyMessages maps each line of the test protocol to its message.
 var replyMessages = map[string]lineproto.Message{
 	"ready":         {Kind: lineproto.KindReady},
 	"done":          {Kind: lineproto.KindDone},
@@ -29,10 +29,10 @@
 	"failed":        {Kind: lineproto.KindError, Code: lineproto.CodeFailed, Payload: "FAILED no such command"},
 }
 
-// primaryReply is the reply that the row "status" gives.
+// primaryReply is the expected reply for the row "status".
 var primaryReply = CommandReply{Role: model.RolePrimary, Term: 4, Position: model.Position{Term: 4, Index: 70}}
 
-// testCodec is a codec of lines that say what they are.
+// testCodec returns a codec whose lines are the keys of replyMessages.
 func testCodec() lineproto.Codec {
 	return lineproto.Codec{
 		Parse: func(line string) lineproto.Message { return replyMessages[line] },
@@ -53,40 +53,40 @@
 	}
 }
 
-// exchangeCase is a reply of an instance, line by line, and what is read from
-// it.
+// exchangeCase is a sequence of lines that an instance sends, separated by
+// slashes, and the reply that the client parses from them.
 type exchangeCase struct {
 	name  string
 	lines string
-	// unfinished says that the instance has to send more.
+	// unfinished is true if the reply is incomplete.
 	unfinished bool
 	expected   CommandReply
-	// noReply says that the error is ErrNoReply, and reason what it holds
-	// besides.
+	// noReply is true if the error is ErrNoReply. reason is a text that the error
+	// contains.
 	noReply bool
 	reason  string
 }
 
 var exchangeCases = []exchangeCase{
 	{name: "a status", lines: "ready/status/done/ready", expected: primaryReply},
-	{name: "a status that is not complete yet", lines: "ready/status/done", unfinished: true},
-	{name: "the greeting alone", lines: "ready", unfinished: true},
-	{name: "nothing", unfinished: true},
-	{name: "lines that are no message", lines: "nonsense/ready/nonsense/status/ready", expected: primaryReply},
+	{name: "a status without the final ready", lines: "ready/status/done", unfinished: true},
+	{name: "only the response to the connect message", lines: "ready", unfinished: true},
+	{name: "an empty line", unfinished: true},
+	{name: "invalid lines between valid messages", lines: "nonsense/ready/nonsense/status/ready", expected: primaryReply},
 	{name: "no row", lines: "ready/done/ready", noReply: true},
-	{name: "a row that is no status", lines: "ready/other row/done/ready", noReply: true},
-	{name: "more rows than one", lines: "ready/other row/status/ready", expected: primaryReply},
-	{name: "busy before the greeting", lines: "busy", expected: CommandReply{Busy: true}},
-	{name: "full before the greeting", lines: "full", expected: CommandReply{Busy: true}},
+	{name: "a row that is not a status", lines: "ready/other row/done/ready", noReply: true},
+	{name: "two rows", lines: "ready/other row/status/ready", expected: primaryReply},
+	{name: "busy in response to the connect message", lines: "busy", expected: CommandReply{Busy: true}},
+	{name: "too many connections in response to the connect message", lines: "full", expected: CommandReply{Busy: true}},
 	{name: "another instance at the address", lines: "wrong address", expected: CommandReply{Gone: true}},
-	{name: "a failure before the greeting", lines: "failed", noReply: true, reason: "no such command"},
-	{name: "busy at the command", lines: "ready/busy/ready", expected: CommandReply{Busy: true}},
-	{name: "busy at the command, before the session is ready again", lines: "ready/busy", unfinished: true},
+	{name: "a failure in response to the connect message", lines: "failed", noReply: true, reason: "no such command"},
+	{name: "busy in response to the command", lines: "ready/busy/ready", expected: CommandReply{Busy: true}},
+	{name: "busy in response to the command, without the final ready", lines: "ready/busy", unfinished: true},
 	{name: "a failure of the command", lines: "ready/failed/ready", noReply: true, reason: "no such command"},
-	{name: "more after the reply", lines: "busy/ready/status/ready", expected: CommandReply{Busy: true}},
+	{name: "more messages after the reply", lines: "busy/ready/status/ready", expected: CommandReply{Busy: true}},
 }
 
-// checkReply compares a reply with that of the case.
+// checkReply checks that a reply is the one that the case expects.
 func (c exchangeCase) checkReply(reply CommandReply) {
 	So(errors.Is(reply.Err, ErrNoReply), ShouldEqual, c.noReply)
 	if c.reason != "" {
@@ -106,8 +106,9 @@
 
 func TestExchange(t *testing.T) {
 	for _, testCase := range exchangeCases {
-		Convey("The reply of an instance is read from what it sends: "+testCase.name, t, func() {
-			// One call with all lines, and a call for each, read the same.
+		Convey("The client parses the reply from the lines that an instance sends: "+testCase.name, t, func() {
+			// One OnLines call with all lines and one call per line must have the
+			// same result.
 			batched, separate := newTestExchange(), newTestExchange()
 			batched.OnLines(linesOf(testCase.lines))
 			for _, line := range linesOf(testCase.lines) {
@@ -122,7 +123,7 @@
 			}
 		})
 	}
-	Convey("A connection that ends before the reply is complete gives ErrNoReply, and one that ends after it changes nothing", t, func() {
+	Convey("If the connection ends before the reply is complete, the reply is ErrNoReply; if it ends later, the reply is unchanged", t, func() {
 		interrupted := newTestExchange()
 		interrupted.OnLines(linesOf("ready/status"))
 		interrupted.OnClose(errors.New("reset"))
@@ -139,12 +140,12 @@
 	return &exchange{codec: testCodec(), replies: make(chan CommandReply, 1)}
 }
 
-// commandTestTimeout bounds waits; no reply of these tests takes that long.
+// commandTestTimeout bounds waits. No reply of these tests takes that long.
 const commandTestTimeout = 10 * time.Second
 
-// runFakeInstance plays an instance on one connection: it sends the lines given
-// once it has read the greeting and the command, and then reads until the
-// connection ends.
+// runFakeInstance acts as an instance on one connection: it sends the given lines
+// after it has read the connect message and the command, and then reads until
+// the connection ends.
 func runFakeInstance(listener net.Listener, lines string, received chan<- string) {
 	defer close(received)
 	conn, err := listener.Accept()
@@ -179,7 +180,7 @@
 			Address: address, Database: "db", Instance: "i-1", Name: lineproto.AdminStepDown, Term: 3, Timeout: commandTestTimeout,
 		})
 	}
-	Convey("A command is sent behind the greeting, its reply is read, and the session is ended", t, func() {
+	Convey("The client sends the connect message and the command, reads the reply and ends the session", t, func() {
 		listener := listen()
 		defer listener.Close()
 		received := make(chan string, 10)
@@ -191,7 +192,7 @@
 		}
 		So(lines, ShouldResemble, []string{"connect db c1 i-1", `query "" step down 3 0.0`, "terminate"})
 	})
-	Convey("A connection that ends without a reply, and an address where nothing listens, give ErrNoReply", t, func() {
+	Convey("If the connection ends without a reply, or nothing listens at the address, the reply is ErrNoReply", t, func() {
 		listener := listen()
 		workers.Go(func() {
 			if conn, err := listener.Accept(); err == nil {
--- a/internal/app/control/consensus.go
+++ b/internal/app/control/consensus.go
@@ -12,12 +12,12 @@
 	"tansyseam/internal/state/store"
 )
 
-// peersRefreshInterval is how often the consensus machine learns which other
-// control nodes there are.
+// peersRefreshInterval is how often the consensus machine is given the list of
+// the other control nodes.
 const peersRefreshInterval = 300 * time.Millisecond
 
-// enqueue has the loop that owns the consensus machine run a task; it waits
-// while the queue is full, and drops the task when the node stops.
+// enqueue queues a task for the loop that owns the consensus machine. It blocks
+// while the queue is full, and drops the task if the node is stopping.
 func (s *Server) enqueue(task func()) {
 	select {
 	case s.tasks <- task:
@@ -44,16 +44,17 @@
 	return peers
 }
 
-// step gives the consensus machine an event. Its effects pass the gate, which
-// holds back those that must wait for a file to be synced.
+// step passes an event to the consensus machine. The resulting effects go through
+// the gate, which delays each effect that must wait for a file to be synced.
 func (s *Server) step(event any) {
 	now := s.node.Now()
 	s.applyEffects(s.gate.Pass(s.consensus.Step(event, now), now), now)
 }
 
-// applyEffects shortens primacy before the effects are carried out, and
-// extends it after them, once the files that a change of role depends on are
-// synced.
+// applyEffects executes effects. If this node has lost primacy or its lease ends
+// earlier, primaryUntil is lowered before the effects are executed. If the lease
+// ends later, primaryUntil is raised after them, and only once the files that an
+// epoch change depends on are synced.
 func (s *Server) applyEffects(effects []consensus.Effect, now time.Duration) {
 	primaryUntil := time.Duration(0)
 	if s.consensus.IsPrimary(now) {
@@ -83,15 +84,15 @@
 	s.appliedVersion = s.consensus.ReplicaTable().Version
 }
 
-// checkReleased ends a wait to leave, once no role is held and no file waits
-// to be synced.
+// checkReleased ends the wait in Leave once this node holds no role and no file
+// is waiting to be synced.
 func (s *Server) checkReleased(now time.Duration) {
 	if s.onReleased != nil && s.consensus.MayStop() && s.gate.SyncPending(now) == 0 {
 		s.onReleased()
 	}
 }
 
-// execute carries out one effect of the consensus machine.
+// execute executes one effect of the consensus machine.
 func (s *Server) execute(effect consensus.Effect) {
 	if send, ok := effect.(consensus.Send); ok {
 		if peer, found := s.node.FindNode(send.To); found {
@@ -128,7 +129,7 @@
 	}
 }
 
-// roleOf names a control node's part in an epoch, for logs.
+// roleOf returns the name of a control node's role in an epoch, for logs.
 func roleOf(record consensus.Record, name string) string {
 	if record.Primary == name {
 		return "primary"
@@ -139,9 +140,10 @@
 	return "witness"
 }
 
-// submit has the control primary write to the control state. The function
-// build makes the writes from the state as it is then, and may be called on the
-// loop of the consensus machine only; done, where given, gets the outcome.
+// submit submits a write to the control state, which only the control primary
+// commits. The function build computes the writes from the state at the time of
+// the write, and may be called only on the loop of the consensus machine. If done
+// is not nil, it is called with the outcome.
 func (s *Server) submit(build func(*store.Table) []store.Put, done func(consensus.SubmitResult)) {
 	s.mutex.Lock()
 	s.lastToken++
@@ -163,7 +165,7 @@
 	}
 }
 
-// recordEvent writes an entry of the audit log.
+// recordEvent adds an entry to the audit log.
 func (s *Server) recordEvent(subject, action, evidence string) {
 	wallTime := s.wallTime()
 	s.submit(func(state *store.Table) []store.Put {
@@ -177,16 +179,16 @@
 	return s.isPrimaryAt(s.node.Now())
 }
 
-// isPrimaryAt says whether this node acts as the control primary; the caller
-// holds the mutex.
+// isPrimaryAt reports whether this node acts as the control primary. The caller
+// must hold the mutex.
 func (s *Server) isPrimaryAt(now time.Duration) bool { return now < s.primaryUntil }
 
-// wallTime gives the cluster's wall time in ns since 1970.
+// wallTime returns the cluster's wall time in ns since 1970.
 func (s *Server) wallTime() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.wallTimeLocked()
 }
 
-// wallTimeLocked does the same for a caller that holds the mutex.
+// wallTimeLocked is wallTime for a caller that holds the mutex.
 func (s *Server) wallTimeLocked() int64 { return s.wallNanos + int64(s.node.Now()-s.wallReadAt) }
--- a/internal/app/control/disk.go
+++ b/internal/app/control/disk.go
@@ -6,8 +6,8 @@
 	"tansyseam/internal/coordination/consensus"
 )
 
-// startDiskWrite starts the next task that the gate has ready, if there is
-// one and none is under way.
+// startDiskWrite starts the gate's next disk task, if one is due and no other is
+// running.
 func (s *Server) startDiskWrite(now time.Duration) {
 	task, due := s.gate.Next(now)
 	if !due {
@@ -27,8 +27,8 @@
 	s.applyEffects(s.gate.Done(err == nil, now), now)
 }
 
-// recordDiskResult counts the outcome, and logs when writes begin or cease to
-// fail.
+// recordDiskResult counts the result of a disk task, and logs when disk writes
+// start to fail and when they succeed again.
 func (s *Server) recordDiskResult(err error) {
 	counter := "files_synced"
 	if err != nil {
@@ -37,6 +37,6 @@
 	s.node.Counters.Add(counter, 1)
 	if failing := err != nil; failing != s.diskFailing {
 		s.diskFailing = failing
-		s.logger.Warn("disk writes", "failing", failing, "error", err)
+		s.logger.Warn("disk write status changed", "failing", failing, "error", err)
 	}
 }
--- a/internal/app/control/disk_fault_test.go
+++ b/internal/app/control/disk_fault_test.go
@@ -50,7 +50,7 @@
 }
 
 func TestFailingDiskWrites(t *testing.T) {
-	Convey("A write that fails on disk is not acknowledged, and the node goes on; once the disk works, it is acknowledged", t, func() {
+	Convey("A write that fails on disk is not acknowledged and the node keeps running; once the disk works again, the write is acknowledged", t, func() {
 		s, disk := newServerOnFaultyDisk(t)
 		s.runPending()
 		So(s.isPrimary(), ShouldBeTrue)
@@ -71,7 +71,7 @@
 }
 
 func TestHangingDiskWrite(t *testing.T) {
-	Convey("While a sync is in flight, the loop handles messages and replies to what depends on no file, and to nothing else", t, func() {
+	Convey("While a sync is in flight, the loop handles messages and answers only requests that do not depend on a file", t, func() {
 		s, _ := newServerOnFaultyDisk(t)
 		s.runPending()
 		var writes []func()
--- a/internal/app/control/elections.go
+++ b/internal/app/control/elections.go
@@ -8,12 +8,12 @@
 	"tansyseam/internal/state/model"
 )
 
-// voteTimeout bounds a request for a vote.
+// voteTimeout bounds the wait for the reply to a vote request.
 const voteTimeout = 300 * time.Millisecond
 
-// runPeriodicWork does the work that is due from time to time: that of the
-// control primary, and the elections of the singleton roles, one a database,
-// whose leader decides on failovers.
+// runPeriodicWork does the work of the control primary that is due and takes part
+// in the elections of the singleton roles. The leaders of these roles decide on
+// failovers.
 func (s *Server) runPeriodicWork() {
 	s.flushUpdates()
 	s.runMaintenance()
@@ -41,7 +41,8 @@
 	}
 }
 
-// electionState gives what elections depend on; the caller holds the mutex.
+// electionState returns the state of this node that elections depend on. The
+// caller must hold the mutex.
 func (s *Server) electionState() singleton.NodeState {
 	return singleton.NodeState{Primary: s.isPrimaryAt(s.node.Now()), FailoverActive: s.distributor.IsSyncFailoverActive()}
 }
@@ -85,7 +86,7 @@
 	}
 }
 
-// voteFor gives this node's vote.
+// voteFor returns this node's vote on a candidate's request.
 func (s *Server) voteFor(candidate string, request proposal.VoteRequest) proposal.Vote {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -102,7 +103,8 @@
 	}
 }
 
-// evaluate decides on a database's failover as the leader of its role.
+// evaluate decides on the failover of a database. This node leads the database's
+// singleton role.
 func (s *Server) evaluate(evaluate singleton.Evaluate) {
 	decide := s.decideAsyncFailover
 	if evaluate.Synced {
@@ -111,7 +113,7 @@
 	s.node.Workers.Go(func() { s.runExclusive(evaluate.Database, decide) })
 }
 
-// runExclusive evaluates a database unless an evaluation of it is under way.
+// runExclusive evaluates a database, unless an evaluation of it is already running.
 func (s *Server) runExclusive(database string, evaluate func(database string)) {
 	s.mutex.Lock()
 	began := s.singletons.BeginEvaluation(database)
--- a/internal/app/control/endpoints.go
+++ b/internal/app/control/endpoints.go
@@ -6,8 +6,9 @@
 	"tansyseam/internal/app/admin"
 )
 
-// registerEndpoints serves the calls at the node's HTTP address. Operators'
-// calls are forwarded to the control primary, this node or another.
+// registerEndpoints registers the handlers of the calls at the node's HTTP
+// address. Operators' calls are forwarded to the control primary, which may be
+// this node.
 func (s *Server) registerEndpoints() {
 	for path := range operations {
 		admin.HandleForwarded(s.node, path)
@@ -30,8 +31,8 @@
 	}
 }
 
-// readiness says whether this node takes part in the control plane, and why
-// not.
+// readiness reports whether this node takes part in the control plane, and if not,
+// the reason.
 func (s *Server) readiness() (ready bool, reason string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/app/control/evidence.go
+++ b/internal/app/control/evidence.go
@@ -12,8 +12,9 @@
 	"tansyseam/internal/transport/worker"
 )
 
-// requestEvidence gets the evidence on a database from the control primary, or
-// the list of the databases where none is named.
+// requestEvidence returns the control primary's evidence on a database, or the
+// lists of databases if the name is empty. It returns false if the control primary
+// did not answer.
 func (s *Server) requestEvidence(database string) (message.EvidenceResponse, bool) {
 	request := message.EvidenceRequest{Database: database}
 	if s.isPrimary() {
@@ -29,8 +30,8 @@
 	return response, err == nil && ok && response.FromPrimary
 }
 
-// onEvidenceRequest answers a request; the answer of a node that is not the
-// control primary is empty.
+// onEvidenceRequest answers an evidence request. The answer of a node that is not
+// the control primary is empty.
 func (s *Server) onEvidenceRequest(request message.EvidenceRequest) message.EvidenceResponse {
 	if request.Database != "" {
 		return s.evidenceFor(request.Database)
@@ -63,7 +64,8 @@
 }
 
 // recordDecision has the control primary write a change of a writer role, and
-// says whether it was written. A decision takes effect only then.
+// reports whether the change was written. A decision takes effect only once it is
+// written.
 func (s *Server) recordDecision(previous model.WriterRole, exists bool, decision failover.Record) bool {
 	change := distribution.NewWriterRoleChange(previous, exists, decision, s.node.Config().Name)
 	if !s.requestRecord(change) {
@@ -91,7 +93,7 @@
 	return err == nil && ok && result.Stored
 }
 
-// onWriterRoleChange writes a change of a writer role, unless the role has
+// onWriterRoleChange writes a change of a writer role, unless the role has been
 // changed since the decision was made.
 func (s *Server) onWriterRoleChange(change distribution.WriterRoleChange, reply func(any)) {
 	wallTime := s.wallTime()
--- a/internal/app/control/evidence_test.go
+++ b/internal/app/control/evidence_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestEvidenceSizeIndependentOfDatabases(t *testing.T) {
-	Convey("Evidence on a database holds no list of the databases, and allocates as much however many there are", t, func() {
+	Convey("Evidence on a database contains no list of databases, and its allocations do not grow with the number of databases", t, func() {
 		allocations := func(databases int) float64 {
 			h := newHarness(t, t.TempDir())
 			h.runPending()
--- a/internal/app/control/golden_test.go
+++ b/internal/app/control/golden_test.go
@@ -18,13 +18,14 @@
 	"tansyseam/test/golden"
 )
 
-// timeField matches the fields that hold a time or a duration, where it is not zero.
+// timeField matches the JSON fields that hold a time or a duration other than zero.
 var timeField = regexp.MustCompile(`("(?:heard_ms|silent_ms|at_ms|moment_ms|at|Since)":)[1-9][0-9]*`)
 
-// wallMillis matches a wall time in ms within a text.
+// wallMillis matches a wall time in ms inside a text.
 var wallMillis = regexp.MustCompile(`\b1[0-9]{12}\b`)
 
-// checkGolden compares an answer with the recorded one, byte by byte but for times.
+// checkGolden compares an answer byte by byte with the recorded one, except for
+// times.
 func checkGolden(t *testing.T, name string, answer any) {
 	t.Helper()
 	data := golden.JSON(t, answer)
@@ -33,7 +34,7 @@
 	golden.Check(t, name+".json", data)
 }
 
-// grantLease requests updates in the name of a proxy until a lease is granted.
+// grantLease sends update requests on behalf of a proxy until a lease is granted.
 func (h *harness) grantLease(proxy string) bool {
 	request := distribution.UpdateRequest{
 		Node: proxy, Kind: model.KindProxy, Incarnation: 1, Version: store.Version{Epoch: 1, Sequence: 2}, ActiveSequence: 2,
@@ -70,7 +71,7 @@
 }
 
 func TestGoldenAnswers(t *testing.T) {
-	Convey("Every answer of the control plane has the bytes that were recorded", t, func() {
+	Convey("Every answer of the control plane equals its golden file", t, func() {
 		h := newHarness(t, t.TempDir())
 		checkGolden(t, "fleet-unformed", h.report(admin.QueryFleet))
 		h.checkEndpoint(t, "ready", h.ready)
@@ -114,7 +115,7 @@
 }
 
 func TestGoldenLeases(t *testing.T) {
-	Convey("The leases granted are written with the bytes that were recorded", t, func() {
+	Convey("The fleet report with a granted lease equals its golden file", t, func() {
 		h := newHarness(t, t.TempDir())
 		h.runPending()
 		So(h.grantLease("d1"), ShouldBeTrue)
@@ -123,7 +124,7 @@
 }
 
 func TestGoldenManifestWithoutRaw(t *testing.T) {
-	Convey("A manifest that was sent without its bytes is written in the product's own form", t, func() {
+	Convey("A manifest that was sent without its raw bytes is returned in the product's own form", t, func() {
 		h := newHarness(t, t.TempDir())
 		status, _ := h.operate("/v1/manifest/replace", `{"version":9,"bindings":[{"name":"b","database":"db","timeout_ms":1000,"own":true}],"databases":[{"name":"db","connections":80}]}`)
 		So(status, ShouldEqual, http.StatusOK)
--- a/internal/app/control/handlers.go
+++ b/internal/app/control/handlers.go
@@ -9,8 +9,7 @@
 	"tansyseam/internal/protocol/message"
 )
 
-// registerHandlers sets what is done with each type of message from other
-// nodes.
+// registerHandlers registers the handler of each type of message from other nodes.
 func (s *Server) registerHandlers() {
 	s.node.HandleMessages(consensus.Messages(), func(from string, body any, _ func(any)) {
 		s.enqueue(func() { s.step(consensus.Received{From: from, Body: body}) })
--- a/internal/app/control/harness_test.go
+++ b/internal/app/control/harness_test.go
@@ -18,13 +18,13 @@
 	"tansyseam/internal/state/model"
 )
 
-// harness is a control node that is its own majority. It is stepped by hand:
-// none of its loops runs, and nothing is sent.
+// harness is a control node that is the only voter. The test steps it: none of its
+// loops runs, and it sends no messages.
 type harness struct {
 	*Server
-	// replies are what instances reply to commands, by name.
+	// replies holds each instance's reply to commands, by instance name.
 	replies map[string]CommandReply
-	// status and err are what the platform responds to promote calls.
+	// status and err are the platform's response to promote calls.
 	status int
 	err    error
 
@@ -68,7 +68,7 @@
 	return h
 }
 
-// runPending steps the server by hand until nothing waits.
+// runPending runs ticks and queued tasks until no task is waiting.
 func (s *Server) runPending() {
 	for range 3 {
 		s.tick()
@@ -78,13 +78,13 @@
 	}
 }
 
-// finish ends what runs in the background.
+// finish runs the pending tasks and stops the background workers.
 func (h *harness) finish() {
 	h.runPending()
 	h.node.Workers.Stop(5 * time.Second)
 }
 
-// call has the server carry out an operators' call.
+// call has the server execute an operator's call and returns the result.
 func (h *harness) call(path, body string) message.OperatorCallResult {
 	var result message.OperatorCallResult
 	h.runPending()
@@ -93,7 +93,7 @@
 	return result
 }
 
-// operate does the same, and reads the answer.
+// operate is call with the body of the result parsed as JSON.
 func (h *harness) operate(path, body string) (int, *fastjson.Value) {
 	result := h.call(path, body)
 	return result.Status, fastjson.MustParseBytes(result.Body)
--- a/internal/app/control/instances.go
+++ b/internal/app/control/instances.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// instanceRetention is how long after its last announcement an instance
-	// still counts.
+	// instanceRetention is how long an instance is considered present after its
+	// last announcement.
 	instanceRetention = 5 * time.Minute
-	// registrySweepInterval is how often instances that no longer count are
-	// removed from the registry.
+	// registrySweepInterval is how often instances past their retention are removed
+	// from the registry.
 	registrySweepInterval = 10 * time.Second
 	// announceTimeout bounds the forwarding of an announcement.
 	announceTimeout = 800 * time.Millisecond
 )
 
-// observations gives the instances that announced themselves to this node.
+// observations returns the instances that announced themselves to this node within
+// instanceRetention.
 func (s *Server) observations() []distribution.Observation {
 	return newObservations(s.node.Instances(instanceRetention))
 }
@@ -33,9 +34,9 @@
 	return observations
 }
 
-// onSyncAnnouncement takes the announcement of a synchronously replicated
-// instance to the control primary, and gives the primary's HTTP address once it
-// was accepted there.
+// onSyncAnnouncement delivers the announcement of a synchronously replicated
+// instance to the control primary. If the primary accepts it, onSyncAnnouncement
+// returns the primary's HTTP address.
 func (s *Server) onSyncAnnouncement(instance model.Instance) (httpAddress string, accepted bool) {
 	if result := s.acceptAnnouncement(instance); result.Accepted {
 		return result.HTTPAddress, true
@@ -54,8 +55,7 @@
 	return result.HTTPAddress, true
 }
 
-// acceptAnnouncement takes an announcement as the control primary; any other
-// node does not accept it.
+// acceptAnnouncement accepts an announcement if this node is the control primary.
 func (s *Server) acceptAnnouncement(instance model.Instance) message.AnnouncementResult {
 	if !s.isPrimary() || !s.node.RecordAnnouncement(instance) {
 		return message.AnnouncementResult{}
@@ -74,8 +74,8 @@
 	}
 }
 
-// sweepRegistry refreshes the registry from time to time, which removes the
-// instances that no longer count.
+// sweepRegistry refreshes the registry every registrySweepInterval. The refresh
+// removes the instances past their retention.
 func (s *Server) sweepRegistry() {
 	if now := s.node.Now(); now >= s.registrySweptAt+registrySweepInterval {
 		s.registrySweptAt = now
--- a/internal/app/control/instances_test.go
+++ b/internal/app/control/instances_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestAnnouncementsAtControl(t *testing.T) {
-	Convey("The control primary accepts the announcement of a synchronously replicated instance; a late one changes nothing; a node that reaches no primary rejects it", t, func() {
+	Convey("The control primary accepts the announcement of a synchronously replicated instance; a stale announcement changes nothing; a node that cannot reach a primary rejects it", t, func() {
 		h := newHarness(t, t.TempDir())
 		status, _ := h.node.Announce(announced("i-1", model.RoleReplica, 4))
 		So(status, ShouldEqual, http.StatusServiceUnavailable)
@@ -21,7 +21,7 @@
 		status, answer := h.node.Announce(announced("i-1", model.RoleReplica, 4))
 		So(status, ShouldEqual, http.StatusOK)
 		So(*answer.(node.AnnounceResponse).HTTPAddress, ShouldEqual, "127.0.0.1:2")
-		SoMsg("the doors of all nodes, which a synced instance does not ask for", answer.(node.AnnounceResponse).Nodes, ShouldBeEmpty)
+		SoMsg("a synchronously replicated instance does not get the addresses of all nodes", answer.(node.AnnounceResponse).Nodes, ShouldBeEmpty)
 		late := announced("i-1", model.RolePrimary, 4)
 		status, _ = h.node.Announce(late)
 		So(status, ShouldEqual, http.StatusOK)
--- a/internal/app/control/manifests.go
+++ b/internal/app/control/manifests.go
@@ -19,11 +19,12 @@
 	"tansyseam/internal/state/store"
 )
 
-// manifestRetryMillis is after how many ms a manifest whose primary changed may
-// be sent again. Its version makes it idempotent.
+// manifestRetryMillis is the delay, in ms, after which an operator may resend a
+// manifest if the control primary changed during the call. Resending is safe,
+// because the version makes the call idempotent.
 const manifestRetryMillis = 500
 
-// manifestSource names manifests as the source of a binding set.
+// manifestSource is the recorded source of a binding set that came from a manifest.
 const manifestSource = "manifest"
 
 func (s *Server) replaceManifest(call operatorCall) {
@@ -49,8 +50,9 @@
 	})
 }
 
-// manifestResult is the result of a call that gave a manifest. One that was
-// accepted before, or that a newer one has overtaken, succeeds as well.
+// manifestResult returns the result of a call that replaces the manifest. The call
+// also succeeds if the manifest was accepted before, or if a newer manifest has
+// superseded it.
 func (s *Server) manifestResult(version uint64, committed, conflict bool) message.OperatorCallResult {
 	if !committed {
 		return unacknowledged(node.OutcomeUnknown, manifestRetryMillis)
@@ -89,7 +91,8 @@
 	call.reply(newCallResult(http.StatusOK, rawManifest{Raw: base64.StdEncoding.EncodeToString(raw), Version: set.Version}))
 }
 
-// compress gives nil for no bytes. A write to a buffer in memory cannot fail.
+// compress returns nil for an empty input. It ignores the errors of the writer,
+// because a write to a buffer in memory cannot fail.
 func compress(raw []byte) []byte {
 	if len(raw) == 0 {
 		return nil
--- a/internal/app/control/manifests_test.go
+++ b/internal/app/control/manifests_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestManifestCalls(t *testing.T) {
-	Convey("A manifest is accepted by version, rejected when broken, and returned as it was sent, also after a restart", t, func() {
+	Convey("A manifest replaces the stored one if its version is higher, is rejected if it is invalid, and is returned as it was sent, also after a restart", t, func() {
 		dataDir := t.TempDir()
 		h := newHarness(t, dataDir)
 		status, _ := h.operate("/v1/manifest/fetch", "")
--- a/internal/app/control/operations.go
+++ b/internal/app/control/operations.go
@@ -13,7 +13,7 @@
 	"tansyseam/internal/state/store"
 )
 
-// operatorCall is a call that the control primary carries out.
+// operatorCall is an operator's call that the control primary executes.
 type operatorCall struct {
 	path  string
 	value *fastjson.Value
@@ -23,8 +23,8 @@
 
 func (c operatorCall) id() string { return string(c.value.GetStringBytes("id")) }
 
-// operations holds what is done with each operators' call. All of them are
-// forwarded to the control primary.
+// operations maps the path of each operator's call to the method that executes
+// it. All of these calls are forwarded to the control primary.
 var operations = map[string]func(*Server, operatorCall){
 	admin.PathPutBindings:     (*Server).putBindings,
 	admin.PathListBindings:    (*Server).listBindings,
@@ -34,8 +34,8 @@
 	admin.PathFetchManifest:   (*Server).fetchManifest,
 }
 
-// onOperatorCall carries out an operators' call as the control primary; any
-// other node names the primary.
+// onOperatorCall executes an operator's call if this node is the control primary.
+// Any other node replies with the name of the primary.
 func (s *Server) onOperatorCall(call message.OperatorCall, reply func(any)) {
 	s.mutex.Lock()
 	isPrimary, primary := s.isPrimaryAt(s.node.Now()), s.distributor.Record().Primary
@@ -53,12 +53,12 @@
 	operate(s, operatorCall{path: call.Path, value: value, reply: func(result message.OperatorCallResult) { reply(result) }})
 }
 
-// mutation makes the writes of a call from the state as it is then; a call that
-// is rejected makes none.
+// mutation computes a call's result and writes from the state at the time of the
+// write. A rejected call has no writes.
 type mutation func(state *store.Table, wallTime int64) (message.OperatorCallResult, []store.Put)
 
-// applyOnce carries out a call whose id makes it idempotent: a repeated call
-// gets the result of the first.
+// applyOnce executes a call whose id makes it idempotent: a call that repeats the
+// id of an earlier call gets the result of that call.
 func (s *Server) applyOnce(call operatorCall, mutate mutation) {
 	wallTime := s.wallTime()
 	var result message.OperatorCallResult
@@ -83,7 +83,7 @@
 	})
 }
 
-// counterOf names the counter of an operators' call.
+// counterOf returns the name of the counter of an operator's call.
 func counterOf(path string) string {
 	return "operate_" + strings.ReplaceAll(strings.TrimPrefix(path, "/v1/"), "/", "_")
 }
--- a/internal/app/control/platform.go
+++ b/internal/app/control/platform.go
@@ -13,19 +13,19 @@
 	"tansyseam/internal/transport/httpserver"
 )
 
-// ErrNotSent says that a call to the platform did not leave this node.
+// ErrNotSent is returned when a call to the platform did not leave this node.
 const ErrNotSent = errors.ConstError("call not sent")
 
 const (
-	// platformDialTimeout bounds a connect to the platform.
+	// platformDialTimeout bounds the time to connect to the platform.
 	platformDialTimeout = time.Second
 	// promoteTimeout bounds the wait for the response to a promote call.
 	promoteTimeout = 2 * time.Second
 )
 
-// platformClient connects to the platform. Its HTTP client is made with the
-// first connection and kept: an engine that is stopped just after its start may
-// never end.
+// platformClient connects to the platform. It creates its HTTP client when it
+// first connects, and then keeps it, because an HTTP engine that is stopped just
+// after its start may never terminate.
 type platformClient struct {
 	node   *node.Node
 	mutex  sync.Mutex
@@ -34,9 +34,9 @@
 
 func newPlatformClient(node *node.Node) *platformClient { return &platformClient{node: node} }
 
-// promote sends a promote call and gives the HTTP status of the response. Its
-// error is ErrNotSent where the call certainly did not leave this node; after
-// any other error it may have been received.
+// promote sends a promote call and returns the HTTP status of the response. The
+// error is ErrNotSent if the call certainly did not leave this node. After any
+// other error the platform may have received the call.
 func (p *platformClient) promote(cfg config.Config, request adapter.Request) (status int, err error) {
 	client, err := p.httpClient(cfg)
 	if err != nil {
@@ -51,7 +51,8 @@
 	return response.Status, errors.Trace(response.Err)
 }
 
-// httpClient gives the client whose connections leave from this node's IP.
+// httpClient returns the HTTP client. Its connections use the IP address of this
+// node's RPC address as their local address.
 func (p *platformClient) httpClient(cfg config.Config) (*httpserver.Client, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -67,7 +68,8 @@
 	return client, nil
 }
 
-// NewPromoter makes the promoter of a platform whose call newRequest writes.
+// NewPromoter returns a Promoter for a platform. The function newRequest builds the
+// platform's HTTP request for a promotion.
 func NewPromoter(node *node.Node, newRequest func(adapter.Promotion) adapter.Request) Promoter {
 	platform := newPlatformClient(node)
 	return func(cfg config.Config, promotion adapter.Promotion) (int, error) {
--- a/internal/app/control/report.go
+++ b/internal/app/control/report.go
@@ -22,8 +22,8 @@
 	Instance  model.Instance `json:"instance"`
 }
 
-// nodeLease is a lease that was granted, with the version of the control
-// state that its node has, and the binding set that is in force there.
+// nodeLease is a granted lease, with the version of the control state that the
+// node has applied and the sequence of the binding set that is in force there.
 type nodeLease struct {
 	Epoch          uint64 `json:"epoch"`
 	Node           string `json:"node"`
@@ -49,7 +49,7 @@
 	Writers     []admin.WriterRole     `json:"writers"`
 }
 
-// report gives the answer to a query, as JSON.
+// report returns the answer to a query, as JSON.
 func (s *Server) report(query string) []byte {
 	now := s.node.Now()
 	instances := announcedInstances(s.node.Instances(instanceRetention), now)
@@ -68,7 +68,8 @@
 	return instances
 }
 
-// stateReport gives the part of the report that the server's own state holds.
+// stateReport returns the part of the report that comes from the server's own
+// state.
 func (s *Server) stateReport(now time.Duration) report {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -95,7 +96,7 @@
 	return entries
 }
 
-// leases lists the nodes that may hold a lease; the caller holds the mutex.
+// leases returns the nodes that may hold a lease. The caller must hold the mutex.
 func (s *Server) leases(now time.Duration) []nodeLease {
 	leases := []nodeLease{}
 	for name, version := range s.distributor.LeasedNodes(now) {
--- a/internal/app/control/results.go
+++ b/internal/app/control/results.go
@@ -10,37 +10,37 @@
 	"tansyseam/internal/protocol/schema"
 )
 
-// callRetryMillis is after how many ms a call whose primary changed may be sent
-// again.
+// callRetryMillis is the delay, in ms, after which an operator may resend a call if
+// the control primary changed during it.
 const callRetryMillis = 1000
 
 func newCallResult(status int, answer any) message.OperatorCallResult {
 	return message.OperatorCallResult{Status: status, Body: encode(answer)}
 }
 
-// rejected is the result of a call that changed nothing.
+// rejected returns the result of a call that was refused and changed nothing.
 func rejected(status int, reason string, violations ...schema.Violation) message.OperatorCallResult {
 	return newCallResult(status, node.NewErrorResponse(reason, violations...))
 }
 
-// conflicting is the result of a call that contradicts a binding set which was
-// accepted before.
+// conflicting returns the result of a call that conflicts with a binding set that
+// was accepted before.
 func conflicting(reason string, sequence uint64) message.OperatorCallResult {
 	response := node.NewErrorResponse(reason)
 	response.Sequence = &sequence
 	return newCallResult(http.StatusConflict, response)
 }
 
-// unacknowledged is the result of a call during which the control primary
-// changed; it may be sent again with the same id. The outcome is one of package
-// node's.
+// unacknowledged returns the result of a call during which the control primary
+// changed. The call may be sent again with the same id. The outcome is one of the
+// Outcome constants of package node.
 func unacknowledged(outcome string, retryMillis int64) message.OperatorCallResult {
 	response := node.NewErrorResponse("the control primary changed under the call")
 	response.Outcome, response.RetryAfterMillis = outcome, retryMillis
 	return newCallResult(http.StatusServiceUnavailable, response)
 }
 
-// repeatedResult is the result of a call whose id was used before.
+// repeatedResult returns the result of a call whose id was used before.
 func repeatedResult(call operatorCall, recorded callresult.Result) message.OperatorCallResult {
 	if recorded.Path != call.path {
 		return rejected(http.StatusConflict, "the id was used for another call")
--- a/internal/app/control/server.go
+++ b/internal/app/control/server.go
@@ -19,19 +19,19 @@
 	"tansyseam/internal/transport/worker"
 )
 
-// ErrDataDir says that a data directory cannot be used.
+// ErrDataDir is returned when the data directory cannot be used.
 const ErrDataDir = errors.ConstError("data folder cannot be used")
 
 const (
-	// tickInterval is how often the consensus machine is stepped while nothing
-	// else happens.
+	// tickInterval is how often the consensus machine is stepped while there are no
+	// other events.
 	tickInterval = 50 * time.Millisecond
-	// taskQueueSize bounds the steps of the consensus machine that wait.
+	// taskQueueSize is the maximum number of queued steps of the consensus machine.
 	taskQueueSize = 4096
 	// fileVersions is how many versions of each stored file are retained.
 	fileVersions = 4
-	// platformPollTimeout bounds how long a proxy's request for an update is
-	// left open in platform mode.
+	// platformPollTimeout bounds how long a proxy's update request is held open in
+	// platform mode.
 	platformPollTimeout = 500 * time.Millisecond
 )
 
@@ -44,55 +44,57 @@
 	// platform makes the promote calls for asynchronously replicated databases.
 	platform *platformClient
 
-	// The fields up to the mutex belong to the loop that runs the tasks.
+	// The fields up to the mutex are used only on the loop that runs the tasks.
 
-	// tasks are the steps of the consensus machine that wait.
+	// tasks are the queued steps of the consensus machine.
 	tasks     chan func()
 	consensus *consensus.Machine
-	// gate holds back effects that must wait for a file to be synced.
+	// gate delays effects that must wait for a file to be synced.
 	gate consensus.SyncGate
-	// runOnDisk writes files: on a worker of its own, and until Start at once.
+	// runOnDisk runs a function that writes files. Until Start it calls the function
+	// directly; afterwards a worker for the disk runs the function.
 	runOnDisk func(work func())
-	// diskFailing says that the last write of a file failed.
+	// diskFailing is true if the last write of a file failed.
 	diskFailing bool
-	// peersRefreshedAt is when the consensus machine was last told the peers.
+	// peersRefreshedAt is when the consensus machine last received the list of peers.
 	peersRefreshedAt time.Duration
-	// onReleased, where set, is called once no role is held any more.
+	// onReleased, if set, is called once this node no longer holds a role.
 	onReleased func()
 
 	mutex sync.Mutex
-	// lastToken is the last one given to a submitted write or a request.
+	// lastToken is the last token given to a submitted write or an update request.
 	lastToken uint64
-	// writeWaiters take the outcomes of submitted writes, by token.
+	// writeWaiters holds the callbacks for the outcomes of submitted writes, by token.
 	writeWaiters map[uint64]func(consensus.SubmitResult)
-	// updateWaiters take the replies to requests for an update, by token.
+	// updateWaiters holds the callbacks for the replies to update requests, by token.
 	updateWaiters map[uint64]func(any)
 	distributor   *distribution.Machine
 	singletons    *singleton.Machine
-	// observer is what this node itself learns from instances and platform.
+	// observer holds the results of this node's own commands and promote calls.
 	observer *syncrepl.Observer
-	// voters are those of the newest epoch record known, sorted; there are none
-	// before the cluster is formed.
+	// voters are the voters of the newest epoch record that this node has, sorted. The
+	// list is empty until the cluster is formed.
 	voters []string
-	// appliedVersion is that of this node's replica of the control state.
+	// appliedVersion is the version of this node's replica of the control state.
 	appliedVersion store.Version
-	// primaryUntil is when this node stops to act as the control primary.
+	// primaryUntil is when this node stops acting as the control primary.
 	primaryUntil time.Duration
 	// wallNanos is the cluster's wall time in ns since 1970, as of wallReadAt.
 	wallNanos  int64
 	wallReadAt time.Duration
 
-	// These belong to the loop that runs the singletons.
+	// The fields below are used only on the loop that runs runPeriodicWork.
 
-	// registrySweptAt is when instances that no longer count were last removed.
+	// registrySweptAt is when instances past their retention were last removed.
 	registrySweptAt time.Duration
-	// primacyAnnounced says that the proxies were told of this node's primacy.
+	// primacyAnnounced is true if the proxies were notified that this node is the
+	// control primary.
 	primacyAnnounced bool
 }
 
-// Open makes the server with the files of the configured data directory, or
-// gives ErrDataDir. The adapters, where given, connect it to synchronously
-// replicated instances and their platform.
+// Open returns a server that uses the files of the configured data directory. The
+// error is ErrDataDir if the directory cannot be used. The adapters, if not nil,
+// connect the server to synchronously replicated instances and their platform.
 func Open(node *node.Node, cfg config.Config, adapters *Adapters) (*Server, error) {
 	directory, err := versionfile.OpenDirectory(cfg.DataDir)
 	if err != nil {
@@ -101,7 +103,7 @@
 	return OpenOn(node, cfg, directory, adapters)
 }
 
-// OpenOn does the same with the files of any Disk.
+// OpenOn is Open with the files of the given disk.
 func OpenOn(node *node.Node, cfg config.Config, disk versionfile.Disk, adapters *Adapters) (*Server, error) {
 	s := &Server{
 		node: node, logger: node.Log, store: versionfile.NewStore(disk, fileVersions), platform: newPlatformClient(node),
@@ -149,7 +151,7 @@
 	return timing
 }
 
-// Start begins to act; the node must have been started.
+// Start starts the server's loops. The node must have been started before.
 func (s *Server) Start() {
 	disk := worker.NewPool(s.node.Workers, "disk", 1, 1, func(work func()) { work() })
 	s.runOnDisk = func(work func()) { disk.TrySubmit(work) }
@@ -157,9 +159,9 @@
 	s.node.Workers.Loop(nil, singleton.TickInterval, s.runPeriodicWork)
 }
 
-// Leave hands the roles of this node over to others, and waits until that is
-// done and written to disk, or until the timeout. Singleton roles expire by
-// themselves.
+// Leave hands this node's role in the epoch over to other nodes. It returns once the
+// handover is complete and written to disk, or after the timeout. Singleton roles
+// need no handover, because their leases expire.
 func (s *Server) Leave(timeout time.Duration) {
 	done := make(chan struct{})
 	s.enqueue(func() {
--- a/internal/app/control/syncfailover.go
+++ b/internal/app/control/syncfailover.go
@@ -14,8 +14,8 @@
 // commandTimeout bounds the wait for an instance's reply to a command.
 const commandTimeout = 400 * time.Millisecond
 
-// decideSyncFailover decides on a database whose instances replicate
-// synchronously, and carries the decision out.
+// decideSyncFailover decides on the failover of a database whose instances
+// replicate synchronously, and executes the decision.
 func (s *Server) decideSyncFailover(database string) {
 	response, ok := s.requestEvidence(database)
 	if !ok || response.SyncedEvidence.Database != database {
@@ -40,8 +40,8 @@
 	s.observer.RecordCommitted(decision)
 }
 
-// augment adds what this node itself has learned from the instances and the
-// platform.
+// augment adds the results of this node's own commands and promote calls to the
+// evidence.
 func (s *Server) augment(evidence syncrepl.Evidence) syncrepl.Evidence {
 	evidence.FencingEnforced = s.node.Config().PlatformChecksFences
 	s.mutex.Lock()
@@ -69,7 +69,7 @@
 	}
 }
 
-// reportBound gives the control primary a position that covers every commit
+// reportBound reports a position to the control primary that covers every commit
 // that was acknowledged to a client.
 func (s *Server) reportBound(bound syncrepl.ReportBound) {
 	if s.isPrimary() {
@@ -87,8 +87,8 @@
 	s.distributor.ConfirmCoverage(bound)
 }
 
-// sendCommand sends a command in the background, unless one to the same
-// instance awaits its reply.
+// sendCommand sends a command in the background, unless another command to the
+// same instance is still waiting for its reply.
 func (s *Server) sendCommand(evidence syncrepl.Evidence, command Command) {
 	if s.adapters.SendCommand == nil {
 		return
@@ -116,8 +116,8 @@
 	}
 }
 
-// promoteSync makes the promote call in the background. The status of a call
-// whose response was not read is 0, for unknown.
+// promoteSync makes the promote call in the background. If the response was not
+// read, the recorded status is 0, which means unknown.
 func (s *Server) promoteSync(call syncrepl.Promote) {
 	if s.adapters.Promote == nil {
 		return
--- a/internal/app/control/syncfailover_test.go
+++ b/internal/app/control/syncfailover_test.go
@@ -16,7 +16,8 @@
 )
 
 func TestInstanceEvidence(t *testing.T) {
-	// An episode is known by the time of the last transition.
+	// The time of the last transition identifies an episode, which is a stay of the
+	// writer role in one phase.
 	evidenceOf := func(phase string, lastTransitionAt int64) syncrepl.Evidence {
 		return syncrepl.Evidence{
 			Database: "db", Known: true, Settled: true, GapSequence: 3, Tenure: "c1@1",
@@ -28,7 +29,7 @@
 		defer h.mutex.Unlock()
 		return h.observer.Augment(evidence, h.node.Now())
 	}
-	Convey("A status counts as read after the settling only in the episode in which it was queried, and only if that was settled", t, func() {
+	Convey("A status counts as read after the writer role settled only in the episode in which it was queried, and only if the role was settled when the query was sent", t, func() {
 		h := newHarness(t, t.TempDir())
 		h.replies["b"] = CommandReply{Role: model.RoleReplica, Term: 3, Position: model.Position{Term: 3, Index: 9}}
 		evidence := augment(h, evidenceOf(model.PhaseClosing, 5))
@@ -46,7 +47,7 @@
 		So(augment(h, evidenceOf(model.PhaseClosing, 6)).Probes["b"].AfterSettled, ShouldBeFalse)
 		So(augment(h, evidenceOf(model.PhaseClosing, 5)).Probes["b"].AfterSettled, ShouldBeFalse)
 	})
-	Convey("A reply that comes after its episode does not count in the next; one instance gets one command at a time", t, func() {
+	Convey("A reply that arrives after its episode has ended does not count in the next episode; an instance gets only one command at a time", t, func() {
 		h := newHarness(t, t.TempDir())
 		release := make(chan struct{})
 		send := h.adapters.SendCommand
@@ -64,7 +65,7 @@
 		So(len(h.commands), ShouldEqual, 1)
 		So(augment(h, evidenceOf(model.PhaseClosing, 6)).Probes["b"].AfterSettled, ShouldBeFalse)
 	})
-	Convey("No reply, a busy instance and an instance that is gone are distinguished", t, func() {
+	Convey("A missing reply, a busy instance and an instance that is gone have different probe results", t, func() {
 		h := newHarness(t, t.TempDir())
 		h.replies = map[string]CommandReply{"s": {Err: errors.New("refused")}, "b": {Busy: true}, "g": {Gone: true}}
 		evidence := augment(h, evidenceOf(model.PhaseOpen, 5))
@@ -77,7 +78,7 @@
 		So(probes["b"].Busy, ShouldBeTrue)
 		So(probes["g"].Gone, ShouldBeTrue)
 	})
-	Convey("The status of a promote call is retained for its promotion only, and is unknown where the response was not read", t, func() {
+	Convey("The status of a promote call is kept only during that promotion, and is 0 if the response was not read", t, func() {
 		h := newHarness(t, t.TempDir())
 		promoting := evidenceOf(model.PhasePromoting, 5)
 		promoting.Writer.Promoting = "b"
@@ -92,7 +93,7 @@
 }
 
 func TestSyncFailoverEndToEnd(t *testing.T) {
-	Convey("From the first announcement to a new term: registered, leaving, closed, queried, promoting, promoted, open", t, func() {
+	Convey("If the primary announces that it is leaving, its term is closed, a replica is promoted, and the writer role opens in a new term", t, func() {
 		h := newHarness(t, t.TempDir())
 		h.runPending()
 		h.replies["a"] = CommandReply{Role: model.RolePrimary, Term: 3, Position: model.Position{Term: 3, Index: 50}}
--- a/internal/app/control/updates.go
+++ b/internal/app/control/updates.go
@@ -11,9 +11,10 @@
 	"tansyseam/internal/state/store"
 )
 
-// onUpdateRequest takes a node's request for the newest configuration and a
-// lease. The control primary replies once there is something new or the
-// request has waited long enough; any other node names the primary at once.
+// onUpdateRequest handles a node's request for the newest configuration and a
+// lease. The control primary replies once there is an update or the request has
+// waited long enough. Any other node replies at once with its epoch record, which
+// names the primary.
 func (s *Server) onUpdateRequest(request distribution.UpdateRequest, reply func(any)) {
 	now := s.node.Now()
 	s.mutex.Lock()
@@ -30,7 +31,7 @@
 	s.flushUpdates()
 }
 
-// flushUpdates replies to the requests that need wait no longer.
+// flushUpdates replies to the update requests that no longer have to wait.
 func (s *Server) flushUpdates() {
 	now := s.node.Now()
 	s.mutex.Lock()
@@ -46,7 +47,8 @@
 	}
 }
 
-// onNodeReport takes what a node observed of instances between its requests.
+// onNodeReport handles a node's report on instances while its update request is
+// pending.
 func (s *Server) onNodeReport(report distribution.NodeReport) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -60,9 +62,8 @@
 	s.flushUpdates()
 }
 
-// runMaintenance submits the writes that keep the control state in order:
-// nodes to be registered, binding sets to be activated, records to be
-// garbage-collected.
+// runMaintenance submits the maintenance writes that are due: they register nodes,
+// activate binding sets and delete binding sets that are no longer needed.
 func (s *Server) runMaintenance() {
 	for _, write := range s.dueWrites() {
 		s.submit(write.Build, func(consensus.SubmitResult) {
@@ -91,8 +92,9 @@
 	return writes
 }
 
-// announcePrimacy tells the proxies that this node has become the control
-// primary, which spares them the timeout of a request to the previous one.
+// announcePrimacy notifies the proxies when this node has become the control
+// primary. Without it, they would wait for a request to the previous primary to
+// time out.
 func (s *Server) announcePrimacy() {
 	primary := s.isPrimary()
 	if primary && !s.primacyAnnounced {
