--- a/internal/app/node/announce.go
+++ b/internal/app/node/announce.go
@@ -9,28 +9,28 @@
 	"tansyseam/internal/state/model"
 )
 
-// announceRetryMillis is after how many milliseconds an instance announces
-// itself again if no control primary took the announcement.
+// announceRetryMillis is the delay, in ms, after which an instance repeats its
+// announcement if no control primary accepted it.
 const announceRetryMillis = 500
 
-// SyncedAnnouncementHandler takes the announcement of an instance with
+// SyncedAnnouncementHandler delivers the announcement of an instance with
 // synchronous replication to the control primary. It returns the HTTP address to
-// which the instance had best send the next one, and false if no primary took
-// it.
+// which the instance should send its next announcement, and false if no primary
+// accepted this one.
 type SyncedAnnouncementHandler func(model.Instance) (httpAddress string, accepted bool)
 
-// OnSyncedAnnouncement sets the handler of the announcements of instances with
-// synchronous replication. Without one they are refused.
+// OnSyncedAnnouncement sets the handler for the announcements of instances with
+// synchronous replication. Without a handler, these announcements are refused.
 func (n *Node) OnSyncedAnnouncement(handle SyncedAnnouncementHandler) {
 	n.onSyncedAnnouncement = handle
 }
 
-// AnnounceResponse answers an announcement.
+// AnnounceResponse is the body of the answer to an accepted announcement.
 type AnnounceResponse struct {
-	// HTTPAddress is where an instance with synchronous replication had best
-	// send its next announcement; nil for others.
+	// HTTPAddress is the address to which an instance with synchronous replication
+	// should send its next announcement. It is nil for other instances.
 	HTTPAddress *string `json:"door,omitempty"`
-	// Nodes are the HTTP addresses of the live nodes. It is empty for instances
+	// Nodes holds the HTTP addresses of the live nodes. It is empty for instances
 	// with synchronous replication.
 	Nodes []string `json:"nodes"`
 }
@@ -59,8 +59,8 @@
 	}
 }
 
-// Announce takes an instance's announcement and returns the HTTP status and the
-// body of the answer to it.
+// Announce handles an instance's announcement and returns the HTTP status and the
+// body of the answer.
 func (n *Node) Announce(instance model.Instance) (int, any) {
 	if instance.SyncReplication {
 		return n.announceSynced(instance)
@@ -75,7 +75,8 @@
 	return http.StatusOK, response
 }
 
-// announceSynced has the control primary record the announcement.
+// announceSynced has the control primary record the announcement of an instance
+// with synchronous replication.
 func (n *Node) announceSynced(instance model.Instance) (int, any) {
 	address, accepted := n.forwardSynced(instance)
 	if !accepted {
--- a/internal/app/node/announce_test.go
+++ b/internal/app/node/announce_test.go
@@ -31,7 +31,7 @@
 
 func TestAnnouncementAnswers(t *testing.T) {
 	const synced = `{"instance":"i-1","database":"db","role":"primary","birth":"b","synced":true,"calls":1}`
-	Convey("An announcement is answered with the addresses of the nodes", t, func() {
+	Convey("The answer to an announcement contains the addresses of the nodes", t, func() {
 		node := newIdleNode()
 		status, answer := announceBody(node, `{"instance":"i-1","database":"db","role":"primary","birth":"b","term":2,"position":{"term":2,"index":5},"connections":3,"slots":9}`)
 		So(status, ShouldEqual, http.StatusOK)
@@ -42,7 +42,7 @@
 			Name: "i-1", Database: "db", Role: "primary", Incarnation: "b", Term: 2, Position: model.Position{Term: 2, Index: 5}, Connections: 3, Slots: 9,
 		})
 	})
-	Convey("An instance of another database than before is refused", t, func() {
+	Convey("An announcement that names another database than the instance's earlier one is refused", t, func() {
 		node := newIdleNode()
 		So(node.RecordAnnouncement(model.Instance{Name: "i-1", Database: "other"}), ShouldBeTrue)
 		status, answer := announceBody(node, `{"instance":"i-1","database":"db"}`)
@@ -50,7 +50,7 @@
 		So(answer, ShouldEqual, `{"error":"instance i-1 belongs to another database","faults":[]}`)
 		So(node.Counters.Snapshot()["announcements_foreign"], ShouldEqual, 1)
 	})
-	Convey("One with synchronous replication is answered with the address for the next announcement, or told to retry", t, func() {
+	Convey("The answer to an instance with synchronous replication contains the address for the next announcement, or the delay of a retry if no control primary accepted it", t, func() {
 		node := newIdleNode()
 		status, answer := announceBody(node, synced)
 		So(status, ShouldEqual, http.StatusServiceUnavailable)
@@ -61,7 +61,7 @@
 		So(answer, ShouldEqual, `{"door":"10.0.0.2:80","nodes":[]}`)
 		So(node.Instances(time.Minute), ShouldBeEmpty)
 	})
-	Convey("The counters are answered under the node's name", t, func() {
+	Convey("The answer to the counters call contains the counters and the node's name", t, func() {
 		node := newIdleNode()
 		node.Counters.Add("announcements", 2)
 		status, answer := node.onCounters(nil, nil, nil)
@@ -76,19 +76,19 @@
 	synced := func(number uint64) model.Instance {
 		return model.Instance{Name: "i-1", Database: "db", Role: model.RoleReplica, SyncReplication: true, AnnouncementNumber: number}
 	}
-	Convey("Given a table with an instance that numbers its announcements", t, func() {
+	Convey("Given a table with an instance that has announced itself with a number", t, func() {
 		table := newInstanceTable()
 		_, changed, result := table.record(synced(4), time.Minute)
 		So(result, ShouldEqual, announcementRecorded)
 		So(changed, ShouldBeTrue)
-		Convey("The same number again is stale, until it may be that of a restarted instance", func() {
+		Convey("An announcement with the same number is stale until announcementNumberLifetime has passed; later it is recorded, since the instance may have restarted", func() {
 			_, _, result = table.record(synced(4), time.Minute+announcementNumberLifetime-1)
 			So(result, ShouldEqual, announcementStale)
 			_, changed, result = table.record(synced(4), time.Minute+announcementNumberLifetime)
 			So(result, ShouldEqual, announcementRecorded)
 			So(changed, ShouldBeFalse)
 		})
-		Convey("A stop keeps what was known, and no earlier announcement counts from then on", func() {
+		Convey("A stop announcement marks the recorded instance as stopped and leaving, and announcements without a higher number stay stale after it; for an unknown instance it is not recorded", func() {
 			stopped, changed, result := table.record(model.Instance{Name: "i-1", Stopped: true}, time.Minute)
 			So(result, ShouldEqual, announcementRecorded)
 			So(changed, ShouldBeTrue)
@@ -100,7 +100,7 @@
 			_, _, result = table.record(model.Instance{Name: "i-9", Stopped: true}, time.Minute)
 			So(result, ShouldEqual, announcementUnknown)
 		})
-		Convey("An instance that is silent for long is removed when another announces itself", func() {
+		Convey("An instance whose last announcement has expired is removed when another instance announces itself", func() {
 			other := model.Instance{Name: "i-2", Database: "db2"}
 			table.record(other, time.Minute+instanceLifetime)
 			So(table.byName, ShouldContainKey, "i-1")
--- a/internal/app/node/calls.go
+++ b/internal/app/node/calls.go
@@ -13,23 +13,23 @@
 	"tansyseam/internal/transport/httpserver"
 )
 
-// CallHandler serves one call of the HTTP interface, whose body has the shape
-// that the schema gives it. It returns the HTTP status and the body of the
-// answer, either encoded as []byte or as a value for JSON.
+// CallHandler handles one call of the HTTP API, whose body has been validated
+// against the schema. It returns the HTTP status and the body of the answer,
+// either encoded as []byte or as a value to be encoded as JSON.
 type CallHandler func(body *fastjson.Value, raw []byte, request *http.Request) (int, any)
 
-// Outcomes of a call that was not answered by the one who decides.
+// Outcomes of a call that got no answer from the control primary.
 const (
-	// OutcomeNotKept says that the call changed nothing.
+	// OutcomeNotKept means that the call changed nothing.
 	OutcomeNotKept = "not_kept"
-	// OutcomeUnknown says that the call may have taken effect.
+	// OutcomeUnknown means that the call may have taken effect.
 	OutcomeUnknown = "unknown"
 )
 
-// encodeFailure is the answer if an answer cannot be encoded.
+// encodeFailure is the body that is sent if an answer cannot be encoded.
 const encodeFailure = `{"error":"answer could not be written","faults":[]}`
 
-// ErrorResponse is the body of an answer to a call that failed.
+// ErrorResponse is the body of the answer to a call that failed.
 type ErrorResponse struct {
 	Error            string             `json:"error"`
 	Faults           []schema.Violation `json:"faults"`
@@ -38,7 +38,8 @@
 	RetryAfterMillis int64              `json:"retry_after_ms,omitempty"`
 }
 
-// NewErrorResponse returns the body for an error.
+// NewErrorResponse returns an ErrorResponse with the given text and violations of
+// the schema.
 func NewErrorResponse(text string, violations ...schema.Violation) ErrorResponse {
 	if violations == nil {
 		violations = []schema.Violation{}
@@ -51,7 +52,7 @@
 	Node     string           `json:"node"`
 }
 
-// HandleCall sets the handler of a call by its path.
+// HandleCall sets the handler for the calls with a path.
 func (n *Node) HandleCall(path string, handle CallHandler) { n.callHandlers[path] = handle }
 
 // OnDisconnect sets the function that is called when a caller's connection ends.
@@ -81,8 +82,8 @@
 	n.WriteResponse(w, status, answer)
 }
 
-// translate returns a call of another API as one of the product, or false if it
-// is none.
+// translate translates a call of another API to a call of the product. It returns
+// false if the call is not of that API.
 func (n *Node) translate(method, path string, body []byte) (adapter.Translation, bool) {
 	if n.Translate == nil {
 		return adapter.Translation{}, false
@@ -115,8 +116,8 @@
 	return status, encoded
 }
 
-// WriteResponse sends the answer to a call. If the answer asks the caller to try
-// again later, the header Retry-After says so too, in whole seconds.
+// WriteResponse sends the answer to a call. With the status 503 it also sets the
+// header Retry-After, in whole seconds.
 func (n *Node) WriteResponse(w http.ResponseWriter, status int, answer any) {
 	status, encoded := n.encode(status, answer)
 	w.Header().Set("Content-Type", "application/json")
@@ -127,8 +128,8 @@
 	_, _ = w.Write(encoded)
 }
 
-// retryAfter returns the delay that an answer gives, in whole seconds and at
-// least one.
+// retryAfter returns the retry delay of an encoded answer, rounded up to whole
+// seconds and at least 1.
 func retryAfter(answer []byte) string {
 	delay := time.Duration(fastjson.GetInt(answer, "retry_after_ms")) * time.Millisecond
 	seconds := int64((delay + time.Second - 1) / time.Second)
--- a/internal/app/node/epoch.go
+++ b/internal/app/node/epoch.go
@@ -11,8 +11,8 @@
 	n.ObserveEpoch(changed.Record)
 }
 
-// ObserveEpoch keeps an epoch record if it is newer than the one that is known.
-// A record with another primary ends the update requests that are under way.
+// ObserveEpoch stores an epoch record if it is newer than the stored one. If the
+// record names another primary, the update requests in flight are abandoned.
 func (n *Node) ObserveEpoch(record consensus.Record) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -26,24 +26,24 @@
 	n.epochRecord = record
 }
 
-// primaryChange returns a channel that is closed when a record names another
-// primary than now.
+// primaryChange returns a channel that is closed when the node stores an epoch
+// record with another primary.
 func (n *Node) primaryChange() <-chan struct{} {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.primaryChanged
 }
 
-// EpochRecord returns the newest epoch record that the node has seen.
+// EpochRecord returns the newest epoch record that the node has received.
 func (n *Node) EpochRecord() consensus.Record {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.epochRecord
 }
 
-// ControlPrimary returns the RPC address of the control primary, "" if it is not
-// known, and all control nodes that may know it: the live ones, or the dead ones
-// if none is live.
+// ControlPrimary returns the RPC address of the control primary, or "" if the
+// address is unknown. It also returns the control nodes that can be asked for the
+// primary: the live ones, or the dead ones if none is live.
 func (n *Node) ControlPrimary() (string, []model.Node) {
 	record := n.EpochRecord()
 	nodes := n.Nodes(model.KindControl, membership.StatusLive)
@@ -58,8 +58,8 @@
 	return "", nodes
 }
 
-// SendToControlPrimary sends a message to the control primary, or drops it if
-// the primary is not known.
+// SendToControlPrimary sends a message to the control primary, or drops the message
+// if the primary's address is unknown.
 func (n *Node) SendToControlPrimary(message any) {
 	if address, _ := n.ControlPrimary(); address != "" {
 		n.Hub.Send(address, message)
--- a/internal/app/node/epoch_test.go
+++ b/internal/app/node/epoch_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestSendToControlPrimary(t *testing.T) {
-	Convey("A message to the control primary goes to the node that the newest epoch record names, and nowhere while that is not known", t, func() {
+	Convey("A message to the control primary is sent to the node that the newest epoch record names, and is dropped if there is no record yet", t, func() {
 		n := newTestNode(t)
 		received := make(chan string, 10)
 		receiver := func(name string) func(string, any, func(any)) {
--- a/internal/app/node/forward.go
+++ b/internal/app/node/forward.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// forwardTimeout bounds the search for a control primary that takes a call.
+	// forwardTimeout is how long ForwardCall tries to reach a control primary.
 	forwardTimeout = 4 * time.Second
-	// forwardAttemptTimeout bounds one attempt.
+	// forwardAttemptTimeout bounds each RPC of an attempt.
 	forwardAttemptTimeout = 1500 * time.Millisecond
-	// forwardBackoff is the time between two attempts.
+	// forwardBackoff is the delay between two attempts.
 	forwardBackoff = 40 * time.Millisecond
-	// forwardRetryMillis is after how many milliseconds an operator had best try
-	// again if no primary was found.
+	// forwardRetryMillis is the delay, in ms, after which an operator should retry a
+	// call if no primary answered.
 	forwardRetryMillis = 1000
-	// maxForwardHops is how many control nodes one attempt asks: the one that is
-	// thought primary, and the one that it names instead.
+	// maxForwardHops is the maximum number of control nodes that one attempt asks: the
+	// supposed primary, and the node that it names as the primary instead.
 	maxForwardHops = 2
 )
 
 // ForwardCall sends an operator's call to the control primary and returns the
 // HTTP status and the body of its answer. A call that may have taken effect is
-// sent again, with the same id: the primary answers it as before.
+// sent again with the same id, for which the primary repeats its first answer.
 func (n *Node) ForwardCall(path string, body []byte) (int, any) {
 	deadline := n.Now() + forwardTimeout
 	outcome := OutcomeNotKept
@@ -49,7 +49,8 @@
 	return http.StatusServiceUnavailable, response
 }
 
-// callPrimary makes one attempt, and follows one pointer to another node.
+// callPrimary makes one attempt. If the asked node names another node as the
+// primary, callPrimary asks that node next, up to maxForwardHops nodes.
 func (n *Node) callPrimary(address, path string, body []byte) (message.OperatorCallResult, error) {
 	result := message.OperatorCallResult{}
 	for range maxForwardHops {
--- a/internal/app/node/instances.go
+++ b/internal/app/node/instances.go
@@ -13,10 +13,11 @@
 	// instanceLifetime is how long an instance is kept after its last
 	// announcement.
 	instanceLifetime = 5 * time.Minute
-	// sweepInterval is the least time between two removals of expired instances.
+	// sweepInterval is the minimum time between two removals of expired instances.
 	sweepInterval = 10 * time.Second
-	// announcementNumberLifetime is how long the number of an instance's last announcement
-	// counts. An instance that restarted begins with low numbers again.
+	// announcementNumberLifetime is how long after an announcement another one
+	// without a higher number is stale. The number expires because a restarted
+	// instance starts again with low numbers.
 	announcementNumberLifetime = 5 * time.Second
 )
 
@@ -27,24 +28,30 @@
 	AnnouncedAt time.Duration
 }
 
-// isStale says whether an announcement of the same instance is older than this
-// one, which is known of instances that number their announcements.
+// isStale reports whether an announcement is not newer than the recorded one of the
+// same instance. Only instances with synchronous replication number their
+// announcements; announcements of other instances are never stale. After a stop,
+// an announcement without a higher number is stale at any time.
 func (a AnnouncedInstance) isStale(instance model.Instance, now time.Duration) bool {
 	notNewer := instance.SyncReplication && instance.AnnouncementNumber <= a.Instance.AnnouncementNumber
 	return notNewer && (a.Instance.Stopped || now-a.AnnouncedAt < announcementNumberLifetime)
 }
 
-// announcementResult is what became of an announcement.
+// announcementResult is the result of recording an announcement.
 type announcementResult int
 
 const (
-	// announcementUnknown is of an instance that stopped and was not known.
+	// announcementUnknown is the result for an instance that has stopped and is not in
+	// the table.
 	announcementUnknown announcementResult = iota
-	// announcementConflicting is of an instance of another database than before.
+	// announcementConflicting is the result for an instance that announced another
+	// database before.
 	announcementConflicting
-	// announcementStale came after a newer one.
+	// announcementStale is the result for an announcement that arrived after a newer
+	// one.
 	announcementStale
-	// announcementRecorded is in the table.
+	// announcementRecorded is the result for an announcement that was put into the
+	// table.
 	announcementRecorded
 )
 
@@ -59,8 +66,8 @@
 	return instanceTable{byName: map[string]*AnnouncedInstance{}, byDatabase: map[string]map[string]*AnnouncedInstance{}}
 }
 
-// record puts an announcement into the table. It returns the instance as it was
-// recorded, and whether that is an event worth logging.
+// record puts an announcement into the table. It returns the recorded instance and
+// whether the instance is new or its state changed, which is worth logging.
 func (t *instanceTable) record(instance model.Instance, now time.Duration) (recorded model.Instance, changed bool, result announcementResult) {
 	previous, found := t.byName[instance.Name]
 	if instance.Stopped && instance.Database == "" {
@@ -83,8 +90,8 @@
 	return instance, !found || stateChanged(previous.Instance, instance), announcementRecorded
 }
 
-// markStopped returns the entry of an instance whose last announcement says
-// only that it has stopped.
+// markStopped returns the entry of an instance after an announcement that says only
+// that the instance has stopped.
 func markStopped(previous model.Instance) model.Instance {
 	stopped := previous
 	stopped.Stopped, stopped.Leaving = true, true
@@ -106,7 +113,7 @@
 	t.byDatabase[instance.Database][instance.Name] = announced
 }
 
-// sweep removes the instances that have expired.
+// sweep removes the expired instances.
 func (t *instanceTable) sweep(now time.Duration) {
 	expired := func(_ string, announced *AnnouncedInstance) bool { return now-announced.AnnouncedAt > instanceLifetime }
 	maps.DeleteFunc(t.byName, expired)
@@ -139,14 +146,15 @@
 	return recentInstances(n.instances.byName, n.Now(), maxAge)
 }
 
-// DatabaseInstances is Instances for one database.
+// DatabaseInstances is Instances limited to one database.
 func (n *Node) DatabaseInstances(database string, maxAge time.Duration) []AnnouncedInstance {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return recentInstances(n.instances.byDatabase[database], n.Now(), maxAge)
 }
 
-// Instance returns an instance as it last announced itself.
+// Instance returns an instance as in its last recorded announcement, or false if
+// the instance is not in the table.
 func (n *Node) Instance(name string) (AnnouncedInstance, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -157,9 +165,9 @@
 	return *announced, true
 }
 
-// RecordAnnouncement takes what an instance announced. It returns false if the
-// instance belongs to another database than it announced before. A stale
-// announcement changes nothing and is no error.
+// RecordAnnouncement records an instance's announcement. It returns false if the
+// instance announced another database before. A stale announcement changes nothing
+// and is not an error.
 func (n *Node) RecordAnnouncement(instance model.Instance) bool {
 	n.mutex.Lock()
 	recorded, changed, result := n.instances.record(instance, n.Now())
--- a/internal/app/node/membership.go
+++ b/internal/app/node/membership.go
@@ -8,7 +8,7 @@
 	"tansyseam/internal/state/model"
 )
 
-// nodeCacheLifetime is how old an answer of FindNode may be.
+// nodeCacheLifetime is the maximum age of a cached result of FindNode.
 const nodeCacheLifetime = 100 * time.Millisecond
 
 func (n *Node) onGossip(_ string, gossip membership.Gossip, _ func(any)) {
@@ -31,8 +31,8 @@
 	}
 }
 
-// Nodes returns the known nodes of a kind with one of the membership statuses,
-// sorted by name. An empty kind stands for all kinds.
+// Nodes returns the nodes of a kind with one of the membership statuses, sorted by
+// name. An empty kind means all kinds.
 func (n *Node) Nodes(kind string, statuses ...string) []model.Node {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -48,24 +48,24 @@
 	return n.membership.CountLive(kind)
 }
 
-// Status returns the membership status of a node, "" if it is not known, and the
-// time since its last heartbeat.
+// Status returns the membership status of a node, or "" for an unknown node, and
+// the time since its last heartbeat.
 func (n *Node) Status(name string) (string, time.Duration) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.membership.Status(name), n.membership.SinceHeartbeat(name, n.Now())
 }
 
-// Peers returns live nodes of this node's kind, those that it watches if there
-// are any.
+// Peers returns the live nodes of this node's kind that this node watches. If it
+// watches none of them, Peers returns all other live nodes of its kind.
 func (n *Node) Peers() []model.Node {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.membership.Peers()
 }
 
-// FindNode returns a live or dead node by name, as known up to
-// nodeCacheLifetime ago.
+// FindNode returns a live or dead node by name. The result may be up to
+// nodeCacheLifetime old.
 func (n *Node) FindNode(name string) (model.Node, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/app/node/messages.go
+++ b/internal/app/node/messages.go
@@ -6,12 +6,12 @@
 // or never.
 type MessageHandler func(from string, body any, reply func(any))
 
-// HandleMessage sets the handler of the messages of type T.
+// HandleMessage sets the handler for messages of type T.
 func HandleMessage[T any](n *Node, handle func(from string, body T, reply func(any))) {
 	n.messageHandlers[reflect.TypeFor[T]()] = func(from string, body any, reply func(any)) { handle(from, body.(T), reply) }
 }
 
-// HandleMessages sets one handler for the types of all given messages.
+// HandleMessages sets one handler for the types of all examples.
 func (n *Node) HandleMessages(examples []any, handle MessageHandler) {
 	for _, example := range examples {
 		n.messageHandlers[reflect.TypeOf(example)] = handle
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -36,7 +36,7 @@
 	Schemas  *schema.Validator
 	// Program is the kind of the node, model.KindControl or model.KindProxy.
 	Program string
-	// Translate, if set, turns calls of another API into the product's.
+	// Translate, if set, translates calls of another API to calls of the product.
 	Translate adapter.TranslateFunc
 
 	// mutex guards the fields of this block.
@@ -49,7 +49,7 @@
 	nodesByName    map[string]model.Node
 	nodesByNameAt  time.Duration
 
-	// These are set before Start, and only read from then on.
+	// The fields of this block are set before Start and only read afterwards.
 	callHandlers         map[string]CallHandler
 	messageHandlers      map[reflect.Type]MessageHandler
 	onDisconnect         func(remoteAddress string)
@@ -60,8 +60,8 @@
 	stopped atomic.Bool
 }
 
-// New returns a node that serves the calls which both programs have in common.
-// It opens no address; Start does.
+// New returns a node with handlers for the calls that both programs have in common.
+// New does not open the node's addresses; Start does.
 func New(program string, nodeConfig config.Config, log hclog.Logger) (*Node, error) {
 	message.Register()
 	schemas, err := schema.NewValidator()
@@ -98,7 +98,7 @@
 	return n, nil
 }
 
-// Start opens the RPC and the HTTP address and begins to send heartbeats.
+// Start opens the RPC and HTTP addresses and starts sending heartbeats.
 func (n *Node) Start() error {
 	nodeConfig := n.Config()
 	n.Hub = rpc.NewHub(nodeConfig.Name, nodeConfig.RPCAddress, n.Workers, n.Counters, n.dispatchMessage)
@@ -117,7 +117,8 @@
 	return nil
 }
 
-// Leave marks the node as shutting down, which its heartbeats tell the others.
+// Leave marks the node as shutting down. Its heartbeats report this to the other
+// nodes.
 func (n *Node) Leave() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/app/node/search_test.go
+++ b/internal/app/node/search_test.go
@@ -10,12 +10,12 @@
 )
 
 func TestPrimarySearch(t *testing.T) {
-	Convey("Requests without an update go to all control nodes in turn, however many there are", t, func() {
+	Convey("Consecutive requests that bring no update reach every control node, for any number of control nodes", t, func() {
 		for _, primary := range []string{"", "gone"} {
 			for count := 1; count <= 9; count++ {
 				var nodes []model.Node
 				for number := range count {
-					nodes = append(nodes, model.Node{RPCAddress: fmt.Sprint("link", number)})
+					nodes = append(nodes, model.Node{RPCAddress: fmt.Sprint("address", number)})
 				}
 				requests := map[string]int{}
 				for misses := range 3 * count {
@@ -27,7 +27,7 @@
 			}
 		}
 	})
-	Convey("The primary is asked first, and two of three times from then on", t, func() {
+	Convey("If the primary is known, the first request and two of three requests in total go to the primary", t, func() {
 		nodes := []model.Node{{RPCAddress: "a"}, {RPCAddress: "b"}, {RPCAddress: "c"}}
 		for misses := range 12 {
 			So(PrimarySearch{Misses: misses}.target("primary", nodes) == "primary", ShouldEqual, misses%3 != 2)
--- a/internal/app/node/update.go
+++ b/internal/app/node/update.go
@@ -11,17 +11,18 @@
 	"tansyseam/internal/transport/worker"
 )
 
-// ErrNoPeer says that no peer is known that could forward a request.
-const ErrNoPeer = errors.ConstError("no such peer")
+// ErrNoPeer is returned when no peer is available to forward a request.
+const ErrNoPeer = errors.ConstError("no peer available to forward the request")
 
-// attempt is one way of a request: directly, or through a peer.
+// attempt sends a request over one path: directly, or through a peer.
 type attempt func() (any, error)
 
-// RequestUpdate requests an update of the configuration from the control
-// primary, or from a control node that may know it. After a request that nobody
-// answered the next is also sent through a peer, in case that only the network
-// to the primary is partitioned. It returns false if no primary answered in time,
-// and as soon as another node has become primary.
+// RequestUpdate requests an update of the configuration from the control primary,
+// or from another control node, which may name the primary. If no node answered
+// the previous request, this one is also sent through a peer, because the network
+// between this node and the primary may be partitioned. RequestUpdate returns
+// false if no primary answers in time, and as soon as another node becomes
+// primary.
 func (n *Node) RequestUpdate(request distribution.UpdateRequest, search *PrimarySearch, timeout time.Duration) (distribution.Update, bool) {
 	primaryChanged := n.primaryChange()
 	primary, nodes := n.ControlPrimary()
@@ -31,7 +32,8 @@
 	address, unanswered := search.target(primary, nodes), search.Unanswered
 	attempts := []attempt{func() (any, error) { return n.Hub.Call(address, request, timeout) }}
 	if primary != "" && unanswered > 0 {
-		// The first of two answers is used, so that neither may give up a lease.
+		// Only the first of the two answers is used. If the other request arrived with
+		// WithoutLease, it would release the lease that the first answer grants.
 		request.WithoutLease = false
 		attempts = append(attempts, func() (any, error) { return n.requestThroughPeer(request, unanswered, timeout) })
 	}
@@ -51,8 +53,8 @@
 	return distribution.Update{}, false
 }
 
-// updates makes all attempts at once and yields their answers as they come,
-// until all have ended or another node has become primary.
+// updates makes all attempts concurrently and yields their answers in order of
+// arrival, until all attempts have ended or another node has become primary.
 func (n *Node) updates(attempts []attempt, primaryChanged <-chan struct{}) iter.Seq[distribution.Update] {
 	type outcome struct {
 		reply any
@@ -91,9 +93,10 @@
 	return n.Hub.Call(peer.RPCAddress, message.ForwardUpdateRequest{Request: request}, timeout)
 }
 
-// ForwardUpdateRequests has the node forward its peers' requests to the control
-// primary. If the primary is not known, does not answer in time or is no longer
-// primary, the peer is answered at once with the newest epoch record.
+// ForwardUpdateRequests registers a handler that forwards the update requests of
+// peers to the control primary. If the primary is unknown or does not answer in
+// time, or if another node becomes primary, the handler waits no longer and replies
+// to the peer with the newest epoch record.
 func (n *Node) ForwardUpdateRequests(timeout time.Duration) {
 	HandleMessage(n, func(_ string, forward message.ForwardUpdateRequest, reply func(any)) {
 		primaryChanged := n.primaryChange()
--- a/internal/app/node/update_test.go
+++ b/internal/app/node/update_test.go
@@ -18,7 +18,7 @@
 	"tansyseam/test/reserve"
 )
 
-// testNode is a node whose peers are hubs of the test.
+// testNode is a node whose peers are RPC hubs created by the test.
 type testNode struct {
 	*Node
 	workers *worker.Group
@@ -61,7 +61,7 @@
 			reply(distribution.Update{FromPrimary: true, Record: consensus.Record{Epoch: 2, Primary: "c2"}})
 		}
 	}
-	Convey("Given a node whose control primary receives requests and does not answer", t, func() {
+	Convey("Given a node whose control primary receives requests but does not answer them", t, func() {
 		n := newTestNode(t)
 		requests := make(chan bool, 10)
 		n.addPeer(t, "c1", model.KindControl, func(_ string, body any, _ func(any)) {
@@ -70,7 +70,7 @@
 			}
 		})
 		n.ObserveEpoch(consensus.Record{Epoch: 1, Primary: "c1"})
-		Convey("It abandons the request in flight when another node becomes primary, and sends the next one there", func() {
+		Convey("When another node becomes primary, the node abandons the request in flight and sends the next request to the new primary", func() {
 			n.addPeer(t, "c2", model.KindControl, primary)
 			result := n.requestUpdate(&PrimarySearch{}, time.Hour)
 			withoutLease, _ := worker.Receive(requests, time.After(time.Minute))
@@ -82,7 +82,7 @@
 			updated, _ = worker.Receive(n.requestUpdate(&PrimarySearch{}, time.Hour), time.After(time.Minute))
 			So(updated, ShouldBeTrue)
 		})
-		Convey("Another epoch of the same primary ends no request", func() {
+		Convey("A new epoch with the same primary does not end the request in flight", func() {
 			result := n.requestUpdate(&PrimarySearch{}, time.Hour)
 			So(worker.Await(requests, time.Minute), ShouldBeTrue)
 			primaryChanged := n.primaryChange()
@@ -93,7 +93,7 @@
 			n.ObserveEpoch(consensus.Record{Epoch: 3, Primary: "c9"})
 			So(worker.Await(result, time.Minute), ShouldBeTrue)
 		})
-		Convey("After a request that nobody answered the next is also sent through a peer, whose answer is the first; a request that is sent twice gives up no lease", func() {
+		Convey("After a request that no node answered, the next one is also sent through a peer, and the peer's answer is used; the request to the primary does not set WithoutLease", func() {
 			n.addPeer(t, "d2", model.KindProxy, func(_ string, body any, reply func(any)) {
 				if _, ok := body.(message.ForwardUpdateRequest); ok {
 					reply(distribution.Update{FromPrimary: true, Record: consensus.Record{Epoch: 1, Primary: "c1"}})
