--- a/internal/app/control/syncfailover.go
+++ b/internal/app/control/syncfailover.go
@@ -14,8 +14,8 @@
 // commandTimeout bounds the wait for an instance's reply to a command.
 const commandTimeout = 400 * time.Millisecond
 
-// decideSyncFailover decides on a database whose instances replicate
-// synchronously, and carries the decision out.
+// decideSyncFailover decides on the failover of a database whose instances
+// replicate synchronously, and executes the decision.
 func (s *Server) decideSyncFailover(database string) {
 	response, ok := s.requestEvidence(database)
 	if !ok || response.SyncedEvidence.Database != database {
@@ -25,7 +25,7 @@
 	executor := failover.Executor{
 		Record: func(decision failover.Record, committed func()) {
 			if s.recordDecision(evidence.Writer, evidence.Known, decision) {
-				s.noteCommitted(decision)
+				s.recordCommitted(decision)
 				committed()
 			}
 		},
@@ -34,19 +34,19 @@
 	executor.Execute(syncrepl.Step(evidence, syncrepl.DefaultTiming()))
 }
 
-func (s *Server) noteCommitted(decision failover.Record) {
+func (s *Server) recordCommitted(decision failover.Record) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.evidence.RecordCommitted(decision)
+	s.observer.RecordCommitted(decision)
 }
 
-// augment adds what this node itself has learned from the instances and the
-// platform.
+// augment adds the results of this node's own commands and promote calls to the
+// evidence.
 func (s *Server) augment(evidence syncrepl.Evidence) syncrepl.Evidence {
 	evidence.FencingEnforced = s.node.Config().PlatformChecksFences
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.evidence.Augment(evidence, s.node.Now())
+	return s.observer.Augment(evidence, s.node.Now())
 }
 
 func (s *Server) executeSyncEffect(evidence syncrepl.Evidence, effect failover.Effect) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// reportBound gives the control primary a position that covers every commit
+// reportBound reports a position to the control primary that covers every commit
 // that was acknowledged to a client.
 func (s *Server) reportBound(bound syncrepl.ReportBound) {
 	if s.isPrimary() {
@@ -87,14 +87,14 @@
 	s.distributor.ConfirmCoverage(bound)
 }
 
-// sendCommand sends a command in the background, unless one to the same
-// instance awaits its reply.
+// sendCommand sends a command in the background, unless another command to the
+// same instance is still waiting for its reply.
 func (s *Server) sendCommand(evidence syncrepl.Evidence, command Command) {
 	if s.adapters.SendCommand == nil {
 		return
 	}
 	s.mutex.Lock()
-	report := s.evidence.BeginProbe(evidence, command.Instance)
+	report := s.observer.BeginProbe(evidence, command.Instance)
 	s.mutex.Unlock()
 	if report == nil {
 		return
@@ -116,15 +116,15 @@
 	}
 }
 
-// promoteSync makes the promote call in the background. The status of a call
-// whose response was not read is 0, for unknown.
+// promoteSync makes the promote call in the background. If the response was not
+// read, the recorded status is 0, which means unknown.
 func (s *Server) promoteSync(call syncrepl.Promote) {
 	if s.adapters.Promote == nil {
 		return
 	}
 	s.node.Counters.Add("promote_calls", 1)
 	s.mutex.Lock()
-	report := s.evidence.BeginPromote(call, s.node.Now())
+	report := s.observer.BeginPromote(call, s.node.Now())
 	s.mutex.Unlock()
 	s.node.Workers.Go(func() {
 		status, err := s.adapters.Promote(s.node.Config(), adapter.Promotion{
