--- a/internal/coordination/balancer/balancer.go
+++ b/internal/coordination/balancer/balancer.go
@@ -1,40 +1,45 @@
-// Package balancer chooses the instance that a read is sent to: one that is
-// fresh enough and has capacity, with the lowest expected cost. It keeps no
-// state: the caller describes the instances at each read and passes them to Pick.
+// Package balancer selects the instance to which a read is sent. Among the
+// instances that are fresh enough and have capacity, it selects the one with the
+// lowest expected cost. The package keeps no state: for each read, the caller
+// describes the instances and passes them to Pick.
 package balancer
 
 import "time"
 
 const (
-	// An instance in another zone costs otherZoneFactor times as much, and
-	// otherZoneCost milliseconds on top, so that the own zone wins unless it is
-	// much slower.
+	// The cost of an instance in another zone is multiplied by otherZoneFactor and
+	// raised by otherZoneCost milliseconds. An instance in the caller's own zone is
+	// therefore preferred unless it is much slower.
 	otherZoneFactor = 2
 	otherZoneCost   = 1.5
-	// baseCost, in milliseconds, keeps utilization and zone in the cost of an
-	// instance whose latency is not known yet, or is very low.
+	// baseCost, in milliseconds, is added to the latency, so that utilization and
+	// zone affect the cost of an instance whose latency is unknown or very low.
 	baseCost = 1
 )
 
 // Candidate is the current state of one instance.
 type Candidate struct {
-	// HasCapacity says that a connection and a place in the concurrency window
-	// are free.
+	// HasCapacity is true if a connection and a slot in the concurrency window are
+	// available.
 	HasCapacity bool
 	SameZone    bool
-	// FreshEnough says that the instance's data meets the read's freshness.
+	// FreshEnough is true if the instance's data meets the freshness that the read
+	// requires.
 	FreshEnough bool
-	// Utilization is the used share of the concurrency window, from 0; it is
-	// above 1 while a window that has shrunk still has more in flight.
+	// Utilization is the used fraction of the concurrency window, from 0. It
+	// exceeds 1 while a window that has shrunk has more statements in flight than
+	// its size.
 	Utilization float64
 	// Latency is the time that a statement takes at an idle instance.
 	Latency time.Duration
-	// CostFactor multiplies the cost, for past failures. Below 1 counts as 1.
+	// CostFactor is the factor by which past failures multiply the cost. A value
+	// below 1 counts as 1.
 	CostFactor float64
 }
 
-// Pick returns the index of the candidate with the lowest cost, the first of
-// equal ones, or -1 where none can be used now.
+// Pick returns the index of the usable candidate with the lowest cost. If several
+// have the same cost, it returns the first. If no candidate is usable now, it
+// returns -1.
 func Pick(candidates []Candidate) int {
 	best := -1
 	for index, candidate := range candidates {
@@ -48,7 +53,7 @@
 	return best
 }
 
-// cost is about the expected time of a statement, in milliseconds.
+// cost returns the approximate expected duration of a statement, in milliseconds.
 func cost(candidate Candidate) float64 {
 	total := float64(candidate.Latency)/float64(time.Millisecond) + baseCost
 	total *= 1 + candidate.Utilization
--- a/internal/coordination/balancer/balancer_test.go
+++ b/internal/coordination/balancer/balancer_test.go
@@ -15,11 +15,11 @@
 		candidate.CostFactor = factor
 		return candidate
 	}
-	Convey("Instances of the own zone win, also after few failures", t, func() {
+	Convey("An instance in the same zone is preferred, even after a few failures", t, func() {
 		So(Pick([]Candidate{far, near}), ShouldEqual, 1)
 		So(Pick([]Candidate{far, failing(near, 1.4)}), ShouldEqual, 1)
 	})
-	Convey("An instance that fails often is chosen only where there is no other", t, func() {
+	Convey("An instance that fails often is chosen only if no other is usable", t, func() {
 		So(Pick([]Candidate{far, failing(near, 10)}), ShouldEqual, 0)
 		So(Pick([]Candidate{failing(near, 1e6)}), ShouldEqual, 0)
 		full := far
--- a/internal/coordination/connquota/quota.go
+++ b/internal/coordination/connquota/quota.go
@@ -1,11 +1,12 @@
 // Package connquota divides the connection limit of an instance among the nodes.
-// Nodes that know the same members agree on the quotas without communication.
+// Nodes with the same list of members compute the same quotas without
+// communication.
 //
-// Where the limit allows each node two connections or more, each gets an equal
-// share. Where it allows less, half of the limit is assigned: for each instance,
+// If the limit allows two connections or more per node, each node gets an equal
+// share. If it allows fewer, half of the limit is assigned: for each instance,
 // rendezvous hashing selects the nodes that may keep one idle connection. The
-// other half is shared: any node opens a connection that a statement waits for,
-// and closes it once it is idle.
+// other half is shared: any node may open a connection for a waiting statement,
+// and closes the connection when it becomes idle.
 package connquota
 
 import (
@@ -16,40 +17,44 @@
 	"tansyseam/internal/coordination/rendezvous"
 )
 
-// MinExclusive is the smallest share, in connections, that makes a quota
-// exclusive: while one connection is held by an open transaction, another is left.
+// MinExclusive is the smallest share, in connections, for which a node's quota is
+// exclusive. With two connections, one is left while an open transaction holds the
+// other.
 const MinExclusive = 2
 
 const (
-	// retention is how long a node that is not live any more counts as a member.
+	// retention is how long a node that is no longer live counts as a member.
 	retention = time.Minute
-	// refreshInterval is how often an unchanged list of live nodes is processed.
+	// refreshInterval is the interval at which an unchanged list of live nodes is
+	// processed.
 	refreshInterval = time.Second
 )
 
-// Quota is how many connections one node may have at one instance.
+// Quota limits the connections that one node may have to one instance.
 type Quota struct {
-	// MaxIdle limits the idle connections, MaxOpen all connections.
+	// MaxIdle limits the idle connections. MaxOpen limits all connections.
 	MaxIdle int
 	MaxOpen int
 }
 
-// IsScarce says whether connections beyond MaxIdle are closed once they are idle.
+// IsScarce reports whether connections beyond MaxIdle must be closed when they
+// become idle.
 func (q Quota) IsScarce() bool { return q.MaxIdle < q.MaxOpen }
 
-// Members are the nodes that share the limits: all that were live in the last
-// minute, so that a node that restarts finds its quota free. The zero value has
-// no members.
+// Members holds the nodes that share the limits: all nodes that were live within
+// the last minute, so that the quota of a node that restarts stays free. The zero
+// value has no members.
 type Members struct {
-	// lastLive is when each member was last live, and names are the members, sorted.
+	// lastLive is the time at which each member was last live. names holds the
+	// members in sorted order.
 	lastLive map[string]time.Duration
 	names    []string
-	// live is the list that was processed last, at updatedAt.
+	// live is the list of live nodes that was last processed, at updatedAt.
 	live      []string
 	updatedAt time.Duration
 }
 
-// Update takes the names of the live nodes, and says whether the members changed.
+// Update sets the names of the live nodes, and reports whether the members changed.
 func (m *Members) Update(live []string, now time.Duration) bool {
 	if m.lastLive != nil && now-m.updatedAt < refreshInterval && slices.Equal(live, m.live) {
 		return false
@@ -69,21 +74,21 @@
 	return true
 }
 
-// addLive notes the live nodes, and says whether one of them is new.
+// addLive records the live nodes as members, and reports whether any of them is new.
 func (m *Members) addLive(now time.Duration) (added bool) {
 	for _, name := range m.live {
-		_, known := m.lastLive[name]
-		added = added || !known
+		_, isMember := m.lastLive[name]
+		added = added || !isMember
 		m.lastLive[name] = now
 	}
 	return added
 }
 
-// removeExpired removes the nodes that were not live within the retention, and says
-// whether there were any.
+// removeExpired removes the nodes that were not live within the retention, and
+// reports whether there were any.
 func (m *Members) removeExpired(now time.Duration) (removed bool) {
-	for name, at := range m.lastLive {
-		if now-at >= retention {
+	for name, lastLive := range m.lastLive {
+		if now-lastLive >= retention {
 			delete(m.lastLive, name)
 			removed = true
 		}
@@ -91,12 +96,12 @@
 	return removed
 }
 
-// Count returns the number of members, at least one.
+// Count returns the number of members, but at least 1.
 func (m *Members) Count() int { return max(len(m.names), 1) }
 
 // Quota returns the quota of a node at an instance with a connection limit. One
-// share is reserved for the control primary. A limit below two means that it is
-// not known yet, and allows one connection.
+// share is reserved for the control primary. A limit below 2 means that the limit
+// is not known yet, and allows one connection.
 func (m *Members) Quota(node, instance string, limit int) Quota {
 	if limit < MinExclusive {
 		return Quota{MaxIdle: 1, MaxOpen: 1}
--- a/internal/coordination/connquota/quota_test.go
+++ b/internal/coordination/connquota/quota_test.go
@@ -22,20 +22,20 @@
 	return m
 }
 
-// idleQuotas sums the idle connections of all nodes at an instance, and says which
-// nodes have one.
-func idleQuotas(names []string, instance string, connections int) (sum int, who map[string]bool) {
-	m, who := newMembers(names), map[string]bool{}
+// idleQuotas returns the sum of MaxIdle over all nodes at an instance, and for each
+// node whether its MaxIdle is above 0.
+func idleQuotas(names []string, instance string, connections int) (sum int, hasIdle map[string]bool) {
+	m, hasIdle := newMembers(names), map[string]bool{}
 	for _, name := range names {
 		quota := m.Quota(name, instance, connections)
 		sum += quota.MaxIdle
-		who[name] = quota.MaxIdle > 0
+		hasIdle[name] = quota.MaxIdle > 0
 	}
-	return sum, who
+	return sum, hasIdle
 }
 
 func TestQuotas(t *testing.T) {
-	Convey("Where each node's share is two or more, all have it exclusively", t, func() {
+	Convey("If each node's share is two connections or more, each node has its share exclusively", t, func() {
 		for _, test := range []struct{ nodes, limit, share int }{
 			{1, 20, 10},
 			{4, 20, 4},
@@ -47,7 +47,7 @@
 			SoMsg(fmt.Sprintf("%+v", test), quota.IsScarce(), ShouldBeFalse)
 		}
 	})
-	Convey("Where it is less, half of the limit is assigned as idle connections", t, func() {
+	Convey("If each node's share is less than two connections, half of the limit is assigned as idle connections", t, func() {
 		for _, test := range []struct{ nodes, limit int }{
 			{60, 51}, {60, 110}, {30, 20}, {200, 51}, {930, 110}, {10, 2}, {60, 60},
 		} {
@@ -57,11 +57,11 @@
 			}
 		}
 	})
-	Convey("Quotas at many instances are spread evenly over the nodes", t, func() {
+	Convey("Idle connections at many instances are spread evenly over the nodes", t, func() {
 		idleByNode := map[string]int{}
 		for instance := range 90 {
-			_, who := idleQuotas(nodeNames(60), fmt.Sprint("i", instance), 51)
-			for name, idle := range who {
+			_, hasIdle := idleQuotas(nodeNames(60), fmt.Sprint("i", instance), 51)
+			for name, idle := range hasIdle {
 				if idle {
 					idleByNode[name]++
 				}
@@ -71,7 +71,7 @@
 			So(count, ShouldBeBetween, 18, 57)
 		}
 	})
-	Convey("A node that leaves moves only its own quota", t, func() {
+	Convey("If a node leaves, only its own idle connection moves to another node", t, func() {
 		names := nodeNames(60)
 		_, before := idleQuotas(names, "a", 51)
 		_, after := idleQuotas(names[1:], "a", 51)
@@ -83,11 +83,11 @@
 		}
 		So(moved, ShouldBeLessThanOrEqualTo, 1)
 	})
-	Convey("An instance whose limit is not known yet takes one connection", t, func() {
+	Convey("A node may open one connection to an instance whose limit is not known yet", t, func() {
 		So(newMembers(nodeNames(60)).Quota("n0", "a", 0), ShouldResemble, Quota{MaxIdle: 1, MaxOpen: 1})
 		So(newMembers(nodeNames(60)).Quota("n0", "a", 1), ShouldResemble, Quota{MaxIdle: 1, MaxOpen: 1})
 	})
-	Convey("A node keeps its quota for a minute", t, func() {
+	Convey("A node that is no longer live keeps its quota for a minute", t, func() {
 		m := newMembers(nodeNames(20))
 		So(m.Count(), ShouldEqual, 20)
 		So(m.Update(nodeNames(10), time.Hour+30*time.Second), ShouldBeFalse)
--- a/internal/coordination/flowcontrol/doc.go
+++ b/internal/coordination/flowcontrol/doc.go
@@ -1,24 +1,27 @@
-// Package flowcontrol bounds how many statements a node keeps in flight at one
-// database instance, from the latencies that the node itself observes.
+// Package flowcontrol limits the number of statements that a node keeps in flight
+// at one database instance. The limit follows the latencies that the node itself
+// observes.
 //
-// It follows Gulati and Ahmad, "Towards Distributed Storage Resource Management
-// using Flow Control" (VMware): the latencies are smoothed by an exponentially
-// weighted moving average, CAL, and once a period a proportional control law
-// moves the window w towards the size at which CAL meets a threshold:
+// The algorithm is that of Gulati and Ahmad, "Towards Distributed Storage
+// Resource Management using Flow Control" (VMware). An exponentially weighted
+// moving average, CAL, smooths the latencies. Once per period, a proportional
+// control law moves the window w towards the size at which CAL equals a threshold:
 //
 //	CAL(t) = (1-alpha) l + alpha CAL(t-1)
 //	w(t+1) = (1-gamma) w(t) + gamma (LAT_threshold / CAL(t) * w(t) + beta)
 //
-// Nodes that share an instance so come to windows in proportion to their beta
-// without a message between them. docs/paper.md lists what was decided where
-// the paper is silent.
+// The windows of the nodes that share an instance thereby converge in proportion
+// to their beta, without any messages between the nodes. docs/paper.md lists the
+// decisions on points that the paper leaves open.
 //
-// A node keeps one Window for each instance. It sends a statement only while
-// HasRoom, calls Acquire as it sends it and, once for each, Release with the
-// outcome and latency, or Abandon and later ReleaseAbandoned. Tick is called at
-// least once a period. PeerCounter counts the nodes that share an instance, to
-// bound w_max by a node's share of its connections (Retune).
+// A node keeps one Window per instance. It sends a statement only while HasRoom
+// returns true, and calls Acquire when it sends the statement. Each Acquire is
+// followed by one Release with the outcome and the latency, or by one Abandon and
+// a later ReleaseAbandoned. Tick must be called at least once per period.
+// PeerCounter counts the nodes that share an instance, so that Retune can limit
+// w_max to the node's share of the instance's connections.
 //
-// Windows and slots count statements; latencies and times are durations, the
-// latter on the node's monotonic clock. Nothing here is safe for concurrent use.
+// Windows and slots are numbers of statements. Latencies and times are durations;
+// times are offsets on the node's monotonic clock. The types of this package are
+// not safe for concurrent use.
 package flowcontrol
--- a/internal/coordination/flowcontrol/peer_counter.go
+++ b/internal/coordination/flowcontrol/peer_counter.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// peerMemory is how long a node that was seen still counts, so that one that
-// restarts finds its share free.
-const peerMemory = time.Minute
+// peerRetention is how long a count of live nodes is kept, so that the share of a
+// node that restarts stays free.
+const peerRetention = time.Minute
 
-// PeerCounter counts the nodes that share an instance: the most that were alive
-// at one time within the last minute. Max is 1 where a node knows of no other.
+// PeerCounter counts the nodes that share an instance. Max is the largest number
+// of nodes that were alive at one time within the last minute. It is 1 if this
+// node has observed no other node; callers create a PeerCounter with a Max of 1.
 type PeerCounter struct {
 	Max    int
 	recent []peerSample
 }
 
-// peerSample is a count of live nodes and when it was last observed.
+// peerSample is a count of live nodes and the time when it was last observed.
 type peerSample struct {
 	at    time.Duration
 	count int
 }
 
-// Observe takes the number of nodes that are alive now, and reports whether Max
+// Observe records the number of nodes that are alive now, and reports whether Max
 // has changed.
 func (p *PeerCounter) Observe(count int, now time.Duration) bool {
 	kept := p.recent[:0]
 	highest := max(count, 1)
 	for _, sample := range p.recent {
-		if now-sample.at < peerMemory {
+		if now-sample.at < peerRetention {
 			kept = append(kept, sample)
 			highest = max(highest, sample.count)
 		}
--- a/internal/coordination/flowcontrol/window_test.go
+++ b/internal/coordination/flowcontrol/window_test.go
@@ -39,7 +39,7 @@
 		So(float64(w.Reading().AverageLatency)/1e6, ShouldAlmostEqual, cal, 1e-6)
 		So(w.Reading().Size, ShouldAlmostEqual, 0.8*before+0.2*(30/cal*before+1), 1e-6)
 	})
-	Convey("Above the threshold the window shrinks by a factor, down to the floor; below it grows, up to the cap", t, func() {
+	Convey("The window shrinks by a factor down to its minimum while the latency is above the threshold, and grows up to its maximum while it is below", t, func() {
 		w, now := NewWindow(parametersOf(1, 8)), time.Duration(0)
 		w.Tick(now)
 		for range 60 {
@@ -54,7 +54,7 @@
 		}
 		So(w.Size(), ShouldEqual, 1)
 	})
-	Convey("Nodes that share a server come to windows in proportion to their beta", t, func() {
+	Convey("The windows of nodes that share an instance converge in proportion to their beta", t, func() {
 		betas := []float64{1, 2, 4}
 		var windows []*Window
 		for _, beta := range betas {
@@ -82,14 +82,14 @@
 			}
 		}
 		base := windows[0].Reading().Size / betas[0]
-		for at, w := range windows {
-			So(math.Abs(w.Reading().Size/betas[at]-base)/base, ShouldBeLessThan, 0.1)
+		for index, w := range windows {
+			So(math.Abs(w.Reading().Size/betas[index]-base)/base, ShouldBeLessThan, 0.1)
 		}
 	})
 }
 
 func TestSlots(t *testing.T) {
-	Convey("A statement given up on keeps its slot until it is released, and its age counts as latency", t, func() {
+	Convey("An abandoned statement keeps its slot until it is released, and its age counts as a latency", t, func() {
 		w, now := NewWindow(parametersOf(1, 8)), time.Duration(0)
 		w.Tick(now)
 		w.Acquire()
@@ -104,7 +104,7 @@
 		w.Tick(now + time.Second)
 		So(w.Reading().AverageLatency, ShouldBeGreaterThan, time.Second)
 	})
-	Convey("A refusal, which is no work, counts no latency; a lost statement counts at least the threshold", t, func() {
+	Convey("A rejected statement, which did no work, counts no latency; a lost statement counts at least the threshold", t, func() {
 		w := NewWindow(parametersOf(1, 8))
 		w.Tick(0)
 		w.Acquire()
@@ -116,7 +116,7 @@
 		w.Tick(2 * time.Second)
 		So(w.Reading().AverageLatency, ShouldEqual, w.Reading().LatencyThreshold)
 	})
-	Convey("A window that was not used does not grow, and a lower cap binds at once", t, func() {
+	Convey("A window that was never full does not grow, and a lower maximum applies at once", t, func() {
 		w, now := NewWindow(parametersOf(1, 8)), time.Duration(0)
 		w.Tick(now)
 		w.Acquire()
@@ -132,7 +132,7 @@
 }
 
 func TestPeers(t *testing.T) {
-	Convey("The most nodes of the last minute count, and one that is back within it changes nothing", t, func() {
+	Convey("Max is the largest number of live nodes within the last minute, and a node that returns within the minute does not change it", t, func() {
 		peers := PeerCounter{Max: 1}
 		So(peers.Observe(8, time.Hour), ShouldBeTrue)
 		So(peers.Observe(7, time.Hour+time.Second), ShouldBeFalse)
--- a/internal/coordination/outlier/outlier_test.go
+++ b/internal/coordination/outlier/outlier_test.go
@@ -15,7 +15,7 @@
 		}
 		So(r.CostFactor(time.Minute), ShouldEqual, 1)
 	})
-	Convey("Each failure raises the cost factor, each success lowers it", t, func() {
+	Convey("Each failure raises the cost factor, and each success lowers it", t, func() {
 		r, last := FailureRate{}, 1.0
 		for range 50 {
 			r.Observe(true, time.Hour)
@@ -31,7 +31,7 @@
 			last = r.CostFactor(time.Hour)
 		}
 	})
-	Convey("The rate decays to half within the half-life", t, func() {
+	Convey("The rate falls to half within the half-life", t, func() {
 		r := FailureRate{}
 		r.Observe(true, time.Hour)
 		before := r.Rate(time.Hour)
--- a/internal/coordination/rendezvous/rendezvous.go
+++ b/internal/coordination/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
 // Package rendezvous assigns names to keys by rendezvous hashing (highest random
-// weight): all who know the same names agree, and a name that leaves moves only
-// what was assigned to it.
+// weight). Callers with the same list of names compute the same assignment, and
+// the removal of a name changes only the assignments to that name.
 package rendezvous
 
 import (
@@ -16,8 +16,8 @@
 	mixShift   = 33
 )
 
-// score is the weight of a name for a key: an FNV-1a hash, mixed so that similar
-// names spread evenly.
+// score returns the weight of a name for a key: an FNV-1a hash, mixed so that the
+// scores of similar names are spread evenly.
 func score(name, key string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(name))
@@ -31,8 +31,9 @@
 	return mixed ^ mixed>>mixShift
 }
 
-// Select returns the count names with the highest score for a key, best first.
-// The key itself is left out, and fewer are returned where there are fewer.
+// Select returns the count names with the highest score for a key, in descending
+// order of score. It omits the name that equals the key. It returns fewer names if
+// there are fewer than count.
 func Select(names []string, key string, count int) []string {
 	ranked := make([]string, 0, len(names))
 	for _, name := range names {
@@ -46,8 +47,9 @@
 	return ranked[:min(count, len(ranked))]
 }
 
-// IsSelected says whether a name is one of the count that Select returns. It
-// stops once count others with a higher score are found, and ranks none.
+// IsSelected reports whether Select returns the name for a key and a count. It does
+// not sort the names, and stops once it has found count other names with a higher
+// score.
 func IsSelected(names []string, key, name string, count int) bool {
 	ownScore, higher := score(name, key), 0
 	for _, other := range names {
