--- a/internal/coordination/pool/candidate.go
+++ b/internal/coordination/pool/candidate.go
@@ -5,8 +5,8 @@
 	"tansyseam/internal/coordination/flowcontrol"
 )
 
-// Candidate describes an instance to the balancer by its window. HasConn says
-// whether a connection to it is idle or may be opened.
+// Candidate returns the balancer's description of the instance that has the given
+// window. hasConn is true if a connection to the instance is idle or may be opened.
 func Candidate(window *flowcontrol.Window, hasConn, sameZone, freshEnough bool) balancer.Candidate {
 	reading := window.Reading()
 	return balancer.Candidate{
--- a/internal/coordination/pool/httppool/accept.go
+++ b/internal/coordination/pool/httppool/accept.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Accept takes a request of a session, to be answered within timeout, or within
-// DefaultDeadline if that is 0. The caller calls Bind next. If accepted is false,
-// there is no request and the result is the answer. The token is for the caller,
-// who finds it again in Respond.
+// Accept admits a request to a session. The request is to be answered within
+// timeout, or within DefaultDeadline if timeout is 0. The caller calls Bind next.
+// If accepted is false, request is nil and result is the answer. The token belongs
+// to the caller, which receives it again in the request of Respond.
 func (m *Machine) Accept(sessionID string, op Op, timeout time.Duration, token any, now time.Duration) (request *Request, result Result, accepted bool) {
 	session, found := m.sessions[sessionID]
 	if !found || session.closed {
@@ -53,8 +53,8 @@
 	return result
 }
 
-// Bind resolves the binding of a request and looks for an earlier attempt of the
-// same request id. While the node has no lease, the request waits for one.
+// Bind resolves the binding of a request and looks for an earlier attempt with the
+// same request id. If the node has no lease, the request waits for one.
 func (m *Machine) Bind(request *Request, now time.Duration) {
 	if request.responded {
 		return
@@ -83,8 +83,8 @@
 	m.Emit(Enqueue{Request: request})
 }
 
-// bindToActiveSet answers the request and returns false if there is no binding of
-// the name that its session gave.
+// bindToActiveSet resolves the session's binding in the active set. If the set has
+// no binding of that name, it answers the request and returns false.
 func (m *Machine) bindToActiveSet(request *Request, now time.Duration) bool {
 	name := request.session.binding
 	set := m.EffectiveSet(now)
@@ -103,8 +103,8 @@
 	return true
 }
 
-// respondBindingMoved ends a request, and its session, whose state is at an instance
-// of the database that the binding named before.
+// respondBindingMoved ends a request and its session, because the binding now names
+// another database than that of the instance which holds the session's state.
 func (m *Machine) respondBindingMoved(request *Request, now time.Duration) {
 	request.session.stateLost = true
 	result := notCommitted("the binding moved to another database; the session's state is closed")
@@ -128,7 +128,7 @@
 	}
 }
 
-// Enqueue puts a request in its queue.
+// Enqueue adds a request to its queue. If the queue is full, it rejects the request.
 func (m *Machine) Enqueue(request *Request, now time.Duration) {
 	if request.responded {
 		m.recordNotCommitted(request, now)
@@ -150,12 +150,12 @@
 
 func (m *Machine) dequeue(request *Request) {
 	request.phase = phaseDone
-	m.database(request.databaseName).queueOf(request).removed()
+	m.database(request.databaseName).queueOf(request).onRemoved()
 }
 
-// unsentOutcome returns the outcome of a request that ends before it is sent. It
-// is unknown for a write that may be a retry, since the first attempt may have
-// been committed elsewhere.
+// unsentOutcome returns the outcome of a request that ends before it is sent. The
+// outcome is unknown for a write that may be a retry, since the first attempt may
+// have been committed on another node.
 func (m *Machine) unsentOutcome(request *Request) Outcome {
 	if request.mayPersist() && !m.requestLog.IsUnseen(request.op.RequestID) {
 		return OutcomeUnknown
--- a/internal/coordination/pool/httppool/benchmark_test.go
+++ b/internal/coordination/pool/httppool/benchmark_test.go
@@ -8,8 +8,8 @@
 	"tansyseam/internal/state/model"
 )
 
-// BenchmarkWrite measures the way of one write from Accept to its response, with the
-// instance's reply and the announcement of the replica in between.
+// BenchmarkWrite measures one write from Accept to its response, including the
+// instance's reply and the replica's announcement.
 func BenchmarkWrite(b *testing.B) {
 	h := newHarness(8)
 	session, _, _ := h.OpenSession("x", "client", nil, h.now)
--- a/internal/coordination/pool/httppool/cancel.go
+++ b/internal/coordination/pool/httppool/cancel.go
@@ -12,8 +12,9 @@
 	retryAfterMax    = 5 * time.Second
 )
 
-// Cancel ends a request whose deadline has passed, or for which the next stage has
-// no capacity. It is answered at once with what is known about it.
+// Cancel ends a request whose deadline has passed or for which the next stage has
+// no capacity. The request is answered at once, with the outcome as far as it is
+// known.
 func (m *Machine) Cancel(request *Request, now time.Duration) {
 	if request.responded {
 		return
@@ -28,7 +29,7 @@
 	phaseLookup: func(m *Machine, request *Request, now time.Duration) {
 		m.respond(request, unknownOutcome("the node that had this go has not answered"), now)
 	},
-	phaseAwaitingFirst: func(m *Machine, request *Request, now time.Duration) {
+	phaseAwaitingFirstAttempt: func(m *Machine, request *Request, now time.Duration) {
 		m.respond(request, unknownOutcome("its first sending is still out"), now)
 	},
 	phaseQueued:   (*Machine).cancelQueued,
@@ -62,7 +63,7 @@
 	m.respond(request, result, now)
 }
 
-// waitReason says what a queued request waits for.
+// waitReason returns the reason why a queued request is still waiting.
 func (m *Machine) waitReason(request *Request, now time.Duration) string {
 	writer := m.Routing().WriterRole(request.databaseName)
 	if !m.Routing().HasLease(now) {
@@ -77,8 +78,8 @@
 	return "no room in the windows of its instances"
 }
 
-// retryAfter estimates after which time a retry would be served: the time that
-// the instances need for the requests queued ahead of it.
+// retryAfter estimates the time after which a retry would be served: the time that
+// the instances need for the requests that are queued ahead of it.
 func (m *Machine) retryAfter(request *Request, now time.Duration) time.Duration {
 	database := m.database(request.databaseName)
 	jitter := m.jitter(retryAfterJitter)
@@ -92,6 +93,6 @@
 			latency = max(latency, instance.window.Reading().AverageLatency)
 		}
 	}
-	ahead := time.Duration(database.queueLength() + 1)
-	return min(retryAfterMin+jitter+ahead*latency/time.Duration(max(slots, 1)), retryAfterMax)
+	queuePosition := time.Duration(database.queueLength() + 1)
+	return min(retryAfterMin+jitter+queuePosition*latency/time.Duration(max(slots, 1)), retryAfterMax)
 }
--- a/internal/coordination/pool/httppool/cancel_test.go
+++ b/internal/coordination/pool/httppool/cancel_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestDeadlineInEachPhase(t *testing.T) {
-	Convey("A request cancelled at its deadline is answered at once in each phase, with what is known and when to retry", t, func() {
+	Convey("A request that is cancelled at its deadline is answered at once in each phase, with its outcome and a time to retry", t, func() {
 		phases := []struct {
 			name    string
 			outcome Outcome
@@ -58,7 +58,7 @@
 			SoMsg(phase.name+": the session is still open", accepted, ShouldBeTrue)
 		}
 	})
-	Convey("A request id whose request was cancelled before it was bound is new to its retry", t, func() {
+	Convey("If a request is cancelled before Bind, a retry with its request id is executed as a new request", t, func() {
 		h := newHarness(8)
 		sessionID := h.openSession("x", "a")
 		request := h.accept(sessionID, "t", write(sessionID+".1"), time.Second)
@@ -66,10 +66,10 @@
 		h.Bind(request, h.now)
 		h.applyEffects()
 		So(h.sent, ShouldBeEmpty)
-		h.submit(sessionID, "again", write(sessionID+".1"))
+		h.submit(sessionID, "retry", write(sessionID+".1"))
 		So(len(h.sent), ShouldEqual, 1)
 	})
-	Convey("One cancelled on its way to the queue ends its request id, and is not sent", t, func() {
+	Convey("If a request is cancelled between Bind and Enqueue, it is not sent and its request id is recorded as not committed", t, func() {
 		h := newHarness(8)
 		sessionID := h.openSession("x", "a")
 		request := h.accept(sessionID, "t", write(sessionID+".1"), time.Second)
@@ -77,7 +77,7 @@
 		h.Cancel(request, h.now)
 		h.applyEffects()
 		So(h.sent, ShouldBeEmpty)
-		h.submit(sessionID, "again", write(sessionID+".1"))
-		So(h.results["again"].Outcome, ShouldEqual, OutcomeNotCommitted)
+		h.submit(sessionID, "retry", write(sessionID+".1"))
+		So(h.results["retry"].Outcome, ShouldEqual, OutcomeNotCommitted)
 	})
 }
--- a/internal/coordination/pool/httppool/commit.go
+++ b/internal/coordination/pool/httppool/commit.go
@@ -8,9 +8,9 @@
 	"tansyseam/internal/state/model"
 )
 
-// confirmCommits answers the executed commits whose fate is known by now: those
-// that all required replicas hold are durable; those of a term that has ended
-// otherwise are unknown.
+// confirmCommits answers the executed commits for which there is a verdict by now. A
+// commit is durable if all required replicas have it or if the next term began after
+// it. The outcome of any other commit is unknown once its term has ended.
 func (m *Machine) confirmCommits(database *databaseState, now time.Duration) {
 	if len(database.unconfirmed) == 0 {
 		return
@@ -49,7 +49,7 @@
 }
 
 // recordOutcome stores the final state of a request in the record of its request
-// id, if there is one, and answers the retries that wait for it.
+// id, if there is a record, and answers the retries that wait for that state.
 func (m *Machine) recordOutcome(request *Request, state string, rows []byte, position model.Position, now time.Duration) {
 	waiters, status := m.requestLog.Complete(request.op.RequestID, state, rows, position, now)
 	for _, waiter := range waiters {
--- a/internal/coordination/pool/httppool/connections.go
+++ b/internal/coordination/pool/httppool/connections.go
@@ -9,13 +9,14 @@
 
 // Conn is one connection to an instance.
 type Conn struct {
-	// Transport is for the caller that carries out OpenConn and Send.
+	// Transport belongs to the caller that carries out OpenConn and Send.
 	Transport any
 
 	instance    *instanceState
 	term        uint64
 	incarnation string
-	// broken means that the connection was lost, closed that the pool closed it.
+	// broken is true if the connection was lost. closed is true if the pool has
+	// closed it.
 	broken bool
 	closed bool
 }
@@ -24,8 +25,8 @@
 	return instance.connections < m.connectionShare(instance) && instance.backoff.Over(now) && !instance.leaving()
 }
 
-// openConns opens connections for requests that wait, as many as the window and
-// the node's share have room for.
+// openConns opens connections for waiting requests, as far as the window and the
+// node's share of the instance's connections have room.
 func (m *Machine) openConns(instance *instanceState, waiting int, now time.Duration) {
 	wanted := min(waiting, instance.window.Available())
 	for instance.opening < wanted && m.canOpen(instance, now) {
@@ -35,7 +36,7 @@
 	}
 }
 
-// ConnOpened takes the result of OpenConn. If the instance could not be reached,
+// ConnOpened handles the result of OpenConn. If the instance could not be reached,
 // connected is false and reply is empty.
 func (m *Machine) ConnOpened(conn *Conn, reply Reply, connected bool, now time.Duration) {
 	instance := conn.instance
@@ -68,8 +69,8 @@
 	conn.instance.backoff.Fail(m.timing.BackoffMin, m.timing.BackoffMax, now)
 }
 
-// ConnLost takes the end of a connection that the pool has not closed. A request
-// in flight on it ends by its own event, ReplyReceived.
+// ConnLost handles the loss of a connection that the pool has not closed. A request
+// in flight on the connection ends by a separate event, ReplyReceived.
 func (m *Machine) ConnLost(conn *Conn, now time.Duration) {
 	conn.broken = true
 	instance := conn.instance
@@ -103,8 +104,8 @@
 	instance.idle = nil
 }
 
-// releaseConn makes a connection without state idle, or closes it if it must not
-// be used again.
+// releaseConn adds a connection without session state to the idle connections, or
+// closes it if it must not be used again.
 func (m *Machine) releaseConn(conn *Conn) {
 	if conn.closed {
 		return
@@ -119,7 +120,8 @@
 }
 
 // isStale reports whether a connection was opened to an earlier incarnation of its
-// instance, or to the primary in an earlier term.
+// instance, or leads to the primary and was opened in an earlier term. Connections
+// to the primary are also stale while its term is not open.
 func (m *Machine) isStale(conn *Conn) bool {
 	instance := conn.instance
 	if conn.incarnation != instance.incarnation() {
@@ -129,8 +131,10 @@
 	return writer.Primary == instance.name() && (writer.Phase != model.PhaseOpen || conn.term != writer.Term)
 }
 
-// returnConn takes back the connection of a request that was answered. If it holds
-// state of the session it stays, or becomes, pinned to the session.
+// returnConn takes back the connection of a request that was answered. A connection
+// without session state becomes idle. A connection with state stays pinned to its
+// session, or is pinned to the session if the operation may leave state; otherwise
+// it is closed.
 func (m *Machine) returnConn(request *Request, reply Reply) {
 	conn, session := request.conn, request.session
 	if session.pinnedConn == conn {
@@ -164,9 +168,9 @@
 	}
 }
 
-// reclaimIdle closes the pinned connection that has been idle longest, if a
-// request has waited long and no other connection can be had. Sessions inside a
-// transaction are spared.
+// reclaimIdle closes the pinned connection that has been idle longest, if a request
+// has waited for longer than ReclaimAfter and no other connection is available.
+// Connections of sessions inside a transaction are not closed.
 func (m *Machine) reclaimIdle(instance *instanceState, request *Request, now time.Duration) {
 	waited := now - request.arrivedAt
 	exhausted := instance.connections >= m.connectionShare(instance) && instance.opening == 0
@@ -192,8 +196,10 @@
 	}
 }
 
-// closeOverdue closes the connections of requests that were abandoned long ago,
-// and those still in use at an instance whose time to leave is over.
+// closeOverdue closes the connections of abandoned requests that are older than
+// AbandonedTimeout. If the instance has been leaving for longer than LeaveGrace,
+// closeOverdue also abandons the requests in flight and closes the connections that
+// are still in use or pinned.
 func (m *Machine) closeOverdue(instance *instanceState, now time.Duration) {
 	for _, request := range slices.Clone(instance.abandoned) {
 		if now-request.sentAt > m.timing.AbandonedTimeout {
@@ -214,8 +220,8 @@
 	m.closeConn(request.conn)
 }
 
-// discardIdlePinned closes the connections that are pinned at an instance, but for
-// those of sessions that wait for an answer.
+// discardIdlePinned closes the pinned connections to an instance, except those of
+// sessions that wait for an answer.
 func (m *Machine) discardIdlePinned(instance *instanceState) {
 	for _, session := range slices.Clone(instance.pinnedSessions) {
 		if !session.busy {
--- a/internal/coordination/pool/httppool/dispatch.go
+++ b/internal/coordination/pool/httppool/dispatch.go
@@ -9,8 +9,8 @@
 	"tansyseam/internal/state/model"
 )
 
-// maxUnassignedReads bounds the reads that a pass over a queue may fail to assign
-// before it ends.
+// maxUnassignedReads is the number of reads that a pass over a queue may fail to
+// assign and still continue.
 const maxUnassignedReads = 8
 
 func (m *Machine) dispatchAll(now time.Duration) {
@@ -21,7 +21,8 @@
 	}
 }
 
-// dispatch assigns queued requests of a database to instances that have room.
+// dispatch assigns queued requests of a database to instances that have room, if
+// the node has a lease.
 func (m *Machine) dispatch(database *databaseState, now time.Duration) {
 	if m.Routing().HasLease(now) {
 		m.dispatchWrites(database, now)
@@ -29,7 +30,7 @@
 	}
 }
 
-// dispatchWrites assigns what must go to the primary.
+// dispatchWrites assigns the requests that must run on the primary.
 func (m *Machine) dispatchWrites(database *databaseState, now time.Duration) {
 	writer := m.Routing().WriterRole(database.name)
 	if database.transactions.length+database.writes.length == 0 || writer.Phase != model.PhaseOpen {
@@ -43,8 +44,8 @@
 	m.dispatchToPrimary(&database.writes, primary, writer.Term, now)
 }
 
-// dispatchToPrimary assigns the requests of a queue in their order, as long as the
-// primary's window has room and a connection is free.
+// dispatchToPrimary assigns the requests of a queue in order, as long as the
+// primary's window has room and a connection is available.
 func (m *Machine) dispatchToPrimary(queue *requestQueue, primary *instanceState, term uint64, now time.Duration) {
 	for request := queue.front(); request != nil && primary.window.HasRoom(); request = queue.front() {
 		if !m.assign(request, primary, term, now) {
@@ -55,7 +56,8 @@
 	}
 }
 
-// dispatchReads assigns what may go to any instance that is fresh enough.
+// dispatchReads assigns the requests that may run on any instance that is fresh
+// enough.
 func (m *Machine) dispatchReads(database *databaseState, now time.Duration) {
 	if database.reads.length == 0 {
 		return
@@ -76,9 +78,9 @@
 	database.reads.front()
 }
 
-// selectInstance picks an instance for a read, or nil if none has room. If the
-// best one has no idle connection, it opens one there and picks the best of the
-// instances that have.
+// selectInstance returns the instance for a read, or nil if no instance has room. If
+// the best instance has no idle connection, selectInstance opens connections to it
+// and returns the best of the instances that have an idle connection.
 func (m *Machine) selectInstance(database *databaseState, request *Request, now time.Duration) *instanceState {
 	var candidates []balancer.Candidate
 	var instances []*instanceState
@@ -114,9 +116,9 @@
 	return instances[index]
 }
 
-// assign gives a queued request a connection of an instance and a slot of its
-// window. It returns false if no connection is free. A pinned request whose
-// connection is lost ends here.
+// assign assigns a connection to an instance and a slot of the instance's window to
+// a queued request. It returns false if no connection is available. If the request
+// is pinned to a connection that is lost, assign ends the request.
 func (m *Machine) assign(request *Request, instance *instanceState, term uint64, now time.Duration) bool {
 	conn, found := m.connFor(request, instance)
 	if !found {
@@ -137,8 +139,7 @@
 	return true
 }
 
-// respondStateLost ends a request whose pinned connection is lost, and with it the
-// session.
+// respondStateLost ends a request whose pinned connection is lost, and its session.
 func (m *Machine) respondStateLost(request *Request, now time.Duration) {
 	m.discardPinned(request.session)
 	m.recordNotCommitted(request, now)
@@ -147,8 +148,9 @@
 	m.respond(request, result, now)
 }
 
-// connFor returns the connection that a request is to use: nil if it is pinned to
-// one that is lost. It returns false if none is idle.
+// connFor returns the connection for a request. The connection is nil if the request
+// is pinned to a connection that is lost. found is false if the request needs an
+// idle connection and there is none.
 func (m *Machine) connFor(request *Request, instance *instanceState) (conn *Conn, found bool) {
 	if request.pinned {
 		conn := request.session.pinnedConn
@@ -166,8 +168,8 @@
 	return conn, true
 }
 
-// Forward sends an assigned request, unless the lease, the term or the connection
-// was lost in the meantime: then the request is queued again.
+// Forward sends an assigned request. If the lease, the term or the connection was
+// lost since the assignment, Forward queues the request again instead.
 func (m *Machine) Forward(request *Request, now time.Duration) {
 	if request.phase != phaseAssigned {
 		return
@@ -194,7 +196,8 @@
 	return request.strict && !m.Routing().MayWrite(request.databaseName, request.term, now)
 }
 
-// ForwardFailed queues a request again that the forwarding stage had no room for.
+// ForwardFailed queues a request again because the forwarding stage had no room for
+// it.
 func (m *Machine) ForwardFailed(request *Request, now time.Duration) {
 	if request.phase == phaseAssigned {
 		m.requeue(request, now)
--- a/internal/coordination/pool/httppool/dispatch_test.go
+++ b/internal/coordination/pool/httppool/dispatch_test.go
@@ -11,10 +11,10 @@
 	"tansyseam/internal/state/model"
 )
 
-func TestOneBadPeerCostsOnlyItsOwn(t *testing.T) {
-	Convey("An instance that never finishes opening a connection delays no other database, and is opened no more than its share", t, func() {
+func TestUnresponsivePeersDelayNoOthers(t *testing.T) {
+	Convey("An instance at which connections never finish opening does not delay other databases, and receives no more connection attempts than this node's share", t, func() {
 		h := newHarness(8)
-		h.slow["x0"] = true
+		h.unresponsive["x0"] = true
 		for client := range 50 {
 			sessionID := h.openSession("x", fmt.Sprint("x", client))
 			h.submit(sessionID, fmt.Sprint("x", client), write(sessionID+".1"))
@@ -25,7 +25,7 @@
 		h.submit(sessionID, "y", write(sessionID+".1"))
 		So(len(h.sent), ShouldEqual, 1)
 	})
-	Convey("Lookups at a node that does not answer are bounded, wait in order, and delay no others", t, func() {
+	Convey("Lookups at a node that does not answer are limited, wait in order, and do not delay lookups at other nodes", t, func() {
 		h := newHarness(8)
 		limit := DefaultTiming().MaxLookups
 		for number := range limit + 30 {
@@ -39,7 +39,7 @@
 		So(h.results["0"].Outcome, ShouldEqual, OutcomeUnknown)
 		So(h.lookups[limit+1].Request.RequestID(), ShouldEqual, fmt.Sprintf("d2~1~%d.1", limit))
 	})
-	Convey("A statement is not sent once its term is closed between its queue and its instance", t, func() {
+	Convey("A statement whose term is closed after its assignment and before Forward is not sent", t, func() {
 		h := newHarness(8)
 		sessionID := h.openSession("x", "a")
 		request := h.accept(sessionID, "t", write(sessionID+".1"), time.Second)
--- a/internal/coordination/pool/httppool/drain.go
+++ b/internal/coordination/pool/httppool/drain.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Drain makes the node unready and rejects all requests that wait, so that their
-// clients retry at another node. Assigned requests are still run, and open
-// transactions continue.
+// Drain marks the node as stopping and rejects all waiting requests, so that their
+// clients retry on another node. Assigned requests still run, and open transactions
+// continue.
 func (m *Machine) Drain(now time.Duration) {
 	m.StartDraining()
 	for _, request := range m.awaitingLease {
--- a/internal/coordination/pool/httppool/drain_test.go
+++ b/internal/coordination/pool/httppool/drain_test.go
@@ -9,14 +9,14 @@
 )
 
 func TestDrain(t *testing.T) {
-	Convey("A draining node rejects what is queued and new, finishes what is in flight, and lets transactions end", t, func() {
+	Convey("A draining node rejects queued and new requests, finishes requests in flight, and lets open transactions continue", t, func() {
 		h := newHarness(8)
 		inFlight, inTransaction, idle := h.openSession("x", "a"), h.openSession("x", "b"), h.openSession("x", "c")
 		h.submit(inTransaction, "begin", Op{Kind: OpBegin})
 		h.reply(Reply{InTransaction: true})
 		h.submit(inFlight, "in flight", write(inFlight+".1"))
 		queued := h.openSession("y", "d")
-		h.slow["y0"] = true
+		h.unresponsive["y0"] = true
 		h.submit(queued, "queued", write(queued+".1"))
 		So(h.ActiveSessions(), ShouldEqual, 3)
 
--- a/internal/coordination/pool/httppool/effects.go
+++ b/internal/coordination/pool/httppool/effects.go
@@ -4,24 +4,24 @@
 
 // Effects of this pool.
 type (
-	// Respond answers a request. It is the last effect of each request.
+	// Respond sends the answer to a request. It is the last effect of each request.
 	Respond struct {
 		Request *Request
 		Result  Result
 	}
 	// Enqueue passes a request to the next stage, which calls Machine.Enqueue.
 	Enqueue struct{ Request *Request }
-	// Forward passes a request to the next stage, which calls Machine.Forward; if
-	// that stage has no room, Machine.ForwardFailed is called.
+	// Forward passes a request to the next stage, which calls Machine.Forward. If
+	// that stage has no room, the caller calls Machine.ForwardFailed.
 	Forward struct{ Request *Request }
-	// Send sends an operation over a connection. Its answer comes back by
+	// Send sends an operation over a connection. The reply is passed to
 	// Machine.ReplyReceived.
 	Send struct {
 		Request *Request
 		Conn    *Conn
 		Op      Op
 	}
-	// OpenConn opens a connection to an instance. The result comes back by
+	// OpenConn opens a connection to an instance. The result is passed to
 	// Machine.ConnOpened.
 	OpenConn struct {
 		Conn    *Conn
@@ -29,14 +29,14 @@
 	}
 	// CloseConn closes a connection.
 	CloseConn struct{ Conn *Conn }
-	// Lookup asks another node for the status of a request id. The answer comes
-	// back by Machine.LookupDone.
+	// Lookup asks another node for the status of a request id. The answer is passed
+	// to Machine.LookupDone.
 	Lookup struct {
 		Request *Request
 		Node    string
 	}
-	// Watch starts to follow an instance's position, for as long as
-	// Machine.WatchTarget is active.
+	// Watch starts to follow an instance's position by status requests, until
+	// Machine.WatchTarget reports that the watch has ended.
 	Watch struct{ Instance string }
 )
 
@@ -44,10 +44,10 @@
 type (
 	// Effect is one of the types of this file.
 	Effect = pool.Effect
-	// Report asks for a report of Observations to the control primary.
+	// Report requests that Observations be reported to the control primary.
 	Report = pool.Report
-	// WriterChanged says that a writer role has changed.
+	// WriterChanged announces that a writer role has changed.
 	WriterChanged = pool.WriterChanged
-	// BindingsActivated says that a binding set has come into force.
+	// BindingsActivated announces that a binding set has come into force.
 	BindingsActivated = pool.BindingsActivated
 )
--- a/internal/coordination/pool/httppool/harness_test.go
+++ b/internal/coordination/pool/httppool/harness_test.go
@@ -12,23 +12,24 @@
 	"tansyseam/internal/state/store"
 )
 
-// harness carries out the effects of a pool whose instances answer at once, but
-// for those in slow, and holds the results by token.
+// harness carries out the effects of a pool and records the results by token.
+// Connections open at once, except those to the addresses in unresponsive, which
+// never finish opening.
 type harness struct {
 	*Machine
-	now         time.Duration
-	results     map[string]Result
-	sent        []Send
-	opens       []OpenConn
-	lookups     []Lookup
-	closedConns []*Conn
-	slow        map[string]bool
-	version     uint64
-	phase       string
+	now          time.Duration
+	results      map[string]Result
+	sent         []Send
+	opens        []OpenConn
+	lookups      []Lookup
+	closedConns  []*Conn
+	unresponsive map[string]bool
+	version      uint64
+	phase        string
 }
 
 func newHarness(connections int) *harness {
-	h := &harness{now: time.Hour, results: map[string]Result{}, slow: map[string]bool{}, phase: model.PhaseOpen}
+	h := &harness{now: time.Hour, results: map[string]Result{}, unresponsive: map[string]bool{}, phase: model.PhaseOpen}
 	h.Machine = New(Node{Name: "d1", Zone: "za", Incarnation: "1", Weight: 1}, DefaultTiming(), func(string, int64) {})
 	for _, database := range []string{"x", "y"} {
 		for index, role := range []string{model.RolePrimary, model.RoleReplica} {
@@ -84,7 +85,7 @@
 		h.closedConns = append(h.closedConns, closed.Conn)
 	}
 	if open, ok := effect.(OpenConn); ok {
-		if h.slow[open.Address] {
+		if h.unresponsive[open.Address] {
 			h.opens = append(h.opens, open)
 			return
 		}
@@ -134,7 +135,7 @@
 	h.applyEffects()
 }
 
-// replicate has a replica announce a position.
+// replicate passes an announcement of a replica with a position to the pool.
 func (h *harness) replicate(replica string, position model.Position) {
 	instance := h.Routing().Observation(replica).Instance
 	instance.Position = position
--- a/internal/coordination/pool/httppool/instance.go
+++ b/internal/coordination/pool/httppool/instance.go
@@ -12,7 +12,7 @@
 
 const (
 	// silenceBeforeReset is the time without an announcement after which an
-	// instance is treated as a new one when it announces itself again.
+	// instance is treated as a new instance when it announces itself again.
 	silenceBeforeReset = 5 * time.Second
 
 	// watchTimeout is the time without an announcement after which an instance is
@@ -20,16 +20,18 @@
 	watchTimeout = time.Minute
 )
 
-// instanceState is what the pool holds for one instance.
+// instanceState is the pool's state for one instance.
 type instanceState struct {
 	observation *routing.Observation
 	database    *databaseState
 	window      *flowcontrol.Window
 	watched     bool
-	// leavingSince is 0 unless the instance is leaving.
+	// leavingSince is the time since which the instance has been leaving, or 0 if it
+	// is not leaving.
 	leavingSince time.Duration
 
-	// connections counts open connections and, included, those being opened.
+	// connections counts the open connections and those that are being opened;
+	// opening counts the latter alone.
 	connections int
 	opening     int
 	idle        []*Conn
@@ -51,7 +53,7 @@
 }
 
 // removeAbandoned frees the slot of an abandoned request. It returns false if the
-// request isn't one.
+// request is not abandoned at this instance.
 func (i *instanceState) removeAbandoned(request *Request) bool {
 	index := slices.Index(i.abandoned, request)
 	if index < 0 {
@@ -62,7 +64,7 @@
 	return true
 }
 
-// UpdateInstance takes an instance's announcement.
+// UpdateInstance handles an instance's announcement.
 func (m *Machine) UpdateInstance(announced model.Instance, now time.Duration) {
 	database := m.database(announced.Database)
 	instance := m.instances.GetOrAdd(announced.Name, func() *instanceState {
@@ -71,7 +73,7 @@
 		}
 	})
 	previous := instance.observation.Instance
-	if cameBack(previous, announced, now-instance.observation.LastAnnouncement) {
+	if needsReset(previous, announced, now-instance.observation.LastAnnouncement) {
 		instance.window.Reset()
 		instance.backoff = pool.Backoff{}
 	}
@@ -93,15 +95,16 @@
 	m.dispatch(database, now)
 }
 
-// cameBack reports whether a known instance is to be treated as a new one: after a
-// restart, a change of role, a long silence, or when it doesn't leave after all.
-func cameBack(previous, announced model.Instance, silence time.Duration) bool {
+// needsReset reports whether a known instance must be treated as a new instance:
+// after a restart, a change of role or a long silence, or if it has cancelled its
+// departure.
+func needsReset(previous, announced model.Instance, silence time.Duration) bool {
 	if previous.Name == "" {
 		return false
 	}
 	changed := previous.Role != announced.Role || previous.Incarnation != announced.Incarnation
-	stays := previous.Leaving && !announced.Leaving
-	return changed || stays || silence > silenceBeforeReset
+	leaveCancelled := previous.Leaving && !announced.Leaving
+	return changed || leaveCancelled || silence > silenceBeforeReset
 }
 
 func (m *Machine) markLeaving(instance *instanceState, now time.Duration) {
@@ -111,8 +114,8 @@
 	}
 }
 
-// WatchTarget returns the address at which to ask an instance for its status next,
-// and its last known position. If active is false the watch has ended.
+// WatchTarget returns the address for the next status request to an instance, and
+// the instance's last known position. If active is false, the watch has ended.
 func (m *Machine) WatchTarget(name string, now time.Duration) (address string, after model.Position, active bool) {
 	instance := m.instances.Get(name)
 	if now-instance.observation.LastAnnouncement > watchTimeout {
@@ -122,8 +125,8 @@
 	return instance.observation.Instance.Address, instance.observation.Position, true
 }
 
-// InstanceStatusReceived takes an instance's status; sent is when the request for
-// it was sent.
+// InstanceStatusReceived handles an instance's status. sent is the time at which the
+// status request was sent.
 func (m *Machine) InstanceStatusReceived(name string, reply Reply, sent, now time.Duration) {
 	instance := m.instances.Get(name)
 	reported := instance.observation.Instance
@@ -153,8 +156,8 @@
 	}
 }
 
-// connectionShare is the number of connections that this node may have to an
-// instance: an equal share for each proxy, with one share left for a proxy that
+// connectionShare returns the number of connections that this node may have to an
+// instance: an equal share for each proxy, with one share reserved for a proxy that
 // replaces another.
 func (m *Machine) connectionShare(instance *instanceState) int {
 	return max(instance.observation.Instance.Connections/(m.peers.Max+1), 1)
--- a/internal/coordination/pool/httppool/lookups.go
+++ b/internal/coordination/pool/httppool/lookups.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// maxLookupsPerRequest bounds a chain of nodes that refer to each other.
+	// maxLookupsPerRequest limits how often the lookup of one request may move on to
+	// another node, so that it ends if nodes refer to each other.
 	maxLookupsPerRequest = 64
 
-	// lookupRetryDelay is the time until a node is asked again at which the first
-	// attempt was still in flight.
+	// lookupRetryDelay is the delay before a node is asked again, if the first
+	// attempt was still in flight there.
 	lookupRetryDelay = 40 * time.Millisecond
 )
 
 // lookups holds the requests that need a status from another node.
 type lookups struct {
-	// inFlight and queued have the name of the node asked as key.
+	// inFlight and queued are keyed by the name of the node that is asked.
 	inFlight map[string]int
 	queued   map[string][]*Request
 	retries  []lookupRetry
@@ -36,9 +37,9 @@
 
 func init() {
 	decisionHandlers = map[idempotency.DecisionKind]func(*Machine, *Request, idempotency.Decision, time.Duration){
-		idempotency.Execute: (*Machine).executeFirst,
+		idempotency.Execute: (*Machine).executeFirstAttempt,
 		idempotency.Wait: func(_ *Machine, request *Request, _ idempotency.Decision, _ time.Duration) {
-			request.phase = phaseAwaitingFirst
+			request.phase = phaseAwaitingFirstAttempt
 		},
 		idempotency.Reply: func(m *Machine, request *Request, decision idempotency.Decision, now time.Duration) {
 			m.respond(request, resultFromStatus(decision.Status), now)
@@ -57,7 +58,7 @@
 	decisionHandlers[decision.Kind](m, request, decision, now)
 }
 
-func (m *Machine) executeFirst(request *Request, _ idempotency.Decision, now time.Duration) {
+func (m *Machine) executeFirstAttempt(request *Request, _ idempotency.Decision, now time.Duration) {
 	if request.op.Kind == OpCommit && !request.session.inTransaction {
 		m.recordNotCommitted(request, now)
 		m.respond(request, noTransactionResult, now)
@@ -77,8 +78,9 @@
 	m.lookup(request, now)
 }
 
-// lookup asks lookupNode for the status of a request id. If MaxLookups are in
-// flight at that node, the request waits for one of them to end.
+// lookup asks the request's lookupNode for the status of the request id. If
+// MaxLookups lookups are in flight at that node, the request waits until one of them
+// has ended.
 func (m *Machine) lookup(request *Request, now time.Duration) {
 	node := request.lookupNode
 	if node == m.node.Name {
@@ -94,7 +96,8 @@
 	m.Emit(Lookup{Request: request, Node: node})
 }
 
-// LookupDone takes the answer to a Lookup; answered is false if there was none.
+// LookupDone handles the end of a Lookup. If the node did not answer, answered is
+// false and status is ignored.
 func (m *Machine) LookupDone(request *Request, node string, status idempotency.Status, answered bool, now time.Duration) {
 	m.lookups.inFlight[node]--
 	m.startQueuedLookups(node, now)
@@ -145,12 +148,12 @@
 	}
 }
 
-// HandleStatusRequest answers another node's Lookup.
+// HandleStatusRequest returns the answer to another node's Lookup.
 func (m *Machine) HandleStatusRequest(request idempotency.StatusRequest, now time.Duration) idempotency.Status {
 	return m.requestLog.HandleStatusRequest(request, now)
 }
 
-// ImportHandover takes the records of request ids of a node that shuts down.
+// ImportHandover imports the records of request ids of a node that is shutting down.
 func (m *Machine) ImportHandover(handover idempotency.Handover, now time.Duration) {
 	m.requestLog.Import(handover, now)
 	m.Count("legacies_taken", 1)
--- a/internal/coordination/pool/httppool/lookups_test.go
+++ b/internal/coordination/pool/httppool/lookups_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestRetries(t *testing.T) {
-	Convey("A retry at the same node waits for the first attempt and is answered by its outcome", t, func() {
+	Convey("A retry at the same node waits for the first attempt and is answered with its outcome", t, func() {
 		h := newHarness(8)
 		first, second := h.openSession("x", "a"), h.openSession("x", "b")
 		h.submit(first, "first", write(first+".1"))
@@ -29,7 +29,7 @@
 		So(h.results["late"].Outcome, ShouldEqual, OutcomeCommitted)
 		So(h.sent, ShouldBeEmpty)
 	})
-	Convey("Another node is asked again while the attempt there is in flight; what it never saw is executed here", t, func() {
+	Convey("Another node is asked again while the attempt there is in flight; a request that it has never received is executed here", t, func() {
 		h := newHarness(8)
 		h.submit(h.openSession("x", "a"), "retry", write("d2~1~1.1"))
 		So(len(h.lookups), ShouldEqual, 1)
@@ -43,7 +43,7 @@
 		h.applyEffects()
 		So(len(h.sent), ShouldEqual, 1)
 	})
-	Convey("A request id of the wrong form, and one that was lost with a restart, are not executed", t, func() {
+	Convey("A request with a malformed request id, or with a request id whose record was lost in a restart, is not executed", t, func() {
 		h := newHarness(8)
 		h.submit(h.openSession("x", "a"), "malformed", write("no id"))
 		So(h.results["malformed"].Cause, ShouldEqual, ErrInvalidRequestID)
--- a/internal/coordination/pool/httppool/machine.go
+++ b/internal/coordination/pool/httppool/machine.go
@@ -9,8 +9,8 @@
 	"tansyseam/internal/coordination/pool"
 )
 
-// Node describes the proxy that the pool is part of. Weight is its share of the
-// instances' capacity relative to other proxies, the beta of flow control.
+// Node describes the proxy to which the pool belongs. Weight is the proxy's share
+// of the instances' capacity relative to other proxies: the beta of flow control.
 type Node struct {
 	Name        string
 	Zone        string
@@ -18,7 +18,7 @@
 	Weight      float64
 }
 
-// Machine is one node's pool.
+// Machine is the state machine of one node's pool.
 type Machine struct {
 	pool.Core
 
@@ -43,8 +43,8 @@
 	jitterCount uint64
 }
 
-// New returns the pool of a node that has just started. It calls count for each
-// counter that rises.
+// New returns the pool of a node that has just started. The pool calls count
+// whenever it increments a counter.
 func New(node Node, timing Timing, count func(name string, by int64)) *Machine {
 	m := &Machine{
 		Core:              pool.NewCore(node.Name, lease.DefaultTiming(), count),
@@ -64,8 +64,9 @@
 // RequestLog returns the node's records of request ids.
 func (m *Machine) RequestLog() *idempotency.Machine { return m.requestLog }
 
-// Tick is to be called at short, regular intervals. liveProxies is the number of
-// proxies that are alive, this one included; weight is this node's.
+// Tick handles everything that depends on the passage of time, and must be called
+// at short, regular intervals. liveProxies is the number of live proxies, including
+// this one. weight is the weight of this node.
 func (m *Machine) Tick(liveProxies int, weight float64, now time.Duration) {
 	m.updatePeers(liveProxies, weight, now)
 	for _, instance := range m.instances.All() {
@@ -81,11 +82,11 @@
 	return m.databases.GetOrAdd(name, func() *databaseState { return &databaseState{name: name} })
 }
 
-// jitterSteps is the number of different delays that jitter gives in turn.
+// jitterSteps is the number of different delays that jitter returns in rotation.
 const jitterSteps = 16
 
 // jitter returns a delay that differs from call to call, so that clients that are
-// rejected together don't retry together.
+// rejected at the same time do not retry at the same time.
 func (m *Machine) jitter(step time.Duration) time.Duration {
 	m.jitterCount++
 	return time.Duration(m.jitterCount%jitterSteps) * step
--- a/internal/coordination/pool/httppool/operation.go
+++ b/internal/coordination/pool/httppool/operation.go
@@ -2,7 +2,7 @@
 
 import "tansyseam/internal/state/model"
 
-// OpKind is what an operation does.
+// OpKind is the kind of an operation.
 type OpKind string
 
 // Kinds of operation.
@@ -16,10 +16,10 @@
 	OpPrepare  OpKind = "prepare"
 )
 
-// Op is one operation at an instance. OpRun runs Text, or what was prepared
-// under the name Prepared; OpSet and OpPrepare use Name. RequestID tells retries
-// of a write from new ones. Term, where given, is that of the primary which may
-// run it.
+// Op is one operation at an instance. OpRun runs Text, or the statement that was
+// prepared under the name Prepared. OpSet and OpPrepare use Name. RequestID
+// distinguishes a retry of a write from a new write. If Term is not 0, only a
+// primary in that term may run the operation.
 type Op struct {
 	Kind      OpKind
 	Text      string
@@ -32,22 +32,22 @@
 	Term      uint64
 }
 
-// leavesState reports whether the connection may keep state of the session after
+// leavesState reports whether the connection may hold state of the session after
 // the operation.
 func (op Op) leavesState() bool {
 	return op.Kind == OpBegin || op.Kind == OpSet || op.Kind == OpPrepare
 }
 
-// Reply is what an instance answered.
+// Reply is an instance's reply to an operation.
 type Reply struct {
-	// Rejected says that the instance did not begin to run the operation,
-	// Failed that it ran and failed, without effect.
+	// Rejected is true if the instance did not start to run the operation. Failed
+	// is true if the operation ran and failed, without effect.
 	Rejected bool
 	Failed   bool
 	Error    string
 	Rows     []byte
 	Position model.Position
-	// Clean says that the connection holds no state of a session.
+	// Clean is true if the connection holds no state of a session.
 	Clean         bool
 	InTransaction bool
 	Role          string
--- a/internal/coordination/pool/httppool/queue.go
+++ b/internal/coordination/pool/httppool/queue.go
@@ -1,15 +1,15 @@
 package httppool
 
-// compactionThreshold is the length from which a queue that is mostly empty
-// places is compacted.
+// compactionThreshold is the number of entries above which a queue is compacted if
+// fewer than half of its entries are still queued.
 const compactionThreshold = 64
 
 // requestQueue holds requests in the order in which they are to be assigned. A
-// request leaves it by a change of its phase; its place is given up when it
-// comes to the front, or by compaction.
+// request leaves the queue when its phase changes. Its entry in requests is removed
+// later, when the entry reaches the front or the queue is compacted.
 type requestQueue struct {
 	requests []*Request
-	// length counts the requests that are still queued.
+	// length is the number of requests that are still queued.
 	length int
 }
 
@@ -23,8 +23,9 @@
 	q.length++
 }
 
-// removed is to be called when a request has left the queue.
-func (q *requestQueue) removed() {
+// onRemoved updates the length of the queue and compacts it if necessary. It must be
+// called when a request has left the queue.
+func (q *requestQueue) onRemoved() {
 	q.length--
 	if len(q.requests) > compactionThreshold && q.length < len(q.requests)/2 {
 		q.compact()
@@ -41,7 +42,7 @@
 	q.requests = queued
 }
 
-// front returns the first request that is queued, or nil.
+// front returns the first request that is still queued, or nil if there is none.
 func (q *requestQueue) front() *Request {
 	for len(q.requests) > 0 && q.requests[0].phase != phaseQueued {
 		q.requests = q.requests[1:]
@@ -52,15 +53,16 @@
 	return q.requests[0]
 }
 
-// databaseState is what the pool holds for one database.
+// databaseState is the pool's state for one database.
 type databaseState struct {
 	name string
-	// transactions holds requests that are pinned to a connection. They go first,
-	// since they may hold locks.
+	// transactions holds the requests that are pinned to a connection. They are
+	// assigned first, since their sessions may hold locks.
 	transactions requestQueue
 	writes       requestQueue
 	reads        requestQueue
-	// unconfirmed holds commits that ran and aren't known to be safe.
+	// unconfirmed holds the commits that have run but are not yet known to be safe
+	// on the replicas.
 	unconfirmed []*Request
 }
 
--- a/internal/coordination/pool/httppool/queue_test.go
+++ b/internal/coordination/pool/httppool/queue_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestQueue(t *testing.T) {
-	Convey("The front is the first request that is still queued; one put back comes first", t, func() {
+	Convey("The front is the first request that is still queued; a request that is pushed to the front comes first", t, func() {
 		var queue requestQueue
 		requests := make([]*Request, 3)
 		for number := range requests {
@@ -16,14 +16,14 @@
 		}
 		So(queue.front(), ShouldEqual, requests[0])
 		requests[0].phase = phaseAssigned
-		queue.removed()
+		queue.onRemoved()
 		So(queue.front(), ShouldEqual, requests[1])
 		requests[0].phase = phaseQueued
 		queue.pushFront(requests[0])
 		So(queue.front(), ShouldEqual, requests[0])
 		So(queue.length, ShouldEqual, 3)
 	})
-	Convey("A long queue whose requests have mostly left is compacted, in order", t, func() {
+	Convey("A long queue is compacted in order when most of its requests have left", t, func() {
 		var queue requestQueue
 		var requests []*Request
 		for range 100 {
@@ -34,7 +34,7 @@
 		for number, request := range requests {
 			if number%4 != 0 {
 				request.phase = phaseDone
-				queue.removed()
+				queue.onRemoved()
 			}
 		}
 		So(queue.length, ShouldEqual, 25)
--- a/internal/coordination/pool/httppool/reply.go
+++ b/internal/coordination/pool/httppool/reply.go
@@ -7,8 +7,8 @@
 	"tansyseam/internal/coordination/flowcontrol"
 )
 
-// ReplyReceived ends a Send: by the instance's reply, or, where broken, without
-// one that can be understood.
+// ReplyReceived handles the end of a Send. If broken is true, the connection ended
+// or the reply could not be decoded, and reply is ignored.
 func (m *Machine) ReplyReceived(request *Request, reply Reply, broken bool, now time.Duration) {
 	database := m.database(request.databaseName)
 	if broken {
@@ -55,8 +55,8 @@
 	}
 }
 
-// respondConnLost ends a request whose connection ended before its answer came. A
-// write may have run.
+// respondConnLost ends a request whose connection ended before the instance replied.
+// The outcome of a write is unknown, since the write may have run.
 func (m *Machine) respondConnLost(request *Request, now time.Duration) {
 	request.phase = phaseDone
 	result := notCommitted("the instance's session ended before its answer came")
@@ -90,8 +90,8 @@
 	m.respond(request, result, now)
 }
 
-// awaitConfirmation keeps a commit that has run until it is known whether it is safe
-// on the replicas.
+// awaitConfirmation holds back the answer to a commit that has run until it is known
+// whether the commit is safe on the replicas.
 func (m *Machine) awaitConfirmation(request *Request, database *databaseState, reply Reply, now time.Duration) {
 	request.phase = phaseUnconfirmed
 	request.executedAt = now
@@ -100,8 +100,9 @@
 	m.confirmCommits(database, now)
 }
 
-// rejectRegression ends a read that an instance answered from before the position
-// that it was known to have reached: its answer may lack what the read must see.
+// rejectRegression ends a read whose reply has a position before the one that the
+// instance had reached when the read was assigned. The reply may lack data that the
+// read must return.
 func (m *Machine) rejectRegression(request *Request, now time.Duration) {
 	m.Count("reads_gone_back", 1)
 	result := notCommitted("the instance went back behind where it stood")
@@ -121,9 +122,9 @@
 	m.respond(request, result, now)
 }
 
-// abandon gives up a request that is in flight. Its slot and connection are
-// held until the instance answers, the connection ends or AbandonedTimeout is
-// over.
+// abandon answers a request that is in flight without waiting for the instance any
+// longer. The request's slot and connection are held until the instance answers,
+// the connection ends or AbandonedTimeout has passed.
 func (m *Machine) abandon(request *Request, now time.Duration) {
 	if !request.abandoned {
 		request.abandoned = true
@@ -144,8 +145,8 @@
 	m.respond(request, result, now)
 }
 
-// abandonAll gives up what is in flight at an instance and closes the
-// connections.
+// abandonAll abandons the requests that are in flight at an instance and closes
+// their connections.
 func (m *Machine) abandonAll(instance *instanceState, now time.Duration) {
 	for _, request := range slices.Clone(instance.inFlight) {
 		if request.phase == phaseInFlight {
--- a/internal/coordination/pool/httppool/request.go
+++ b/internal/coordination/pool/httppool/request.go
@@ -10,17 +10,21 @@
 
 const (
 	phaseNew phase = iota
-	// phaseAwaitingLease waits for the node to have a lease again.
+	// phaseAwaitingLease means that the request waits until the node has a lease again.
 	phaseAwaitingLease
-	// phaseLookup waits for another node's status of the request id.
+	// phaseLookup means that the request waits for another node's status of the
+	// request id.
 	phaseLookup
-	// phaseAwaitingFirst waits for the first attempt of the same request id.
-	phaseAwaitingFirst
+	// phaseAwaitingFirstAttempt means that the request waits for the end of the
+	// first attempt with the same request id.
+	phaseAwaitingFirstAttempt
 	phaseQueued
-	// phaseAssigned has a connection and a slot, but isn't sent yet.
+	// phaseAssigned means that the request has a connection and a slot, but has not
+	// been sent yet.
 	phaseAssigned
 	phaseInFlight
-	// phaseUnconfirmed has run, but isn't known to be safe on the replicas.
+	// phaseUnconfirmed means that the commit has run, but is not known to be safe on
+	// the replicas.
 	phaseUnconfirmed
 	phaseDone
 )
@@ -37,13 +41,14 @@
 	phase     phase
 	responded bool
 
-	// inTransaction says that the session was in a transaction at Accept.
+	// inTransaction is true if the session was in a transaction at Accept.
 	inTransaction bool
 
-	// The next are set by Bind, the first two by Accept already if the node has
-	// a lease then. strict requests need the primary, pinned ones the connection
-	// of their session; the others may go to each instance whose position is not
-	// older than freshness and not before minPosition.
+	// The following fields are set by Bind. If the node has a lease at Accept,
+	// Accept already sets the first two. A strict request must run on the primary.
+	// A pinned request must use the connection of its session. Any other request
+	// may run on an instance whose data is not older than freshness and whose
+	// position is not before minPosition.
 	databaseName    string
 	freshness       time.Duration
 	bindingSequence uint64
@@ -54,32 +59,33 @@
 	lookupNode  string
 	lookupCount int
 
-	// The next are set when an instance is assigned. assignedPosition is the
-	// position that it was known to have reached then.
+	// The following fields are set when the request is assigned to an instance,
+	// sentAt when it is sent. assignedPosition is the position that the instance
+	// was known to have reached at the assignment.
 	instance         *instanceState
 	conn             *Conn
 	term             uint64
 	assignedPosition model.Position
 	sentAt           time.Duration
 
-	// abandoned is for a request that was given up while it was in flight.
+	// abandoned is true if the request was abandoned while it was in flight.
 	abandoned bool
 
-	// The next are set once a commit has run.
+	// The following fields are set when a commit has run.
 	executedAt time.Duration
 	position   model.Position
 	rows       []byte
 }
 
-// Deadline is when the request is to be cancelled.
+// Deadline returns the time at which the request is to be cancelled.
 func (r *Request) Deadline() time.Duration { return r.deadline }
 
-// RequestID is the id under which the client retries it, empty for what is no
-// write.
+// RequestID returns the id under which the client retries the request. It is empty
+// for a request that is not a write.
 func (r *Request) RequestID() string { return r.op.RequestID }
 
-// Instance names the instance it was last assigned to, empty if there is
-// none yet.
+// Instance returns the name of the instance to which the request was last assigned,
+// or an empty string if it has not been assigned yet.
 func (r *Request) Instance() string {
 	if r.instance == nil {
 		return ""
@@ -87,22 +93,23 @@
 	return r.instance.name()
 }
 
-// mayPersist reports whether it has an effect of its own that lasts: a commit, or
-// a write outside of a transaction.
+// mayPersist reports whether the request itself can have a lasting effect: whether
+// it is a commit, or a write outside of a transaction.
 func (r *Request) mayPersist() bool {
 	return r.op.Kind == OpCommit || (r.op.Kind == OpRun && r.op.Write && !r.inTransaction)
 }
 
-// setRequirements derives from the binding and the session where the request may
-// be run.
+// setRequirements derives from the binding and the session the requirements that the
+// request has on its instance and connection.
 func (r *Request) setRequirements() {
 	r.minPosition = r.session.minPositions[r.databaseName]
 	r.pinned = r.session.pinnedConn != nil
 	r.strict = !r.isRead() || r.freshness == 0 || r.pinned
 }
 
-// misplacedInTransaction is true of a begin inside a transaction and of a
-// rollback outside of one. A commit outside of one may be a retry.
+// misplacedInTransaction reports whether the request is a begin inside a transaction
+// or a rollback outside of a transaction. A commit outside of a transaction is not
+// misplaced, since it may be a retry.
 func (r *Request) misplacedInTransaction() bool {
 	nestedBegin := r.op.Kind == OpBegin && r.session.inTransaction
 	strayRollback := r.op.Kind == OpRollback && !r.session.inTransaction
--- a/internal/coordination/pool/httppool/respond.go
+++ b/internal/coordination/pool/httppool/respond.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// respond answers a request, once, and ends its session where that is lost.
+// respond answers a request that has not been answered yet, and ends the session if
+// it is closed or its state is lost.
 func (m *Machine) respond(request *Request, result Result, now time.Duration) {
 	if request.responded {
 		return
--- a/internal/coordination/pool/httppool/result.go
+++ b/internal/coordination/pool/httppool/result.go
@@ -10,25 +10,26 @@
 	"tansyseam/internal/state/model"
 )
 
-// Outcome says what became of a request. Clients read it: the strings stay.
+// Outcome tells a client whether its request took effect. Clients read the strings,
+// so they must not change.
 type Outcome string
 
 // Outcomes of a request.
 const (
-	// OutcomeCommitted is for a write that is safe on the replicas.
+	// OutcomeCommitted is the outcome of a write that is safe on the replicas.
 	OutcomeCommitted Outcome = "kept"
-	// OutcomeNotCommitted is for a request that surely had no effect.
+	// OutcomeNotCommitted is the outcome of a request that certainly had no effect.
 	OutcomeNotCommitted Outcome = "not_kept"
-	// OutcomeUnknown is for a write that may have been kept.
+	// OutcomeUnknown is the outcome of a write that may have been committed.
 	OutcomeUnknown Outcome = "unknown"
-	// OutcomeRead is for a read that was answered.
+	// OutcomeRead is the outcome of a read that was answered.
 	OutcomeRead Outcome = "read"
-	// OutcomeDone is for what ran inside a transaction or changed the session.
+	// OutcomeDone is the outcome of an operation that ran inside a transaction or
+	// changed the session.
 	OutcomeDone Outcome = "done"
 )
 
-// Causes for which a request had no effect, other than for want of time or
-// capacity.
+// Causes of requests without effect, other than a lack of time or capacity.
 const (
 	ErrNoSession        = errors.ConstError("no such session")
 	ErrSessionBusy      = errors.ConstError("session busy")
@@ -39,8 +40,8 @@
 	ErrNotReady         = errors.ConstError("not ready")
 )
 
-// Times after which a client is asked to retry. Each is meant to be about as
-// long as what it waits for takes.
+// Times after which a client is asked to retry. Each is chosen to be about as long
+// as the condition that it waits for usually takes.
 const (
 	retryAfterDefault      = time.Second
 	retryAfterNotReady     = 500 * time.Millisecond
@@ -51,7 +52,7 @@
 	retryAfterWriterChange = 800 * time.Millisecond
 )
 
-// Result is what a client is answered.
+// Result is the answer to a client.
 type Result struct {
 	// Outcome is empty if a request was rejected before it was accepted.
 	Outcome  Outcome
@@ -59,16 +60,16 @@
 	Position model.Position
 	// Error is the text for the client, empty on success.
 	Error string
-	// Cause is one of the errors of this package, nil on success and where time
-	// or capacity was wanting.
+	// Cause is one of the errors of this package. It is nil on success and if the
+	// request failed for lack of time or capacity.
 	Cause error
-	// SessionClosed says that the session is over with this answer.
+	// SessionClosed is true if the session ends with this answer.
 	SessionClosed   bool
 	RetryAfter      time.Duration
 	Instance        string
 	BindingSequence uint64
-	// MinPositions holds for each database the position that the session's
-	// reads must have reached.
+	// MinPositions holds, by database, the position that an instance must have
+	// reached to answer the session's reads.
 	MinPositions map[string]model.Position
 }
 
@@ -82,7 +83,7 @@
 	}
 )
 
-// rejection is the result of a call that was not accepted.
+// rejection returns the result of a call that was not accepted.
 func rejection(cause error, retryAfter time.Duration, text string) Result {
 	return Result{Cause: cause, RetryAfter: retryAfter, Error: text}
 }
@@ -95,7 +96,8 @@
 	return fmt.Sprintf("no binding %q in sequence %d", binding, sequence)
 }
 
-// resultFromStatus answers a retry by the record of the first attempt.
+// resultFromStatus returns the answer to a retry, from the recorded status of the
+// first attempt.
 func resultFromStatus(status idempotency.Status) Result {
 	if status.State == idempotency.StateCommitted {
 		return Result{Outcome: OutcomeCommitted, Rows: status.Rows, Position: status.Position}
--- a/internal/coordination/pool/httppool/sessions.go
+++ b/internal/coordination/pool/httppool/sessions.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// closedSessionRetention is how long a closed session is kept after its last
-	// request.
+	// closedSessionRetention is the time for which a closed session is kept after
+	// its last request.
 	closedSessionRetention = time.Minute
 
 	// expiryInterval is the minimum time between two searches for expired sessions.
@@ -19,9 +19,9 @@
 	notReadyJitter = 50 * time.Millisecond
 )
 
-// clientSession is a client's session. While it has state at an instance (an open
-// transaction, settings or prepared statements) it is pinned to the connection
-// that holds the state, and no other session uses that connection.
+// clientSession is a client's session. While the session has state at an instance
+// (an open transaction, settings or prepared statements), it is pinned to the
+// connection that holds the state, and no other session uses that connection.
 type clientSession struct {
 	id            string
 	binding       string
@@ -31,10 +31,10 @@
 
 	pinnedConn    *Conn
 	inTransaction bool
-	// stateLost means that the state at pinnedConn can't be used any more.
+	// stateLost is true if the state at pinnedConn can no longer be used.
 	stateLost bool
 
-	// busy means that a request of the session hasn't been answered yet.
+	// busy is true while a request of the session has not been answered yet.
 	busy   bool
 	closed bool
 }
@@ -50,8 +50,8 @@
 	s.pinnedConn, s.inTransaction, s.stateLost = nil, false, false
 }
 
-// isPinnedOutside reports whether it holds state at an instance of another
-// database.
+// isPinnedOutside reports whether the session is pinned to a connection to an
+// instance of another database.
 func (s *clientSession) isPinnedOutside(database string) bool {
 	return s.pinnedConn != nil && s.pinnedConn.instance.database.name != database
 }
@@ -64,18 +64,19 @@
 	return !s.busy && now-s.lastUsed > limit
 }
 
-// OpenedSession is a session that was opened.
+// OpenedSession describes a session that was opened.
 type OpenedSession struct {
 	ID              string
 	BindingSequence uint64
-	// MinPositions holds the given positions of the databases that this node
-	// knows.
+	// MinPositions holds the positions that the client gave, without those of
+	// databases that this node does not know.
 	MinPositions map[string]model.Position
 }
 
-// OpenSession opens a session for the client at remoteAddress; the session ends
-// when that connection ends. minPositions are those of the client's earlier
-// sessions. If opened is false, the result tells why.
+// OpenSession opens a session for the client connected from remoteAddress. The
+// session ends when that connection ends. minPositions holds the positions, by
+// database, from the client's earlier sessions. If opened is false, result contains
+// the reason.
 func (m *Machine) OpenSession(binding, remoteAddress string, minPositions map[string]model.Position, now time.Duration) (session OpenedSession, result Result, opened bool) {
 	if ready, reason := m.Ready(now); !ready {
 		return OpenedSession{}, rejection(ErrNotReady, retryAfterNotReady+m.jitter(notReadyJitter), "not ready: "+reason), false
@@ -113,8 +114,8 @@
 	return session
 }
 
-// CloseSession closes a session and gives the positions for the client's next
-// one; false says that there is no such session.
+// CloseSession closes a session and returns its minimum positions, which the client
+// passes to its next session. It returns false if there is no such session.
 func (m *Machine) CloseSession(sessionID string, now time.Duration) (map[string]model.Position, bool) {
 	session, found := m.sessions[sessionID]
 	if !found {
@@ -132,7 +133,7 @@
 	}
 }
 
-// SessionCount counts the sessions that are open.
+// SessionCount returns the number of open sessions.
 func (m *Machine) SessionCount() int { return len(m.sessions) }
 
 func (m *Machine) endSession(session *clientSession, now time.Duration) {
@@ -158,8 +159,8 @@
 
 func (m *Machine) isOpen(session *clientSession) bool { return m.sessions[session.id] == session }
 
-// discardPinned closes the connection that a session is pinned to. The session is
-// closed too, since its state is lost.
+// discardPinned closes the connection to which a session is pinned, if any. It also
+// closes the session, since the session's state is lost.
 func (m *Machine) discardPinned(session *clientSession) {
 	if session.pinnedConn == nil {
 		return
@@ -171,7 +172,7 @@
 	m.Count("sessions_lost", 1)
 }
 
-// expireSessions closes the sessions that have been idle for too long.
+// expireSessions ends the sessions that have been idle for too long.
 func (m *Machine) expireSessions(now time.Duration) {
 	if now-m.lastExpiry < expiryInterval {
 		return
--- a/internal/coordination/pool/httppool/status.go
+++ b/internal/coordination/pool/httppool/status.go
@@ -7,9 +7,9 @@
 	"tansyseam/internal/state/model"
 )
 
-// InstanceStatus is what operators see of an instance, under the names of the
-// API. Ages are in milliseconds; Staleness is the time since the instance was
-// last known to hold all that was confirmed.
+// InstanceStatus is the status of an instance that operators see, under the names of
+// the API. Ages are in milliseconds. StalenessMS is the time since the instance was
+// last known to have all confirmed commits.
 type InstanceStatus struct {
 	Instance       model.Instance      `json:"instance"`
 	AnnouncedAgeMS int64               `json:"heard_ms"`
@@ -23,7 +23,7 @@
 	Share          int                 `json:"share"`
 }
 
-// QueueStatus is what operators see of a database's queues.
+// QueueStatus is the status of a database's queues that operators see.
 type QueueStatus struct {
 	Database      string         `json:"database"`
 	Transactions  int            `json:"turns"`
@@ -33,7 +33,7 @@
 	HighWatermark model.Position `json:"high"`
 }
 
-// Status returns what operators see of the instances and queues.
+// Status returns the status of the instances and queues for operators.
 func (m *Machine) Status(now time.Duration) (instances []InstanceStatus, queues []QueueStatus) {
 	instances, queues = []InstanceStatus{}, []QueueStatus{}
 	for _, instance := range m.instances.All() {
@@ -68,8 +68,8 @@
 	}
 }
 
-// WindowReading returns the flow-control window of an instance; false if the
-// instance isn't known.
+// WindowReading returns the reading of an instance's flow-control window. It returns
+// false if the instance is unknown.
 func (m *Machine) WindowReading(instanceName string) (flowcontrol.Reading, bool) {
 	instance := m.instances.Get(instanceName)
 	if instance == nil {
--- a/internal/coordination/pool/httppool/timing.go
+++ b/internal/coordination/pool/httppool/timing.go
@@ -2,42 +2,43 @@
 
 import "time"
 
-// Timing holds the bounds of the pool, in time and in number.
+// Timing holds the time limits and other bounds of the pool.
 type Timing struct {
-	// DefaultDeadline is that of a request that names none.
+	// DefaultDeadline is the time limit of a request that does not specify one.
 	DefaultDeadline time.Duration
 
-	// LeaveGrace is how long work may still last at an instance that leaves.
+	// LeaveGrace is how long requests may still run at an instance that is leaving.
 	LeaveGrace time.Duration
 
-	// AbandonedTimeout is the age at which a connection is closed that is busy
-	// with a statement no one waits for.
+	// AbandonedTimeout is the time after sending at which the connection of an
+	// abandoned request is closed.
 	AbandonedTimeout time.Duration
 
-	// IdleInTransaction is how long a session may be idle inside a transaction,
-	// SessionIdleTimeout outside of one.
+	// IdleInTransaction is how long a session may be idle inside a transaction.
+	// SessionIdleTimeout is how long a session may be idle outside of one.
 	IdleInTransaction  time.Duration
 	SessionIdleTimeout time.Duration
 
-	// ReclaimAfter is how long a request waits for a connection before one is
-	// reclaimed from the session that has been idle longest. That session must
-	// have been idle for ReclaimMinIdle, or for ReclaimAfter once the request
-	// has waited for ReclaimMinIdle.
+	// ReclaimAfter is how long a request waits for a connection before a connection
+	// is reclaimed from the session that has been idle longest. That session must
+	// have been idle for ReclaimMinIdle. Once the request has waited for
+	// ReclaimMinIdle, an idle time of ReclaimAfter is enough.
 	ReclaimAfter   time.Duration
 	ReclaimMinIdle time.Duration
 
-	// BackoffMin and BackoffMax bound the pause after a connection was refused.
+	// BackoffMin and BackoffMax bound the delay after an attempt to open a
+	// connection has failed.
 	BackoffMin time.Duration
 	BackoffMax time.Duration
 
-	// MaxQueue bounds each queue, MaxSessions the sessions of the node, and
-	// MaxLookups the requests for a status in flight at one other node.
+	// MaxQueue limits the requests in each queue, MaxSessions the sessions of the
+	// node, and MaxLookups the status requests in flight at one other node.
 	MaxQueue    int
 	MaxSessions int
 	MaxLookups  int
 }
 
-// DefaultTiming returns the project's bounds.
+// DefaultTiming returns the project's default bounds.
 func DefaultTiming() Timing {
 	return Timing{
 		DefaultDeadline:    5 * time.Second,
--- a/internal/coordination/pool/httppool/updates.go
+++ b/internal/coordination/pool/httppool/updates.go
@@ -8,19 +8,21 @@
 	"tansyseam/internal/state/model"
 )
 
-// UpdateRequest returns the next request for an update, with what this node
-// observes of the instances.
+// UpdateRequest returns the next update request to the control primary, with this
+// node's observations of the instances.
 func (m *Machine) UpdateRequest(now time.Duration) distribution.UpdateRequest {
 	m.EffectiveSet(now)
 	return m.Routing().UpdateRequest(now, m.replicaLags(now))
 }
 
-// Observations returns what is observed, for a report between two update requests.
+// Observations returns this node's observations, for a report between two update
+// requests.
 func (m *Machine) Observations(now time.Duration) distribution.NodeReport {
 	return m.Routing().Report(now, m.replicaLags(now))
 }
 
-// replicaLags returns how long the oldest commit has waited for each replica.
+// replicaLags returns, by replica, how long the oldest commit has been waiting for
+// that replica.
 func (m *Machine) replicaLags(now time.Duration) map[string]time.Duration {
 	lags := map[string]time.Duration{}
 	for _, database := range m.databases.All() {
@@ -33,7 +35,8 @@
 	return lags
 }
 
-// ApplyUpdate takes the answer to an update request that was sent at a time.
+// ApplyUpdate handles the answer to an update request. sent is the time at which the
+// request was sent.
 func (m *Machine) ApplyUpdate(update distribution.Update, sent, now time.Duration) {
 	if update.Snapshot != nil {
 		m.Count("docs_taken", 1)
@@ -48,8 +51,8 @@
 	m.dispatchAll(now)
 }
 
-// onWriterChanged gives up what is in flight or pinned at a primary whose term is
-// over.
+// onWriterChanged abandons the requests in flight at a primary whose term has ended,
+// and discards the session state that is pinned there.
 func (m *Machine) onWriterChanged(change routing.WriterRoleChanged, now time.Duration) {
 	m.Count("writer_moves", 1)
 	primary := m.instances.Get(change.Previous.Primary)
--- a/internal/coordination/pool/pool_test.go
+++ b/internal/coordination/pool/pool_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestReady(t *testing.T) {
-	Convey("A node that has no lease or is draining is not ready, and says why", t, func() {
+	Convey("A node that has no lease or is draining is not ready and reports the reason", t, func() {
 		core := NewCore("d1", lease.DefaultTiming(), func(string, int64) {})
 		ready, reason := core.Ready(time.Hour)
 		So(ready, ShouldBeFalse)
@@ -35,26 +35,26 @@
 }
 
 func TestDirectory(t *testing.T) {
-	Convey("Entries are made once for each name, and listed in the order of their making", t, func() {
+	Convey("An entry is created once per name, and entries are listed in the order of creation", t, func() {
 		var directory Directory[*string]
-		made := 0
-		entryOf := func(name string) *string {
+		createdCount := 0
+		getOrAdd := func(name string) *string {
 			return directory.GetOrAdd(name, func() *string {
-				made++
+				createdCount++
 				return &name
 			})
 		}
 		So(directory.Get("b"), ShouldBeNil)
-		second, first := entryOf("b"), entryOf("a")
-		So(entryOf("b"), ShouldEqual, second)
+		second, first := getOrAdd("b"), getOrAdd("a")
+		So(getOrAdd("b"), ShouldEqual, second)
 		So(directory.Get("a"), ShouldEqual, first)
 		So(directory.All(), ShouldResemble, []*string{second, first})
-		So(made, ShouldEqual, 2)
+		So(createdCount, ShouldEqual, 2)
 	})
 }
 
 func TestBackoff(t *testing.T) {
-	Convey("The pause doubles up to its bound, and is short again after a success", t, func() {
+	Convey("The delay doubles up to its maximum and starts at its minimum again after a success", t, func() {
 		var backoff Backoff
 		So(backoff.Over(0), ShouldBeTrue)
 		now := time.Second
@@ -74,7 +74,7 @@
 }
 
 func TestCandidate(t *testing.T) {
-	Convey("An instance has capacity where its window has room and a connection is at hand", t, func() {
+	Convey("An instance has capacity if its window has room and a connection is available", t, func() {
 		window := flowcontrol.NewWindow(flowcontrol.DefaultParameters())
 		So(Candidate(window, true, true, false).HasCapacity, ShouldBeTrue)
 		So(Candidate(window, false, true, false).HasCapacity, ShouldBeFalse)
