--- a/internal/coordination/pool/httppool/result.go
+++ b/internal/coordination/pool/httppool/result.go
@@ -10,8 +10,8 @@
 	"tansyseam/internal/state/model"
 )
 
-// Outcome tells a client whether its request took effect. Clients read the strings,
-// so they must not change.
+// Outcome states whether a request took effect. Clients read the strings, so they
+// must not change.
 type Outcome string
 
 // Outcomes of a request.
--- a/internal/coordination/pool/httppool/sessions.go
+++ b/internal/coordination/pool/httppool/sessions.go
@@ -68,8 +68,8 @@
 type OpenedSession struct {
 	ID              string
 	BindingSequence uint64
-	// MinPositions holds the positions that the client gave, without those of
-	// databases that this node does not know.
+	// MinPositions holds the positions that the client passed to OpenSession,
+	// without those of databases for which this node has no entry.
 	MinPositions map[string]model.Position
 }
 
