--- a/internal/coordination/pool/linepool/answer.go
+++ b/internal/coordination/pool/linepool/answer.go
@@ -86,7 +86,7 @@
 		return
 	}
 	conn.attempt = nil
-	m.learnPosition(attempt, message.Position, now)
+	m.samplePrimaryPosition(attempt, message.Position, now)
 	m.recordOutcome(attempt, now)
 	m.complete(attempt, message, now)
 	m.dispatch(instance.database, now)
@@ -115,7 +115,7 @@
 	}
 	conn.attempt, conn.owner = nil, nil
 	conn.instance.window.Release(flowcontrol.Rejected, 0)
-	m.noteLagging(attempt, now)
+	m.markLagging(attempt, now)
 	m.Count("begins_refused", 1)
 	m.releaseInState(conn, ready.State, now)
 	if current {
@@ -125,8 +125,8 @@
 	m.dispatch(conn.instance.database, now)
 }
 
-// noteLagging skips a replica for a while that has refused as lagging.
-func (m *Machine) noteLagging(attempt *requestAttempt, now time.Duration) {
+// markLagging skips a replica for a while that has refused as lagging.
+func (m *Machine) markLagging(attempt *requestAttempt, now time.Duration) {
 	if attempt.result.Code == lineproto.CodeLagging {
 		attempt.conn.instance.laggingUntil = now + m.timing.LaggingPause
 	}
@@ -177,7 +177,7 @@
 	failed := attempt.isError()
 	if request.commit || ready.State == lineproto.StateIdle {
 		request.transaction.conn, conn.owner = nil, nil
-		conn.dirty = conn.dirty || (failed && conn.changed)
+		conn.dirty = conn.dirty || (failed && conn.sessionChanged)
 		m.releaseInState(conn, ready.State, now)
 		client.transaction, client.state = nil, lineproto.StateIdle
 		return
@@ -194,7 +194,7 @@
 
 func (m *Machine) completeWithError(attempt *requestAttempt, now time.Duration) {
 	request, code := attempt.request, attempt.result.Code
-	m.noteLagging(attempt, now)
+	m.markLagging(attempt, now)
 	if code == lineproto.CodeNotFound {
 		attempt.conn.dirty = true
 	}
--- a/internal/coordination/pool/linepool/answer_test.go
+++ b/internal/coordination/pool/linepool/answer_test.go
@@ -25,19 +25,19 @@
 		So(h.sends, ShouldBeEmpty)
 	})
 	Convey("An answer without a result is malformed: the connection is closed, and the client is answered at once", t, func() {
-		for _, one := range []struct {
+		for _, testCase := range []struct {
 			query    Query
 			response string
 		}{{read("1"), "READY I"}, {write("1"), "ERROR UNKNOWN / READY I"}} {
 			h := newHarness(20)
 			client := h.client("strict")
-			h.query(client, one.query)
+			h.query(client, testCase.query)
 			send := h.nextSend()
 			h.receive(send.Conn, h.readyIn(lineproto.StateIdle))
 			So(send.Conn.IsClosed(), ShouldBeTrue)
-			So(h.lastResponse(client), ShouldEqual, one.response)
+			So(h.lastResponse(client), ShouldEqual, testCase.response)
 			So(h.invariantViolation(), ShouldEqual, "")
-			if one.response == "READY I" {
+			if testCase.response == "READY I" {
 				h.answerSend(h.nextSend(), lineproto.StateIdle, done("s"))
 				So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
 			}
--- a/internal/coordination/pool/linepool/client_test.go
+++ b/internal/coordination/pool/linepool/client_test.go
@@ -39,8 +39,8 @@
 	states := []struct {
 		name    string
 		queries []Query
-		// answers is how many sends are answered before the client disconnects.
-		answers int
+		// answeredSends is how many sends are answered before the client disconnects.
+		answeredSends int
 	}{
 		{"at rest", nil, 0},
 		{"with a begin", []Query{begin()}, 0},
@@ -63,10 +63,10 @@
 				for _, query := range state.queries {
 					h.query(client, query)
 				}
-				for answered := 0; answered < state.answers && len(h.sends) > 0; answered++ {
+				for answered := 0; answered < state.answeredSends && len(h.sends) > 0; answered++ {
 					h.answerSend(h.nextSend(), lineproto.StateInTransaction, done("-"))
 				}
-				before := h.responseCount(client)
+				responsesBefore := h.responseCount(client)
 				inFlight := h.sends
 				h.sends = nil
 				h.ClientLost(client, h.now)
@@ -74,7 +74,7 @@
 				So(h.invariantViolation(), ShouldEqual, "")
 				h.answerAfterDisconnect(inFlight)
 				h.advanceInTicks(200 * time.Millisecond)
-				So(h.responseCount(client), ShouldEqual, before)
+				So(h.responseCount(client), ShouldEqual, responsesBefore)
 				So(h.Clients(), ShouldEqual, 0)
 				So(h.sends, ShouldBeEmpty)
 				So(h.invariantViolation(), ShouldEqual, "")
--- a/internal/coordination/pool/linepool/confirm.go
+++ b/internal/coordination/pool/linepool/confirm.go
@@ -74,7 +74,7 @@
 // abortStranded ends a commit that is in flight at an instance which is not
 // the primary any more.
 func (m *Machine) abortStranded(request *Request, now time.Duration) {
-	m.abandonAll(request, now)
+	m.closeAttemptConns(request, now)
 	if request.transaction != nil {
 		request.transaction.conn = nil
 	}
--- a/internal/coordination/pool/linepool/conn.go
+++ b/internal/coordination/pool/linepool/conn.go
@@ -35,9 +35,9 @@
 	preparedCount int
 	// dirty says that the session state is not known and has to be reset.
 	dirty bool
-	// changed says that session state was changed since the connection was
+	// sessionChanged says that session state was changed since the connection was
 	// taken, or since the transaction began: a rollback may undo it.
-	changed bool
+	sessionChanged bool
 	// owner is the client whose transaction is open on it, if any.
 	owner   *Client
 	attempt *requestAttempt
@@ -120,7 +120,7 @@
 		m.closeConn(conn, now)
 		return
 	}
-	conn.changed, conn.idleSince = false, now
+	conn.sessionChanged, conn.idleSince = false, now
 	instance.idle = append(instance.idle, conn)
 }
 
@@ -232,13 +232,13 @@
 	}
 	m.closeSurplusConns(instance, now)
 	if m.isDrainOver(instance, now) {
-		m.leaveInstance(instance, now)
+		m.closeDrainedConns(instance, now)
 	}
 }
 
-// leaveInstance gives up the connections to an instance whose drain is over,
+// closeDrainedConns gives up the connections to an instance whose drain is over,
 // with the transactions on them.
-func (m *Machine) leaveInstance(instance *instanceState, now time.Duration) {
+func (m *Machine) closeDrainedConns(instance *instanceState, now time.Duration) {
 	m.closeIdleConns(instance, now)
 	for _, conn := range slices.Clone(instance.conns) {
 		if conn.owner != nil {
--- a/internal/coordination/pool/linepool/conn_test.go
+++ b/internal/coordination/pool/linepool/conn_test.go
@@ -57,7 +57,7 @@
 		So(formatCommands(send), ShouldEqual, "write 1")
 		So(send.Conn, ShouldNotEqual, first.Conn)
 	})
-	ends := []struct {
+	statements := []struct {
 		name     string
 		queries  []Query
 		response string
@@ -69,22 +69,22 @@
 		{"a commit", []Query{begin(), commit()}, "ERROR UNKNOWN / READY I"},
 		{"a commit of reads", []Query{beginRead(), commit()}, "ERROR ABORTED / READY I"},
 	}
-	for _, end := range ends {
-		Convey("A connection lost with "+end.name+" in flight is answered with "+end.response, t, func() {
+	for _, statement := range statements {
+		Convey("A connection lost with "+statement.name+" in flight is answered with "+statement.response, t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
-			send := h.sendLast(client, end.queries)
+			send := h.sendLast(client, statement.queries)
 			h.loseConn(send.Conn)
-			So(h.lastResponse(client), ShouldEqual, end.response)
+			So(h.lastResponse(client), ShouldEqual, statement.response)
 			So(h.sends, ShouldBeEmpty)
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
-		Convey("A missing answer to "+end.name+" is reported at its deadline", t, func() {
+		Convey("A missing answer to "+statement.name+" is reported at its deadline", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
-			send := h.sendLast(client, end.queries)
+			send := h.sendLast(client, statement.queries)
 			h.advanceInTicks(2100 * time.Millisecond)
-			So(h.lastResponse(client), ShouldEqual, end.response)
+			So(h.lastResponse(client), ShouldEqual, statement.response)
 			So(send.Conn.IsClosed(), ShouldBeTrue)
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
--- a/internal/coordination/pool/linepool/dispatch.go
+++ b/internal/coordination/pool/linepool/dispatch.go
@@ -130,7 +130,7 @@
 func (m *Machine) selectInstance(database *databaseState, request *Request, excluded *instanceState, now time.Duration) (*instanceState, model.Position) {
 	var candidates []balancer.Candidate
 	var instances []*instanceState
-	minPosition, known := m.minPositionFor(database, request)
+	minPosition, hasMinPosition := m.minPositionFor(database, request)
 	writer, primary, open := m.writer(database)
 	primaryFresh := open && m.Routing().MayWrite(database.name, writer.Term, now)
 	for _, instance := range m.instances.All() {
@@ -139,7 +139,7 @@
 		}
 		freshEnough := primaryFresh
 		if instance != primary {
-			freshEnough = known && m.isReplicaFresh(instance, database, request, minPosition, now)
+			freshEnough = hasMinPosition && m.isReplicaFresh(instance, database, request, minPosition, now)
 		}
 		candidates = append(candidates, m.candidate(instance, freshEnough, now))
 		instances = append(instances, instance)
--- a/internal/coordination/pool/linepool/dispatch_test.go
+++ b/internal/coordination/pool/linepool/dispatch_test.go
@@ -59,7 +59,7 @@
 }
 
 func TestHedgedReads(t *testing.T) {
-	twinned := func() (*harness, *Client, Send, Send) {
+	hedgedRead := func() (*harness, *Client, Send, Send) {
 		h := newHarness(20)
 		h.samplePosition()
 		client := h.client("stale")
@@ -71,7 +71,7 @@
 		So(second.Commands[0].ID, ShouldEqual, first.Commands[0].ID)
 		return h, client, first, second
 	}
-	zero := func(h *harness) {
+	checkNoneInFlight := func(h *harness) {
 		for _, instance := range h.instances.All() {
 			So(instance.window.Reading().InFlight, ShouldEqual, 0)
 		}
@@ -79,7 +79,7 @@
 	}
 	Convey("Of a slow read and its hedge the first answer wins, and the other is ignored", t, func() {
 		for _, isFirst := range []bool{true, false} {
-			h, client, send, other := twinned()
+			h, client, send, other := hedgedRead()
 			if !isFirst {
 				send, other = other, send
 			}
@@ -88,30 +88,30 @@
 			count := h.responseCount(client)
 			h.answerSend(other, lineproto.StateIdle, row("late"), done("late"))
 			So(h.responseCount(client), ShouldEqual, count)
-			zero(h)
+			checkNoneInFlight(h)
 		}
 	})
 	Convey("If one connection is lost, the other attempt answers; if both are, the read is retried", t, func() {
-		h, client, send, other := twinned()
+		h, client, send, other := hedgedRead()
 		h.loseConn(send.Conn)
 		So(h.sends, ShouldBeEmpty)
 		h.answerSend(other, lineproto.StateIdle, done("s"))
 		So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
-		zero(h)
-		h, client, send, other = twinned()
+		checkNoneInFlight(h)
+		h, client, send, other = hedgedRead()
 		h.loseConn(send.Conn)
 		h.loseConn(other.Conn)
 		h.answerSend(h.nextSend(), lineproto.StateIdle, done("s"))
 		So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
-		zero(h)
+		checkNoneInFlight(h)
 	})
 	Convey("If one attempt is refused, the other answers", t, func() {
-		h, client, send, other := twinned()
+		h, client, send, other := hedgedRead()
 		h.answerSend(send, lineproto.StateIdle, failure(lineproto.CodeBusy))
 		So(h.sends, ShouldBeEmpty)
 		h.answerSend(other, lineproto.StateIdle, done("s"))
 		So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
-		zero(h)
+		checkNoneInFlight(h)
 	})
 	Convey("Writes, strict reads and reads in a transaction are not hedged", t, func() {
 		for _, queries := range [][]Query{{write("1")}, {read("1")}, {begin(), read("1")}, {beginRead(), read("1")}} {
--- a/internal/coordination/pool/linepool/drain_test.go
+++ b/internal/coordination/pool/linepool/drain_test.go
@@ -16,9 +16,9 @@
 		So(isReady, ShouldBeTrue)
 		idle, busy := h.client("strict"), h.client("strict")
 		h.Drain(h.now)
-		isReady, why := h.Ready(h.now)
+		isReady, reason := h.Ready(h.now)
 		So(isReady, ShouldBeFalse)
-		So(why, ShouldEqual, "stopping")
+		So(reason, ShouldEqual, "stopping")
 		h.advanceInTicks(2200 * time.Millisecond)
 		So(h.closedClients[idle], ShouldBeFalse)
 		h.query(busy, write("1"))
@@ -35,9 +35,9 @@
 	Convey("An open transaction has longer, and is rolled back when it is idle then", t, func() {
 		h := newHarness(20)
 		client, other := h.client("strict"), h.client("strict")
-		for _, one := range []*Client{client, other} {
-			h.query(one, begin())
-			h.query(one, write("1"))
+		for _, transactionClient := range []*Client{client, other} {
+			h.query(transactionClient, begin())
+			h.query(transactionClient, write("1"))
 			h.answerSend(h.answerBegin(), lineproto.StateInTransaction, done("w"))
 		}
 		h.Drain(h.now)
--- a/internal/coordination/pool/linepool/forward.go
+++ b/internal/coordination/pool/linepool/forward.go
@@ -17,7 +17,7 @@
 	begins := transaction != nil && transaction.conn == nil
 	commands := m.forwardCommands(request, conn, begins)
 	if begins {
-		conn.changed = false
+		conn.sessionChanged = false
 		transaction.conn, conn.owner, conn.term = conn, request.client, request.term
 	}
 	if transaction != nil && request.write {
--- a/internal/coordination/pool/linepool/harness_test.go
+++ b/internal/coordination/pool/linepool/harness_test.go
@@ -189,8 +189,8 @@
 	h.Received(open.Conn, h.readyIn(lineproto.StateIdle), h.now)
 }
 
-// connAccepted has an instance accept a connection, and carries out what follows.
-func (h *harness) connAccepted(open OpenConn) {
+// acceptAndApply has an instance accept a connection, and carries out what follows.
+func (h *harness) acceptAndApply(open OpenConn) {
 	h.acceptConn(open)
 	h.applyEffects()
 }
--- a/internal/coordination/pool/linepool/instance_test.go
+++ b/internal/coordination/pool/linepool/instance_test.go
@@ -75,8 +75,8 @@
 	})
 	Convey("The queues of two databases do not wait for each other", t, func() {
 		h := newHarness(1)
-		one, other := h.client("strict"), h.client("other")
-		h.query(one, read("1"))
+		client, other := h.client("strict"), h.client("other")
+		h.query(client, read("1"))
 		h.query(other, read("2"))
 		So(h.nextSend().target(), ShouldEqual, "a")
 		So(h.nextSend().target(), ShouldEqual, "d")
@@ -136,15 +136,15 @@
 	})
 	Convey("A primary whose drain is over is sent nothing more, even if its term is open", t, func() {
 		h := newHarness(20)
-		client, inside := h.client("strict"), h.client("strict")
-		h.query(inside, begin())
-		h.query(inside, write("1"))
+		client, inTransaction := h.client("strict"), h.client("strict")
+		h.query(inTransaction, begin())
+		h.query(inTransaction, write("1"))
 		h.answerSend(h.answerBegin(), lineproto.StateInTransaction, done("w"))
 		h.registered("a").Leaving = true
 		h.update(leaseDuration)
 		for range 2 {
 			h.advanceInTicks(2400 * time.Millisecond)
-			h.query(inside, read("2"))
+			h.query(inTransaction, read("2"))
 			h.answerSend(h.nextSend(), lineproto.StateInTransaction, done("w"))
 		}
 		h.advanceInTicks(300 * time.Millisecond)
@@ -154,8 +154,8 @@
 			h.advanceInTicks(2100 * time.Millisecond)
 			So(h.lastResponse(client), ShouldEqual, "ERROR BUSY / READY I")
 		}
-		h.query(inside, commit())
-		So(h.lastResponse(inside), ShouldEqual, "ERROR ABORTED / READY I")
+		h.query(inTransaction, commit())
+		So(h.lastResponse(inTransaction), ShouldEqual, "ERROR ABORTED / READY I")
 		So(len(h.instance("a").conns), ShouldEqual, 0)
 	})
 	Convey("A statement in flight at a draining instance is answered, and its connection is not reused", t, func() {
--- a/internal/coordination/pool/linepool/machine.go
+++ b/internal/coordination/pool/linepool/machine.go
@@ -43,10 +43,10 @@
 	quotaNodes    connquota.Members
 	drainStarted  time.Duration
 	lastIdleCheck time.Duration
-	// lastLeased is the last tick under a lease; before the first such tick it is
+	// lastTickWithLease is the last tick under a lease; before the first such tick it is
 	// the first tick of all. ticked says that there was one.
-	lastLeased time.Duration
-	ticked     bool
+	lastTickWithLease time.Duration
+	ticked            bool
 }
 
 // New returns the pool of a node that has no lease and knows no bindings and
@@ -73,7 +73,7 @@
 func (m *Machine) Tick(live []string, weight float64, now time.Duration) {
 	m.updatePeers(live, weight, now)
 	if !m.ticked || m.Routing().HasLease(now) {
-		m.ticked, m.lastLeased = true, now
+		m.ticked, m.lastTickWithLease = true, now
 	}
 	for _, instance := range m.instances.All() {
 		instance.window.Tick(now)
--- a/internal/coordination/pool/linepool/position.go
+++ b/internal/coordination/pool/linepool/position.go
@@ -41,9 +41,9 @@
 	return minPosition, found
 }
 
-// learnPosition samples the position that the primary gave with an answer. It
+// samplePrimaryPosition samples the position that the primary gave with an answer. It
 // covers what was committed before the request was sent to it.
-func (m *Machine) learnPosition(attempt *requestAttempt, position model.Position, now time.Duration) {
+func (m *Machine) samplePrimaryPosition(attempt *requestAttempt, position model.Position, now time.Duration) {
 	database := attempt.conn.instance.database
 	writer, primary, open := m.writer(database)
 	fromPrimary := open && primary == attempt.conn.instance && attempt.request.term == writer.Term
--- a/internal/coordination/pool/linepool/query_test.go
+++ b/internal/coordination/pool/linepool/query_test.go
@@ -33,9 +33,9 @@
 	})
 	Convey("A changed binding applies from the next transaction on, and a removed one to none", t, func() {
 		h := newHarness(20)
-		client, inside := h.client("strict"), h.client("strict")
-		h.query(inside, begin())
-		h.query(inside, write("1"))
+		client, inTransaction := h.client("strict"), h.client("strict")
+		h.query(inTransaction, begin())
+		h.query(inTransaction, write("1"))
 		h.answerSend(h.answerBegin(), lineproto.StateInTransaction, done("w"))
 		next := h.snapshot.Sets[0]
 		next.Sequence, next.Version = 2, 6
@@ -44,18 +44,18 @@
 		h.update(leaseDuration)
 		h.query(client, write("2"))
 		So(h.nextSend().target(), ShouldEqual, "d")
-		h.query(inside, write("3"))
+		h.query(inTransaction, write("3"))
 		send := h.nextSend()
 		So(send.target(), ShouldEqual, "a")
 		h.answerSend(send, lineproto.StateInTransaction, done("w"))
 		next.Sequence, next.Version, next.Bindings = 3, 7, nil
 		h.snapshot.Sets = append(h.snapshot.Sets, next)
 		h.update(leaseDuration)
-		h.query(inside, commit())
+		h.query(inTransaction, commit())
 		h.answerSend(h.nextSend(), lineproto.StateIdle, done("k"))
-		So(h.lastResponse(inside), ShouldEqual, "DONE k / READY I")
-		h.query(inside, read("4"))
-		So(h.lastResponse(inside), ShouldEqual, "ERROR NODB / READY I")
+		So(h.lastResponse(inTransaction), ShouldEqual, "DONE k / READY I")
+		h.query(inTransaction, read("4"))
+		So(h.lastResponse(inTransaction), ShouldEqual, "ERROR NODB / READY I")
 	})
 	Convey("Pipelined queries are answered in order, each once", t, func() {
 		h := newHarness(20)
--- a/internal/coordination/pool/linepool/queue.go
+++ b/internal/coordination/pool/linepool/queue.go
@@ -47,7 +47,7 @@
 	closeReported bool
 }
 
-func (d *databaseState) queueOf(request *Request) *requestQueue {
+func (d *databaseState) queueFor(request *Request) *requestQueue {
 	if request.transaction.isOpenAtInstance() {
 		return &d.transactionQueue
 	}
@@ -75,13 +75,13 @@
 // a transaction keeps the binding of its first statement. Without a lease it
 // waits, unless it reads inside a transaction that has begun.
 func (m *Machine) bind(request *Request, now time.Duration) {
-	begun := request.transaction.isOpenAtInstance()
-	readsOn := begun && request.transaction.readOnly
-	if !m.Routing().HasLease(now) && !readsOn {
+	isBegun := request.transaction.isOpenAtInstance()
+	continuesReadOnly := isBegun && request.transaction.readOnly
+	if !m.Routing().HasLease(now) && !continuesReadOnly {
 		m.awaitLease(request, now)
 		return
 	}
-	if begun {
+	if isBegun {
 		request.binding = request.transaction.binding
 	} else if !m.bindToActiveSet(request, now) {
 		return
@@ -92,7 +92,7 @@
 		m.timeOutQueued(request, now)
 		return
 	}
-	request.strict = !request.reads() || request.binding.Freshness == 0
+	request.strict = !request.isReadOnly() || request.binding.Freshness == 0
 	m.enqueue(request, now)
 }
 
@@ -118,9 +118,9 @@
 	}
 }
 
-// reads reports whether the request, or the transaction that it is part of,
+// isReadOnly reports whether the request, or the transaction that it is part of,
 // writes nothing.
-func (request *Request) reads() bool {
+func (request *Request) isReadOnly() bool {
 	if request.transaction != nil {
 		return request.transaction.readOnly
 	}
@@ -143,7 +143,7 @@
 // isIsolated reports whether the lease has been gone for so long that nothing
 // new waits for it.
 func (m *Machine) isIsolated(now time.Duration) bool {
-	return m.ticked && !m.Routing().HasLease(now) && now-m.lastLeased > m.timing.UnavailableWait
+	return m.ticked && !m.Routing().HasLease(now) && now-m.lastTickWithLease > m.timing.UnavailableWait
 }
 
 // resumeAwaitingLease binds again what waits for a lease.
@@ -163,7 +163,7 @@
 func (m *Machine) enqueue(request *Request, now time.Duration) {
 	database := m.database(request.binding.Database)
 	request.phase = phaseQueued
-	queue := database.queueOf(request)
+	queue := database.queueFor(request)
 	if len(*queue) >= m.timing.MaxQueue {
 		m.reject(request, errQueueFull, now)
 		return
--- a/internal/coordination/pool/linepool/random_client_test.go
+++ b/internal/coordination/pool/linepool/random_client_test.go
@@ -106,7 +106,7 @@
 			continue
 		}
 		if len(client.pending) == 0 {
-			s.violated("an answer to nothing: %s", line)
+			s.recordViolation("an answer to nothing: %s", line)
 			return
 		}
 		s.checkResponse(client, parseResponse(line))
@@ -153,12 +153,12 @@
 	if slices.Contains(noEffectCodeNames, response.code) {
 		group.noEffectResponse = response.line
 		if group.applied {
-			s.violated("%s was sent for a group that was applied: %s %s in group %d", response.line, query.ID, query.Text, group.id)
+			s.recordViolation("%s was sent for a group that was applied: %s %s in group %d", response.line, query.ID, query.Text, group.id)
 		}
 	}
 	commits := single || query.Statement.Action == lineproto.ActionCommit
 	if response.isSuccess() && commits && group.writes > 0 && !group.applied {
-		s.violated("%s was sent for a group that was not applied", response.line)
+		s.recordViolation("%s was sent for a group that was not applied", response.line)
 	}
 }
 
@@ -170,7 +170,7 @@
 	query := pending.query
 	fromInstance := slices.Contains(instanceActions, query.Statement.Action)
 	if response.isSuccess() && fromInstance && response.result != resultOf(query.ID) {
-		s.violated("%s is not the answer to %s", response.line, query.ID)
+		s.recordViolation("%s is not the answer to %s", response.line, query.ID)
 	}
 }
 
--- a/internal/coordination/pool/linepool/random_server_test.go
+++ b/internal/coordination/pool/linepool/random_server_test.go
@@ -21,8 +21,8 @@
 	hasWrites     bool
 	group         *writeGroup
 	accepted      bool
-	// atBegin is the session as the transaction found it.
-	atBegin *serverSession
+	// sessionAtBegin is the session as the transaction found it.
+	sessionAtBegin *serverSession
 }
 
 // serverSession is the session state of one connection.
@@ -85,23 +85,23 @@
 
 func (s *simulation) beginTransaction(server *simulatedServer, _ Command, refusal lineproto.Code) []lineproto.Message {
 	if server.inTransaction {
-		s.violated("begin inside a transaction")
+		s.recordViolation("begin inside a transaction")
 	}
 	if refusal != noRefusal {
 		return []lineproto.Message{failure(refusal)}
 	}
-	server.inTransaction, server.atBegin = true, server.session.clone()
+	server.inTransaction, server.sessionAtBegin = true, server.session.clone()
 	return []lineproto.Message{done("-")}
 }
 
 // rollBack ends the transaction, if any. Some servers undo changes of the session
 // state with it, and some keep them.
 func (s *simulation) rollBack(server *simulatedServer) {
-	if s.chance(0.5) && server.atBegin != nil {
-		server.session = *server.atBegin
+	if s.chance(0.5) && server.sessionAtBegin != nil {
+		server.session = *server.sessionAtBegin
 	}
 	server.endTransaction()
-	server.failed, server.atBegin = false, nil
+	server.failed, server.sessionAtBegin = false, nil
 }
 
 func (server *simulatedServer) endTransaction() {
@@ -113,7 +113,7 @@
 func (s *simulation) runStatement(server *simulatedServer, command Command, refusal lineproto.Code) []lineproto.Message {
 	client, pending, isNext := s.findPending(command.ID)
 	if client == nil {
-		s.violated("a statement that nobody sent: %s", command.ID)
+		s.recordViolation("a statement that nobody sent: %s", command.ID)
 		return []lineproto.Message{failure(lineproto.CodeOther)}
 	}
 	write := false
@@ -128,7 +128,7 @@
 		}
 		write = strings.HasPrefix(text, "w")
 		if expected := client.prepared[pending.query.Statement.Name]; isNext && expected != text {
-			s.violated("%s runs %s, not %s", command.ID, text, expected)
+			s.recordViolation("%s runs %s, not %s", command.ID, text, expected)
 		}
 	}
 	commit := command.Text == "commit"
@@ -148,10 +148,10 @@
 func (s *simulation) checkConnState(server *simulatedServer, client *simulatedClient, queryID string) {
 	inTransaction := client.state == lineproto.StateInTransaction
 	if inTransaction != server.inTransaction {
-		s.violated("%s runs inside %v, its client is inside %v", queryID, server.inTransaction, inTransaction)
+		s.recordViolation("%s runs inside %v, its client is inside %v", queryID, server.inTransaction, inTransaction)
 	}
 	if !maps.Equal(server.session.variables, client.variables) {
-		s.violated("%s runs with %v, not %v", queryID, server.session.variables, client.variables)
+		s.recordViolation("%s runs with %v, not %v", queryID, server.session.variables, client.variables)
 	}
 	if !server.inTransaction {
 		return
@@ -160,7 +160,7 @@
 		server.group = client.group
 	}
 	if server.group != client.group {
-		s.violated("%s runs inside another's transaction", queryID)
+		s.recordViolation("%s runs inside another's transaction", queryID)
 	}
 }
 
@@ -178,7 +178,7 @@
 	if group := server.group; group != nil {
 		group.applied = server.hasWrites
 		if group.noEffectResponse != "" && server.hasWrites {
-			s.violated("applied after %s", group.noEffectResponse)
+			s.recordViolation("applied after %s", group.noEffectResponse)
 		}
 	}
 	server.endTransaction()
--- a/internal/coordination/pool/linepool/random_test.go
+++ b/internal/coordination/pool/linepool/random_test.go
@@ -37,7 +37,7 @@
 	return s
 }
 
-func (s *simulation) violated(format string, parts ...any) {
+func (s *simulation) recordViolation(format string, parts ...any) {
 	if s.violation == "" {
 		s.violation = fmt.Sprintf(format, parts...)
 	}
@@ -59,7 +59,7 @@
 	}
 	s.removeClosedServers()
 	if violation := s.invariantViolation(); violation != "" {
-		s.violated("%s", violation)
+		s.recordViolation("%s", violation)
 	}
 }
 
@@ -74,7 +74,7 @@
 	for _, send := range s.sends {
 		index := slices.IndexFunc(s.servers, func(server *simulatedServer) bool { return server.conn == send.Conn })
 		if index < 0 {
-			s.violated("sent on a connection that is not open")
+			s.recordViolation("sent on a connection that is not open")
 			continue
 		}
 		s.servers[index].queue = append(s.servers[index].queue, send.Commands...)
@@ -165,14 +165,14 @@
 		refusal = pick(s, lineproto.CodeBusy, lineproto.CodeLagging, lineproto.CodeReadOnly, lineproto.CodeFailed)
 	}
 	messages := s.runNext(server, refusal)
-	lostAmid := !s.faultFree && s.chance(0.03)
-	if lostAmid {
+	lostMidAnswer := !s.faultFree && s.chance(0.03)
+	if lostMidAnswer {
 		messages = messages[:s.random.IntN(len(messages))]
 	}
 	for _, message := range messages {
 		s.Received(server.conn, message, s.now)
 	}
-	if lostAmid {
+	if lostMidAnswer {
 		s.ConnLost(server.conn, s.now)
 	}
 }
--- a/internal/coordination/pool/linepool/scarce_test.go
+++ b/internal/coordination/pool/linepool/scarce_test.go
@@ -63,7 +63,7 @@
 	mostConns int
 	opened    int
 	refused   int
-	done      int
+	completed int
 	failed    int
 	slowest   time.Duration
 }
@@ -159,7 +159,7 @@
 
 func (f *fleet) endOperation(node *fleetNode, operation *clientOperation) {
 	node.operations = slices.DeleteFunc(node.operations, func(other *clientOperation) bool { return other == operation })
-	f.done++
+	f.completed++
 	f.slowest = max(f.slowest, f.now-operation.startedAt)
 	node.Terminate(operation.client, f.now)
 	node.applyEffects()
@@ -203,7 +203,7 @@
 		}
 		conn.answerAt, conn.node.now = 0, f.now
 		if len(conn.queue) == 0 {
-			conn.node.connAccepted(OpenConn{Conn: conn.conn})
+			conn.node.acceptAndApply(OpenConn{Conn: conn.conn})
 			continue
 		}
 		queue := conn.queue
@@ -230,8 +230,8 @@
 	return count
 }
 
-// share returns the first of so many equal parts of the nodes.
-func (f *fleet) share(parts int) []*fleetNode { return f.nodes[:len(f.nodes)/parts] }
+// firstFraction returns the first of so many equal parts of the nodes.
+func (f *fleet) firstFraction(parts int) []*fleetNode { return f.nodes[:len(f.nodes)/parts] }
 
 func TestScarceConnections(t *testing.T) {
 	Convey("All of more nodes than an instance takes connections are served", t, func() {
@@ -241,7 +241,7 @@
 		}{{60, 51, 0.5}, {60, 51, 1}, {30, 20, 0.6}, {60, 110, 1}, {120, 51, 0.3}} {
 			f := newFleet(1, load.count, load.maxConns, load.rate)
 			f.run(8 * time.Second)
-			So(f.done, ShouldBeGreaterThan, int(float64(load.count)*load.rate*6))
+			So(f.completed, ShouldBeGreaterThan, int(float64(load.count)*load.rate*6))
 			So(f.failed, ShouldEqual, 0)
 			So(f.slowest, ShouldBeLessThan, 600*time.Millisecond)
 			So(f.mostConns, ShouldBeLessThanOrEqualTo, load.maxConns)
@@ -255,7 +255,7 @@
 	Convey("They are served while nodes die, return and leave", t, func() {
 		f := newFleet(2, 60, 51, 0.6)
 		f.run(5 * time.Second)
-		killed := f.share(3)
+		killed := f.firstFraction(3)
 		for _, node := range killed {
 			f.kill(node, true)
 		}
@@ -283,7 +283,7 @@
 	Convey("They are served beside idle transactions, which are ended in time", t, func() {
 		f := newFleet(3, 60, 51, 0.5)
 		f.run(3 * time.Second)
-		for _, node := range f.share(3) {
+		for _, node := range f.firstFraction(3) {
 			f.addOperation(node, true)
 		}
 		f.run(10 * time.Second)
@@ -292,7 +292,7 @@
 		for _, node := range f.nodes {
 			timedOut += node.counts["transactions_rested_out"]
 		}
-		So(timedOut, ShouldEqual, len(f.share(3)))
+		So(timedOut, ShouldEqual, len(f.firstFraction(3)))
 	})
 	Convey("Where idle transactions take all connections, the others are served again once those are ended", t, func() {
 		f := newFleet(4, 60, 51, 0)
@@ -306,7 +306,7 @@
 		f.run(5 * time.Second)
 		f.failed, f.rate = 0, 0.5
 		f.run(5 * time.Second)
-		So(f.done, ShouldBeGreaterThan, 100)
+		So(f.completed, ShouldBeGreaterThan, 100)
 		So(f.failed, ShouldEqual, 0)
 	})
 }
--- a/internal/coordination/pool/linepool/session_state.go
+++ b/internal/coordination/pool/linepool/session_state.go
@@ -49,7 +49,7 @@
 	if !inTransaction && m.needsReset(conn, client) {
 		commands = append(commands, Command{Kind: CommandReset})
 		conn.variables, conn.prepared = nil, nil
-		conn.dirty, conn.changed = false, false
+		conn.dirty, conn.sessionChanged = false, false
 		m.Count("connections_reset", 1)
 	}
 	for _, name := range slices.Sorted(maps.Keys(client.variables)) {
@@ -61,7 +61,7 @@
 			conn.variables = map[string]string{}
 		}
 		conn.variables[name] = value
-		conn.changed = true
+		conn.sessionChanged = true
 		commands = append(commands, Command{Kind: CommandSet, Name: name, Value: value})
 	}
 	return commands
@@ -95,7 +95,7 @@
 	conn.preparedCount++
 	name := fmt.Sprintf("p%d", conn.preparedCount)
 	conn.prepared[text] = name
-	conn.changed = true
+	conn.sessionChanged = true
 	return []Command{{Kind: CommandPrepare, Name: name, Value: text}}
 }
 
--- a/internal/coordination/pool/linepool/timeout.go
+++ b/internal/coordination/pool/linepool/timeout.go
@@ -21,8 +21,8 @@
 
 func (m *Machine) expireAwaitingLease(now time.Duration) {
 	for _, request := range slices.Clone(m.awaitingLease) {
-		until := min(request.arrivedAt+m.timing.UnavailableWait, m.queueDeadline(request))
-		if request.phase == phaseAwaitingLease && now >= until {
+		waitDeadline := min(request.arrivedAt+m.timing.UnavailableWait, m.queueDeadline(request))
+		if request.phase == phaseAwaitingLease && now >= waitDeadline {
 			m.timeOut(request, now)
 		}
 	}
@@ -101,13 +101,13 @@
 }
 
 func (m *Machine) timeOutInFlight(request *Request, now time.Duration) {
-	uncertain := request.mayPersist() && request.isSent()
-	m.abandonAll(request, now)
+	outcomeUnknown := request.mayPersist() && request.isSent()
+	m.closeAttemptConns(request, now)
 	transaction := request.transaction
 	if transaction != nil {
 		transaction.conn = nil
 	}
-	if uncertain {
+	if outcomeUnknown {
 		m.respondUnknown(request, errCommitTimeout, now)
 		return
 	}
@@ -123,8 +123,8 @@
 	m.respondUnknown(request, errLeaseTimeout, now)
 }
 
-// abandonAll closes the connections on which a request is in flight.
-func (m *Machine) abandonAll(request *Request, now time.Duration) {
+// closeAttemptConns closes the connections on which a request is in flight.
+func (m *Machine) closeAttemptConns(request *Request, now time.Duration) {
 	for _, attempt := range request.attempts {
 		attempt.abandoned = true
 		conn := attempt.conn
--- a/internal/coordination/pool/linepool/transaction.go
+++ b/internal/coordination/pool/linepool/transaction.go
@@ -109,7 +109,7 @@
 		m.closeConn(conn, now)
 		return
 	}
-	conn.dirty = conn.dirty || conn.changed
+	conn.dirty = conn.dirty || conn.sessionChanged
 	m.send(conn, nil, []Command{{Kind: CommandRollback}})
 }
 
--- a/internal/coordination/pool/linepool/transaction_test.go
+++ b/internal/coordination/pool/linepool/transaction_test.go
@@ -37,43 +37,43 @@
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
 	refusals := []struct {
-		name    string
-		act     func() Query
-		binding string
-		code    lineproto.Code
+		name     string
+		newBegin func() Query
+		binding  string
+		code     lineproto.Code
 	}{
 		{"LAGGING", beginRead, "stale", lineproto.CodeLagging},
 		{"READONLY", begin, "strict", lineproto.CodeReadOnly},
 		{"BUSY", begin, "strict", lineproto.CodeBusy},
 	}
-	for _, one := range refusals {
-		Convey("A begin refused with "+one.name+" holds the statement back; it runs in a later transaction", t, func() {
+	for _, refusal := range refusals {
+		Convey("A begin refused with "+refusal.name+" holds the statement back; it runs in a later transaction", t, func() {
 			h := newHarness(20)
 			h.samplePosition()
-			client := h.client(one.binding)
-			h.query(client, one.act())
+			client := h.client(refusal.binding)
+			h.query(client, refusal.newBegin())
 			h.query(client, read("1"))
 			count := h.responseCount(client)
-			h.answerSend(h.nextSend(), lineproto.StateIdle, failure(one.code))
+			h.answerSend(h.nextSend(), lineproto.StateIdle, failure(refusal.code))
 			So(h.responseCount(client), ShouldEqual, count)
 			h.advanceInTicks(400 * time.Millisecond)
-			again := h.answerBegin()
-			So(formatCommands(again), ShouldEqual, "read 1")
-			h.answerSend(again, lineproto.StateInTransaction, done("s"))
+			retried := h.answerBegin()
+			So(formatCommands(retried), ShouldEqual, "read 1")
+			h.answerSend(retried, lineproto.StateInTransaction, done("s"))
 			So(h.lastResponse(client), ShouldEqual, "DONE s / READY T")
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
-		Convey("A begin refused with "+one.name+" for as long as the statement may wait ends it with BUSY", t, func() {
+		Convey("A begin refused with "+refusal.name+" for as long as the statement may wait ends it with BUSY", t, func() {
 			h := newHarness(20)
 			h.samplePosition()
-			client := h.client(one.binding)
-			h.query(client, one.act())
+			client := h.client(refusal.binding)
+			h.query(client, refusal.newBegin())
 			h.query(client, read("1"))
 			attempts := 0
 			for h.now < time.Hour+5*time.Second && h.lastResponse(client) == "DONE - / READY T" {
 				for len(h.sends) > 0 {
 					attempts++
-					h.answerSend(h.nextSend(), lineproto.StateIdle, failure(one.code))
+					h.answerSend(h.nextSend(), lineproto.StateIdle, failure(refusal.code))
 				}
 				h.advanceInTicks(25 * time.Millisecond)
 			}
@@ -120,12 +120,12 @@
 		h.answerSend(h.answerBegin(), lineproto.StateInTransaction, done("w"))
 		h.query(client, rollback())
 		So(h.lastResponse(client), ShouldEqual, "DONE - / READY I")
-		back := h.nextSend()
-		So(formatCommands(back), ShouldEqual, "rollback")
+		rollbackSend := h.nextSend()
+		So(formatCommands(rollbackSend), ShouldEqual, "rollback")
 		h.query(client, write("2"))
-		So(h.nextSend().Conn, ShouldNotEqual, back.Conn)
-		h.answerSend(back, lineproto.StateIdle, done("-"))
-		So(back.Conn.state, ShouldEqual, connIdle)
+		So(h.nextSend().Conn, ShouldNotEqual, rollbackSend.Conn)
+		h.answerSend(rollbackSend, lineproto.StateIdle, done("-"))
+		So(rollbackSend.Conn.state, ShouldEqual, connIdle)
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
 	Convey("A connection whose rollback does not end its transaction is not reused", t, func() {
@@ -135,9 +135,9 @@
 		h.query(client, write("1"))
 		h.answerSend(h.answerBegin(), lineproto.StateInTransaction, done("w"))
 		h.query(client, rollback())
-		back := h.nextSend()
-		h.answerSend(back, lineproto.StateInTransaction, failure(lineproto.CodeOther))
-		So(back.Conn.IsClosed(), ShouldBeTrue)
+		rollbackSend := h.nextSend()
+		h.answerSend(rollbackSend, lineproto.StateInTransaction, failure(lineproto.CodeOther))
+		So(rollbackSend.Conn.IsClosed(), ShouldBeTrue)
 	})
 	Convey("A connection that a single statement leaves in a transaction is closed", t, func() {
 		h := newHarness(20)
--- a/internal/coordination/pool/linepool/update.go
+++ b/internal/coordination/pool/linepool/update.go
@@ -48,15 +48,15 @@
 func (m *Machine) onWriterChanged(change routing.WriterRoleChanged, now time.Duration) {
 	m.Count("writer_moves", 1)
 	database := m.database(change.Database)
-	database.noteWriterChange(change, now)
+	database.recordWriterChange(change, now)
 	former := m.instance(change.Previous.Primary)
 	wasOpen := change.Previous.Phase == model.PhaseOpen
 	if wasOpen && former != nil && !isTermOpen(change.Current, change.Previous.Term) {
-		m.leaveFormerPrimary(database, former, change.Current, now)
+		m.releaseFormerPrimary(database, former, change.Current, now)
 	}
 }
 
-func (d *databaseState) noteWriterChange(change routing.WriterRoleChanged, now time.Duration) {
+func (d *databaseState) recordWriterChange(change routing.WriterRoleChanged, now time.Duration) {
 	if change.Current.Phase != model.PhaseOpen {
 		if d.writerClosedAt == 0 {
 			d.writerClosedAt = now
@@ -74,10 +74,10 @@
 	return writer.Phase == model.PhaseOpen && writer.Term == term
 }
 
-// leaveFormerPrimary takes back from an instance that was the primary what
+// releaseFormerPrimary takes back from an instance that was the primary what
 // only a primary may run: strict reads are queued for the next one,
 // transactions that are not being committed are lost.
-func (m *Machine) leaveFormerPrimary(database *databaseState, former *instanceState, current model.WriterRole, now time.Duration) {
+func (m *Machine) releaseFormerPrimary(database *databaseState, former *instanceState, current model.WriterRole, now time.Duration) {
 	for _, request := range slices.Clone(database.inFlight) {
 		if request.isStrictReadAt(former) && !isTermOpen(current, request.term) {
 			m.requeue(request, now)
--- a/internal/coordination/pool/linepool/update_test.go
+++ b/internal/coordination/pool/linepool/update_test.go
@@ -21,10 +21,10 @@
 			h.answerSend(h.answerBegin(), lineproto.StateInTransaction, done("w"))
 		}
 		h.query(working, write("2"))
-		out := h.nextSend()
+		inFlight := h.nextSend()
 		h.setWriter(model.PhaseClosing, "a", 3)
 		So(h.lastResponse(working), ShouldEqual, "ERROR ABORTED / READY E")
-		So(out.Conn.IsClosed(), ShouldBeTrue)
+		So(inFlight.Conn.IsClosed(), ShouldBeTrue)
 		So(h.lastResponse(idle), ShouldEqual, "DONE w / READY T")
 		h.query(idle, write("3"))
 		So(h.lastResponse(idle), ShouldEqual, "ERROR ABORTED / READY E")
