--- a/internal/coordination/pool/linepool/answer.go
+++ b/internal/coordination/pool/linepool/answer.go
@@ -8,9 +8,9 @@
 	"tansyseam/internal/state/model"
 )
 
-// Received takes a message from an instance. Messages come in the order in
-// which the instance sent them; a connection whose messages make no sense is
-// closed.
+// Received handles a message from an instance. Messages must be passed in the
+// order in which the instance sent them. A connection that delivers an
+// unexpected message is closed.
 func (m *Machine) Received(conn *Conn, message lineproto.Message, now time.Duration) {
 	if conn.state == connClosed {
 		return
@@ -40,7 +40,7 @@
 	m.ConnLost(conn, now)
 }
 
-// instanceMessageHandler takes a message that belongs to an attempt, or to a
+// instanceMessageHandler handles a message that belongs to an attempt, or to a
 // command of the node's own, for which attempt is nil.
 type instanceMessageHandler func(m *Machine, conn *Conn, attempt *requestAttempt, message lineproto.Message, now time.Duration)
 
@@ -68,7 +68,7 @@
 	}
 }
 
-// onReady takes the last message of an answer.
+// onReady handles the last message of an answer.
 func (m *Machine) onReady(conn *Conn, attempt *requestAttempt, message lineproto.Message, now time.Duration) {
 	instance := conn.instance
 	conn.pending = conn.pending[1:]
@@ -92,8 +92,8 @@
 	m.dispatch(instance.database, now)
 }
 
-// onOwnCommandAnswered makes a connection idle with the answer to the last of the
-// node's own commands, unless a client's statement was sent behind it.
+// onOwnCommandAnswered makes a connection idle after the answer to the last of
+// the node's own commands, unless a client's statement has been sent after it.
 func (m *Machine) onOwnCommandAnswered(conn *Conn, ready lineproto.Message, now time.Duration) {
 	if len(conn.pending) == 0 && conn.attempt == nil {
 		m.releaseInState(conn, ready.State, now)
@@ -101,8 +101,8 @@
 	}
 }
 
-// onBeginAnswered takes the answer to the begin of a transaction, and sends the
-// transaction's first statement.
+// onBeginAnswered handles the answer to the BEGIN command of a transaction. If
+// the transaction has begun, it sends the transaction's first statement.
 func (m *Machine) onBeginAnswered(attempt *requestAttempt, ready lineproto.Message, now time.Duration) {
 	request, conn := attempt.request, attempt.conn
 	began := attempt.result.Kind == lineproto.KindDone && ready.State == lineproto.StateInTransaction
@@ -125,14 +125,16 @@
 	m.dispatch(conn.instance.database, now)
 }
 
-// markLagging skips a replica for a while that has refused as lagging.
+// markLagging makes reads skip a replica for Timing.LaggingPause if the replica
+// refused a request because it lags.
 func (m *Machine) markLagging(attempt *requestAttempt, now time.Duration) {
 	if attempt.result.Code == lineproto.CodeLagging {
 		attempt.conn.instance.laggingUntil = now + m.timing.LaggingPause
 	}
 }
 
-// recordOutcome takes an answer into the instance's window and health.
+// recordOutcome records the result of an attempt in the instance's window and
+// health.
 func (m *Machine) recordOutcome(attempt *requestAttempt, now time.Duration) {
 	instance := attempt.conn.instance
 	rejected := attempt.isError(lineproto.CodeBusy, lineproto.CodeLagging, lineproto.CodeReadOnly, lineproto.CodeNotFound)
@@ -147,7 +149,7 @@
 	}
 }
 
-// complete takes the complete answer to a statement.
+// complete handles the complete answer to a statement.
 func (m *Machine) complete(attempt *requestAttempt, ready lineproto.Message, now time.Duration) {
 	conn := attempt.conn
 	if !attempt.isCurrent() {
@@ -170,8 +172,8 @@
 	m.completeWithSuccess(attempt, ready, now)
 }
 
-// completeInTransaction brings the connection and the client to the state in
-// which a transaction's statement has left them.
+// completeInTransaction updates the connection and the client after a statement
+// of a transaction has been answered.
 func (m *Machine) completeInTransaction(attempt *requestAttempt, ready lineproto.Message, now time.Duration) {
 	request, conn, client := attempt.request, attempt.conn, attempt.request.client
 	failed := attempt.isError()
@@ -210,9 +212,10 @@
 	m.handlePipelined(client, now)
 }
 
-// isRetryable reports whether the request of an attempt that ended with an error may
-// be sent again. A statement that was not prepared has not run; other errors are
-// retried for reads alone, and those that instances ran and failed only so often.
+// isRetryable reports whether the request of an attempt that ended with an
+// error may be sent again. A statement that was not prepared has not run, so it
+// is retried unless it is in a transaction. Other errors are retried for reads
+// only, and reads that instances ran and failed only up to maxAttempts.
 func (attempt *requestAttempt) isRetryable() bool {
 	request := attempt.request
 	if attempt.isError(lineproto.CodeNotFound) {
@@ -227,8 +230,8 @@
 	return attempt.isError(lineproto.CodeLagging, lineproto.CodeBusy, lineproto.CodeReadOnly)
 }
 
-// retry queues the request of an attempt that ended with an error again, unless it is
-// still in flight at another instance.
+// retry requeues the request of an attempt that ended with an error, unless the
+// request is still in flight at another instance.
 func (m *Machine) retry(attempt *requestAttempt, now time.Duration) {
 	request := attempt.request
 	if attempt.isError(lineproto.CodeFailed) {
@@ -243,8 +246,9 @@
 	m.requeueAfterRefusal(request, attempt.result.Code, now)
 }
 
-// requeueAfterRefusal queues a request that an instance refused, to be sent
-// after a pause; a lagging replica causes none, since another may be fresh.
+// requeueAfterRefusal requeues a request that an instance refused, to be sent
+// after a pause. A refusal by a lagging replica causes no pause, since another
+// replica may be fresh enough.
 func (m *Machine) requeueAfterRefusal(request *Request, code lineproto.Code, now time.Duration) {
 	if code != lineproto.CodeLagging {
 		request.notBefore = now + time.Duration(request.retries+1)*m.timing.RetryDelay
--- a/internal/coordination/pool/linepool/client.go
+++ b/internal/coordination/pool/linepool/client.go
@@ -11,23 +11,24 @@
 
 // Client is one client session.
 type Client struct {
-	// Token belongs to the caller of Accept; the machine does not use it.
+	// Token is for the caller of Accept; the machine does not use it.
 	Token any
-	// binding is the name that the client gave at its connect.
+	// binding is the name of the binding in the client's connect request.
 	binding string
-	// variables and prepared are the session state that connections are
-	// brought to before the client's statements run on them.
+	// variables and prepared are the client's session state. They are applied
+	// to a connection before the client's statements run on it.
 	variables map[string]string
 	prepared  map[string]preparedStatement
-	// ownCommits has the client's last confirmed commit for each database.
+	// ownCommits maps the name of a database to the client's last confirmed
+	// commit there.
 	ownCommits  map[string]ownCommit
 	state       byte
 	transaction *transactionState
-	// request is the statement that is being served, if any; pipelined are
-	// those that the client sent ahead.
+	// request is the statement that is being served, or nil. pipelined holds
+	// the queries that the client sent before that statement was answered.
 	request   *Request
 	pipelined []Query
-	// serial orders clients by their arrival.
+	// serial numbers the clients in order of arrival.
 	serial    uint64
 	lastUsed  time.Duration
 	connected bool
@@ -44,8 +45,8 @@
 	at       time.Duration
 }
 
-// Accept adds a client session that has been opened. It returns nil if the
-// node has as many as it takes.
+// Accept adds a client session that has been opened. It returns nil if the node
+// has reached Timing.MaxClients.
 func (m *Machine) Accept(token any, now time.Duration) *Client {
 	if len(m.clients) >= m.timing.MaxClients {
 		m.Count("clients_refused", 1)
@@ -75,10 +76,11 @@
 	m.endTransaction(client, now)
 }
 
-// Terminate ends the session of a client that has asked for it.
+// Terminate ends the session of a client that has requested it.
 func (m *Machine) Terminate(client *Client, now time.Duration) { m.closeClient(client, now) }
 
-// ProtocolError answers a message that makes no sense and closes the session.
+// ProtocolError answers an invalid message with an error and closes the
+// session.
 func (m *Machine) ProtocolError(client *Client, code lineproto.Code, text string, now time.Duration) {
 	m.protocolError(client, clientError{code, text}, now)
 }
@@ -103,8 +105,8 @@
 	}
 }
 
-// Connect takes a client's connect, which names the binding that it is to use.
-// It is answered once the node has a lease and bindings.
+// Connect handles a client's connect request, which names the binding that the
+// client uses. The request is answered once the node has a lease and bindings.
 func (m *Machine) Connect(client *Client, binding string, now time.Duration) {
 	if client.closed {
 		return
@@ -118,7 +120,8 @@
 	m.admitConnecting(now)
 }
 
-// admitConnecting answers the connects that can be answered now.
+// admitConnecting answers the connect requests that can be answered now, and
+// rejects those that have waited for too long.
 func (m *Machine) admitConnecting(now time.Duration) {
 	if len(m.connecting) == 0 {
 		return
@@ -164,7 +167,8 @@
 	m.respond(client, err.message(), readyMessage(client, model.Position{}))
 }
 
-// respondDone answers a statement that the node has carried out by itself.
+// respondDone answers a statement that the node has handled without an
+// instance.
 func (m *Machine) respondDone(client *Client) {
 	m.respond(client, lineproto.Message{Kind: lineproto.KindDone, Payload: "-"}, readyMessage(client, model.Position{}))
 }
@@ -173,8 +177,8 @@
 	return lineproto.Message{Kind: lineproto.KindReady, State: client.state, Position: position}
 }
 
-// clientsBySerial returns the clients in the order of their arrival, so that
-// what is done for all of them does not depend on the order of a map.
+// clientsBySerial returns the clients in order of arrival, so that operations
+// on all clients do not depend on the iteration order of a map.
 func (m *Machine) clientsBySerial() []*Client {
 	clients := make([]*Client, 0, len(m.clients))
 	for client := range m.clients {
--- a/internal/coordination/pool/linepool/confirm.go
+++ b/internal/coordination/pool/linepool/confirm.go
@@ -9,9 +9,10 @@
 
 // confirmCommits answers the commits that instances have carried out. It does
 // so only while the node holds a lease and the term in which they ran is open,
-// or is closing and the node has not reported yet that it knows: until that
-// report no other instance is promoted, and the positions that the control
-// primary collects afterwards cover every commit that is confirmed now.
+// or is closing and the node has not yet reported to the control primary that
+// it has observed the close. Until that report no other instance is promoted,
+// and the positions that the control primary collects afterwards cover every
+// commit that is confirmed now.
 func (m *Machine) confirmCommits(database *databaseState, now time.Duration) {
 	for _, request := range slices.Clone(database.unconfirmed) {
 		if !m.isTermCurrent(database, request) {
@@ -43,9 +44,9 @@
 }
 
 // HasStrandedCommits reports whether commits are in flight at a primary whose
-// term is closing and which may still answer them. The next update request,
-// which reports that this node has stopped there, is to wait for them for up
-// to Timing.ClosingGrace.
+// term is closing but which may still answer them. The next update request,
+// which reports that this node has stopped using that primary, should wait for
+// them for up to Timing.ClosingGrace.
 func (m *Machine) HasStrandedCommits(now time.Duration) bool {
 	for _, database := range m.databases.All() {
 		primary := m.instance(m.Routing().WriterRole(database.name).Primary)
@@ -58,8 +59,7 @@
 	return false
 }
 
-// strandedCommits returns the commits in flight in a term that is not open any
-// more.
+// strandedCommits returns the commits in flight whose term is no longer open.
 func (m *Machine) strandedCommits(database *databaseState) []*Request {
 	writer, _, open := m.writer(database)
 	var stranded []*Request
@@ -71,8 +71,8 @@
 	return stranded
 }
 
-// abortStranded ends a commit that is in flight at an instance which is not
-// the primary any more.
+// abortStranded ends a commit that is in flight at an instance which is no
+// longer the primary.
 func (m *Machine) abortStranded(request *Request, now time.Duration) {
 	m.closeAttemptConns(request, now)
 	if request.transaction != nil {
--- a/internal/coordination/pool/linepool/conn.go
+++ b/internal/coordination/pool/linepool/conn.go
@@ -11,38 +11,40 @@
 type connState int
 
 const (
-	// connOpening: the handshake is not over.
+	// connOpening means that the handshake is not complete.
 	connOpening connState = iota
-	// connIdle: nothing is pending on it.
+	// connIdle means that no answer is pending; a transaction may be open.
 	connIdle
-	// connBusy: answers are pending.
+	// connBusy means that answers are pending.
 	connBusy
-	// connClosed: it has been given up.
+	// connClosed means that the machine has closed the connection.
 	connClosed
 )
 
 // Conn is one connection to an instance.
 type Conn struct {
-	// Transport belongs to the program that carries out OpenConn; the machine
-	// does not use it.
+	// Transport is for the program that carries out OpenConn; the machine does
+	// not use it.
 	Transport any
 	instance  *instanceState
 	state     connState
 	// variables and prepared are the session state at the instance; prepared
-	// maps a statement's text to the name under which it is prepared.
+	// maps the text of a statement to the name under which it is prepared.
 	variables     map[string]string
 	prepared      map[string]string
 	preparedCount int
-	// dirty says that the session state is not known and has to be reset.
+	// dirty is true if the session state is unknown and must be reset.
 	dirty bool
-	// sessionChanged says that session state was changed since the connection was
-	// taken, or since the transaction began: a rollback may undo it.
+	// sessionChanged is true if session state was changed since the connection
+	// was taken from the idle list, or since its transaction began. A rollback
+	// may undo the change.
 	sessionChanged bool
-	// owner is the client whose transaction is open on it, if any.
+	// owner is the client whose transaction is open on the connection, or nil.
 	owner   *Client
 	attempt *requestAttempt
-	// pending has an entry for each answer that is to come, in order: the
-	// attempt that it belongs to, or nil for a command of the node's own.
+	// pending has one entry for each answer that is still expected, in order:
+	// the attempt that the answer belongs to, or nil for a command of the
+	// node's own.
 	pending   []*requestAttempt
 	openedAt  time.Duration
 	idleSince time.Duration
@@ -50,15 +52,15 @@
 	term uint64
 }
 
-// IsClosed reports whether the machine has given the connection up.
+// IsClosed reports whether the machine has closed the connection.
 func (c *Conn) IsClosed() bool { return c.state == connClosed }
 
 func (m *Machine) canOpen(instance *instanceState, now time.Duration) bool {
 	return len(instance.conns) < instance.quota.MaxOpen && instance.backoff.Over(now) && instance.info.Address != ""
 }
 
-// openConns opens connections to an instance for the statements that wait, as
-// far as its window and the node's quota allow.
+// openConns opens connections to an instance for the waiting statements, within
+// the limits of the instance's window and the node's quota.
 func (m *Machine) openConns(instance *instanceState, waiting int, now time.Duration) {
 	wanted := min(waiting, max(instance.window.Available(), 1))
 	for instance.opening < wanted && m.canOpen(instance, now) {
@@ -69,7 +71,7 @@
 	}
 }
 
-// onOpened takes the first message on a connection, which ends its handshake.
+// onOpened handles the first message on a connection, which ends the handshake.
 func (m *Machine) onOpened(conn *Conn, message lineproto.Message, now time.Duration) {
 	instance := conn.instance
 	if message.Code == lineproto.CodeWrongInstance {
@@ -97,8 +99,8 @@
 	instance.backoff.Fail(m.timing.BackoffMin, m.timing.BackoffMax, now)
 }
 
-// releaseInState makes a connection idle if its session is outside of a
-// transaction, and closes it otherwise.
+// releaseInState makes a connection idle if its session is in the idle state,
+// and closes it if a transaction is still open.
 func (m *Machine) releaseInState(conn *Conn, state byte, now time.Duration) {
 	if state != lineproto.StateIdle {
 		m.closeConn(conn, now)
@@ -107,8 +109,9 @@
 	m.release(conn, now)
 }
 
-// release makes a connection idle, or closes it if the instance is draining or
-// the node has more than its quota.
+// release makes a connection idle. It closes the connection instead if the
+// instance has stopped, if it is draining and not the primary, or if the node
+// has more connections than its quota.
 func (m *Machine) release(conn *Conn, now time.Duration) {
 	if conn.state == connClosed {
 		return
@@ -130,8 +133,8 @@
 	}
 }
 
-// closeConn closes a connection. An attempt that is in flight on it counts as
-// lost in the window; the caller sees to its request.
+// closeConn closes a connection. An attempt that is in flight on it is counted
+// as lost in the window; the caller must handle the attempt's request.
 func (m *Machine) closeConn(conn *Conn, now time.Duration) {
 	if conn.state == connClosed {
 		return
@@ -160,8 +163,8 @@
 	attempt.conn.instance.window.Release(flowcontrol.Lost, latency)
 }
 
-// ConnLost takes a connection that has ended by itself, could not be opened,
-// or carries what makes no sense.
+// ConnLost handles a connection that the instance has closed, that could not be
+// opened, or that has delivered an invalid message.
 func (m *Machine) ConnLost(conn *Conn, now time.Duration) {
 	if conn.state == connClosed {
 		return
@@ -190,7 +193,7 @@
 }
 
 // onAttemptLost requeues or ends a request whose connection ended before the
-// answer came.
+// answer arrived.
 func (m *Machine) onAttemptLost(attempt *requestAttempt, now time.Duration) {
 	request := attempt.request
 	if request.transaction != nil {
@@ -217,8 +220,8 @@
 	m.requeue(request, now)
 }
 
-// maintainConns closes the connections of an instance that have timed out, are
-// surplus, or belong to one whose drain is over.
+// maintainConns closes the connections to an instance that have timed out, are
+// surplus, or remain after the instance's drain window is over.
 func (m *Machine) maintainConns(instance *instanceState, now time.Duration) {
 	for _, conn := range slices.Clone(instance.conns) {
 		if conn.state == connOpening && now-conn.openedAt > m.timing.OpenTimeout {
@@ -236,8 +239,8 @@
 	}
 }
 
-// closeDrainedConns gives up the connections to an instance whose drain is over,
-// with the transactions on them.
+// closeDrainedConns closes the idle connections to an instance whose drain
+// window is over, and ends the transactions on its other connections.
 func (m *Machine) closeDrainedConns(instance *instanceState, now time.Duration) {
 	m.closeIdleConns(instance, now)
 	for _, conn := range slices.Clone(instance.conns) {
@@ -247,8 +250,8 @@
 	}
 }
 
-// closeSurplusConns closes idle connections beyond the node's quota, so that
-// other nodes can have them.
+// closeSurplusConns closes idle connections beyond the number that the node may
+// keep idle, so that other nodes can open connections.
 func (m *Machine) closeSurplusConns(instance *instanceState, now time.Duration) {
 	if !instance.quota.IsScarce() {
 		return
--- a/internal/coordination/pool/linepool/dispatch.go
+++ b/internal/coordination/pool/linepool/dispatch.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// maxDispatchMisses bounds the queued reads for which an instance is sought
-	// in vain in one round.
+	// maxDispatchMisses limits the number of queued reads per round for which
+	// no instance is found.
 	maxDispatchMisses = 8
-	// hedgeDelayPercent is the part of a binding's latency target after which a
-	// read is sent to a second instance, defaultHedgeDelay the time where the
-	// binding has no target.
+	// hedgeDelayPercent is the percentage of a binding's latency target after
+	// which a read is sent to a second instance. defaultHedgeDelay is used
+	// where the binding has no target.
 	hedgeDelayPercent = 45
 	defaultHedgeDelay = time.Second
 )
 
-// dispatchAll serves every queue, as after a change that may concern them all.
+// dispatchAll serves all queues. It is called after changes that may affect any
+// of them.
 func (m *Machine) dispatchAll(now time.Duration) {
 	m.resumeAwaitingLease(now)
 	for _, database := range m.databases.All() {
@@ -29,7 +30,7 @@
 	}
 }
 
-// dispatch sends what can be sent of a database's queues.
+// dispatch sends those requests in a database's queues that can be sent now.
 func (m *Machine) dispatch(database *databaseState, now time.Duration) {
 	if len(database.transactionQueue) > 0 {
 		m.dispatchTransactions(database, now)
@@ -60,8 +61,9 @@
 	}
 }
 
-// mayContinue reports whether the next statement of a transaction may be sent:
-// one that may write needs the lease, and the term in which it began.
+// mayContinue reports whether the next statement of a transaction may be sent.
+// A transaction that may write needs the lease, and the term in which it began
+// must still be open.
 func (m *Machine) mayContinue(database *databaseState, request *Request, now time.Duration) bool {
 	if request.transaction.readOnly {
 		return true
@@ -104,8 +106,8 @@
 	}
 }
 
-// dispatchRead sends a read to the instance that suits it best, and returns
-// false if there is none now or no connection to it is idle.
+// dispatchRead sends a read to the instance that suits it best. It returns
+// false if no instance suits now, or if that instance has no idle connection.
 func (m *Machine) dispatchRead(database *databaseState, request *Request, now time.Duration) bool {
 	instance, minPosition := m.selectInstance(database, request, request.avoid, now)
 	if instance == nil && request.avoid != nil {
@@ -125,8 +127,9 @@
 	return true
 }
 
-// selectInstance returns the best instance for a read, other than excluded,
-// and the position that it must have reached. It returns nil if none suits.
+// selectInstance returns the best instance for a read, other than excluded, and
+// the position that the instance must have reached. It returns nil if no
+// instance suits.
 func (m *Machine) selectInstance(database *databaseState, request *Request, excluded *instanceState, now time.Duration) (*instanceState, model.Position) {
 	var candidates []balancer.Candidate
 	var instances []*instanceState
@@ -154,8 +157,8 @@
 	return instances[best], minPosition
 }
 
-// isServing reports whether an instance takes new reads: it neither drains nor
-// has stopped.
+// isServing reports whether an instance accepts new reads, that is, whether it
+// is neither draining nor stopped.
 func (i *instanceState) isServing() bool { return i.drainingSince == 0 && !i.info.Stopped }
 
 func (m *Machine) candidate(instance *instanceState, freshEnough bool, now time.Duration) balancer.Candidate {
@@ -166,10 +169,11 @@
 	return candidate
 }
 
-// isReplicaFresh reports whether a replica is worth asking for a read. The
-// replica itself refuses what it has not reached yet; a session's own commit
-// that is too recent for most replicas is sent only to one that is known to
-// have it.
+// isReplicaFresh reports whether a replica is likely to be fresh enough for a
+// read. It need not be certain, since the replica refuses a read if it has not
+// reached the minimum position. But if the session's own commit is too recent
+// for most replicas, the read is sent only to a replica that is known to have
+// the commit.
 func (m *Machine) isReplicaFresh(instance *instanceState, database *databaseState, request *Request, minPosition model.Position, now time.Duration) bool {
 	if instance.info.Role == model.RolePrimary || now < instance.laggingUntil {
 		return false
@@ -178,8 +182,8 @@
 	return replicated || !instance.position.IsBefore(minPosition)
 }
 
-// hedgeReads sends reads that have had no answer for long to a second
-// instance.
+// hedgeReads sends each read that has been unanswered for its hedge delay to a
+// second instance.
 func (m *Machine) hedgeReads(now time.Duration) {
 	if !m.Routing().HasLease(now) {
 		return
--- a/internal/coordination/pool/linepool/drain.go
+++ b/internal/coordination/pool/linepool/drain.go
@@ -6,12 +6,12 @@
 	"tansyseam/internal/state/lineproto"
 )
 
-// idleCheckInterval is how often clients are searched for transactions that
-// have been idle for too long.
+// idleCheckInterval is the interval between searches for transactions that have
+// been idle for too long.
 const idleCheckInterval = 200 * time.Millisecond
 
-// Drain makes the node unready. It serves on for Timing.Linger; then sessions
-// are closed as they become idle.
+// Drain makes the node unready. The node continues to serve for Timing.Linger
+// and then closes sessions as they become idle.
 func (m *Machine) Drain(now time.Duration) {
 	if !m.Draining() {
 		m.StartDraining()
@@ -23,7 +23,7 @@
 func (m *Machine) IsDrained() bool { return len(m.clients) == 0 }
 
 // closeIdleClients ends transactions that have been idle for too long and,
-// while the node drains, sessions.
+// while the node drains, closes sessions.
 func (m *Machine) closeIdleClients(now time.Duration) {
 	due := now-m.lastIdleCheck > idleCheckInterval
 	if !due && !m.Draining() {
--- a/internal/coordination/pool/linepool/effects.go
+++ b/internal/coordination/pool/linepool/effects.go
@@ -6,11 +6,12 @@
 	"tansyseam/internal/state/model"
 )
 
-// Effects that the machine asks the program around it to carry out.
+// Effects that the program around the machine has to carry out.
 type (
 	// Effect is any of the types below.
 	Effect = pool.Effect
-	// Report asks for a report of Observations to the control primary at once.
+	// Report requests that Observations be reported to the control primary at
+	// once.
 	Report = pool.Report
 	// WriterChanged announces that a database's writer role has changed.
 	WriterChanged = pool.WriterChanged
@@ -24,9 +25,9 @@
 	}
 	// CloseClient closes a client's connection.
 	CloseClient struct{ Client *Client }
-	// OpenConn opens a connection to an instance of a database. The name of the
-	// instance is part of the handshake: another instance at the same address
-	// refuses it.
+	// OpenConn opens a connection to an instance of a database. The handshake
+	// contains the name of the instance, so that another instance at the same
+	// address refuses the connection.
 	OpenConn struct {
 		Conn                        *Conn
 		Address, Database, Instance string
@@ -40,18 +41,18 @@
 	CloseConn struct{ Conn *Conn }
 )
 
-// CommandKind tells the commands that the node sends to an instance apart.
+// CommandKind is the kind of a command that the node sends to an instance.
 type CommandKind int
 
 // Kinds of Command.
 const (
 	// CommandText is a client's statement, as the client wrote it.
 	CommandText CommandKind = iota
-	// CommandBegin begins a transaction, CommandBeginReadOnly one without
-	// writes.
+	// CommandBegin begins a transaction. CommandBeginReadOnly begins a read-only
+	// transaction.
 	CommandBegin
 	CommandBeginReadOnly
-	// CommandRollback rolls the open transaction back.
+	// CommandRollback rolls back the open transaction.
 	CommandRollback
 	// CommandReset clears the session's variables and prepared statements.
 	CommandReset
@@ -66,7 +67,7 @@
 // Command is one message to an instance.
 type Command struct {
 	Kind CommandKind
-	// ID is that of the client's query; it is empty for the node's own
+	// ID is the ID of the client's query; it is empty for the node's own
 	// commands.
 	ID string
 	// Text is the statement of a CommandText.
@@ -74,6 +75,6 @@
 	// Name and Value are the arguments of the other kinds.
 	Name, Value string
 	// MinPosition is the log position that the instance must have reached; the
-	// zero position asks for none.
+	// zero position means that none is required.
 	MinPosition model.Position
 }
--- a/internal/coordination/pool/linepool/errors.go
+++ b/internal/coordination/pool/linepool/errors.go
@@ -12,7 +12,7 @@
 	return lineproto.Message{Kind: lineproto.KindError, Code: e.code, Text: e.text}
 }
 
-// Errors of clients that do not keep to the protocol.
+// Errors for clients that violate the protocol.
 var (
 	errAlreadyConnected  = clientError{lineproto.CodeMalformed, "connected already"}
 	errNotConnected      = clientError{lineproto.CodeMalformed, "not connected"}
@@ -22,7 +22,7 @@
 	errNoTransaction     = clientError{lineproto.CodeMalformed, "no transaction"}
 )
 
-// Errors for which nothing of the statement was applied.
+// Errors that guarantee that nothing of the statement was applied.
 var (
 	errNotServed         = clientError{lineproto.CodeBusy, "not served now; come back in 500 ms"}
 	errQueueFull         = clientError{lineproto.CodeBusy, "the line is full; come back in 500 ms"}
@@ -33,7 +33,7 @@
 	errTransactionLost   = clientError{lineproto.CodeAborted, "the transaction was lost with its instance; nothing is kept"}
 )
 
-// errReadTimeout ends a read whose answer did not come in time.
+// errReadTimeout is sent when a read is not answered in time.
 var errReadTimeout = clientError{lineproto.CodeTimeout, "no answer from the instance in time"}
 
 // Errors after which the statement may or may not have been applied.
@@ -45,12 +45,13 @@
 	errLeaseTimeout    = clientError{lineproto.CodeUnknownOutcome, "it ran, but the lease to say so did not come in time"}
 )
 
-// errUnknownBinding says that no binding has the name that the client gave.
+// errUnknownBinding returns the error for a binding name that does not exist.
 func errUnknownBinding(name string) clientError {
 	return clientError{lineproto.CodeUnknownDatabase, name}
 }
 
-// errNotPrepared says that the client has prepared no statement of that name.
+// errNotPrepared returns the error for a statement name that the client has not
+// prepared.
 func errNotPrepared(name string) clientError {
 	return clientError{lineproto.CodeNotFound, name}
 }
--- a/internal/coordination/pool/linepool/forward.go
+++ b/internal/coordination/pool/linepool/forward.go
@@ -7,9 +7,10 @@
 	"tansyseam/internal/state/model"
 )
 
-// forward sends a request on a connection, behind what brings the connection
-// to the client's session state. The first statement of a transaction is sent
-// only when the instance has answered the begin: it must never run outside.
+// forward sends a request on a connection, after the commands that set up the
+// client's session state there. The first statement of a transaction is sent
+// only after the instance has answered the BEGIN command, because it must never
+// run outside the transaction.
 func (m *Machine) forward(request *Request, conn *Conn, now time.Duration) {
 	database := m.database(request.binding.Database)
 	database.dequeue(request)
@@ -33,8 +34,9 @@
 	m.send(conn, attempt, commands)
 }
 
-// forwardCommands returns what is sent for a request: session state, what it has to
-// have prepared, and the statement, or the begin of its transaction.
+// forwardCommands returns the commands to send for a request: those for the
+// session state, the preparation of its statement if needed, and then the
+// statement or the BEGIN command of its transaction.
 func (m *Machine) forwardCommands(request *Request, conn *Conn, begins bool) []Command {
 	inTransaction := request.transaction != nil && !begins
 	commands := m.sessionCommands(conn, request.client, inTransaction)
@@ -45,8 +47,9 @@
 	return append(commands, statementCommand(request, conn, request.statementMinPosition()))
 }
 
-// statementMinPosition is what the instance must have reached to run the
-// statement. In a transaction the begin has asked for it already.
+// statementMinPosition returns the position that the instance must have reached
+// to run the statement. It is zero in a transaction, where the BEGIN command
+// has already required the position.
 func (request *Request) statementMinPosition() model.Position {
 	if request.transaction != nil {
 		return model.Position{}
@@ -55,7 +58,7 @@
 }
 
 // send sends commands on a connection. The answer to the last one belongs to
-// the attempt; nil stands for commands of the node's own.
+// attempt, which is nil for the node's own commands.
 func (m *Machine) send(conn *Conn, attempt *requestAttempt, commands []Command) {
 	for range len(commands) - 1 {
 		conn.pending = append(conn.pending, nil)
--- a/internal/coordination/pool/linepool/instance.go
+++ b/internal/coordination/pool/linepool/instance.go
@@ -15,37 +15,43 @@
 // answered yet.
 const neverAnswered = -time.Hour
 
-// unknownLimit is the connection limit that stands for one that is not known yet.
+// unknownLimit is the connection limit of an instance whose real limit is not
+// known yet.
 const unknownLimit = 1
 
-// instanceState is what the node knows of one database instance, and its
-// connections there.
+// instanceState is the node's state for one database instance, including the
+// connections to it.
 type instanceState struct {
 	info     model.Instance
 	database *databaseState
-	// quota is what the node may have of the instance's connections.
+	// quota is the node's share of the instance's connections.
 	quota  connquota.Quota
 	health outlier.FailureRate
 	window *flowcontrol.Window
-	// conns are all connections, idle those that no client holds, the one used
-	// last at the end; opening counts those whose handshake is not over.
+	// conns holds all connections to the instance. idle holds the connections
+	// that no client uses, the most recently used one last. opening is the
+	// number of connections whose handshake is not complete.
 	conns        []*Conn
 	idle         []*Conn
 	opening      int
 	backoff      pool.Backoff
 	lastResponse time.Duration
-	// refusals counts the connections refused in a row.
+	// refusals is the number of consecutive refused connections.
 	refusals int
-	// laggingUntil is when the instance is asked for bounded reads again.
+	// laggingUntil is the time until which the instance receives no bounded
+	// reads because it lags.
 	laggingUntil time.Duration
-	// drainingSince is when the instance was seen to leave; 0 while it stays.
+	// drainingSince is the time at which the node observed that the instance is
+	// draining; 0 if it is not. It is set to an earlier time if the instance
+	// was already draining when UpdateInstance first added it.
 	drainingSince time.Duration
 	position      model.Position
-	// reportedLevel is how doubtful the instance was at the last report.
+	// reportedLevel is the suspicion level at the last call of reportSuspects.
 	reportedLevel int
 }
 
-// instance returns the state of an instance, or nil if it is not known.
+// instance returns the state of an instance, or nil if there is none of that
+// name.
 func (m *Machine) instance(name string) *instanceState { return m.instances.Get(name) }
 
 func (m *Machine) newInstance(database *databaseState) *instanceState {
@@ -56,7 +62,7 @@
 	}
 }
 
-// UpdateInstance takes an instance as the control primary describes it.
+// UpdateInstance applies the control primary's description of an instance.
 func (m *Machine) UpdateInstance(info model.Instance, now time.Duration) {
 	database := m.database(info.Database)
 	instance := m.instances.GetOrAdd(info.Name, func() *instanceState { return m.newInstance(database) })
@@ -81,8 +87,9 @@
 	m.dispatch(database, now)
 }
 
-// markDraining notes that an instance leaves. One that was leaving before the
-// node learned of it has less time left.
+// markDraining records that an instance is draining. An instance that was
+// already draining when UpdateInstance first added it has only LateDrainWindow
+// left.
 func (m *Machine) markDraining(instance *instanceState, isNew bool, now time.Duration) {
 	if instance.drainingSince != 0 {
 		return
@@ -96,18 +103,19 @@
 	}
 }
 
-// isDrainOver reports whether an instance has been draining for so long that
-// nothing more is sent to it.
+// isDrainOver reports whether the drain window of a draining instance is over.
+// Nothing more is sent to the instance then.
 func (m *Machine) isDrainOver(instance *instanceState, now time.Duration) bool {
 	return instance.drainingSince != 0 && now-instance.drainingSince >= m.timing.DrainWindow
 }
 
-// isLimitKnown reports whether an instance's connection limit is known. Announcements
-// of instances whose limit stands in the configuration only say unknownLimit.
+// isLimitKnown reports whether an instance's connection limit is known. If the
+// limit is set in the configuration only, the instance's announcement contains
+// unknownLimit.
 func isLimitKnown(info model.Instance) bool { return info.Connections > unknownLimit }
 
-// updateCapacities takes the instances' connection limits from a binding set. A window
-// that was bounded by an unknown limit begins anew, at its initial size.
+// updateCapacities sets the instances' connection limits from a binding set. A
+// window that was bounded by an unknown limit is reset to its initial size.
 func (m *Machine) updateCapacities(set model.BindingSet) {
 	for _, instance := range m.instances.All() {
 		database, found := set.Database(instance.info.Database)
@@ -123,8 +131,8 @@
 	}
 }
 
-// updatePeers takes the names of the live proxy nodes, with which the node
-// shares the instances' connections, and its weight among them.
+// updatePeers updates the list of live proxy nodes, which share the instances'
+// connections, and this node's weight among them.
 func (m *Machine) updatePeers(live []string, weight float64, now time.Duration) {
 	changed := m.quotaNodes.Update(live, now)
 	if !changed && weight == m.windowParameters.Beta {
@@ -141,8 +149,8 @@
 	instance.window.Retune(m.windowParameters.Beta, float64(instance.quota.MaxOpen))
 }
 
-// writer returns a database's writer role and its primary, and whether the
-// primary may be sent strict statements.
+// writer returns a database's writer role and its primary. open is true if
+// strict statements may be sent to the primary.
 func (m *Machine) writer(database *databaseState) (writer model.WriterRole, primary *instanceState, open bool) {
 	writer = m.Routing().WriterRole(database.name)
 	primary = m.instance(writer.Primary)
@@ -157,8 +165,9 @@
 	return open && primary == instance
 }
 
-// overdue returns the age of the oldest request to an instance since which
-// nothing has come from it; 0 if there is none.
+// overdue returns how long the oldest unanswered statement or handshake has
+// waited, counted from when it was sent or from the instance's last response,
+// whichever is later. It returns 0 if nothing is unanswered.
 func (i *instanceState) overdue(now time.Duration) time.Duration {
 	oldest := now
 	for _, conn := range i.conns {
@@ -175,9 +184,9 @@
 	return now - max(oldest, i.lastResponse)
 }
 
-// takeIdle takes an idle connection out, preferably one that has the client's
-// session state, and among those the one used last. It returns nil if there is
-// none.
+// takeIdle removes an idle connection from the list and returns it, or nil if
+// there is none. It prefers a connection that has the client's session state,
+// and among those the one used last.
 func (i *instanceState) takeIdle(client *Client) *Conn {
 	best, bestMismatch := -1, mismatchNone
 	for index, conn := range slices.Backward(i.idle) {
--- a/internal/coordination/pool/linepool/machine.go
+++ b/internal/coordination/pool/linepool/machine.go
@@ -13,14 +13,15 @@
 // Node describes the node that a machine runs on.
 type Node struct {
 	Name, Zone string
-	// Incarnation distinguishes the lives of nodes of one name.
+	// Incarnation distinguishes successive processes of a node with the same
+	// name.
 	Incarnation int64
-	// Weight is the node's part of the load among the proxy nodes, 1 being
-	// ordinary.
+	// Weight is the node's share of the load relative to the other proxy nodes;
+	// 1 is the normal weight.
 	Weight float64
 }
 
-// Machine is one node's pool. Use New to make one.
+// Machine is the connection pool of one node. Use New to create one.
 type Machine struct {
 	pool.Core
 	node             Node
@@ -28,29 +29,30 @@
 	windowParameters flowcontrol.Parameters
 	databases        pool.Directory[*databaseState]
 	instances        pool.Directory[*instanceState]
-	// clients are the sessions, connecting those of them whose connect is not
-	// answered yet.
+	// clients holds the client sessions. connecting lists the clients whose
+	// connect request has not been answered yet; clients that have disconnected
+	// since may still be in it.
 	clients      map[*Client]bool
 	connecting   []*Client
 	clientSerial uint64
-	// awaitingLease are the requests in phaseAwaitingLease, in the order of
-	// their arrival, and some that have ended since.
+	// awaitingLease lists the requests in phaseAwaitingLease in order of
+	// arrival. Requests that have ended since may still be in it.
 	awaitingLease []*Request
-	// listVersion is that of the instance list that the node has.
+	// listVersion is the version of the node's instance list.
 	listVersion distribution.ListVersion
-	// quotaNodes are the nodes with which the instances' connections are
-	// shared.
+	// quotaNodes are the nodes that share the instances' connections.
 	quotaNodes    connquota.Members
 	drainStarted  time.Duration
 	lastIdleCheck time.Duration
-	// lastTickWithLease is the last tick under a lease; before the first such tick it is
-	// the first tick of all. ticked says that there was one.
+	// lastTickWithLease is the time of the last tick under a lease, or of the
+	// first tick if no tick has had a lease yet. ticked is true after the first
+	// tick.
 	lastTickWithLease time.Duration
 	ticked            bool
 }
 
-// New returns the pool of a node that has no lease and knows no bindings and
-// no instances yet. It calls count for each counter that rises.
+// New returns the pool of a node that has no lease, no bindings and no
+// instances yet. It calls count for each counter that increases.
 func New(node Node, timing Timing, leases lease.Timing, count pool.Counter) *Machine {
 	m := &Machine{
 		Core:             pool.NewCore(node.Name, leases, count),
@@ -63,13 +65,14 @@
 	return m
 }
 
-// database returns the state of a database, and adds one that is not known.
+// database returns the state of a database, and creates it if it does not
+// exist.
 func (m *Machine) database(name string) *databaseState {
 	return m.databases.GetOrAdd(name, func() *databaseState { return &databaseState{name: name} })
 }
 
-// Tick is the regular clock event. It takes the names of the live proxy nodes,
-// this one among them, and its weight.
+// Tick handles the regular clock event. live holds the names of the live proxy
+// nodes, including this one, and weight is this node's weight.
 func (m *Machine) Tick(live []string, weight float64, now time.Duration) {
 	m.updatePeers(live, weight, now)
 	if !m.ticked || m.Routing().HasLease(now) {
--- a/internal/coordination/pool/linepool/position.go
+++ b/internal/coordination/pool/linepool/position.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// freshnessMargin covers what passes between a client's request and the
+	// freshnessMargin covers the time between a client's request and the
 	// moments at which positions are sampled.
 	freshnessMargin = 100 * time.Millisecond
 	// sampleRetention is the age at which a position sample is dropped; no
 	// binding allows reads that are older.
 	sampleRetention = 8 * time.Second
-	// sampleInterval is the least time between two samples that are kept.
+	// sampleInterval is the minimum time between two samples that are kept.
 	sampleInterval = 20 * time.Millisecond
 )
 
-// positionSample says that a position covers all that was committed before
-// takenAt.
+// positionSample records that position covers everything that was committed
+// before takenAt.
 type positionSample struct {
 	takenAt  time.Duration
 	position model.Position
 }
 
-// minPositionFor returns the position that covers all that a read must see:
-// what was confirmed before its freshness bound and, with read-your-writes,
-// the session's own commits. It returns false if no sample is recent enough.
+// minPositionFor returns the position that covers everything a read must see:
+// the commits confirmed before its freshness bound and, with read-your-writes,
+// the session's own commits. found is false if no sample is recent enough.
 func (m *Machine) minPositionFor(database *databaseState, request *Request) (minPosition model.Position, found bool) {
 	earliest := request.arrivedAt - request.binding.Freshness + freshnessMargin
 	for _, sample := range database.samples {
@@ -41,8 +41,9 @@
 	return minPosition, found
 }
 
-// samplePrimaryPosition samples the position that the primary gave with an answer. It
-// covers what was committed before the request was sent to it.
+// samplePrimaryPosition records the position in an answer from the primary as a
+// sample. The position covers what was committed before the request was sent to
+// the primary.
 func (m *Machine) samplePrimaryPosition(attempt *requestAttempt, position model.Position, now time.Duration) {
 	database := attempt.conn.instance.database
 	writer, primary, open := m.writer(database)
@@ -52,8 +53,8 @@
 	}
 }
 
-// recordPosition adds a sample. Samples are kept in the order of their time
-// and never go back in position.
+// recordPosition adds a sample. Samples are ordered by time, and their
+// positions never decrease.
 func (d *databaseState) recordPosition(takenAt time.Duration, position model.Position, now time.Duration) {
 	for len(d.samples) > 0 && now-d.samples[0].takenAt > sampleRetention {
 		d.samples = d.samples[1:]
--- a/internal/coordination/pool/linepool/query.go
+++ b/internal/coordination/pool/linepool/query.go
@@ -6,16 +6,18 @@
 	"tansyseam/internal/state/lineproto"
 )
 
-// Query is one query of a client.
+// Query is one query from a client.
 type Query struct {
-	// ID is the client's; it is sent to the instance with the statement.
+	// ID is chosen by the client; it is sent to the instance with the
+	// statement.
 	ID string
-	// Text is the query as the client wrote it, Statement what it asks for.
+	// Text is the query as the client wrote it. Statement is its parsed form.
 	Text      string
 	Statement lineproto.Statement
 }
 
-// Query takes a client's query. It waits if an earlier one is being served.
+// Query handles a query from a client. The query waits if an earlier one is
+// being served.
 func (m *Machine) Query(client *Client, query Query, now time.Duration) {
 	if client.closed {
 		return
@@ -36,8 +38,8 @@
 	client.pipelined = append(client.pipelined, query)
 }
 
-// handlePipelined serves the queries that the client has sent ahead, up to the
-// first that has to wait for an instance.
+// handlePipelined serves the client's pipelined queries, up to the first that
+// has to wait for an instance.
 func (m *Machine) handlePipelined(client *Client, now time.Duration) {
 	client.lastUsed = now
 	for len(client.pipelined) > 0 && client.request == nil && !client.closed {
@@ -49,8 +51,8 @@
 
 type queryHandler func(m *Machine, client *Client, query Query, now time.Duration)
 
-// queryHandlers is filled by init: its functions call handleQuery in turn, for
-// pipelined queries.
+// queryHandlers is filled by init because its functions call handleQuery in
+// turn, for pipelined queries.
 var queryHandlers map[lineproto.Action]queryHandler
 
 func init() {
--- a/internal/coordination/pool/linepool/queue.go
+++ b/internal/coordination/pool/linepool/queue.go
@@ -7,7 +7,7 @@
 	"tansyseam/internal/state/model"
 )
 
-// requestQueue is a list of requests, first those that are served first.
+// requestQueue is a list of requests in the order in which they are served.
 type requestQueue []*Request
 
 func (q *requestQueue) remove(request *Request) {
@@ -16,8 +16,8 @@
 	}
 }
 
-// insert adds a request behind those of the same or a more urgent priority;
-// a lower number is more urgent.
+// insert adds a request after those of the same or a more urgent priority. A
+// lower number is more urgent.
 func (q *requestQueue) insert(request *Request) {
 	index := len(*q)
 	for index > 0 && (*q)[index-1].binding.Priority > request.binding.Priority {
@@ -26,24 +26,26 @@
 	*q = slices.Insert(*q, index, request)
 }
 
-// databaseState is what the node has under way for one database.
+// databaseState is the node's state for one database.
 type databaseState struct {
 	name string
-	// transactionQueue has the statements of transactions that are open at an
-	// instance, primaryQueue the other strict ones, readQueue the rest.
+	// transactionQueue holds the statements of transactions that are open at an
+	// instance. primaryQueue holds the other strict statements. readQueue holds
+	// the rest.
 	transactionQueue requestQueue
 	primaryQueue     requestQueue
 	readQueue        requestQueue
 	inFlight         requestQueue
 	unconfirmed      requestQueue
 	samples          []positionSample
-	// highWatermark covers every commit that was confirmed to a client.
+	// highWatermark is a position that covers every commit that was confirmed
+	// to a client.
 	highWatermark model.Position
-	// writerClosedAt is when the primary's term was seen to close; 0 while it
-	// is open.
+	// writerClosedAt is the time at which the node observed that the primary's
+	// term was no longer open; 0 while it is open.
 	writerClosedAt time.Duration
-	// closeReported says that the node may have reported to the control primary
-	// that it confirms no more commits of the closing term.
+	// closeReported is true if the node may have reported to the control
+	// primary that it confirms no more commits of the closing term.
 	closeReported bool
 }
 
@@ -71,9 +73,10 @@
 	m.bind(request, now)
 }
 
-// bind gives a request the binding that is in force, and queues it. One inside
-// a transaction keeps the binding of its first statement. Without a lease it
-// waits, unless it reads inside a transaction that has begun.
+// bind assigns the binding in force to a request and queues the request. In a
+// transaction that has begun, the request keeps the binding of the first
+// statement. Without a lease the request waits, unless it belongs to a
+// read-only transaction that has begun.
 func (m *Machine) bind(request *Request, now time.Duration) {
 	isBegun := request.transaction.isOpenAtInstance()
 	continuesReadOnly := isBegun && request.transaction.readOnly
@@ -96,8 +99,8 @@
 	m.enqueue(request, now)
 }
 
-// bindToActiveSet rejects the request and returns false if there is no binding
-// of the name that its client gave.
+// bindToActiveSet assigns the client's binding to the request. It rejects the
+// request and returns false if there is no binding of that name.
 func (m *Machine) bindToActiveSet(request *Request, now time.Duration) bool {
 	name := request.client.binding
 	binding, found := m.EffectiveSet(now).Binding(name)
@@ -118,8 +121,8 @@
 	}
 }
 
-// isReadOnly reports whether the request, or the transaction that it is part of,
-// writes nothing.
+// isReadOnly reports whether the request, or the transaction that it is part
+// of, writes nothing.
 func (request *Request) isReadOnly() bool {
 	if request.transaction != nil {
 		return request.transaction.readOnly
@@ -140,13 +143,13 @@
 	m.awaitingLease = append(m.awaitingLease, request)
 }
 
-// isIsolated reports whether the lease has been gone for so long that nothing
-// new waits for it.
+// isIsolated reports whether the node has been without a lease for so long that
+// new requests are rejected and do not wait for one.
 func (m *Machine) isIsolated(now time.Duration) bool {
 	return m.ticked && !m.Routing().HasLease(now) && now-m.lastTickWithLease > m.timing.UnavailableWait
 }
 
-// resumeAwaitingLease binds again what waits for a lease.
+// resumeAwaitingLease calls bind again for the requests that wait for a lease.
 func (m *Machine) resumeAwaitingLease(now time.Duration) {
 	if len(m.awaitingLease) == 0 {
 		return
@@ -172,8 +175,8 @@
 	m.dispatch(database, now)
 }
 
-// requeue puts a request back into its queue. What is in flight of it is not
-// waited for.
+// requeue puts a request back into its queue and abandons its attempts. It
+// rejects the request after Timing.MaxRetries.
 func (m *Machine) requeue(request *Request, now time.Duration) {
 	m.database(request.binding.Database).inFlight.remove(request)
 	request.abandonAttempts()
--- a/internal/coordination/pool/linepool/request.go
+++ b/internal/coordination/pool/linepool/request.go
@@ -8,62 +8,65 @@
 	"tansyseam/internal/state/model"
 )
 
-// phase tells how far a request has come.
+// phase is the progress of a request.
 type phase int
 
 const (
-	// phaseAwaitingLease: the node has no lease; the request is not bound yet.
+	// phaseAwaitingLease means that the node has no lease and the request has
+	// no binding yet.
 	phaseAwaitingLease phase = iota
-	// phaseQueued: it is in one of its database's queues.
+	// phaseQueued means that the request is in one of its database's queues.
 	phaseQueued
-	// phaseInFlight: it has been sent to an instance.
+	// phaseInFlight means that the request has been sent to an instance.
 	phaseInFlight
-	// phaseUnconfirmed: the instance has committed it; the client is answered
-	// once the node holds a lease.
+	// phaseUnconfirmed means that the instance has committed the request. The
+	// client is answered once the node holds a lease.
 	phaseUnconfirmed
-	// phaseEnded: the client has been answered, or is gone.
+	// phaseEnded means that the client has been answered or has disconnected.
 	phaseEnded
 )
 
-// defaultMaxAttempts is how often a read that instances fail is run in all,
-// where its binding gives no number.
+// defaultMaxAttempts is the total number of times that a read is run if
+// instances fail it and its binding sets no number.
 const defaultMaxAttempts = 2
 
 // Request is one statement that an instance has to run.
 type Request struct {
 	client *Client
 	query  Query
-	// prepared is the statement that an execute names.
+	// prepared is the prepared statement that the query executes, if any.
 	prepared preparedStatement
 	binding  model.Binding
 	write    bool
 	commit   bool
-	// strict says that only the primary may run it.
+	// strict is true if only the primary may run the request.
 	strict bool
-	// transaction is the one that it is part of, if any.
+	// transaction is the transaction that the request is part of, or nil.
 	transaction *transactionState
 	arrivedAt   time.Duration
 	deadline    time.Duration
 	phase       phase
 	attempts    []*requestAttempt
-	// hedged says that a second attempt has been sent beside the first.
+	// hedged is true if a second attempt has been sent in parallel to the
+	// first.
 	hedged    bool
 	retries   int
 	notBefore time.Duration
-	// avoid is the instance at which the last attempt failed; failures counts
-	// those that instances ran and failed.
+	// avoid is the instance at which the last attempt failed. failures is the
+	// number of attempts that instances ran and failed.
 	avoid    *instanceState
 	failures int
-	// term is the writer term under which it was sent.
+	// term is the writer term under which the request was sent.
 	term uint64
-	// minPosition is what the instance must have reached to run it.
+	// minPosition is the position that the instance must have reached to run
+	// the request.
 	minPosition model.Position
-	// answer and position are what the instance answered.
+	// answer and position are the instance's answer and the position in it.
 	answer   []lineproto.Message
 	position model.Position
 }
 
-// mayPersist reports whether the statement, once run, may commit something.
+// mayPersist reports whether running the statement may commit changes.
 func (request *Request) mayPersist() bool {
 	if request.commit {
 		return !request.transaction.readOnly || request.transaction.hasWrites
@@ -71,8 +74,8 @@
 	return request.write && request.transaction == nil
 }
 
-// isSent reports whether the statement itself has been sent, and not only the
-// begin before it.
+// isSent reports whether the statement itself has been sent, rather than only
+// the BEGIN command before it.
 func (request *Request) isSent() bool {
 	if request.phase != phaseInFlight {
 		return request.phase == phaseUnconfirmed
@@ -80,20 +83,21 @@
 	return slices.ContainsFunc(request.attempts, func(attempt *requestAttempt) bool { return attempt.statementSent })
 }
 
-// isRetryableRead reports whether the statement may be run again, or at two
-// instances, without effect.
+// isRetryableRead reports whether the statement is a read outside a
+// transaction, which may run more than once, or at two instances, without side
+// effects.
 func (request *Request) isRetryableRead() bool {
 	return !request.write && !request.commit && request.transaction == nil
 }
 
-// isReady reports whether a queued statement may be sent now. One whose time
-// is over is about to be ended.
+// isReady reports whether a queued statement may be sent now. It returns false
+// for a statement past its deadline, which is about to be ended.
 func (request *Request) isReady(now time.Duration) bool {
 	return request.phase == phaseQueued && now >= request.notBefore && now < request.deadline
 }
 
-// maxAttempts is how often the statement may be run in all if instances fail
-// it.
+// maxAttempts returns the total number of times that the statement may be run
+// if instances fail it.
 func (request *Request) maxAttempts() int {
 	if request.binding.MaxAttempts > 0 {
 		return request.binding.MaxAttempts
@@ -101,8 +105,9 @@
 	return defaultMaxAttempts
 }
 
-// normalizedLatency scales a latency of the request to the reference target,
-// as the measure of the work in it.
+// normalizedLatency returns a latency of the request scaled from the latency
+// target of its binding to the reference target. The result measures the work
+// in the request.
 func (m *Machine) normalizedLatency(request *Request, latency time.Duration) time.Duration {
 	target := request.binding.LatencyTarget
 	if target <= 0 {
@@ -111,15 +116,16 @@
 	return time.Duration(float64(latency) * float64(m.timing.ReferenceTarget) / float64(target))
 }
 
-// requestAttempt is one sending of a request to an instance.
+// requestAttempt is one attempt to run a request at an instance.
 type requestAttempt struct {
 	request *Request
 	conn    *Conn
 	sentAt  time.Duration
-	// abandoned says that its answer is not waited for any more.
+	// abandoned is true if the request no longer waits for the attempt's
+	// answer.
 	abandoned bool
-	// statementSent says that the statement itself has been sent, and not only
-	// the begin before it.
+	// statementSent is true if the statement itself has been sent, rather than
+	// only the BEGIN command before it.
 	statementSent bool
 	rows          []lineproto.Message
 	result        lineproto.Message
@@ -131,8 +137,8 @@
 	return !attempt.abandoned && attempt.request.phase == phaseInFlight
 }
 
-// isError reports whether the result is an error with one of the codes; with
-// any, if none is given.
+// isError reports whether the result is an error with one of the codes, or any
+// error if no codes are passed.
 func (attempt *requestAttempt) isError(codes ...lineproto.Code) bool {
 	if attempt.result.Kind != lineproto.KindError {
 		return false
@@ -140,16 +146,16 @@
 	return len(codes) == 0 || slices.Contains(codes, attempt.result.Code)
 }
 
-// hasOtherAttempt reports whether the request is in flight at another instance
-// too.
+// hasOtherAttempt reports whether the request is also in flight at another
+// instance.
 func (attempt *requestAttempt) hasOtherAttempt() bool {
 	return slices.ContainsFunc(attempt.request.attempts, func(other *requestAttempt) bool {
 		return other != attempt && !other.abandoned && other.conn.state == connBusy
 	})
 }
 
-// finish takes a request out of every queue and list. What is in flight of it
-// is not waited for.
+// finish removes a request from every queue and list, and abandons its
+// attempts.
 func (m *Machine) finish(request *Request) {
 	database := m.database(request.binding.Database)
 	database.dequeue(request)
@@ -168,7 +174,8 @@
 	}
 }
 
-// reject ends a request with an error for which nothing of it was applied.
+// reject ends a request with an error that guarantees that nothing of it was
+// applied.
 func (m *Machine) reject(request *Request, err clientError, now time.Duration) {
 	m.finish(request)
 	m.failTransactionOf(request, now)
@@ -176,7 +183,7 @@
 	m.handlePipelined(request.client, now)
 }
 
-// respondWithAnswer ends a request with what the instance answered.
+// respondWithAnswer ends a request with the instance's answer.
 func (m *Machine) respondWithAnswer(request *Request, now time.Duration) {
 	m.finish(request)
 	m.Count("answered", 1)
@@ -184,8 +191,7 @@
 	m.handlePipelined(request.client, now)
 }
 
-// respondUnknown ends a request of which it is not known whether it was
-// applied.
+// respondUnknown ends a request that may or may not have been applied.
 func (m *Machine) respondUnknown(request *Request, err clientError, now time.Duration) {
 	client := request.client
 	m.finish(request)
--- a/internal/coordination/pool/linepool/session_state.go
+++ b/internal/coordination/pool/linepool/session_state.go
@@ -9,15 +9,18 @@
 	"tansyseam/internal/state/model"
 )
 
-// How far a connection's session state is from a client's; less is better.
+// Degrees of mismatch between a connection's session state and a client's. A
+// lower value is better.
 const (
-	// mismatchNone: the connection has the client's variables.
+	// mismatchNone means that the connection has the client's variables.
 	mismatchNone = iota
-	// mismatchValues: some variables are still to be set.
+	// mismatchValues means that some variables still have to be set.
 	mismatchValues
-	// mismatchNames: it has a variable that the client has not, and is reset.
+	// mismatchNames means that the connection has a variable that the client
+	// does not have, so it must be reset.
 	mismatchNames
-	// mismatchUncertain: its state is not known, and it is reset.
+	// mismatchUncertain means that the connection's state is unknown, so it
+	// must be reset.
 	mismatchUncertain
 )
 
@@ -41,9 +44,10 @@
 	return mismatch
 }
 
-// sessionCommands returns the commands that bring a connection to a client's
-// variables, and notes them as carried out. Inside a transaction nothing is
-// reset: the client's variables only grow there.
+// sessionCommands returns the commands that set a connection's variables to the
+// client's, and records them as carried out. Inside a transaction it never
+// resets the connection, because a client can add variables there but not
+// remove any.
 func (m *Machine) sessionCommands(conn *Conn, client *Client, inTransaction bool) []Command {
 	var commands []Command
 	if !inTransaction && m.needsReset(conn, client) {
@@ -80,7 +84,9 @@
 }
 
 // prepareCommands returns the command that prepares a request's statement on a
-// connection, under a name of the node's own, where it is not prepared yet.
+// connection under a name chosen by the node. It returns nil if the request
+// executes no prepared statement, or if the statement is already prepared
+// there.
 func prepareCommands(request *Request, conn *Conn) []Command {
 	if request.query.Statement.Action != lineproto.ActionExecute {
 		return nil
@@ -107,7 +113,7 @@
 	return Command{Kind: kind, MinPosition: request.minPosition}
 }
 
-// statementCommand returns the command that carries a request's statement.
+// statementCommand returns the command that runs a request's statement.
 func statementCommand(request *Request, conn *Conn, minPosition model.Position) Command {
 	query := request.query
 	if query.Statement.Action == lineproto.ActionExecute {
--- a/internal/coordination/pool/linepool/status.go
+++ b/internal/coordination/pool/linepool/status.go
@@ -7,26 +7,29 @@
 	"tansyseam/internal/state/model"
 )
 
-// InstanceStatus is what operators are shown of an instance.
+// InstanceStatus is the status of an instance that is shown to operators.
 type InstanceStatus struct {
 	Instance model.Instance `json:"instance"`
-	// AnsweredAgeMS is the time since its last message, in milliseconds.
+	// AnsweredAgeMS is the time since the instance's last message, in
+	// milliseconds.
 	AnsweredAgeMS int64               `json:"answered_ms"`
 	Position      model.Position      `json:"position"`
 	Window        flowcontrol.Reading `json:"admission"`
-	// Refusals counts the connections refused in a row.
+	// Refusals is the number of consecutive refused connections.
 	Refusals int `json:"refused"`
-	// Connections and Idle count the node's connections to it.
+	// Connections is the number of the node's connections to the instance. Idle
+	// is the number of those that are idle.
 	Connections int `json:"sessions"`
 	Idle        int `json:"idle"`
-	// Quota and QuotaIdle are the most connections that the node may open, and
-	// may keep idle.
+	// Quota is the maximum number of connections that the node may open.
+	// QuotaIdle is the maximum number that it may keep idle.
 	Quota     int `json:"share"`
 	QuotaIdle int `json:"kept"`
 }
 
-// QueueStatus is what operators are shown of a database's queues: the numbers
-// of requests in each, and the position of the last confirmed commit.
+// QueueStatus is the status of a database's queues that is shown to operators:
+// the number of requests in each, and the position of the last confirmed
+// commit.
 type QueueStatus struct {
 	Database      string         `json:"database"`
 	Transactions  int            `json:"turns"`
@@ -37,7 +40,7 @@
 	HighWatermark model.Position `json:"high"`
 }
 
-// Status returns what operators are shown of the node's pool.
+// Status returns the status of the node's pool that is shown to operators.
 func (m *Machine) Status(now time.Duration) (instances []InstanceStatus, queues []QueueStatus) {
 	instances, queues = []InstanceStatus{}, []QueueStatus{}
 	for _, instance := range m.instances.All() {
--- a/internal/coordination/pool/linepool/timeout.go
+++ b/internal/coordination/pool/linepool/timeout.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// expireRequests ends the requests whose time is over, and the commits that
-// were left at a closed primary.
+// expireRequests ends the requests that have timed out, and the commits that
+// are still in flight at a former primary when the closing grace is over.
 func (m *Machine) expireRequests(now time.Duration) {
 	m.expireAwaitingLease(now)
 	for _, database := range m.databases.All() {
@@ -28,8 +28,9 @@
 	}
 }
 
-// expireList works on a copy of the list: a request that ends leaves it, and the
-// next one of its client may join it.
+// expireList ends the requests of a list that have timed out. It works on a
+// copy of the list, because a request that ends is removed from the list and
+// the next request of its client may be added.
 func (m *Machine) expireList(database *databaseState, list requestQueue, now time.Duration) {
 	for _, request := range slices.Clone(list) {
 		if request.phase != phaseEnded && m.isExpired(database, request, now) {
@@ -39,7 +40,7 @@
 }
 
 // expireStranded ends the commits that a former primary has not answered within
-// the grace after its term was closed.
+// Timing.ClosingGrace after its term was closed.
 func (m *Machine) expireStranded(database *databaseState, now time.Duration) {
 	if database.writerClosedAt == 0 || now-database.writerClosedAt < m.timing.ClosingGrace {
 		return
@@ -62,9 +63,10 @@
 	return now >= request.arrivedAt+m.timing.UnavailableWait && m.isTargetUnavailable(database, request, now)
 }
 
-// queueDeadline is until when a request may be queued. It is rejected early
-// enough for its client to retry in time. A transaction that has begun waits
-// to its deadline, since its work would be lost.
+// queueDeadline returns the time until which a request may be queued. A request
+// is rejected early enough for its client to retry in time. In a transaction
+// that has begun it may wait until its deadline, since a rejection would lose
+// the work of the transaction.
 func (m *Machine) queueDeadline(request *Request) time.Duration {
 	if request.transaction.isOpenAtInstance() {
 		return request.deadline
@@ -73,8 +75,8 @@
 	return request.arrivedAt + time.Duration(float64(timeout)*m.timing.QueueFraction)
 }
 
-// isTargetUnavailable reports whether what a queued request waits for is not
-// there at all: the lease, or the writer role.
+// isTargetUnavailable reports whether a queued request waits for the lease or
+// for an open writer role, rather than for capacity.
 func (m *Machine) isTargetUnavailable(database *databaseState, request *Request, now time.Duration) bool {
 	_, _, open := m.writer(database)
 	return !m.Routing().HasLease(now) || (request.strict && !open)
@@ -123,7 +125,8 @@
 	m.respondUnknown(request, errLeaseTimeout, now)
 }
 
-// closeAttemptConns closes the connections on which a request is in flight.
+// closeAttemptConns abandons the attempts of a request and closes the
+// connections on which they are in flight.
 func (m *Machine) closeAttemptConns(request *Request, now time.Duration) {
 	for _, attempt := range request.attempts {
 		attempt.abandoned = true
--- a/internal/coordination/pool/linepool/timing.go
+++ b/internal/coordination/pool/linepool/timing.go
@@ -4,27 +4,28 @@
 
 // Timing holds the machine's timeouts and limits.
 type Timing struct {
-	// DefaultTimeout bounds a statement whose binding gives no timeout.
+	// DefaultTimeout is the timeout of a statement whose binding sets none.
 	DefaultTimeout time.Duration
 	// UnavailableWait is how long a statement is queued when the lease or the
-	// writer role is missing, rather than capacity. After it the statement is
-	// rejected.
+	// writer role is missing, rather than capacity. The statement is rejected
+	// after that time.
 	UnavailableWait time.Duration
-	// QueueFraction is the part of its timeout that a statement may spend in
-	// the queue, from 0 to 1.
+	// QueueFraction is the fraction of its timeout that a statement may spend
+	// in the queue, from 0 to 1.
 	QueueFraction float64
-	// ConnectWait is how long a connect may wait for a lease and for bindings.
+	// ConnectWait is how long a connect request may wait for a lease and for
+	// bindings.
 	ConnectWait time.Duration
-	// OpenTimeout bounds the opening of a connection to an instance.
+	// OpenTimeout is the timeout for opening a connection to an instance.
 	OpenTimeout time.Duration
-	// ClosingGrace is how long commits in flight may still be answered by a
-	// primary whose term is closing.
+	// ClosingGrace is how long after its term was closed a primary may still
+	// answer the commits in flight.
 	ClosingGrace time.Duration
-	// AbandonedTimeout is the age at which a connection is closed whose answer
-	// nobody waits for any more.
+	// AbandonedTimeout is the age of an abandoned attempt at which its
+	// connection is closed if the answer has not arrived.
 	AbandonedTimeout time.Duration
-	// IdleInTransaction is how long a transaction may be idle where the binding
-	// set gives no limit.
+	// IdleInTransaction is how long a transaction may be idle if the binding
+	// set has no limit.
 	IdleInTransaction time.Duration
 	// BackoffMin and BackoffMax bound the pause after a refused connection.
 	BackoffMin, BackoffMax time.Duration
@@ -32,39 +33,44 @@
 	// connections may be idle.
 	SurplusIdle time.Duration
 	// RetryDelay is the pause before a statement that an instance refused is
-	// sent again, times the number of its attempts.
+	// sent again, multiplied by the number of its attempts.
 	RetryDelay time.Duration
-	// MaxRetries is how often a statement may be put back into the queue.
+	// MaxRetries is the number of times that a statement may be put back into
+	// the queue.
 	MaxRetries int
-	// DrainWindow is how long a draining instance is still sent what only it
-	// can serve: statements of open transactions, and, if it is the primary,
-	// strict statements.
+	// DrainWindow is how long a draining instance still receives statements
+	// that only it can serve: statements of open transactions and, if it is the
+	// primary, strict statements.
 	DrainWindow time.Duration
-	// LateDrainWindow is what is left of DrainWindow when the instance was
-	// draining already as the node learned of it.
+	// LateDrainWindow replaces DrainWindow for an instance that was already
+	// draining when the control primary first reported it to the node.
 	LateDrainWindow time.Duration
-	// LaggingPause is how long a replica that refused as lagging is skipped.
+	// LaggingPause is how long a replica is skipped after it refused a request
+	// because it lags.
 	LaggingPause time.Duration
-	// ReplicationBound is the age from which a session's own commit is taken to
-	// have reached the replicas.
+	// ReplicationBound is the age from which a session's own commit is assumed
+	// to have reached the replicas.
 	ReplicationBound time.Duration
-	// Linger is how long a draining node serves as before, so that load
-	// balancers can notice that it is not ready.
+	// Linger is how long a draining node continues to serve normally, so that
+	// load balancers can notice that it is not ready.
 	Linger time.Duration
-	// EndTransactions is the age of the drain at which idle sessions are closed
-	// even inside a transaction, EndSessions that at which all are closed.
+	// EndTransactions is the time after the start of the drain at which idle
+	// sessions are closed even inside a transaction. EndSessions is the time at
+	// which all sessions are closed.
 	EndTransactions, EndSessions time.Duration
-	// MaxQueue limits the statements in one queue.
+	// MaxQueue is the maximum number of statements in one queue.
 	MaxQueue int
-	// MaxClients limits the node's client sessions.
+	// MaxClients is the maximum number of client sessions on the node.
 	MaxClients int
-	// MaxPipelined limits the statements that a client may send ahead of the
-	// answer to an earlier one.
+	// MaxPipelined is the maximum number of statements that a client may send
+	// before an earlier one is answered.
 	MaxPipelined int
-	// MaxPrepared limits the statements that are prepared on one connection.
+	// MaxPrepared is the maximum number of statements that are prepared on one
+	// connection.
 	MaxPrepared int
 	// ReferenceTarget is the latency target to which measured latencies are
-	// scaled, so that the window compares statements of different weight.
+	// scaled, so that the window can compare statements that need different
+	// amounts of work.
 	ReferenceTarget time.Duration
 }
 
@@ -100,18 +106,19 @@
 }
 
 const (
-	// Margins by which a stop finishes ahead of its grace period.
+	// Margins by which the steps of a stop end before the limits that Within
+	// derives them from.
 	endTransactionsMargin = 100 * time.Millisecond
 	endSessionsMargin     = 600 * time.Millisecond
 	lingerMargin          = 600 * time.Millisecond
 	drainMargin           = 2 * time.Second
-	// lateDrainPercent is LateDrainWindow's part of DrainWindow.
+	// lateDrainPercent is LateDrainWindow as a percentage of DrainWindow.
 	lateDrainPercent = 40
 )
 
-// Within returns the timing fitted to its surroundings: grace is how long the
-// platform waits for a node to stop, drain how long an instance serves after
-// it has announced that it leaves.
+// Within returns the timing adapted to the environment. grace is how long the
+// platform waits for a node to stop. drain is how long an instance continues to
+// serve after it has announced that it is leaving.
 func (t Timing) Within(grace, drain time.Duration) Timing {
 	t.EndTransactions = grace/2 - endTransactionsMargin
 	t.EndSessions = grace - endSessionsMargin
--- a/internal/coordination/pool/linepool/transaction.go
+++ b/internal/coordination/pool/linepool/transaction.go
@@ -8,26 +8,29 @@
 )
 
 // transactionState is a client's open transaction. It begins at an instance
-// only with its first statement.
+// only when its first statement is sent.
 type transactionState struct {
-	// binding is the one that was in force at the first statement; the
-	// transaction keeps it.
+	// binding is the binding that was in force at the first statement; it
+	// applies to the whole transaction.
 	binding  model.Binding
 	readOnly bool
-	// lost says that the instance's side is gone and that nothing of the
-	// transaction is kept. The client learns it with its next statement.
+	// lost is true if the instance no longer holds the transaction and nothing
+	// of it is kept. The client is notified in the answer to its next
+	// statement.
 	lost bool
-	// hasWrites says that a write was forwarded, if only to be refused.
+	// hasWrites is true if a write was forwarded, even if the instance refused
+	// it.
 	hasWrites bool
-	// conn is the connection on which the transaction is open; nil before the
-	// first statement and after the connection is gone.
+	// conn is the connection on which the transaction is open. It is nil before
+	// the first statement and after the connection has been closed.
 	conn *Conn
 }
 
 func (t *transactionState) isOpenAtInstance() bool { return t != nil && t.conn != nil }
 
-// isInTransactionOn reports whether the client's transaction is open on a connection.
-// It is false for nil, the owner of a connection without a transaction.
+// isInTransactionOn reports whether the client's transaction is open on a
+// connection. It returns false for a nil client, the owner of a connection
+// without a transaction.
 func (c *Client) isInTransactionOn(conn *Conn) bool {
 	return c != nil && c.transaction != nil && c.transaction.conn == conn
 }
@@ -50,8 +53,8 @@
 	m.respondDone(client)
 }
 
-// handleRollback answers at once: what the instance holds of the transaction
-// is rolled back behind it.
+// handleRollback answers at once. The transaction is rolled back at the
+// instance afterwards.
 func (m *Machine) handleRollback(client *Client, _ Query, now time.Duration) {
 	if client.state == lineproto.StateIdle {
 		m.respondError(client, errNoTransaction)
@@ -76,14 +79,15 @@
 	m.submit(&Request{client: client, query: query, commit: true, transaction: client.transaction}, now)
 }
 
-// failTransaction ends a client's transaction; the client has still to commit
+// failTransaction ends a client's transaction. The client still has to commit
 // or roll back.
 func (m *Machine) failTransaction(client *Client, now time.Duration) {
 	m.endTransaction(client, now)
 	client.state = lineproto.StateFailed
 }
 
-// failTransactionOf brings a client to the state after its statement failed.
+// failTransactionOf ends the transaction of a failed request, if it has one.
+// The client is idle afterwards if the request was the commit.
 func (m *Machine) failTransactionOf(request *Request, now time.Duration) {
 	if request.transaction == nil {
 		return
@@ -94,8 +98,8 @@
 	}
 }
 
-// endTransaction gives up a client's transaction, if it has one. What the
-// instance holds of it is rolled back.
+// endTransaction ends a client's transaction, if it has one. Its changes at the
+// instance are rolled back.
 func (m *Machine) endTransaction(client *Client, now time.Duration) {
 	transaction := client.transaction
 	client.transaction = nil
@@ -113,8 +117,10 @@
 	m.send(conn, nil, []Command{{Kind: CommandRollback}})
 }
 
-// loseTransaction gives up a transaction on the instance's side. The client
-// learns it with its next statement, or at once where one is being served.
+// loseTransaction ends a transaction that cannot continue at its instance. The
+// client is notified in the answer to its next statement, or at once if a
+// statement is being served. If a commit that may change data has been sent,
+// its outcome is unknown.
 func (m *Machine) loseTransaction(client *Client, now time.Duration) {
 	transaction := client.transaction
 	if transaction == nil || transaction.lost {
@@ -137,8 +143,8 @@
 	}
 }
 
-// abortTransaction ends a statement whose transaction is over and was not
-// asked to commit: nothing of it is kept.
+// abortTransaction ends a statement whose transaction is over and cannot have
+// committed anything: nothing of it is kept.
 func (m *Machine) abortTransaction(request *Request, now time.Duration) {
 	m.reject(request, errTransactionLost, now)
 }
--- a/internal/coordination/pool/linepool/update.go
+++ b/internal/coordination/pool/linepool/update.go
@@ -9,8 +9,8 @@
 	"tansyseam/internal/state/model"
 )
 
-// ApplyUpdate takes the control primary's answer to an update request that was
-// sent at a moment.
+// ApplyUpdate applies the control primary's answer to an update request. sent
+// is the time at which the request was sent.
 func (m *Machine) ApplyUpdate(update distribution.Update, sent, now time.Duration) {
 	if update.Snapshot != nil {
 		m.Count("docs_taken", 1)
@@ -35,7 +35,7 @@
 }
 
 // sampleMinPositions samples the positions that the control primary holds for
-// databases without a primary: they cover every commit that was confirmed.
+// databases whose term is not open. They cover every commit that was confirmed.
 func (m *Machine) sampleMinPositions(sent, now time.Duration) {
 	for _, database := range m.databases.All() {
 		writer := m.Routing().WriterRole(database.name)
@@ -69,14 +69,14 @@
 	}
 }
 
-// isTermOpen reports whether a term is open by a writer role.
+// isTermOpen reports whether a term is open according to a writer role.
 func isTermOpen(writer model.WriterRole, term uint64) bool {
 	return writer.Phase == model.PhaseOpen && writer.Term == term
 }
 
-// releaseFormerPrimary takes back from an instance that was the primary what
-// only a primary may run: strict reads are queued for the next one,
-// transactions that are not being committed are lost.
+// releaseFormerPrimary stops the work at a former primary that only a primary
+// may run. Strict reads are queued for the next primary, and transactions that
+// are not being committed are lost.
 func (m *Machine) releaseFormerPrimary(database *databaseState, former *instanceState, current model.WriterRole, now time.Duration) {
 	for _, request := range slices.Clone(database.inFlight) {
 		if request.isStrictReadAt(former) && !isTermOpen(current, request.term) {
@@ -91,8 +91,8 @@
 	m.closeIdleConns(former, now)
 }
 
-// isStrictReadAt reports whether the request is a strict read in flight at an
-// instance, outside of a transaction.
+// isStrictReadAt reports whether the request is a strict read that is in flight
+// at an instance, outside a transaction.
 func (request *Request) isStrictReadAt(instance *instanceState) bool {
 	if request.phase != phaseInFlight || !request.isRetryableRead() || !request.strict {
 		return false
@@ -100,8 +100,8 @@
 	return len(request.attempts) > 0 && request.attempts[0].conn.instance == instance
 }
 
-// hasUncommittedWriter reports whether a transaction is open on the connection that
-// may write and whose commit has not been sent.
+// hasUncommittedWriter reports whether a transaction that may write is open on
+// the connection and its commit has not been sent.
 func (c *Conn) hasUncommittedWriter() bool {
 	if c.owner == nil || c.owner.transaction == nil || c.owner.transaction.readOnly {
 		return false
@@ -111,8 +111,8 @@
 }
 
 // UpdateRequest returns the next request for updates to the control primary.
-// It reports that the node has seen the terms that are closing: from then on
-// it confirms no commit of them.
+// The request reports that the node has observed which terms are closing. From
+// then on the node confirms no commit of those terms.
 func (m *Machine) UpdateRequest(now time.Duration) distribution.UpdateRequest {
 	m.EffectiveSet(now)
 	request := m.Routing().DeltaUpdateRequest(m.observations(now), now)
@@ -124,31 +124,34 @@
 }
 
 // Observations returns what the node has to report to the control primary,
-// less what earlier reports have said.
+// without what earlier reports contained.
 func (m *Machine) Observations(now time.Duration) distribution.NodeReport {
 	return m.Routing().DeltaReport(m.observations(now), now)
 }
 
-// Ages of an overdue answer. From reportOverdueAge on an instance is reported;
-// each of suspectAges that its database's primary passes is reported at once.
-// The last one is just past syncrepl's OverdueTimeout, so that the report
-// counts against the primary as soon as it arrives.
+// Ages of an overdue answer. An instance is reported from reportOverdueAge on.
+// If it is the primary of its database, a report is sent at once each time the
+// age exceeds one of suspectAges. The last of these is slightly longer than
+// syncrepl's OverdueTimeout, so that the report counts against the primary as
+// soon as it arrives.
 var (
 	reportOverdueAge = 300 * time.Millisecond
 	suspectAges      = []time.Duration{reportOverdueAge, 610 * time.Millisecond}
 )
 
 const (
-	// maxReportedRefusals is the number of refused connections in a row from
-	// which further ones change no decision: so many count as down.
+	// maxReportedRefusals is the number of consecutive refused connections at
+	// which an instance counts as down. Further refusals change no decision.
 	maxReportedRefusals = 2
-	// refusalLevel is the weight of a refusal beside 1 for each age passed. It
-	// exceeds those of all ages, so that a refusal always raises the level.
+	// refusalLevel is the suspicion level that each refusal adds, where each
+	// exceeded age adds 1. It is higher than the sum for all ages, so that a
+	// refusal always raises the level.
 	refusalLevel = 4
 )
 
-// observations has the primaries, and the instances that refuse connections or
-// are overdue.
+// observations returns the node's full report: the primaries, the instances
+// that are being promoted, the instances that refuse connections or have
+// overdue answers, and the high watermarks.
 func (m *Machine) observations(now time.Duration) distribution.NodeReport {
 	report := distribution.NodeReport{Node: m.node.Name, HighWatermarks: map[string]model.Position{}}
 	for _, instance := range m.instances.All() {
@@ -172,7 +175,8 @@
 	return report
 }
 
-// reportSuspects asks for a report at once when a primary becomes doubtful.
+// reportSuspects requests a report at once when the suspicion level of a
+// primary rises.
 func (m *Machine) reportSuspects(now time.Duration) {
 	for _, database := range m.databases.All() {
 		_, primary, open := m.writer(database)
