--- a/internal/coordination/pool/linepool/answer_test.go
+++ b/internal/coordination/pool/linepool/answer_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestMalformedAnswers(t *testing.T) {
-	Convey("An unexpected message on a transaction's connection ends the transaction as a lost connection does", t, func() {
+	Convey("An unexpected message on a transaction's connection ends the transaction like a lost connection", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -24,7 +24,7 @@
 		So(h.lastResponse(client), ShouldEqual, "ERROR ABORTED / READY I")
 		So(h.sends, ShouldBeEmpty)
 	})
-	Convey("An answer without a result is malformed: the connection is closed, and the client is answered at once", t, func() {
+	Convey("An answer without a result closes the connection: a read is retried, and a write ends with UNKNOWN at once", t, func() {
 		for _, testCase := range []struct {
 			query    Query
 			response string
@@ -43,7 +43,7 @@
 			}
 		}
 	})
-	Convey("Rows or a second result after the result are malformed too", t, func() {
+	Convey("A row or a second result after the result closes the connection, and the write ends with UNKNOWN", t, func() {
 		for _, late := range []lineproto.Message{row("r"), done("s2"), failure(lineproto.CodeBusy)} {
 			h := newHarness(20)
 			client := h.client("strict")
@@ -58,14 +58,14 @@
 }
 
 func TestAnswersPassedOn(t *testing.T) {
-	Convey("Rows are passed on as they came, with the result and the state", t, func() {
+	Convey("Rows are passed to the client unchanged, followed by the result and the session state", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, read("1"))
 		h.answerSend(h.nextSend(), lineproto.StateIdle, row("r1"), row("r2"), done("s"))
 		So(h.lastResponse(client), ShouldEqual, "ROW r1 / ROW r2 / DONE s / READY I")
 	})
-	Convey("Errors of an instance are passed on as they came", t, func() {
+	Convey("An instance's error is passed to the client; a read that failed is first retried once", t, func() {
 		for _, code := range []lineproto.Code{lineproto.CodeFailed, lineproto.CodeTimeout, lineproto.CodeOther} {
 			for _, query := range []Query{read("1"), write("1")} {
 				h := newHarness(20)
@@ -83,7 +83,7 @@
 			}
 		}
 	})
-	Convey("A statement that fails its transaction has it rolled back at the instance; the client still has to end it", t, func() {
+	Convey("When a statement fails its transaction, the transaction is rolled back at the instance and the client still has to end it", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -101,7 +101,7 @@
 }
 
 func TestFailingInstances(t *testing.T) {
-	Convey("A read that an instance failed is run once more, at another instance if there is one", t, func() {
+	Convey("A read that an instance fails is retried once, at another instance if there is one", t, func() {
 		h := newHarness(20)
 		h.samplePosition()
 		client := h.client("stale")
@@ -117,7 +117,7 @@
 		So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("Reads are sent to instances that fail fewer, and return after a while", t, func() {
+	Convey("Reads avoid an instance with recent failures, and return to it after a while", t, func() {
 		h := newHarness(20)
 		h.samplePosition()
 		h.advanceInTicks(200 * time.Millisecond)
--- a/internal/coordination/pool/linepool/benchmark_test.go
+++ b/internal/coordination/pool/linepool/benchmark_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// BenchmarkStatement measures the way of one read from the client's query to its
-// response, in a node with a thousand sessions.
+// BenchmarkStatement measures one read from the client's query to its response,
+// on a node with a thousand sessions.
 func BenchmarkStatement(b *testing.B) {
 	const databases, sessions = 10, 1000
 	machine := newCapacityMachine(databases, sessions)
--- a/internal/coordination/pool/linepool/capacity_test.go
+++ b/internal/coordination/pool/linepool/capacity_test.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// capacityInstances is how many instances each database has.
+	// capacityInstances is the number of instances of each database.
 	capacityInstances = 3
-	// capacityNow is the time of all events of these tests.
+	// capacityNow is the time of all events in these tests.
 	capacityNow = time.Hour
 )
 
@@ -27,7 +27,7 @@
 
 func capacityBinding(number int) string { return "use-" + capacityDatabase(number) }
 
-// capacityRegistry returns the instances of so many databases.
+// capacityRegistry returns the instances of the given number of databases.
 func capacityRegistry(databases int) []model.Instance {
 	var registry []model.Instance
 	for database := range databases {
@@ -47,7 +47,8 @@
 	return registry
 }
 
-// capacitySnapshot has one binding for each database, and an open term each.
+// capacitySnapshot returns a snapshot with one binding and an open term for
+// each database.
 func capacitySnapshot(databases int) model.Snapshot {
 	set := model.BindingSet{
 		Sequence: 1, Version: 1, EffectiveAt: 1, AcceptedAt: 1, ScheduledBy: "c1@1", Source: "manifest",
@@ -69,7 +70,8 @@
 	return snapshot
 }
 
-// newCapacityMachine returns a machine with a lease that takes so many clients.
+// newCapacityMachine returns a machine that has a lease and accepts the given
+// number of clients.
 func newCapacityMachine(databases, clients int) *Machine {
 	timing := DefaultTiming()
 	timing.MaxClients = max(timing.MaxClients, clients)
@@ -83,7 +85,8 @@
 	return machine
 }
 
-// openClients opens so many sessions, spread over the databases.
+// openClients opens the given number of sessions, distributed over the
+// databases.
 func openClients(machine *Machine, databases, count int) []*Client {
 	var clients []*Client
 	for number := range count {
@@ -105,7 +108,8 @@
 	return int64(stats.HeapAlloc)
 }
 
-// sessionsHeapBytes returns what so many open sessions take of the heap.
+// sessionsHeapBytes returns the heap memory that the given number of open
+// sessions takes.
 func sessionsHeapBytes(count int) int64 {
 	const databases = 10
 	machine := newCapacityMachine(databases, count)
@@ -124,14 +128,14 @@
 		few, many          = 1000, 3000
 		maxBytesPerSession = 700
 	)
-	Convey("The memory of a session is bounded", t, func() {
+	Convey("The heap memory of a session is bounded", t, func() {
 		added := sessionsHeapBytes(many) - sessionsHeapBytes(few)
 		So(added/(many-few), ShouldBeBetween, 0, maxBytesPerSession)
 	})
 }
 
-// answerAll has the instances accept all connections and answer all statements,
-// and returns the number of responses to clients.
+// answerAll accepts all connections and answers all statements as the instances
+// do. It returns the number of responses to clients.
 func answerAll(machine *Machine) int {
 	ready := lineproto.Message{Kind: lineproto.KindReady, State: lineproto.StateIdle, Position: model.Position{Term: 1, Index: 1000}}
 	responses := 0
@@ -156,7 +160,7 @@
 
 func TestStatementsAmongManyInstances(t *testing.T) {
 	const sessions, statements = 1000, 2000
-	Convey("Each statement is answered once, however many sessions and instances there are", t, func() {
+	Convey("With many sessions and instances, each statement is answered once", t, func() {
 		for _, instances := range []int{30, 300} {
 			databases := instances / capacityInstances
 			machine := newCapacityMachine(databases, sessions)
--- a/internal/coordination/pool/linepool/client_test.go
+++ b/internal/coordination/pool/linepool/client_test.go
@@ -20,8 +20,8 @@
 	return true
 }
 
-// answerAfterDisconnect answers what was in flight when a client disconnected, and the
-// rollbacks that follow.
+// answerAfterDisconnect answers the writes that were in flight when a client
+// disconnected, and the rollbacks that follow.
 func (h *harness) answerAfterDisconnect(inFlight []Send) {
 	for _, send := range inFlight {
 		if !send.Conn.IsClosed() {
@@ -39,11 +39,12 @@
 	states := []struct {
 		name    string
 		queries []Query
-		// answeredSends is how many sends are answered before the client disconnects.
+		// answeredSends is the number of writes to instances that are answered
+		// before the client disconnects.
 		answeredSends int
 	}{
-		{"at rest", nil, 0},
-		{"with a begin", []Query{begin()}, 0},
+		{"while idle", nil, 0},
+		{"after a begin", []Query{begin()}, 0},
 		{"with a write in flight", []Query{write("1")}, 0},
 		{"with a read in flight", []Query{read("1")}, 0},
 		{"with a begin in flight", []Query{begin(), write("1")}, 0},
@@ -54,7 +55,7 @@
 	}
 	for _, state := range states {
 		for _, leased := range []bool{true, false} {
-			Convey("A client that disconnects "+state.name+" leaves nothing behind", t, func() {
+			Convey("A client that disconnects "+state.name+" leaves no statement in flight and no connection in use", t, func() {
 				h := newHarness(20)
 				client := h.client("strict")
 				if !leased {
@@ -82,7 +83,7 @@
 			})
 		}
 	}
-	Convey("A client that disconnects before its connect leaves nothing behind", t, func() {
+	Convey("A client that disconnects before its connect request gets no response", t, func() {
 		h := newHarness(20)
 		client := h.Accept(nil, h.now)
 		h.ClientLost(client, h.now)
@@ -91,7 +92,7 @@
 		So(h.responseCount(client), ShouldEqual, 0)
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("A client that disconnects with an unconfirmed commit leaves nothing behind", t, func() {
+	Convey("A client that disconnects with an unconfirmed commit gets no response to it", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, write("1"))
--- a/internal/coordination/pool/linepool/confirm_test.go
+++ b/internal/coordination/pool/linepool/confirm_test.go
@@ -28,7 +28,7 @@
 		}},
 	}
 	for _, operation := range operations {
-		Convey("A "+operation.name+" answered without a lease is confirmed only when there is a lease again", t, func() {
+		Convey("A "+operation.name+" answered without a lease is confirmed only after the node regains a lease", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
 			send := operation.run(h, client)
@@ -40,7 +40,7 @@
 			So(h.lastResponse(client), ShouldEqual, "DONE k / READY I")
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
-		Convey("A "+operation.name+" answered without a lease is unknown at its deadline", t, func() {
+		Convey("A "+operation.name+" answered without a lease ends with UNKNOWN at its deadline", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
 			send := operation.run(h, client)
@@ -50,7 +50,7 @@
 			So(h.lastResponse(client), ShouldEqual, "ERROR UNKNOWN / READY I")
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
-		Convey("A "+operation.name+" answered without a lease is unknown when the term has changed since", t, func() {
+		Convey("A "+operation.name+" answered without a lease ends with UNKNOWN if the term has changed when the lease returns", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
 			send := operation.run(h, client)
@@ -60,7 +60,7 @@
 			So(h.lastResponse(client), ShouldEqual, "ERROR UNKNOWN / READY I")
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
-		Convey("A "+operation.name+" answered after the term changed is never confirmed", t, func() {
+		Convey("A "+operation.name+" answered after the term changed ends with UNKNOWN", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
 			send := operation.run(h, client)
@@ -71,7 +71,7 @@
 			So(h.lastResponse(client), ShouldEqual, "ERROR UNKNOWN / READY I")
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
-		Convey("A "+operation.name+" answered in a closing term is confirmed until the node reports the close, and the report has its position", t, func() {
+		Convey("A "+operation.name+" answered in a closing term before the node reports the close is confirmed, and the report contains its position", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
 			send := operation.run(h, client)
@@ -83,7 +83,7 @@
 			So(h.UpdateRequest(h.now).HighWatermarks["x"], ShouldResemble, model.Position{Term: 3, Index: 150})
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
-		Convey("A "+operation.name+" answered in a closing term after that report is unknown", t, func() {
+		Convey("A "+operation.name+" answered in a closing term after the node reported the close ends with UNKNOWN", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
 			send := operation.run(h, client)
@@ -93,7 +93,7 @@
 			So(h.lastResponse(client), ShouldEqual, "ERROR UNKNOWN / READY I")
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
-		Convey("A "+operation.name+" answered in a closing term without a lease is pending, and unknown after that report", t, func() {
+		Convey("A "+operation.name+" answered in a closing term without a lease is pending, and ends with UNKNOWN after the node reports the close", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
 			send := operation.run(h, client)
@@ -109,7 +109,7 @@
 			h.advance(time.Millisecond)
 			So(h.lastResponse(client), ShouldEqual, "ERROR UNKNOWN / READY I")
 		})
-		Convey("A "+operation.name+" answered in a term in which another instance is being promoted is unknown", t, func() {
+		Convey("A "+operation.name+" answered while another instance is being promoted ends with UNKNOWN", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
 			send := operation.run(h, client)
@@ -119,7 +119,7 @@
 			}
 			So(h.lastResponse(client), ShouldEqual, "ERROR UNKNOWN / READY I")
 		})
-		Convey("A "+operation.name+" that the instance refuses is answered with the refusal, also when the term is closing", t, func() {
+		Convey("A "+operation.name+" that the instance refuses in a closing term is answered with the refusal", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
 			send := operation.run(h, client)
@@ -129,7 +129,7 @@
 			So(h.lastResponse(client), ShouldEqual, "ERROR READONLY / READY I")
 			So(h.HasStrandedCommits(h.now), ShouldBeFalse)
 		})
-		Convey("A "+operation.name+" in flight when its term closes has the closing grace, and is then unknown", t, func() {
+		Convey("A "+operation.name+" in flight when its term closes ends with UNKNOWN after the closing grace", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
 			send := operation.run(h, client)
@@ -146,7 +146,7 @@
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
 	}
-	Convey("The position of a confirmed commit is in the node's reports", t, func() {
+	Convey("The node's reports contain the position of a confirmed commit", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.logIndex = 140
--- a/internal/coordination/pool/linepool/conn_test.go
+++ b/internal/coordination/pool/linepool/conn_test.go
@@ -9,8 +9,8 @@
 	"tansyseam/internal/state/lineproto"
 )
 
-// sendLast submits one query, or a begin and another, and returns the write of the last
-// one. A begin is answered.
+// sendLast submits one query, or a begin and a second query. It answers the
+// BEGIN command, if any, and returns the write that contains the last query.
 func (h *harness) sendLast(client *Client, queries []Query) Send {
 	for _, query := range queries {
 		h.query(client, query)
@@ -22,7 +22,7 @@
 }
 
 func TestLostConnections(t *testing.T) {
-	Convey("A queued statement outlives connections that end", t, func() {
+	Convey("A queued statement is sent after a connection attempt has failed", t, func() {
 		h := newHarness(20)
 		h.manualOpen = true
 		client := h.client("strict")
@@ -46,7 +46,7 @@
 		So(h.responseCount(client), ShouldEqual, 1)
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("A statement whose connection is lost at the begin begins on another one", t, func() {
+	Convey("If the connection is lost before the begin is answered, the transaction begins on another connection", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -63,14 +63,14 @@
 		response string
 	}{
 		{"a single write", []Query{write("1")}, "ERROR UNKNOWN / READY I"},
-		{"a write inside", []Query{begin(), write("1")}, "ERROR ABORTED / READY E"},
-		{"a read inside", []Query{begin(), read("1")}, "ERROR ABORTED / READY E"},
-		{"a read inside a reading transaction", []Query{beginRead(), read("1")}, "ERROR ABORTED / READY E"},
+		{"a write in a transaction", []Query{begin(), write("1")}, "ERROR ABORTED / READY E"},
+		{"a read in a transaction", []Query{begin(), read("1")}, "ERROR ABORTED / READY E"},
+		{"a read in a read-only transaction", []Query{beginRead(), read("1")}, "ERROR ABORTED / READY E"},
 		{"a commit", []Query{begin(), commit()}, "ERROR UNKNOWN / READY I"},
-		{"a commit of reads", []Query{beginRead(), commit()}, "ERROR ABORTED / READY I"},
+		{"a commit of a read-only transaction", []Query{beginRead(), commit()}, "ERROR ABORTED / READY I"},
 	}
 	for _, statement := range statements {
-		Convey("A connection lost with "+statement.name+" in flight is answered with "+statement.response, t, func() {
+		Convey("If the connection is lost with "+statement.name+" in flight, the response is "+statement.response, t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
 			send := h.sendLast(client, statement.queries)
@@ -79,7 +79,7 @@
 			So(h.sends, ShouldBeEmpty)
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
-		Convey("A missing answer to "+statement.name+" is reported at its deadline", t, func() {
+		Convey("Without an answer to "+statement.name+", the client gets an error at the deadline", t, func() {
 			h := newHarness(20)
 			client := h.client("strict")
 			send := h.sendLast(client, statement.queries)
@@ -89,7 +89,7 @@
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
 	}
-	Convey("A single read is retried, more than once", t, func() {
+	Convey("A single read is retried after each of several lost connections", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, read("1"))
@@ -122,7 +122,7 @@
 }
 
 func TestRefusedConnections(t *testing.T) {
-	Convey("The backoff after refused connections grows, also where the instance answers the handshake with the refusal", t, func() {
+	Convey("The backoff grows after each connection that the instance refuses in the handshake", t, func() {
 		h := newHarness(20)
 		h.manualOpen = true
 		client := h.client("strict")
@@ -138,7 +138,7 @@
 		So(attempts, ShouldBeBetween, 3, 12)
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("An address that belongs to another instance by now counts as a refused connection", t, func() {
+	Convey("An address that now belongs to another instance counts as a refused connection", t, func() {
 		h := newHarness(20)
 		h.manualOpen = true
 		client := h.client("strict")
--- a/internal/coordination/pool/linepool/dispatch_test.go
+++ b/internal/coordination/pool/linepool/dispatch_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestStrict(t *testing.T) {
-	Convey("Strict reads, writes and commits are sent under a lease only, and wait for it", t, func() {
+	Convey("Strict reads and writes wait until the node has a lease", t, func() {
 		for _, query := range []Query{read("1"), write("1")} {
 			h := newHarness(20)
 			client := h.client("strict")
@@ -22,7 +22,7 @@
 			So(h.nextSend().target(), ShouldEqual, "a")
 		}
 	})
-	Convey("They are sent in an open term only, to its primary", t, func() {
+	Convey("A strict read is sent only in an open term, to its primary", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.setWriter(model.PhaseClosing, "a", 3)
@@ -33,7 +33,7 @@
 		h.setWriter(model.PhaseOpen, "b", 4)
 		So(h.nextSend().target(), ShouldEqual, "b")
 	})
-	Convey("A strict read in flight at a primary whose term closes is retried at the next one, and the first answer is ignored", t, func() {
+	Convey("A strict read in flight at a primary whose term closes is retried at the next primary, and the first answer is ignored", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, read("1"))
@@ -46,7 +46,7 @@
 		So(h.lastResponse(client), ShouldEqual, "DONE new / READY I")
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("A write waits while the primary is leaving, and is sent to the next one", t, func() {
+	Convey("A write waits while the term of a leaving primary is closing, and is sent to the next primary", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.registered("a").Leaving = true
@@ -77,7 +77,7 @@
 		}
 		So(h.invariantViolation(), ShouldEqual, "")
 	}
-	Convey("Of a slow read and its hedge the first answer wins, and the other is ignored", t, func() {
+	Convey("The first answer to a slow read or its hedge is used, and the other is ignored", t, func() {
 		for _, isFirst := range []bool{true, false} {
 			h, client, send, other := hedgedRead()
 			if !isFirst {
@@ -91,7 +91,7 @@
 			checkNoneInFlight(h)
 		}
 	})
-	Convey("If one connection is lost, the other attempt answers; if both are, the read is retried", t, func() {
+	Convey("If one connection of a hedged read is lost, the other attempt is used; if both are lost, the read is retried", t, func() {
 		h, client, send, other := hedgedRead()
 		h.loseConn(send.Conn)
 		So(h.sends, ShouldBeEmpty)
@@ -105,7 +105,7 @@
 		So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
 		checkNoneInFlight(h)
 	})
-	Convey("If one attempt is refused, the other answers", t, func() {
+	Convey("If one attempt of a hedged read is refused, the other attempt is used", t, func() {
 		h, client, send, other := hedgedRead()
 		h.answerSend(send, lineproto.StateIdle, failure(lineproto.CodeBusy))
 		So(h.sends, ShouldBeEmpty)
--- a/internal/coordination/pool/linepool/drain_test.go
+++ b/internal/coordination/pool/linepool/drain_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestDrain(t *testing.T) {
-	Convey("A draining node is unready at once, and serves on for a while", t, func() {
+	Convey("A draining node is unready at once, serves for the linger time, and then closes sessions as they become idle", t, func() {
 		h := newHarness(20)
 		isReady, _ := h.Ready(h.now)
 		So(isReady, ShouldBeTrue)
@@ -32,7 +32,7 @@
 		So(h.closedClients[busy], ShouldBeTrue)
 		So(h.IsDrained(), ShouldBeTrue)
 	})
-	Convey("An open transaction has longer, and is rolled back when it is idle then", t, func() {
+	Convey("An open transaction may continue after the linger time, and is later rolled back if it is idle", t, func() {
 		h := newHarness(20)
 		client, other := h.client("strict"), h.client("strict")
 		for _, transactionClient := range []*Client{client, other} {
@@ -52,7 +52,7 @@
 		So(formatCommands(h.nextSend()), ShouldEqual, "rollback")
 		So(h.IsDrained(), ShouldBeTrue)
 	})
-	Convey("No session with a statement in flight is closed before the end of the drain", t, func() {
+	Convey("A session with a statement in flight is closed only at the end of the drain", t, func() {
 		h := newHarness(20)
 		h.snapshot.Sets[0].Bindings[0].Timeout = 8 * time.Second
 		h.update(leaseDuration)
--- a/internal/coordination/pool/linepool/harness_test.go
+++ b/internal/coordination/pool/linepool/harness_test.go
@@ -16,33 +16,33 @@
 	"tansyseam/internal/state/store"
 )
 
-// harness runs one machine against scripted instances: a is the primary of
-// database x, b and c are its replicas, and y has the primary d alone.
+// harness runs one machine against scripted instances. Database x has the
+// primary a and the replicas b and c. Database y has only the primary d.
 type harness struct {
 	*Machine
 	now    time.Duration
 	counts map[string]int64
-	// responses are the formatted answers to each client.
+	// responses holds the formatted responses to each client.
 	responses     map[*Client][]string
 	closedClients map[*Client]bool
-	// opens are the connections that wait for their handshake, sends the writes
-	// to instances that wait for an answer.
+	// opens holds the connections that wait for their handshake. sends holds
+	// the writes to instances that wait for an answer.
 	opens       []OpenConn
 	sends       []Send
 	closedConns []*Conn
 	reports     int
-	// snapshot and registry are what the next update brings, version counts the
-	// updates.
+	// snapshot and registry are the contents of the next update. version is the
+	// number of updates so far.
 	snapshot model.Snapshot
 	registry []model.Instance
 	version  uint64
-	// manualOpen has connections wait until the test accepts them.
+	// manualOpen is true if connections wait until the test accepts them.
 	manualOpen bool
 	// logIndex is the position of database x's primary.
 	logIndex uint64
 }
 
-// leaseDuration is what an update grants where the test says nothing else.
+// leaseDuration is the duration of the lease that most updates grant.
 const leaseDuration = 1600 * time.Millisecond
 
 func newHarness(connections int) *harness { return newHarnessFor("d1", connections) }
@@ -75,7 +75,8 @@
 	}
 }
 
-// testSnapshot has an open term for each database, and one binding set in force.
+// testSnapshot returns a snapshot with an open term for each database and one
+// binding set in force.
 func testSnapshot(connections int) model.Snapshot {
 	database := func(name string) model.Database {
 		return model.Database{Name: name, MaxConnections: connections, MinSyncReplicas: 1}
@@ -96,7 +97,8 @@
 	}
 }
 
-// testBindings are named by what is special about them; strict is the ordinary one.
+// testBindings returns bindings that are named after their special property;
+// strict has none.
 func testBindings() []model.Binding {
 	strict := model.Binding{Name: "strict", Database: "x", Timeout: 2 * time.Second, LatencyTarget: 200 * time.Millisecond, Priority: 1}
 	stale := strict
@@ -110,7 +112,8 @@
 	return []model.Binding{strict, stale, own, urgent, other}
 }
 
-// update brings the state as it is now, with a lease.
+// update applies an update with the current snapshot and registry, and with a
+// lease.
 func (h *harness) update(leaseDuration time.Duration) {
 	h.version++
 	snapshot := h.snapshot
@@ -133,12 +136,13 @@
 	h.update(leaseDuration)
 }
 
-// registered returns an instance of the registry, to be changed.
+// registered returns an instance of the registry, so that the test can change
+// it.
 func (h *harness) registered(name string) *model.Instance {
 	return &h.registry[slices.IndexFunc(h.registry, func(instance model.Instance) bool { return instance.Name == name })]
 }
 
-// applyEffects carries out effects until there are none.
+// applyEffects carries out effects until none are left.
 func (h *harness) applyEffects() {
 	for {
 		effects := h.Effects()
@@ -189,7 +193,8 @@
 	h.Received(open.Conn, h.readyIn(lineproto.StateIdle), h.now)
 }
 
-// acceptAndApply has an instance accept a connection, and carries out what follows.
+// acceptAndApply accepts a connection as the instance does, and carries out the
+// effects.
 func (h *harness) acceptAndApply(open OpenConn) {
 	h.acceptConn(open)
 	h.applyEffects()
@@ -199,7 +204,8 @@
 	return model.Position{Term: h.snapshot.Writers["x"].Term, Index: h.logIndex}
 }
 
-// nodes returns the names of so many nodes, the harness's own among them.
+// nodes returns the names of the given number of nodes, including the harness's
+// own.
 func nodes(count int) []string {
 	names := make([]string, count)
 	for index := range names {
@@ -208,14 +214,14 @@
 	return names
 }
 
-// advance passes time in one tick.
+// advance advances the time by span and runs one tick.
 func (h *harness) advance(span time.Duration) {
 	h.now += span
 	h.Tick(nodes(1), 1, h.now)
 	h.applyEffects()
 }
 
-// advanceInTicks passes time in ticks, with a lease throughout.
+// advanceInTicks advances the time in ticks, with a lease throughout.
 func (h *harness) advanceInTicks(span time.Duration) {
 	for end := h.now + span; h.now < end; {
 		h.advance(min(25*time.Millisecond, end-h.now))
@@ -236,7 +242,7 @@
 	h.applyEffects()
 }
 
-// lastResponse returns the last answer to a client.
+// lastResponse returns the last response to a client.
 func (h *harness) lastResponse(client *Client) string {
 	if len(h.responses[client]) == 0 {
 		return ""
@@ -246,7 +252,7 @@
 
 func (h *harness) responseCount(client *Client) int { return len(h.responses[client]) }
 
-// nextSend takes the oldest write to an instance that is not answered.
+// nextSend removes and returns the oldest unanswered write to an instance.
 func (h *harness) nextSend() Send {
 	So(len(h.sends), ShouldBeGreaterThan, 0)
 	send := h.sends[0]
@@ -265,8 +271,8 @@
 	return lineproto.Message{Kind: lineproto.KindReady, State: state, Position: h.position()}
 }
 
-// answerSend answers a write to an instance: the commands before the last are
-// done.
+// answerSend answers a write to an instance. The commands before the last are
+// answered as done.
 func (h *harness) answerSend(send Send, state byte, messages ...lineproto.Message) {
 	for range send.Commands[:len(send.Commands)-1] {
 		h.receive(send.Conn, done("-"), h.readyIn(lineproto.StateIdle))
@@ -274,8 +280,8 @@
 	h.receive(send.Conn, append(messages, h.readyIn(state))...)
 }
 
-// answerBegin has an instance begin the transaction of the next write, and
-// returns the write of the statement itself.
+// answerBegin answers the BEGIN command in the next write, and returns the
+// following write, which contains the statement itself.
 func (h *harness) answerBegin() Send {
 	send := h.nextSend()
 	So([]CommandKind{CommandBegin, CommandBeginReadOnly}, ShouldContain, send.Commands[len(send.Commands)-1].Kind)
@@ -289,12 +295,13 @@
 	h.applyEffects()
 }
 
-// target names the instance that a write is for.
+// target returns the name of the instance that a write is for.
 func (send Send) target() string { return send.Conn.instance.info.Name }
 
 func (send Send) minPosition() model.Position { return send.Commands[len(send.Commands)-1].MinPosition }
 
-// samplePosition has the node learn the primary's position by a read there.
+// samplePosition makes the node sample the primary's position with a read
+// there.
 func (h *harness) samplePosition() {
 	client := h.client("strict")
 	h.query(client, read("sample"))
--- a/internal/coordination/pool/linepool/instance_test.go
+++ b/internal/coordination/pool/linepool/instance_test.go
@@ -25,7 +25,7 @@
 		h.Tick(nodes(4), 1, h.now+100*time.Second)
 		So(h.instance("a").window.Reading().MaxWindow, ShouldEqual, 4)
 	})
-	Convey("Statements beyond the window are queued by priority, and sent as answers come", t, func() {
+	Convey("Statements beyond the window are queued by priority, and sent as answers arrive", t, func() {
 		h := newHarness(20)
 		var clients []*Client
 		for range 4 {
@@ -49,7 +49,7 @@
 		}
 		So(h.instance("a").window.Reading().InFlight, ShouldEqual, 0)
 	})
-	Convey("A full queue rejects with a code that guarantees no effect", t, func() {
+	Convey("A full queue rejects a statement with BUSY, which guarantees no effect", t, func() {
 		h := newHarness(1)
 		h.timing.MaxQueue = 2
 		var last *Client
@@ -84,7 +84,7 @@
 }
 
 func TestLeavingInstances(t *testing.T) {
-	Convey("A draining instance is sent no new work, and its idle connections are closed", t, func() {
+	Convey("A draining replica receives no new reads, and its idle connections are closed", t, func() {
 		h := newHarness(20)
 		h.samplePosition()
 		h.registered("b").Leaving = true
@@ -99,7 +99,7 @@
 		}
 		So(len(h.instance("b").conns)+len(h.instance("c").conns), ShouldEqual, 0)
 	})
-	Convey("A draining primary is sent strict statements, on the connections that it has, until its term closes", t, func() {
+	Convey("A draining primary receives strict statements on its existing connections until its term closes", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, write("1"))
@@ -116,7 +116,7 @@
 		h.setWriter(model.PhaseClosing, "a", 3)
 		So(len(h.instance("a").conns), ShouldEqual, 0)
 	})
-	Convey("A primary that was draining when the node learned of it is sent strict statements for a shorter time", t, func() {
+	Convey("A primary that was draining before it was reported to the node receives strict statements for a shorter time", t, func() {
 		h := newHarness(20)
 		late := newHarness(20)
 		late.registry[0].Leaving = true
@@ -134,7 +134,7 @@
 		h.query(h.client("strict"), write("1"))
 		So(len(h.sends), ShouldEqual, 1)
 	})
-	Convey("A primary whose drain is over is sent nothing more, even if its term is open", t, func() {
+	Convey("A primary whose drain window is over receives no more statements, even if its term is open", t, func() {
 		h := newHarness(20)
 		client, inTransaction := h.client("strict"), h.client("strict")
 		h.query(inTransaction, begin())
@@ -170,7 +170,7 @@
 		So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
 		So(send.Conn.IsClosed(), ShouldBeTrue)
 	})
-	Convey("A transaction at a draining instance continues until the drain is over", t, func() {
+	Convey("A transaction at a draining instance continues until the drain window is over", t, func() {
 		h := newHarness(20)
 		h.samplePosition()
 		client := h.client("stale")
--- a/internal/coordination/pool/linepool/invariants_test.go
+++ b/internal/coordination/pool/linepool/invariants_test.go
@@ -7,8 +7,9 @@
 	"tansyseam/internal/state/lineproto"
 )
 
-// invariantViolation checks what must hold of the machine after every event.
-// It returns a description of the first violation, or an empty string.
+// invariantViolation checks the machine's invariants, which must hold after
+// every event. It returns a description of the first violation, or an empty
+// string.
 func (m *Machine) invariantViolation() string {
 	for _, instance := range m.instances.All() {
 		if violation := instance.violation(); violation != "" {
@@ -31,7 +32,7 @@
 			return fmt.Sprintf("a request is in %d lists", count)
 		}
 		if request.client.closed || request.client.request != request {
-			return "a request is listed whose client does not wait for it"
+			return "the client of a listed request does not wait for it"
 		}
 	}
 	for client := range m.clients {
@@ -65,7 +66,7 @@
 		inUse := conn.state != connIdle || conn.owner != nil || conn.attempt != nil
 		misplaced := !slices.Contains(i.conns, conn) || slices.Contains(i.idle[:index], conn)
 		if inUse || misplaced {
-			return "the list of idle connections is wrong"
+			return "the idle list has a connection that is in use, unknown or listed twice"
 		}
 	}
 	if opening != i.opening {
@@ -82,18 +83,19 @@
 		return "a closed connection is listed"
 	}
 	if c.owner != nil && (c.owner.transaction == nil || c.owner.transaction.conn != c) {
-		return "a connection's owner has no transaction on it"
+		return "the owner of a connection has no transaction on it"
 	}
 	if c.state == connIdle && c.owner == nil && !slices.Contains(c.instance.idle, c) {
-		return "an idle connection is in no list"
+		return "an idle connection is not in the idle list"
 	}
 	if c.state == connBusy && c.attempt == nil && len(c.pending) == 0 {
-		return "a busy connection waits for nothing"
+		return "a busy connection has no pending answer"
 	}
 	return ""
 }
 
-// violation adds the database's requests to listed.
+// violation returns a description of the first violation in the database's
+// lists, or an empty string. It counts the requests in listed.
 func (d *databaseState) violation(listed map[*Request]int) string {
 	for _, queue := range []requestQueue{d.transactionQueue, d.primaryQueue, d.readQueue} {
 		for _, request := range queue {
@@ -121,13 +123,13 @@
 func (c *Client) violation() string {
 	inTransaction := c.state == lineproto.StateInTransaction
 	if inTransaction != (c.transaction != nil) && c.request == nil {
-		return fmt.Sprintf("a client in state %c, transaction %v", c.state, c.transaction != nil)
+		return fmt.Sprintf("a client is in state %c, but the presence of its transaction is %v", c.state, c.transaction != nil)
 	}
 	if !c.transaction.isOpenAtInstance() {
 		return ""
 	}
 	if conn := c.transaction.conn; conn.owner != c || conn.state == connClosed {
-		return "a transaction's connection is not its own"
+		return "a transaction's connection is closed or has another owner"
 	}
 	return ""
 }
--- a/internal/coordination/pool/linepool/messages_test.go
+++ b/internal/coordination/pool/linepool/messages_test.go
@@ -15,10 +15,10 @@
 }
 
 func failure(code lineproto.Code) lineproto.Message {
-	return lineproto.Message{Kind: lineproto.KindError, Code: code, Payload: codeNames[code] + " so"}
+	return lineproto.Message{Kind: lineproto.KindError, Code: code, Payload: codeNames[code] + " detail"}
 }
 
-// codeNames are the names of codes in formatted messages.
+// codeNames maps the codes to their names in formatted messages.
 var codeNames = map[lineproto.Code]string{
 	lineproto.CodeOther: "OTHER", lineproto.CodeBusy: "BUSY", lineproto.CodeAborted: "ABORTED", lineproto.CodeLagging: "LAGGING",
 	lineproto.CodeReadOnly: "READONLY", lineproto.CodeWrongInstance: "WRONGHOST", lineproto.CodeTooManyConnections: "FULL", lineproto.CodeUnknownOutcome: "UNKNOWN",
@@ -26,7 +26,8 @@
 	lineproto.CodeTooMuchInput: "TOOLONG", lineproto.CodeMalformed: "MALFORMED",
 }
 
-// noEffectCodeNames are those of codes which say that nothing was applied.
+// noEffectCodeNames are the names of the codes that guarantee that nothing was
+// applied.
 var noEffectCodeNames = []string{"BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGHOST", "FULL"}
 
 var messageFormats = map[lineproto.Kind]func(lineproto.Message) string{
--- a/internal/coordination/pool/linepool/position_test.go
+++ b/internal/coordination/pool/linepool/position_test.go
@@ -19,7 +19,7 @@
 		So(send.target(), ShouldEqual, "a")
 		So(send.minPosition(), ShouldResemble, model.Position{})
 	})
-	Convey("The minimum position is one that the primary gave in answer to a statement sent within the freshness bound", t, func() {
+	Convey("The minimum position comes from the primary's answer to a statement that was sent within the freshness bound", t, func() {
 		h := newHarness(20)
 		h.logIndex = 70
 		h.samplePosition()
@@ -39,7 +39,7 @@
 		h.query(client, read("3"))
 		So(h.nextSend().target(), ShouldEqual, "a")
 	})
-	Convey("A sample counts from when the statement was sent, not from when it was answered", t, func() {
+	Convey("The age of a sample is counted from when the statement was sent, not from when it was answered", t, func() {
 		h := newHarness(20)
 		slow, client := h.client("strict"), h.client("stale")
 		h.query(slow, read("1"))
@@ -49,7 +49,7 @@
 		h.query(client, read("2"))
 		So(h.nextSend().target(), ShouldEqual, "a")
 	})
-	Convey("A session's own commits raise the minimum position of its read-your-writes reads, and of no other session's", t, func() {
+	Convey("A session's own commits raise the minimum position of its read-your-writes reads, and not those of other sessions", t, func() {
 		h := newHarness(20)
 		h.logIndex = 70
 		h.samplePosition()
@@ -63,7 +63,7 @@
 		h.query(client, read("3"))
 		So(h.nextSend().minPosition().Index, ShouldEqual, 80)
 	})
-	Convey("Reads after an own commit that replicas may not have yet are sent to the primary", t, func() {
+	Convey("A read-your-writes read is sent to the primary while replicas may not have the session's own commit", t, func() {
 		h := newHarness(20)
 		h.samplePosition()
 		client := h.client("own")
@@ -73,7 +73,7 @@
 		h.query(client, read("2"))
 		So(h.nextSend().target(), ShouldEqual, "a")
 	})
-	Convey("A commit that was not confirmed raises no minimum position", t, func() {
+	Convey("An unconfirmed commit does not raise the minimum position", t, func() {
 		h := newHarness(20)
 		h.samplePosition()
 		client := h.client("own")
@@ -85,7 +85,7 @@
 		h.query(client, read("2"))
 		So(h.nextSend().minPosition().Index, ShouldEqual, 100)
 	})
-	Convey("A bounded transaction asks for its minimum position at its begin only", t, func() {
+	Convey("A bounded transaction requires its minimum position only at its begin", t, func() {
 		h := newHarness(20)
 		h.samplePosition()
 		client := h.client("stale")
@@ -97,7 +97,7 @@
 		h.answerSend(first, lineproto.StateInTransaction, done("-"))
 		So(h.nextSend().minPosition(), ShouldResemble, model.Position{})
 	})
-	Convey("A replica that lags is skipped for a while, and the read is sent elsewhere", t, func() {
+	Convey("A replica that refuses a read because it lags is skipped, and the read is sent to another instance", t, func() {
 		h := newHarness(20)
 		h.samplePosition()
 		client := h.client("stale")
@@ -112,7 +112,7 @@
 		h.answerSend(third, lineproto.StateIdle, done("s"))
 		So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
 	})
-	Convey("Samples are of one term: a new term begins without", t, func() {
+	Convey("A new term begins without the position samples of the earlier term", t, func() {
 		h := newHarness(20)
 		h.samplePosition()
 		h.setWriter(model.PhaseClosing, "a", 3)
@@ -121,7 +121,7 @@
 		h.query(client, read("1"))
 		So(h.nextSend().target(), ShouldEqual, "b")
 	})
-	Convey("While a term is closed, the minimum position of the writer role covers every commit", t, func() {
+	Convey("While a term is closed, bounded reads use the minimum position of the writer role", t, func() {
 		h := newHarness(20)
 		h.setWriter(model.PhaseClosing, "a", 3)
 		h.snapshot.Writers["x"] = model.WriterRole{Database: "x", Term: 3, Primary: "a", Phase: model.PhasePromoting, SyncReplication: true, MinPosition: model.Position{Term: 3, Index: 55}}
--- a/internal/coordination/pool/linepool/queries_test.go
+++ b/internal/coordination/pool/linepool/queries_test.go
@@ -7,7 +7,7 @@
 	"tansyseam/internal/state/lineproto"
 )
 
-// lastQueryID numbers the queries of all tests.
+// lastQueryID is the number of the last query in all tests.
 var lastQueryID int
 
 func newQuery(action lineproto.Action, text string) Query {
--- a/internal/coordination/pool/linepool/query_test.go
+++ b/internal/coordination/pool/linepool/query_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestSessions(t *testing.T) {
-	Convey("A connect waits for the first lease, and is rejected after a while without", t, func() {
+	Convey("A connect request waits for a lease, and is rejected if the lease does not arrive in time", t, func() {
 		h := newHarness(20)
 		h.advance(1700 * time.Millisecond)
 		client, late := h.client("strict"), h.client("strict")
@@ -25,13 +25,13 @@
 		So(h.lastResponse(third), ShouldEqual, "ERROR BUSY")
 		So(h.closedClients[third], ShouldBeTrue)
 	})
-	Convey("A connect to an unknown binding is rejected", t, func() {
+	Convey("A connect request for an unknown binding is rejected", t, func() {
 		h := newHarness(20)
 		client := h.client("none")
 		So(h.lastResponse(client), ShouldEqual, "ERROR NODB")
 		So(h.closedClients[client], ShouldBeTrue)
 	})
-	Convey("A changed binding applies from the next transaction on, and a removed one to none", t, func() {
+	Convey("A changed or removed binding affects the next transaction, and not one that is open", t, func() {
 		h := newHarness(20)
 		client, inTransaction := h.client("strict"), h.client("strict")
 		h.query(inTransaction, begin())
@@ -86,7 +86,7 @@
 		So(h.closedClients[client], ShouldBeTrue)
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("No more sessions are accepted than the limit", t, func() {
+	Convey("Sessions beyond the limit are not accepted", t, func() {
 		h := newHarness(20)
 		h.timing.MaxClients = 1
 		So(h.client("strict"), ShouldNotBeNil)
@@ -107,8 +107,8 @@
 		{"prepare", func() Query { return prepare("p", "read q") }, map[string]string{"I": "DONE - / READY I", "T": "DONE - / READY T", "E": "ERROR MALFORMED / READY E"}},
 		{"run", func() Query { return execute("none", "1") }, map[string]string{"I": "ERROR NOTFOUND / READY I", "T": "ERROR NOTFOUND / READY E", "E": "ERROR MALFORMED / READY E"}},
 		{"forget", func() Query { return deallocate("none") }, map[string]string{"I": "ERROR NOTFOUND / READY I", "T": "ERROR NOTFOUND / READY T", "E": "ERROR MALFORMED / READY E"}},
-		{"nonsense", func() Query { return newQuery(lineproto.ActionInvalid, "what") }, map[string]string{"I": "ERROR MALFORMED / READY I", "T": "ERROR MALFORMED / READY E", "E": "ERROR MALFORMED / READY E"}},
-		{"unknown action", func() Query { return newQuery(lineproto.Action(99), "what") }, map[string]string{"I": "ERROR MALFORMED / READY I", "T": "ERROR MALFORMED / READY E", "E": "ERROR MALFORMED / READY E"}},
+		{"invalid action", func() Query { return newQuery(lineproto.ActionInvalid, "invalid") }, map[string]string{"I": "ERROR MALFORMED / READY I", "T": "ERROR MALFORMED / READY E", "E": "ERROR MALFORMED / READY E"}},
+		{"unknown action", func() Query { return newQuery(lineproto.Action(99), "unknown") }, map[string]string{"I": "ERROR MALFORMED / READY I", "T": "ERROR MALFORMED / READY E", "E": "ERROR MALFORMED / READY E"}},
 	}
 	for _, action := range actions {
 		for state, want := range action.want {
@@ -136,7 +136,7 @@
 			})
 		}
 	}
-	Convey("Queries before the connect, and a second connect, end the session", t, func() {
+	Convey("A query before the connect request, or a second connect request, ends the session", t, func() {
 		h := newHarness(20)
 		client := h.Accept(nil, h.now)
 		h.query(client, read("1"))
@@ -148,7 +148,7 @@
 		So(h.lastResponse(client), ShouldEqual, "ERROR MALFORMED")
 		So(h.closedClients[client], ShouldBeTrue)
 	})
-	Convey("Malformed answers of an instance end its connection", t, func() {
+	Convey("A malformed answer closes the instance's connection, and later messages on it are ignored", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, write("1"))
--- a/internal/coordination/pool/linepool/random_client_test.go
+++ b/internal/coordination/pool/linepool/random_client_test.go
@@ -7,15 +7,16 @@
 	"tansyseam/internal/state/lineproto"
 )
 
-// simulatedClient is a client, with what it may expect by the answers so far.
+// simulatedClient is a client together with the session state that its
+// responses so far imply.
 type simulatedClient struct {
 	client *Client
-	// pending are the queries that have not been answered yet, the oldest first.
+	// pending holds the queries that have not been answered yet, oldest first.
 	pending   []pendingQuery
 	state     byte
 	variables map[string]string
 	prepared  map[string]string
-	// group is that of the open transaction, if any.
+	// group is the write group of the open transaction, or nil.
 	group     *writeGroup
 	closed    bool
 	connected bool
@@ -23,17 +24,17 @@
 
 type pendingQuery struct {
 	query Query
-	// group is that of the query alone, if it is one that may write.
+	// group is the write group of the query alone if it may write, or nil.
 	group *writeGroup
 }
 
-// writeGroup is what is applied as a whole or not at all: a transaction, or a
-// single write.
+// writeGroup is a transaction or a single write. Its writes are applied all
+// together or not at all.
 type writeGroup struct {
 	id      int
 	writes  int
 	applied bool
-	// noEffectResponse is the response, if any, by which the client was assured
+	// noEffectResponse is the response, if any, that guaranteed to the client
 	// that nothing of the group was applied.
 	noEffectResponse string
 }
@@ -54,8 +55,9 @@
 	s.Query(client.client, query, s.now)
 }
 
-// findPending returns the client that sent a query and the query, and whether it is
-// the one that the client's next response is for.
+// findPending returns the client that sent a query, and the query if it has not
+// been answered yet. isNext is true if the client's next response is for this
+// query.
 func (s *simulation) findPending(id string) (client *simulatedClient, pending pendingQuery, isNext bool) {
 	client = s.senders[id]
 	if client == nil {
@@ -68,12 +70,13 @@
 	return client, client.pending[index], index == 0 && !client.closed
 }
 
-// formattedResponse is a formatted response, taken apart.
+// formattedResponse is the parsed form of a formatted response.
 type formattedResponse struct {
 	line string
-	// code is that of the error, result the payload without one.
+	// code is the name of the error code, and result the payload of a
+	// successful result. The other one is empty.
 	code, result string
-	// state is the session's after the query; 0 where the response ends the session.
+	// state is the session state after the query; 0 if the response ends the session.
 	state byte
 }
 
@@ -96,7 +99,7 @@
 
 func (r formattedResponse) isSuccess() bool { return r.code == "" }
 
-// checkResponses takes the responses to a client, and checks them.
+// checkResponses removes the recorded responses to a client and checks them.
 func (s *simulation) checkResponses(client *simulatedClient) {
 	lines := s.harness.responses[client.client]
 	s.harness.responses[client.client] = nil
@@ -106,7 +109,7 @@
 			continue
 		}
 		if len(client.pending) == 0 {
-			s.recordViolation("an answer to nothing: %s", line)
+			s.recordViolation("a response without a pending query: %s", line)
 			return
 		}
 		s.checkResponse(client, parseResponse(line))
@@ -139,7 +142,8 @@
 	client.state = response.state
 }
 
-// checkEffect compares what a response says of the effect with what was applied.
+// checkEffect checks that a response agrees with whether its write group was
+// applied.
 func (s *simulation) checkEffect(client *simulatedClient, pending pendingQuery, response formattedResponse) {
 	group := client.group
 	single := client.state == lineproto.StateIdle && pending.group != nil
@@ -162,10 +166,11 @@
 	}
 }
 
-// instanceActions are those of queries that an instance answers, by their ID.
+// instanceActions are the actions that an instance answers. The result contains
+// the ID of the query.
 var instanceActions = []lineproto.Action{lineproto.ActionRead, lineproto.ActionWrite, lineproto.ActionExecute, lineproto.ActionCommit}
 
-// checkResult checks that a response is the answer to its query.
+// checkResult checks that a response contains the result for its query.
 func (s *simulation) checkResult(pending pendingQuery, response formattedResponse) {
 	query := pending.query
 	fromInstance := slices.Contains(instanceActions, query.Statement.Action)
@@ -174,7 +179,7 @@
 	}
 }
 
-// resultOf is the payload of a server's result for a query.
+// resultOf returns the payload of a server's result for a query.
 func resultOf(queryID string) string { return "s" + queryID }
 
 func (client *simulatedClient) applySessionChange(statement lineproto.Statement) {
--- a/internal/coordination/pool/linepool/random_server_test.go
+++ b/internal/coordination/pool/linepool/random_server_test.go
@@ -7,11 +7,12 @@
 	"tansyseam/internal/state/lineproto"
 )
 
-// noRefusal is given to a server that is to run its next command.
+// noRefusal is passed instead of a refusal code to a server that runs its next
+// command.
 const noRefusal = lineproto.CodeOther
 
-// simulatedServer is the instance's end of one connection. It runs what it is
-// sent.
+// simulatedServer is the instance's end of one connection. It runs the commands
+// that it receives.
 type simulatedServer struct {
 	conn          *Conn
 	queue         []Command
@@ -21,7 +22,7 @@
 	hasWrites     bool
 	group         *writeGroup
 	accepted      bool
-	// sessionAtBegin is the session as the transaction found it.
+	// sessionAtBegin is the session state at the beginning of the transaction.
 	sessionAtBegin *serverSession
 }
 
@@ -74,8 +75,8 @@
 	CommandExecute:       (*simulation).runStatement,
 }
 
-// runNext runs the oldest command at a server and returns the answer. A begin or a
-// statement is refused with the code, unless that is noRefusal.
+// runNext runs the oldest command at a server and returns the answer. A begin
+// or a statement is refused with the given code, unless the code is noRefusal.
 func (s *simulation) runNext(server *simulatedServer, refusal lineproto.Code) []lineproto.Message {
 	command := server.queue[0]
 	server.queue = server.queue[1:]
@@ -94,8 +95,9 @@
 	return []lineproto.Message{done("-")}
 }
 
-// rollBack ends the transaction, if any. Some servers undo changes of the session
-// state with it, and some keep them.
+// rollBack ends the transaction, if any. It undoes the transaction's changes of
+// the session state at random, because some servers undo them and others keep
+// them.
 func (s *simulation) rollBack(server *simulatedServer) {
 	if s.chance(0.5) && server.sessionAtBegin != nil {
 		server.session = *server.sessionAtBegin
@@ -113,7 +115,7 @@
 func (s *simulation) runStatement(server *simulatedServer, command Command, refusal lineproto.Code) []lineproto.Message {
 	client, pending, isNext := s.findPending(command.ID)
 	if client == nil {
-		s.recordViolation("a statement that nobody sent: %s", command.ID)
+		s.recordViolation("a statement whose ID no client has sent: %s", command.ID)
 		return []lineproto.Message{failure(lineproto.CodeOther)}
 	}
 	write := false
@@ -143,12 +145,12 @@
 	return []lineproto.Message{row("r" + command.ID), done(resultOf(command.ID))}
 }
 
-// checkConnState checks that a connection is in the client's transaction, if any, and
-// has its variables.
+// checkConnState checks that a connection is in the client's transaction, if
+// any, and has the client's variables.
 func (s *simulation) checkConnState(server *simulatedServer, client *simulatedClient, queryID string) {
 	inTransaction := client.state == lineproto.StateInTransaction
 	if inTransaction != server.inTransaction {
-		s.recordViolation("%s runs inside %v, its client is inside %v", queryID, server.inTransaction, inTransaction)
+		s.recordViolation("%s runs with a transaction open: %v, its client expects %v", queryID, server.inTransaction, inTransaction)
 	}
 	if !maps.Equal(server.session.variables, client.variables) {
 		s.recordViolation("%s runs with %v, not %v", queryID, server.session.variables, client.variables)
@@ -160,7 +162,7 @@
 		server.group = client.group
 	}
 	if server.group != client.group {
-		s.recordViolation("%s runs inside another's transaction", queryID)
+		s.recordViolation("%s runs inside another client's transaction", queryID)
 	}
 }
 
@@ -178,14 +180,14 @@
 	if group := server.group; group != nil {
 		group.applied = server.hasWrites
 		if group.noEffectResponse != "" && server.hasWrites {
-			s.recordViolation("applied after %s", group.noEffectResponse)
+			s.recordViolation("a group was applied after the response %s", group.noEffectResponse)
 		}
 	}
 	server.endTransaction()
 }
 
-// write counts a write for the open transaction, or applies one outside of any. The
-// group is that of the write alone.
+// write counts a write for the open transaction, or applies it at once outside
+// a transaction. single is the group of the write alone.
 func (server *simulatedServer) write(single *writeGroup) {
 	if server.inTransaction {
 		server.hasWrites = true
--- a/internal/coordination/pool/linepool/random_test.go
+++ b/internal/coordination/pool/linepool/random_test.go
@@ -13,21 +13,22 @@
 	"tansyseam/internal/state/model"
 )
 
-// simulation runs one machine against clients, servers and events that are drawn
-// at random.
+// simulation runs one machine against randomly chosen clients, servers and
+// events.
 type simulation struct {
 	*harness
 	random       *rand.Rand
 	clientModels []*simulatedClient
 	servers      []*simulatedServer
-	// senders are the clients by the IDs of their queries.
+	// senders maps the ID of each query to the client that sent it.
 	senders map[string]*simulatedClient
-	// groups and answered count the write groups and the answered queries.
+	// groups and answered are the numbers of write groups and of answered
+	// queries.
 	groups   int
 	answered int
-	// violation is the first that was found.
+	// violation is the first violation that was found, or empty.
 	violation string
-	// faultFree has servers accept and run all that they are sent.
+	// faultFree is true if servers accept all connections and run all commands.
 	faultFree bool
 }
 
@@ -45,11 +46,11 @@
 
 func (s *simulation) chance(probability float64) bool { return s.random.Float64() < probability }
 
-// pick draws one of some choices.
+// pick returns a random one of the choices.
 func pick[T any](s *simulation, choices ...T) T { return choices[s.random.IntN(len(choices))] }
 
-// sync brings the effects of the last event to the servers and clients, and checks
-// what came of them.
+// sync delivers the effects of the last event to the servers and clients, and
+// checks the results.
 func (s *simulation) sync() {
 	s.applyEffects()
 	s.deliverOpens()
@@ -82,8 +83,8 @@
 	s.sends = nil
 }
 
-// removeClosedServers removes the servers whose connection the machine has closed.
-// They may still run some of what was on its way to them.
+// removeClosedServers removes the servers whose connection the machine has
+// closed. They may still run some of the commands that were on the way to them.
 func (s *simulation) removeClosedServers() {
 	s.servers = slices.DeleteFunc(s.servers, func(server *simulatedServer) bool {
 		if !server.conn.IsClosed() {
@@ -147,7 +148,8 @@
 	s.submitQuery(client, s.randomQuery())
 }
 
-// advanceServer has some server accept its connection or run its next command.
+// advanceServer has a random server accept its connection or run its next
+// command.
 func (s *simulation) advanceServer() {
 	if len(s.servers) == 0 {
 		return
@@ -220,7 +222,7 @@
 	}
 }
 
-// step makes one event, and brings its effects about.
+// step runs one random event and delivers its effects.
 func (s *simulation) step() {
 	events := []struct {
 		probability float64
@@ -247,7 +249,7 @@
 	s.sync()
 }
 
-// settle ends all faults and lets everything be answered.
+// settle ends all faults and lets every query be answered.
 func (s *simulation) settle() {
 	s.faultFree = true
 	for index := range s.registry {
@@ -264,7 +266,8 @@
 	}
 }
 
-// unfinished says what is not over though everything should have been answered.
+// unfinished returns a description of the first thing that is not finished
+// after settle, or an empty string.
 func (s *simulation) unfinished() string {
 	for _, client := range s.clientModels {
 		if !client.closed && len(client.pending) > 0 {
@@ -285,7 +288,8 @@
 	return ""
 }
 
-// run plays a seed to its end, or to the first violation.
+// run runs the given number of events and then settle. It stops at the first
+// violation.
 func (s *simulation) run(steps int) {
 	for range steps {
 		s.step()
@@ -301,7 +305,7 @@
 
 func TestRandomSchedules(t *testing.T) {
 	const steps, firstSeeds = 2500, 40
-	Convey("Under random events, by fixed seeds, nothing is miscounted, mixed, leaked, answered twice or never", t, func() {
+	Convey("Under random events from fixed seeds, the invariants hold, and each query is answered correctly and once", t, func() {
 		seeds := []uint64{57, 1915, 1997, 2055, 2597, 3267, 3510, 3808, 3927, 10165, 11769}
 		for seed := range uint64(firstSeeds) {
 			seeds = append(seeds, seed)
--- a/internal/coordination/pool/linepool/scarce_test.go
+++ b/internal/coordination/pool/linepool/scarce_test.go
@@ -22,24 +22,26 @@
 	never = time.Duration(1 << 62)
 )
 
-// serverConn is one connection as the shared instance holds it.
+// serverConn is one connection at the shared instance.
 type serverConn struct {
 	node     *fleetNode
 	conn     *Conn
 	queue    []Command
 	answerAt time.Duration
-	// freedAt is when the instance drops it after its node has died; 0 before.
+	// freedAt is the time at which the instance drops the connection after its
+	// node has died; 0 while the node is up.
 	freedAt time.Duration
 }
 
-// clientOperation is what one client does: the statements that it has still to
-// send, and when it sends the next one.
+// clientOperation is the work of one client: the statements that are still to
+// be sent, and the time at which the next one is sent.
 type clientOperation struct {
 	client    *Client
 	remaining []Query
 	dueAt     time.Duration
 	startedAt time.Duration
-	// idle says that the client stays inside its transaction and does nothing.
+	// idle is true if the client stays inside its transaction without sending
+	// anything more.
 	idle bool
 }
 
@@ -50,8 +52,8 @@
 	down       bool
 }
 
-// fleet runs many machines in front of one primary that takes a limited number
-// of connections, all in virtual time.
+// fleet runs many machines, in virtual time, against one primary that accepts a
+// limited number of connections.
 type fleet struct {
 	random    *rand.Rand
 	now       time.Duration
@@ -107,7 +109,8 @@
 	node.operations = append(node.operations, operation)
 }
 
-// run passes time; each node that is up has new operations at the fleet's rate.
+// run advances the time. Each node that is up starts new operations at the
+// fleet's rate.
 func (f *fleet) run(span time.Duration) {
 	for end := f.now + span; f.now < end; {
 		f.now += fleetStep
@@ -165,8 +168,8 @@
 	node.applyEffects()
 }
 
-// collect brings what a node asked for to the shared instance, which refuses a
-// connection beyond its limit.
+// collect delivers a node's effects to the shared instance, which refuses
+// connections beyond its limit.
 func (f *fleet) collect(node *fleetNode) {
 	for _, conn := range node.closedConns {
 		f.conns = slices.DeleteFunc(f.conns, func(other *serverConn) bool { return other.conn == conn })
@@ -194,7 +197,7 @@
 	f.mostConns = max(f.mostConns, len(f.conns))
 }
 
-// serve has the shared instance send the answers whose time has come.
+// serve sends the answers of the shared instance that are due.
 func (f *fleet) serve() {
 	f.conns = slices.DeleteFunc(f.conns, func(conn *serverConn) bool { return conn.freedAt != 0 && f.now >= conn.freedAt })
 	for _, conn := range slices.Clone(f.conns) {
@@ -219,7 +222,8 @@
 	}
 }
 
-// idleConns counts the connections that nodes keep and do not use.
+// idleConns returns the number of connections that nodes keep without using
+// them.
 func (f *fleet) idleConns() int {
 	count := 0
 	for _, node := range f.nodes {
@@ -230,11 +234,12 @@
 	return count
 }
 
-// firstFraction returns the first of so many equal parts of the nodes.
+// firstFraction returns the first of the given number of equal parts of the
+// nodes.
 func (f *fleet) firstFraction(parts int) []*fleetNode { return f.nodes[:len(f.nodes)/parts] }
 
 func TestScarceConnections(t *testing.T) {
-	Convey("All of more nodes than an instance takes connections are served", t, func() {
+	Convey("An instance with few connections for its number of nodes serves the operations of all nodes", t, func() {
 		for _, load := range []struct {
 			count, maxConns int
 			rate            float64
@@ -252,7 +257,7 @@
 			So(len(f.conns), ShouldEqual, f.idleConns())
 		}
 	})
-	Convey("They are served while nodes die, return and leave", t, func() {
+	Convey("Operations are served while nodes die, return and leave", t, func() {
 		f := newFleet(2, 60, 51, 0.6)
 		f.run(5 * time.Second)
 		killed := f.firstFraction(3)
@@ -280,7 +285,7 @@
 		f.run(3 * time.Second)
 		So(f.idleConns(), ShouldBeLessThanOrEqualTo, f.maxConns/2)
 	})
-	Convey("They are served beside idle transactions, which are ended in time", t, func() {
+	Convey("Operations are served next to idle transactions, which are ended at the idle limit", t, func() {
 		f := newFleet(3, 60, 51, 0.5)
 		f.run(3 * time.Second)
 		for _, node := range f.firstFraction(3) {
@@ -294,7 +299,7 @@
 		}
 		So(timedOut, ShouldEqual, len(f.firstFraction(3)))
 	})
-	Convey("Where idle transactions take all connections, the others are served again once those are ended", t, func() {
+	Convey("When idle transactions take all connections, other operations are served after those transactions are ended", t, func() {
 		f := newFleet(4, 60, 51, 0)
 		for range 2 {
 			for _, node := range f.nodes {
--- a/internal/coordination/pool/linepool/session_state_test.go
+++ b/internal/coordination/pool/linepool/session_state_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestSessionState(t *testing.T) {
-	Convey("What the node answers itself is not sent to an instance", t, func() {
+	Convey("Queries that the node answers itself are not sent to an instance", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, set("v", "1"))
@@ -23,7 +23,7 @@
 		So(h.lastResponse(client), ShouldEqual, "ERROR NOTFOUND / READY I")
 		So(h.sends, ShouldBeEmpty)
 	})
-	Convey("A connection is given a session's variables, and is reset where it has one that the session has not", t, func() {
+	Convey("A connection receives the session's variables, and is reset if it has a variable that the session does not have", t, func() {
 		h := newHarness(1)
 		client, other, plain := h.client("strict"), h.client("strict"), h.client("strict")
 		h.query(client, set("v", "1"))
@@ -49,7 +49,7 @@
 		h.query(plain, read("5"))
 		So(formatCommands(h.nextSend()), ShouldEqual, "read 5")
 	})
-	Convey("Statements are prepared once for each connection, under names of the node's own", t, func() {
+	Convey("A statement is prepared once on each connection, under a name chosen by the node", t, func() {
 		h := newHarness(1)
 		client, other := h.client("strict"), h.client("strict")
 		h.query(client, prepare("p", "read q"))
@@ -70,7 +70,7 @@
 		h.query(client, execute("p", "4"))
 		So(formatCommands(h.nextSend()), ShouldEqual, "prepare p3 as read z, run p3 4")
 	})
-	Convey("The id of an execute is the client's, and the commands before it have none", t, func() {
+	Convey("The execute command has the ID of the client's query, and the commands before it have none", t, func() {
 		h := newHarness(1)
 		client := h.client("strict")
 		h.query(client, prepare("p", "read q"))
@@ -80,7 +80,7 @@
 		So(send.Commands[0].ID, ShouldEqual, "")
 		So(send.Commands[1].ID, ShouldEqual, query.ID)
 	})
-	Convey("Variables and prepared statements of a transaction are sent in it, and its rollback has the connection reset", t, func() {
+	Convey("Variables and prepared statements of a transaction are sent in it, and after its rollback the connection is reset", t, func() {
 		h := newHarness(1)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -97,7 +97,7 @@
 		h.query(client, execute("p", "3"))
 		So(formatCommands(h.nextSend()), ShouldEqual, "reset, set v=1, prepare p2 as read q, run p2 3")
 	})
-	Convey("A transaction that is committed leaves its connection as it is", t, func() {
+	Convey("The connection of a committed transaction is reused without a reset", t, func() {
 		h := newHarness(1)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -115,7 +115,7 @@
 		h.query(client, read("3"))
 		So(formatCommands(h.nextSend()), ShouldEqual, "read 3")
 	})
-	Convey("A transaction whose commit is refused has its connection reset if variables were set in it", t, func() {
+	Convey("If a transaction sets variables and its commit is refused, the connection is reset", t, func() {
 		h := newHarness(1)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -130,7 +130,7 @@
 		h.query(client, read("3"))
 		So(formatCommands(h.nextSend()), ShouldEqual, "reset, set v=1, read 3")
 	})
-	Convey("A connection on which one of the node's own statements failed is reset", t, func() {
+	Convey("A connection on which one of the node's own commands failed is reset", t, func() {
 		h := newHarness(1)
 		client := h.client("strict")
 		h.query(client, set("v", "1"))
@@ -140,7 +140,7 @@
 		h.query(client, read("2"))
 		So(formatCommands(h.nextSend()), ShouldEqual, "reset, set v=1, read 2")
 	})
-	Convey("A prepared name that an instance does not know is prepared again, for reads and writes", t, func() {
+	Convey("A statement that an instance reports as not prepared is prepared again and retried, for reads and writes", t, func() {
 		for _, text := range []string{"read q", "write q"} {
 			h := newHarness(1)
 			client := h.client("strict")
--- a/internal/coordination/pool/linepool/status_test.go
+++ b/internal/coordination/pool/linepool/status_test.go
@@ -11,10 +11,11 @@
 	"tansyseam/test/golden"
 )
 
-// TestStatusJSON holds what operators are shown against what the build before
-// the machine was split into files showed after the same events.
+// TestStatusJSON compares the status that is shown to operators with a
+// recording. The recording was made by the build before the machine was split
+// into files, after the same events.
 func TestStatusJSON(t *testing.T) {
-	Convey("The status of instances and queues is written with the recorded keys and values", t, func() {
+	Convey("The JSON status of instances and queues has the recorded keys and values", t, func() {
 		h := newHarness(20)
 		h.samplePosition()
 		strict, stale, committing := h.client("strict"), h.client("stale"), h.client("strict")
--- a/internal/coordination/pool/linepool/timeout_test.go
+++ b/internal/coordination/pool/linepool/timeout_test.go
@@ -19,7 +19,7 @@
 		So(h.lastResponse(client), ShouldEqual, "ERROR BUSY / READY I")
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("A lease that comes after a statement's deadline has it rejected, and not sent", t, func() {
+	Convey("A statement whose deadline passes before the lease returns is rejected and not sent", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.advance(1700 * time.Millisecond)
@@ -29,7 +29,7 @@
 		So(h.sends, ShouldBeEmpty)
 		So(h.lastResponse(client), ShouldEqual, "ERROR BUSY / READY I")
 	})
-	Convey("At the deadline in the queue, a first statement ends with BUSY, one of an open transaction with ABORTED", t, func() {
+	Convey("A statement that times out in the queue ends with BUSY, also if it is the first one of a transaction", t, func() {
 		h := newHarness(1)
 		client, other, inTransaction := h.client("strict"), h.client("strict"), h.client("strict")
 		h.query(client, read("1"))
@@ -44,7 +44,7 @@
 		So(h.lastResponse(inTransaction), ShouldEqual, "ERROR BUSY / READY E")
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("A queued statement is rejected before half of its timeout is over, with a time to come back", t, func() {
+	Convey("A queued statement is rejected with BUSY before half of its timeout is over", t, func() {
 		h := newHarness(1)
 		client, other, inTransaction := h.client("strict"), h.client("strict"), h.client("strict")
 		h.query(client, read("1"))
@@ -61,7 +61,7 @@
 		So(h.responseCount(client), ShouldEqual, 1)
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("So is a statement that waits for a lease", t, func() {
+	Convey("A statement that waits for a lease is rejected with BUSY before half of its timeout is over", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.timing.UnavailableWait = 2 * time.Second
@@ -73,7 +73,7 @@
 		So(h.lastResponse(client), ShouldEqual, "ERROR BUSY / READY I")
 		So(h.responseCount(client), ShouldEqual, 2)
 	})
-	Convey("After a long time without a lease nothing new waits for it, neither statement nor session", t, func() {
+	Convey("After a long time without a lease, new statements and sessions are rejected at once", t, func() {
 		h := newHarness(20)
 		client, inTransaction := h.client("strict"), h.client("strict")
 		h.advanceInTicks(100 * time.Millisecond)
@@ -101,7 +101,7 @@
 		So(h.lastResponse(client), ShouldEqual, "DONE w / READY I")
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("A statement of an open transaction that times out waiting for the window ends the transaction, and its connection is rolled back", t, func() {
+	Convey("A statement of an open transaction that times out waiting for the window ends the transaction with ABORTED", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -119,7 +119,7 @@
 		So(h.lastResponse(client), ShouldEqual, "ERROR ABORTED / READY I")
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("A begin that is not answered in time ends with a code that guarantees no effect", t, func() {
+	Convey("A begin that is not answered in time ends with ABORTED, which guarantees no effect", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
--- a/internal/coordination/pool/linepool/timing_test.go
+++ b/internal/coordination/pool/linepool/timing_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestTimingWithin(t *testing.T) {
-	Convey("The steps of a stop are in order within any grace period, and a draining instance is left before it stops", t, func() {
+	Convey("The steps of a stop are in order within any grace period, and the drain window ends before a draining instance stops", t, func() {
 		So(DefaultTiming().Within(6*time.Second, 7*time.Second), ShouldResemble, DefaultTiming())
 		for _, grace := range []time.Duration{2 * time.Second, 4 * time.Second, 6 * time.Second, 30 * time.Second} {
 			for _, drain := range []time.Duration{time.Second, 5 * time.Second, 7 * time.Second, time.Minute} {
--- a/internal/coordination/pool/linepool/transaction_test.go
+++ b/internal/coordination/pool/linepool/transaction_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestBegin(t *testing.T) {
-	Convey("A begin is answered by the node; it is sent before the first statement, which is sent when it is answered", t, func() {
+	Convey("A begin is answered by the node; the instance receives it before the first statement, which is sent after its answer", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		So(h.lastResponse(client), ShouldEqual, "READY I")
@@ -47,7 +47,7 @@
 		{"BUSY", begin, "strict", lineproto.CodeBusy},
 	}
 	for _, refusal := range refusals {
-		Convey("A begin refused with "+refusal.name+" holds the statement back; it runs in a later transaction", t, func() {
+		Convey("After a begin refused with "+refusal.name+", the statement waits and runs in a later transaction", t, func() {
 			h := newHarness(20)
 			h.samplePosition()
 			client := h.client(refusal.binding)
@@ -63,7 +63,7 @@
 			So(h.lastResponse(client), ShouldEqual, "DONE s / READY T")
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
-		Convey("A begin refused with "+refusal.name+" for as long as the statement may wait ends it with BUSY", t, func() {
+		Convey("If the begin is refused with "+refusal.name+" until the statement's queue time is over, the statement ends with BUSY", t, func() {
 			h := newHarness(20)
 			h.samplePosition()
 			client := h.client(refusal.binding)
@@ -82,7 +82,7 @@
 			So(h.invariantViolation(), ShouldEqual, "")
 		})
 	}
-	Convey("A begin whose answer is not in a transaction does not count as one", t, func() {
+	Convey("A begin whose answer is in the idle state counts as refused", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -92,7 +92,7 @@
 			So(formatCommands(send), ShouldEqual, "begin")
 		}
 	})
-	Convey("An empty transaction begins and commits at an instance all the same", t, func() {
+	Convey("An empty transaction begins and commits at an instance", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -112,7 +112,7 @@
 		So(h.lastResponse(client), ShouldEqual, "DONE - / READY I")
 		So(h.sends, ShouldBeEmpty)
 	})
-	Convey("A rollback after statements is answered at once, and the connection is reused only when it is done", t, func() {
+	Convey("A rollback after statements is answered at once, and the connection is reused only after the instance has answered it", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
--- a/internal/coordination/pool/linepool/update_test.go
+++ b/internal/coordination/pool/linepool/update_test.go
@@ -35,7 +35,7 @@
 		So(h.sends, ShouldBeEmpty)
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("A read-only transaction continues at a replica, and at the former primary", t, func() {
+	Convey("When the term closes, a read-only transaction continues at a replica and at the former primary", t, func() {
 		h := newHarness(20)
 		h.samplePosition()
 		for _, name := range []string{"stale", "strict"} {
@@ -51,7 +51,7 @@
 		}
 		h.setWriter(model.PhaseClosing, "a", 3)
 	})
-	Convey("A transaction whose begin is in flight when the term closes begins anew at the next primary", t, func() {
+	Convey("A transaction whose begin is in flight when the term closes is retried or aborted", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -61,7 +61,7 @@
 		So(h.lastResponse(client), ShouldBeIn, "DONE - / READY T", "ERROR ABORTED / READY E")
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("A primary of a later term has lost the transactions of an earlier one, also if the terms between were not seen", t, func() {
+	Convey("A transaction is aborted in a later term of its primary, even if the node did not observe the terms between", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -87,7 +87,7 @@
 }
 
 func TestObservations(t *testing.T) {
-	Convey("A primary with overdue answers is reported at once, and again when they are overdue for longer", t, func() {
+	Convey("A primary with overdue answers is reported at once, and a second time when they are overdue for longer", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, write("1"))
@@ -103,7 +103,7 @@
 		So(report.OldestStatementAge, ShouldBeGreaterThan, 600*time.Millisecond)
 		So(report.ResponseAge, ShouldBeGreaterThan, 600*time.Millisecond)
 	})
-	Convey("The instance that is being promoted is reported, so that a new control primary knows its address", t, func() {
+	Convey("The instance that is being promoted is reported, so that a new control primary receives its address", t, func() {
 		h := newHarness(20)
 		So(len(h.Observations(h.now).Reports), ShouldEqual, 2)
 		h.snapshot.Writers["x"] = model.WriterRole{Database: "x", Term: 3, Primary: "a", Promoting: "b", Phase: model.PhasePromoting, SyncReplication: true}
@@ -123,7 +123,7 @@
 		So(h.reports, ShouldEqual, 1)
 		So(h.Observations(h.now).Reports[0].RefusedConnections, ShouldEqual, 1)
 	})
-	Convey("An update request has the node's list version, its incarnation and its active set", t, func() {
+	Convey("An update request contains the node's list version, its incarnation and its active set", t, func() {
 		h := newHarness(20)
 		request := h.UpdateRequest(h.now)
 		So(request.ListVersion, ShouldResemble, distribution.ListVersion{Tenure: "t", Number: 1})
