--- a/internal/coordination/pool/linepool/doc.go
+++ b/internal/coordination/pool/linepool/doc.go
@@ -22,7 +22,7 @@
 // forward) and is answered when Received has handled the instance's messages.
 // ConnLost handles the end of a connection to an instance. ApplyUpdate applies
 // the control primary's updates. Tick, which is called every few tens of
-// milliseconds, ends what has timed out.
+// milliseconds, ends requests, transactions and connections that have timed out.
 //
 // The tests check these invariants after each event (invariantViolation):
 //   - A client waits for at most one statement. The statement is in exactly one
--- a/internal/coordination/pool/linepool/random_server_test.go
+++ b/internal/coordination/pool/linepool/random_server_test.go
@@ -110,8 +110,8 @@
 	server.inTransaction, server.hasWrites, server.group = false, false, nil
 }
 
-// runStatement runs a client's statement, and checks that the connection is in the
-// state that the client expects.
+// runStatement runs a client's statement, and checks that the connection is in
+// the state that the client expects.
 func (s *simulation) runStatement(server *simulatedServer, command Command, refusal lineproto.Code) []lineproto.Message {
 	client, pending, isNext := s.findPending(command.ID)
 	if client == nil {
--- a/internal/coordination/pool/linepool/scarce_test.go
+++ b/internal/coordination/pool/linepool/scarce_test.go
@@ -86,6 +86,8 @@
 	node.Tick(f.liveNames, 1, f.now)
 }
 
+// kill stops a node. The instance drops the node's connections at once, or
+// after deadConnTimeout if the node vanished without closing them.
 func (f *fleet) kill(node *fleetNode, vanished bool) {
 	node.down = true
 	for _, conn := range f.conns {
--- a/internal/coordination/pool/linepool/timing.go
+++ b/internal/coordination/pool/linepool/timing.go
@@ -33,7 +33,7 @@
 	// connections may be idle.
 	SurplusIdle time.Duration
 	// RetryDelay is the pause before a statement that an instance refused is
-	// sent again, multiplied by the number of its attempts.
+	// sent again. It is multiplied by the number of the statement's attempts.
 	RetryDelay time.Duration
 	// MaxRetries is the number of times that a statement may be put back into
 	// the queue.
--- a/internal/coordination/pool/linepool/transaction.go
+++ b/internal/coordination/pool/linepool/transaction.go
@@ -143,8 +143,9 @@
 	}
 }
 
-// abortTransaction ends a statement whose transaction is over and cannot have
-// committed anything: nothing of it is kept.
+// abortTransaction ends a statement whose transaction is over and has not
+// committed anything. The error guarantees that nothing of the transaction is
+// kept.
 func (m *Machine) abortTransaction(request *Request, now time.Duration) {
 	m.reject(request, errTransactionLost, now)
 }
