--- a/internal/coordination/pool/linepool/dispatch_test.go
+++ b/internal/coordination/pool/linepool/dispatch_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestStrict(t *testing.T) {
-	Convey("Strict reads, writes and commits are sent under a lease only, and wait for it", t, func() {
+	Convey("Strict reads and writes wait until the node has a lease", t, func() {
 		for _, query := range []Query{read("1"), write("1")} {
 			h := newHarness(20)
 			client := h.client("strict")
@@ -22,7 +22,7 @@
 			So(h.nextSend().target(), ShouldEqual, "a")
 		}
 	})
-	Convey("They are sent in an open term only, to its primary", t, func() {
+	Convey("A strict read is sent only in an open term, to its primary", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.setWriter(model.PhaseClosing, "a", 3)
@@ -33,7 +33,7 @@
 		h.setWriter(model.PhaseOpen, "b", 4)
 		So(h.nextSend().target(), ShouldEqual, "b")
 	})
-	Convey("A strict read in flight at a primary whose term closes is retried at the next one, and the first answer is ignored", t, func() {
+	Convey("A strict read in flight at a primary whose term closes is retried at the next primary, and the first answer is ignored", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, read("1"))
@@ -46,7 +46,7 @@
 		So(h.lastResponse(client), ShouldEqual, "DONE new / READY I")
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("A write waits while the primary is leaving, and is sent to the next one", t, func() {
+	Convey("A write waits while the term of a leaving primary is closing, and is sent to the next primary", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.registered("a").Leaving = true
@@ -59,7 +59,7 @@
 }
 
 func TestHedgedReads(t *testing.T) {
-	twinned := func() (*harness, *Client, Send, Send) {
+	hedgedRead := func() (*harness, *Client, Send, Send) {
 		h := newHarness(20)
 		h.samplePosition()
 		client := h.client("stale")
@@ -71,15 +71,15 @@
 		So(second.Commands[0].ID, ShouldEqual, first.Commands[0].ID)
 		return h, client, first, second
 	}
-	zero := func(h *harness) {
+	checkNoneInFlight := func(h *harness) {
 		for _, instance := range h.instances.All() {
 			So(instance.window.Reading().InFlight, ShouldEqual, 0)
 		}
 		So(h.invariantViolation(), ShouldEqual, "")
 	}
-	Convey("Of a slow read and its hedge the first answer wins, and the other is ignored", t, func() {
+	Convey("The first answer to a slow read or its hedge is used, and the other is ignored", t, func() {
 		for _, isFirst := range []bool{true, false} {
-			h, client, send, other := twinned()
+			h, client, send, other := hedgedRead()
 			if !isFirst {
 				send, other = other, send
 			}
@@ -88,30 +88,30 @@
 			count := h.responseCount(client)
 			h.answerSend(other, lineproto.StateIdle, row("late"), done("late"))
 			So(h.responseCount(client), ShouldEqual, count)
-			zero(h)
+			checkNoneInFlight(h)
 		}
 	})
-	Convey("If one connection is lost, the other attempt answers; if both are, the read is retried", t, func() {
-		h, client, send, other := twinned()
+	Convey("If one connection of a hedged read is lost, the other attempt is used; if both are lost, the read is retried", t, func() {
+		h, client, send, other := hedgedRead()
 		h.loseConn(send.Conn)
 		So(h.sends, ShouldBeEmpty)
 		h.answerSend(other, lineproto.StateIdle, done("s"))
 		So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
-		zero(h)
-		h, client, send, other = twinned()
+		checkNoneInFlight(h)
+		h, client, send, other = hedgedRead()
 		h.loseConn(send.Conn)
 		h.loseConn(other.Conn)
 		h.answerSend(h.nextSend(), lineproto.StateIdle, done("s"))
 		So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
-		zero(h)
+		checkNoneInFlight(h)
 	})
-	Convey("If one attempt is refused, the other answers", t, func() {
-		h, client, send, other := twinned()
+	Convey("If one attempt of a hedged read is refused, the other attempt is used", t, func() {
+		h, client, send, other := hedgedRead()
 		h.answerSend(send, lineproto.StateIdle, failure(lineproto.CodeBusy))
 		So(h.sends, ShouldBeEmpty)
 		h.answerSend(other, lineproto.StateIdle, done("s"))
 		So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
-		zero(h)
+		checkNoneInFlight(h)
 	})
 	Convey("Writes, strict reads and reads in a transaction are not hedged", t, func() {
 		for _, queries := range [][]Query{{write("1")}, {read("1")}, {begin(), read("1")}, {beginRead(), read("1")}} {
--- a/internal/coordination/pool/linepool/drain_test.go
+++ b/internal/coordination/pool/linepool/drain_test.go
@@ -10,15 +10,15 @@
 )
 
 func TestDrain(t *testing.T) {
-	Convey("A draining node is unready at once, and serves on for a while", t, func() {
+	Convey("A draining node is unready at once, serves for the linger time, and then closes sessions as they become idle", t, func() {
 		h := newHarness(20)
 		isReady, _ := h.Ready(h.now)
 		So(isReady, ShouldBeTrue)
 		idle, busy := h.client("strict"), h.client("strict")
 		h.Drain(h.now)
-		isReady, why := h.Ready(h.now)
+		isReady, reason := h.Ready(h.now)
 		So(isReady, ShouldBeFalse)
-		So(why, ShouldEqual, "stopping")
+		So(reason, ShouldEqual, "stopping")
 		h.advanceInTicks(2200 * time.Millisecond)
 		So(h.closedClients[idle], ShouldBeFalse)
 		h.query(busy, write("1"))
@@ -32,12 +32,12 @@
 		So(h.closedClients[busy], ShouldBeTrue)
 		So(h.IsDrained(), ShouldBeTrue)
 	})
-	Convey("An open transaction has longer, and is rolled back when it is idle then", t, func() {
+	Convey("An open transaction may continue after the linger time, and is later rolled back if it is idle", t, func() {
 		h := newHarness(20)
 		client, other := h.client("strict"), h.client("strict")
-		for _, one := range []*Client{client, other} {
-			h.query(one, begin())
-			h.query(one, write("1"))
+		for _, transactionClient := range []*Client{client, other} {
+			h.query(transactionClient, begin())
+			h.query(transactionClient, write("1"))
 			h.answerSend(h.answerBegin(), lineproto.StateInTransaction, done("w"))
 		}
 		h.Drain(h.now)
@@ -52,7 +52,7 @@
 		So(formatCommands(h.nextSend()), ShouldEqual, "rollback")
 		So(h.IsDrained(), ShouldBeTrue)
 	})
-	Convey("No session with a statement in flight is closed before the end of the drain", t, func() {
+	Convey("A session with a statement in flight is closed only at the end of the drain", t, func() {
 		h := newHarness(20)
 		h.snapshot.Sets[0].Bindings[0].Timeout = 8 * time.Second
 		h.update(leaseDuration)
--- a/internal/coordination/pool/linepool/instance_test.go
+++ b/internal/coordination/pool/linepool/instance_test.go
@@ -25,7 +25,7 @@
 		h.Tick(nodes(4), 1, h.now+100*time.Second)
 		So(h.instance("a").window.Reading().MaxWindow, ShouldEqual, 4)
 	})
-	Convey("Statements beyond the window are queued by priority, and sent as answers come", t, func() {
+	Convey("Statements beyond the window are queued by priority, and sent as answers arrive", t, func() {
 		h := newHarness(20)
 		var clients []*Client
 		for range 4 {
@@ -49,7 +49,7 @@
 		}
 		So(h.instance("a").window.Reading().InFlight, ShouldEqual, 0)
 	})
-	Convey("A full queue rejects with a code that guarantees no effect", t, func() {
+	Convey("A full queue rejects a statement with BUSY, which guarantees no effect", t, func() {
 		h := newHarness(1)
 		h.timing.MaxQueue = 2
 		var last *Client
@@ -75,8 +75,8 @@
 	})
 	Convey("The queues of two databases do not wait for each other", t, func() {
 		h := newHarness(1)
-		one, other := h.client("strict"), h.client("other")
-		h.query(one, read("1"))
+		client, other := h.client("strict"), h.client("other")
+		h.query(client, read("1"))
 		h.query(other, read("2"))
 		So(h.nextSend().target(), ShouldEqual, "a")
 		So(h.nextSend().target(), ShouldEqual, "d")
@@ -84,7 +84,7 @@
 }
 
 func TestLeavingInstances(t *testing.T) {
-	Convey("A draining instance is sent no new work, and its idle connections are closed", t, func() {
+	Convey("A draining replica receives no new reads, and its idle connections are closed", t, func() {
 		h := newHarness(20)
 		h.samplePosition()
 		h.registered("b").Leaving = true
@@ -99,7 +99,7 @@
 		}
 		So(len(h.instance("b").conns)+len(h.instance("c").conns), ShouldEqual, 0)
 	})
-	Convey("A draining primary is sent strict statements, on the connections that it has, until its term closes", t, func() {
+	Convey("A draining primary receives strict statements on its existing connections until its term closes", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, write("1"))
@@ -116,7 +116,7 @@
 		h.setWriter(model.PhaseClosing, "a", 3)
 		So(len(h.instance("a").conns), ShouldEqual, 0)
 	})
-	Convey("A primary that was draining when the node learned of it is sent strict statements for a shorter time", t, func() {
+	Convey("A primary that was draining before it was reported to the node receives strict statements for a shorter time", t, func() {
 		h := newHarness(20)
 		late := newHarness(20)
 		late.registry[0].Leaving = true
@@ -134,17 +134,17 @@
 		h.query(h.client("strict"), write("1"))
 		So(len(h.sends), ShouldEqual, 1)
 	})
-	Convey("A primary whose drain is over is sent nothing more, even if its term is open", t, func() {
+	Convey("A primary whose drain window is over receives no more statements, even if its term is open", t, func() {
 		h := newHarness(20)
-		client, inside := h.client("strict"), h.client("strict")
-		h.query(inside, begin())
-		h.query(inside, write("1"))
+		client, inTransaction := h.client("strict"), h.client("strict")
+		h.query(inTransaction, begin())
+		h.query(inTransaction, write("1"))
 		h.answerSend(h.answerBegin(), lineproto.StateInTransaction, done("w"))
 		h.registered("a").Leaving = true
 		h.update(leaseDuration)
 		for range 2 {
 			h.advanceInTicks(2400 * time.Millisecond)
-			h.query(inside, read("2"))
+			h.query(inTransaction, read("2"))
 			h.answerSend(h.nextSend(), lineproto.StateInTransaction, done("w"))
 		}
 		h.advanceInTicks(300 * time.Millisecond)
@@ -154,8 +154,8 @@
 			h.advanceInTicks(2100 * time.Millisecond)
 			So(h.lastResponse(client), ShouldEqual, "ERROR BUSY / READY I")
 		}
-		h.query(inside, commit())
-		So(h.lastResponse(inside), ShouldEqual, "ERROR ABORTED / READY I")
+		h.query(inTransaction, commit())
+		So(h.lastResponse(inTransaction), ShouldEqual, "ERROR ABORTED / READY I")
 		So(len(h.instance("a").conns), ShouldEqual, 0)
 	})
 	Convey("A statement in flight at a draining instance is answered, and its connection is not reused", t, func() {
@@ -170,7 +170,7 @@
 		So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
 		So(send.Conn.IsClosed(), ShouldBeTrue)
 	})
-	Convey("A transaction at a draining instance continues until the drain is over", t, func() {
+	Convey("A transaction at a draining instance continues until the drain window is over", t, func() {
 		h := newHarness(20)
 		h.samplePosition()
 		client := h.client("stale")
--- a/internal/coordination/pool/linepool/random_server_test.go
+++ b/internal/coordination/pool/linepool/random_server_test.go
@@ -7,11 +7,12 @@
 	"tansyseam/internal/state/lineproto"
 )
 
-// noRefusal is given to a server that is to run its next command.
+// noRefusal is passed instead of a refusal code to a server that runs its next
+// command.
 const noRefusal = lineproto.CodeOther
 
-// simulatedServer is the instance's end of one connection. It runs what it is
-// sent.
+// simulatedServer is the instance's end of one connection. It runs the commands
+// that it receives.
 type simulatedServer struct {
 	conn          *Conn
 	queue         []Command
@@ -21,8 +22,8 @@
 	hasWrites     bool
 	group         *writeGroup
 	accepted      bool
-	// atBegin is the session as the transaction found it.
-	atBegin *serverSession
+	// sessionAtBegin is the session state at the beginning of the transaction.
+	sessionAtBegin *serverSession
 }
 
 // serverSession is the session state of one connection.
@@ -74,8 +75,8 @@
 	CommandExecute:       (*simulation).runStatement,
 }
 
-// runNext runs the oldest command at a server and returns the answer. A begin or a
-// statement is refused with the code, unless that is noRefusal.
+// runNext runs the oldest command at a server and returns the answer. A begin
+// or a statement is refused with the given code, unless the code is noRefusal.
 func (s *simulation) runNext(server *simulatedServer, refusal lineproto.Code) []lineproto.Message {
 	command := server.queue[0]
 	server.queue = server.queue[1:]
@@ -85,35 +86,36 @@
 
 func (s *simulation) beginTransaction(server *simulatedServer, _ Command, refusal lineproto.Code) []lineproto.Message {
 	if server.inTransaction {
-		s.violated("begin inside a transaction")
+		s.recordViolation("begin inside a transaction")
 	}
 	if refusal != noRefusal {
 		return []lineproto.Message{failure(refusal)}
 	}
-	server.inTransaction, server.atBegin = true, server.session.clone()
+	server.inTransaction, server.sessionAtBegin = true, server.session.clone()
 	return []lineproto.Message{done("-")}
 }
 
-// rollBack ends the transaction, if any. Some servers undo changes of the session
-// state with it, and some keep them.
+// rollBack ends the transaction, if any. It undoes the transaction's changes of
+// the session state at random, because some servers undo them and others keep
+// them.
 func (s *simulation) rollBack(server *simulatedServer) {
-	if s.chance(0.5) && server.atBegin != nil {
-		server.session = *server.atBegin
+	if s.chance(0.5) && server.sessionAtBegin != nil {
+		server.session = *server.sessionAtBegin
 	}
 	server.endTransaction()
-	server.failed, server.atBegin = false, nil
+	server.failed, server.sessionAtBegin = false, nil
 }
 
 func (server *simulatedServer) endTransaction() {
 	server.inTransaction, server.hasWrites, server.group = false, false, nil
 }
 
-// runStatement runs a client's statement, and checks that the connection is in the
-// state that the client expects.
+// runStatement runs a client's statement, and checks that the connection is in
+// the state that the client expects.
 func (s *simulation) runStatement(server *simulatedServer, command Command, refusal lineproto.Code) []lineproto.Message {
 	client, pending, isNext := s.findPending(command.ID)
 	if client == nil {
-		s.violated("a statement that nobody sent: %s", command.ID)
+		s.recordViolation("a statement whose ID no client has sent: %s", command.ID)
 		return []lineproto.Message{failure(lineproto.CodeOther)}
 	}
 	write := false
@@ -128,7 +130,7 @@
 		}
 		write = strings.HasPrefix(text, "w")
 		if expected := client.prepared[pending.query.Statement.Name]; isNext && expected != text {
-			s.violated("%s runs %s, not %s", command.ID, text, expected)
+			s.recordViolation("%s runs %s, not %s", command.ID, text, expected)
 		}
 	}
 	commit := command.Text == "commit"
@@ -143,15 +145,15 @@
 	return []lineproto.Message{row("r" + command.ID), done(resultOf(command.ID))}
 }
 
-// checkConnState checks that a connection is in the client's transaction, if any, and
-// has its variables.
+// checkConnState checks that a connection is in the client's transaction, if
+// any, and has the client's variables.
 func (s *simulation) checkConnState(server *simulatedServer, client *simulatedClient, queryID string) {
 	inTransaction := client.state == lineproto.StateInTransaction
 	if inTransaction != server.inTransaction {
-		s.violated("%s runs inside %v, its client is inside %v", queryID, server.inTransaction, inTransaction)
+		s.recordViolation("%s runs with a transaction open: %v, its client expects %v", queryID, server.inTransaction, inTransaction)
 	}
 	if !maps.Equal(server.session.variables, client.variables) {
-		s.violated("%s runs with %v, not %v", queryID, server.session.variables, client.variables)
+		s.recordViolation("%s runs with %v, not %v", queryID, server.session.variables, client.variables)
 	}
 	if !server.inTransaction {
 		return
@@ -160,7 +162,7 @@
 		server.group = client.group
 	}
 	if server.group != client.group {
-		s.violated("%s runs inside another's transaction", queryID)
+		s.recordViolation("%s runs inside another client's transaction", queryID)
 	}
 }
 
@@ -178,14 +180,14 @@
 	if group := server.group; group != nil {
 		group.applied = server.hasWrites
 		if group.noEffectResponse != "" && server.hasWrites {
-			s.violated("applied after %s", group.noEffectResponse)
+			s.recordViolation("a group was applied after the response %s", group.noEffectResponse)
 		}
 	}
 	server.endTransaction()
 }
 
-// write counts a write for the open transaction, or applies one outside of any. The
-// group is that of the write alone.
+// write counts a write for the open transaction, or applies it at once outside
+// a transaction. single is the group of the write alone.
 func (server *simulatedServer) write(single *writeGroup) {
 	if server.inTransaction {
 		server.hasWrites = true
--- a/internal/coordination/pool/linepool/session_state_test.go
+++ b/internal/coordination/pool/linepool/session_state_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestSessionState(t *testing.T) {
-	Convey("What the node answers itself is not sent to an instance", t, func() {
+	Convey("Queries that the node answers itself are not sent to an instance", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, set("v", "1"))
@@ -23,16 +23,16 @@
 		So(h.lastResponse(client), ShouldEqual, "ERROR NOTFOUND / READY I")
 		So(h.sends, ShouldBeEmpty)
 	})
-	Convey("A connection is given a session's variables, and is reset where it has one that the session has not", t, func() {
+	Convey("A connection receives the session's variables, and is reset if it has a variable that the session does not have", t, func() {
 		h := newHarness(1)
-		one, other, plain := h.client("strict"), h.client("strict"), h.client("strict")
-		h.query(one, set("v", "1"))
+		client, other, plain := h.client("strict"), h.client("strict"), h.client("strict")
+		h.query(client, set("v", "1"))
 		h.query(other, set("v", "2"))
-		h.query(one, read("1"))
+		h.query(client, read("1"))
 		first := h.nextSend()
 		So(formatCommands(first), ShouldEqual, "set v=1, read 1")
 		h.answerSend(first, lineproto.StateIdle, done("s"))
-		h.query(one, read("2"))
+		h.query(client, read("2"))
 		second := h.nextSend()
 		So(formatCommands(second), ShouldEqual, "read 2")
 		So(second.Conn, ShouldEqual, first.Conn)
@@ -49,12 +49,12 @@
 		h.query(plain, read("5"))
 		So(formatCommands(h.nextSend()), ShouldEqual, "read 5")
 	})
-	Convey("Statements are prepared once for each connection, under names of the node's own", t, func() {
+	Convey("A statement is prepared once on each connection, under a name chosen by the node", t, func() {
 		h := newHarness(1)
-		one, other := h.client("strict"), h.client("strict")
-		h.query(one, prepare("p", "read q"))
+		client, other := h.client("strict"), h.client("strict")
+		h.query(client, prepare("p", "read q"))
 		h.query(other, prepare("p", "write q"))
-		h.query(one, execute("p", "1"))
+		h.query(client, execute("p", "1"))
 		first := h.nextSend()
 		So(formatCommands(first), ShouldEqual, "prepare p1 as read q, run p1 1")
 		h.answerSend(first, lineproto.StateIdle, done("s"))
@@ -62,15 +62,15 @@
 		second := h.nextSend()
 		So(formatCommands(second), ShouldEqual, "prepare p2 as write q, run p2 2")
 		h.answerSend(second, lineproto.StateIdle, done("s"))
-		h.query(one, execute("p", "3"))
+		h.query(client, execute("p", "3"))
 		third := h.nextSend()
 		So(formatCommands(third), ShouldEqual, "run p1 3")
 		h.answerSend(third, lineproto.StateIdle, done("s"))
-		h.query(one, prepare("p", "read z"))
-		h.query(one, execute("p", "4"))
+		h.query(client, prepare("p", "read z"))
+		h.query(client, execute("p", "4"))
 		So(formatCommands(h.nextSend()), ShouldEqual, "prepare p3 as read z, run p3 4")
 	})
-	Convey("The id of an execute is the client's, and the commands before it have none", t, func() {
+	Convey("The execute command has the ID of the client's query, and the commands before it have none", t, func() {
 		h := newHarness(1)
 		client := h.client("strict")
 		h.query(client, prepare("p", "read q"))
@@ -80,7 +80,7 @@
 		So(send.Commands[0].ID, ShouldEqual, "")
 		So(send.Commands[1].ID, ShouldEqual, query.ID)
 	})
-	Convey("Variables and prepared statements of a transaction are sent in it, and its rollback has the connection reset", t, func() {
+	Convey("Variables and prepared statements of a transaction are sent in it, and after its rollback the connection is reset", t, func() {
 		h := newHarness(1)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -89,15 +89,15 @@
 		h.query(client, set("v", "1"))
 		h.query(client, prepare("p", "read q"))
 		h.query(client, execute("p", "2"))
-		inside := h.nextSend()
-		So(formatCommands(inside), ShouldEqual, "set v=1, prepare p1 as read q, run p1 2")
-		h.answerSend(inside, lineproto.StateInTransaction, done("s"))
+		send := h.nextSend()
+		So(formatCommands(send), ShouldEqual, "set v=1, prepare p1 as read q, run p1 2")
+		h.answerSend(send, lineproto.StateInTransaction, done("s"))
 		h.query(client, rollback())
 		h.answerSend(h.nextSend(), lineproto.StateIdle, done("-"))
 		h.query(client, execute("p", "3"))
 		So(formatCommands(h.nextSend()), ShouldEqual, "reset, set v=1, prepare p2 as read q, run p2 3")
 	})
-	Convey("A transaction that is committed leaves its connection as it is", t, func() {
+	Convey("The connection of a committed transaction is reused without a reset", t, func() {
 		h := newHarness(1)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -115,7 +115,7 @@
 		h.query(client, read("3"))
 		So(formatCommands(h.nextSend()), ShouldEqual, "read 3")
 	})
-	Convey("A transaction whose commit is refused has its connection reset if variables were set in it", t, func() {
+	Convey("If a transaction sets variables and its commit is refused, the connection is reset", t, func() {
 		h := newHarness(1)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -130,7 +130,7 @@
 		h.query(client, read("3"))
 		So(formatCommands(h.nextSend()), ShouldEqual, "reset, set v=1, read 3")
 	})
-	Convey("A connection on which one of the node's own statements failed is reset", t, func() {
+	Convey("A connection on which one of the node's own commands failed is reset", t, func() {
 		h := newHarness(1)
 		client := h.client("strict")
 		h.query(client, set("v", "1"))
@@ -140,7 +140,7 @@
 		h.query(client, read("2"))
 		So(formatCommands(h.nextSend()), ShouldEqual, "reset, set v=1, read 2")
 	})
-	Convey("A prepared name that an instance does not know is prepared again, for reads and writes", t, func() {
+	Convey("A statement that an instance reports as not prepared is prepared again and retried, for reads and writes", t, func() {
 		for _, text := range []string{"read q", "write q"} {
 			h := newHarness(1)
 			client := h.client("strict")
@@ -149,17 +149,17 @@
 			h.answerSend(h.nextSend(), lineproto.StateIdle, failure(lineproto.CodeNotFound))
 			So(h.lastResponse(client), ShouldNotContainSubstring, "NOTFOUND")
 			h.advanceInTicks(50 * time.Millisecond)
-			again := h.nextSend()
-			So(formatCommands(again), ShouldEqual, "reset, prepare p2 as "+text+", run p2 1")
-			h.answerSend(again, lineproto.StateIdle, done("s"))
+			retried := h.nextSend()
+			So(formatCommands(retried), ShouldEqual, "reset, prepare p2 as "+text+", run p2 1")
+			h.answerSend(retried, lineproto.StateIdle, done("s"))
 			So(h.lastResponse(client), ShouldEqual, "DONE s / READY I")
 		}
 	})
 	Convey("A connection with too many prepared statements is reset", t, func() {
 		h := newHarness(1)
 		client := h.client("strict")
-		for at := range h.timing.MaxPrepared + 1 {
-			h.query(client, prepare("p", "read "+time.Duration(at).String()))
+		for number := range h.timing.MaxPrepared + 1 {
+			h.query(client, prepare("p", "read "+time.Duration(number).String()))
 			h.query(client, execute("p", "1"))
 			h.answerSend(h.nextSend(), lineproto.StateIdle, done("s"))
 		}
--- a/internal/coordination/pool/linepool/timeout_test.go
+++ b/internal/coordination/pool/linepool/timeout_test.go
@@ -19,7 +19,7 @@
 		So(h.lastResponse(client), ShouldEqual, "ERROR BUSY / READY I")
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("A lease that comes after a statement's deadline has it rejected, and not sent", t, func() {
+	Convey("A statement whose deadline passes before the lease returns is rejected and not sent", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.advance(1700 * time.Millisecond)
@@ -29,39 +29,39 @@
 		So(h.sends, ShouldBeEmpty)
 		So(h.lastResponse(client), ShouldEqual, "ERROR BUSY / READY I")
 	})
-	Convey("At the deadline in the queue, a first statement ends with BUSY, one of an open transaction with ABORTED", t, func() {
+	Convey("A statement that times out in the queue ends with BUSY, also if it is the first one of a transaction", t, func() {
 		h := newHarness(1)
-		one, other, inside := h.client("strict"), h.client("strict"), h.client("strict")
-		h.query(one, read("1"))
+		client, other, inTransaction := h.client("strict"), h.client("strict"), h.client("strict")
+		h.query(client, read("1"))
 		h.nextSend()
 		h.query(other, write("2"))
-		h.query(inside, begin())
-		h.query(inside, write("3"))
+		h.query(inTransaction, begin())
+		h.query(inTransaction, write("3"))
 		So(h.sends, ShouldBeEmpty)
 		h.advanceInTicks(1990 * time.Millisecond)
 		h.advanceInTicks(20 * time.Millisecond)
 		So(h.lastResponse(other), ShouldEqual, "ERROR BUSY / READY I")
-		So(h.lastResponse(inside), ShouldEqual, "ERROR BUSY / READY E")
+		So(h.lastResponse(inTransaction), ShouldEqual, "ERROR BUSY / READY E")
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("A queued statement is rejected before half of its timeout is over, with a time to come back", t, func() {
+	Convey("A queued statement is rejected with BUSY before half of its timeout is over", t, func() {
 		h := newHarness(1)
-		one, other, inside := h.client("strict"), h.client("strict"), h.client("strict")
-		h.query(one, read("1"))
+		client, other, inTransaction := h.client("strict"), h.client("strict"), h.client("strict")
+		h.query(client, read("1"))
 		h.nextSend()
 		h.query(other, write("2"))
-		h.query(inside, begin())
-		h.query(inside, write("3"))
+		h.query(inTransaction, begin())
+		h.query(inTransaction, write("3"))
 		h.advanceInTicks(875 * time.Millisecond)
 		So(h.responseCount(other), ShouldEqual, 1)
-		So(h.responseCount(inside), ShouldEqual, 2)
+		So(h.responseCount(inTransaction), ShouldEqual, 2)
 		h.advanceInTicks(100 * time.Millisecond)
 		So(h.lastResponse(other), ShouldEqual, "ERROR BUSY / READY I")
-		So(h.lastResponse(inside), ShouldEqual, "ERROR BUSY / READY E")
-		So(h.responseCount(one), ShouldEqual, 1)
+		So(h.lastResponse(inTransaction), ShouldEqual, "ERROR BUSY / READY E")
+		So(h.responseCount(client), ShouldEqual, 1)
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("So is a statement that waits for a lease", t, func() {
+	Convey("A statement that waits for a lease is rejected with BUSY before half of its timeout is over", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.timing.UnavailableWait = 2 * time.Second
@@ -73,9 +73,9 @@
 		So(h.lastResponse(client), ShouldEqual, "ERROR BUSY / READY I")
 		So(h.responseCount(client), ShouldEqual, 2)
 	})
-	Convey("After a long time without a lease nothing new waits for it, neither statement nor session", t, func() {
+	Convey("After a long time without a lease, new statements and sessions are rejected at once", t, func() {
 		h := newHarness(20)
-		client, inside := h.client("strict"), h.client("strict")
+		client, inTransaction := h.client("strict"), h.client("strict")
 		h.advanceInTicks(100 * time.Millisecond)
 		h.advance(1500 * time.Millisecond)
 		h.advance(200 * time.Millisecond)
@@ -89,9 +89,9 @@
 		}
 		h.query(client, write("2"))
 		So(h.lastResponse(client), ShouldEqual, "ERROR BUSY / READY I")
-		h.query(inside, begin())
-		h.query(inside, write("3"))
-		So(h.lastResponse(inside), ShouldEqual, "ERROR BUSY / READY E")
+		h.query(inTransaction, begin())
+		h.query(inTransaction, write("3"))
+		So(h.lastResponse(inTransaction), ShouldEqual, "ERROR BUSY / READY E")
 		late := h.client("strict")
 		So(h.lastResponse(late), ShouldEqual, "ERROR BUSY")
 		So(h.closedClients[late], ShouldBeTrue)
@@ -101,7 +101,7 @@
 		So(h.lastResponse(client), ShouldEqual, "DONE w / READY I")
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("A statement of an open transaction that times out waiting for the window ends the transaction, and its connection is rolled back", t, func() {
+	Convey("A statement of an open transaction that times out waiting for the window ends the transaction with ABORTED", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
@@ -119,7 +119,7 @@
 		So(h.lastResponse(client), ShouldEqual, "ERROR ABORTED / READY I")
 		So(h.invariantViolation(), ShouldEqual, "")
 	})
-	Convey("A begin that is not answered in time ends with a code that guarantees no effect", t, func() {
+	Convey("A begin that is not answered in time ends with ABORTED, which guarantees no effect", t, func() {
 		h := newHarness(20)
 		client := h.client("strict")
 		h.query(client, begin())
