--- a/internal/coordination/failover/asyncrepl/doc.go
+++ b/internal/coordination/failover/asyncrepl/doc.go
@@ -1,24 +1,29 @@
-// Package asyncrepl is the failover state machine of a database with
-// asynchronous replication, whose proxies wait for the replicas of a commit.
+// Package asyncrepl is the failover state machine of a database with asynchronous
+// replication. The proxies of such a database confirm a commit only once the required
+// replicas have it.
 //
-// The control server that leads the database's singleton role moves the writer
-// role through these phases, each recorded before the next begins:
+// The control server that holds the database's singleton role moves the writer role
+// through these phases and records each phase before the next begins:
 //
-//   - open: proxies write to the primary. The machine keeps the sets of replicas
-//     that commits wait for, and of replicas that may be promoted.
-//   - closing: the primary is suspected. Proxies stop writing.
-//   - closed: no proxy with a lease writes any more. A candidate that holds all
-//     confirmed commits is chosen.
-//   - promoting: the choice is recorded and the promote call is made. Its
-//     outcome is learned from what the instance announces, not from the answer.
+//   - open: proxies write to the primary. The machine maintains the set of replicas
+//     that commits wait for, and the set of replicas that may be promoted (the
+//     candidates).
+//   - closing: the primary is suspected to have failed. Proxies stop writing.
+//   - closed: no proxy with a lease writes any more. The machine chooses a candidate
+//     that holds all confirmed commits.
+//   - promoting: the choice is recorded and the promote call is made. The machine
+//     derives the outcome from the instance's announcements, not from the answer to
+//     the call.
 //
-// It keeps these invariants. A replica is called only if it holds all confirmed commits:
-// commits wait for it before it becomes a candidate, and until it is none any more, and
-// its position has reached the high watermark. No second instance is called while the
-// outcome of a call is unknown. No term is opened by two instances: the term of a call
-// that was given up is passed over.
+// The machine keeps these invariants:
 //
-// The machine is pure: Step depends on its arguments only. Positions and lags count log
-// entries, ages count back from the moment of the evidence, and wall times are Unix
-// times in nanoseconds.
+//   - A promote call is made only for a replica that holds all confirmed commits. For
+//     this, commits wait for a replica before it becomes a candidate and as long as it
+//     is one, and the position of the replica must have reached the high watermark.
+//   - No second instance is called while the outcome of a call is unknown.
+//   - No term is opened by two instances: the term of an abandoned call is skipped.
+//
+// The machine is pure: the result of Step depends only on its arguments. Positions and
+// lags are counted in log entries, ages are relative to the time at which the evidence
+// was collected, and wall times are Unix times in nanoseconds.
 package asyncrepl
--- a/internal/coordination/failover/asyncrepl/evidence.go
+++ b/internal/coordination/failover/asyncrepl/evidence.go
@@ -7,38 +7,41 @@
 	"tansyseam/internal/state/model"
 )
 
-// Observation is what the nodes know of one instance. Ages count back from the
-// moment at which the evidence was put together.
+// Observation is the combined view that the nodes have of one instance. Ages are
+// relative to the time at which the evidence was collected.
 type Observation struct {
 	Instance model.Instance
-	// ContactAge is the age of the latest announcement to, or answer at, any node.
+	// ContactAge is the age of the latest announcement or answer that any node
+	// received from the instance.
 	ContactAge time.Duration
 	// PositionAge is the age of the position in Instance.
 	PositionAge time.Duration
-	// SilentNodes counts the nodes with a lease that had neither an announcement
-	// nor an answer within the silence timeout, out of ReportingNodes.
+	// SilentNodes is the number of nodes, out of ReportingNodes, that received
+	// neither an announcement nor an answer within the silence timeout. Only nodes
+	// with a lease are counted.
 	SilentNodes    int
 	ReportingNodes int
-	// CommitWait is the longest time that a commit has waited for this replica.
+	// CommitWait is the longest time that a pending commit has been waiting for this
+	// replica.
 	CommitWait time.Duration
 }
 
-// Evidence is all that a step depends on, put together by the control primary.
+// Evidence is the input of a step, collected by the control primary.
 type Evidence struct {
 	Database string
 	Writer   model.WriterRole
-	// Known says that a writer role is recorded for the database.
+	// Known is true if a writer role is recorded for the database.
 	Known        bool
 	Observations []Observation
-	// Settled says that every node that may hold a lease acknowledged the writer
-	// role as it is recorded, SettledFor how long that has been so.
+	// Settled is true if every node that may hold a lease has acknowledged the
+	// recorded writer role. SettledFor is how long this has been true.
 	Settled    bool
 	SettledFor time.Duration
-	// PrimaryPosition is a position that the primary had once the role was
-	// settled. It is valid where HasPrimaryPosition is set.
+	// PrimaryPosition is a position that the primary had after the writer role was
+	// settled. It is valid if HasPrimaryPosition is true.
 	PrimaryPosition    model.Position
 	HasPrimaryPosition bool
-	// ReportingNodes counts the nodes with a lease that reported lately.
+	// ReportingNodes is the number of nodes with a lease that reported recently.
 	ReportingNodes int
 	// GatheredFor is how long the control primary has collected reports.
 	GatheredFor time.Duration
@@ -55,40 +58,42 @@
 	return Observation{}, false
 }
 
-// responsive gives the instances with contact within the silence timeout.
+// responsive returns the instances that had contact with a node within the silence
+// timeout.
 func (e Evidence) responsive(timing Timing) []Observation {
-	var found []Observation
+	var responsive []Observation
 	for _, observed := range e.Observations {
 		if observed.ContactAge <= timing.SilenceTimeout {
-			found = append(found, observed)
+			responsive = append(responsive, observed)
 		}
 	}
-	return found
+	return responsive
 }
 
-// promotable gives the responsive candidates that hold all confirmed commits.
+// promotable returns the responsive candidates that hold all confirmed commits.
 func (e Evidence) promotable(timing Timing) []Observation {
-	var found []Observation
+	var promotable []Observation
 	for _, observed := range e.responsive(timing) {
 		instance := observed.Instance
-		incarnation, candidate := e.Writer.Candidates[instance.Name]
-		eligible := candidate && !instance.Leaving && instance.Name != e.Writer.Primary
+		incarnation, isCandidate := e.Writer.Candidates[instance.Name]
+		eligible := isCandidate && !instance.Leaving && instance.Name != e.Writer.Primary
 		if eligible && e.holdsConfirmedCommits(instance, incarnation) {
-			found = append(found, observed)
+			promotable = append(promotable, observed)
 		}
 	}
-	return found
+	return promotable
 }
 
-// holdsConfirmedCommits says whether an instance still has the data of a recorded
-// incarnation, and all confirmed commits. One that lost its data comes back as
-// another incarnation, whose position proves nothing.
+// holdsConfirmedCommits reports whether an instance still has the data of the recorded
+// incarnation, and all confirmed commits. An instance that lost its data returns with
+// a new incarnation, and then its position does not prove which commits it holds.
 func (e Evidence) holdsConfirmedCommits(instance model.Instance, incarnation string) bool {
 	return instance.Incarnation == incarnation && !instance.Position.IsBefore(e.Writer.HighWatermark)
 }
 
-// unreachable says whether an instance is silent to most of the nodes, and gives
-// the reason for the audit log.
+// unreachable reports whether no node had contact with an instance within the silence
+// timeout, and most of the reporting nodes count it as silent. The reason is for the
+// audit log.
 func (o Observation) unreachable(timing Timing) (reason string, unreachable bool) {
 	if o.ContactAge <= timing.SilenceTimeout || o.SilentNodes*2 <= o.ReportingNodes {
 		return "", false
--- a/internal/coordination/failover/asyncrepl/evidence_test.go
+++ b/internal/coordination/failover/asyncrepl/evidence_test.go
@@ -17,10 +17,11 @@
 	return observed
 }
 
-// openTerm is the evidence on a healthy database: a is the primary of term 1, at 100, b
-// and c are its replicas, at 99 and 97, and commits are confirmed up to 95.
+// openTerm returns the evidence on a healthy database: a is the primary of term 1, at
+// index 100, b and c are its replicas, at indexes 99 and 97, and commits are confirmed
+// up to index 95.
 func openTerm() Evidence {
-	both := map[string]string{"b": "b-1", "c": "c-1"}
+	replicas := map[string]string{"b": "b-1", "c": "c-1"}
 	return Evidence{
 		Database:           "db",
 		Known:              true,
@@ -36,8 +37,8 @@
 			Primary:            "a",
 			PrimaryIncarnation: "a-1",
 			Phase:              model.PhaseOpen,
-			RequiredReplicas:   both,
-			Candidates:         both,
+			RequiredReplicas:   replicas,
+			Candidates:         replicas,
 			HighWatermark:      model.Position{Term: 1, Index: 95},
 		},
 		Observations: []Observation{
@@ -48,8 +49,8 @@
 	}
 }
 
-// closedTerm is the evidence on a database whose primary is silent, and whose term is
-// closed.
+// closedTerm returns the evidence on a database whose primary is silent and whose term
+// is closed.
 func closedTerm() Evidence {
 	evidence := openTerm()
 	evidence.Observations[0] = newObservation("a", model.RolePrimary, 1, 100, 2*time.Second)
@@ -57,7 +58,7 @@
 	return evidence
 }
 
-// promotingTerm is the evidence some time after the promote call for b.
+// promotingTerm returns the evidence at the time sinceCall after the promote call for b.
 func promotingTerm(sinceCall time.Duration) Evidence {
 	evidence := closedTerm()
 	evidence.Writer.Phase = model.PhasePromoting
@@ -66,14 +67,14 @@
 	return evidence
 }
 
-// setSinceTransition sets the wall time so that the last transition is so long ago.
+// setSinceTransition sets the wall time so that the last transition was since ago.
 func (e *Evidence) setSinceTransition(since time.Duration) {
 	e.Writer.LastTransitionAt = int64(10 * time.Second)
 	e.WallNanos = e.Writer.LastTransitionAt + int64(since)
 }
 
-// firstWriter is the writer role that the first effect records, or the zero value where
-// there is none.
+// firstWriter returns the writer role that the first effect of a step records, or the
+// zero value if the step has no effects.
 func firstWriter(evidence Evidence) model.WriterRole {
 	effects := Step(evidence, DefaultTiming())
 	if len(effects) == 0 {
--- a/internal/coordination/failover/asyncrepl/promotion.go
+++ b/internal/coordination/failover/asyncrepl/promotion.go
@@ -10,8 +10,8 @@
 	"tansyseam/internal/state/model"
 )
 
-// onClosed chooses the most advanced candidate, or reopens the term under a
-// primary that returned where there is no candidate.
+// onClosed chooses the most advanced promotable candidate. If there is none, it reopens
+// the term under the old primary, provided that the old primary has returned.
 func onClosed(evidence Evidence, timing Timing) []failover.Effect {
 	candidates := evidence.promotable(timing)
 	if len(candidates) > 0 {
@@ -24,7 +24,7 @@
 	return failover.RecordReason(evidence.Writer, "term is closed, and no reachable replica is shown to hold every confirmed commit: nothing is promoted")
 }
 
-// mostAdvanced gives the first of the instances with the highest position.
+// mostAdvanced returns the first of the instances with the highest position.
 func mostAdvanced(candidates []Observation) model.Instance {
 	return slices.MaxFunc(candidates, func(a, b Observation) int {
 		return failover.ComparePositions(a.Instance.Position, b.Instance.Position)
@@ -55,45 +55,46 @@
 	}
 }
 
-// primaryReturned says whether the old primary is back in its role and term with
-// all confirmed commits.
+// primaryReturned reports whether the old primary is responsive again, in its role and
+// term and with all confirmed commits.
 func primaryReturned(evidence Evidence, timing Timing) bool {
-	old, known := evidence.observation(evidence.Writer.Primary)
-	if !known || old.ContactAge > timing.SilenceTimeout || old.Instance.Leaving {
+	primary, found := evidence.observation(evidence.Writer.Primary)
+	if !found || primary.ContactAge > timing.SilenceTimeout || primary.Instance.Leaving {
 		return false
 	}
-	leading := old.Instance.Role == model.RolePrimary && old.Instance.Term == evidence.Writer.Term
-	return leading && evidence.holdsConfirmedCommits(old.Instance, evidence.Writer.PrimaryIncarnation)
+	leading := primary.Instance.Role == model.RolePrimary && primary.Instance.Term == evidence.Writer.Term
+	return leading && evidence.holdsConfirmedCommits(primary.Instance, evidence.Writer.PrimaryIncarnation)
 }
 
-// onPromoting learns the outcome of the promote call from what the chosen
-// instance announces. No other instance is called while the outcome is unknown.
+// onPromoting determines the outcome of the promote call from the announcements of the
+// chosen instance. No other instance is called while the outcome is unknown.
 func onPromoting(evidence Evidence, timing Timing) []failover.Effect {
-	observed, known := evidence.observation(evidence.Writer.Promoting)
+	observed, found := evidence.observation(evidence.Writer.Promoting)
 	instance := observed.Instance
-	waited := time.Duration(evidence.WallNanos - evidence.Writer.LastTransitionAt)
-	// Only a position from after the call tells what the instance has now.
-	positionKnown := known && observed.PositionAge < min(waited, timing.SilenceTimeout)
-	keptCommits := evidence.holdsConfirmedCommits(instance, evidence.Writer.Candidates[instance.Name])
-	if positionKnown && !keptCommits {
+	sinceCall := time.Duration(evidence.WallNanos - evidence.Writer.LastTransitionAt)
+	// An older position, from before the call, does not prove what the instance holds now.
+	positionIsRecent := found && observed.PositionAge < min(sinceCall, timing.SilenceTimeout)
+	holdsCommits := evidence.holdsConfirmedCommits(instance, evidence.Writer.Candidates[instance.Name])
+	if positionIsRecent && !holdsCommits {
 		return []failover.Effect{abandonPromotion(evidence, instance)}
 	}
-	promoted := known && instance.Role == model.RolePrimary && instance.Term > evidence.Writer.Term
+	promoted := found && instance.Role == model.RolePrimary && instance.Term > evidence.Writer.Term
 	if promoted && observed.ContactAge <= timing.SilenceTimeout {
 		return openNewTerm(evidence, instance, timing)
 	}
-	stillReplica := known && instance.Role == model.RoleReplica && observed.ContactAge < timing.MaxContactAge
-	if stillReplica && waited > timing.PromoteRetryInterval {
+	stillReplica := found && instance.Role == model.RoleReplica && observed.ContactAge < timing.MaxContactAge
+	if stillReplica && sinceCall > timing.PromoteRetryInterval {
 		return retryPromotion(evidence, instance)
 	}
-	if !stillReplica && waited > 2*timing.PromoteRetryInterval {
+	if !stillReplica && sinceCall > 2*timing.PromoteRetryInterval {
 		return failover.RecordReason(evidence.Writer, "promotion of "+evidence.Writer.Promoting+" is undecided until it answers again: no other is promoted")
 	}
 	return nil
 }
 
-// abandonPromotion returns to the closed phase. It skips the term that the call
-// may have opened, so that the term is never opened by a second instance.
+// abandonPromotion returns the effect that moves the writer role back to the closed
+// phase. It skips the term that the call may have opened, so that the term is never
+// opened by a second instance.
 func abandonPromotion(evidence Evidence, instance model.Instance) failover.Record {
 	writer := model.CloneWriterRole(evidence.Writer)
 	delete(writer.Candidates, evidence.Writer.Promoting)
@@ -131,7 +132,7 @@
 		RequiredReplicas:   replicas,
 		Candidates:         maps.Clone(replicas),
 	}
-	return []failover.Effect{failover.Record{Writer: writer, Change: "new term open", Reason: announcesPrimary(primary)}}
+	return []failover.Effect{failover.Record{Writer: writer, Change: "new term open", Reason: primaryOfTermReason(primary)}}
 }
 
 func retryPromotion(evidence Evidence, instance model.Instance) []failover.Effect {
--- a/internal/coordination/failover/asyncrepl/promotion_test.go
+++ b/internal/coordination/failover/asyncrepl/promotion_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestPromotion(t *testing.T) {
-	Convey("The term is closed only once every node with a lease has stopped writing", t, func() {
+	Convey("A closing term is closed only once every node with a lease has stopped writing", t, func() {
 		evidence := closedTerm()
 		evidence.Writer.Phase = model.PhaseClosing
 		evidence.Settled = false
@@ -25,7 +25,7 @@
 		So(effects[0].(failover.Record).Writer.Promoting, ShouldEqual, "b")
 		So(effects[1].(Promote), ShouldResemble, Promote{Database: "db", Instance: "b", Term: 2})
 	})
-	Convey("A replica that is behind the confirmed commits, was replaced, is silent, leaves or is no candidate is never chosen", t, func() {
+	Convey("A replica that is behind the confirmed commits, was replaced, is silent, is leaving or is not a candidate is never chosen", t, func() {
 		for _, test := range []struct {
 			name   string
 			change func(*Evidence, *Observation)
@@ -33,11 +33,11 @@
 			{"behind", func(_ *Evidence, observed *Observation) { observed.Instance.Position.Index = 94 }},
 			{"replaced", func(_ *Evidence, observed *Observation) { observed.Instance.Incarnation = "new" }},
 			{"silent", func(_ *Evidence, observed *Observation) { observed.ContactAge = 2 * time.Second }},
-			{"no candidate", func(evidence *Evidence, observed *Observation) {
+			{"not a candidate", func(evidence *Evidence, observed *Observation) {
 				evidence.Writer.Candidates = map[string]string{"c": "c-1"}
 				observed.Instance.Position.Index = 500
 			}},
-			{"leaves", func(_ *Evidence, observed *Observation) { observed.Instance.Leaving = true }},
+			{"leaving", func(_ *Evidence, observed *Observation) { observed.Instance.Leaving = true }},
 		} {
 			evidence := closedTerm()
 			test.change(&evidence, &evidence.Observations[1])
@@ -48,7 +48,7 @@
 		evidence.Observations[2].ContactAge = 2 * time.Second
 		So(firstWriter(evidence).Reason, ShouldContainSubstring, "nothing is promoted")
 	})
-	Convey("The outcome of a promotion is observed: a new term opens once the instance is primary, and only the same instance is called again", t, func() {
+	Convey("While the outcome of a promotion is unknown, only the same instance is called again; once it announces itself primary, the new term opens", t, func() {
 		evidence := promotingTerm(0)
 		So(Step(evidence, DefaultTiming()), ShouldBeEmpty)
 		evidence.setSinceTransition(2 * time.Second)
@@ -68,7 +68,7 @@
 }
 
 func TestPrimaryComesBack(t *testing.T) {
-	Convey("Without candidates, the term is reopened under a primary that returned with all confirmed commits, and only then", t, func() {
+	Convey("A closed term is reopened under its primary only if no candidate can be promoted and the primary has returned with all confirmed commits", t, func() {
 		returned := func() Evidence {
 			evidence := openTerm()
 			evidence.Writer.Phase = model.PhaseClosed
@@ -83,9 +83,9 @@
 		}{
 			{"lost its data", func(evidence *Evidence) { evidence.Observations[0].Instance.Incarnation = "a-2" }},
 			{"behind", func(evidence *Evidence) { evidence.Observations[0].Instance.Position.Index = 94 }},
-			{"leaves", func(evidence *Evidence) { evidence.Observations[0].Instance.Leaving = true }},
-			{"of an earlier term", func(evidence *Evidence) { evidence.Writer.Term = 2 }},
-			{"beside a candidate", func(evidence *Evidence) { evidence.Writer.Candidates = map[string]string{"c": "c-1"} }},
+			{"leaving", func(evidence *Evidence) { evidence.Observations[0].Instance.Leaving = true }},
+			{"primary of an earlier term", func(evidence *Evidence) { evidence.Writer.Term = 2 }},
+			{"a candidate is promotable", func(evidence *Evidence) { evidence.Writer.Candidates = map[string]string{"c": "c-1"} }},
 		} {
 			evidence := returned()
 			test.change(&evidence)
@@ -95,7 +95,7 @@
 }
 
 func TestChosenReplicaLosesItsData(t *testing.T) {
-	Convey("A chosen replica that comes back without its data is not called again; another is chosen, and the term is skipped", t, func() {
+	Convey("If the chosen replica returns without its data, it is not called again: another replica is chosen, and the term of the call is skipped", t, func() {
 		for _, role := range []string{model.RoleReplica, model.RolePrimary} {
 			evidence := promotingTerm(10 * time.Second)
 			evidence.Observations[1] = newObservation("b", role, 2, 1, 10*time.Millisecond)
@@ -118,20 +118,20 @@
 		evidence.Observations[1].PositionAge = positionAge
 		return evidence
 	}
-	Convey("A promotion is not abandoned for a position from before it, even with recent contact", t, func() {
+	Convey("A position from before the promote call does not abandon the promotion, even with recent contact", t, func() {
 		So(Step(intended(300*time.Millisecond), DefaultTiming()), ShouldBeEmpty)
-		after := intended(300 * time.Millisecond)
-		after.setSinceTransition(time.Second)
-		after.Observations[1].PositionAge = 3 * time.Second
-		So(Step(after, DefaultTiming()), ShouldBeEmpty)
+		stalePosition := intended(300 * time.Millisecond)
+		stalePosition.setSinceTransition(time.Second)
+		stalePosition.Observations[1].PositionAge = 3 * time.Second
+		So(Step(stalePosition, DefaultTiming()), ShouldBeEmpty)
 	})
-	Convey("It is abandoned for a later position", t, func() {
+	Convey("A position below the confirmed commits from after the promote call abandons the promotion", t, func() {
 		So(firstWriter(intended(50*time.Millisecond)).Phase, ShouldEqual, model.PhaseClosed)
 	})
 }
 
 func TestPrimaryLostRightAfterItsPromotion(t *testing.T) {
-	Convey("After a promotion, only a replica that holds the start of the new term may be promoted next", t, func() {
+	Convey("If the new primary is lost, only a replica that has reached the start of its term may be promoted", t, func() {
 		evidence := openTerm()
 		evidence.Writer.Term = 2
 		evidence.Writer.Phase = model.PhaseClosed
--- a/internal/coordination/failover/asyncrepl/replicas.go
+++ b/internal/coordination/failover/asyncrepl/replicas.go
@@ -9,28 +9,29 @@
 	"tansyseam/internal/state/model"
 )
 
-// replicaSets is one round of maintenance of the replica sets of an open term.
-// A round makes one change at most.
+// replicaSets is the state of one maintenance round of the replica sets of an open
+// term. A round makes at most one change.
 type replicaSets struct {
 	evidence Evidence
 	timing   Timing
 	writer   model.WriterRole
-	// eligible maps the replicas that are alive and near the primary to their
-	// incarnations.
+	// eligible maps the names of the replicas that are reachable and close to the
+	// primary's position to their incarnations.
 	eligible map[string]string
-	// judgesCommitWait says that commit waits tell against single replicas: the
-	// primary is in contact, and another candidate acknowledges in time.
-	judgesCommitWait bool
-	// ineligible is the first candidate that is not eligible, if any.
+	// usesCommitWait is true if a long commit wait makes a single replica count as
+	// behind. This requires recent contact with the primary, and another candidate
+	// that acknowledges commits in time.
+	usesCommitWait bool
+	// ineligible is the name of the first candidate that is not eligible, or empty.
 	ineligible string
 }
 
-// maintainReplicas adjusts which replicas commits wait for and which may be
-// promoted. A replica is always waited for before it becomes a candidate, and
-// stops being a candidate before commits stop waiting for it.
+// maintainReplicas adjusts the set of replicas that commits wait for and the set of
+// replicas that may be promoted. Commits wait for a replica before it becomes a
+// candidate, and a replica stops being a candidate before commits stop waiting for it.
 func maintainReplicas(evidence Evidence, primary Observation, timing Timing) []failover.Effect {
 	sets := &replicaSets{evidence: evidence, timing: timing, writer: model.CloneWriterRole(evidence.Writer)}
-	sets.judgesCommitWait = primary.ContactAge < timing.MaxCommitWait && hasPromptCandidate(evidence, timing)
+	sets.usesCommitWait = primary.ContactAge < timing.MaxCommitWait && hasPromptCandidate(evidence, timing)
 	sets.findEligible(primary.Instance)
 	sets.findIneligible()
 	for _, change := range []func() (failover.Record, bool){sets.removeCandidate, sets.removeRequired, sets.addRequired, sets.addCandidate} {
@@ -44,11 +45,12 @@
 	return failover.ClearReason(evidence.Writer)
 }
 
-// hasPromptCandidate says whether commits wait little for some candidate.
+// hasPromptCandidate reports whether at least one candidate delays commits by no more
+// than half of the maximum commit wait.
 func hasPromptCandidate(evidence Evidence, timing Timing) bool {
 	for name, incarnation := range evidence.Writer.Candidates {
-		observed, known := evidence.observation(name)
-		if known && observed.Instance.Incarnation == incarnation && observed.CommitWait <= timing.MaxCommitWait/2 {
+		observed, found := evidence.observation(name)
+		if found && observed.Instance.Incarnation == incarnation && observed.CommitWait <= timing.MaxCommitWait/2 {
 			return true
 		}
 	}
@@ -72,7 +74,7 @@
 	if position.Term != primary.Position.Term {
 		return true
 	}
-	if s.judgesCommitWait && observed.CommitWait > s.timing.MaxCommitWait {
+	if s.usesCommitWait && observed.CommitWait > s.timing.MaxCommitWait {
 		return true
 	}
 	maxLag := s.timing.MaxLag
@@ -91,8 +93,8 @@
 	}
 }
 
-// removeCandidate removes an ineligible candidate, unless it is the only one:
-// that one alone is known to hold all confirmed commits.
+// removeCandidate removes an ineligible candidate, unless it is the only candidate: the
+// only candidate is the only replica that is known to hold all confirmed commits.
 func (s *replicaSets) removeCandidate() (failover.Record, bool) {
 	if s.ineligible == "" || len(s.writer.Candidates) == 1 {
 		return failover.Record{}, false
@@ -103,8 +105,8 @@
 
 func (s *replicaSets) removeRequired() (failover.Record, bool) {
 	for _, name := range sortedNames(s.writer.RequiredReplicas) {
-		_, candidate := s.writer.Candidates[name]
-		if s.eligible[name] == s.writer.RequiredReplicas[name] || candidate || len(s.writer.RequiredReplicas) <= 1 {
+		_, isCandidate := s.writer.Candidates[name]
+		if s.eligible[name] == s.writer.RequiredReplicas[name] || isCandidate || len(s.writer.RequiredReplicas) <= 1 {
 			continue
 		}
 		delete(s.writer.RequiredReplicas, name)
@@ -114,11 +116,11 @@
 	return failover.Record{}, false
 }
 
-// excludeSlow keeps commits from waiting again soon for a replica that is
-// removed for its lag.
+// excludeSlow excludes a replica that is removed because commits waited too long for
+// it, so that commits do not wait for it again during the exclusion period.
 func (s *replicaSets) excludeSlow(name string) {
-	observed, known := s.evidence.observation(name)
-	if !known || !s.judgesCommitWait || observed.CommitWait <= s.timing.MaxCommitWait {
+	observed, found := s.evidence.observation(name)
+	if !found || !s.usesCommitWait || observed.CommitWait <= s.timing.MaxCommitWait {
 		return
 	}
 	if s.writer.Excluded == nil {
@@ -138,16 +140,17 @@
 	return failover.Record{}, false
 }
 
-// isExcluded says whether a replica's exclusion still lasts. It is lifted while
-// a candidate is ineligible, since any other replica is then worth a wait, and
-// where the clock was set back by more than its length.
+// isExcluded reports whether a replica is still excluded. The exclusion does not apply
+// while a candidate is ineligible, since commits should then wait for any other
+// replica. It does not apply either if more than a whole exclusion period remains,
+// because the clock was then set back.
 func (s *replicaSets) isExcluded(name string) bool {
 	remaining := time.Duration(s.writer.Excluded[name] - s.evidence.WallNanos)
 	return remaining > 0 && remaining <= s.timing.ExclusionPeriod && s.ineligible == ""
 }
 
-// addCandidate makes a required replica a candidate once every node waits for
-// it, and it holds all that was confirmed before.
+// addCandidate makes a required replica a candidate once every node waits for it, and
+// it holds all commits that were confirmed before that.
 func (s *replicaSets) addCandidate() (failover.Record, bool) {
 	settled := s.evidence.Settled && s.evidence.SettledFor > s.timing.SettleDelay
 	if !settled || !s.evidence.HasPrimaryPosition {
--- a/internal/coordination/failover/asyncrepl/replicas_test.go
+++ b/internal/coordination/failover/asyncrepl/replicas_test.go
@@ -22,7 +22,7 @@
 		So(evidence.Writer.RequiredReplicas, ShouldContainKey, "c")
 		So(firstWriter(evidence).RequiredReplicas, ShouldResemble, map[string]string{"b": "b-1"})
 	})
-	Convey("A replica removed as slow is required again after the exclusion, and at once if a candidate loses its data", t, func() {
+	Convey("A replica that was removed as slow is required again after the exclusion period, or at once if a candidate loses its data", t, func() {
 		evidence := slow()
 		evidence.Writer = firstWriter(evidence)
 		removed := firstWriter(evidence)
@@ -37,7 +37,7 @@
 		evidence.Writer = firstWriter(evidence)
 		So(firstWriter(evidence).RequiredReplicas, ShouldContainKey, "c")
 	})
-	Convey("Where no replica keeps up, or the primary has no recent contact, none is removed for its lag", t, func() {
+	Convey("If commits wait long for every replica, or the primary had no recent contact, no replica is removed as slow", t, func() {
 		evidence := openTerm()
 		evidence.Observations[1].CommitWait = time.Second
 		evidence.Observations[2].CommitWait = time.Second
@@ -47,14 +47,14 @@
 		evidence.Observations[0].ContactAge = 900 * time.Millisecond
 		So(Step(evidence, DefaultTiming()), ShouldBeEmpty)
 	})
-	Convey("A replica that returns is required at once, and a candidate once that is settled and it has caught up", t, func() {
+	Convey("A replica that returns is required at once, and becomes a candidate once the writer role is settled and the replica has caught up", t, func() {
 		evidence := openTerm()
 		evidence.Writer.RequiredReplicas = map[string]string{"b": "b-1"}
 		evidence.Writer.Candidates = map[string]string{"b": "b-1"}
-		waited := firstWriter(evidence)
-		So(waited.RequiredReplicas, ShouldContainKey, "c")
-		So(waited.Candidates, ShouldNotContainKey, "c")
-		evidence.Writer = waited
+		withRequired := firstWriter(evidence)
+		So(withRequired.RequiredReplicas, ShouldContainKey, "c")
+		So(withRequired.Candidates, ShouldNotContainKey, "c")
+		evidence.Writer = withRequired
 		evidence.Settled = false
 		So(Step(evidence, DefaultTiming()), ShouldBeEmpty)
 		evidence.Settled = true
--- a/internal/coordination/failover/asyncrepl/step.go
+++ b/internal/coordination/failover/asyncrepl/step.go
@@ -8,8 +8,8 @@
 	"tansyseam/internal/state/model"
 )
 
-// Promote is the effect of asking the platform to make an instance the primary
-// of a term.
+// Promote is the effect that asks the platform to make an instance the primary of a
+// term.
 type Promote struct {
 	Database string
 	Instance string
@@ -20,22 +20,22 @@
 type phaseHandler func(Evidence, Timing) []failover.Effect
 
 var phaseHandlers = map[string]phaseHandler{
-	"":                   onUnknown,
+	"":                   onUnrecorded,
 	model.PhaseOpen:      onOpen,
 	model.PhaseClosing:   onClosing,
 	model.PhaseClosed:    onClosed,
 	model.PhasePromoting: onPromoting,
 }
 
-// Step returns the effects that the evidence calls for, to be executed in
-// order: values of failover.Record and Promote.
+// Step returns the effects that follow from the evidence, to be executed in order. They
+// are of the types failover.Record and Promote.
 func Step(evidence Evidence, timing Timing) []failover.Effect {
 	return phaseHandlers[evidence.Writer.Phase](evidence, timing)
 }
 
-// onUnknown records the writer role of a database that has exactly one
-// responsive primary, and a replica for its commits.
-func onUnknown(evidence Evidence, timing Timing) []failover.Effect {
+// onUnrecorded records the writer role of a database that has none yet. It requires
+// exactly one responsive primary, and at least one responsive replica for its commits.
+func onUnrecorded(evidence Evidence, timing Timing) []failover.Effect {
 	var primaries []model.Instance
 	replicas := map[string]string{}
 	for _, observed := range evidence.responsive(timing) {
@@ -62,32 +62,32 @@
 		RequiredReplicas:   replicas,
 		Candidates:         maps.Clone(replicas),
 	}
-	return []failover.Effect{failover.Record{Writer: writer, Change: "writer role known", Reason: announcesPrimary(primary)}}
+	return []failover.Effect{failover.Record{Writer: writer, Change: "writer role known", Reason: primaryOfTermReason(primary)}}
 }
 
-func announcesPrimary(instance model.Instance) string {
+func primaryOfTermReason(instance model.Instance) string {
 	return fmt.Sprintf("%s announces itself primary of term %d", instance.Name, instance.Term)
 }
 
-// onOpen closes the term of a suspected primary, and otherwise maintains the
-// replica sets.
+// onOpen closes the term if the primary is suspected, or records why the term cannot be
+// closed. If the primary is not suspected, it maintains the replica sets.
 func onOpen(evidence Evidence, timing Timing) []failover.Effect {
-	primary, known := evidence.observation(evidence.Writer.Primary)
-	reason, suspected := suspectPrimary(evidence, primary, known, timing)
+	primary, found := evidence.observation(evidence.Writer.Primary)
+	reason, suspected := suspectPrimary(evidence, primary, found, timing)
 	if !suspected {
 		return maintainReplicas(evidence, primary, timing)
 	}
 	if len(evidence.Writer.Candidates) == 0 {
 		return failover.RecordReason(evidence.Writer, "primary is gone, and no replica is shown to hold every confirmed commit: nothing is promoted")
 	}
-	if known && primary.Instance.Leaving && len(evidence.promotable(timing)) == 0 {
+	if found && primary.Instance.Leaving && len(evidence.promotable(timing)) == 0 {
 		return failover.RecordReason(evidence.Writer, "primary is leaving, and no candidate is reachable")
 	}
 	return []failover.Effect{failover.CloseTerm(evidence.Writer, evidence.WallNanos, reason)}
 }
 
-func suspectPrimary(evidence Evidence, primary Observation, known bool, timing Timing) (reason string, suspected bool) {
-	if !known {
+func suspectPrimary(evidence Evidence, primary Observation, found bool, timing Timing) (reason string, suspected bool) {
+	if !found {
 		return "no node has reached it", evidence.ReportingNodes > 0 && evidence.GatheredFor > 2*timing.SilenceTimeout
 	}
 	if primary.Instance.Leaving {
--- a/internal/coordination/failover/asyncrepl/step_test.go
+++ b/internal/coordination/failover/asyncrepl/step_test.go
@@ -10,8 +10,8 @@
 )
 
 func TestSuspicion(t *testing.T) {
-	Convey("While the primary is healthy, there are no effects", t, func() { So(Step(openTerm(), DefaultTiming()), ShouldBeEmpty) })
-	Convey("The term of a primary that is silent to most nodes is closed; with fewer silent nodes, or recent contact, it is not", t, func() {
+	Convey("While the primary is healthy, a step has no effects", t, func() { So(Step(openTerm(), DefaultTiming()), ShouldBeEmpty) })
+	Convey("If the primary is silent to most nodes, the term is closed; with fewer silent nodes, or with recent contact, it is not", t, func() {
 		evidence := openTerm()
 		evidence.Observations[0] = newObservation("a", model.RolePrimary, 1, 100, 2*time.Second)
 		So(firstWriter(evidence).Phase, ShouldEqual, model.PhaseClosing)
@@ -21,7 +21,7 @@
 		evidence.Observations[0].ContactAge = time.Second
 		So(firstWriter(evidence).Phase, ShouldNotEqual, model.PhaseClosing)
 	})
-	Convey("The term of a primary that leaves, steps down or comes back without data is closed", t, func() {
+	Convey("If the primary leaves, steps down or returns without its data, the term is closed", t, func() {
 		for _, test := range []struct {
 			name   string
 			change func(*model.Instance)
@@ -35,14 +35,14 @@
 			SoMsg(test.name, firstWriter(evidence).Phase, ShouldEqual, model.PhaseClosing)
 		}
 	})
-	Convey("Without a candidate that holds all confirmed commits the term stays open, and the reason is recorded", t, func() {
+	Convey("If the primary is silent and there is no candidate, the term stays open and the reason is recorded", t, func() {
 		evidence := openTerm()
 		evidence.Writer.Candidates = nil
 		evidence.Observations[0] = newObservation("a", model.RolePrimary, 1, 100, 2*time.Second)
 		So(firstWriter(evidence).Phase, ShouldEqual, model.PhaseOpen)
 		So(firstWriter(evidence).Reason, ShouldContainSubstring, "nothing is promoted")
 	})
-	Convey("A new control primary without reports suspects nothing", t, func() {
+	Convey("A new control primary without reports does not suspect the primary", t, func() {
 		evidence := openTerm()
 		evidence.Observations = nil
 		evidence.ReportingNodes = 0
--- a/internal/coordination/failover/asyncrepl/timing.go
+++ b/internal/coordination/failover/asyncrepl/timing.go
@@ -2,26 +2,29 @@
 
 import "time"
 
-// Timing holds the limits that decisions depend on. Lags are in log entries.
+// Timing is the set of limits that decisions depend on. Lags are in log entries.
 type Timing struct {
-	// SilenceTimeout is the contact age past which an instance counts as silent.
+	// SilenceTimeout is the contact age above which an instance counts as silent.
 	SilenceTimeout time.Duration
-	// MaxContactAge is how recent an observation of a promoting replica must be
-	// for the promote call to be repeated.
+	// MaxContactAge is the contact age of the chosen replica below which the promote
+	// call may be repeated.
 	MaxContactAge time.Duration
-	// PromoteRetryInterval is the time between promote calls.
+	// PromoteRetryInterval is the minimum time between promote calls.
 	PromoteRetryInterval time.Duration
-	// MaxLag is how far a replica may be behind the primary and stay eligible.
+	// MaxLag is the largest lag behind the primary with which a replica that commits
+	// wait for stays eligible.
 	MaxLag uint64
-	// RejoinLag is how near a replica must be for commits to wait for it again.
+	// RejoinLag is the largest lag with which a replica that commits do not wait for
+	// becomes eligible.
 	RejoinLag uint64
-	// MaxCommitWait is how long a commit may wait for a replica.
+	// MaxCommitWait is the longest time that commits may wait for a replica before
+	// the replica counts as behind.
 	MaxCommitWait time.Duration
-	// SettleDelay is how long all nodes must have known the writer role before a
-	// replica becomes a candidate.
+	// SettleDelay is how long the writer role must have been settled before a replica
+	// becomes a candidate.
 	SettleDelay time.Duration
-	// ExclusionPeriod is how long commits do not wait again for a replica that
-	// was removed for its lag.
+	// ExclusionPeriod is how long commits do not wait for a replica after it was
+	// removed because commits had waited too long for it.
 	ExclusionPeriod time.Duration
 }
 
--- a/internal/coordination/failover/execute.go
+++ b/internal/coordination/failover/execute.go
@@ -3,26 +3,29 @@
 import "time"
 
 const (
-	// EvidenceTimeout bounds a request to the control primary for the evidence on a
-	// database.
+	// EvidenceTimeout is the timeout of a request to the control primary for the
+	// evidence on a database.
 	EvidenceTimeout = 300 * time.Millisecond
-	// RecordTimeout bounds a request to the control primary to commit a Record.
+	// RecordTimeout is the timeout of a request to the control primary to commit a
+	// Record.
 	RecordTimeout = 2 * time.Second
 )
 
 // Executor carries out the effects of one step of a failover machine.
 type Executor struct {
-	// Record has the control primary commit a record, and calls committed once it
-	// has. It does not call committed where the record is refused or lost.
+	// Record asks the control primary to commit a record, and calls committed once
+	// the record is committed. It does not call committed if the record is refused
+	// or lost.
 	Record func(record Record, committed func())
 	// Act carries out an effect that is not a Record.
 	Act func(effect Effect)
-	// Finish, where given, is called once all effects are carried out.
+	// Finish, if not nil, is called once all effects are carried out.
 	Finish func()
 }
 
-// Execute carries out effects in order. Those after a Record wait until it is
-// committed: what they do may rest on it, also if another control server goes on.
+// Execute carries out effects in order. The effects after a Record wait until the
+// Record is committed: they may depend on it, also if another control server
+// continues from it.
 func (e Executor) Execute(effects []Effect) {
 	for index, effect := range effects {
 		if record, ok := effect.(Record); ok {
--- a/internal/coordination/failover/execute_test.go
+++ b/internal/coordination/failover/execute_test.go
@@ -6,7 +6,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// executions notes in order what an Executor does. Records are committed by hand.
+// executions logs in order what an Executor does. The test commits a record by calling
+// committed.
 type executions struct {
 	log       []string
 	committed func()
@@ -27,14 +28,15 @@
 	for _, row := range []struct {
 		title   string
 		effects []Effect
-		// stages are what is done at once, and after each record that is committed.
+		// stages are the expected log entries: first those before any record is
+		// committed, then those after each committed record.
 		stages [][]string
 	}{
-		{"Without effects, only the end is told", nil, [][]string{{"finish"}}},
+		{"Without effects, only Finish is called", nil, [][]string{{"finish"}}},
 		{"Effects are carried out in order", []Effect{"query", "promote"}, [][]string{{"query", "promote", "finish"}}},
-		{"What follows a record waits until it is committed", []Effect{"query", intent, "promote"},
+		{"The effects after a record wait until it is committed", []Effect{"query", intent, "promote"},
 			[][]string{{"query", "record intent"}, {"promote", "finish"}}},
-		{"Each record is waited for", []Effect{intent, opening, "promote"},
+		{"The effects after several records wait for each of them", []Effect{intent, opening, "promote"},
 			[][]string{{"record intent"}, {"record opening"}, {"promote", "finish"}}},
 	} {
 		Convey(row.title, t, func() {
@@ -50,7 +52,7 @@
 			}
 		})
 	}
-	Convey("A record may be committed before its request returns", t, func() {
+	Convey("If a record is committed before its request returns, the effects are still carried out in order", t, func() {
 		x := &executions{}
 		executor := x.executor()
 		executor.Record = func(record Record, committed func()) {
@@ -60,7 +62,7 @@
 		executor.Execute([]Effect{intent, "promote", opening})
 		So(x.log, ShouldResemble, []string{"intent", "promote", "opening", "finish"})
 	})
-	Convey("The end need not be heard of", t, func() {
+	Convey("Without a Finish function, the effects are carried out all the same", t, func() {
 		x := &executions{}
 		executor := x.executor()
 		executor.Finish = nil
--- a/internal/coordination/failover/failover.go
+++ b/internal/coordination/failover/failover.go
@@ -1,32 +1,33 @@
-// Package failover holds what the two failover state machines share: the
-// effect that records a decision, the transitions that both make, and the order
-// of log positions.
+// Package failover contains the parts that the two failover state machines share:
+// the effect that records a decision, the transitions that both machines make, and
+// the order of log positions.
 //
-// Package asyncrepl decides for databases whose proxies wait for the replicas
-// of a commit, package syncrepl for databases that replicate synchronously by
-// themselves. Both are pure: a step maps evidence to effects, and the caller
-// executes the effects in order. A step that is repeated after a crash, or by
-// another control server, continues where the last recorded one ended, since
-// all state is in the recorded writer role.
+// Package asyncrepl handles databases with asynchronous replication, whose proxies
+// wait until the replicas have a commit. Package syncrepl handles databases that
+// replicate synchronously by themselves. Both machines are pure: a step maps
+// evidence to effects, and the caller executes the effects in order. All state is
+// in the recorded writer role, so a step that is repeated after a crash, or by
+// another control server, continues from the last recorded step.
 package failover
 
 import "tansyseam/internal/state/model"
 
-// Effect is what a step of a failover machine wants done: a Record, or one of the
-// effects of the machine's package. Effects are executed in order, those after a
-// Record only once it is committed.
+// Effect is an action that a step of a failover machine requests: a Record, or one of
+// the effects of the machine's package. Effects are executed in order, and the effects
+// after a Record only once the Record is committed.
 type Effect any
 
 // Record is the effect of replacing a database's writer role.
 type Record struct {
 	Writer model.WriterRole
-	// Change and Reason go to the audit log: what is changed, and why.
+	// Change and Reason go to the audit log. Change names the change, and Reason is
+	// the cause of it.
 	Change string
 	Reason string
 }
 
-// RecordReason gives the effect of noting why a database cannot make progress,
-// or none where that is noted already.
+// RecordReason returns the effect that records why a database cannot make progress, or
+// no effect if that reason is recorded already.
 func RecordReason(writer model.WriterRole, reason string) []Effect {
 	if writer.Reason == reason {
 		return nil
@@ -36,19 +37,19 @@
 	return []Effect{Record{Writer: next, Change: "waiting", Reason: reason}}
 }
 
-// ClearReason gives the effect of removing the noted reason, or none where
-// there is none.
+// ClearReason returns the effect that removes the recorded reason, or no effect if no
+// reason is recorded.
 func ClearReason(writer model.WriterRole) []Effect {
 	if writer.Reason == "" {
 		return nil
 	}
 	next := model.CloneWriterRole(writer)
 	next.Reason = ""
-	return []Effect{Record{Writer: next, Change: "well again", Reason: writer.Reason}}
+	return []Effect{Record{Writer: next, Change: "no longer waiting", Reason: writer.Reason}}
 }
 
-// CloseTerm gives the effect of closing the current term at a wall time, in
-// nanoseconds since the Unix epoch.
+// CloseTerm returns the effect that starts to close the current term. The time of the
+// transition, wallNanos, is in nanoseconds since the Unix epoch.
 func CloseTerm(writer model.WriterRole, wallNanos int64, reason string) Record {
 	next := model.CloneWriterRole(writer)
 	next.Phase = model.PhaseClosing
@@ -57,8 +58,8 @@
 	return Record{Writer: next, Change: "term closing", Reason: reason}
 }
 
-// ReopenTerm gives the effect of opening the current term again under its old
-// primary at a wall time, in nanoseconds since the Unix epoch.
+// ReopenTerm returns the effect that reopens the current term under its old primary.
+// The time of the transition, wallNanos, is in nanoseconds since the Unix epoch.
 func ReopenTerm(writer model.WriterRole, wallNanos int64, reason string) Record {
 	next := model.CloneWriterRole(writer)
 	next.Phase = model.PhaseOpen
@@ -67,8 +68,8 @@
 	return Record{Writer: next, Change: "term opened again", Reason: reason}
 }
 
-// ComparePositions orders log positions: negative where a is before b, positive
-// where b is before a, and zero where they are equal.
+// ComparePositions compares log positions. It returns a negative number if a is before
+// b, a positive number if b is before a, and zero if they are equal.
 func ComparePositions(a, b model.Position) int {
 	if a.IsBefore(b) {
 		return -1
--- a/internal/coordination/failover/failover_test.go
+++ b/internal/coordination/failover/failover_test.go
@@ -26,7 +26,7 @@
 
 func TestTransitions(t *testing.T) {
 	writer := model.WriterRole{Database: "db", Term: 3, Phase: model.PhaseOpen, Reason: "before", RequiredReplicas: map[string]string{"b": ""}}
-	Convey("A term is closed with a reason and reopened without one, in a copy", t, func() {
+	Convey("A term is closed with a reason and reopened without one, and the given writer role is not modified", t, func() {
 		closing := CloseTerm(writer, 7, "primary is silent").Writer
 		So(closing.Phase, ShouldEqual, model.PhaseClosing)
 		So(closing.LastTransitionAt, ShouldEqual, 7)
--- a/test/simulation/digest_texts.go
+++ b/test/simulation/digest_texts.go
@@ -17,6 +17,7 @@
 	" ms, from ", " ms, to ",
 	"backup out of sequence", "backup out of step",
 	"no reachable replica is shown", "no replica that can be heard is shown",
+	"no longer waiting", "well again",
 	"is undecided until it answers again", "is in doubt until it is heard again",
 	"promotion abandoned, its term skipped", "intent given up, its term passed over",
 	"promotion abandoned", "intent given up",
