--- a/internal/coordination/failover/syncrepl/candidate_test.go
+++ b/internal/coordination/failover/syncrepl/candidate_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestCandidateSelection(t *testing.T) {
-	Convey("With all replicas answered the most advanced is chosen, even with an incomplete bound, and each promotion gets a new fencing token", t, func() {
+	Convey("If all replicas have answered, the most advanced is chosen, even with an incomplete bound, and each promotion gets a new fencing token", t, func() {
 		evidence := closingTerm(allProbes())
 		evidence.GapSequence = 9
 		So(intendedPrimary(evidence), ShouldEqual, "b")
@@ -33,14 +33,14 @@
 		evidence.Probes["b"] = probe
 		So(intendedPrimary(evidence), ShouldEqual, "c")
 	})
-	Convey("With silent replicas a candidate is chosen after the wait, if it has reached a complete bound", t, func() {
-		some := func() Evidence {
+	Convey("If a replica is silent, a candidate is chosen after the wait, provided that it has reached a complete bound", t, func() {
+		oneSilent := func() Evidence {
 			evidence := closingTerm(allProbes())
 			evidence.Probes["c"] = failedProbe()
 			return evidence
 		}
-		So(intendedPrimary(some()), ShouldEqual, "")
-		evidence := some()
+		So(intendedPrimary(oneSilent()), ShouldEqual, "")
+		evidence := oneSilent()
 		evidence.SettledFor = 2 * time.Second
 		So(intendedPrimary(evidence), ShouldEqual, "b")
 		evidence.GapSequence = 2
@@ -55,7 +55,7 @@
 		writer, _ := recordedWriter(evidence)
 		So(writer.Reason, ShouldContainSubstring, "nothing is promoted")
 	})
-	Convey("A recorded replica without an observation counts as one that may hold commits", t, func() {
+	Convey("A recorded replica without an observation counts as a replica that may hold commits", t, func() {
 		evidence := closingTerm(allProbes())
 		evidence.Observations = evidence.Observations[:2]
 		evidence.GapSequence = 2
@@ -63,19 +63,19 @@
 		evidence.CoveredSequence = 2
 		So(intendedPrimary(evidence), ShouldEqual, "b")
 	})
-	Convey("A replica that is gone may have been the only one to hold a commit", t, func() {
+	Convey("If a replica is gone and the bound is incomplete, no candidate is chosen, since the replica may have been the only one with a commit", t, func() {
 		evidence := closingTerm(allProbes())
 		evidence.Observations[2].Instance.Stopped = true
 		evidence.GapSequence = 2
 		So(intendedPrimary(evidence), ShouldEqual, "")
 	})
-	Convey("No candidate is chosen where all replicas answered below the confirmed position", t, func() {
+	Convey("If all replicas are behind the confirmed position, no candidate is chosen", t, func() {
 		evidence := closingTerm(allProbes())
 		evidence.Writer.HighWatermark = positionAt(3, 120)
 		evidence.CommitBound = positionAt(3, 120)
 		So(intendedPrimary(evidence), ShouldEqual, "")
 	})
-	Convey("A replica that stays is preferred to one that leaves, unless it lacks commits", t, func() {
+	Convey("A replica that stays is preferred to a more advanced one that is leaving, unless it lacks commits", t, func() {
 		evidence := closingTerm(allProbes())
 		evidence.Observations[1].Instance.Leaving = true
 		So(intendedPrimary(evidence), ShouldEqual, "c")
@@ -87,9 +87,9 @@
 }
 
 func TestOldPrimaryBound(t *testing.T) {
-	Convey("The position of a leaving primary after settling bounds the acknowledged commits, even with a replica gone and an incomplete bound", t, func() {
-		early := answeredProbe(model.RolePrimary, 3, 97)
-		early.AfterSettled = false
+	Convey("The position of a leaving primary, probed after settling, bounds the acknowledged commits, even if a replica is gone and the reported bound is incomplete", t, func() {
+		earlyProbe := answeredProbe(model.RolePrimary, 3, 97)
+		earlyProbe.AfterSettled = false
 		for _, test := range []struct {
 			name       string
 			oldPrimary ProbeResult
@@ -98,9 +98,9 @@
 			{"reached", answeredProbe(model.RolePrimary, 3, 97), "b"},
 			{"not reached", answeredProbe(model.RolePrimary, 3, 98), ""},
 			{"no answer", failedProbe(), ""},
-			{"answered before settling", early, ""},
+			{"answered before settling", earlyProbe, ""},
 			{"primary of an earlier term", answeredProbe(model.RolePrimary, 2, 97), ""},
-			{"a replica by now", answeredProbe(model.RoleReplica, 3, 97), ""},
+			{"is now a replica", answeredProbe(model.RoleReplica, 3, 97), ""},
 		} {
 			evidence := closingTerm(map[string]ProbeResult{"a": test.oldPrimary, "b": answeredProbe(model.RoleReplica, 3, 97)})
 			evidence.Observations[0].Instance.Leaving = true
@@ -113,7 +113,7 @@
 }
 
 func TestSuccessor(t *testing.T) {
-	Convey("The position of an instance that took over a stopped primary's log bounds the acknowledged commits", t, func() {
+	Convey("The position of an instance that took over the log of a stopped primary bounds the acknowledged commits", t, func() {
 		for _, test := range []struct {
 			name      string
 			successor ProbeResult
--- a/internal/coordination/failover/syncrepl/closing.go
+++ b/internal/coordination/failover/syncrepl/closing.go
@@ -5,9 +5,9 @@
 	"tansyseam/internal/state/model"
 )
 
-// onClosing waits until no node with a lease uses the primary any more, probes
-// the instances, and promotes one that is proven to hold all acknowledged
-// commits. The term is reopened where its primary answers after all.
+// onClosing waits until no node with a lease uses the primary any more. It then probes
+// the instances, and promotes one that is proven to hold all acknowledged commits. If
+// the old primary answers a probe as primary, the term is reopened instead.
 func onClosing(evidence Evidence, timing Timing) []failover.Effect {
 	if !evidence.Settled {
 		return nil
@@ -30,27 +30,27 @@
 	return intendPromotion(evidence, candidate, poll.positions[candidate], reason)
 }
 
-// oldPrimaryStays says whether the old primary runs and is not about to leave, so
-// that the term may be reopened under it.
+// oldPrimaryStays reports whether the old primary is neither stopped nor leaving, so that
+// the term may be reopened under it.
 func oldPrimaryStays(evidence Evidence) bool {
-	old, known := evidence.observation(evidence.Writer.Primary)
-	return known && !old.Instance.Leaving && !old.Instance.Stopped
+	primary, found := evidence.observation(evidence.Writer.Primary)
+	return found && !primary.Instance.Leaving && !primary.Instance.Stopped
 }
 
-// oldPrimaryLeads says whether the old primary stays, and has answered as primary
-// of the term since the closing was settled.
+// oldPrimaryLeads reports whether the old primary stays, and has answered as primary of
+// the term since the closing phase was settled.
 func oldPrimaryLeads(evidence Evidence) bool {
 	probe := evidence.Probes[evidence.Writer.Primary]
 	return oldPrimaryStays(evidence) && probe.AfterSettled && probe.leads(evidence.Writer.Term)
 }
 
-// awaitsOldPrimary says whether the old primary may still answer a probe in time.
+// awaitsOldPrimary reports whether the old primary may still answer a probe in time.
 func awaitsOldPrimary(evidence Evidence, timing Timing) bool {
 	probed := evidence.Probes[evidence.Writer.Primary].AfterSettled
 	return oldPrimaryStays(evidence) && !probed && evidence.SettledFor <= timing.OldPrimaryWait
 }
 
-// awaitsReplicas says whether a silent replica may still answer a probe in time.
+// awaitsReplicas reports whether a silent replica may still answer a probe in time.
 func awaitsReplicas(evidence Evidence, poll poll, timing Timing) bool {
 	return len(poll.silent) > 0 && evidence.SettledFor <= timing.ReplicaWait
 }
--- a/internal/coordination/failover/syncrepl/closing_test.go
+++ b/internal/coordination/failover/syncrepl/closing_test.go
@@ -10,12 +10,12 @@
 )
 
 func TestClosing(t *testing.T) {
-	Convey("Nothing is probed or chosen before the closing is settled", t, func() {
+	Convey("Before the closing phase is settled, no instance is probed or chosen", t, func() {
 		evidence := closingTerm(allProbes())
 		evidence.Settled = false
 		So(Step(evidence, DefaultTiming()), ShouldBeEmpty)
 	})
-	Convey("All replicas and the old primary are probed at once; results from before settling do not count", t, func() {
+	Convey("After settling, all replicas and the old primary are probed at once; results of earlier probes do not count", t, func() {
 		So(len(effectsOf[QueryStatus](closingTerm(map[string]ProbeResult{}))), ShouldEqual, 3)
 		evidence := closingTerm(allProbes())
 		for name, probe := range evidence.Probes {
@@ -27,7 +27,7 @@
 		evidence.SettledFor = time.Hour
 		So(intendedPrimary(evidence), ShouldEqual, "")
 	})
-	Convey("No candidate is chosen before the old primary was probed, unless it leaves or the wait is over", t, func() {
+	Convey("Before the old primary was probed, no candidate is chosen, unless the old primary is leaving or the wait is over", t, func() {
 		evidence := closingTerm(allProbes())
 		delete(evidence.Probes, "a")
 		evidence.SettledFor = DefaultTiming().OldPrimaryWait - 10*time.Millisecond
@@ -38,7 +38,7 @@
 		evidence.Observations[0].Instance.Leaving = true
 		So(intendedPrimary(evidence), ShouldEqual, "b")
 	})
-	Convey("The term is reopened under a primary that answers again, unless it leaves or is a replica now", t, func() {
+	Convey("If the old primary answers again, the term is reopened under it, unless it is leaving or is now a replica", t, func() {
 		evidence := closingTerm(allProbes())
 		evidence.Probes["a"] = answeredProbe(model.RolePrimary, 3, 99)
 		writer, _ := recordedWriter(evidence)
@@ -51,7 +51,7 @@
 		evidence.Probes["a"] = answeredProbe(model.RoleReplica, 3, 104)
 		So(intendedPrimary(evidence), ShouldEqual, "a")
 	})
-	Convey("An instance that leads a later term already opens it, without a call", t, func() {
+	Convey("If an instance is already primary of a later term, that term opens without a promote call", t, func() {
 		evidence := closingTerm(allProbes())
 		evidence.Probes["c"] = answeredProbe(model.RolePrimary, 5, 99)
 		writer, _ := recordedWriter(evidence)
@@ -59,9 +59,9 @@
 		So(writer.Primary, ShouldEqual, "c")
 		So(writer.Term, ShouldEqual, 5)
 		So(effectsOf[Promote](evidence), ShouldBeEmpty)
-		before := answeredProbe(model.RolePrimary, 5, 99)
-		before.AfterSettled = false
-		evidence.Probes["c"] = before
+		earlyProbe := answeredProbe(model.RolePrimary, 5, 99)
+		earlyProbe.AfterSettled = false
+		evidence.Probes["c"] = earlyProbe
 		_, recorded := recordedWriter(evidence)
 		So(recorded, ShouldBeFalse)
 		So(effectsOf[QueryStatus](evidence), ShouldContain, QueryStatus{Instance: "c", Address: "c:1"})
--- a/internal/coordination/failover/syncrepl/discovery.go
+++ b/internal/coordination/failover/syncrepl/discovery.go
@@ -5,9 +5,10 @@
 	"tansyseam/internal/state/model"
 )
 
-// onUnknown records the writer role of a database once every instance that
-// claims to be primary was probed; the one with the highest term leads.
-func onUnknown(evidence Evidence, timing Timing) []failover.Effect {
+// onUnrecorded records the writer role of a database that has none yet, once every
+// instance that claims to be primary has answered a probe. The instance with the
+// highest term becomes the recorded primary.
+func onUnrecorded(evidence Evidence, timing Timing) []failover.Effect {
 	var primary model.Instance
 	var latest ProbeResult
 	claimants := primaryClaimants(evidence, timing)
@@ -33,10 +34,10 @@
 		TermStart:        latest.Position,
 		RequiredReplicas: evidence.recentReplicas(primary.Name, timing),
 	}
-	return []failover.Effect{failover.Record{Writer: writer, Change: "writer role known", Reason: saysPrimary(primary, latest.Term)}}
+	return []failover.Effect{failover.Record{Writer: writer, Change: "writer role known", Reason: primaryOfTermReason(primary, latest.Term)}}
 }
 
-// primaryClaimants gives the running instances that claim to be primary.
+// primaryClaimants returns the running instances that claim to be primary.
 func primaryClaimants(evidence Evidence, timing Timing) []model.Instance {
 	var claimants []model.Instance
 	for _, observed := range evidence.Observations {
@@ -47,12 +48,13 @@
 	return claimants
 }
 
-// isRecentAnswer says whether a probe was answered recently enough to decide by.
+// isRecentAnswer reports whether a probe was answered recently enough to decide on.
 func isRecentAnswer(probe ProbeResult, timing Timing) bool {
 	return probe.Answered && probe.Age <= timing.IdleProbeInterval
 }
 
-// probeClaimants probes the claimants without a recent answer.
+// probeClaimants returns the probes that are due of the claimants without a recent
+// answer.
 func probeClaimants(evidence Evidence, claimants []model.Instance, timing Timing) []failover.Effect {
 	var queries []failover.Effect
 	for _, instance := range claimants {
--- a/internal/coordination/failover/syncrepl/discovery_test.go
+++ b/internal/coordination/failover/syncrepl/discovery_test.go
@@ -9,14 +9,14 @@
 )
 
 func TestDiscovery(t *testing.T) {
-	fresh := func() Evidence {
+	unrecorded := func() Evidence {
 		evidence := openTerm()
 		evidence.Known = false
 		evidence.Writer = model.WriterRole{}
 		return evidence
 	}
-	Convey("The only primary of a new database is probed, and the role is recorded with its term", t, func() {
-		evidence := fresh()
+	Convey("The only primary of a new database is probed, and the writer role is recorded with the term of its answer", t, func() {
+		evidence := unrecorded()
 		So(effectsOf[QueryStatus](evidence), ShouldResemble, []QueryStatus{{Instance: "a", Address: "a:1"}})
 		_, recorded := recordedWriter(evidence)
 		So(recorded, ShouldBeFalse)
@@ -28,8 +28,8 @@
 		So(writer.Phase, ShouldEqual, model.PhaseOpen)
 		So(writer.RequiredReplicas, ShouldResemble, map[string]string{"b": "", "c": ""})
 	})
-	Convey("Of two primaries, both are probed, and the one with the higher term leads", t, func() {
-		evidence := fresh()
+	Convey("If two instances claim to be primary, both are probed, and the one with the higher term is recorded", t, func() {
+		evidence := unrecorded()
 		evidence.Observations[1].Instance.Role = model.RolePrimary
 		So(len(effectsOf[QueryStatus](evidence)), ShouldEqual, 2)
 		evidence.Probes["a"] = answeredProbe(model.RolePrimary, 3, 90)
--- a/internal/coordination/failover/syncrepl/evidence.go
+++ b/internal/coordination/failover/syncrepl/evidence.go
@@ -7,46 +7,50 @@
 	"tansyseam/internal/state/store"
 )
 
-// Observation is what the nodes know of one instance. Ages count back from the
-// moment at which the evidence was put together.
+// Observation is the combined view that the nodes have of one instance. Ages are
+// relative to the time at which the evidence was collected.
 type Observation struct {
 	Instance model.Instance
-	// ContactAge is the age of the latest announcement to, or answer at, any node.
+	// ContactAge is the age of the latest announcement or answer that any node
+	// received from the instance.
 	ContactAge time.Duration
-	// ReportingNodes counts the nodes with a lease that had evidence of the
-	// instance in the last second. RefusedNodes of them had connections refused,
-	// OverdueNodes have waited too long for an answer.
+	// ReportingNodes is the number of nodes with a lease that had evidence for or
+	// against the instance in the last second. RefusedNodes of them had connections
+	// refused, and OverdueNodes of them have waited too long for an answer.
 	ReportingNodes int
 	RefusedNodes   int
 	OverdueNodes   int
-	// AnswerAge is the age of the latest answer at any of them.
+	// AnswerAge is the age of the latest answer that a node with a lease received.
 	AnswerAge time.Duration
-	// UnobservedFor is how long no node has had evidence for or against it.
+	// UnobservedFor is how long no node has had evidence for or against the instance.
 	UnobservedFor time.Duration
 }
 
-// ProbeResult is the outcome of the control server's last order to an instance.
-// It is the zero value, but for its age, where nothing was answered.
+// ProbeResult is the outcome of the control server's last command to an instance: a
+// status query or an order to step down. If the instance did not answer, Answered, Busy
+// and Gone are false, and Role, Term and Position are empty.
 type ProbeResult struct {
-	// Age is how long ago the order was answered or failed.
+	// Age is how long ago the command was answered or failed.
 	Age time.Duration
-	// Answered says that the instance gave its status; Busy that it is running,
-	// but gave none; Gone that no instance of that name exists.
+	// Answered is true if the instance returned its status. Busy is true if it is
+	// running, but returned no status. Gone is true if no instance of that name
+	// exists.
 	Answered bool
 	Busy     bool
 	Gone     bool
 	Role     string
 	Term     uint64
 	Position model.Position
-	// AfterSettled says that the order was sent once the writer role was settled
+	// AfterSettled is true if the command was sent after the writer role was settled
 	// in its current phase.
 	AfterSettled bool
-	// GapSequence and Tenure are those of the evidence that the order was based on.
+	// GapSequence and Tenure are the values in the evidence that the command was
+	// based on.
 	GapSequence uint64
 	Tenure      string
 }
 
-// leads says whether the instance answered as primary of a term.
+// leads reports whether the instance answered as primary of a term.
 func (p ProbeResult) leads(term uint64) bool {
 	return p.Answered && p.Role == model.RolePrimary && p.Term == term
 }
@@ -56,52 +60,53 @@
 	Instance string
 	// Age is how long ago the call was made.
 	Age time.Duration
-	// Status is the HTTP status, or 0 where no answer was read (yet).
+	// Status is the HTTP status of the answer, or 0 if no answer was read, or none yet.
 	Status       int
 	FencingToken uint64
-	// Unsent says that the call never left this control server.
+	// Unsent is true if the call never left this control server.
 	Unsent bool
 }
 
-// Evidence is all that a step depends on. The control primary puts it together,
-// except for Self, Probes, PromoteCalls and FencingEnforced, which are the
-// deciding control server's own.
+// Evidence is the input of a step. The control primary collects it, except for Self,
+// Probes, PromoteCalls and FencingEnforced, which the deciding control server adds
+// itself.
 type Evidence struct {
 	Database string
 	// Self is the name of the deciding control server.
 	Self   string
 	Writer model.WriterRole
-	// Known says that a writer role is recorded for the database, with Version.
+	// Known is true if a writer role is recorded for the database. Version is the
+	// version of that record.
 	Known        bool
 	Version      store.Version
 	Observations []Observation
-	// Settled says that every node that may hold a lease acknowledged the phase,
-	// SettledFor how long that has been so.
+	// Settled is true if every node that may hold a lease has acknowledged the phase
+	// of the writer role. SettledFor is how long this has been true.
 	Settled    bool
 	SettledFor time.Duration
-	// GapSequence numbers the events that made the nodes' reports incomplete: a
-	// lease that expired, a restarted node, a new control primary. Where
-	// CoveredSequence has reached it, CommitBound is at or past the position of
-	// every acknowledged commit.
+	// GapSequence is the number of the latest event that made the nodes' reports
+	// incomplete: an expired lease, a restarted node or a new control primary. If
+	// CoveredSequence has reached GapSequence, CommitBound is at or past the position
+	// of every acknowledged commit.
 	GapSequence     uint64
 	CoveredSequence uint64
 	CommitBound     model.Position
-	// Tenure identifies the control primary's term of office.
+	// Tenure identifies the control primary and its current period in that role.
 	Tenure string
 	// GatheredFor is how long the control primary has collected reports.
 	GatheredFor time.Duration
 	// WallNanos is the current wall time, in nanoseconds since the Unix epoch.
 	WallNanos int64
-	// Probes holds the latest probe of each instance, PromoteCalls the calls made
-	// in the current phase, oldest first.
+	// Probes are the latest probe results, by instance name. PromoteCalls are the
+	// calls made in the current phase, oldest first.
 	Probes       map[string]ProbeResult
 	PromoteCalls []PromoteCall
-	// FencingEnforced says that the platform refuses a call whose fencing token
-	// is below one that it has seen for the database.
+	// FencingEnforced is true if the platform refuses a call whose fencing token is
+	// lower than one that it has already received for the database.
 	FencingEnforced bool
 }
 
-// IsBoundComplete says whether CommitBound covers every acknowledged commit.
+// IsBoundComplete reports whether CommitBound covers every acknowledged commit.
 func (e Evidence) IsBoundComplete() bool { return e.CoveredSequence >= e.GapSequence }
 
 func (e Evidence) observation(name string) (Observation, bool) {
@@ -113,7 +118,8 @@
 	return Observation{}, false
 }
 
-// contactAge is the age of the latest contact of the nodes or of this server.
+// contactAge returns the age of the latest contact that the nodes or this control server
+// had with an instance.
 func (e Evidence) contactAge(observed Observation) time.Duration {
 	probe, probed := e.Probes[observed.Instance.Name]
 	if probed && (probe.Answered || probe.Busy) {
@@ -122,7 +128,7 @@
 	return observed.ContactAge
 }
 
-// currentRole is the role that was announced or answered last.
+// currentRole returns the role that an instance announced or answered last.
 func (e Evidence) currentRole(observed Observation) string {
 	probe := e.Probes[observed.Instance.Name]
 	if probe.Answered && probe.Age <= observed.ContactAge {
@@ -131,14 +137,14 @@
 	return observed.Instance.Role
 }
 
-// claimsPrimary says whether a running instance with recent contact is in the
-// role of primary, as far as is known.
+// claimsPrimary reports whether an instance had recent contact, and its latest
+// announcement or answer has the role of primary.
 func (e Evidence) claimsPrimary(observed Observation, timing Timing) bool {
 	return e.currentRole(observed) == model.RolePrimary && e.contactAge(observed) <= timing.MaxContactAge
 }
 
-// newerPrimary gives the instance that answered as primary of the highest term
-// above the recorded one.
+// newerPrimary returns the running instance that answered as primary of the highest term
+// above the recorded term.
 func (e Evidence) newerPrimary() (primary model.Instance, probe ProbeResult, found bool) {
 	for _, observed := range e.Observations {
 		candidate := e.Probes[observed.Instance.Name]
@@ -155,9 +161,9 @@
 	return !probed || probe.Age > interval
 }
 
-// warmedUp says whether reports have been collected for long enough, and the
-// term been open for long enough, for reports to tell against the primary. A
-// transition in the future means that the clock was set back.
+// warmedUp reports whether the nodes' reports may count as evidence against the primary:
+// reports have been collected for long enough, and the last transition is long enough
+// ago. A transition in the future means that the clock was set back.
 func (e Evidence) warmedUp(timing Timing) bool {
 	sinceTransition := e.sinceTransition()
 	return e.GatheredFor > timing.ReportWarmup && (sinceTransition > timing.TermWarmup || sinceTransition < 0)
@@ -167,15 +173,16 @@
 	return time.Duration(e.WallNanos - e.Writer.LastTransitionAt)
 }
 
-// isUnobserved says whether nothing at all is known of the primary of late.
+// isUnobserved reports whether no node and no probe has recently had any evidence for or
+// against the primary.
 func (e Evidence) isUnobserved(primary Observation, timing Timing) bool {
 	return primary.ReportingNodes == 0 && primary.UnobservedFor > timing.UnobservedTimeout &&
 		e.contactAge(primary) > timing.SilenceTimeout && e.warmedUp(timing)
 }
 
-// recentReplicas gives the running instances other than the primary with contact
-// within the retention. They are recorded without incarnations: what a replica
-// holds is proven by its position when it is probed.
+// recentReplicas returns the running instances other than the primary that had contact
+// within the retention. They are recorded without incarnations, since the position in
+// the answer to a probe proves which commits a replica holds.
 func (e Evidence) recentReplicas(primary string, timing Timing) map[string]string {
 	replicas := map[string]string{}
 	for _, observed := range e.Observations {
--- a/internal/coordination/failover/syncrepl/evidence_test.go
+++ b/internal/coordination/failover/syncrepl/evidence_test.go
@@ -34,8 +34,9 @@
 
 func failedProbe() ProbeResult { return ProbeResult{AfterSettled: true, Age: 50 * time.Millisecond} }
 
-// openTerm is the evidence on a healthy database: a is the primary of term 3, b and c
-// are its replicas, and commits are confirmed up to 95. Control server c1 decides.
+// openTerm returns the evidence on a healthy database: a is the primary of term 3, b and
+// c are its replicas, and commits are confirmed up to index 95. The deciding control
+// server is c1.
 func openTerm() Evidence {
 	return Evidence{
 		Database:        "db",
@@ -70,7 +71,8 @@
 	}
 }
 
-// closingTerm is the evidence while the term is closing, which was settled 100 ms ago.
+// closingTerm returns the evidence on a term in the closing phase, which was settled
+// 100 ms ago.
 func closingTerm(probes map[string]ProbeResult) Evidence {
 	evidence := openTerm()
 	evidence.Writer.Phase = model.PhaseClosing
@@ -80,7 +82,8 @@
 	return evidence
 }
 
-// allProbes are those of a closing term of which both replicas have answered.
+// allProbes returns the probe results of a closing term: both replicas have answered, and
+// the old primary has not.
 func allProbes() map[string]ProbeResult {
 	return map[string]ProbeResult{
 		"a": failedProbe(),
@@ -89,7 +92,8 @@
 	}
 }
 
-// promotingTerm is the evidence some time after the first promote call for b.
+// promotingTerm returns the evidence at the time sinceCall after the first promote call
+// for b.
 func promotingTerm(probes map[string]ProbeResult, sinceCall time.Duration) Evidence {
 	evidence := closingTerm(probes)
 	evidence.Writer.Phase = model.PhasePromoting
@@ -100,7 +104,7 @@
 	return evidence
 }
 
-// recordedWriter is the writer role that a step records, if it records one.
+// recordedWriter returns the writer role that a step records, if it records one.
 func recordedWriter(evidence Evidence) (model.WriterRole, bool) {
 	for _, effect := range Step(evidence, DefaultTiming()) {
 		if record, ok := effect.(failover.Record); ok {
@@ -110,7 +114,7 @@
 	return model.WriterRole{}, false
 }
 
-// effectsOf gives the effects of one type that a step has.
+// effectsOf returns the effects of a step that are of type T.
 func effectsOf[T any](evidence Evidence) []T {
 	var found []T
 	for _, effect := range Step(evidence, DefaultTiming()) {
@@ -121,7 +125,8 @@
 	return found
 }
 
-// intendedPrimary is the replica whose promotion a step records, "" for none.
+// intendedPrimary returns the replica whose promotion a step records, or "" if there is
+// none.
 func intendedPrimary(evidence Evidence) string {
 	writer, _ := recordedWriter(evidence)
 	if writer.Phase != model.PhasePromoting {
--- a/internal/coordination/failover/syncrepl/observer.go
+++ b/internal/coordination/failover/syncrepl/observer.go
@@ -7,23 +7,24 @@
 	"tansyseam/internal/state/model"
 )
 
-// probeRetention is how long the result of a probe is kept.
+// probeRetention is how long a probe result is kept.
 const probeRetention = 2 * time.Minute
 
-// Observer keeps what one control server learned from its own probes and
-// promote calls, for each database. It is not safe for concurrent use.
+// Observer stores the results of one control server's own probes and promote calls, by
+// database. It is not safe for concurrent use.
 type Observer struct {
 	self      string
 	databases map[string]*databaseHistory
 }
 
-// NewObserver returns an observer without history for the control server of a
-// name.
+// NewObserver returns an observer without any results. The name of its control server
+// is self.
 func NewObserver(self string) *Observer {
 	return &Observer{self: self, databases: map[string]*databaseHistory{}}
 }
 
-// Augment returns the evidence with the probes and calls of this server added.
+// Augment returns the evidence with the probe results and promote calls of this control
+// server added.
 func (o *Observer) Augment(evidence Evidence, now time.Duration) Evidence {
 	history := o.history(evidence.Database)
 	history.enterEpisode(newEpisode(evidence.Writer))
@@ -33,15 +34,16 @@
 	return evidence
 }
 
-// RecordCommitted notes that a record was committed. The effects that follow it
-// in the same step belong to the episode that it begins.
+// RecordCommitted updates the history after a record was committed. The effects that
+// follow the record in the same step belong to the episode that the record begins.
 func (o *Observer) RecordCommitted(record failover.Record) {
 	o.history(record.Writer.Database).enterEpisode(newEpisode(record.Writer))
 }
 
-// BeginProbe notes that an instance is sent an order on this evidence. The
-// returned function takes the outcome and its time; the zero result stands for
-// no answer. BeginProbe returns nil while an order to the instance is in flight.
+// BeginProbe registers a command to an instance that is about to be sent, based on the
+// evidence. The returned function takes the outcome and its time; a zero result means
+// that the instance did not answer. BeginProbe returns nil while another command to the
+// instance is in flight.
 func (o *Observer) BeginProbe(evidence Evidence, instance string) func(result ProbeResult, now time.Duration) {
 	history := o.history(evidence.Database)
 	probe, found := history.probes[instance]
@@ -53,17 +55,18 @@
 		return nil
 	}
 	probe.inFlight = true
-	sentIn := history.episode
+	sentEpisode := history.episode
 	return func(result ProbeResult, now time.Duration) {
-		result.AfterSettled = evidence.Settled && history.episode == sentIn && newEpisode(evidence.Writer) == sentIn
+		result.AfterSettled = evidence.Settled && history.episode == sentEpisode && newEpisode(evidence.Writer) == sentEpisode
 		result.GapSequence = evidence.GapSequence
 		result.Tenure = evidence.Tenure
 		*probe = probeState{result: result, finishedAt: now}
 	}
 }
 
-// BeginPromote notes that a promote call is made. The returned function takes
-// the HTTP status, 0 for no answer, and whether the call was never sent.
+// BeginPromote registers a promote call that is about to be made. The returned function
+// takes the HTTP status of the answer, or 0 for no answer, and whether the call was never
+// sent.
 func (o *Observer) BeginPromote(call Promote, now time.Duration) func(status int, unsent bool) {
 	history := o.history(call.Database)
 	attempt := &promoteAttempt{call: PromoteCall{Instance: call.Instance, FencingToken: call.FencingToken}, startedAt: now}
@@ -83,8 +86,8 @@
 	return history
 }
 
-// episode identifies a stay of the writer role in one phase. Of two closings of
-// a term, each is an episode of its own.
+// episode identifies one period of the writer role in a phase. If a term is closed twice,
+// each closing is a separate episode.
 type episode struct {
 	term      uint64
 	phase     string
@@ -102,7 +105,7 @@
 
 type probeState struct {
 	result ProbeResult
-	// finishedAt is zero until the first order has an outcome.
+	// finishedAt is zero until the first command has an outcome.
 	finishedAt time.Duration
 	inFlight   bool
 }
@@ -112,8 +115,8 @@
 	startedAt time.Duration
 }
 
-// databaseHistory is what is known of one database. Probe results outlast an
-// episode, but count as sent after it was settled in their own only.
+// databaseHistory is the history of one database. Probe results are kept beyond their
+// episode, but only within their episode can they count as sent after settling.
 type databaseHistory struct {
 	episode  episode
 	probes   map[string]*probeState
@@ -131,7 +134,8 @@
 	}
 }
 
-// probeResults gives the results by instance, and drops those past retention.
+// probeResults returns the probe results by instance name, and deletes those that are
+// older than probeRetention.
 func (h *databaseHistory) probeResults(now time.Duration) map[string]ProbeResult {
 	results := map[string]ProbeResult{}
 	for name, probe := range h.probes {
--- a/internal/coordination/failover/syncrepl/observer_test.go
+++ b/internal/coordination/failover/syncrepl/observer_test.go
@@ -12,12 +12,12 @@
 
 func TestObserver(t *testing.T) {
 	now := time.Hour
-	moved := func(evidence Evidence, since time.Duration) Evidence {
+	withTransitionAge := func(evidence Evidence, since time.Duration) Evidence {
 		evidence.Writer.LastTransitionAt = wallTime - int64(since)
 		return evidence
 	}
 	replica := ProbeResult{Answered: true, Role: model.RoleReplica, Term: 3, Position: positionAt(3, 99)}
-	Convey("A result counts as after settling only if the order was sent settled, and in the current episode", t, func() {
+	Convey("A result counts as after settling only if the command was sent after settling, in the current episode", t, func() {
 		observer := NewObserver("c2")
 		evidence := observer.Augment(closingTerm(nil), now)
 		So(evidence.Self, ShouldEqual, "c2")
@@ -32,23 +32,23 @@
 		So(evidence.Probes["b"].GapSequence, ShouldEqual, 1)
 		So(evidence.Probes["b"].Tenure, ShouldEqual, "c1@1")
 		So(evidence.Probes["c"].AfterSettled, ShouldBeFalse)
-		later := observer.Augment(moved(closingTerm(nil), time.Millisecond), now+time.Second)
+		later := observer.Augment(withTransitionAge(closingTerm(nil), time.Millisecond), now+time.Second)
 		So(later.Probes["b"].AfterSettled, ShouldBeFalse)
 		So(later.Probes["b"].Answered, ShouldBeTrue)
 		So(observer.Augment(closingTerm(nil), now+time.Second).Probes["b"].AfterSettled, ShouldBeFalse)
 	})
-	Convey("A result that comes after its episode does not count, and one order per instance is in flight", t, func() {
+	Convey("A result that arrives after its episode does not count as after settling, and only one command per instance is in flight", t, func() {
 		observer := NewObserver("c1")
 		evidence := observer.Augment(closingTerm(nil), now)
 		finish := observer.BeginProbe(evidence, "b")
 		So(finish, ShouldNotBeNil)
 		So(observer.BeginProbe(evidence, "b"), ShouldBeNil)
-		observer.Augment(moved(closingTerm(nil), time.Millisecond), now)
+		observer.Augment(withTransitionAge(closingTerm(nil), time.Millisecond), now)
 		finish(replica, now)
-		So(observer.Augment(moved(closingTerm(nil), time.Millisecond), now).Probes["b"].AfterSettled, ShouldBeFalse)
+		So(observer.Augment(withTransitionAge(closingTerm(nil), time.Millisecond), now).Probes["b"].AfterSettled, ShouldBeFalse)
 		So(observer.BeginProbe(evidence, "b"), ShouldNotBeNil)
 	})
-	Convey("A result of an order from before a committed record does not count; the call after it belongs to the new episode", t, func() {
+	Convey("After a record is committed, results of earlier commands no longer count as after settling, and the next promote call belongs to the new episode", t, func() {
 		observer := NewObserver("c1")
 		evidence := observer.Augment(closingTerm(nil), now)
 		finish := observer.BeginProbe(evidence, "b")
@@ -61,7 +61,7 @@
 		So(next.Probes["c"].AfterSettled, ShouldBeFalse)
 		So(next.PromoteCalls, ShouldResemble, []PromoteCall{{Instance: "b", Status: 200}})
 	})
-	Convey("A repeated call belongs to the same episode; calls of an earlier episode are dropped", t, func() {
+	Convey("A repeated promote call belongs to the same episode; the calls of an earlier episode are dropped", t, func() {
 		observer := NewObserver("c1")
 		observer.Augment(promotingTerm(nil, 2*time.Second), now)
 		observer.BeginPromote(Promote{Database: "db", Instance: "b"}, now)(409, false)
@@ -70,7 +70,7 @@
 		So(observer.Augment(promotingTerm(nil, 0), now+time.Second).PromoteCalls, ShouldResemble, []PromoteCall{{Instance: "b", Age: time.Second, Status: 409}, {Instance: "b"}})
 		So(observer.Augment(closingTerm(nil), now).PromoteCalls, ShouldBeEmpty)
 	})
-	Convey("A failed order gives an empty result; results are dropped after the retention, unless an order is in flight", t, func() {
+	Convey("A failed command gives an empty result; results are dropped after the retention, unless a command is in flight", t, func() {
 		observer := NewObserver("c1")
 		evidence := observer.Augment(openTerm(), now)
 		observer.BeginProbe(evidence, "b")(ProbeResult{}, now)
--- a/internal/coordination/failover/syncrepl/open.go
+++ b/internal/coordination/failover/syncrepl/open.go
@@ -9,13 +9,13 @@
 	"tansyseam/internal/state/model"
 )
 
-// onOpen closes the term of a suspected primary, and otherwise maintains the
-// open term.
+// onOpen closes the term if the primary is suspected, or records why the term cannot be
+// closed. If the primary is not suspected, it maintains the open term.
 func onOpen(evidence Evidence, timing Timing) []failover.Effect {
-	primary, known := evidence.observation(evidence.Writer.Primary)
-	reason, suspected := suspectPrimary(evidence, primary, known, timing)
+	primary, found := evidence.observation(evidence.Writer.Primary)
+	reason, suspected := suspectPrimary(evidence, primary, found, timing)
 	if !suspected {
-		return maintainOpenTerm(evidence, primary, known, timing)
+		return maintainOpenTerm(evidence, primary, found, timing)
 	}
 	reason = evidence.Writer.Primary + " " + reason
 	if !hasOtherInstance(evidence, timing) {
@@ -32,21 +32,21 @@
 	})
 }
 
-// maintainOpenTerm demotes other primaries, closes reporting gaps and records
-// changes of the set of replicas.
-func maintainOpenTerm(evidence Evidence, primary Observation, known bool, timing Timing) []failover.Effect {
+// maintainOpenTerm demotes other primaries, covers reporting gaps and records changes of
+// the set of replicas.
+func maintainOpenTerm(evidence Evidence, primary Observation, found bool, timing Timing) []failover.Effect {
 	var effects []failover.Effect
 	for _, observed := range evidence.Observations {
-		effects = append(effects, demoteRival(evidence, observed, timing)...)
+		effects = append(effects, demoteOtherPrimary(evidence, observed, timing)...)
 	}
 	effects = append(effects, reportBound(evidence)...)
-	if known {
+	if found {
 		effects = append(effects, probePrimary(evidence, primary, timing)...)
 	}
 	return append(effects, recordReplicas(evidence, timing)...)
 }
 
-// reportBound reports the primary's position where it covers a reporting gap.
+// reportBound reports the primary's position if it covers a reporting gap.
 func reportBound(evidence Evidence) []failover.Effect {
 	if evidence.IsBoundComplete() || !primaryCoversGap(evidence) {
 		return nil
@@ -59,12 +59,12 @@
 	}}
 }
 
-// probePrimary probes the primary where its position is needed for a reporting gap,
-// or where it may be down or demoted.
+// probePrimary probes the primary if its position is needed to cover a reporting gap, or
+// if it may be down or demoted.
 func probePrimary(evidence Evidence, primary Observation, timing Timing) []failover.Effect {
-	missesBound := !evidence.IsBoundComplete() && !primaryCoversGap(evidence)
+	needsPosition := !evidence.IsBoundComplete() && !primaryCoversGap(evidence)
 	inDoubt := evidence.isUnobserved(primary, timing) || evidence.currentRole(primary) == model.RoleReplica
-	if !missesBound && !inDoubt {
+	if !needsPosition && !inDoubt {
 		return nil
 	}
 	if !evidence.probeDue(evidence.Writer.Primary, timing.IdleProbeInterval) {
@@ -73,8 +73,8 @@
 	return []failover.Effect{queryStatus(primary.Instance)}
 }
 
-// recordReplicas records the known replicas where they have changed, and else clears
-// a reason that was noted before.
+// recordReplicas records the set of known replicas if it has changed, and otherwise
+// clears the recorded reason, if any.
 func recordReplicas(evidence Evidence, timing Timing) []failover.Effect {
 	replicas := knownReplicas(evidence, timing)
 	if maps.Equal(replicas, evidence.Writer.RequiredReplicas) {
@@ -86,22 +86,23 @@
 	return []failover.Effect{failover.Record{Writer: writer, Change: "replicas known", Reason: fmt.Sprint(names)}}
 }
 
-// primaryCoversGap says whether the primary gave its position after the last
-// event that made reports incomplete: that position covers all commits before.
+// primaryCoversGap reports whether the primary answered with its position after the last
+// event that made the reports incomplete. That position covers all commits before the
+// event.
 func primaryCoversGap(evidence Evidence) bool {
 	probe := evidence.Probes[evidence.Writer.Primary]
 	return probe.leads(evidence.Writer.Term) && probe.GapSequence >= evidence.GapSequence && probe.Tenure == evidence.Tenure
 }
 
-// knownReplicas gives the replicas that may hold commits: those with recent
-// contact, and recorded ones, which are forgotten only while the commit bound is
-// complete.
+// knownReplicas returns the replicas that may hold commits: replicas with recent contact,
+// and recorded replicas. A recorded replica is dropped only if it has no recent contact
+// and the commit bound is complete.
 func knownReplicas(evidence Evidence, timing Timing) map[string]string {
 	replicas := evidence.recentReplicas(evidence.Writer.Primary, timing)
 	mayForget := evidence.IsBoundComplete() && evidence.GatheredFor > timing.ReplicaRetention
 	for name := range evidence.Writer.RequiredReplicas {
-		observed, known := evidence.observation(name)
-		expired := !known || evidence.contactAge(observed) > timing.ReplicaRetention
+		observed, found := evidence.observation(name)
+		expired := !found || evidence.contactAge(observed) > timing.ReplicaRetention
 		if name != evidence.Writer.Primary && !(mayForget && expired) {
 			replicas[name] = ""
 		}
@@ -109,12 +110,12 @@
 	return replicas
 }
 
-// demoteRival orders another instance out of the role of primary of an earlier
-// term, after it has confirmed that it still claims it.
-func demoteRival(evidence Evidence, observed Observation, timing Timing) []failover.Effect {
+// demoteOtherPrimary orders another instance that claims to be primary to step down,
+// after a probe has confirmed that it is primary of an earlier term.
+func demoteOtherPrimary(evidence Evidence, observed Observation, timing Timing) []failover.Effect {
 	instance := observed.Instance
-	rival := instance.Name != evidence.Writer.Primary && !instance.Stopped && evidence.claimsPrimary(observed, timing)
-	if !rival || !evidence.probeDue(instance.Name, timing.StepDownInterval) {
+	claimsRole := instance.Name != evidence.Writer.Primary && !instance.Stopped && evidence.claimsPrimary(observed, timing)
+	if !claimsRole || !evidence.probeDue(instance.Name, timing.StepDownInterval) {
 		return nil
 	}
 	probe := evidence.Probes[instance.Name]
--- a/internal/coordination/failover/syncrepl/open_test.go
+++ b/internal/coordination/failover/syncrepl/open_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestOpenTerm(t *testing.T) {
-	Convey("A confirmed primary of an earlier term is ordered to step down, at an interval; a recent probe takes precedence over an announcement", t, func() {
+	Convey("An instance that confirms that it is primary of an earlier term is ordered to step down, no more often than the interval; a recent probe takes precedence over an announcement", t, func() {
 		evidence := openTerm()
 		evidence.Observations[1].Instance.Role = model.RolePrimary
 		So(effectsOf[QueryStatus](evidence), ShouldResemble, []QueryStatus{{Instance: "b", Address: "b:1"}})
@@ -27,14 +27,14 @@
 		evidence.Observations[1].ContactAge = 4 * time.Second
 		So(Step(evidence, DefaultTiming()), ShouldBeEmpty)
 	})
-	Convey("After a reporting gap the primary is probed; its position covers the gap only if probed after it, in the same tenure", t, func() {
+	Convey("After a reporting gap, the primary is probed; its position covers the gap only if it was probed after the gap and in the same tenure", t, func() {
 		evidence := openTerm()
 		evidence.GapSequence = 2
 		evidence.Probes["a"] = answeredProbe(model.RolePrimary, 3, 99)
 		So(effectsOf[ReportBound](evidence), ShouldBeEmpty)
-		old := evidence.Probes["a"]
-		old.Age = 2 * time.Second
-		evidence.Probes["a"] = old
+		agedProbe := evidence.Probes["a"]
+		agedProbe.Age = 2 * time.Second
+		evidence.Probes["a"] = agedProbe
 		So(effectsOf[QueryStatus](evidence), ShouldResemble, []QueryStatus{{Instance: "a", Address: "a:1"}})
 		probe := answeredProbe(model.RolePrimary, 3, 99)
 		probe.GapSequence = 2
@@ -44,7 +44,7 @@
 		evidence.Probes["a"] = probe
 		So(effectsOf[ReportBound](evidence), ShouldBeEmpty)
 	})
-	Convey("New replicas are recorded; one without contact is forgotten after the retention, and only while the bound is complete", t, func() {
+	Convey("New replicas are recorded; a replica without contact is dropped after the retention, but only while the bound is complete", t, func() {
 		evidence := openTerm()
 		evidence.GatheredFor = time.Hour
 		evidence.Observations = append(evidence.Observations, newObservation("d", model.RoleReplica))
--- a/internal/coordination/failover/syncrepl/poll.go
+++ b/internal/coordination/failover/syncrepl/poll.go
@@ -8,16 +8,16 @@
 	"tansyseam/internal/state/model"
 )
 
-// poll is the state of the probes that a promotion is decided by.
+// poll is the state of the probes that the choice of a replica is based on.
 type poll struct {
 	// queries are the probes that are due.
 	queries []failover.Effect
-	// answered are the replicas that answered after the term was settled, with
-	// their positions by name.
+	// answered are the replicas that answered after the closing phase was settled, and
+	// positions are their positions by name.
 	answered  []model.Instance
 	positions map[string]model.Position
-	// silent names the replicas that may still answer, gone those that are not
-	// there any more. Both are sorted.
+	// silent are the names of the replicas that may still answer. gone are the names
+	// of the replicas that have stopped or are no longer observed. Both are sorted.
 	silent []string
 	gone   []string
 }
@@ -25,11 +25,11 @@
 // pollInstances collects the probes of the recorded and recent replicas and of
 // the old primary.
 func pollInstances(evidence Evidence, timing Timing) poll {
-	found := poll{positions: map[string]model.Position{}}
+	result := poll{positions: map[string]model.Position{}}
 	for _, name := range namesToPoll(evidence, timing) {
-		found.add(evidence, name, timing)
+		result.addInstance(evidence, name, timing)
 	}
-	return found
+	return result
 }
 
 func namesToPoll(evidence Evidence, timing Timing) []string {
@@ -47,10 +47,10 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-func (p *poll) add(evidence Evidence, name string, timing Timing) {
-	observed, known := evidence.observation(name)
+func (p *poll) addInstance(evidence Evidence, name string, timing Timing) {
+	observed, found := evidence.observation(name)
 	probe := evidence.Probes[name]
-	running := known && !observed.Instance.Stopped
+	running := found && !observed.Instance.Stopped
 	due := evidence.probeDue(name, timing.RetryInterval) || (!probe.AfterSettled && evidence.probeDue(name, 0))
 	if running && !probe.Gone && due {
 		p.queries = append(p.queries, queryStatus(observed.Instance))
@@ -70,10 +70,10 @@
 	p.silent = append(p.silent, name)
 }
 
-// isComplete says whether every replica that may hold commits has answered.
+// isComplete reports whether every replica that may hold commits has answered.
 func (p *poll) isComplete() bool { return len(p.silent) == 0 && len(p.gone) == 0 }
 
-// mostAdvanced gives the first of the instances with the highest position.
+// mostAdvanced returns the name of the first instance with the highest position.
 func (p *poll) mostAdvanced(instances []model.Instance) string {
 	return slices.MaxFunc(instances, func(a, b model.Instance) int {
 		return failover.ComparePositions(p.positions[a.Name], p.positions[b.Name])
--- a/internal/coordination/failover/syncrepl/promoting.go
+++ b/internal/coordination/failover/syncrepl/promoting.go
@@ -5,7 +5,7 @@
 	"tansyseam/internal/state/model"
 )
 
-// HTTP statuses of the platform's answers to a promote call. Conflict says that
+// HTTP statuses of the platform's answers to a promote call. statusConflict means that
 // the instance cannot be promoted, and that the call has no effect.
 const (
 	statusOK              = 200
@@ -13,26 +13,26 @@
 	statusTooManyRequests = 429
 )
 
-// onPromoting learns the outcome of the promote call by probing. No second
-// instance is called while a call for the first may still take effect.
+// onPromoting determines the outcome of the promote call by probing. No second instance
+// is called while a call for the first may still take effect.
 func onPromoting(evidence Evidence, timing Timing) []failover.Effect {
 	if primary, probe, found := evidence.newerPrimary(); found {
 		return []failover.Effect{openNewTerm(evidence, primary, probe, timing)}
 	}
-	chosen, known := evidence.observation(evidence.Writer.Promoting)
+	chosen, found := evidence.observation(evidence.Writer.Promoting)
 	probe, probed := evidence.Probes[evidence.Writer.Promoting]
-	gone := (known && chosen.Instance.Stopped) || probe.Gone
+	gone := (found && chosen.Instance.Stopped) || probe.Gone
 	down := probed && !probe.Answered && !probe.Busy
 	if gone || (down && noCallPending(evidence, timing)) {
 		return []failover.Effect{abandonPromotion(evidence)}
 	}
 	queries := probeOutcome(evidence, timing)
-	replica := probe.Answered && probe.Role == model.RoleReplica && probe.Age < timing.ProbeFreshness
-	retryable := replica || down || isThrottled(evidence.PromoteCalls)
+	isReplica := probe.Answered && probe.Role == model.RoleReplica && probe.Age < timing.ProbeFreshness
+	retryable := isReplica || down || isThrottled(evidence.PromoteCalls)
 	if retryable && isRetryDue(evidence, timing) {
 		return append(queries, retryPromotion(evidence)...)
 	}
-	if !replica && evidence.sinceTransition() > 2*timing.PromoteRetryInterval {
+	if !isReplica && evidence.sinceTransition() > 2*timing.PromoteRetryInterval {
 		reason := "promotion of " + evidence.Writer.Promoting + " is undecided until it answers again: no other is promoted"
 		return append(queries, failover.RecordReason(evidence.Writer, reason)...)
 	}
@@ -54,9 +54,10 @@
 	return queries
 }
 
-// promoteEffects records a promotion and makes the call for it. Each promotion,
-// each control server and, where the platform checks tokens, each call gets a
-// fencing token of its own, so that an earlier call is refused once it was seen.
+// promoteEffects returns the effects that record a promotion and make its promote call.
+// A new fencing token is used for each promotion, for each change of the control server
+// and, if the platform checks tokens, for each call. The platform then refuses earlier
+// calls once it has received a call with the new token.
 func promoteEffects(evidence Evidence, writer model.WriterRole, change, reason string) []failover.Effect {
 	firstCall := evidence.Writer.Phase != model.PhasePromoting
 	if firstCall || writer.Promoter != evidence.Self || evidence.FencingEnforced {
@@ -102,12 +103,13 @@
 		FencingToken:     evidence.Writer.FencingToken,
 		RequiredReplicas: evidence.recentReplicas(primary.Name, timing),
 	}
-	return failover.Record{Writer: writer, Change: "new term open", Reason: saysPrimary(primary, probe.Term)}
+	return failover.Record{Writer: writer, Change: "new term open", Reason: primaryOfTermReason(primary, probe.Term)}
 }
 
-// isRetryDue says whether the promote call may be repeated: after the retry interval,
-// or soon where the platform refused the last call for its rate. A transition in the
-// future means that the clock was set back.
+// isRetryDue reports whether the promote call may be repeated: after
+// PromoteRetryInterval, or already after the shorter RetryInterval if the platform
+// refused the last call because of its rate limit. A transition in the future means
+// that the clock was set back.
 func isRetryDue(evidence Evidence, timing Timing) bool {
 	waited := evidence.sinceTransition()
 	if isThrottled(evidence.PromoteCalls) && waited > timing.RetryInterval {
@@ -116,19 +118,20 @@
 	return waited > timing.PromoteRetryInterval || waited < 0
 }
 
-// isThrottled says whether the latest call was refused for its rate.
+// isThrottled reports whether the latest call was refused because of the platform's rate
+// limit.
 func isThrottled(calls []PromoteCall) bool {
 	return len(calls) > 0 && calls[len(calls)-1].Status == statusTooManyRequests
 }
 
-// noCallPending says whether no promote call can take effect any more, given
-// that the chosen instance is not running. Unless fencing bars the calls of
-// other control servers, all calls recorded must be this server's own.
+// noCallPending reports whether no promote call can take effect any more, given that the
+// chosen instance is not running. Unless fencing prevents the calls of other control
+// servers, this control server must have made all recorded calls itself.
 func noCallPending(evidence Evidence, timing Timing) bool {
 	refused, found := lastRefusedCall(evidence)
-	fenced := found && evidence.FencingEnforced && refused.FencingToken == evidence.Writer.FencingToken
-	allKnown := fenced || len(evidence.PromoteCalls) >= evidence.Writer.PromoteCalls
-	if len(evidence.PromoteCalls) == 0 || !allKnown {
+	fencingApplies := found && evidence.FencingEnforced && refused.FencingToken == evidence.Writer.FencingToken
+	allCallsKnown := fencingApplies || len(evidence.PromoteCalls) >= evidence.Writer.PromoteCalls
+	if len(evidence.PromoteCalls) == 0 || !allCallsKnown {
 		return false
 	}
 	for _, call := range evidence.PromoteCalls {
@@ -136,32 +139,34 @@
 			return false
 		}
 		expired := found && isExpiredBy(call, refused, timing)
-		barred := fenced && isBarredBy(call, refused)
-		if !call.hadNoEffect() && !expired && !barred {
+		fencedOff := fencingApplies && isFencedBy(call, refused)
+		if !call.hadNoEffect() && !expired && !fencedOff {
 			return false
 		}
 	}
 	return true
 }
 
-// hadNoEffect says whether the call never reached the platform, or was refused by it
+// hadNoEffect reports whether the call was never sent, or was refused by the platform
 // because the instance cannot be promoted.
 func (c PromoteCall) hadNoEffect() bool { return c.Unsent || c.Status == statusConflict }
 
-// isExpiredBy says whether an accepted call can take effect no more, as a later call
-// was refused: an accepted call takes effect within the retry interval, or never.
+// isExpiredBy reports whether an accepted call can no longer take effect because a call
+// made at least PromoteRetryInterval later was refused: an accepted call takes effect
+// within that interval, or never.
 func isExpiredBy(call, refused PromoteCall, timing Timing) bool {
 	return call.Status == statusOK && call.Age >= refused.Age+timing.PromoteRetryInterval
 }
 
-// isBarredBy says whether the platform, which has seen the token of a refused call,
-// will refuse an earlier one that it has not accepted, should that still arrive.
-func isBarredBy(call, refused PromoteCall) bool {
+// isFencedBy reports whether the platform will refuse an earlier call that it has not
+// accepted, if that call still arrives, because it has received the higher fencing token
+// of the refused call.
+func isFencedBy(call, refused PromoteCall) bool {
 	return call.Status != statusOK && call.FencingToken < refused.FencingToken
 }
 
-// lastRefusedCall gives the latest call for the chosen instance that the
-// platform refused because the instance cannot be promoted.
+// lastRefusedCall returns the latest call for the chosen instance that the platform
+// refused because the instance cannot be promoted.
 func lastRefusedCall(evidence Evidence) (last PromoteCall, found bool) {
 	for _, call := range evidence.PromoteCalls {
 		if call.Instance == evidence.Writer.Promoting && call.Status == statusConflict {
--- a/internal/coordination/failover/syncrepl/promoting_test.go
+++ b/internal/coordination/failover/syncrepl/promoting_test.go
@@ -15,7 +15,7 @@
 		return map[string]ProbeResult{"b": answeredProbe(model.RoleReplica, 3, 99)}
 	}
 	down := func() map[string]ProbeResult { return map[string]ProbeResult{"b": failedProbe()} }
-	Convey("The outcome is learned by probing the instance at the fast interval", t, func() {
+	Convey("The chosen instance is probed at the fast interval, and the new term opens once it answers as primary of a later term", t, func() {
 		evidence := promotingTerm(replica(), 300*time.Millisecond)
 		So(Step(evidence, DefaultTiming()), ShouldBeEmpty)
 		probe := evidence.Probes["b"]
@@ -37,7 +37,7 @@
 		So(writer.FencingToken, ShouldEqual, 4)
 		So(writer.Promoter, ShouldEqual, "c1")
 	})
-	Convey("The call is repeated for the same instance only, while it is a replica, after the retry interval", t, func() {
+	Convey("The call is repeated after the retry interval, while the instance is a replica, and only for the same instance", t, func() {
 		So(effectsOf[Promote](promotingTerm(replica(), time.Second)), ShouldBeEmpty)
 		evidence := promotingTerm(replica(), 2*time.Second)
 		So(effectsOf[Promote](evidence), ShouldResemble, []Promote{{Database: "db", Instance: "b", LeaseHolder: "c1", FencingToken: 4}})
@@ -48,14 +48,14 @@
 		evidence.Probes = map[string]ProbeResult{}
 		So(effectsOf[Promote](evidence), ShouldBeEmpty)
 	})
-	Convey("A call that was refused for its rate is repeated soon", t, func() {
+	Convey("A call that was refused because of the rate limit is repeated after the shorter interval", t, func() {
 		evidence := promotingTerm(replica(), 400*time.Millisecond)
 		evidence.PromoteCalls = []PromoteCall{{Instance: "b", Status: 429}}
 		So(len(effectsOf[Promote](evidence)), ShouldEqual, 1)
 		evidence.Writer.LastTransitionAt = wallTime - int64(200*time.Millisecond)
 		So(effectsOf[Promote](evidence), ShouldBeEmpty)
 	})
-	Convey("The promotion is abandoned only if every call was refused and the instance is down, or it is gone", t, func() {
+	Convey("The promotion is abandoned only if the instance is gone, or if it is down and every call was refused", t, func() {
 		evidence := promotingTerm(down(), 400*time.Millisecond)
 		evidence.PromoteCalls = []PromoteCall{{Instance: "b", Status: 409}}
 		writer, _ := recordedWriter(evidence)
@@ -78,7 +78,7 @@
 		writer, _ = recordedWriter(evidence)
 		So(writer.Phase, ShouldEqual, model.PhaseClosing)
 	})
-	Convey("No second instance is called while the outcome at the first is unknown, however long that lasts", t, func() {
+	Convey("While the outcome of the call for the first instance is unknown, no second instance is called, regardless of the time passed", t, func() {
 		for _, probe := range []map[string]ProbeResult{down(), replica(), {}} {
 			for _, since := range []time.Duration{time.Second, 5 * time.Second, time.Hour} {
 				evidence := promotingTerm(probe, since)
@@ -111,55 +111,55 @@
 		evidence.Writer.FencingToken = calls[len(calls)-1].FencingToken
 		return evidence
 	}
-	lost := func(fence uint64) PromoteCall {
+	lostCall := func(fence uint64) PromoteCall {
 		return PromoteCall{Instance: "b", Age: 3 * time.Second, FencingToken: fence}
 	}
-	answered := func(fence uint64, status int) PromoteCall {
+	answeredCall := func(fence uint64, status int) PromoteCall {
 		return PromoteCall{Instance: "b", Age: 200 * time.Millisecond, FencingToken: fence, Status: status}
 	}
 	Convey("A call that was never sent counts as refused", t, func() {
-		So(abandoned(down(PromoteCall{Instance: "b", Unsent: true}, answered(4, 409))), ShouldBeTrue)
+		So(abandoned(down(PromoteCall{Instance: "b", Unsent: true}, answeredCall(4, 409))), ShouldBeTrue)
 		So(abandoned(down(PromoteCall{Instance: "b", Unsent: true})), ShouldBeTrue)
-		So(abandoned(down(PromoteCall{Instance: "b"}, answered(4, 409))), ShouldBeFalse)
+		So(abandoned(down(PromoteCall{Instance: "b"}, answeredCall(4, 409))), ShouldBeFalse)
 	})
-	Convey("Where fencing is enforced, the refusal of a higher token bars every earlier call, of any control server", t, func() {
-		So(abandoned(fenced(lost(4), answered(5, 409))), ShouldBeTrue)
-		evidence := fenced(lost(4), answered(5, 409))
+	Convey("If fencing is enforced, the refusal of a call with a higher token fences off every earlier call of any control server", t, func() {
+		So(abandoned(fenced(lostCall(4), answeredCall(5, 409))), ShouldBeTrue)
+		evidence := fenced(lostCall(4), answeredCall(5, 409))
 		evidence.PromoteCalls = evidence.PromoteCalls[1:]
 		evidence.Writer.PromoteCalls = 7
 		So(abandoned(evidence), ShouldBeTrue)
-		evidence = fenced(lost(4), answered(5, 409))
+		evidence = fenced(lostCall(4), answeredCall(5, 409))
 		evidence.FencingEnforced = false
 		So(abandoned(evidence), ShouldBeFalse)
 	})
-	Convey("A lower or equal token, another status, another instance, or an instance that answers bars nothing", t, func() {
-		So(abandoned(fenced(lost(5), answered(5, 409))), ShouldBeFalse)
-		So(abandoned(fenced(answered(4, 409), lost(5))), ShouldBeFalse)
+	Convey("A call is not fenced off by a lower or equal token, another status or a call for another instance, or if the instance answers", t, func() {
+		So(abandoned(fenced(lostCall(5), answeredCall(5, 409))), ShouldBeFalse)
+		So(abandoned(fenced(answeredCall(4, 409), lostCall(5))), ShouldBeFalse)
 		for _, status := range []int{0, 200, 429, 500} {
-			So(abandoned(fenced(lost(4), answered(5, status))), ShouldBeFalse)
+			So(abandoned(fenced(lostCall(4), answeredCall(5, status))), ShouldBeFalse)
 		}
-		evidence := fenced(lost(4), answered(5, 409))
+		evidence := fenced(lostCall(4), answeredCall(5, 409))
 		evidence.PromoteCalls[1].Instance = "c"
 		So(abandoned(evidence), ShouldBeFalse)
-		evidence = fenced(lost(4), answered(5, 409))
+		evidence = fenced(lostCall(4), answeredCall(5, 409))
 		evidence.Writer.FencingToken = 6
 		So(abandoned(evidence), ShouldBeFalse)
-		evidence = fenced(lost(4), answered(5, 409))
+		evidence = fenced(lostCall(4), answeredCall(5, 409))
 		evidence.Probes["b"] = answeredProbe(model.RoleReplica, 3, 99)
 		So(abandoned(evidence), ShouldBeFalse)
 		evidence.Probes["b"] = ProbeResult{Busy: true, AfterSettled: true, Age: 50 * time.Millisecond}
 		So(abandoned(evidence), ShouldBeFalse)
 	})
-	Convey("An accepted call is over once a call was refused that was made a retry interval later", t, func() {
+	Convey("An accepted call can no longer take effect once a call made at least the retry interval later was refused", t, func() {
 		accepted := PromoteCall{Instance: "b", Age: 200*time.Millisecond + DefaultTiming().PromoteRetryInterval, FencingToken: 4, Status: 200}
-		So(abandoned(down(accepted, answered(4, 409))), ShouldBeTrue)
+		So(abandoned(down(accepted, answeredCall(4, 409))), ShouldBeTrue)
 		accepted.Age -= time.Millisecond
-		So(abandoned(down(accepted, answered(4, 409))), ShouldBeFalse)
+		So(abandoned(down(accepted, answeredCall(4, 409))), ShouldBeFalse)
 	})
-	Convey("Each further call gets a higher token where fencing is enforced, and else only at another control server", t, func() {
+	Convey("A repeated call of the same control server gets a higher token only if fencing is enforced", t, func() {
 		for _, fenced := range []bool{true, false} {
 			evidence := promotingTerm(map[string]ProbeResult{"b": failedProbe()}, 2*time.Second)
-			evidence.PromoteCalls = []PromoteCall{lost(4)}
+			evidence.PromoteCalls = []PromoteCall{lostCall(4)}
 			evidence.FencingEnforced = fenced
 			call := effectsOf[Promote](evidence)
 			So(len(call), ShouldEqual, 1)
@@ -167,7 +167,7 @@
 			So(call[0].FencingToken, ShouldEqual, map[bool]int{true: 5, false: 4}[fenced])
 		}
 	})
-	Convey("After a lost promotion another replica is promoted in time, though the first never returns", t, func() {
+	Convey("If the call is lost and the instance never returns, another replica is promoted in time", t, func() {
 		evidence := promotingTerm(map[string]ProbeResult{"b": failedProbe(), "c": answeredProbe(model.RoleReplica, 3, 99)}, time.Millisecond)
 		evidence.FencingEnforced = true
 		evidence.PromoteCalls = []PromoteCall{{Instance: "b", FencingToken: 4}}
@@ -186,8 +186,8 @@
 	})
 }
 
-// stepWithPlatform is the evidence after a step, with its records committed, and its
-// promote calls answered with a status for each instance.
+// stepWithPlatform returns the evidence after a step whose records are committed and
+// whose promote calls are answered with the status of their instance.
 func stepWithPlatform(evidence Evidence, statuses map[string]int) Evidence {
 	for _, effect := range Step(evidence, DefaultTiming()) {
 		if record, ok := effect.(failover.Record); ok {
--- a/internal/coordination/failover/syncrepl/suspicion.go
+++ b/internal/coordination/failover/syncrepl/suspicion.go
@@ -6,15 +6,16 @@
 	"tansyseam/internal/state/model"
 )
 
-// suspicion is one reason to close the term of a known primary.
+// suspicion checks for one reason to close the term of an observed primary. It returns
+// the reason for the audit log.
 type suspicion func(evidence Evidence, primary Observation, timing Timing) (reason string, suspected bool)
 
-// suspicions in the order of their precedence in the audit log.
+// suspicions are ordered by their precedence in the audit log.
 var suspicions = []suspicion{isLeaving, isStopped, isSuperseded, isDemoted, refusesConnections, answersLate, isSilent}
 
-// suspectPrimary gives the first reason to close the term.
-func suspectPrimary(evidence Evidence, primary Observation, known bool, timing Timing) (reason string, suspected bool) {
-	if !known {
+// suspectPrimary returns the first reason to close the term, if any.
+func suspectPrimary(evidence Evidence, primary Observation, found bool, timing Timing) (reason string, suspected bool) {
+	if !found {
 		return "no node has reached it", evidence.GatheredFor > timing.MaxContactAge
 	}
 	for _, suspect := range suspicions {
@@ -35,7 +36,7 @@
 
 func isSuperseded(evidence Evidence, _ Observation, _ Timing) (string, bool) {
 	instance, probe, found := evidence.newerPrimary()
-	return saysPrimary(instance, probe.Term), found
+	return primaryOfTermReason(instance, probe.Term), found
 }
 
 func isDemoted(evidence Evidence, primary Observation, timing Timing) (string, bool) {
--- a/internal/coordination/failover/syncrepl/suspicion_test.go
+++ b/internal/coordination/failover/syncrepl/suspicion_test.go
@@ -15,13 +15,13 @@
 		writer, _ := recordedWriter(evidence)
 		return writer.Phase
 	}
-	Convey("While the primary is healthy, there are no effects", t, func() { So(Step(openTerm(), DefaultTiming()), ShouldBeEmpty) })
-	Convey("The term of a primary that leaves or has stopped is closed", t, func() {
+	Convey("While the primary is healthy, a step has no effects", t, func() { So(Step(openTerm(), DefaultTiming()), ShouldBeEmpty) })
+	Convey("If the primary is leaving or has stopped, the term is closed", t, func() {
 		for _, test := range []struct {
 			name   string
 			change func(*model.Instance)
 		}{
-			{"leaves", func(instance *model.Instance) { instance.Leaving = true }},
+			{"leaving", func(instance *model.Instance) { instance.Leaving = true }},
 			{"stopped", func(instance *model.Instance) { instance.Stopped = true }},
 		} {
 			evidence := openTerm()
@@ -29,7 +29,7 @@
 			SoMsg(test.name, phaseOf(evidence), ShouldEqual, model.PhaseClosing)
 		}
 	})
-	Convey("It is not closed without another usable instance", t, func() {
+	Convey("Without another usable instance, the term of a leaving primary is not closed", t, func() {
 		evidence := openTerm()
 		evidence.Observations[0].Instance.Leaving = true
 		evidence.Observations[1].Instance.Leaving = true
@@ -38,7 +38,7 @@
 		So(writer.Phase, ShouldEqual, model.PhaseOpen)
 		So(writer.Reason, ShouldContainSubstring, "no other instance")
 	})
-	Convey("Refused connections at most nodes close the term; few refusals, a recent answer, new reports or a new term do not", t, func() {
+	Convey("If most nodes have connections refused, the term is closed, but not with few refusals, a recent answer, a new control primary or a new term", t, func() {
 		refusing := func() Evidence {
 			evidence := openTerm()
 			evidence.Observations[0].RefusedNodes = 3
@@ -60,7 +60,7 @@
 			SoMsg(test.name, phaseOf(evidence), ShouldEqual, "")
 		}
 	})
-	Convey("Overdue answers at most nodes close the term, unless any node had an answer in the last 600 ms", t, func() {
+	Convey("If answers are overdue at most nodes, the term is closed, unless any node had an answer in the last 600 ms", t, func() {
 		for _, test := range []struct {
 			overdueNodes int
 			answerAge    time.Duration
@@ -76,8 +76,8 @@
 			SoMsg(fmt.Sprint(test.overdueNodes, " ", test.answerAge), phaseOf(evidence), ShouldEqual, test.phase)
 		}
 	})
-	Convey("A primary without any evidence is probed, and suspected only once the probe fails", t, func() {
-		quiet := func() Evidence {
+	Convey("If no node has evidence of the primary, the primary is probed, and suspected only once the probe fails", t, func() {
+		unobserved := func() Evidence {
 			evidence := openTerm()
 			evidence.Observations[0].ReportingNodes = 0
 			evidence.Observations[0].UnobservedFor = 3 * time.Second
@@ -85,9 +85,9 @@
 			evidence.Observations[0].AnswerAge = time.Hour
 			return evidence
 		}
-		So(effectsOf[QueryStatus](quiet()), ShouldResemble, []QueryStatus{{Instance: "a", Address: "a:1"}})
-		So(phaseOf(quiet()), ShouldEqual, "")
-		evidence := quiet()
+		So(effectsOf[QueryStatus](unobserved()), ShouldResemble, []QueryStatus{{Instance: "a", Address: "a:1"}})
+		So(phaseOf(unobserved()), ShouldEqual, "")
+		evidence := unobserved()
 		evidence.Probes["a"] = failedProbe()
 		So(phaseOf(evidence), ShouldEqual, model.PhaseClosing)
 		evidence.Probes["a"] = ProbeResult{Busy: true, Age: 50 * time.Millisecond}
@@ -102,13 +102,13 @@
 			{"a reporting node", func(observed *Observation) { observed.ReportingNodes = 1 }},
 			{"recent evidence", func(observed *Observation) { observed.UnobservedFor = time.Second }},
 		} {
-			evidence = quiet()
+			evidence = unobserved()
 			evidence.Probes["a"] = failedProbe()
 			test.change(&evidence.Observations[0])
 			SoMsg(test.name, phaseOf(evidence), ShouldEqual, "")
 		}
 	})
-	Convey("The term of a primary that answers as replica is closed, even without another primary", t, func() {
+	Convey("If the primary answers as a replica, the term is closed, even if no other instance is primary", t, func() {
 		evidence := openTerm()
 		evidence.Observations[0].Instance.Role = model.RoleReplica
 		So(effectsOf[QueryStatus](evidence), ShouldResemble, []QueryStatus{{Instance: "a", Address: "a:1"}})
@@ -116,7 +116,7 @@
 		evidence.Probes["a"] = answeredProbe(model.RoleReplica, 3, 99)
 		So(phaseOf(evidence), ShouldEqual, model.PhaseClosing)
 	})
-	Convey("The term is closed once another instance confirms that it is primary of a later term", t, func() {
+	Convey("If another instance confirms that it is primary of a later term, the term is closed", t, func() {
 		evidence := openTerm()
 		evidence.Observations[0].Instance.Role = model.RoleReplica
 		evidence.Observations[1].Instance.Role = model.RolePrimary
--- a/internal/coordination/failover/syncrepl/timing.go
+++ b/internal/coordination/failover/syncrepl/timing.go
@@ -2,39 +2,45 @@
 
 import "time"
 
-// Timing holds the limits that decisions depend on.
+// Timing is the set of limits that decisions depend on.
 type Timing struct {
-	// MaxContactAge is how recent the last contact with an instance must be for
-	// it to count as present.
+	// MaxContactAge is the largest age of the last contact with which an instance
+	// counts as reachable.
 	MaxContactAge time.Duration
-	// ReplicaRetention is how long a replica without contact still counts as one
-	// that may hold commits that no other has.
+	// ReplicaRetention is how long a replica without contact is still assumed to
+	// hold commits that no other replica has.
 	ReplicaRetention time.Duration
-	// ReportWarmup is how long reports must have been collected, and TermWarmup
-	// how long a term must have been open, before reports tell against a primary.
+	// ReportWarmup is how long reports must have been collected, and TermWarmup is how
+	// long a term must have been open, before reports count as evidence against a
+	// primary.
 	ReportWarmup time.Duration
 	TermWarmup   time.Duration
-	// RefusalTimeout and OverdueTimeout are how long no node may have had an
-	// answer of a primary that refuses connections, or is late with answers.
+	// RefusalTimeout is how long a primary that refuses connections may have answered
+	// no node before it is suspected. OverdueTimeout is the same for a primary whose
+	// answers are overdue.
 	RefusalTimeout time.Duration
 	OverdueTimeout time.Duration
-	// UnobservedTimeout is how long no node may have had any evidence of a
-	// primary, and SilenceTimeout how long it may have announced nothing.
+	// UnobservedTimeout is how long nodes may have no evidence of a primary, and
+	// SilenceTimeout is how long there may be no contact with it, before it counts as
+	// unobserved.
 	UnobservedTimeout time.Duration
 	SilenceTimeout    time.Duration
-	// ProbeFreshness is the age up to which the result of a probe is relied on.
+	// ProbeFreshness is the age up to which decisions rely on a probe result.
 	ProbeFreshness time.Duration
-	// FastProbeInterval is the time between probes of one instance during a
-	// promotion, IdleProbeInterval that while a term is open.
+	// FastProbeInterval is the time between probes of one instance during discovery
+	// and promotion. IdleProbeInterval is the time between probes of the primary while
+	// a term is open, and the age up to which discovery and the check for a silent
+	// primary rely on a probe result.
 	FastProbeInterval time.Duration
 	IdleProbeInterval time.Duration
-	// ReplicaWait is how long to wait for the positions of silent replicas.
+	// ReplicaWait is how long a closing term waits for the positions of silent
+	// replicas.
 	ReplicaWait time.Duration
-	// OldPrimaryWait is how long to wait for a probe of the old primary.
+	// OldPrimaryWait is how long a closing term waits for a probe of the old primary.
 	OldPrimaryWait time.Duration
-	// PromoteRetryInterval is the time between promote calls, RetryInterval that
-	// between probes while a term is closing, and until a call is repeated that
-	// the platform refused for its rate.
+	// PromoteRetryInterval is the minimum time between promote calls. RetryInterval is
+	// the time between probes while a term is closing, and the time after which a call
+	// is repeated that the platform refused because of its rate limit.
 	PromoteRetryInterval time.Duration
 	RetryInterval        time.Duration
 	// StepDownInterval is the time between orders to step down.
