--- a/internal/coordination/routing/commits.go
+++ b/internal/coordination/routing/commits.go
@@ -6,26 +6,27 @@
 	"tansyseam/internal/state/model"
 )
 
-// Verdict is what is known of a commit that was executed.
+// Verdict is the durability of a commit that was executed, as far as the node can
+// decide it.
 type Verdict int
 
 const (
-	// VerdictNone: it cannot be decided yet.
+	// VerdictNone means that the commit cannot be decided yet.
 	VerdictNone Verdict = iota
-	// VerdictDurable: the commit survives a change of the primary.
+	// VerdictDurable means that the commit survives a change of the primary.
 	VerdictDurable
-	// VerdictUnknown: the term is over, and the commit may be lost.
+	// VerdictUnknown means that the term is over, and the commit may be lost.
 	VerdictUnknown
 )
 
-// MayWrite says whether a write of a term may be sent to the primary.
+// MayWrite reports whether a write of a term may be sent to the primary.
 func (m *Machine) MayWrite(database string, term uint64, now time.Duration) bool {
 	role := m.snapshot.Writers[database]
 	return m.lease.IsValid(now) && role.Phase == model.PhaseOpen && role.Term == term
 }
 
-// LaggingReplicas returns the required replicas that do not have a commit's position
-// yet, in no order.
+// LaggingReplicas returns the names of the required replicas that have not reached a
+// commit's position yet, in no particular order.
 func (m *Machine) LaggingReplicas(database string, position model.Position) []string {
 	var names []string
 	for name, incarnation := range m.snapshot.Writers[database].RequiredReplicas {
@@ -37,9 +38,11 @@
 	return names
 }
 
-// CommitVerdict decides on a commit that was executed in a term at a position. It is
-// durable once every replica that may be promoted has it, or if the next term began
-// past it. Otherwise it is unknown as soon as its term is over.
+// CommitVerdict returns the verdict on a commit that was executed in a term at a
+// position. The commit is durable once every required replica has it, since only
+// required replicas may be promoted, or if the next term began past its position.
+// Otherwise it is unknown as soon as its term is over. Without a lease nothing is
+// decided.
 func (m *Machine) CommitVerdict(database string, term uint64, position model.Position, now time.Duration) Verdict {
 	if !m.lease.IsValid(now) {
 		return VerdictNone
@@ -56,10 +59,11 @@
 	return VerdictDurable
 }
 
-// isReplicated says whether every required replica of an open term has a position.
+// isReplicated reports whether the term is open and every required replica has reached a
+// position.
 func (m *Machine) isReplicated(role model.WriterRole, database string, position model.Position) bool {
 	return role.Phase == model.PhaseOpen && len(role.RequiredReplicas) > 0 && len(m.LaggingReplicas(database, position)) == 0
 }
 
-// HighWatermark returns the furthest position confirmed by this node.
+// HighWatermark returns the furthest position of a database confirmed by this node.
 func (m *Machine) HighWatermark(database string) model.Position { return m.highWatermarks[database] }
--- a/internal/coordination/routing/doc.go
+++ b/internal/coordination/routing/doc.go
@@ -1,21 +1,23 @@
-// Package routing is the state machine by which a node of the data plane knows where it
-// may send reads and writes: its lease, the snapshot of the configuration that it has
-// applied and, of each instance, role, position and last contact. From these it decides
-// which binding set is active, which instance may answer a read, and whether a commit
-// is durable.
+// Package routing is the state machine with which a data-plane node decides where it may
+// send reads and writes. Its state is the node's lease, the configuration snapshot that
+// the node has applied, and the role, position and last contact of each instance. From
+// these the machine decides which binding set is active, which instance may answer a
+// read, and whether a commit is durable.
 //
-// A node keeps one Machine. It sends UpdateRequest, or DeltaUpdateRequest where it
-// observes the instances itself, to the control primary, and passes the answer to
-// ApplyUpdate. It passes what instances announce to HandleAnnouncement and what they
-// answer to HandlePosition. Before each statement it asks MayWrite or MayRead, and
+// Each node has one Machine. The node sends an UpdateRequest, or a DeltaUpdateRequest if
+// it observes the instances itself, to the control primary, and passes the answer to
+// ApplyUpdate. It passes the announcements of instances to HandleAnnouncement, and their
+// answers to HandlePosition. It calls MayWrite or MayRead before each statement, and
 // CommitVerdict before it answers a commit.
 //
-// Invariants: without a lease nothing may be written and no commit is decided; the
-// active binding set never goes back to an earlier sequence; a position goes back only
-// with a new incarnation of its instance, or if the instance itself answers an earlier
-// one.
+// The machine keeps these invariants:
+//
+//   - Without a lease nothing may be written and no commit is decided.
+//   - The active binding set never goes back to an earlier sequence.
+//   - The position of an instance goes back only with a new incarnation of the instance,
+//     or if the instance itself answers with an earlier position.
 //
 // The machine is pure and must not be used concurrently. All times are durations on the
-// node's monotonic clock, with an arbitrary origin; the time of the control primary,
-// by which sets take effect, is converted with the lease.
+// node's monotonic clock, with an arbitrary origin. Binding sets take effect by the time
+// of the control primary, which is converted to the node's clock with the lease.
 package routing
--- a/internal/coordination/routing/machine.go
+++ b/internal/coordination/routing/machine.go
@@ -15,10 +15,11 @@
 	snapshot model.Snapshot
 	// activeSequence is the sequence of the active binding set; it never falls.
 	activeSequence uint64
-	// activationTimes are when the sets take effect by this node's clock, by sequence.
+	// activationTimes are the times on this node's clock at which the sets take effect,
+	// by sequence.
 	activationTimes map[uint64]time.Duration
 	observations    map[string]*Observation
-	// samples are positions of the databases' primaries, in the order of the queries.
+	// samples are positions of the primaries in the order of the queries, by database.
 	samples map[string][]primarySample
 	// highWatermarks are the furthest positions confirmed by this node, by database.
 	highWatermarks map[string]model.Position
@@ -26,7 +27,7 @@
 	reporter       Reporter
 }
 
-// New returns a node's machine before its first update.
+// New returns the machine of the node named self, before its first update.
 func New(self string, timing lease.Timing) *Machine {
 	return &Machine{
 		self:            self,
@@ -38,10 +39,10 @@
 	}
 }
 
-// HasLease says whether the node may serve.
+// HasLease reports whether the node holds a valid lease, and so may serve.
 func (m *Machine) HasLease(now time.Duration) bool { return m.lease.IsValid(now) }
 
-// LeaseRemaining returns how long the lease still lasts.
+// LeaseRemaining returns the remaining time of the lease.
 func (m *Machine) LeaseRemaining(now time.Duration) time.Duration { return m.lease.Remaining(now) }
 
 // Epoch returns the highest epoch that granted a lease.
@@ -56,8 +57,8 @@
 // WriterRole returns a database's writer role.
 func (m *Machine) WriterRole(database string) model.WriterRole { return m.snapshot.Writers[database] }
 
-// ActiveSet returns the active binding set, and whether it has become active since the
-// last call.
+// ActiveSet returns the active binding set, and whether that set has become active since
+// the last call.
 func (m *Machine) ActiveSet(now time.Duration) (model.BindingSet, bool) {
 	var active model.BindingSet
 	for _, set := range m.snapshot.Sets {
--- a/internal/coordination/routing/observation.go
+++ b/internal/coordination/routing/observation.go
@@ -8,28 +8,30 @@
 )
 
 const (
-	// neverObserved stands for the time of an observation that was never made.
+	// neverObserved is the time of an observation that was never made.
 	neverObserved = -time.Hour
-	// maxSamples bounds the samples of one primary; beyond it the oldest
-	// discardedSamples are deleted.
+	// maxSamples is the maximum number of samples of one database. If it is exceeded,
+	// the oldest discardedSamples are deleted.
 	maxSamples       = 512
 	discardedSamples = 128
 )
 
-// Observation is what the node itself observed of an instance. Times of observations
-// that were never made are neverObserved.
+// Observation is the node's own view of an instance. Times of observations that were
+// never made are neverObserved.
 type Observation struct {
 	Instance model.Instance
-	// Position is the furthest known, unless the instance is known to have gone back.
+	// Position is the furthest known position, unless the instance has since gone back
+	// to an earlier one.
 	Position         model.Position
 	LastAnnouncement time.Duration
 	LastResponse     time.Duration
-	// LastPositionQuery is when the query was sent that returned the position last.
+	// LastPositionQuery is the time at which the latest answered position query was
+	// sent.
 	LastPositionQuery time.Duration
 	positionChangedAt time.Duration
 }
 
-// primarySample is a position that the primary had at or after a time.
+// primarySample is a position that the primary had at or after the time queriedAt.
 type primarySample struct {
 	queriedAt time.Duration
 	position  model.Position
@@ -41,7 +43,8 @@
 	}
 }
 
-// Observation returns what is known of an instance; it is created if there is none.
+// Observation returns the observation of an instance. If there is none, it creates an
+// empty one.
 func (m *Machine) Observation(name string) *Observation {
 	observation, found := m.observations[name]
 	if !found {
@@ -51,8 +54,9 @@
 	return observation
 }
 
-// HandleAnnouncement handles an instance's announcement. It may have been delayed, so
-// it takes no position back, unless the instance has restarted without its data.
+// HandleAnnouncement handles an instance's announcement. The announcement may have been
+// delayed, so the known position never goes back, unless the instance has restarted
+// without its data.
 func (m *Machine) HandleAnnouncement(instance model.Instance, now time.Duration) {
 	observation := m.Observation(instance.Name)
 	if observation.Instance.Incarnation != instance.Incarnation {
@@ -63,33 +67,33 @@
 	observation.Instance, observation.LastAnnouncement = instance, now
 }
 
-// HandlePosition handles an instance's answer to a query for its position; sentAt is
-// when the query was sent. It returns true if the instance's role or term has changed,
-// or whether it is leaving. An instance that answers a position behind the one known
-// when the query was sent has gone back.
+// HandlePosition handles an instance's answer to a query for its position that was sent
+// at sentAt. It returns true if the instance's role, term or leaving state has changed.
+// If the answered position is behind the position that was known when the query was
+// sent, the instance has gone back, and the answered position is adopted.
 func (m *Machine) HandlePosition(name string, answer model.Instance, sentAt, now time.Duration) bool {
 	observation := m.Observation(name)
 	observation.LastResponse = now
-	known := &observation.Instance
-	if answer.Incarnation != known.Incarnation {
+	instance := &observation.Instance
+	if answer.Incarnation != instance.Incarnation {
 		return false
 	}
 	observation.LastPositionQuery = max(observation.LastPositionQuery, sentAt)
-	changed := known.Role != answer.Role || known.Term != answer.Term || known.Leaving != answer.Leaving
+	changed := instance.Role != answer.Role || instance.Term != answer.Term || instance.Leaving != answer.Leaving
 	if observation.positionChangedAt < sentAt && answer.Position.IsBefore(observation.Position) {
 		observation.Position = answer.Position
 	}
 	observation.advance(answer.Position, now)
-	known.Role, known.Term, known.Leaving = answer.Role, answer.Term, answer.Leaving
-	known.Position = observation.Position
-	if m.isWritablePrimary(name, known.Database, answer) && m.lease.IsValid(now) {
-		m.addSample(known.Database, primarySample{queriedAt: sentAt, position: answer.Position})
+	instance.Role, instance.Term, instance.Leaving = answer.Role, answer.Term, answer.Leaving
+	instance.Position = observation.Position
+	if m.isWritablePrimary(name, instance.Database, answer) && m.lease.IsValid(now) {
+		m.addSample(instance.Database, primarySample{queriedAt: sentAt, position: answer.Position})
 	}
 	return changed
 }
 
-// isWritablePrimary says whether an instance is the primary of an open term. All that
-// was confirmed before the query then lies at or before the position that it answered.
+// isWritablePrimary reports whether an instance is the primary of an open term. All
+// commits confirmed before the query are then at or before the answered position.
 func (m *Machine) isWritablePrimary(name, database string, answer model.Instance) bool {
 	role := m.snapshot.Writers[database]
 	return role.Primary == name && role.Phase == model.PhaseOpen && role.Term == answer.Term &&
--- a/internal/coordination/routing/reads.go
+++ b/internal/coordination/routing/reads.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// FreshnessMargin is subtracted from the freshness bound of a binding, and is the
-	// smallest bound.
+	// FreshnessMargin is subtracted from the freshness bound of a binding. It is also
+	// the smallest bound: a smaller one counts as FreshnessMargin.
 	FreshnessMargin = 60 * time.Millisecond
-	// maxAnnouncementAge is how old the last announcement of a replica may be for it to
-	// answer reads.
+	// maxAnnouncementAge is the maximum age of a replica's last announcement with which
+	// the replica may answer reads.
 	maxAnnouncementAge = 3 * time.Second
 )
 
-// FreshUntil returns the latest time of which a replica is known to have everything
-// that was confirmed until then: that of the last sample of the primary whose position
-// the replica has reached. Nothing is confirmed while the term is closed, and a
-// candidate that has everything confirmed before is then fresh.
+// FreshUntil returns the latest time for which a replica is known to have every commit
+// that was confirmed before that time. This is the time of the last sample of the
+// primary whose position the replica has reached. While the term is closed, no commit is
+// confirmed, so a candidate that has every commit confirmed before is fresh until now.
 func (m *Machine) FreshUntil(name string, now time.Duration) time.Duration {
 	observation := m.Observation(name)
 	database := observation.Instance.Database
-	if isComplete(m.snapshot.Writers[database], observation) {
+	if isCompleteCandidate(m.snapshot.Writers[database], observation) {
 		return now
 	}
 	for _, sample := range slices.Backward(m.samples[database]) {
@@ -34,9 +34,9 @@
 	return neverObserved
 }
 
-// isComplete says whether the term is closed and a candidate has everything that was
-// confirmed in it.
-func isComplete(role model.WriterRole, observation *Observation) bool {
+// isCompleteCandidate reports whether the term is closed and an instance is a candidate
+// that has every commit confirmed so far.
+func isCompleteCandidate(role model.WriterRole, observation *Observation) bool {
 	if role.Phase != model.PhaseClosed && role.Phase != model.PhasePromoting {
 		return false
 	}
@@ -45,10 +45,10 @@
 	return isCandidate && !observation.Position.IsBefore(role.HighWatermark)
 }
 
-// MayRead says whether an instance may answer a read that was received at receivedAt.
-// The primary of an open term always may. A replica may if it has everything that was
-// confirmed until bound before the read, and minPosition, which is that of the client's
-// own writes; with a bound of 0 it may not.
+// MayRead reports whether an instance may answer a read that was received at receivedAt.
+// The primary of an open term always may. A replica may if it has every commit that was
+// confirmed by the time receivedAt-bound, and has reached minPosition, the position of
+// the client's own writes. With a bound of 0 no replica may.
 func (m *Machine) MayRead(name string, receivedAt, bound time.Duration, minPosition model.Position, now time.Duration) bool {
 	observation := m.Observation(name)
 	instance := observation.Instance
--- a/internal/coordination/routing/reporter.go
+++ b/internal/coordination/routing/reporter.go
@@ -8,23 +8,24 @@
 	"tansyseam/internal/state/model"
 )
 
-// Reporter reduces a node's reports to what the control primary does not have by
-// earlier requests. The primary's tenure that has them is the baseline. NextReport is
-// called for each request, and Acknowledge with the answer to it.
+// Reporter reduces a node's reports to the parts that the control primary has not yet
+// received with earlier requests. The baseline is the tenure of the control primary that
+// received those requests. The caller calls NextReport for each request, and Acknowledge
+// for the answer to it.
 type Reporter struct {
-	// baselineTenure is the number of the tenure that has what acknowledged and
-	// acknowledgedWatermarks list; 0 for none.
+	// baselineTenure is the number of the tenure that has the states in acknowledged
+	// and the positions in acknowledgedWatermarks, or 0 if there is none.
 	baselineTenure         uint64
 	acknowledged           map[string]reportedState
 	acknowledgedWatermarks map[string]model.Position
-	// inFlight says that a request has not been answered yet, and the pending fields
-	// are what it reports.
+	// inFlight is true if a request has not been answered yet. The pending fields are
+	// the contents of its report.
 	inFlight          bool
 	pendingReports    map[string]reportedState
 	pendingWatermarks map[string]model.Position
 }
 
-// reportedState is an instance as it was reported.
+// reportedState is the state of an instance in a report.
 type reportedState struct {
 	instance   model.Instance
 	answeredAt time.Duration
@@ -39,14 +40,14 @@
 	}
 }
 
-// differsFrom says whether a state is worth reporting after an earlier one. A fault is
-// always reported again, also when it has ended.
+// differsFrom reports whether a state must be reported after an earlier one. A fault is
+// reported each time, and once more when it has ended.
 func (s reportedState) differsFrom(earlier reportedState) bool {
 	return s.instance != earlier.instance || s.answeredAt > earlier.answeredAt || s.faulty || earlier.faulty
 }
 
-// NextReport returns the report for the next request. If the request before was not
-// answered, it is unknown what the primary has, and the report is complete.
+// NextReport returns the report for the next request. If the previous request was not
+// answered, it is unknown whether the primary received it, so the report is complete.
 func (r *Reporter) NextReport(complete distribution.NodeReport, now time.Duration) distribution.NodeReport {
 	if r.inFlight || r.baselineTenure == 0 {
 		r.resetBaseline()
@@ -60,8 +61,8 @@
 	return r.Delta(complete, now)
 }
 
-// Delta returns the report for a message beside the requests. It may be lost, so later
-// reports do not build on it.
+// Delta returns the report for a message that is sent in addition to the requests. The
+// message may be lost, so later reports do not depend on it.
 func (r *Reporter) Delta(complete distribution.NodeReport, now time.Duration) distribution.NodeReport {
 	delta := distribution.NodeReport{
 		Node:           complete.Node,
@@ -85,24 +86,27 @@
 	return delta
 }
 
-// abbreviate reduces an instance to its name and, if it changed, the position, as long
-// as nothing else has changed. A position that was reset to zero cannot be abbreviated.
+// abbreviate reduces an instance to its name and, if the position has changed, its
+// position. It returns the complete instance if anything else has changed, or if the
+// position was reset to zero, since a zero position means that it is unchanged.
 func abbreviate(instance, earlier model.Instance) model.Instance {
-	moved := instance
-	moved.Position = earlier.Position
+	withEarlierPosition := instance
+	withEarlierPosition.Position = earlier.Position
 	wasReset := instance.Position == model.Position{} && earlier.Position != model.Position{}
-	if moved != earlier || wasReset {
+	if withEarlierPosition != earlier || wasReset {
 		return instance
 	}
-	brief := model.Instance{Name: instance.Name}
+	abbreviated := model.Instance{Name: instance.Name}
 	if instance.Position != earlier.Position {
-		brief.Position = instance.Position
+		abbreviated.Position = instance.Position
 	}
-	return brief
+	return abbreviated
 }
 
-// Acknowledge handles the answer to the last request, from a tenure. A tenure that
-// lacks what the request left out answers with its own number.
+// Acknowledge handles the answer to the last request, from the tenure with the given
+// number. If the request was complete, that tenure becomes the baseline. If the request
+// was abbreviated for another tenure, the answering tenure does not have the omitted
+// states, and the next report is complete.
 func (r *Reporter) Acknowledge(tenure uint64) {
 	isBaseline := r.baselineTenure == 0 || r.baselineTenure == tenure
 	hasReport := r.inFlight && tenure != 0 && isBaseline
--- a/internal/coordination/routing/reporter_test.go
+++ b/internal/coordination/routing/reporter_test.go
@@ -20,8 +20,8 @@
 
 const databases = 4
 
-// newPrimary returns a primary at which node d1 is registered, with one instance of each
-// database as its primary.
+// newPrimary returns a control primary at which node d1 is registered, and at which each
+// database has an open term with one instance as its primary.
 func newPrimary(name string, wallNanos int64, now time.Duration) *distribution.Machine {
 	puts := []store.Put{{Key: model.PrefixNode + "d1", Data: store.EncodePlain(wallNanos)}}
 	for number := range databases {
@@ -33,25 +33,25 @@
 	return distribution.New(name, lease.DefaultTiming(), consensus.Record{Epoch: 1, Primary: name}, state, now)
 }
 
-// exchange simulates a node whose requests to a primary are abbreviated, may be lost,
-// duplicated and delayed. Another primary, to compare with, gets the same requests
-// unabbreviated.
+// exchange simulates a node that sends abbreviated requests to a control primary. The
+// requests may be lost, duplicated or delayed. A reference primary receives the same
+// requests unabbreviated, for comparison.
 type exchange struct {
-	dice                *rand.Rand
-	now                 time.Duration
-	wallNanos           int64
-	node                *Machine
-	actual, reference   *distribution.Machine
-	report              distribution.NodeReport
-	lastResponse        map[string]time.Duration
-	requests            []distribution.UpdateRequest
-	overtaken           int
-	omitted, reportsOut int
+	random                      *rand.Rand
+	now                         time.Duration
+	wallNanos                   int64
+	node                        *Machine
+	actual, reference           *distribution.Machine
+	report                      distribution.NodeReport
+	lastResponse                map[string]time.Duration
+	requests                    []distribution.UpdateRequest
+	overtakenCount              int
+	reportsOmitted, reportsSent int
 }
 
 func newExchange(seed int64) *exchange {
 	e := &exchange{
-		dice: rand.New(rand.NewSource(seed)), now: time.Hour, wallNanos: int64(1000 * time.Hour),
+		random: rand.New(rand.NewSource(seed)), now: time.Hour, wallNanos: int64(1000 * time.Hour),
 		node:         New("d1", lease.DefaultTiming()),
 		report:       distribution.NodeReport{Node: "d1", HighWatermarks: map[string]model.Position{}},
 		lastResponse: map[string]time.Duration{},
@@ -64,24 +64,24 @@
 	return e
 }
 
-func (e *exchange) oneIn(count int) bool { return e.dice.Intn(count) == 0 }
+func (e *exchange) oneIn(count int) bool { return e.random.Intn(count) == 0 }
 
 func (e *exchange) replacePrimary(name string) {
 	e.actual, e.reference = newPrimary(name, e.wallNanos, e.now), newPrimary(name, e.wallNanos, e.now)
 }
 
-// changeReport changes one fact about one instance.
+// changeReport makes one random change to the report on one instance.
 func (e *exchange) changeReport() {
-	changed := &e.report.Reports[e.dice.Intn(databases)]
+	changed := &e.report.Reports[e.random.Intn(databases)]
 	changes := []func(){
 		func() { e.lastResponse[changed.Instance.Name] = e.now },
-		func() { changed.Instance.Position.Index += uint64(e.dice.Intn(3)) },
+		func() { changed.Instance.Position.Index += uint64(e.random.Intn(3)) },
 		func() { changed.Instance.Leaving = !changed.Instance.Leaving },
-		func() { changed.RefusedConnections = max(e.dice.Intn(8)-5, 0) },
-		func() { changed.OldestStatementAge = time.Duration(e.dice.Intn(8)/7) * time.Second },
+		func() { changed.RefusedConnections = max(e.random.Intn(8)-5, 0) },
+		func() { changed.OldestStatementAge = time.Duration(e.random.Intn(8)/7) * time.Second },
 		func() { e.report.HighWatermarks[changed.Instance.Database] = changed.Instance.Position },
 	}
-	changes[e.dice.Intn(len(changes))]()
+	changes[e.random.Intn(len(changes))]()
 	for index := range e.report.Reports {
 		report := &e.report.Reports[index]
 		report.ResponseAge = e.now - e.lastResponse[report.Instance.Name]
@@ -93,8 +93,8 @@
 	return primary.Flush(true, e.wallNanos, e.now+distribution.DefaultPollTimeout)[0].Update
 }
 
-// step makes one request. It returns true if the node got an answer that both primaries
-// must agree after.
+// step makes one request. It returns true if the node received an answer after which both
+// primaries must have the same evidence.
 func (e *exchange) step() bool {
 	e.now, e.wallNanos = e.now+50*ms, e.wallNanos+int64(50*ms)
 	e.changeReport()
@@ -106,17 +106,17 @@
 	}
 	request := e.node.DeltaUpdateRequest(e.report, e.now)
 	request.Incarnation = 7
-	if e.overtaken > 0 && e.oneIn(10) {
-		e.send(e.actual, e.requests[e.dice.Intn(e.overtaken)])
+	if e.overtakenCount > 0 && e.oneIn(10) {
+		e.send(e.actual, e.requests[e.random.Intn(e.overtakenCount)])
 	}
 	e.requests = append(e.requests, request)
-	e.omitted += len(e.report.Reports) - len(request.Reports)
-	e.reportsOut += len(request.Reports)
+	e.reportsOmitted += len(e.report.Reports) - len(request.Reports)
+	e.reportsSent += len(request.Reports)
 	if requestLost := e.oneIn(8); requestLost {
 		return false
 	}
 	update := e.send(e.actual, request)
-	e.overtaken = len(e.requests) - 1
+	e.overtakenCount = len(e.requests) - 1
 	if answerLost := e.oneIn(8); answerLost {
 		return false
 	}
@@ -131,7 +131,8 @@
 	return true
 }
 
-// evidence prints a primary's evidence, without what depends on the number of requests.
+// evidence returns a primary's evidence as text, without the fields that depend on the
+// number of requests.
 func (e *exchange) evidence(primary *distribution.Machine) string {
 	var all []syncrepl.Evidence
 	for number := range databases {
@@ -146,7 +147,7 @@
 }
 
 func TestReporter(t *testing.T) {
-	Convey("Whatever is lost, duplicated or delayed, and whoever becomes primary, the evidence from abbreviated requests is that from complete ones", t, func() {
+	Convey("Abbreviated requests lead to the same evidence as complete requests, even if requests are lost, duplicated or delayed, or the primary is replaced", t, func() {
 		omitted, sent := 0, 0
 		for seed := range int64(60) {
 			e := newExchange(seed)
@@ -159,11 +160,11 @@
 					SoMsg(fmt.Sprintf("seed %d", seed), got, ShouldEqual, want)
 				}
 			}
-			omitted, sent = omitted+e.omitted, sent+e.reportsOut
+			omitted, sent = omitted+e.reportsOmitted, sent+e.reportsSent
 		}
-		SoMsg("reports left out", omitted, ShouldBeGreaterThan, sent/2)
+		SoMsg("reports omitted", omitted, ShouldBeGreaterThan, sent/2)
 	})
-	Convey("A request that has nothing new to report on a hundred instances takes less than 200 bytes", t, func() {
+	Convey("If nothing has changed on a hundred instances, a request takes less than 200 bytes", t, func() {
 		node, now := New("d1", lease.DefaultTiming()), time.Hour
 		report := distribution.NodeReport{Node: "d1", HighWatermarks: map[string]model.Position{}}
 		for number := range 100 {
--- a/internal/coordination/routing/updates.go
+++ b/internal/coordination/routing/updates.go
@@ -10,27 +10,29 @@
 	"tansyseam/internal/state/model"
 )
 
-// WriterRoleChanged is an effect: a writer role's term or phase has changed.
+// WriterRoleChanged is the effect of a change of a writer role's term or phase.
 type WriterRoleChanged struct {
 	Database string
 	Previous model.WriterRole
 	Current  model.WriterRole
 }
 
-// UpdateRequest returns the node's next request, with a complete report. CommitWaits
-// says how long the oldest commit here has been waiting for each replica.
+// UpdateRequest returns the node's next request, with a complete report. The argument
+// commitWaits is, for each replica, how long the oldest pending commit at this node has
+// been waiting for it.
 func (m *Machine) UpdateRequest(now time.Duration, commitWaits map[string]time.Duration) distribution.UpdateRequest {
 	return m.newRequest(m.Report(now, commitWaits), now)
 }
 
 // DeltaUpdateRequest returns the next request of a node that observes the instances
-// itself. It leaves out what the control primary has by earlier requests.
+// itself. It omits the parts of the report that the control primary has received with
+// earlier requests.
 func (m *Machine) DeltaUpdateRequest(report distribution.NodeReport, now time.Duration) distribution.UpdateRequest {
 	return m.newRequest(m.reporter.NextReport(report, now), now)
 }
 
-// DeltaReport returns a report to be sent beside the requests, without what the control
-// primary has by earlier requests.
+// DeltaReport returns a report to be sent in addition to the requests. It omits the parts
+// that the control primary has received with earlier requests.
 func (m *Machine) DeltaReport(report distribution.NodeReport, now time.Duration) distribution.NodeReport {
 	return m.reporter.Delta(report, now)
 }
@@ -52,8 +54,9 @@
 	}
 }
 
-// Report returns the node's complete report, with the instances by name. CommitWaits
-// says how long the oldest commit here has been waiting for each replica.
+// Report returns the node's complete report, with the instances ordered by name. The
+// argument commitWaits is, for each replica, how long the oldest pending commit at this
+// node has been waiting for it.
 func (m *Machine) Report(now time.Duration, commitWaits map[string]time.Duration) distribution.NodeReport {
 	report := distribution.NodeReport{Node: m.self, HighWatermarks: map[string]model.Position{}}
 	for _, name := range slices.Sorted(maps.Keys(m.observations)) {
@@ -74,10 +77,10 @@
 }
 
 // ApplyUpdate handles the update that answers the request sent at sentAt, and returns
-// the writer roles that it changes. What the update forbids applies at once, and the
-// next request reports so by its version. A delta on another version than the node's
-// brings neither a snapshot nor a lease, since a lease is valid only with the newest
-// snapshot.
+// the changes of writer roles. Restrictions in the update take effect at once, and the
+// version in the next request acknowledges them. A delta on a version other than the
+// node's changes neither the snapshot nor the lease, since a lease is valid only with
+// the newest snapshot.
 func (m *Machine) ApplyUpdate(update distribution.Update, sentAt, now time.Duration) []WriterRoleChanged {
 	var changes []WriterRoleChanged
 	m.reporter.Acknowledge(update.Tenure)
@@ -116,8 +119,9 @@
 	return changes
 }
 
-// updateActivationTimes converts the sets' effective times to this node's clock. A newer
-// estimate of the primary's time can only make the activation of a set earlier.
+// updateActivationTimes converts the times at which binding sets take effect to this
+// node's clock. A newer estimate of the primary's time can only make the activation of a
+// set earlier.
 func (m *Machine) updateActivationTimes(now time.Duration) {
 	if m.lease.ClockError(now) > lease.MaxClockError {
 		return
@@ -129,8 +133,8 @@
 			continue
 		}
 		activation := max(time.Duration(set.EffectiveAt-offset), 0)
-		if known, found := m.activationTimes[set.Sequence]; found {
-			activation = min(activation, known)
+		if previous, found := m.activationTimes[set.Sequence]; found {
+			activation = min(activation, previous)
 		}
 		updated[set.Sequence] = activation
 	}
