--- a/internal/coordination/idempotency/handover.go
+++ b/internal/coordination/idempotency/handover.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// maxPredecessors bounds the nodes whose successor is remembered.
+// maxPredecessors is the maximum number of nodes whose successors are kept.
 const maxPredecessors = 64
 
-// Handover is what a node that shuts down leaves to its successor: its records,
-// and for each of its sessions the highest number pruned. Without Requests and
-// Sessions it only says who the successor is.
+// Handover is the message with which a node that shuts down passes its records to its
+// successor. Requests are the statuses by request id, and Sessions are the highest pruned
+// request numbers by session id. Without Requests and Sessions, it only names the
+// successor.
 type Handover struct {
 	Node        string
 	Incarnation string
@@ -16,7 +17,7 @@
 	Sessions    map[string]uint64
 }
 
-// HandoverAck answers a Handover that was taken.
+// HandoverAck is the answer to a Handover that was imported.
 type HandoverAck struct{}
 
 // predecessor is a node that has shut down. Only its successor has its records.
@@ -26,8 +27,8 @@
 	sessions  map[string]*sessionRecord
 }
 
-// Export returns the records to be handed over to a successor. What is still in
-// flight is unknown there.
+// Export returns the records to be handed over to a successor. Requests that are still
+// in flight are exported with an unknown status.
 func (m *Machine) Export(successor string) Handover {
 	handover := Handover{
 		Node:        m.self.name,
@@ -49,8 +50,8 @@
 	return handover
 }
 
-// Import takes the records that another node hands over, or the name of the
-// node that has them.
+// Import stores the records that another node hands over to this node, or the name of
+// the successor that has them.
 func (m *Machine) Import(handover Handover, now time.Duration) {
 	imported := &predecessor{
 		successor: handover.Successor,
@@ -72,20 +73,20 @@
 	}
 }
 
-// statusFromPredecessor answers for a node that handed its records over to this
-// one.
+// statusFromPredecessor answers a status request in place of an owner that handed its
+// records over to this node.
 func (m *Machine) statusFromPredecessor(owner nodeID, request StatusRequest, now time.Duration) Status {
-	left, found := m.predecessors[owner]
-	if !found || left.successor != m.self.name {
+	previousOwner, found := m.predecessors[owner]
+	if !found || previousOwner.successor != m.self.name {
 		return Status{State: StateUnknown}
 	}
-	if record, found := left.records[request.RequestID]; found {
+	if record, found := previousOwner.records[request.RequestID]; found {
 		return record.Status
 	}
-	if !isUnseen(left.sessions, request.RequestID) {
+	if !isUnseen(previousOwner.sessions, request.RequestID) {
 		return Status{State: StateUnknown}
 	}
 	transferred := Status{State: StateTransferred, Owner: request.Requester}
-	left.records[request.RequestID] = &requestRecord{Status: transferred, updatedAt: now}
+	previousOwner.records[request.RequestID] = &requestRecord{Status: transferred, updatedAt: now}
 	return Status{State: StateUnseen}
 }
--- a/internal/coordination/idempotency/id.go
+++ b/internal/coordination/idempotency/id.go
@@ -18,8 +18,8 @@
 	return strings.Join([]string{n.name, n.incarnation, strconv.FormatUint(number, 10)}, sessionIDSeparator)
 }
 
-// ownerOf returns the node that opened a session, and the zero nodeID where the
-// id has not the form of one.
+// ownerOf returns the node that opened a session, or the zero nodeID if sessionID does
+// not have the form of a session id.
 func ownerOf(sessionID string) nodeID {
 	parts := strings.Split(sessionID, sessionIDSeparator)
 	if len(parts) != sessionIDParts {
@@ -28,8 +28,7 @@
 	return nodeID{name: parts[0], incarnation: parts[1]}
 }
 
-// parseRequestID splits a request id into that of its session and its number
-// there.
+// parseRequestID splits a request id into its session id and its number in the session.
 func parseRequestID(id string) (sessionID string, number uint64, valid bool) {
 	at := strings.LastIndexByte(id, requestIDSeparator)
 	if at <= 0 {
--- a/internal/coordination/idempotency/machine.go
+++ b/internal/coordination/idempotency/machine.go
@@ -6,41 +6,42 @@
 	"tansyseam/internal/state/model"
 )
 
-// expiryInterval is the minimum time between two searches for expired sessions.
+// expiryInterval is the minimum time between two scans for expired sessions.
 const expiryInterval = time.Second
 
-// Timing bounds what is kept.
+// Timing is the set of limits for the stored records and sessions.
 type Timing struct {
 	// Retention is how long a record is kept after its request ended, and a
 	// session after it was closed.
 	Retention time.Duration
-	// MaxRecords bounds the records, those in flight included.
+	// MaxRecords is the maximum number of records, including those in flight.
 	MaxRecords int
 }
 
-// DefaultTiming returns the project's bounds.
+// DefaultTiming returns the limits used in production.
 func DefaultTiming() Timing { return Timing{Retention: 3 * time.Minute, MaxRecords: 100000} }
 
-// Machine is one node's records of request ids. It is not safe for concurrent use.
+// Machine stores one node's records of request ids and decides on requests. It is not
+// safe for concurrent use.
 type Machine struct {
 	self   nodeID
 	timing Timing
-	// records are those of request ids that this node has executed or transferred, and
-	// recordOrder are the ids, oldest first.
+	// records are the records of the request ids that this node has executed or
+	// transferred. recordOrder are these ids, oldest first.
 	records     map[string]*requestRecord
 	recordOrder []string
 	// sessions are the sessions that this node has opened, by id.
 	sessions map[string]*sessionRecord
-	// predecessors are nodes that have shut down, and predecessorOrder the same in the
+	// predecessors are nodes that have shut down. predecessorOrder are their ids in the
 	// order of their handovers.
 	predecessors     map[nodeID]*predecessor
 	predecessorOrder []nodeID
-	// lastExpiry is when expired sessions were last looked for.
+	// lastExpiry is the time of the last scan for expired sessions.
 	lastExpiry time.Duration
 }
 
-// New returns the empty records of a node that starts. The incarnation differs
-// from those of its earlier starts.
+// New returns the machine of a starting node, without records. The incarnation must
+// differ from those of the node's earlier starts.
 func New(self, incarnation string, timing Timing) *Machine {
 	return &Machine{
 		self:         nodeID{name: self, incarnation: incarnation},
@@ -51,21 +52,21 @@
 	}
 }
 
-// SessionID returns the id of this node's session with a number.
+// SessionID returns the id of this node's session with the given number.
 func (m *Machine) SessionID(number uint64) string { return m.self.sessionID(number) }
 
-// OpenSession begins to keep records for a session of this node.
+// OpenSession registers a session of this node.
 func (m *Machine) OpenSession(sessionID string) { m.sessions[sessionID] = &sessionRecord{} }
 
-// CloseSession notes that a session is closed; retries of its requests are
-// still answered for the retention time.
+// CloseSession marks a session as closed. Retries of its requests are still answered for
+// the retention time.
 func (m *Machine) CloseSession(sessionID string, now time.Duration) {
 	if session, found := m.sessions[sessionID]; found {
 		session.closed, session.closedAt = true, now
 	}
 }
 
-// ExpireSessions forgets the sessions whose retention time is over.
+// ExpireSessions deletes the closed sessions whose retention time is over.
 func (m *Machine) ExpireSessions(now time.Duration) {
 	if now-m.lastExpiry < expiryInterval {
 		return
@@ -78,24 +79,28 @@
 	}
 }
 
-// DecisionKind says what is to be done with a request id.
+// DecisionKind is the action to take for a request.
 type DecisionKind string
 
-// Kinds of decision. They are part of counters' names: the strings stay.
+// Kinds of decision. The strings must not change, since they are part of the names of
+// counters.
 const (
-	// Execute: the id was never seen, and is on record as in flight now.
+	// Execute means that the request must be executed: its id was never seen before, and
+	// is now recorded as in flight.
 	Execute DecisionKind = "run"
-	// Wait: its first attempt is in flight here; Complete gives the token back.
+	// Wait means that the first attempt is in flight at this node. Complete returns the
+	// token of the retry when the attempt has ended.
 	Wait DecisionKind = "wait"
-	// Reply: it has ended, as Status says.
+	// Reply means that the request must be answered with Status, without executing it.
 	Reply DecisionKind = "tell"
-	// Lookup: Node must be asked for its status.
+	// Lookup means that Node must be asked for the status of the request.
 	Lookup DecisionKind = "seek"
-	// Invalid: it doesn't have the form of a request id.
+	// Invalid means that the id does not have the form of a request id.
 	Invalid DecisionKind = "bad"
 )
 
-// Decision says what is to be done with a request that was received here.
+// Decision is the action to take for a request that this node received. Node is set for
+// a Lookup, and Status for a Reply.
 type Decision struct {
 	Kind   DecisionKind
 	Node   string
@@ -104,15 +109,15 @@
 
 var unknownDecision = Decision{Kind: Reply, Status: Status{State: StateUnknown}}
 
-// Decide says what is to be done with a request that a client sent. The token
-// waits for the first attempt where that is in flight here.
+// Decide returns the action to take for a request from a client. If the first attempt is
+// in flight at this node, the token is kept until that attempt has ended.
 func (m *Machine) Decide(requestID string, token any, now time.Duration) Decision {
 	sessionID, _, valid := parseRequestID(requestID)
 	if !valid {
 		return Decision{Kind: Invalid}
 	}
 	if record, found := m.records[requestID]; found {
-		return m.join(record, token)
+		return m.decideFromRecord(record, token)
 	}
 	owner := ownerOf(sessionID)
 	if owner == m.self {
@@ -122,8 +127,8 @@
 		m.insert(requestID, StateInFlight, "", now)
 		return Decision{Kind: Execute}
 	}
-	if left, found := m.predecessors[owner]; found {
-		return Decision{Kind: Lookup, Node: left.successor}
+	if previousOwner, found := m.predecessors[owner]; found {
+		return Decision{Kind: Lookup, Node: previousOwner.successor}
 	}
 	if owner.name == m.self.name || owner.name == "" {
 		return unknownDecision
@@ -131,12 +136,13 @@
 	return Decision{Kind: Lookup, Node: owner.name}
 }
 
-// DecideFromPeer continues a Lookup with the status that the node gave.
+// DecideFromPeer returns the action to take after a Lookup, given the status that the
+// other node answered.
 func (m *Machine) DecideFromPeer(requestID string, token any, status Status, now time.Duration) Decision {
-	owned := status.State == StateUnseen || (status.State == StateTransferred && status.Owner == m.self.name)
-	if owned {
+	mayExecute := status.State == StateUnseen || (status.State == StateTransferred && status.Owner == m.self.name)
+	if mayExecute {
 		if record, found := m.records[requestID]; found && record.State != StateTransferred {
-			return m.join(record, token)
+			return m.decideFromRecord(record, token)
 		}
 		m.insert(requestID, StateInFlight, "", now)
 		return Decision{Kind: Execute}
@@ -147,7 +153,7 @@
 	return Decision{Kind: Reply, Status: status}
 }
 
-func (m *Machine) join(record *requestRecord, token any) Decision {
+func (m *Machine) decideFromRecord(record *requestRecord, token any) Decision {
 	if record.State == StateTransferred {
 		return Decision{Kind: Lookup, Node: record.Owner}
 	}
@@ -158,8 +164,8 @@
 	return Decision{Kind: Reply, Status: record.Status}
 }
 
-// IsUnseen reports whether a request id has certainly never been executed
-// anywhere. Only then may a node that doesn't execute it answer that nothing was
+// IsUnseen reports whether a request id has certainly never been executed on any node.
+// Only in this case may a node that does not execute the request answer that nothing was
 // committed.
 func (m *Machine) IsUnseen(requestID string) bool {
 	sessionID, _, valid := parseRequestID(requestID)
@@ -172,8 +178,8 @@
 	return found
 }
 
-// HandleStatusRequest answers another node that was sent a request of one of
-// this node's sessions, or of a predecessor's.
+// HandleStatusRequest answers another node that received a request of a session of this
+// node or of one of its predecessors. An unseen id is transferred to that node.
 func (m *Machine) HandleStatusRequest(request StatusRequest, now time.Duration) Status {
 	if record, found := m.records[request.RequestID]; found {
 		return record.Status
@@ -190,9 +196,9 @@
 	return Status{State: StateUnseen}
 }
 
-// Complete records how a request ended and gives the tokens of the retries that
-// wait for it. A state that was proven, committed or not, is never changed;
-// unknown may still become either.
+// Complete records the outcome of a request, and returns the tokens of the waiting
+// retries with the recorded status. A proven state, committed or not committed, is never
+// changed. The unknown state may still change to either of them.
 func (m *Machine) Complete(requestID, state string, rows []byte, position model.Position, now time.Duration) ([]any, Status) {
 	record, found := m.records[requestID]
 	if !found || record.State == StateCommitted || record.State == StateNotCommitted {
--- a/internal/coordination/idempotency/machine_test.go
+++ b/internal/coordination/idempotency/machine_test.go
@@ -17,37 +17,37 @@
 		m.OpenSession(sessionID)
 		return m, sessionID
 	}
-	// lookUp has an asking node receive a request, and ask the owner for its status.
+	// lookUp makes the asking node receive a request and ask the owner for its status.
 	lookUp := func(asking *Machine, name string, owner *Machine, requestID string) Decision {
 		So(asking.Decide(requestID, name, now), ShouldResemble, Decision{Kind: Lookup, Node: "a"})
 		status := owner.HandleStatusRequest(StatusRequest{RequestID: requestID, Requester: name}, now)
 		return asking.DecideFromPeer(requestID, name, status, now)
 	}
-	Convey("A first attempt is executed; a retry here waits and is answered by the same outcome", t, func() {
+	Convey("The first attempt is executed; a retry at the same node waits for it and gets the same outcome", t, func() {
 		a, sessionID := newNode("a", "1")
 		So(a.Decide(sessionID+".1", "first", now).Kind, ShouldEqual, Execute)
-		So(a.Decide(sessionID+".1", "again", now).Kind, ShouldEqual, Wait)
+		So(a.Decide(sessionID+".1", "retry", now).Kind, ShouldEqual, Wait)
 		waiters, status := a.Complete(sessionID+".1", StateCommitted, nil, model.Position{Index: 4}, now)
-		So(waiters, ShouldResemble, []any{"again"})
+		So(waiters, ShouldResemble, []any{"retry"})
 		So(status.State, ShouldEqual, StateCommitted)
-		So(a.Decide(sessionID+".1", "late", now).Status.Position.Index, ShouldEqual, 4)
+		So(a.Decide(sessionID+".1", "late retry", now).Status.Position.Index, ShouldEqual, 4)
 		a.Complete(sessionID+".1", StateUnknown, nil, model.Position{}, now)
-		So(a.Decide(sessionID+".1", "late", now).Status.State, ShouldEqual, StateCommitted)
+		So(a.Decide(sessionID+".1", "late retry", now).Status.State, ShouldEqual, StateCommitted)
 	})
-	Convey("A request that was never seen is transferred to one node that asks, and executed there alone", t, func() {
+	Convey("An unseen request is transferred to the first node that asks, and executed only there", t, func() {
 		a, sessionID := newNode("a", "1")
 		b, _ := newNode("b", "2")
 		c, _ := newNode("c", "3")
 		id := sessionID + ".7"
 		So(lookUp(b, "b", a, id).Kind, ShouldEqual, Execute)
 		So(lookUp(c, "c", a, id), ShouldResemble, Decision{Kind: Lookup, Node: "b"})
-		So(a.Decide(id, "the first arrives late", now), ShouldResemble, Decision{Kind: Lookup, Node: "b"})
+		So(a.Decide(id, "late first attempt", now), ShouldResemble, Decision{Kind: Lookup, Node: "b"})
 	})
-	Convey("What was pruned is unknown, and never executed again", t, func() {
+	Convey("A request whose record was pruned, or whose session has expired, is unknown and never executed again", t, func() {
 		a, sessionID := newNode("a", "1")
-		for _, count := range []string{".1", ".2", ".3", ".4"} {
-			a.Decide(sessionID+count, nil, now)
-			a.Complete(sessionID+count, StateCommitted, nil, model.Position{}, now)
+		for _, suffix := range []string{".1", ".2", ".3", ".4"} {
+			a.Decide(sessionID+suffix, nil, now)
+			a.Complete(sessionID+suffix, StateCommitted, nil, model.Position{}, now)
 		}
 		So(a.Contains(sessionID+".1"), ShouldBeFalse)
 		So(a.Decide(sessionID+".1", nil, now).Status.State, ShouldEqual, StateUnknown)
@@ -56,14 +56,14 @@
 		a.ExpireSessions(now + 2*time.Minute)
 		So(a.HandleStatusRequest(StatusRequest{RequestID: sessionID + ".9", Requester: "b"}, now).State, ShouldEqual, StateUnknown)
 	})
-	Convey("A restarted node knows nothing of its earlier incarnation", t, func() {
+	Convey("After a restart, the requests of the earlier incarnation are unknown", t, func() {
 		earlier, sessionID := newNode("a", "1")
 		earlier.Decide(sessionID+".1", nil, now)
 		restarted, _ := newNode("a", "2")
 		So(restarted.Decide(sessionID+".1", nil, now).Status.State, ShouldEqual, StateUnknown)
 		So(restarted.HandleStatusRequest(StatusRequest{RequestID: sessionID + ".1", Requester: "b"}, now).State, ShouldEqual, StateUnknown)
 	})
-	Convey("The successor of a node that shut down answers for it", t, func() {
+	Convey("The successor of a node that shut down answers in its place", t, func() {
 		a, sessionID := newNode("a", "1")
 		a.Decide(sessionID+".1", nil, now)
 		a.Complete(sessionID+".1", StateCommitted, nil, model.Position{Index: 9}, now)
--- a/internal/coordination/idempotency/records.go
+++ b/internal/coordination/idempotency/records.go
@@ -2,25 +2,24 @@
 
 import "time"
 
-// requestRecord is the status of a request id with the retries that wait for
-// it.
+// requestRecord is the status of a request id with the tokens of the waiting retries.
 type requestRecord struct {
 	Status
 	updatedAt time.Duration
 	waiters   []any
 }
 
-// sessionRecord tells request ids that were never seen from those whose record was
-// pruned. Numbers up to highestPruned may have had a record.
+// sessionRecord is the state of a session. It distinguishes request ids that were never
+// seen from those whose record was pruned: numbers up to highestPruned may have had a
+// record.
 type sessionRecord struct {
 	highestPruned uint64
 	closed        bool
 	closedAt      time.Duration
 }
 
-// isUnseen reports whether a request id without a record has certainly never been
-// seen: its session is known, and no record of its number or a higher one was
-// pruned.
+// isUnseen reports whether a request id without a record has certainly never been seen:
+// its session is registered, and no record with its number or a higher one was pruned.
 func isUnseen(sessions map[string]*sessionRecord, requestID string) bool {
 	sessionID, number, _ := parseRequestID(requestID)
 	session, found := sessions[sessionID]
@@ -33,7 +32,8 @@
 	m.prune(now)
 }
 
-// prune forgets the oldest records, those over the bound and those expired.
+// prune deletes the oldest records while there are more than MaxRecords, or the oldest
+// one has expired.
 func (m *Machine) prune(now time.Duration) {
 	for len(m.recordOrder) > m.timing.MaxRecords || (len(m.recordOrder) > 0 && m.isExpired(m.recordOrder[0], now)) {
 		oldest := m.recordOrder[0]
--- a/internal/coordination/idempotency/status.go
+++ b/internal/coordination/idempotency/status.go
@@ -2,33 +2,33 @@
 
 import "tansyseam/internal/state/model"
 
-// States of a request id. They are sent between nodes: the strings stay.
+// States of a request id. The strings must not change, since nodes send them to each
+// other.
 const (
-	// StateUnseen says that the id was never executed, and promises that the
-	// node which says so never will: it is transferred to the one that asked.
+	// StateUnseen means that the id was never executed. The answering node transfers it
+	// to the requester, and will never execute it itself.
 	StateUnseen = "never"
-	// StateInFlight says that an attempt is being executed.
+	// StateInFlight means that an attempt is being executed.
 	StateInFlight = "out"
-	// StateCommitted says that its effect was kept.
+	// StateCommitted means that the request was committed.
 	StateCommitted = "kept"
-	// StateNotCommitted says that it ended without effect.
+	// StateNotCommitted means that the request ended without effect.
 	StateNotCommitted = "not_kept"
-	// StateUnknown says that it can't be known whether it took effect.
+	// StateUnknown means that it cannot be determined whether the request took effect.
 	StateUnknown = "unknown"
-	// StateTransferred says that another node, the owner, has the record.
+	// StateTransferred means that another node, the owner, has the record.
 	StateTransferred = "moved"
 )
 
-// StatusRequest asks a node for the status of a request id. Requester is the
-// node to which an unseen id is transferred.
+// StatusRequest is the message that asks a node for the status of a request id. An unseen
+// id is transferred to Requester.
 type StatusRequest struct {
 	RequestID string
 	Requester string
 }
 
-// Status is what a node knows of a request id. Rows and Position are those of
-// the answer that a committed request got; Owner is the node that a transferred
-// one went to.
+// Status is the recorded status of a request id. Rows and Position are those of the
+// answer to a committed request. Owner is the node to which a transferred id went.
 type Status struct {
 	State    string
 	Rows     []byte
