--- a/internal/coordination/failover/asyncrepl/promotion.go
+++ b/internal/coordination/failover/asyncrepl/promotion.go
@@ -72,7 +72,7 @@
 	observed, found := evidence.observation(evidence.Writer.Promoting)
 	instance := observed.Instance
 	sinceCall := time.Duration(evidence.WallNanos - evidence.Writer.LastTransitionAt)
-	// An older position, from before the call, does not prove what the instance holds now.
+	// A position from before the call does not show what the instance holds now.
 	positionIsRecent := found && observed.PositionAge < min(sinceCall, timing.SilenceTimeout)
 	holdsCommits := evidence.holdsConfirmedCommits(instance, evidence.Writer.Candidates[instance.Name])
 	if positionIsRecent && !holdsCommits {
--- a/internal/coordination/failover/execute.go
+++ b/internal/coordination/failover/execute.go
@@ -24,8 +24,8 @@
 }
 
 // Execute carries out effects in order. The effects after a Record wait until the
-// Record is committed: they may depend on it, also if another control server
-// continues from it.
+// Record is committed, because they may depend on it, even if another control server
+// takes over.
 func (e Executor) Execute(effects []Effect) {
 	for index, effect := range effects {
 		if record, ok := effect.(Record); ok {
--- a/internal/coordination/failover/syncrepl/discovery.go
+++ b/internal/coordination/failover/syncrepl/discovery.go
@@ -53,8 +53,7 @@
 	return probe.Answered && probe.Age <= timing.IdleProbeInterval
 }
 
-// probeClaimants returns the probes that are due of the claimants without a recent
-// answer.
+// probeClaimants probes each claimant without a recent answer, if a probe of it is due.
 func probeClaimants(evidence Evidence, claimants []model.Instance, timing Timing) []failover.Effect {
 	var queries []failover.Effect
 	for _, instance := range claimants {
--- a/internal/coordination/failover/syncrepl/evidence.go
+++ b/internal/coordination/failover/syncrepl/evidence.go
@@ -60,7 +60,8 @@
 	Instance string
 	// Age is how long ago the call was made.
 	Age time.Duration
-	// Status is the HTTP status of the answer, or 0 if no answer was read, or none yet.
+	// Status is the HTTP status of the answer. It is 0 until an answer is read, and
+	// stays 0 if none is read.
 	Status       int
 	FencingToken uint64
 	// Unsent is true if the call never left this control server.
@@ -173,8 +174,9 @@
 	return time.Duration(e.WallNanos - e.Writer.LastTransitionAt)
 }
 
-// isUnobserved reports whether no node and no probe has recently had any evidence for or
-// against the primary.
+// isUnobserved reports whether nothing has recently been observed of the primary: no node
+// has evidence for or against it, and there has been no contact with it. It is false
+// until the reports are warmed up.
 func (e Evidence) isUnobserved(primary Observation, timing Timing) bool {
 	return primary.ReportingNodes == 0 && primary.UnobservedFor > timing.UnobservedTimeout &&
 		e.contactAge(primary) > timing.SilenceTimeout && e.warmedUp(timing)
--- a/internal/coordination/failover/syncrepl/poll.go
+++ b/internal/coordination/failover/syncrepl/poll.go
@@ -17,7 +17,8 @@
 	answered  []model.Instance
 	positions map[string]model.Position
 	// silent are the names of the replicas that may still answer. gone are the names
-	// of the replicas that have stopped or are no longer observed. Both are sorted.
+	// of the replicas that have stopped, no longer exist or are no longer observed.
+	// Both are sorted.
 	silent []string
 	gone   []string
 }
--- a/internal/coordination/failover/syncrepl/promoting.go
+++ b/internal/coordination/failover/syncrepl/promoting.go
@@ -39,8 +39,8 @@
 	return queries
 }
 
-// probeOutcome probes the chosen instance, and any other that claims to be
-// primary.
+// probeOutcome probes the chosen instance, and any other instance that claims to be
+// primary, except the old primary.
 func probeOutcome(evidence Evidence, timing Timing) []failover.Effect {
 	var queries []failover.Effect
 	for _, observed := range evidence.Observations {
--- a/internal/coordination/failover/syncrepl/timing.go
+++ b/internal/coordination/failover/syncrepl/timing.go
@@ -15,14 +15,14 @@
 	// primary.
 	ReportWarmup time.Duration
 	TermWarmup   time.Duration
-	// RefusalTimeout is how long a primary that refuses connections may have answered
+	// RefusalTimeout is how long a primary that refuses connections must have answered
 	// no node before it is suspected. OverdueTimeout is the same for a primary whose
 	// answers are overdue.
 	RefusalTimeout time.Duration
 	OverdueTimeout time.Duration
-	// UnobservedTimeout is how long nodes may have no evidence of a primary, and
-	// SilenceTimeout is how long there may be no contact with it, before it counts as
-	// unobserved.
+	// UnobservedTimeout is how long nodes must have had no evidence for or against a
+	// primary, and SilenceTimeout is how long there must have been no contact with it,
+	// before it counts as unobserved.
 	UnobservedTimeout time.Duration
 	SilenceTimeout    time.Duration
 	// ProbeFreshness is the age up to which decisions rely on a probe result.
@@ -38,9 +38,10 @@
 	ReplicaWait time.Duration
 	// OldPrimaryWait is how long a closing term waits for a probe of the old primary.
 	OldPrimaryWait time.Duration
-	// PromoteRetryInterval is the minimum time between promote calls. RetryInterval is
-	// the time between probes while a term is closing, and the time after which a call
-	// is repeated that the platform refused because of its rate limit.
+	// PromoteRetryInterval is the time after which a promote call is repeated.
+	// RetryInterval is the time between probes while a term is closing, and the time
+	// after which a call that the platform refused because of its rate limit is
+	// repeated.
 	PromoteRetryInterval time.Duration
 	RetryInterval        time.Duration
 	// StepDownInterval is the time between orders to step down.
--- a/internal/coordination/routing/commits.go
+++ b/internal/coordination/routing/commits.go
@@ -39,8 +39,8 @@
 }
 
 // CommitVerdict returns the verdict on a commit that was executed in a term at a
-// position. The commit is durable once every required replica has it, since only
-// required replicas may be promoted, or if the next term began past its position.
+// position. The commit is durable once every required replica has it, since only required
+// replicas may be promoted. It is also durable if the next term began past its position.
 // Otherwise it is unknown as soon as its term is over. Without a lease nothing is
 // decided.
 func (m *Machine) CommitVerdict(database string, term uint64, position model.Position, now time.Duration) Verdict {
