--- a/internal/app/admin/answers.go
+++ b/internal/app/admin/answers.go
@@ -12,14 +12,14 @@
 	"tansyseam/internal/state/store"
 )
 
-// The JSON keys of the types below are fixed by the schema of the product's
-// calls. Their fields stand in the alphabetical order of the keys, since
-// answers have always been written so.
+// The schema of the HTTP calls fixes the JSON keys of the types below. Their
+// fields are declared in the alphabetical order of the keys, so that answers
+// keep the key order that they have always had.
 
-// Readiness is the answer to the readiness check of an orchestrator.
+// Readiness is the answer to an orchestrator's readiness check.
 type Readiness struct {
 	Ready bool `json:"ready"`
-	// Reason says why the node is not ready; it is empty where it is.
+	// Reason is why the node is not ready; it is empty if the node is ready.
 	Reason string `json:"why"`
 }
 
@@ -29,24 +29,24 @@
 	Sequence uint64 `json:"sequence"`
 }
 
-// Binding is a binding as operators read it.
+// Binding is a binding in an answer to operators.
 type Binding struct {
 	Database        string `json:"database"`
 	FreshnessMillis int64  `json:"freshness_ms"`
 	Name            string `json:"name"`
 }
 
-// AcceptedSet is a binding set that was accepted, in force or not.
+// AcceptedSet is a binding set that was accepted, whether or not it is in force.
 type AcceptedSet struct {
 	Bindings []Binding `json:"bindings"`
-	// EffectiveAtMillis is the wall time in ms since 1970 at which the set
-	// takes effect; 0 until it is scheduled.
+	// EffectiveAtMillis is the wall time, in ms since 1970, at which the set
+	// takes effect; it is 0 until that time is set.
 	EffectiveAtMillis int64  `json:"moment_ms"`
 	Sequence          uint64 `json:"sequence"`
 }
 
-// BindingSets are the binding sets that a node knows: the bindings and the
-// sequence in force, and all sets that were accepted.
+// BindingSets holds the binding sets recorded at a node: the bindings and the
+// sequence number in force, and all sets that were accepted.
 type BindingSets struct {
 	Bindings []Binding     `json:"bindings"`
 	Node     string        `json:"node"`
@@ -54,23 +54,23 @@
 	Accepted []AcceptedSet `json:"taken"`
 }
 
-// NodeStatus is what a node knows of another, or of itself.
+// NodeStatus is a node's record of another node, or of itself.
 type NodeStatus struct {
 	HTTPAddress string `json:"door"`
 	Kind        string `json:"kind"`
 	RPCAddress  string `json:"link"`
 	Node        string `json:"node"`
-	// SilentMillis is the time in ms since the last sign of life.
+	// SilentMillis is the time in ms since the last heartbeat.
 	SilentMillis int64 `json:"silent_ms"`
-	// Status is one of membership's: live, dead or left.
+	// Status is the membership status: live, dead or left.
 	Status  string  `json:"standing"`
 	Version int     `json:"version"`
 	Weight  float64 `json:"weight"`
 	Zone    string  `json:"zone"`
 }
 
-// WriterRole is the recorded state of one database's writer role; its fields
-// are those of model.WriterRole. Operators' scripts read these keys.
+// WriterRole is the recorded state of one database's writer role. It has the
+// fields of model.WriterRole. Operators' scripts read these keys.
 type WriterRole struct {
 	Database           string            `json:"Database"`
 	Term               uint64            `json:"Term"`
@@ -93,8 +93,8 @@
 	FencingToken       uint64            `json:"Fence"`
 }
 
-// NewReadiness gives the HTTP status and the answer of a readiness check: 503
-// with the reason where the node is not ready.
+// NewReadiness returns the HTTP status and the answer of a readiness check: 503
+// with the reason if the node is not ready.
 func NewReadiness(ready bool, reason string) (status int, answer Readiness) {
 	status = http.StatusOK
 	if !ready {
@@ -103,15 +103,15 @@
 	return status, Readiness{Ready: ready, Reason: reason}
 }
 
-// NewVersion gives the answer form of a version of the control state.
+// NewVersion converts a version of the control state for an answer.
 func NewVersion(version store.Version) Version {
 	return Version{Epoch: version.Epoch, Sequence: version.Sequence}
 }
 
-// NewBindings gives the answer form of bindings; it is never nil.
-func NewBindings(list []model.Binding) []Binding {
+// NewBindings converts bindings for an answer. The result is never nil.
+func NewBindings(bindings []model.Binding) []Binding {
 	answer := []Binding{}
-	for _, binding := range list {
+	for _, binding := range bindings {
 		answer = append(answer, Binding{
 			Database: binding.Database, FreshnessMillis: binding.Freshness.Milliseconds(), Name: binding.Name,
 		})
@@ -119,7 +119,8 @@
 	return answer
 }
 
-// NewBindingSets gives the binding sets that a node knows, with the active one.
+// NewBindingSets returns the active binding set and all accepted sets of a
+// snapshot, for an answer of the named node.
 func NewBindingSets(node string, snapshot model.Snapshot, active model.BindingSet) BindingSets {
 	accepted := []AcceptedSet{}
 	for _, set := range snapshot.Sets {
@@ -130,8 +131,8 @@
 	return BindingSets{Bindings: NewBindings(active.Bindings), Node: node, Sequence: active.Sequence, Accepted: accepted}
 }
 
-// NewNodeStatuses gives what a node knows of all nodes, those that died or
-// left included.
+// NewNodeStatuses returns a node's records of all nodes, including those that
+// died or left.
 func NewNodeStatuses(node *node.Node) []NodeStatus {
 	statuses := []NodeStatus{}
 	for _, other := range node.Nodes("", membership.StatusLive, membership.StatusDead, membership.StatusLeft) {
@@ -144,8 +145,8 @@
 	return statuses
 }
 
-// NewWriterRoles gives the writer roles of a snapshot by database; it is
-// never nil.
+// NewWriterRoles returns the writer roles of a snapshot, sorted by database. The
+// result is never nil.
 func NewWriterRoles(snapshot model.Snapshot) []WriterRole {
 	roles := []WriterRole{}
 	for _, role := range snapshot.Writers {
--- a/internal/app/admin/api.go
+++ b/internal/app/admin/api.go
@@ -1,7 +1,7 @@
-// Package admin answers the calls by which operators, orchestrators and the
-// command-line client read what a node knows: its readiness and health, the
-// binding sets, and its view of the cluster. API serves those calls on a data
-// plane; the forms of the answers are shared with the control plane.
+// Package admin serves the HTTP calls with which operators, orchestrators and the
+// command-line client read a node's state: its readiness and health, the binding
+// sets, and its view of the cluster. API serves these calls on a data plane. The
+// types of the answers are shared with the control plane.
 package admin
 
 import (
@@ -29,32 +29,32 @@
 	PathFetchManifest   = "/v1/manifest/fetch"
 )
 
-// QueryFleet is the one query that operators' calls make; it is repeated in
-// the answer.
+// QueryFleet is the only query that operators' calls make. The answer repeats
+// it.
 const QueryFleet = "fleet"
 
-// Proxy is what both kinds of data plane offer for their answers.
+// Proxy is the state that both kinds of data plane provide for their answers.
 type Proxy interface {
 	Routing() *routing.Machine
-	// EffectiveSet gives the binding set in force.
+	// EffectiveSet returns the binding set in force.
 	EffectiveSet(now time.Duration) model.BindingSet
-	// Ready says whether requests are served; the reason says why not.
+	// Ready reports whether requests are served and, if not, the reason.
 	Ready(now time.Duration) (ready bool, reason string)
 }
 
-// API serves the calls of a data plane. Its functions are called with Locker
-// held; now is the time since the node's start.
+// API serves the admin calls of a data plane. It calls the functions in its
+// fields with Locker held; now is the time since the node's start.
 type API struct {
 	Node   *node.Node
 	Locker sync.Locker
 	Proxy  Proxy
-	// SessionCount gives the number of open sessions.
+	// SessionCount returns the number of open sessions.
 	SessionCount func() int
-	// QueueDepths gives the number of waiting requests by queue.
+	// QueueDepths returns the number of waiting requests by queue.
 	QueueDepths func(now time.Duration) map[string]int
-	// Describe gives two lists that are written as JSON: the instances, and
-	// the queues of each database. Their elements differ with the kind of
-	// data plane.
+	// Describe returns two lists that are written as JSON: the instances, and
+	// the queues of each database. The types of their elements depend on the
+	// kind of data plane.
 	Describe func(now time.Duration) (instances, queues any)
 }
 
@@ -62,7 +62,7 @@
 type Health struct {
 	Epoch uint64 `json:"epoch"`
 	Ready bool   `json:"is_ready"`
-	// LeaseMillis is how long the node may still serve, in ms.
+	// LeaseMillis is how long the node may still serve requests, in ms.
 	LeaseMillis int64          `json:"lease_ms"`
 	Node        string         `json:"node"`
 	Queues      map[string]int `json:"queues"`
@@ -89,8 +89,8 @@
 	Writers     []WriterRole `json:"writers"`
 }
 
-// Register serves the calls at the node's HTTP address, and the queries that
-// other nodes send.
+// Register installs the handlers of the HTTP calls and of the queries that other
+// nodes send.
 func (a *API) Register() {
 	for _, path := range []string{PathPutBindings, PathScheduleChange, PathListChanges} {
 		HandleForwarded(a.Node, path)
@@ -134,17 +134,17 @@
 
 func (a *API) fleet() (int, any) { return http.StatusOK, a.report(QueryFleet) }
 
-// report gives the answer to a query, as JSON.
+// report returns the answer to a query, as JSON.
 func (a *API) report(query string) []byte {
 	report := a.localReport(query)
 	report.Nodes = NewNodeStatuses(a.Node)
-	// A report holds nothing that JSON cannot write.
+	// The error is ignored: every value in a report can be written as JSON.
 	data, _ := json.Marshal(report)
 	return data
 }
 
-// localReport gives the report without the nodes, which the node guards by a
-// lock of its own.
+// localReport returns the report without the list of nodes, which the node
+// protects with its own lock.
 func (a *API) localReport(query string) Report {
 	a.Locker.Lock()
 	defer a.Locker.Unlock()
--- a/internal/app/admin/api_test.go
+++ b/internal/app/admin/api_test.go
@@ -23,7 +23,7 @@
 	"tansyseam/test/golden"
 )
 
-// newAPIs makes the API of each kind of data plane, by kind.
+// newAPIs returns an API for each kind of data plane, by kind.
 func newAPIs(t *testing.T) map[string]*API {
 	t.Helper()
 	cfg := config.Config{
@@ -54,10 +54,10 @@
 }
 
 func TestGoldenAnswers(t *testing.T) {
-	Convey("Every answer of a data plane has the bytes that were recorded", t, func() {
+	Convey("Every answer of a data plane matches its golden file", t, func() {
 		for kind, api := range newAPIs(t) {
-			for name, endpoint := range map[string]func() (int, any){"ready": api.ready, "vitals": api.health, "bindings-list": api.listBindings} {
-				status, answer := endpoint()
+			for name, serve := range map[string]func() (int, any){"ready": api.ready, "vitals": api.health, "bindings-list": api.listBindings} {
+				status, answer := serve()
 				checkGolden(t, fmt.Sprintf("%s-%s-%d", kind, name, status), answer)
 			}
 			checkGolden(t, kind+"-fleet", api.report(QueryFleet))
@@ -69,7 +69,7 @@
 }
 
 func TestGoldenSnapshot(t *testing.T) {
-	Convey("Binding sets and writer roles are written with the bytes that were recorded", t, func() {
+	Convey("Binding sets and writer roles in answers match their golden files", t, func() {
 		binding := model.Binding{Name: "b", Database: "db", Freshness: 1500 * time.Millisecond, Priority: 2, MaxAttempts: 3}
 		snapshot := model.Snapshot{
 			Sets: []model.BindingSet{{Sequence: 4, Bindings: []model.Binding{binding}, EffectiveAt: 9_000_000, Version: 3}, {Sequence: 5}},
@@ -93,7 +93,7 @@
 
 func TestAPI(t *testing.T) {
 	apis := newAPIs(t)
-	Convey("Both kinds of data plane give the same answers, and one without a lease is not ready and says why", t, func() {
+	Convey("Both kinds of data plane give the same answers; without a lease they are not ready and state the reason", t, func() {
 		for _, kind := range slices.Sorted(maps.Keys(apis)) {
 			api := apis[kind]
 			api.QueueDepths = func(time.Duration) map[string]int { return map[string]int{"line": 3} }
--- a/internal/app/admin/calls.go
+++ b/internal/app/admin/calls.go
@@ -8,15 +8,15 @@
 	"tansyseam/internal/app/node"
 )
 
-// HandleRead serves a call that takes no arguments and changes nothing. The
-// function gives the HTTP status and the body of the answer, as for
-// node.CallHandler.
-func HandleRead(to *node.Node, path string, read func() (status int, answer any)) {
-	to.HandleCall(path, func(*fastjson.Value, []byte, *http.Request) (int, any) { return read() })
+// HandleRead registers the handler of a call that takes no arguments and changes
+// nothing. The function read returns the HTTP status and the body of the answer,
+// as a node.CallHandler does.
+func HandleRead(n *node.Node, path string, read func() (status int, answer any)) {
+	n.HandleCall(path, func(*fastjson.Value, []byte, *http.Request) (int, any) { return read() })
 }
 
-// HandleForwarded serves an operator's call by forwarding it to the control
-// primary, whose answer it gives.
-func HandleForwarded(to *node.Node, path string) {
-	to.HandleCall(path, func(_ *fastjson.Value, body []byte, _ *http.Request) (int, any) { return to.ForwardCall(path, body) })
+// HandleForwarded registers a handler that forwards an operator's call to the
+// control primary and returns the primary's answer.
+func HandleForwarded(n *node.Node, path string) {
+	n.HandleCall(path, func(_ *fastjson.Value, body []byte, _ *http.Request) (int, any) { return n.ForwardCall(path, body) })
 }
--- a/internal/app/bootstrap/bootstrap.go
+++ b/internal/app/bootstrap/bootstrap.go
@@ -17,45 +17,45 @@
 
 // Exit codes of the programs.
 const (
-	// ExitOK is given after a shutdown on a signal, or a check of settings that
-	// are good.
+	// ExitOK is the exit code after a shutdown on a signal, or after a check of
+	// valid settings.
 	ExitOK = 0
-	// ExitFailure is given where a program cannot start, or a query is not
+	// ExitFailure is the exit code if a program cannot start, or a query is not
 	// answered in full.
 	ExitFailure = 1
-	// ExitBadConfig is given where arguments, settings or a query cannot be
-	// used.
+	// ExitBadConfig is the exit code if arguments, settings or a query are
+	// invalid.
 	ExitBadConfig = 2
-	// ExitBadDataDir is given where the program cannot be opened on its node: for
-	// the control plane, where its data directory cannot be used.
+	// ExitBadDataDir is the exit code if the daemon cannot be opened on its node.
+	// For the control plane this means that its data directory cannot be used.
 	ExitBadDataDir = 3
 )
 
 const (
-	// signalQueueSize is how many signals may wait to be handled.
+	// signalQueueSize is the number of signals that can wait to be handled.
 	signalQueueSize = 4
-	// fileCheckInterval is how often the configuration file is looked at.
+	// fileCheckInterval is how often the configuration file is checked for
+	// changes.
 	fileCheckInterval = 500 * time.Millisecond
 	// countersLogInterval is how often the counters are logged.
 	countersLogInterval = 5 * time.Second
 )
 
-// Daemon is a program that was opened on a node.
+// Daemon is a program opened on a node.
 type Daemon struct {
-	// Start begins to act; the node was started before.
+	// Start starts the daemon. It is called after the node has started.
 	Start func() error
-	// Drain finishes what is in flight.
+	// Drain finishes the work in flight before a shutdown.
 	Drain func()
 }
 
 // OpenFunc opens a daemon on a node that has not started yet.
 type OpenFunc func(*node.Node, config.Config) (Daemon, error)
 
-// kinds are the kinds of node that the programs run, as the nodes name them to
-// each other.
+// kinds is the kind of node of each program, as sent in messages between nodes.
 var kinds = map[config.Program]string{config.Proxy: model.KindProxy, config.Control: model.KindControl}
 
-// Main runs a daemon until a signal stops it, and gives its exit code.
+// Main runs a daemon until a signal stops it, and returns the exit code.
 func Main(program config.Program, args []string, open OpenFunc) int {
 	DisableEngineLog()
 	cfg, err := config.Parse(program, args)
@@ -64,11 +64,11 @@
 		return ExitBadConfig
 	}
 	if cfg.CheckOnly {
-		fmt.Printf("%s: settings are good\n", program)
+		fmt.Printf("%s: settings are valid\n", program)
 		return ExitOK
 	}
 	logger := newLogger(program, cfg)
-	// Signals that come during the start wait until it is over.
+	// Signals that arrive during the start are queued until it has finished.
 	signals := make(chan os.Signal, signalQueueSize)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	node, daemon, err := start(program, cfg, logger, open)
@@ -77,23 +77,23 @@
 		return exitCode(err)
 	}
 	run(node, daemon, newReloader(program, args, node, logger), signals)
-	logger.Info("counters at the end", "counts", node.Counters.Snapshot())
+	logger.Info("final counters", "counts", node.Counters.Snapshot())
 	node.Stop()
 	return ExitOK
 }
 
-// reportInvalid writes each reason against a configuration on a line.
+// reportInvalid writes each reason why a configuration is invalid on its own line.
 func reportInvalid(program config.Program, err error) {
 	for _, reason := range config.Reasons(err) {
 		fmt.Fprintf(os.Stderr, "%s: %s\n", program, reason)
 	}
 }
 
-// errNotOpened says that the daemon could not be opened.
+// errNotOpened is returned when the daemon could not be opened.
 const errNotOpened = errors.ConstError("daemon not opened")
 
 // start opens the daemon on a new node and starts both. Its error is
-// errNotOpened where the daemon could not be opened.
+// errNotOpened if the daemon could not be opened.
 func start(program config.Program, cfg config.Config, logger hclog.Logger, open OpenFunc) (*node.Node, Daemon, error) {
 	node, err := node.New(kinds[program], cfg, logger)
 	if err != nil {
@@ -119,7 +119,7 @@
 	return ExitFailure
 }
 
-// run serves until a signal to stop has come and the daemon is drained.
+// run serves until a stop signal arrives, and then drains the daemon.
 func run(node *node.Node, daemon Daemon, reloader *reloader, signals <-chan os.Signal) {
 	node.Workers.Loop(nil, fileCheckInterval, reloader.checkFile)
 	node.Workers.Loop(nil, countersLogInterval, func() {
@@ -129,8 +129,8 @@
 	daemon.Drain()
 }
 
-// awaitStop returns once a signal to stop has come, and reloads on each SIGHUP
-// before.
+// awaitStop returns when a stop signal arrives. Until then it calls reload for
+// each SIGHUP.
 func awaitStop(signals <-chan os.Signal, reload func()) {
 	for received := range signals {
 		if received != syscall.SIGHUP {
--- a/internal/app/bootstrap/bootstrap_test.go
+++ b/internal/app/bootstrap/bootstrap_test.go
@@ -23,7 +23,7 @@
 }
 
 func TestExitCodes(t *testing.T) {
-	Convey("A configuration that cannot be used, a check, and a program that cannot be opened have exit codes of their own", t, func() {
+	Convey("An invalid configuration, a check of a valid one, and a daemon that cannot be opened each have a distinct exit code", t, func() {
 		opened := 0
 		open := func(*node.Node, config.Config) (Daemon, error) {
 			opened++
@@ -38,71 +38,71 @@
 	})
 }
 
-// newTestReloader makes the reloader of a proxy with the arguments given beside
-// those that are required, and gives it with its node.
+// newTestReloader returns a proxy's node and reloader. The arguments are added to
+// the required ones.
 func newTestReloader(args ...string) (*node.Node, *reloader) {
 	args = append(args, validArgs...)
 	cfg, err := config.Parse(config.Proxy, args)
 	So(err, ShouldBeNil)
-	host, err := node.New(model.KindProxy, cfg, hclog.NewNullLogger())
+	n, err := node.New(model.KindProxy, cfg, hclog.NewNullLogger())
 	So(err, ShouldBeNil)
-	return host, newReloader(config.Proxy, args, host, hclog.NewNullLogger())
+	return n, newReloader(config.Proxy, args, n, hclog.NewNullLogger())
 }
 
 func TestReload(t *testing.T) {
-	Convey("A changed file is applied but for what needs a restart, flags stay over it, and a file with a fault changes nothing", t, func() {
+	Convey("A reload applies the reloadable settings of a changed file; flags take precedence, and an invalid file changes nothing", t, func() {
 		file := filepath.Join(t.TempDir(), "settings.json")
 		write := func(format string, arguments ...any) {
 			So(os.WriteFile(file, fmt.Appendf(nil, format, arguments...), 0o600), ShouldBeNil)
 		}
 		write(`{"weight":1,"log_level":"info"}`)
-		host, reloader := newTestReloader("--config", file, "--log-level=warn")
+		n, reloader := newTestReloader("--config", file, "--log-level=warn")
 
 		reloader.checkFile()
-		So(host.Counters.Snapshot(), ShouldBeEmpty)
+		So(n.Counters.Snapshot(), ShouldBeEmpty)
 
 		write(`{"weight":3,"log_level":"debug","log_json":true}`)
 		reloader.checkFile()
-		So(host.Config().Weight, ShouldEqual, 3)
-		So(host.Config().LogLevel, ShouldEqual, "warn")
-		So(host.Config().LogJSON, ShouldBeFalse)
-		So(host.Counters.Snapshot(), ShouldResemble, map[string]int64{"settings_taken": 1, "settings_need_restart": 1})
+		So(n.Config().Weight, ShouldEqual, 3)
+		So(n.Config().LogLevel, ShouldEqual, "warn")
+		So(n.Config().LogJSON, ShouldBeFalse)
+		So(n.Counters.Snapshot(), ShouldResemble, map[string]int64{"settings_taken": 1, "settings_need_restart": 1})
 
 		write(`{"weight":3000}`)
 		reloader.checkFile()
 		reloader.checkFile()
-		So(host.Config().Weight, ShouldEqual, 3)
-		So(host.Counters.Snapshot()["settings_refused"], ShouldEqual, 1)
+		So(n.Config().Weight, ShouldEqual, 3)
+		So(n.Counters.Snapshot()["settings_refused"], ShouldEqual, 1)
 	})
 }
 
 func TestReloadsDoNotOverlap(t *testing.T) {
-	Convey("A change that a signal and the check of the file notice at the same time is applied once", t, func() {
+	Convey("A change that a signal and the file check detect at the same time is applied once", t, func() {
 		file := filepath.Join(t.TempDir(), "settings.json")
 		write := func(weight int) {
 			So(os.WriteFile(file, fmt.Appendf(nil, `{"weight":%d}`, weight), 0o600), ShouldBeNil)
 		}
 		write(1)
-		host, reloader := newTestReloader("--config", file)
+		n, reloader := newTestReloader("--config", file)
 		const changes = 50
 		for change := range changes {
 			write(change + 2)
-			var both sync.WaitGroup
-			for _, notice := range []func(){reloader.checkFile, func() { reloader.reload("signal") }} {
-				both.Add(1)
-				host.Workers.Go(func() {
-					defer both.Done()
-					notice()
+			var reloads sync.WaitGroup
+			for _, triggerReload := range []func(){reloader.checkFile, func() { reloader.reload("signal") }} {
+				reloads.Add(1)
+				n.Workers.Go(func() {
+					defer reloads.Done()
+					triggerReload()
 				})
 			}
-			both.Wait()
+			reloads.Wait()
 		}
-		So(host.Counters.Snapshot()["settings_taken"], ShouldEqual, changes)
+		So(n.Counters.Snapshot()["settings_taken"], ShouldEqual, changes)
 	})
 }
 
 func TestAwaitStop(t *testing.T) {
-	Convey("SIGTERM and SIGINT end the wait, SIGHUP reloads, and signals behind the one that ends it are left", t, func() {
+	Convey("SIGTERM and SIGINT end the wait, SIGHUP before them reloads, and later signals stay in the queue", t, func() {
 		for _, stop := range []os.Signal{syscall.SIGTERM, syscall.SIGINT} {
 			signals := make(chan os.Signal, signalQueueSize)
 			for _, sent := range []os.Signal{syscall.SIGHUP, syscall.SIGHUP, stop, syscall.SIGHUP} {
--- a/internal/app/bootstrap/logger.go
+++ b/internal/app/bootstrap/logger.go
@@ -9,25 +9,25 @@
 	"tansyseam/internal/app/config"
 )
 
-// newLogger makes the program's log, which is written to standard error.
+// newLogger returns the program's logger, which writes to standard error.
 func newLogger(program config.Program, cfg config.Config) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{
 		Name: string(program), Level: hclog.LevelFromString(cfg.LogLevel), JSONFormat: cfg.LogJSON, Output: os.Stderr,
 	})
 }
 
-// DisableEngineLog drops the log lines of the network engine: they report its
-// own starts and stops, no change of state.
-func DisableEngineLog() { logging.SetLogger(silentLogger{}) }
+// DisableEngineLog discards the log lines of the network engine (nbio), because
+// they report only its own starts and stops and no change of a node's state.
+func DisableEngineLog() { logging.SetLogger(discardLogger{}) }
 
-type silentLogger struct{}
+type discardLogger struct{}
 
-func (silentLogger) SetLevel(int) {}
+func (discardLogger) SetLevel(int) {}
 
-func (silentLogger) Debug(string, ...any) {}
+func (discardLogger) Debug(string, ...any) {}
 
-func (silentLogger) Info(string, ...any) {}
+func (discardLogger) Info(string, ...any) {}
 
-func (silentLogger) Warn(string, ...any) {}
+func (discardLogger) Warn(string, ...any) {}
 
-func (silentLogger) Error(string, ...any) {}
+func (discardLogger) Error(string, ...any) {}
--- a/internal/app/bootstrap/reload.go
+++ b/internal/app/bootstrap/reload.go
@@ -12,16 +12,16 @@
 // reloader applies changes of the configuration file to a running node.
 type reloader struct {
 	program config.Program
-	// flagValues are those of the command line, which take precedence over the
-	// file.
+	// flagValues are the settings given on the command line. They take
+	// precedence over the file.
 	flagValues map[string]string
 	node       *node.Node
 	logger     hclog.Logger
 
-	// mutex has one reload end before the next: those on a signal and those on a
-	// changed file are made by different goroutines.
+	// mutex serializes reloads, because different goroutines reload on a signal
+	// and on a changed file.
 	mutex sync.Mutex
-	// fingerprint is that of the file when it was last read.
+	// fingerprint is the digest of the file when it was last read.
 	fingerprint string
 }
 
@@ -45,28 +45,28 @@
 	}
 }
 
-// reload applies the settings of the file that may change while the node runs.
-// A file with any fault changes nothing. The trigger is named in the log.
+// reload applies those settings of the file that can change while the node runs.
+// An invalid file changes nothing. The trigger appears in the log.
 func (r *reloader) reload(trigger string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.reloadLocked(trigger)
 }
 
-// reloadLocked does the same for a caller that holds the mutex.
+// reloadLocked does the work of reload. The caller holds the mutex.
 func (r *reloader) reloadLocked(trigger string) {
 	old := r.node.Config()
 	r.fingerprint = config.Fingerprint(old.File)
 	loaded, err := config.Load(r.program, old.File, r.flagValues)
 	if err != nil {
 		r.node.Counters.Add("settings_refused", 1)
-		r.logger.Warn("settings rejected, the old ones stay in force", "trigger", trigger, "reasons", config.Reasons(err))
+		r.logger.Warn("settings rejected; keeping the current settings", "trigger", trigger, "reasons", config.Reasons(err))
 		return
 	}
-	live, fixed := config.Diff(r.program, old, loaded)
-	if len(fixed) > 0 {
+	live, needRestart := config.Diff(r.program, old, loaded)
+	if len(needRestart) > 0 {
 		r.node.Counters.Add("settings_need_restart", 1)
-		r.logger.Warn("settings that need a restart stay as they were", "names", fixed)
+		r.logger.Warn("changed settings need a restart; keeping their current values", "names", needRestart)
 	}
 	if len(live) == 0 {
 		return
--- a/internal/app/config/arguments.go
+++ b/internal/app/config/arguments.go
@@ -5,27 +5,26 @@
 	"github.com/juju/errors"
 )
 
-// arguments are what the arguments of a program say.
+// arguments holds the parsed command-line arguments of a program.
 type arguments struct {
-	// file is the settings file; empty for none.
+	// file is the path of the settings file, or empty if there is none.
 	file string
-	// checkOnly says that the program is to end once the configuration was
-	// checked.
+	// checkOnly is true if the program exits after checking the configuration.
 	checkOnly bool
-	// flagValues are the texts of the settings that are given as flags, by the
+	// flagValues holds the text of each setting that is given as a flag, by the
 	// setting's name. A flag with an empty text counts as not given.
 	flagValues map[string]string
 }
 
-// parseArguments reads the arguments of a program. Where they ask for help or
-// the version, or name an unknown flag, it ends the process as flaggy does.
+// parseArguments parses the arguments of a program. If they ask for help or the
+// version, or contain an unknown flag, flaggy ends the process.
 func parseArguments(program Program, args []string) (arguments, error) {
 	parser := flaggy.NewParser(string(program))
 	parser.Description = descriptions[program]
 	parser.Version = Version
 	parsed := arguments{flagValues: map[string]string{}}
 	parser.String(&parsed.file, "c", "config", "settings file (JSON)")
-	parser.Bool(&parsed.checkOnly, "", "check", "check the settings, say what is wrong, and end")
+	parser.Bool(&parsed.checkOnly, "", "check", "check the settings, print every error, and exit")
 	values := map[string]*string{}
 	for _, s := range settingsOf(program) {
 		values[s.name] = new(string)
@@ -42,10 +41,10 @@
 	return parsed, nil
 }
 
-// FlagValues gives the values of the flags among arguments that Parse has read,
-// by setting. They take precedence over the file on a reload too.
+// FlagValues returns the values of the flags in args, by setting. Parse must have
+// accepted args before. The values take precedence over the file on a reload too.
 func FlagValues(program Program, args []string) map[string]string {
-	// Parse gave the error, if there is one.
+	// The error is ignored: Parse has already returned it, if there is one.
 	parsed, _ := parseArguments(program, args)
 	return parsed.flagValues
 }
--- a/internal/app/config/config_test.go
+++ b/internal/app/config/config_test.go
@@ -24,28 +24,28 @@
 		}
 		return path
 	}
-	Convey("Valid flags are accepted, and the advertised addresses default to those listened on", t, func() {
+	Convey("Valid flags are accepted, and the advertised addresses default to the listen addresses", t, func() {
 		loaded, err := Load(Proxy, "", validFlags)
 		So(err, ShouldBeNil)
 		So(loaded.AdvertiseRPCAddress, ShouldEqual, "127.0.0.1:1")
 		So(loaded.Weight, ShouldEqual, 1)
 	})
-	Convey("Every failure in file and flags is reported at once", t, func() {
+	Convey("All errors in the file and in the flags are reported together", t, func() {
 		file := write(`{"name":"bad name","zone":1,"disks":4,"seeds":["127.0.0.1:1","nowhere"],"link":"host:1","extra":true,"weight":{},"link":"x"}`)
 		_, err := Load(Control, file, map[string]string{"disks": "many", "log_level": "loud"})
-		all := strings.Join(Reasons(err), "\n")
+		reasons := strings.Join(Reasons(err), "\n")
 		for _, part := range []string{"/name", "/extra", "/link", "/seeds", "--disks", "/data", "/platform", "/log_level", "/door", "twice", "/weight: no such setting of tansyseam-control"} {
-			So(all, ShouldContainSubstring, part)
+			So(reasons, ShouldContainSubstring, part)
 		}
 		So(len(Reasons(err)), ShouldBeGreaterThanOrEqualTo, 10)
 	})
-	Convey("A file that is no JSON object, or that is missing, is reported", t, func() {
+	Convey("A file that is missing or is not a JSON object is an error", t, func() {
 		_, err := Load(Proxy, write(`[1]`), validFlags)
 		So(Reasons(err)[0], ShouldContainSubstring, "one object")
 		_, err = Load(Proxy, filepath.Join(t.TempDir(), "none"), validFlags)
 		So(err, ShouldNotBeNil)
 	})
-	Convey("Flags take precedence over the file, also on a reload", t, func() {
+	Convey("Flags take precedence over the file, on a reload too", t, func() {
 		file := write(`{"weight":3,"zone":"zz"}`)
 		loaded, err := Load(Proxy, file, validFlags)
 		So(err, ShouldBeNil)
@@ -53,30 +53,30 @@
 		So(loaded.Zone, ShouldEqual, "za")
 		So(FlagValues(Proxy, []string{"--zone", "za", "--weight=2", "--check"}), ShouldResemble, map[string]string{"zone": "za", "weight": "2"})
 	})
-	Convey("A change is split into what may change while running and what needs a restart", t, func() {
+	Convey("Changed settings are split into those that can change at run time and those that need a restart", t, func() {
 		old, _ := Load(Proxy, "", validFlags)
 		new := old
 		new.Weight, new.Zone, new.LogLevel = 4, "zb", "debug"
-		live, fixed := Diff(Proxy, old, new)
+		live, needRestart := Diff(Proxy, old, new)
 		So(live, ShouldResemble, []string{"weight", "log_level"})
-		So(fixed, ShouldResemble, []string{"zone"})
-		adopted := ApplyLive(Proxy, old, new)
-		So(adopted.Weight, ShouldEqual, 4)
-		So(adopted.Zone, ShouldEqual, "za")
+		So(needRestart, ShouldResemble, []string{"zone"})
+		applied := ApplyLive(Proxy, old, new)
+		So(applied.Weight, ShouldEqual, 4)
+		So(applied.Zone, ShouldEqual, "za")
 	})
 }
 
 func TestFlagsOfReload(t *testing.T) {
-	var fixed []string
+	var requiredArgs []string
 	for name, value := range validFlags {
-		fixed = append(fixed, "--"+name, value)
+		requiredArgs = append(requiredArgs, "--"+name, value)
 	}
-	for _, given := range [][]string{
+	for _, flags := range [][]string{
 		{"--weight", "2"}, {"--weight=2"}, {"-weight", "2"}, {"-weight=2"}, {"--weight=3", "--weight", "2"},
 		{"--weight=2", "--log-level="}, {"--check", "--weight", "2"},
 	} {
-		Convey("A reload reads the flags as the start did: "+strings.Join(given, " "), t, func() {
-			args := append(slices.Clone(fixed), given...)
+		Convey("A reload parses the flags in the same way as the start of the program: "+strings.Join(flags, " "), t, func() {
+			args := append(slices.Clone(requiredArgs), flags...)
 			started, err := Parse(Proxy, args)
 			So(err, ShouldBeNil)
 			So(started.Weight, ShouldEqual, 2)
@@ -89,27 +89,27 @@
 }
 
 func TestDurationBounds(t *testing.T) {
-	Convey("Durations are read in the unit that their name gives, have defaults, and must lie within their bounds", t, func() {
+	Convey("Durations have defaults, are parsed in the unit in their name, and must be within their bounds", t, func() {
 		loaded, err := Load(Proxy, "", validFlags)
 		So(err, ShouldBeNil)
 		So([]time.Duration{loaded.ShutdownGrace, loaded.InstanceDrain}, ShouldResemble, []time.Duration{6 * time.Second, 7 * time.Second})
-		given := maps.Clone(validFlags)
-		given["grace_s"], given["drain_ms"] = "4.5", "5000"
-		loaded, err = Load(Proxy, "", given)
+		flags := maps.Clone(validFlags)
+		flags["grace_s"], flags["drain_ms"] = "4.5", "5000"
+		loaded, err = Load(Proxy, "", flags)
 		So(err, ShouldBeNil)
 		So([]time.Duration{loaded.ShutdownGrace, loaded.InstanceDrain}, ShouldResemble, []time.Duration{4500 * time.Millisecond, 5 * time.Second})
-		given["grace_s"], given["drain_ms"] = "1", "soon"
-		_, err = Load(Proxy, "", given)
-		all := strings.Join(Reasons(err), "\n")
-		So(all, ShouldContainSubstring, "/grace_s: must be")
-		So(all, ShouldContainSubstring, "--drain-ms: not a number")
+		flags["grace_s"], flags["drain_ms"] = "1", "soon"
+		_, err = Load(Proxy, "", flags)
+		reasons := strings.Join(Reasons(err), "\n")
+		So(reasons, ShouldContainSubstring, "/grace_s: must be")
+		So(reasons, ShouldContainSubstring, "--drain-ms: not a number")
 		_, err = Load(Control, "", map[string]string{"in_force_ms": "1000"})
 		So(strings.Join(Reasons(err), "\n"), ShouldContainSubstring, "/in_force_ms: must be")
 	})
 }
 
 func TestSettingsAreDocumented(t *testing.T) {
-	Convey("Every setting has a help text, and a row in docs/settings.md that names it first", t, func() {
+	Convey("Every setting has a help text and a row in docs/settings.md with the name in its first column", t, func() {
 		page, err := os.ReadFile("../../../docs/settings.md")
 		So(err, ShouldBeNil)
 		documented := map[string]bool{}
--- a/internal/app/config/errors.go
+++ b/internal/app/config/errors.go
@@ -7,11 +7,11 @@
 	"go.uber.org/multierr"
 )
 
-// ErrInvalid says that a configuration cannot be used.
+// ErrInvalid is returned when a configuration is invalid.
 const ErrInvalid = errors.ConstError("settings cannot be used")
 
-// InvalidError is the error of a configuration that cannot be used, with every
-// reason. It comes as an ErrInvalid.
+// InvalidError lists every reason why a configuration is invalid. Parse and Load
+// return it as an ErrInvalid.
 type InvalidError struct{ Reasons []string }
 
 func (e *InvalidError) Error() string {
@@ -26,7 +26,7 @@
 	return errors.WithType(invalid, ErrInvalid)
 }
 
-// Reasons lists every reason behind an error of Parse or Load.
+// Reasons returns every reason behind an error of Parse or Load.
 func Reasons(err error) []string {
 	var invalid *InvalidError
 	if errors.As(err, &invalid) {
--- a/internal/app/config/load.go
+++ b/internal/app/config/load.go
@@ -11,14 +11,14 @@
 	"tansyseam/internal/protocol/schema"
 )
 
-// Reasons why a value in the file cannot be taken.
+// Reasons why a value in the file is invalid.
 const (
 	errNotList   = errors.ConstError("list must hold strings")
 	errNotScalar = errors.ConstError("must be a string, number, boolean or list of strings")
 )
 
 // Parse reads the arguments of a program, then the file that they name. Its
-// errors are ErrInvalid; Reasons lists what is behind them.
+// errors are ErrInvalid; Reasons returns their causes.
 func Parse(program Program, args []string) (Config, error) {
 	parsed, err := parseArguments(program, args)
 	if err != nil {
@@ -29,9 +29,9 @@
 	return loaded, err
 }
 
-// Load reads the file, where one is named, applies the values of flags over it,
-// and checks the outcome. Its errors are ErrInvalid; Reasons lists what is
-// behind them.
+// Load reads the file, unless its name is empty, applies the flags, which take
+// precedence, and validates the configuration. Its errors are ErrInvalid;
+// Reasons returns their causes.
 func Load(program Program, file string, flags map[string]string) (Config, error) {
 	loaded := defaults()
 	loaded.File = file
@@ -57,21 +57,21 @@
 	return loaded, nil
 }
 
-func applyFlags(program Program, to *Config, flags map[string]string) error {
+func applyFlags(program Program, cfg *Config, flags map[string]string) error {
 	var failures error
 	for _, s := range settingsOf(program) {
-		value, given := flags[s.name]
-		if !given {
+		value, found := flags[s.name]
+		if !found {
 			continue
 		}
-		if err := s.parse(to, value); err != nil {
+		if err := s.parse(cfg, value); err != nil {
 			failures = multierr.Append(failures, errors.Errorf("--%s: %v", s.flag(), err))
 		}
 	}
 	return failures
 }
 
-func applyFile(program Program, to *Config, data []byte) error {
+func applyFile(program Program, cfg *Config, data []byte) error {
 	value, err := fastjson.ParseBytes(data)
 	if err != nil {
 		return errors.Annotate(err, "settings file is not JSON")
@@ -82,7 +82,7 @@
 	}
 	failures := duplicateKeys(value)
 	object.Visit(func(key []byte, item *fastjson.Value) {
-		if err := applyField(program, to, string(key), item); err != nil {
+		if err := applyField(program, cfg, string(key), item); err != nil {
 			failures = multierr.Append(failures, errors.Errorf("/%s: %v", key, err))
 		}
 	})
@@ -99,19 +99,19 @@
 	return failures
 }
 
-func applyField(program Program, to *Config, name string, item *fastjson.Value) error {
-	s, known := findSetting(program, name)
-	if !known {
+func applyField(program Program, cfg *Config, name string, item *fastjson.Value) error {
+	s, found := findSetting(program, name)
+	if !found {
 		return errors.Errorf("no such setting of %s", program)
 	}
 	text, err := scalarText(item)
 	if err != nil {
 		return err
 	}
-	return s.parse(to, text)
+	return s.parse(cfg, text)
 }
 
-// scalarText gives a value of the file in the form that flags have.
+// scalarText returns a value of the file in the text form that flags use.
 func scalarText(item *fastjson.Value) (string, error) {
 	if list, err := item.Array(); err == nil {
 		var texts []string
--- a/internal/app/config/program.go
+++ b/internal/app/config/program.go
@@ -1,9 +1,9 @@
 package config
 
-// Version is that of the build, set by the linker.
+// Version is the version of the build. The linker sets it.
 var Version = "dev"
 
-// Program is a program that is configured by this package.
+// Program is the name of a program that this package configures.
 type Program string
 
 // The programs.
@@ -13,6 +13,6 @@
 )
 
 var descriptions = map[Program]string{
-	Proxy:   "tansyseam's data plane: sessions in, capped connections out",
-	Control: "tansyseam's control plane: bindings, epochs, the writer role",
+	Proxy:   "tansyseam data plane: routes client sessions over a limited number of connections",
+	Control: "tansyseam control plane: manages bindings, epochs and writer roles",
 }
--- a/internal/app/config/reload.go
+++ b/internal/app/config/reload.go
@@ -6,10 +6,10 @@
 	"os"
 )
 
-// Diff compares a loaded configuration with the one in force, and names the
-// settings that differ: those that may change while the program runs, and those
-// that need a restart.
-func Diff(program Program, old, loaded Config) (live, fixed []string) {
+// Diff compares a loaded configuration with the one in force. It returns the names
+// of the settings that differ: those that can change while the program runs, and
+// those that need a restart.
+func Diff(program Program, old, loaded Config) (live, needRestart []string) {
 	for _, s := range settingsOf(program) {
 		if s.format(old) == s.format(loaded) {
 			continue
@@ -18,25 +18,25 @@
 			live = append(live, s.name)
 			continue
 		}
-		fixed = append(fixed, s.name)
+		needRestart = append(needRestart, s.name)
 	}
-	return live, fixed
+	return live, needRestart
 }
 
-// ApplyLive gives the old configuration with those settings of the loaded one
-// that may change while the program runs.
+// ApplyLive returns the old configuration, updated with those settings of the
+// loaded one that can change while the program runs.
 func ApplyLive(program Program, old, loaded Config) Config {
 	for _, s := range settingsOf(program) {
 		if s.reloadable {
-			// What format writes, parse reads.
+			// The error is ignored: parse accepts every text that format writes.
 			_ = s.parse(&old, s.format(loaded))
 		}
 	}
 	return old
 }
 
-// Fingerprint gives a digest of a file, by which a change is noticed; it is
-// empty where the file cannot be read.
+// Fingerprint returns a digest of a file, which changes if the content does. It is
+// empty if the file cannot be read.
 func Fingerprint(file string) string {
 	data, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/app/config/setting.go
+++ b/internal/app/config/setting.go
@@ -8,42 +8,42 @@
 	"github.com/juju/errors"
 )
 
-// Reasons why the text of a setting cannot be read.
+// Reasons why the text of a setting cannot be parsed.
 const (
 	errNotInteger = errors.ConstError("not a whole number")
 	errNotNumber  = errors.ConstError("not a number")
 	errNotBoolean = errors.ConstError("not true or false")
 )
 
-// setting is one setting. A new one is a row of the table settings, with a
-// constraint in validate.go if not every value will do, and a row in
-// docs/settings.md.
+// setting describes one setting. To add a setting, add a row to the table settings
+// and a row in docs/settings.md, and a constraint in validate.go if not every value
+// is valid.
 type setting struct {
-	// name is its key in the file.
+	// name is the setting's key in the file.
 	name string
-	// programs have the setting.
+	// programs are the programs that have the setting.
 	programs []Program
-	// help says in a line, with the unit, what the setting is.
+	// help describes the setting in one line, with its unit.
 	help string
-	// reloadable says that a change is taken while the program runs.
+	// reloadable is true if the setting can change while the program runs.
 	reloadable bool
-	// parse reads a text into the field of a configuration.
+	// parse parses a text and sets the field of a configuration to the value.
 	parse func(c *Config, value string) error
-	// format writes the field as a text that parse reads.
+	// format returns the field's value as a text that parse accepts.
 	format func(Config) string
 }
 
-// flag is the setting's name on the command line, without the dashes.
+// flag returns the setting's name on the command line, without the leading dashes.
 func (s setting) flag() string { return strings.ReplaceAll(s.name, "_", "-") }
 
-// reloadable marks a setting whose change is taken while the program runs.
+// reloadable marks a setting as one that can change while the program runs.
 func reloadable(s setting) setting {
 	s.reloadable = true
 	return s
 }
 
-// newSetting makes the setting of one field. An error of parse is the reason why
-// a text cannot be read.
+// newSetting returns the setting of one field. An error of parse is the reason why
+// a text cannot be parsed.
 func newSetting[T any](
 	programs []Program, name, help string, field func(*Config) *T, parse func(string) (T, error), format func(T) string,
 ) setting {
@@ -62,8 +62,8 @@
 }
 
 func stringSetting(programs []Program, name, help string, field func(*Config) *string) setting {
-	same := func(text string) string { return text }
-	return newSetting(programs, name, help, field, func(text string) (string, error) { return text, nil }, same)
+	identity := func(text string) string { return text }
+	return newSetting(programs, name, help, field, func(text string) (string, error) { return text, nil }, identity)
 }
 
 func modeSetting(programs []Program, name, help string, field func(*Config) *Mode) setting {
@@ -71,7 +71,7 @@
 	return newSetting(programs, name, help, field, parse, func(mode Mode) string { return string(mode) })
 }
 
-// listSetting is a list of texts with commas between.
+// listSetting returns the setting of a comma-separated list.
 func listSetting(programs []Program, name, help string, field func(*Config) *[]string) setting {
 	join := func(items []string) string { return strings.Join(items, ",") }
 	return newSetting(programs, name, help, field, parseList, join)
@@ -113,7 +113,8 @@
 
 func formatFloat(number float64) string { return strconv.FormatFloat(number, 'g', -1, 64) }
 
-// durationSetting is a duration whose text is a number of units.
+// durationSetting returns the setting of a duration, whose text is a number in the
+// given unit.
 func durationSetting(programs []Program, name, help string, unit time.Duration, field func(*Config) *time.Duration) setting {
 	parse := func(text string) (time.Duration, error) {
 		number, err := parseFloat(text)
