--- a/internal/app/dataplane/control_client.go
+++ b/internal/app/dataplane/control_client.go
@@ -10,41 +10,46 @@
 )
 
 const (
-	// updateRetryDelay is the time between an update request that no primary
-	// answered and the next one.
+	// updateRetryDelay is the delay before the next update request if no primary
+	// answered the last one.
 	updateRetryDelay = 30 * time.Millisecond
-	// deferralPollInterval is the time between two checks whether a deferred
-	// update request may be sent.
+	// deferralPollInterval is how often the client checks whether it may send a
+	// deferred update request.
 	deferralPollInterval = 10 * time.Millisecond
 )
 
-// Machine is a proxy's state machine, as far as the control primary is
-// concerned. Its methods are called within ControlClientConfig.Apply only.
+// Machine is the part of a proxy's state machine that handles the exchange with
+// the control primary. Its methods are called within ControlClientConfig.Apply
+// only.
 type Machine interface {
 	// UpdateRequest returns the next request for an update.
 	UpdateRequest(now time.Duration) distribution.UpdateRequest
-	// ApplyUpdate takes the answer to a request that was sent at a time.
+	// ApplyUpdate applies the answer to a request; sent is the time at which the
+	// request was sent.
 	ApplyUpdate(update distribution.Update, sent, now time.Duration)
-	// Observations returns what a report between two update requests says.
+	// Observations returns the content of a report that is sent between two
+	// update requests.
 	Observations(now time.Duration) distribution.NodeReport
 }
 
-// ControlClientConfig is what a ControlClient needs of its proxy.
+// ControlClientConfig holds the dependencies and settings of a ControlClient.
 type ControlClientConfig struct {
 	Machine Machine
-	// Apply hands one event to the machine, under the proxy's lock, and carries
-	// out its effects.
+	// Apply passes one event to the machine, under the proxy's lock, and executes
+	// the machine's effects.
 	Apply func(event func(now time.Duration))
-	// DeferRequest says whether the next update request has to wait. It is
-	// called within Apply; nil stands for a proxy whose requests never wait.
+	// DeferRequest reports whether the next update request has to wait. It is
+	// called within Apply. It is nil if the proxy's requests never wait.
 	DeferRequest func(now time.Duration) bool
 	// UpdateTimeout bounds the wait for the answer to one update request.
 	UpdateTimeout time.Duration
-	// ReportDelay gathers what is observed within it into one report.
+	// ReportDelay is how long a scheduled report is delayed, so that one report
+	// holds all observations of that time.
 	ReportDelay time.Duration
 }
 
-// controlPlane is the control plane as a proxy's node reaches it.
+// controlPlane sends requests and reports to the control plane. The proxy's node
+// implements it.
 type controlPlane interface {
 	RequestUpdate(request distribution.UpdateRequest, search *node.PrimarySearch, timeout time.Duration) (distribution.Update, bool)
 	SendToControlPrimary(message any)
@@ -56,18 +61,18 @@
 	ControlClientConfig
 	control controlPlane
 	workers *worker.Group
-	// sleep is time.Sleep but in tests.
+	// sleep is time.Sleep, except in tests.
 	sleep           func(time.Duration)
 	reportScheduled atomic.Bool
 }
 
-// NewControlClient returns the control client of the proxy on a node.
-func NewControlClient(host *node.Node, config ControlClientConfig) *ControlClient {
-	return &ControlClient{ControlClientConfig: config, control: host, workers: host.Workers, sleep: time.Sleep}
+// NewControlClient returns the control client of the proxy on node n.
+func NewControlClient(n *node.Node, config ControlClientConfig) *ControlClient {
+	return &ControlClient{ControlClientConfig: config, control: n, workers: n.Workers, sleep: time.Sleep}
 }
 
-// PollUpdates asks the control primary for updates, one request after another,
-// until the node's workers are to stop.
+// PollUpdates requests updates from the control primary, one after another, until
+// the node's workers are stopping.
 func (c *ControlClient) PollUpdates() {
 	search := &node.PrimarySearch{}
 	for !c.workers.IsStopping() {
@@ -97,8 +102,9 @@
 	return request, ok
 }
 
-// ScheduleReport has a report sent to the control primary after ReportDelay,
-// unless one is scheduled already. It may be called with the proxy's lock held.
+// ScheduleReport schedules a report, which is sent to the control primary after
+// ReportDelay. If a report is already scheduled, it does nothing. It may be called
+// with the proxy's lock held.
 func (c *ControlClient) ScheduleReport() {
 	if c.reportScheduled.CompareAndSwap(false, true) {
 		c.workers.Go(c.sendReport)
@@ -109,8 +115,8 @@
 	c.sleep(c.ReportDelay)
 	var report distribution.NodeReport
 	c.Apply(func(now time.Duration) {
-		// What is observed from here on may be missing in this report, and needs
-		// another one.
+		// The flag is cleared before the observations are read, because this
+		// report may not include later observations. They need another report.
 		c.reportScheduled.Store(false)
 		report = c.Machine.Observations(now)
 	})
--- a/internal/app/dataplane/control_client_test.go
+++ b/internal/app/dataplane/control_client_test.go
@@ -19,24 +19,25 @@
 	eventTimeout      = time.Minute
 )
 
-// harness stands in for a proxy, its machine and its node. It notes all that a
-// control client does, in order.
+// harness replaces a proxy, its machine and its node. It records all actions of a
+// control client, in order.
 type harness struct {
 	mutex   sync.Mutex
 	trace   []string
 	workers *worker.Group
 	client  *ControlClient
 
-	// received says of each update request in turn whether it is answered; after
-	// the last the workers are stopped.
-	received []bool
-	// requestedAt, askedAt and sentAt are the times at which the last request was
-	// made and handed to the node, and at which its sender says it was sent.
-	requestedAt, askedAt, sentAt time.Duration
-	requestCount, reportCount    uint64
-	searches                     map[*node.PrimarySearch]bool
-
-	// onObservations, if set, is called within Observations.
+	// answered is whether each update request is answered, in order. The workers
+	// are stopped after the last one.
+	answered []bool
+	// requestedAt is the time at which the last request was created, passedToNodeAt
+	// the time at which it was passed to the node, and sentAt the time of sending
+	// that the client passed to ApplyUpdate.
+	requestedAt, passedToNodeAt, sentAt time.Duration
+	requestCount, reportCount           uint64
+	searches                            map[*node.PrimarySearch]bool
+
+	// onObservations is called within Observations, unless it is nil.
 	onObservations func()
 	reports        chan distribution.NodeReport
 }
@@ -54,12 +55,12 @@
 		ReportDelay:   testReportDelay,
 	})
 	h.client.control = h
-	h.client.sleep = func(duration time.Duration) { h.note("sleep %s", duration) }
+	h.client.sleep = func(duration time.Duration) { h.record("sleep %s", duration) }
 	Reset(func() { So(h.workers.Stop(eventTimeout), ShouldBeTrue) })
 	return h
 }
 
-func (h *harness) note(format string, arguments ...any) {
+func (h *harness) record(format string, arguments ...any) {
 	h.trace = append(h.trace, fmt.Sprintf(format, arguments...))
 }
 
@@ -77,7 +78,7 @@
 
 func (h *harness) ApplyUpdate(update distribution.Update, sent, _ time.Duration) {
 	h.sentAt = sent
-	h.note("apply update %d", update.Tenure)
+	h.record("apply update %d", update.Tenure)
 }
 
 func (h *harness) Observations(time.Duration) distribution.NodeReport {
@@ -89,12 +90,12 @@
 }
 
 func (h *harness) RequestUpdate(request distribution.UpdateRequest, search *node.PrimarySearch, timeout time.Duration) (distribution.Update, bool) {
-	h.askedAt = h.workers.Now()
+	h.passedToNodeAt = h.workers.Now()
 	h.searches[search] = true
-	h.note("request %d within %s", request.RequestNumber, timeout)
-	received := h.received[0]
-	h.received = h.received[1:]
-	if len(h.received) == 0 {
+	h.record("request %d within %s", request.RequestNumber, timeout)
+	received := h.answered[0]
+	h.answered = h.answered[1:]
+	if len(h.answered) == 0 {
 		h.workers.Stop(0)
 	}
 	return distribution.Update{Tenure: request.RequestNumber}, received
@@ -104,7 +105,7 @@
 	h.reports <- message.(distribution.NodeReport)
 }
 
-// nextReport waits for a report, and returns its number.
+// nextReport waits for a report and returns its number.
 func (h *harness) nextReport() uint64 {
 	report, received := worker.Receive(h.reports, time.After(eventTimeout))
 	So(received, ShouldBeTrue)
@@ -112,9 +113,9 @@
 }
 
 func TestPollUpdates(t *testing.T) {
-	Convey("One request follows another, after a delay only if the last was not answered, until the workers are to stop", t, func() {
+	Convey("The next request follows an answer at once and an unanswered request after a delay, until the workers are stopping", t, func() {
 		h := newHarness()
-		h.received = []bool{true, false, false, true}
+		h.answered = []bool{true, false, false, true}
 		h.client.PollUpdates()
 		So(h.trace, ShouldResemble, []string{
 			"request 1 within 600ms", "apply update 1",
@@ -124,15 +125,15 @@
 		})
 		So(len(h.searches), ShouldEqual, 1)
 	})
-	Convey("An update counts from after its request was made and before that was handed to the node", t, func() {
+	Convey("The sent time of an update is after its request was created and before the request was passed to the node", t, func() {
 		h := newHarness()
-		h.received = []bool{true}
+		h.answered = []bool{true}
 		h.client.PollUpdates()
-		So(h.sentAt, ShouldBeBetweenOrEqual, h.requestedAt, h.askedAt)
+		So(h.sentAt, ShouldBeBetweenOrEqual, h.requestedAt, h.passedToNodeAt)
 	})
-	Convey("A request that has to wait is not made", t, func() {
+	Convey("No request is created while requests are deferred", t, func() {
 		h := newHarness()
-		h.received = []bool{true, true}
+		h.answered = []bool{true, true}
 		deferrals := []bool{true, true, false, true, false}
 		h.client.DeferRequest = func(time.Duration) bool {
 			deferred := deferrals[0]
@@ -145,7 +146,7 @@
 			"sleep 10ms", "request 2 within 600ms", "apply update 2",
 		})
 	})
-	Convey("Nothing is requested once the workers are to stop", t, func() {
+	Convey("No request is created when the workers are stopping", t, func() {
 		h := newHarness()
 		h.workers.Stop(0)
 		h.client.PollUpdates()
@@ -155,47 +156,47 @@
 }
 
 func TestScheduleReport(t *testing.T) {
-	Convey("Given a proxy whose reports wait for the test", t, func() {
+	Convey("Given a proxy whose report delays end when the test releases them", t, func() {
 		h := newHarness()
 		delays, release := make(chan time.Duration, 10), make(chan struct{}, 10)
 		h.client.sleep = func(duration time.Duration) {
 			delays <- duration
 			<-release
 		}
-		scheduled := func() time.Duration {
+		awaitScheduled := func() time.Duration {
 			delay, received := worker.Receive(delays, time.After(eventTimeout))
 			So(received, ShouldBeTrue)
 			return delay
 		}
-		Convey("What is observed until a report is made is in that one report, and what follows is in the next", func() {
+		Convey("Observations before a report is created are in that one report, and later ones are in the next", func() {
 			for range 3 {
 				h.client.ScheduleReport()
 			}
-			So(scheduled(), ShouldEqual, testReportDelay)
+			So(awaitScheduled(), ShouldEqual, testReportDelay)
 			release <- struct{}{}
 			So(h.nextReport(), ShouldEqual, 1)
 			h.client.ScheduleReport()
-			So(scheduled(), ShouldEqual, testReportDelay)
+			So(awaitScheduled(), ShouldEqual, testReportDelay)
 			release <- struct{}{}
 			So(h.nextReport(), ShouldEqual, 2)
 			So(len(delays), ShouldEqual, 0)
 		})
-		Convey("What is observed while a report is made is in another, which can be scheduled under the lock", func() {
+		Convey("An observation made while a report is created is in another report, which can be scheduled under the lock", func() {
 			h.onObservations = func() {
 				h.onObservations = nil
 				h.client.ScheduleReport()
 			}
 			h.client.ScheduleReport()
-			scheduled()
+			awaitScheduled()
 			release <- struct{}{}
 			So(h.nextReport(), ShouldEqual, 1)
-			scheduled()
+			awaitScheduled()
 			release <- struct{}{}
 			So(h.nextReport(), ShouldEqual, 2)
 		})
-		Convey("A report that is scheduled while the workers are to stop is still sent", func() {
+		Convey("A report that was scheduled before the workers began to stop is still sent", func() {
 			h.client.ScheduleReport()
-			scheduled()
+			awaitScheduled()
 			So(h.workers.Stop(0), ShouldBeFalse)
 			release <- struct{}{}
 			So(h.nextReport(), ShouldEqual, 1)
--- a/internal/app/dataplane/readiness.go
+++ b/internal/app/dataplane/readiness.go
@@ -6,20 +6,21 @@
 	"tansyseam/internal/transport/worker"
 )
 
-// ReadinessLog logs and counts each time that a proxy becomes ready or unready.
-// It is not safe for concurrent use.
+// ReadinessLog logs and counts each change of a proxy's readiness. It is not safe
+// for concurrent use.
 type ReadinessLog struct {
 	log      hclog.Logger
 	counters *worker.Counters
 	wasReady bool
 }
 
-// NewReadinessLog returns the log of a proxy that is not ready yet.
+// NewReadinessLog returns the readiness log of a proxy that is not yet ready.
 func NewReadinessLog(log hclog.Logger, counters *worker.Counters) *ReadinessLog {
 	return &ReadinessLog{log: log, counters: counters}
 }
 
-// Record takes whether the proxy is ready now and, if not, the reason.
+// Record records whether the proxy is ready now and, if not, the reason. It logs
+// and counts only changes.
 func (r *ReadinessLog) Record(ready bool, reason string) {
 	if ready == r.wasReady {
 		return
--- a/internal/app/dataplane/readiness_test.go
+++ b/internal/app/dataplane/readiness_test.go
@@ -11,14 +11,14 @@
 )
 
 func TestReadinessLog(t *testing.T) {
-	Convey("Each change of readiness is logged and counted once, beginning from unready", t, func() {
+	Convey("Each change of readiness, starting from unready, is logged and counted once", t, func() {
 		output, counters := &bytes.Buffer{}, &worker.Counters{}
 		readiness := NewReadinessLog(hclog.New(&hclog.LoggerOptions{Output: output, DisableTime: true}), counters)
 		steps := []struct {
-			ready  bool
-			reason string
-			logged string
-			turns  int64
+			ready       bool
+			reason      string
+			logged      string
+			transitions int64
 		}{
 			{false, "no lease", "", 0},
 			{true, "", "[INFO]  readiness changed: ready=true reason=\"\"\n", 1},
@@ -30,7 +30,7 @@
 			output.Reset()
 			readiness.Record(step.ready, step.reason)
 			So(output.String(), ShouldEqual, step.logged)
-			So(counters.Snapshot()["ready_turns"], ShouldEqual, step.turns)
+			So(counters.Snapshot()["ready_turns"], ShouldEqual, step.transitions)
 		}
 	})
 }
--- a/internal/app/httpproxy/drain.go
+++ b/internal/app/httpproxy/drain.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// drainTimeout bounds how long requests and transactions that are under way
-	// are waited for.
+	// drainTimeout bounds the wait for requests and transactions in flight.
 	drainTimeout      = 5500 * time.Millisecond
 	drainPollInterval = 20 * time.Millisecond
 
 	handoverTimeout = 800 * time.Millisecond
 
-	// lingerTimeout is how long the node still answers other nodes after all.
+	// lingerTimeout is how long the node continues to answer other nodes after
+	// everything else has finished.
 	lingerTimeout = 700 * time.Millisecond
 )
 
-// Drain makes the node unready, rejects what is queued with a time to retry
-// after, waits for what was forwarded, closes the sessions and hands the
-// records of request ids over to another node.
+// Drain makes the node unready, rejects queued requests with a retry delay, waits
+// for requests and transactions in flight, closes the sessions, and hands over the
+// records of request ids to another node.
 func (p *Proxy) Drain() {
 	p.log.Info("shutting down: no new work is accepted")
 	p.node.Leave()
 	p.apply(p.pool.Drain)
-	for until := p.now() + drainTimeout; p.now() < until && p.activeSessions() > 0; {
+	for deadline := p.now() + drainTimeout; p.now() < deadline && p.activeSessions() > 0; {
 		time.Sleep(drainPollInterval)
 	}
 	sessions := 0
@@ -44,19 +44,19 @@
 	return p.pool.ActiveSessions()
 }
 
-// handOver gives the records of request ids to one other proxy and tells the
-// rest which one that is.
+// handOver sends the records of request ids to one other proxy, and the name of
+// that proxy to all the others.
 func (p *Proxy) handOver() {
 	self := p.node.Self()
 	var peers []model.Node
-	var names []string
+	var peerNames []string
 	for _, peer := range p.node.Nodes(model.KindProxy, membership.StatusLive) {
 		if peer.Name != self.Name {
 			peers = append(peers, peer)
-			names = append(names, peer.Name)
+			peerNames = append(peerNames, peer.Name)
 		}
 	}
-	successors := rendezvous.Select(names, self.Name, 1)
+	successors := rendezvous.Select(peerNames, self.Name, 1)
 	if len(successors) == 0 {
 		return
 	}
@@ -69,7 +69,7 @@
 			continue
 		}
 		if _, err := p.node.Hub.Call(peer.RPCAddress, handover, handoverTimeout); err != nil {
-			p.log.Warn("request records not handed over", "successor", peer.Name, "error", err)
+			p.log.Warn("failed to hand over request records", "successor", peer.Name, "error", err)
 		}
 	}
 }
--- a/internal/app/httpproxy/effects.go
+++ b/internal/app/httpproxy/effects.go
@@ -9,8 +9,7 @@
 	"tansyseam/internal/transport/httpserver"
 )
 
-// lookupTimeout bounds how long another node is waited for that is asked about
-// a request id.
+// lookupTimeout bounds the wait for another node's answer about a request id.
 const lookupTimeout = 800 * time.Millisecond
 
 var effectHandlers = map[reflect.Type]func(*Proxy, httppool.Effect){}
--- a/internal/app/httpproxy/handlers.go
+++ b/internal/app/httpproxy/handlers.go
@@ -71,8 +71,9 @@
 	return httpStatus(result), newOutcomeResponse(result)
 }
 
-// awaitResult sends a request into the stages and waits for its result, which
-// at its deadline is that of a request cancelled.
+// awaitResult submits a request to the first stage and waits for its result. If the
+// stage has no room or the request's deadline passes, it cancels the request, which
+// ends it with the outcome known by then.
 func (p *Proxy) awaitResult(request *httppool.Request, done <-chan httppool.Result) httppool.Result {
 	remaining := request.Deadline() - p.now()
 	if !p.bindStage.Submit(request, remaining) {
--- a/internal/app/httpproxy/handlers_test.go
+++ b/internal/app/httpproxy/handlers_test.go
@@ -21,18 +21,18 @@
 
 func newTestProxy(t *testing.T) *Proxy {
 	cfg := config.Config{Name: "d1", Zone: "z", RPCAddress: "127.0.0.1:1", HTTPAddress: "127.0.0.1:2", AdvertiseHTTPAddress: "127.0.0.1:2", Weight: 1}
-	host, err := node.New("seamd", cfg, hclog.NewNullLogger())
+	n, err := node.New("seamd", cfg, hclog.NewNullLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	proxy, err := New(host)
+	proxy, err := New(n)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return proxy
 }
 
-// grantLease gives the proxy a lease and one binding, "orders".
+// grantLease applies an update to the proxy with a lease and one binding, "orders".
 func grantLease(proxy *Proxy) {
 	snapshot := model.Snapshot{Version: store.Version{Epoch: 1, Sequence: 1}, Sets: []model.BindingSet{
 		{Sequence: 7, EffectiveAt: 1, Bindings: []model.Binding{{Name: "orders", Database: "x"}}},
@@ -51,7 +51,7 @@
 		So(err, ShouldBeNil)
 		return status, string(data)
 	}
-	Convey("Calls for sessions", t, func() {
+	Convey("Calls that open and close sessions return the expected status and JSON", t, func() {
 		status, answer := call(proxy.openSession, `{"binding":"orders"}`)
 		So(status, ShouldEqual, http.StatusServiceUnavailable)
 		So(answer, ShouldEqual, `{"error":"not ready: no lease from the control primary","faults":[],"retry_after_ms":550}`)
@@ -73,7 +73,7 @@
 		So(status, ShouldEqual, http.StatusNotFound)
 		So(answer, ShouldEqual, `{"error":"no such session here","faults":[]}`)
 	})
-	Convey("Outcomes of requests", t, func() {
+	Convey("Results of requests are encoded as the expected JSON", t, func() {
 		encode := func(result httppool.Result) string {
 			data, err := json.Marshal(newOutcomeResponse(result))
 			So(err, ShouldBeNil)
@@ -90,7 +90,7 @@
 }
 
 func TestStatusOfEachCause(t *testing.T) {
-	Convey("Each cause has its own HTTP status; an error without one says that the service cannot be had now", t, func() {
+	Convey("Each cause of an error has its HTTP status; an error without a known cause has 503, and a result without an error 200", t, func() {
 		statuses := map[error]int{
 			httppool.ErrNoSession: 404, httppool.ErrSessionBusy: 409, httppool.ErrNoBinding: 404, httppool.ErrNoTransaction: 409,
 			httppool.ErrInvalidRequestID: 400, httppool.ErrStatementFailed: 422, httppool.ErrNotReady: 503, nil: 503,
@@ -103,7 +103,7 @@
 }
 
 func TestPositionsInTheMark(t *testing.T) {
-	Convey("A mark gives back the positions that it was made of; what is none of ours is refused", t, func() {
+	Convey("A mark decodes to the positions that were encoded; any other text is rejected", t, func() {
 		positions := map[string]model.Position{"x": {Term: 1, Index: 2}, "y": {Term: 3, Index: 4}}
 		decoded, valid := decodePositions(encodePositions(positions))
 		So(valid, ShouldBeTrue)
--- a/internal/app/httpproxy/instance_watcher.go
+++ b/internal/app/httpproxy/instance_watcher.go
@@ -8,8 +8,9 @@
 )
 
 const (
-	// statusWaitMS is how long an instance may hold back the answer to a status
-	// request while its position does not move; statusTimeout bounds the whole.
+	// statusWaitMS is how long an instance may delay the answer to a status
+	// request while its position does not change. statusTimeout bounds the whole
+	// request.
 	statusWaitMS      = 80
 	statusTimeout     = time.Second
 	statusDialTimeout = 500 * time.Millisecond
@@ -17,15 +18,16 @@
 	statusRedialDelay = 40 * time.Millisecond
 )
 
-// instanceWatcher follows an instance's position over a connection of its own,
-// which is no session there and takes no slot of the window.
+// instanceWatcher polls an instance's position over a separate connection, which
+// is not a session at the instance and does not use a slot of the admission
+// window.
 type instanceWatcher struct {
 	proxy    *Proxy
 	instance string
 	conn     *httpserver.ClientConn
 }
 
-// watchInstance follows an instance for as long as the pool wants it.
+// watchInstance polls an instance until the pool ends the watch.
 func (p *Proxy) watchInstance(name string) {
 	watcher := &instanceWatcher{proxy: p, instance: name}
 	for !p.node.Workers.IsStopping() {
@@ -45,7 +47,8 @@
 	}
 }
 
-// connect dials the instance unless there is a connection to its address.
+// connect dials the instance unless a connection to its address is open. It reports
+// whether there is a connection.
 func (w *instanceWatcher) connect(address string) bool {
 	if w.conn != nil && !w.conn.IsClosed() && w.conn.Address() == address {
 		return true
@@ -58,7 +61,8 @@
 	return true
 }
 
-// poll asks the instance once for its status.
+// poll requests the instance's status once. It reports whether the request
+// succeeded.
 func (w *instanceWatcher) poll(after model.Position) bool {
 	p := w.proxy
 	sent := p.now()
--- a/internal/app/httpproxy/instances.go
+++ b/internal/app/httpproxy/instances.go
@@ -12,16 +12,16 @@
 	openTimeout = time.Second
 )
 
-// instanceReply is what an instance answered to a request, on its way through the
-// reply stage.
+// instanceReply is an instance's answer to a request, as queued for the reply
+// stage.
 type instanceReply struct {
 	request  *httppool.Request
 	response httpserver.Response
 }
 
-// send sends an operation to an instance. Its answer goes through the reply stage;
-// if that is full, the event loop that read the answer handles it, so that none is
-// lost.
+// send sends an operation to an instance. The answer is queued for the reply stage.
+// If that queue is full, the event loop that read the answer handles it, so that no
+// answer is lost.
 func (p *Proxy) send(effect httppool.Send) {
 	path, body := p.codec.Encode(effect.Op)
 	effect.Conn.Transport.(*httpserver.ClientConn).PostAsync(path, body, func(response httpserver.Response) {
@@ -44,7 +44,7 @@
 	return p.codec.Decode(response.Status, response.Body)
 }
 
-// connect opens a connection to an instance, and the instance's session on it.
+// connect opens a connection to an instance and a session on the connection.
 func (p *Proxy) connect(effect httppool.OpenConn) {
 	conn, err := p.client.Dial(effect.Address, dialTimeout, func() {
 		p.apply(func(now time.Duration) { p.pool.ConnLost(effect.Conn, now) })
--- a/internal/app/httpproxy/operations.go
+++ b/internal/app/httpproxy/operations.go
@@ -8,8 +8,8 @@
 
 const writeKind = "write"
 
-// operationParsers gives, for each call of a session, how its body, which was
-// held against the schema, is read.
+// operationParsers holds, for each call of a session, the function that parses
+// its body. The body has been validated against the schema.
 var operationParsers = map[string]func(body *fastjson.Value) httppool.Op{
 	"/v1/statement": parseStatement,
 	"/v1/begin":     func(*fastjson.Value) httppool.Op { return httppool.Op{Kind: httppool.OpBegin} },
--- a/internal/app/httpproxy/positions.go
+++ b/internal/app/httpproxy/positions.go
@@ -7,9 +7,9 @@
 	"tansyseam/internal/state/model"
 )
 
-// positionsByDatabase holds, for each database, the position that a client's
-// reads must have reached so that it sees its own writes. Clients carry it from
-// session to session as an opaque string, the mark.
+// positionsByDatabase holds, for each database, the position that an instance must
+// have reached to serve a client's reads, so that the client reads its own writes.
+// Clients pass it from one session to the next as an opaque string, the mark.
 type positionsByDatabase map[string]model.Position
 
 func encodePositions(positions map[string]model.Position) string {
--- a/internal/app/httpproxy/proxy.go
+++ b/internal/app/httpproxy/proxy.go
@@ -1,10 +1,10 @@
 // Package httpproxy is the data plane for clients that use the product's own
-// HTTP API. It joins the pure machine of package httppool to HTTP handlers,
-// links to other nodes and connections to database instances.
+// HTTP API. It connects the pure state machine of package httppool to HTTP
+// handlers, links to other nodes and connections to database instances.
 //
-// A request passes through stages, joined by bounded queues: bind, admit,
-// forward and answer. Each stage hands one event to the machine and carries out
-// the effects that the machine returns.
+// A request passes through four stages with bounded queues: bind, admit, forward
+// and answer. Each stage passes one event to the machine and executes the effects
+// that the machine returns.
 //
 // Lock order: Proxy.mutex, then the node's, then a connection's.
 package httpproxy
@@ -31,7 +31,8 @@
 
 const tickInterval = 20 * time.Millisecond
 
-// stageSize bounds a stage: requests in its queue, and its workers.
+// stageSize is the queue length of a stage, in requests, and the number of its
+// workers.
 type stageSize struct{ queue, workers int }
 
 var (
@@ -41,7 +42,7 @@
 	replySize   = stageSize{queue: 8192, workers: 4}
 )
 
-// Proxy is the program's state.
+// Proxy is the state of the HTTP proxy.
 type Proxy struct {
 	node    *node.Node
 	log     hclog.Logger
@@ -59,20 +60,21 @@
 	replyStage   *worker.Pool[*instanceReply]
 }
 
-// New makes the proxy and registers its handlers at the node; Start begins to
-// serve. It fails if no client can be bound to the host of the RPC address.
-func New(host *node.Node) (*Proxy, error) {
-	cfg := host.Config()
+// New returns a proxy and registers its handlers at node n. The proxy serves after
+// Start. New fails if the HTTP client cannot be bound to the IP address of the
+// node's RPC address.
+func New(n *node.Node) (*Proxy, error) {
+	cfg := n.Config()
 	localIP, _, _ := net.SplitHostPort(cfg.RPCAddress)
-	client, err := httpserver.NewClient(localIP, host.Workers)
+	client, err := httpserver.NewClient(localIP, n.Workers)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	self := httppool.Node{Name: cfg.Name, Zone: cfg.Zone, Incarnation: fmt.Sprintf("%x", host.Self().Incarnation), Weight: cfg.Weight}
+	self := httppool.Node{Name: cfg.Name, Zone: cfg.Zone, Incarnation: fmt.Sprintf("%x", n.Self().Incarnation), Weight: cfg.Weight}
 	p := &Proxy{
-		node: host, log: host.Log, client: client, codec: backend.NewJSONCodec(),
-		pool:      httppool.New(self, httppool.DefaultTiming(), host.Counters.Add),
-		readiness: dataplane.NewReadinessLog(host.Log, host.Counters),
+		node: n, log: n.Log, client: client, codec: backend.NewJSONCodec(),
+		pool:      httppool.New(self, httppool.DefaultTiming(), n.Counters.Add),
+		readiness: dataplane.NewReadinessLog(n.Log, n.Counters),
 	}
 	p.control = p.newControlClient()
 	p.startStages()
@@ -82,8 +84,8 @@
 	return p, nil
 }
 
-// startStages starts the workers of the stages. The names of the stages are keys
-// of the admin API's answers and stay as they are.
+// startStages starts the workers of the stages. The names of the stages must not
+// change, because they are keys in the admin API's answers.
 func (p *Proxy) startStages() {
 	workers := p.node.Workers
 	p.bindStage = worker.NewPool(workers, "bind", bindSize.queue, bindSize.workers, p.requestHandler((*httppool.Machine).Bind))
@@ -92,7 +94,8 @@
 	p.replyStage = worker.NewPool(workers, "answer", replySize.queue, replySize.workers, p.handleReply)
 }
 
-// registerEvents has the node pass on what concerns the pool.
+// registerEvents registers handlers that pass the node's events and messages to the
+// pool.
 func (p *Proxy) registerEvents() {
 	p.node.OnInstance(func(instance model.Instance) {
 		p.apply(func(now time.Duration) { p.pool.UpdateInstance(instance, now) })
@@ -125,7 +128,7 @@
 	}
 }
 
-// Start begins to ask for updates and to serve.
+// Start starts to request updates and to serve.
 func (p *Proxy) Start() {
 	p.node.Workers.Go(p.control.PollUpdates)
 	p.node.Workers.Loop(nil, tickInterval, p.tick)
@@ -133,8 +136,8 @@
 
 func (p *Proxy) now() time.Duration { return p.node.Now() }
 
-// apply hands one event to the pool and carries out its effects, in order and
-// without the lock.
+// apply passes one event to the pool under the lock. It then executes the effects,
+// in order and without the lock.
 func (p *Proxy) apply(event func(now time.Duration)) {
 	p.mutex.Lock()
 	event(p.now())
--- a/internal/app/httpproxy/responses.go
+++ b/internal/app/httpproxy/responses.go
@@ -9,20 +9,20 @@
 	"tansyseam/internal/state/model"
 )
 
-// OpenSessionResponse answers /v1/session/open.
+// OpenSessionResponse is the answer to /v1/session/open.
 type OpenSessionResponse struct {
 	Mark     string `json:"mark"`
 	Sequence uint64 `json:"sequence"`
 	Session  string `json:"session"`
 }
 
-// CloseSessionResponse answers /v1/session/close.
+// CloseSessionResponse is the answer to /v1/session/close.
 type CloseSessionResponse struct {
 	Mark string `json:"mark"`
 }
 
-// OutcomeResponse answers every request that a session makes. Mark holds the
-// client's minimum positions, to be given when it opens its next session.
+// OutcomeResponse is the answer to every request of a session. Mark holds the
+// client's minimum positions. The client sends it when it opens its next session.
 type OutcomeResponse struct {
 	Outcome       string          `json:"outcome"`
 	Rows          json.RawMessage `json:"rows,omitempty"`
--- a/internal/app/httpproxy/updates.go
+++ b/internal/app/httpproxy/updates.go
@@ -9,10 +9,11 @@
 const (
 	updateTimeout = 600 * time.Millisecond
 
-	// forwardTimeout bounds an update request that is sent on for another node.
+	// forwardTimeout bounds an update request that is forwarded for another node.
 	forwardTimeout = 500 * time.Millisecond
 
-	// reportDelay gathers what is observed within it into one report.
+	// reportDelay is how long a report is delayed, so that one report holds all
+	// observations of that time.
 	reportDelay = 20 * time.Millisecond
 )
 
--- a/internal/app/lineproxy/connections.go
+++ b/internal/app/lineproxy/connections.go
@@ -15,11 +15,11 @@
 	notAMessage     = "not a message"
 )
 
-// clientConn is one client's connection.
+// clientConn is the connection of one client.
 type clientConn struct {
 	proxy *Proxy
 	conn  *lineserver.Conn
-	// client is nil if the node has refused the session.
+	// client is nil if the node has rejected the session.
 	client *linepool.Client
 }
 
@@ -33,7 +33,7 @@
 	return c
 }
 
-// OnLines hands what a client has sent to the pool.
+// OnLines passes the client's messages to the pool.
 func (c *clientConn) OnLines(lines [][]byte) {
 	if c.client == nil {
 		return
@@ -46,7 +46,7 @@
 	})
 }
 
-// OnClose tells the pool that the client's connection is over.
+// OnClose notifies the pool that the client's connection has closed.
 func (c *clientConn) OnClose(err error) {
 	if c.client == nil {
 		return
@@ -91,7 +91,7 @@
 	conn  *linepool.Conn
 }
 
-// OnLines hands what an instance has sent to the pool.
+// OnLines passes the instance's messages to the pool.
 func (i *instanceConn) OnLines(lines [][]byte) {
 	messages := i.proxy.parse(lines)
 	i.proxy.apply(func(now time.Duration) {
@@ -101,7 +101,7 @@
 	})
 }
 
-// OnClose tells the pool that the connection is over.
+// OnClose notifies the pool that the connection to the instance has closed.
 func (i *instanceConn) OnClose(error) {
 	i.proxy.apply(func(now time.Duration) { i.proxy.pool.ConnLost(i.conn, now) })
 }
--- a/internal/app/lineproxy/drain.go
+++ b/internal/app/lineproxy/drain.go
@@ -3,15 +3,17 @@
 import "time"
 
 const (
-	// drainMargin is how long a stop may take beyond the machine's own steps.
+	// drainMargin is how much longer a shutdown may take than the machine's own
+	// steps.
 	drainMargin = 200 * time.Millisecond
-	// drainPollInterval is how often a stop looks whether sessions are left.
+	// drainPollInterval is how often a shutdown checks for remaining sessions.
 	drainPollInterval = 20 * time.Millisecond
 )
 
-// Drain makes the node unready and serves on until load balancers have noticed.
-// Then it closes sessions as they become idle, and those that do not within
-// the node's grace period. It returns when none is left.
+// Drain makes the node unready and continues to serve until load balancers have
+// detected this. Then it closes sessions as they become idle, and at the end of the
+// node's grace period all others. It returns when no session is left, or after
+// maxDrain.
 func (p *Proxy) Drain() {
 	p.log.Info("shutting down: no new sessions")
 	p.node.Leave()
--- a/internal/app/lineproxy/effects.go
+++ b/internal/app/lineproxy/effects.go
@@ -8,7 +8,7 @@
 	"tansyseam/internal/transport/lineserver"
 )
 
-// dialTimeout bounds the connecting to an instance.
+// dialTimeout bounds the connect to an instance.
 const dialTimeout = 800 * time.Millisecond
 
 var effectHandlers = map[reflect.Type]func(*Proxy, linepool.Effect){}
--- a/internal/app/lineproxy/encoding.go
+++ b/internal/app/lineproxy/encoding.go
@@ -5,7 +5,8 @@
 	"tansyseam/internal/state/lineproto"
 )
 
-// messageEncoders append a message to a client to a buffer.
+// messageEncoders holds, by kind of message, the function that appends an encoded
+// message to a client to a buffer.
 var messageEncoders = map[lineproto.Kind]func(lineproto.Codec, []byte, lineproto.Message) []byte{
 	lineproto.KindReady: func(codec lineproto.Codec, buffer []byte, message lineproto.Message) []byte {
 		return codec.Ready(buffer, message.State, message.Position)
@@ -19,8 +20,8 @@
 	lineproto.KindError: encodeError,
 }
 
-// encodeError passes an instance's error on as it came; the node's own errors
-// have no payload.
+// encodeError forwards an instance's error unchanged. The node's own errors have no
+// payload and are encoded from their code and text.
 func encodeError(codec lineproto.Codec, buffer []byte, message lineproto.Message) []byte {
 	if message.Payload != "" {
 		return codec.RawError(buffer, message.Payload)
@@ -28,7 +29,8 @@
 	return codec.Error(buffer, message.Code, message.Text)
 }
 
-// commandTexts give the text of a command to an instance.
+// commandTexts holds, by kind of command, the function that returns the statement
+// text of a command to an instance.
 var commandTexts = map[linepool.CommandKind]func(lineproto.Codec, linepool.Command) string{
 	linepool.CommandText:          func(_ lineproto.Codec, command linepool.Command) string { return command.Text },
 	linepool.CommandBegin:         func(codec lineproto.Codec, _ linepool.Command) string { return codec.Begin(false) },
--- a/internal/app/lineproxy/encoding_test.go
+++ b/internal/app/lineproxy/encoding_test.go
@@ -14,31 +14,31 @@
 
 func TestMessageEncoders(t *testing.T) {
 	codec := platform.Codec()
-	encoded := func(message lineproto.Message) lineproto.Message {
+	roundTrip := func(message lineproto.Message) lineproto.Message {
 		line := string(messageEncoders[message.Kind](codec, nil, message))
 		return codec.Parse(strings.TrimRight(line, "\r\n"))
 	}
-	Convey("A message to a client is read as it was meant", t, func() {
+	Convey("An encoded message to a client parses to the same message", t, func() {
 		for _, message := range []lineproto.Message{
 			{Kind: lineproto.KindReady, State: lineproto.StateInTransaction, Position: model.Position{Term: 3, Index: 41}},
 			{Kind: lineproto.KindRow, Payload: "a b"},
 			{Kind: lineproto.KindDone, Payload: "s1"},
 		} {
-			So(encoded(message), ShouldResemble, message)
+			So(roundTrip(message), ShouldResemble, message)
 		}
 	})
-	Convey("An instance's error is passed on as it came, the node's own is written from its code", t, func() {
-		passedOn := lineproto.Message{Kind: lineproto.KindError, Code: lineproto.CodeFailed, Payload: "FAILED as it came"}
-		So(encoded(passedOn), ShouldResemble, passedOn)
-		own := encoded(lineproto.Message{Kind: lineproto.KindError, Code: lineproto.CodeBusy, Text: "come back in 200 ms"})
-		So(own.Code, ShouldEqual, lineproto.CodeBusy)
-		So(own.Payload, ShouldEndWith, "come back in 200 ms")
+	Convey("An instance's error is forwarded unchanged, and the node's own error is encoded from its code and text", t, func() {
+		instanceError := lineproto.Message{Kind: lineproto.KindError, Code: lineproto.CodeFailed, Payload: "FAILED as it came"}
+		So(roundTrip(instanceError), ShouldResemble, instanceError)
+		nodeError := roundTrip(lineproto.Message{Kind: lineproto.KindError, Code: lineproto.CodeBusy, Text: "come back in 200 ms"})
+		So(nodeError.Code, ShouldEqual, lineproto.CodeBusy)
+		So(nodeError.Payload, ShouldEndWith, "come back in 200 ms")
 	})
 }
 
 func TestCommandTexts(t *testing.T) {
 	codec := platform.Codec()
-	Convey("A command to an instance is read as the statement that it stands for", t, func() {
+	Convey("The text of a command to an instance parses to the corresponding statement", t, func() {
 		commands := []struct {
 			command   linepool.Command
 			statement lineproto.Statement
@@ -60,12 +60,12 @@
 				lineproto.Statement{Action: lineproto.ActionExecute, Name: "p1", Arguments: " k1"},
 			},
 		}
-		for _, expected := range commands {
-			text := commandTexts[expected.command.Kind](codec, expected.command)
-			So(codec.ParseStatement(text), ShouldResemble, expected.statement)
+		for _, test := range commands {
+			text := commandTexts[test.command.Kind](codec, test.command)
+			So(codec.ParseStatement(text), ShouldResemble, test.statement)
 		}
 	})
-	Convey("A reset is a text of its own, which clients cannot send", t, func() {
+	Convey("The text of a reset is not empty and is not a valid statement for clients", t, func() {
 		text := commandTexts[linepool.CommandReset](codec, linepool.Command{Kind: linepool.CommandReset})
 		So(text, ShouldNotBeBlank)
 		So(codec.ParseStatement(text).Action, ShouldEqual, lineproto.ActionInvalid)
--- a/internal/app/lineproxy/proxy.go
+++ b/internal/app/lineproxy/proxy.go
@@ -1,10 +1,10 @@
-// Package lineproxy is the data plane for clients that speak a line protocol.
-// It joins the pure machine of package linepool to the connections of clients
+// Package lineproxy is the data plane for clients that use a line protocol. It
+// connects the pure state machine of package linepool to the connections of clients
 // and database instances, and to the control plane.
 //
-// Each event is handed to the machine under Proxy.mutex, and its effects are
-// carried out under the same lock, in order: none of them blocks. Lock order:
-// Proxy.mutex, then the node's.
+// Each event is passed to the machine under Proxy.mutex. Its effects are executed
+// under the same lock, in order; no effect blocks. Lock order: Proxy.mutex, then
+// the node's.
 package lineproxy
 
 import (
@@ -27,55 +27,55 @@
 
 const (
 	tickInterval = 25 * time.Millisecond
-	// liveNamesMaxAge bounds the age of the list of proxy nodes among which
-	// connections are shared.
+	// liveNamesMaxAge bounds the age of the list of live proxy nodes, among which
+	// the connections to instances are divided.
 	liveNamesMaxAge = 250 * time.Millisecond
 )
 
-// Proxy is the program's state.
+// Proxy is the state of the line proxy.
 type Proxy struct {
 	node    *node.Node
 	log     hclog.Logger
 	codec   lineproto.Codec
 	server  *lineserver.Server
 	control *dataplane.ControlClient
-	// name is how the node introduces itself to instances.
+	// name is the name that the node sends to instances when it connects.
 	name string
-	// minDrain and maxDrain bound the time that a stop takes.
+	// minDrain and maxDrain bound the time that a shutdown takes.
 	minDrain, maxDrain time.Duration
 
 	mutex sync.Mutex
 	pool  *linepool.Machine
-	// buffer is reused for what is written to connections.
+	// buffer is reused to encode the data that is written to connections.
 	buffer    []byte
 	readiness *dataplane.ReadinessLog
 
-	// liveNames is read and written by tick only.
+	// liveNames and liveNamesAt are accessed by tick only.
 	liveNames   []string
 	liveNamesAt time.Duration
 }
 
-// New makes the proxy and registers its calls at the node; Start begins to
-// serve. The codec gives the words of the line protocol.
-func New(host *node.Node, codec lineproto.Codec) *Proxy {
-	cfg := host.Config()
-	self := linepool.Node{Name: cfg.Name, Zone: cfg.Zone, Incarnation: host.Self().Incarnation, Weight: cfg.Weight}
+// New returns a proxy and registers its calls at node n. The proxy serves after
+// Start. The codec encodes and parses the messages of the line protocol.
+func New(n *node.Node, codec lineproto.Codec) *Proxy {
+	cfg := n.Config()
+	self := linepool.Node{Name: cfg.Name, Zone: cfg.Zone, Incarnation: n.Self().Incarnation, Weight: cfg.Weight}
 	timing := linepool.DefaultTiming().Within(cfg.ShutdownGrace, cfg.InstanceDrain)
 	p := &Proxy{
-		node: host, log: host.Log, codec: codec, name: cfg.Name,
+		node: n, log: n.Log, codec: codec, name: cfg.Name,
 		minDrain: timing.Linger + drainMargin, maxDrain: timing.EndSessions + drainMargin,
-		pool:      linepool.New(self, timing, lease.DefaultTiming(), host.Counters.Add),
-		readiness: dataplane.NewReadinessLog(host.Log, host.Counters),
+		pool:      linepool.New(self, timing, lease.DefaultTiming(), n.Counters.Add),
+		readiness: dataplane.NewReadinessLog(n.Log, n.Counters),
 	}
 	p.control = p.newControlClient()
-	p.server = lineserver.NewServer(host.Workers, cfg.LineAddress, lineproto.MaxLineBytes, p.acceptClient)
-	host.ForwardUpdateRequests(forwardTimeout)
+	p.server = lineserver.NewServer(n.Workers, cfg.LineAddress, lineproto.MaxLineBytes, p.acceptClient)
+	n.ForwardUpdateRequests(forwardTimeout)
 	p.adminAPI().Register()
 	return p
 }
 
-// Start begins to serve and to ask for updates. It fails where the address for
-// clients cannot be listened on.
+// Start starts to serve and to request updates. It fails if the proxy cannot
+// listen on the address for clients.
 func (p *Proxy) Start() error {
 	if err := p.server.Start(); err != nil {
 		return errors.Trace(err)
@@ -87,7 +87,8 @@
 
 func (p *Proxy) now() time.Duration { return p.node.Now() }
 
-// apply hands one event to the pool and carries out its effects.
+// apply passes one event to the pool and executes its effects, in order and under
+// the lock.
 func (p *Proxy) apply(event func(now time.Duration)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -105,7 +106,7 @@
 	})
 }
 
-// liveProxies returns the names of the proxy nodes that are live.
+// liveProxies returns the names of the live proxy nodes.
 func (p *Proxy) liveProxies() []string {
 	now := p.now()
 	if p.liveNames != nil && now-p.liveNamesAt < liveNamesMaxAge {
--- a/internal/app/lineproxy/updates.go
+++ b/internal/app/lineproxy/updates.go
@@ -9,15 +9,16 @@
 const (
 	updateTimeout = 750 * time.Millisecond
 
-	// forwardTimeout bounds an update request that is sent on for another node.
+	// forwardTimeout bounds an update request that is forwarded for another node.
 	forwardTimeout = 800 * time.Millisecond
 
-	// reportDelay gathers what is observed within it into one report.
+	// reportDelay is how long a report is delayed, so that one report holds all
+	// observations of that time.
 	reportDelay = 5 * time.Millisecond
 )
 
-// newControlClient returns the client that asks for updates. A request waits
-// while commits at a closing primary may still be answered.
+// newControlClient returns the client that requests updates. It defers a request
+// while a primary whose term is closing may still answer commits in flight.
 func (p *Proxy) newControlClient() *dataplane.ControlClient {
 	return dataplane.NewControlClient(p.node, dataplane.ControlClientConfig{
 		Machine:       p.pool,
