--- a/cmd/tansyseam-control/main.go
+++ b/cmd/tansyseam-control/main.go
@@ -1,5 +1,5 @@
-// Program tansyseam-control is the control plane: it holds the bindings, gives
-// the proxies their configuration and leases, and moves the writer roles.
+// Program tansyseam-control is the control plane: it stores the bindings, sends
+// configuration and leases to the proxies, and moves the writer roles.
 package main
 
 import (
@@ -14,18 +14,19 @@
 )
 
 // leaveTimeout bounds the wait for other nodes to take over the roles of a node
-// that stops.
+// that shuts down.
 const leaveTimeout = 5 * time.Second
 
-// externalClients are what a control node calls instances and platform with.
+// externalClients are the clients with which a control node calls instances and the
+// platform.
 type externalClients struct {
-	// adapters are nil in the product's own mode, which needs none.
+	// adapters is nil in ModeNative, which needs no adapters.
 	adapters *control.Adapters
-	// start is called once the node has started, before the server acts.
+	// start is called after the node has started and before the server starts.
 	start func() error
 }
 
-// clientsByMode makes what each mode needs.
+// clientsByMode holds the constructor of the external clients of each mode.
 var clientsByMode = map[config.Mode]func(*node.Node) externalClients{
 	config.ModeNative:   newNativeClients,
 	config.ModePlatform: newPlatformClients,
--- a/cmd/tansyseam-proxy/main.go
+++ b/cmd/tansyseam-proxy/main.go
@@ -1,6 +1,5 @@
-// Program tansyseam-proxy is the data plane: it takes clients' sessions and
-// routes their statements to the instances over a bounded number of
-// connections.
+// Program tansyseam-proxy is the data plane: it accepts client sessions and routes
+// their statements to database instances over a bounded number of connections.
 package main
 
 import (
@@ -14,7 +13,8 @@
 	"tansyseam/platform"
 )
 
-// openByMode opens the proxy that speaks the protocols of each mode.
+// openByMode holds, for each mode, the function that opens the proxy for its
+// protocols.
 var openByMode = map[config.Mode]func(*node.Node) (bootstrap.Daemon, error){
 	config.ModeNative:   openHTTPProxy,
 	config.ModePlatform: openLineProxy,
--- a/cmd/tansyseamctl/main.go
+++ b/cmd/tansyseamctl/main.go
@@ -1,5 +1,5 @@
-// Program tansyseamctl is the operators' client: it answers queries on the
-// state of the cluster, one from its arguments or many from a prompt.
+// Program tansyseamctl is the operators' client: it answers queries on the state of
+// the cluster, either one query from its arguments or any number at a prompt.
 package main
 
 import (
@@ -19,26 +19,26 @@
 
 const (
 	program = "tansyseamctl"
-	// maxWords is how many words a query may have.
+	// maxWords is the maximum number of words in a query.
 	maxWords = 3
-	// stopTimeout bounds the wait for connections to close at the end.
+	// stopTimeout bounds the wait for connections to close at exit.
 	stopTimeout = time.Second
 )
 
-// errBadAddress says that the address given is none.
-const errBadAddress = errors.ConstError("--at must be the IP:port of a node's door")
+// errBadAddress is returned when --at is missing or is not IP:port.
+const errBadAddress = errors.ConstError("--at must be the IP:port of a node's HTTP address (setting door)")
 
-// options are what the arguments say.
+// options are the parsed command-line arguments.
 type options struct {
 	address string
 	asJSON  bool
-	// query is empty for a prompt.
+	// query is empty if queries are read at a prompt.
 	query string
 }
 
 func main() { os.Exit(execute(os.Args[1:])) }
 
-// execute gives the exit code.
+// execute runs the client and returns the exit code.
 func execute(args []string) int {
 	bootstrap.DisableEngineLog()
 	parsed, err := parseArguments(args)
@@ -58,14 +58,14 @@
 
 func parseArguments(args []string) (options, error) {
 	parser := flaggy.NewParser(program)
-	parser.Description = "queries on the fleet's state; without a query, a prompt. Queries: " + strings.Join(shell.QueryNames(), ", ")
+	parser.Description = "queries the state of the cluster; without a query, reads queries at a prompt. Queries: " + strings.Join(shell.QueryNames(), ", ")
 	parser.Version = config.Version
 	parsed := options{}
-	parser.String(&parsed.address, "a", "at", "IP:port of any node's door")
+	parser.String(&parsed.address, "a", "at", "IP:port of any node's HTTP address (setting door)")
 	parser.Bool(&parsed.asJSON, "j", "json", "answer in JSON")
 	var words [maxWords]string
 	for index := range words {
-		parser.AddPositionalValue(&words[index], fmt.Sprintf("word%d", index+1), index+1, false, "query and its words")
+		parser.AddPositionalValue(&words[index], fmt.Sprintf("word%d", index+1), index+1, false, "query and its arguments")
 	}
 	if err := parser.ParseArgs(args); err != nil {
 		return parsed, errors.Trace(err)
@@ -77,8 +77,8 @@
 	return parsed, nil
 }
 
-// run answers the query, or those typed at a prompt, which reports errors by
-// itself.
+// run answers the query, or without one, the queries at a prompt. The prompt reports
+// errors itself.
 func run(client *shell.Shell, query string) error {
 	if query == "" {
 		return client.RunInteractive(os.Stdin)
--- a/internal/app/shell/bindings.go
+++ b/internal/app/shell/bindings.go
@@ -10,7 +10,7 @@
 	"tansyseam/internal/state/model"
 )
 
-// bindingQueries are about the binding sets and their scheduled changes.
+// bindingQueries are the queries on binding sets and their scheduled changes.
 var bindingQueries = []query{
 	{
 		name: "bindings", help: "binding sets, and the sequence in force at each node",
@@ -24,7 +24,7 @@
 	},
 }
 
-// States of a binding set, as they are shown.
+// States of a binding set, as shown to operators.
 const (
 	stateInForce   = "in force"
 	stateNoLease   = "old news: the node has no lease and serves nothing"
@@ -41,8 +41,8 @@
 
 func (r bindingSetRow) cells() []any { return []any{r.Node, r.Sequence, r.Bindings, r.State} }
 
-// bindings gives the set in force at each proxy and at the control primary, and
-// the later ones that are known there.
+// bindings returns the set in force at each proxy and at the control primary, and
+// the later sets that they have accepted.
 func (s *Shell) bindings([]string) (result, error) {
 	return s.collect("", admin.PathFleet, func(node nodeRef, value *fastjson.Value) []row {
 		if node.kind == model.KindControl && !value.GetBool("primacy") {
@@ -58,7 +58,7 @@
 		for _, set := range sets.GetArray("taken") {
 			if sequence := set.GetInt("sequence"); sequence > active {
 				rows = append(rows, bindingSetRow{
-					Bindings: len(set.GetArray("bindings")), Node: node.name, Sequence: sequence, State: stateOf(set.GetInt64("moment_ms")),
+					Bindings: len(set.GetArray("bindings")), Node: node.name, Sequence: sequence, State: describeState(set.GetInt64("moment_ms")),
 				})
 			}
 		}
@@ -66,8 +66,9 @@
 	})
 }
 
-// stateOf says in words when a set takes effect, given its wall time in ms.
-func stateOf(effectiveAtMillis int64) string {
+// describeState describes when a set takes effect, given that wall time in ms since
+// 1970.
+func describeState(effectiveAtMillis int64) string {
 	if effectiveAtMillis == 0 {
 		return statePending
 	}
@@ -83,21 +84,21 @@
 func (r changeRow) cells() []any { return []any{r.ID, r.EffectiveAt, r.Bindings} }
 
 func (s *Shell) changes([]string) (result, error) {
-	found := result{}
+	res := result{}
 	value, err := s.fetch(s.Address, admin.PathListChanges)
 	if err != nil {
-		return found, err
+		return res, err
 	}
 	if reason := stringAt(value, "error"); reason != "" {
-		return found, errors.WithType(errors.New(reason), ErrUnreachable)
+		return res, errors.WithType(errors.New(reason), ErrUnreachable)
 	}
 	for _, change := range value.GetArray("changes") {
-		found.rows = append(found.rows, changeRow{
+		res.rows = append(res.rows, changeRow{
 			EffectiveAt: formatMillis(change.GetInt64("at_ms")), Bindings: len(change.GetArray("bindings")), ID: stringAt(change, "id"),
 		})
 	}
-	return found, nil
+	return res, nil
 }
 
-// formatMillis writes a wall time in ms since 1970.
+// formatMillis formats a wall time in ms since 1970.
 func formatMillis(millis int64) string { return time.UnixMilli(millis).UTC().Format(time.RFC3339Nano) }
--- a/internal/app/shell/cluster.go
+++ b/internal/app/shell/cluster.go
@@ -11,12 +11,12 @@
 	"tansyseam/internal/state/model"
 )
 
-// nodeRef is a node as the first node knows it.
+// nodeRef is a node as reported by the first node.
 type nodeRef struct {
 	name, kind, address, status string
 }
 
-// fetch makes a call to a node and reads the answer.
+// fetch makes a call to a node and parses the answer.
 func (s *Shell) fetch(address, path string) (*fastjson.Value, error) {
 	data, err := s.request(address, path)
 	if err != nil {
@@ -24,12 +24,12 @@
 	}
 	value, err := fastjson.ParseBytes(data)
 	if err != nil {
-		return nil, unreachable("%s answered no JSON", address)
+		return nil, unreachable("%s: answer is not valid JSON", address)
 	}
 	return value, nil
 }
 
-// listNodes gives the nodes that the first node knows.
+// listNodes returns the nodes that the first node reports.
 func (s *Shell) listNodes() ([]nodeRef, error) {
 	value, err := s.fetch(s.Address, admin.PathFleet)
 	if err != nil {
@@ -44,61 +44,62 @@
 	return nodes, nil
 }
 
-// collect makes a call to each live node of a kind, or of any where the kind is
-// empty, and gathers the rows that are read from the answers.
+// collect makes a call to each live node of a kind, or of any kind if the kind is
+// empty, and returns the rows that read returns for the answers. Nodes that are not
+// live or do not answer are listed as unreachable.
 func (s *Shell) collect(kind, path string, read func(nodeRef, *fastjson.Value) []row) (result, error) {
-	found := result{}
+	res := result{}
 	nodes, err := s.listNodes()
 	if err != nil {
-		return found, err
+		return res, err
 	}
 	for _, node := range nodes {
 		if kind != "" && node.kind != kind {
 			continue
 		}
 		if node.status != membership.StatusLive {
-			found.unreachable = append(found.unreachable, node.name+" is "+node.status)
+			res.unreachable = append(res.unreachable, node.name+" is "+node.status)
 			continue
 		}
 		value, err := s.fetch(node.address, path)
 		if err != nil {
-			found.unreachable = append(found.unreachable, node.name+": "+err.Error())
+			res.unreachable = append(res.unreachable, node.name+": "+err.Error())
 			continue
 		}
-		found.rows = append(found.rows, read(node, value)...)
+		res.rows = append(res.rows, read(node, value)...)
 	}
-	return found, nil
+	return res, nil
 }
 
-// fetchFromPrimary gives the report of the node that holds control primacy.
+// fetchFromPrimary returns the report of the control primary.
 func (s *Shell) fetchFromPrimary() (*fastjson.Value, error) {
 	nodes, err := s.listNodes()
 	if err != nil {
 		return nil, err
 	}
-	var missed []string
+	var unreached []string
 	for _, node := range nodes {
 		if node.kind != model.KindControl {
 			continue
 		}
 		value, err := s.fetch(node.address, admin.PathFleet)
 		if err != nil {
-			missed = append(missed, node.name)
+			unreached = append(unreached, node.name)
 			continue
 		}
 		if value.GetBool("primacy") {
 			return value, nil
 		}
 	}
-	return nil, unreachable("no control machine that was reached holds primacy (not reached: %s)", strings.Join(missed, ", "))
+	return nil, unreachable("no control machine that was reached holds primacy (not reached: %s)", strings.Join(unreached, ", "))
 }
 
 func stringAt(value *fastjson.Value, keys ...string) string {
 	return string(value.GetStringBytes(keys...))
 }
 
-// sortedKeys gives the keys of an object, with commas between.
-func sortedKeys(value *fastjson.Value, key string) string {
+// joinedKeys returns the sorted keys of an object, separated by commas.
+func joinedKeys(value *fastjson.Value, key string) string {
 	var keys []string
 	if object := value.GetObject(key); object != nil {
 		object.Visit(func(name []byte, _ *fastjson.Value) { keys = append(keys, string(name)) })
--- a/internal/app/shell/control.go
+++ b/internal/app/shell/control.go
@@ -10,7 +10,7 @@
 	"tansyseam/internal/state/model"
 )
 
-// controlQueries are about the control plane and what it records.
+// controlQueries are the queries on the control plane and its records.
 var controlQueries = []query{
 	{
 		name: "epochs", help: "the control plane: epoch, primary, backup, as each control node knows them",
@@ -41,11 +41,11 @@
 }
 
 const (
-	// timeOfDay is the layout of times in the audit log.
-	timeOfDay = "15:04:05.000"
-	// databaseSubject begins the subject of audit entries about a database; its
-	// name follows.
-	databaseSubject = "database "
+	// timeOfDayLayout is the layout of times in the audit log.
+	timeOfDayLayout = "15:04:05.000"
+	// databaseSubjectPrefix is the prefix of the subject of audit entries about a
+	// database. The name of the database follows.
+	databaseSubjectPrefix = "database "
 )
 
 type epochRow struct {
@@ -99,17 +99,17 @@
 func (r leaseRow) cells() []any { return []any{r.Node, r.Version, r.ActiveSequence} }
 
 func (s *Shell) leases([]string) (result, error) {
-	found := result{}
+	res := result{}
 	value, err := s.fetchFromPrimary()
 	if err != nil {
-		return found, err
+		return res, err
 	}
 	var leases []leaseRow
 	for _, lease := range value.GetArray("leases") {
 		leases = append(leases, leaseRow{Version: formatVersion(lease), Node: stringAt(lease, "node"), ActiveSequence: lease.GetInt("shows")})
 	}
-	found.rows = sortedRows(leases, func(r leaseRow) string { return r.Node })
-	return found, nil
+	res.rows = sortedRows(leases, func(r leaseRow) string { return r.Node })
+	return res, nil
 }
 
 type writerRow struct {
@@ -127,18 +127,18 @@
 }
 
 func (s *Shell) writers([]string) (result, error) {
-	found := result{}
+	res := result{}
 	value, err := s.fetchFromPrimary()
 	if err != nil {
-		return found, err
+		return res, err
 	}
 	for _, writer := range value.GetArray("writers") {
-		found.rows = append(found.rows, writerRow{
-			RequiredReplicas: sortedKeys(writer, "Required"), Database: stringAt(writer, "Database"), Candidates: sortedKeys(writer, "Candidates"),
+		res.rows = append(res.rows, writerRow{
+			RequiredReplicas: joinedKeys(writer, "Required"), Database: stringAt(writer, "Database"), Candidates: joinedKeys(writer, "Candidates"),
 			Phase: stringAt(writer, "Phase"), Primary: stringAt(writer, "Primary"), Term: writer.GetInt("Term"), Reason: stringAt(writer, "Why"),
 		})
 	}
-	return found, nil
+	return res, nil
 }
 
 type auditRow struct {
@@ -150,30 +150,30 @@
 
 func (r auditRow) cells() []any { return []any{r.At, r.Subject, r.Action, r.Evidence} }
 
-// history gives the audit log, or its entries about a subject.
+// history returns the audit log, or its entries about a subject.
 func (s *Shell) history(args []string) (result, error) {
-	found := result{}
+	res := result{}
 	value, err := s.fetchFromPrimary()
 	if err != nil {
-		return found, err
+		return res, err
 	}
 	for _, entry := range value.GetArray("entries") {
 		subject := stringAt(entry, "subject")
-		if len(args) > 0 && subject != args[0] && subject != databaseSubject+args[0] {
+		if len(args) > 0 && subject != args[0] && subject != databaseSubjectPrefix+args[0] {
 			continue
 		}
-		found.rows = append(found.rows, auditRow{
-			At:       time.Unix(0, entry.GetInt64("at")).UTC().Format(timeOfDay),
+		res.rows = append(res.rows, auditRow{
+			At:       time.Unix(0, entry.GetInt64("at")).UTC().Format(timeOfDayLayout),
 			Evidence: stringAt(entry, "evidence"), Subject: subject, Action: stringAt(entry, "what"),
 		})
 	}
-	if len(args) > 0 && len(found.rows) == 0 {
-		return found, badQuery("nothing is on record about %q", args[0])
+	if len(args) > 0 && len(res.rows) == 0 {
+		return res, badQuery("nothing is on record about %q", args[0])
 	}
-	return found, nil
+	return res, nil
 }
 
-// formatVersion writes a version of the control state.
+// formatVersion formats a version of the control state as epoch/sequence.
 func formatVersion(value *fastjson.Value) string {
 	return fmt.Sprintf("%d/%d", value.GetInt("epoch"), value.GetInt("sequence"))
 }
--- a/internal/app/shell/doc.go
+++ b/internal/app/shell/doc.go
@@ -1,4 +1,4 @@
-// Package shell answers operators' queries on the state of the cluster. It asks
-// one node over HTTP, learns the other nodes from it, and asks those that a
-// query is about. What could not be asked is reported with the answer.
+// Package shell answers operators' queries on the state of the cluster. It reads the
+// list of nodes from one node over HTTP, and then calls the nodes that a query is
+// about. Nodes that could not be reached are reported with the answer.
 package shell
--- a/internal/app/shell/errors.go
+++ b/internal/app/shell/errors.go
@@ -8,10 +8,10 @@
 
 // Errors of queries.
 const (
-	// ErrBadQuery says that a query does not exist, has too many words, or is
-	// about something unknown.
+	// ErrBadQuery is returned when a query does not exist, has too many arguments,
+	// or is about an unknown subject.
 	ErrBadQuery = errors.ConstError("bad query")
-	// ErrUnreachable says that a node that had to be asked was not reached.
+	// ErrUnreachable is returned when a node that a query needs was not reached.
 	ErrUnreachable = errors.ConstError("a node could not be reached")
 )
 
--- a/internal/app/shell/golden_test.go
+++ b/internal/app/shell/golden_test.go
@@ -13,7 +13,7 @@
 	"tansyseam/test/golden"
 )
 
-// fleetAnswers holds what each node answers, by address and path.
+// fleetAnswers holds the answers of each node, by address and path.
 var fleetAnswers = map[string]string{
 	"c1 /v1/fleet": `{"nodes":[
 		{"node":"c1","kind":"seamc","zone":"za","door":"c1","standing":"live","silent_ms":3,"weight":0,"version":2},
@@ -41,8 +41,8 @@
 }
 
 func respondGolden(address, path string) ([]byte, error) {
-	body, known := fleetAnswers[address+" "+path]
-	if !known {
+	body, found := fleetAnswers[address+" "+path]
+	if !found {
 		return nil, errors.New("refused")
 	}
 	return []byte(body), nil
@@ -54,7 +54,7 @@
 		"duties", "leases", "writers", "why", "why db", "why control", "why nobody", "counters", "counters d1", "counters nobody", "nonsense",
 		"nodes and more", "why a b",
 	}
-	Convey("Every query prints the bytes that were recorded, as a table and as JSON", t, func() {
+	Convey("The output of every query, as a table and as JSON, matches its golden file", t, func() {
 		for _, asJSON := range []bool{false, true} {
 			for _, line := range lines {
 				var out bytes.Buffer
@@ -65,7 +65,7 @@
 			}
 		}
 	})
-	Convey("A fleet without a reachable primary, and an address where nothing listens, are reported", t, func() {
+	Convey("A cluster without a reachable control primary, and an address without a node, are reported", t, func() {
 		var text strings.Builder
 		for _, address := range []string{"d1", "nowhere"} {
 			for _, name := range QueryNames() {
@@ -79,7 +79,7 @@
 }
 
 func TestGoldenPrompt(t *testing.T) {
-	Convey("A prompt answers line by line, reports errors and goes on, and ends with the last error", t, func() {
+	Convey("A prompt answers each line, continues after an error, and returns the error of the last query", t, func() {
 		var out bytes.Buffer
 		shell := NewWithRequester("c1", false, &out, respondGolden)
 		So(shell.RunInteractive(strings.NewReader("duties\n\nnonsense\nquit\nduties\n")), ShouldHaveSameTypeAs, badQuery(""))
--- a/internal/app/shell/instances.go
+++ b/internal/app/shell/instances.go
@@ -11,7 +11,7 @@
 	"tansyseam/internal/state/model"
 )
 
-// instanceQueries are about the instances as each proxy observes them.
+// instanceQueries are the queries on database instances, as each proxy observes them.
 var instanceQueries = []query{
 	{
 		name: "instances", help: "instances: role, term, position, freshness, by node", maxArgs: 1,
@@ -29,8 +29,8 @@
 	},
 }
 
-// collectInstances reads a row from each instance that a proxy reports and
-// whose name begins with the argument, if there is one.
+// collectInstances returns a row for each instance that a proxy reports. If there
+// is an argument, it returns only instances whose name begins with it.
 func (s *Shell) collectInstances(args []string, read func(proxy, name string, item *fastjson.Value) row) (result, error) {
 	return s.collect(model.KindProxy, admin.PathFleet, func(proxy nodeRef, value *fastjson.Value) []row {
 		var rows []row
@@ -102,5 +102,5 @@
 	})
 }
 
-// formatNanos writes a duration in ns as one in ms.
+// formatNanos formats a duration in ns as a number of ms.
 func formatNanos(nanos float64) string { return fmt.Sprintf("%.2f", nanos/float64(time.Millisecond)) }
--- a/internal/app/shell/nodes.go
+++ b/internal/app/shell/nodes.go
@@ -6,10 +6,10 @@
 	"tansyseam/internal/app/admin"
 )
 
-// pathCounters is the call that gives a node's counters.
+// pathCounters is the path of the call that returns a node's counters.
 const pathCounters = "/v1/counters"
 
-// nodeQueries are about the nodes themselves.
+// nodeQueries are the queries on the nodes themselves.
 var nodeQueries = []query{
 	{
 		name: "nodes", help: "every node as the asked node holds it",
@@ -44,18 +44,18 @@
 }
 
 func (s *Shell) nodes([]string) (result, error) {
-	found := result{}
+	res := result{}
 	value, err := s.fetch(s.Address, admin.PathFleet)
 	if err != nil {
-		return found, err
+		return res, err
 	}
 	for _, node := range value.GetArray("nodes") {
-		found.rows = append(found.rows, nodeRow{
+		res.rows = append(res.rows, nodeRow{
 			Address: stringAt(node, "door"), Kind: stringAt(node, "kind"), Node: stringAt(node, "node"), SilentMillis: node.GetInt("silent_ms"),
 			Status: stringAt(node, "standing"), Version: node.GetInt("version"), Weight: node.GetFloat64("weight"), Zone: stringAt(node, "zone"),
 		})
 	}
-	return found, nil
+	return res, nil
 }
 
 type healthRow struct {
@@ -89,23 +89,24 @@
 
 func (r counterRow) cells() []any { return []any{r.Counter, r.Count} }
 
-// counters gives those of the node that is named, or of the first node.
+// counters returns the counters of the named node, or without an argument those of
+// the first node.
 func (s *Shell) counters(args []string) (result, error) {
-	found := result{}
+	res := result{}
 	address, err := s.addressOf(args)
 	if err != nil {
-		return found, err
+		return res, err
 	}
 	value, err := s.fetch(address, pathCounters)
 	if err != nil {
-		return found, err
+		return res, err
 	}
 	var counters []counterRow
 	value.GetObject("counters").Visit(func(key []byte, count *fastjson.Value) {
 		counters = append(counters, counterRow{Count: count.GetInt64(), Counter: string(key)})
 	})
-	found.rows = sortedRows(counters, func(r counterRow) string { return r.Counter })
-	return found, nil
+	res.rows = sortedRows(counters, func(r counterRow) string { return r.Counter })
+	return res, nil
 }
 
 func (s *Shell) addressOf(args []string) (string, error) {
--- a/internal/app/shell/queries.go
+++ b/internal/app/shell/queries.go
@@ -5,35 +5,35 @@
 	"slices"
 )
 
-// query is one kind of query. A new one is a row of the list of the file that
-// it belongs to, with a row type and a function beside it.
+// query describes one kind of query. To add a query, add an element to the list in
+// the file of its subject, and define a row type and a function next to the list.
 type query struct {
-	// name is the word by which operators ask.
+	// name is the first word of the query.
 	name string
-	// help says in a line what the query answers.
+	// help describes the answer in one line.
 	help string
-	// maxArgs is how many words may follow the name; 0 for none.
+	// maxArgs is the maximum number of words after the name; 0 allows none.
 	maxArgs int
-	// columns head the table, in the order of the cells of the query's rows.
+	// columns are the table headers, in the order of the cells of the query's rows.
 	columns []string
-	// run finds the rows. Its errors are ErrBadQuery and ErrUnreachable.
+	// run returns the rows. Its errors are ErrBadQuery and ErrUnreachable.
 	run func(s *Shell, args []string) (result, error)
 }
 
-// queryLists holds every query, by what it is about.
+// queryLists holds all queries, grouped by subject.
 var queryLists = [][]query{nodeQueries, instanceQueries, bindingQueries, controlQueries, helpQueries}
 
-// queries holds them by name. It is filled by init: help, one of the queries,
-// reads it, and a variable must not be initialised from itself.
+// queries holds all queries by name. It is filled by init, because the query help
+// reads it and Go does not allow a variable whose initializer refers to itself.
 var queries = map[string]query{}
 
 func init() {
-	for _, listed := range slices.Concat(queryLists...) {
-		queries[listed.name] = listed
+	for _, q := range slices.Concat(queryLists...) {
+		queries[q.name] = q
 	}
 }
 
-// QueryNames lists the queries, sorted.
+// QueryNames returns the names of all queries, sorted.
 func QueryNames() []string { return slices.Sorted(maps.Keys(queries)) }
 
 var helpQueries = []query{
@@ -48,9 +48,9 @@
 func (r helpRow) cells() []any { return []any{r.Query, r.Answers} }
 
 func (s *Shell) help([]string) (result, error) {
-	found := result{}
+	res := result{}
 	for _, name := range QueryNames() {
-		found.rows = append(found.rows, helpRow{Answers: queries[name].help, Query: name})
+		res.rows = append(res.rows, helpRow{Answers: queries[name].help, Query: name})
 	}
-	return found, nil
+	return res, nil
 }
--- a/internal/app/shell/result.go
+++ b/internal/app/shell/result.go
@@ -9,7 +9,8 @@
 	"text/tabwriter"
 )
 
-// result is what a query found, with the nodes that could not be asked.
+// result holds the rows that answer a query, and the nodes that could not be
+// reached.
 type result struct {
 	rows        []row
 	unreachable []string
@@ -18,11 +19,11 @@
 // row is one row of a result. As JSON it is an object whose keys are the
 // columns in alphabetical order.
 type row interface {
-	// cells gives the values in the order of the query's columns.
+	// cells returns the values in the order of the query's columns.
 	cells() []any
 }
 
-// sortedRows gives items as rows, in the order of a key that differs for each.
+// sortedRows returns items as rows, sorted by a key that is unique to each item.
 func sortedRows[T row](items []T, key func(T) string) []row {
 	slices.SortFunc(items, func(a, b T) int { return cmp.Compare(key(a), key(b)) })
 	var rows []row
@@ -39,14 +40,14 @@
 	cellPadding  = 2
 )
 
-func (s *Shell) render(columns []string, found result) {
+func (s *Shell) render(columns []string, res result) {
 	if s.JSON {
-		s.renderJSON(found)
+		s.renderJSON(res)
 		return
 	}
 	table := tabwriter.NewWriter(s.Out, minCellWidth, tabWidth, cellPadding, ' ', 0)
 	_, _ = fmt.Fprintln(table, strings.ToUpper(strings.Join(columns, "\t")))
-	for _, row := range found.rows {
+	for _, row := range res.rows {
 		var cells []string
 		for _, cell := range row.cells() {
 			cells = append(cells, fmt.Sprint(cell))
@@ -56,11 +57,11 @@
 	_ = table.Flush()
 }
 
-func (s *Shell) renderJSON(found result) {
-	// Rows hold nothing that JSON cannot write.
+func (s *Shell) renderJSON(res result) {
+	// The error is ignored: every value in a row can be written as JSON.
 	data, _ := json.MarshalIndent(struct {
 		NotReached []string `json:"not_reached"`
 		Rows       []row    `json:"rows"`
-	}{found.unreachable, found.rows}, "", "  ")
+	}{res.unreachable, res.rows}, "", "  ")
 	s.write(string(data) + "\n")
 }
--- a/internal/app/shell/shell.go
+++ b/internal/app/shell/shell.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	// dialTimeout bounds a connect to a node.
+	// dialTimeout bounds the connect to a node.
 	dialTimeout = 2 * time.Second
 	// requestTimeout bounds the wait for a node's answer.
 	requestTimeout = 3 * time.Second
-	// prompt is written before each line that is read.
+	// prompt is written before each input line.
 	prompt = "tansyseamctl> "
 )
 
-// Requester makes a call to the HTTP address of a node and gives the body of
-// the answer.
+// Requester makes a call to the HTTP address of a node and returns the body of the
+// answer.
 type Requester func(address, path string) ([]byte, error)
 
-// Shell answers queries by asking the node at one address, and from there any
-// node of the cluster.
+// Shell answers queries. It calls the node at one address, and any other node of the
+// cluster at the address that this node reports.
 type Shell struct {
 	// Address is the HTTP address of the first node.
 	Address string
-	// JSON says that answers are written as JSON rather than as tables.
+	// JSON is true if answers are written as JSON instead of tables.
 	JSON bool
-	// Out takes the answers.
+	// Out receives the answers.
 	Out     io.Writer
 	request Requester
 }
 
-// New makes a shell that asks over HTTP.
+// New returns a shell that calls nodes over HTTP.
 func New(address string, asJSON bool, out io.Writer, workers *worker.Group) (*Shell, error) {
 	client, err := httpserver.NewClient("", workers)
 	if err != nil {
@@ -54,58 +54,58 @@
 	}), nil
 }
 
-// NewWithRequester makes a shell that asks by the function given.
+// NewWithRequester returns a shell that calls nodes with the given function.
 func NewWithRequester(address string, asJSON bool, out io.Writer, request Requester) *Shell {
 	return &Shell{Address: address, JSON: asJSON, Out: out, request: request}
 }
 
-// Run answers one query, a name with its arguments. Its errors are ErrBadQuery
-// and ErrUnreachable; with the latter there may be an answer from the nodes
-// that were reached.
+// Run answers one query, which is a name followed by its arguments. Its errors are
+// ErrBadQuery and ErrUnreachable. With ErrUnreachable, the answers of the nodes that
+// were reached may have been written.
 func (s *Shell) Run(line string) error {
 	words := strings.Fields(line)
 	if len(words) == 0 {
 		return nil
 	}
 	name, args := words[0], words[1:]
-	asked, known := queries[name]
-	if !known {
+	selected, found := queries[name]
+	if !found {
 		return badQuery("no query %q; there are: %s", name, strings.Join(QueryNames(), ", "))
 	}
-	if len(args) > asked.maxArgs {
-		return badQuery("%q takes at most %d words, got %d: %s", name, asked.maxArgs, len(args), asked.help)
+	if len(args) > selected.maxArgs {
+		return badQuery("%q takes at most %d words, got %d: %s", name, selected.maxArgs, len(args), selected.help)
 	}
-	found, err := asked.run(s, args)
+	res, err := selected.run(s, args)
 	if err != nil {
 		return err
 	}
-	s.render(asked.columns, found)
-	if len(found.unreachable) > 0 {
-		return unreachable("not reached: %s", strings.Join(found.unreachable, "; "))
+	s.render(selected.columns, res)
+	if len(res.unreachable) > 0 {
+		return unreachable("not reached: %s", strings.Join(res.unreachable, "; "))
 	}
 	return nil
 }
 
-// RunInteractive answers the lines of a reader behind a prompt until it ends or
-// says quit or exit, and gives the error of the last query.
+// RunInteractive writes a prompt for each line of a reader and answers it, until the
+// end of the input or a line quit or exit. It returns the error of the last query.
 func (s *Shell) RunInteractive(in io.Reader) error {
-	var last error
+	var lastErr error
 	lines := bufio.NewScanner(in)
 	s.write(prompt)
 	for lines.Scan() {
 		line := strings.TrimSpace(lines.Text())
 		if line == "quit" || line == "exit" {
-			return last
+			return lastErr
 		}
-		if last = s.Run(line); last != nil {
-			s.write(last.Error() + "\n")
+		if lastErr = s.Run(line); lastErr != nil {
+			s.write(lastErr.Error() + "\n")
 		}
 		s.write(prompt)
 	}
 	s.write("\n")
-	return last
+	return lastErr
 }
 
-// write writes to the operator. An error is dropped: there is nobody else to
-// tell.
+// write writes a text to the operator. The error is ignored, because there is no
+// other output on which to report it.
 func (s *Shell) write(text string) { _, _ = io.WriteString(s.Out, text) }
--- a/internal/app/shell/shell_test.go
+++ b/internal/app/shell/shell_test.go
@@ -25,8 +25,8 @@
 		"d1": `{` + nodesJSON + `,"lease_ms":900,"sets":{"sequence":4,"bindings":[],"taken":[]}}`,
 		"d2": `{` + nodesJSON + `,"lease_ms":0,"sets":{"sequence":3,"bindings":[],"taken":[]}}`,
 	}
-	body, known := bodies[address]
-	if !known {
+	body, found := bodies[address]
+	if !found {
 		return nil, errors.New("refused")
 	}
 	return []byte(body), nil
@@ -38,7 +38,7 @@
 		err := NewWithRequester("d1", asJSON, &out, respond).Run(line)
 		return out.String(), err
 	}
-	Convey("The bindings of a node without a lease are marked as stale, and nodes that were not reached are named", t, func() {
+	Convey("The bindings of a node without a lease are marked as stale, and unreachable nodes are named", t, func() {
 		out, err := ask(false, "bindings")
 		So(errors.Is(err, ErrUnreachable), ShouldBeTrue)
 		So(err.Error(), ShouldContainSubstring, "d3 is dead")
@@ -46,7 +46,7 @@
 		So(out, ShouldContainSubstring, "being carried to all nodes")
 		So(strings.Count(out, "in force"), ShouldEqual, 2)
 	})
-	Convey("The audit log is written with the evidence, as a table or as JSON", t, func() {
+	Convey("The audit log is printed with its evidence, as a table or as JSON", t, func() {
 		out, err := ask(false, "why db")
 		So(err, ShouldBeNil)
 		So(out, ShouldContainSubstring, "five nodes")
@@ -54,7 +54,7 @@
 		So(err, ShouldBeNil)
 		So(json.Valid([]byte(out)), ShouldBeTrue)
 	})
-	Convey("A bad query is answered with the queries that exist", t, func() {
+	Convey("Invalid queries are errors, and an unknown query lists the existing ones", t, func() {
 		for _, line := range []string{"nonsense", "nodes and more", "why nobody", "counters nobody"} {
 			_, err := ask(false, line)
 			So(errors.Is(err, ErrBadQuery), ShouldBeTrue)
@@ -65,14 +65,14 @@
 }
 
 func TestQueryTable(t *testing.T) {
-	Convey("Every query of the lists is known under a name of its own, with help, columns and a function", t, func() {
-		listed := slices.Concat(queryLists...)
-		So(len(QueryNames()), ShouldEqual, len(listed))
-		for _, each := range listed {
-			So(each.name, ShouldNotBeBlank)
-			So(each.help, ShouldNotBeBlank)
-			So(each.columns, ShouldNotBeEmpty)
-			So(each.run, ShouldNotBeNil)
+	Convey("Every listed query is registered under a unique name and has help, columns and a function", t, func() {
+		allQueries := slices.Concat(queryLists...)
+		So(len(QueryNames()), ShouldEqual, len(allQueries))
+		for _, q := range allQueries {
+			So(q.name, ShouldNotBeBlank)
+			So(q.help, ShouldNotBeBlank)
+			So(q.columns, ShouldNotBeEmpty)
+			So(q.run, ShouldNotBeNil)
 		}
 	})
 }
