--- a/internal/transport/tcp/dial.go
+++ b/internal/transport/tcp/dial.go
@@ -8,11 +8,11 @@
 	"github.com/lesismal/nbio"
 )
 
-// Dial opens a connection that an event loop of nbio can be given, and sets its user
-// timeout (see SetUserTimeout). It blocks for up to the timeout of the dialer.
+// Dial opens a connection that can be added to an event loop of nbio, and sets its
+// user timeout (see SetUserTimeout). It blocks for up to the timeout of the dialer.
 //
-// The dial of package net is used since nbio's own may report a connection as refused
-// before it is open.
+// Dial uses package net because nbio's own dial may report a connection as refused
+// before the connection is open.
 func Dial(dialer net.Dialer, address string, userTimeout time.Duration) (*nbio.Conn, error) {
 	dialed, err := dialer.Dial("tcp", address)
 	if err != nil {
--- a/internal/transport/tcp/tcp.go
+++ b/internal/transport/tcp/tcp.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall lacks.
+// tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall does not define.
 const tcpUserTimeout = 0x12
 
-// KeepAlive has the kernel end an idle connection about four seconds after the
+// KeepAlive makes the kernel close an idle connection about four seconds after the
 // remote host became unreachable.
 var KeepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3}
 
-// SetUserTimeout has the kernel end a connection if the remote host does not
-// acknowledge sent bytes within timeout. By default it would retransmit them at
-// growing intervals for minutes; a new connection finds a host that is reachable
-// again at once. An error leaves the default.
+// SetUserTimeout makes the kernel close a connection if the remote host does not
+// acknowledge sent bytes within timeout. By default the kernel retransmits the bytes
+// at growing intervals for minutes. A new connection, in contrast, works as soon as
+// the host is reachable again. If the option cannot be set, the default remains.
 func SetUserTimeout(conn syscall.Conn, timeout time.Duration) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -28,9 +28,9 @@
 	})
 }
 
-// LocalAddress returns the local address of outgoing connections from an IP
-// address, with any port. It is nil, which leaves the choice to the system, for
-// an unspecified IP address and for any other text.
+// LocalAddress returns the local address for outgoing connections from an IP address,
+// with any port. It returns nil, which lets the system choose the address, if host is
+// an unspecified IP address or not an IP address.
 func LocalAddress(host string) net.Addr {
 	ip := net.ParseIP(host)
 	if ip == nil || ip.IsUnspecified() {
--- a/internal/transport/tcp/tcp_test.go
+++ b/internal/transport/tcp/tcp_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestLocalAddress(t *testing.T) {
-	Convey("Only a specific IP address binds outgoing connections", t, func() {
+	Convey("LocalAddress returns an address for a specific IP address only", t, func() {
 		So(LocalAddress("127.0.0.2").String(), ShouldEqual, "127.0.0.2:0")
 		for _, host := range []string{"", "0.0.0.0", "::", "localhost"} {
 			So(LocalAddress(host), ShouldBeNil)
--- a/internal/transport/worker/channel.go
+++ b/internal/transport/worker/channel.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Await receives from a channel. It returns false if nothing came within
-// timeout.
+// Await waits until a value arrives on a channel or the channel is closed. It returns
+// false if neither happens within timeout.
 func Await[T any](done <-chan T, timeout time.Duration) bool {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -11,8 +11,8 @@
 	return ok
 }
 
-// Receive receives a value. It returns false if the channel cancel is ready
-// first.
+// Receive receives a value. It returns false if the channel cancel is closed or
+// delivers a value first.
 func Receive[T, U any](values <-chan T, cancel <-chan U) (T, bool) {
 	select {
 	case value := <-values:
@@ -23,8 +23,8 @@
 	}
 }
 
-// ReceiveWithin receives a value. It returns false if none came within timeout, or
-// before the group is to stop.
+// ReceiveWithin receives a value. It returns false if no value arrives within timeout
+// or before the group stops.
 func ReceiveWithin[T any](group *Group, values <-chan T, timeout time.Duration) (T, bool) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -39,7 +39,7 @@
 	}
 }
 
-// TryReceive receives a value if one is ready at once.
+// TryReceive receives a value without blocking. It returns false if no value is ready.
 func TryReceive[T any](values <-chan T) (T, bool) {
 	select {
 	case value := <-values:
@@ -50,7 +50,7 @@
 	}
 }
 
-// TrySend sends a value if the channel has room at once.
+// TrySend sends a value without blocking. It returns false if the channel has no room.
 func TrySend[T any](values chan<- T, value T) bool {
 	select {
 	case values <- value:
--- a/internal/transport/worker/counters.go
+++ b/internal/transport/worker/counters.go
@@ -5,12 +5,12 @@
 	"sync/atomic"
 )
 
-// Counters are a program's named counters. They are safe for concurrent use.
+// Counters are the named counters of a program. They are safe for concurrent use.
 type Counters struct {
 	counts sync.Map
 }
 
-// Add adds to a counter, which begins at 0.
+// Add adds delta to a counter. A counter starts at 0.
 func (c *Counters) Add(name string, delta int64) {
 	counter, found := c.counts.Load(name)
 	if !found {
--- a/internal/transport/worker/group.go
+++ b/internal/transport/worker/group.go
@@ -1,6 +1,6 @@
-// Package worker starts all goroutines of the programs, and provides what is
-// needed around them: groups that can be stopped, pools with bounded queues,
-// operations on channels, and counters.
+// Package worker starts all goroutines of the programs. It provides groups of
+// goroutines that can be stopped, worker pools with bounded queues, operations on
+// channels, and counters.
 package worker
 
 import (
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// clockOffset is the time that a group's clock shows at first. Times are never
-// close to zero, so that the zero value is long past.
+// clockOffset is the time of a group's clock at its start. All times are far from zero,
+// so that the zero value is always a time in the distant past.
 const clockOffset = time.Hour
 
 // Group starts goroutines and stops them together.
@@ -37,14 +37,14 @@
 	}()
 }
 
-// Stopping returns a channel that is closed when the group is to stop.
+// Stopping returns a channel that is closed when Stop is called.
 func (g *Group) Stopping() <-chan struct{} { return g.stopping }
 
-// IsStopping says whether the group is to stop.
+// IsStopping reports whether Stop was called.
 func (g *Group) IsStopping() bool { return g.stopped.Load() }
 
-// Stop ends all loops and pools and waits until all goroutines have ended. It
-// returns false if some have not within timeout.
+// Stop ends all loops and pools and waits for all goroutines. It reports whether all
+// goroutines ended within timeout.
 func (g *Group) Stop(timeout time.Duration) bool {
 	g.stopOnce.Do(func() {
 		g.stopped.Store(true)
@@ -58,8 +58,8 @@
 	return Await(done, timeout)
 }
 
-// Loop runs the queued functions, and tick at each interval, one at a time until
-// the group stops. The queue may be nil.
+// Loop starts a goroutine that runs the functions from queue, and tick at each
+// interval, one at a time until the group stops. The queue may be nil.
 func (g *Group) Loop(queue <-chan func(), interval time.Duration, tick func()) {
 	g.Go(func() {
 		ticker := time.NewTicker(interval)
--- a/internal/transport/worker/pool.go
+++ b/internal/transport/worker/pool.go
@@ -9,7 +9,8 @@
 	group *Group
 }
 
-// NewPool starts a pool whose queue has room for size items.
+// NewPool starts a pool with the given number of workers and a queue for size items.
+// The workers pass each item to handle.
 func NewPool[T any](group *Group, name string, size, workers int, handle func(T)) *Pool[T] {
 	p := &Pool[T]{Name: name, queue: make(chan T, size), group: group}
 	for range workers {
@@ -29,9 +30,8 @@
 	}
 }
 
-// Submit queues an item. While the queue is full, it blocks for up to timeout,
-// which puts back-pressure on the caller. It returns false if the item was not
-// queued.
+// Submit queues an item. While the queue is full, Submit blocks for up to timeout,
+// which puts back-pressure on the caller. It reports whether the item was queued.
 func (p *Pool[T]) Submit(item T, timeout time.Duration) bool {
 	if p.TrySubmit(item) {
 		return true
@@ -48,7 +48,7 @@
 	}
 }
 
-// TrySubmit queues an item if the queue has room at once.
+// TrySubmit queues an item without blocking. It returns false if the queue has no room.
 func (p *Pool[T]) TrySubmit(item T) bool { return TrySend(p.queue, item) }
 
 // QueueLength returns the number of queued items.
--- a/internal/transport/worker/worker_test.go
+++ b/internal/transport/worker/worker_test.go
@@ -12,13 +12,13 @@
 func TestGroup(t *testing.T) {
 	Convey("Given a group", t, func() {
 		group := NewGroup()
-		Convey("Its clock begins at the offset and does not go back", func() {
+		Convey("Its clock starts at the offset and does not go backwards", func() {
 			first := group.Now()
 			So(first, ShouldBeGreaterThanOrEqualTo, clockOffset)
 			So(group.Now(), ShouldBeGreaterThanOrEqualTo, first)
 			So(group.Stop(testTimeout), ShouldBeTrue)
 		})
-		Convey("A loop runs queued functions and ticks, and ends with the group", func() {
+		Convey("A loop runs queued functions and ticks, and ends when the group stops", func() {
 			queue, events := make(chan func()), make(chan string, 1)
 			group.Loop(queue, time.Millisecond, func() { TrySend(events, "tick") })
 			event, ok := Receive(events, time.After(testTimeout))
@@ -32,7 +32,7 @@
 			So(group.IsStopping(), ShouldBeTrue)
 			So(Await(group.Stopping(), testTimeout), ShouldBeTrue)
 		})
-		Convey("Stop says so if a goroutine does not end in time", func() {
+		Convey("Stop returns false if a goroutine does not end in time", func() {
 			release := make(chan bool)
 			group.Go(func() { <-release })
 			So(group.Stop(time.Millisecond), ShouldBeFalse)
@@ -43,7 +43,7 @@
 }
 
 func TestPool(t *testing.T) {
-	Convey("A pool queues up to its size, and blocks or refuses beyond", t, func() {
+	Convey("When the queue of a pool is full, TrySubmit returns false at once and Submit at its timeout", t, func() {
 		group := NewGroup()
 		started, release, handled := make(chan int, 9), make(chan bool), make(chan int, 9)
 		pool := NewPool(group, "test", 1, 1, func(item int) {
@@ -70,7 +70,7 @@
 }
 
 func TestChannels(t *testing.T) {
-	Convey("Receiving and sending do not block where they say so", t, func() {
+	Convey("Channel operations that cannot proceed return false without blocking, on cancellation or at their timeout", t, func() {
 		values, cancelled := make(chan int, 1), make(chan bool)
 		close(cancelled)
 		_, ok := TryReceive(values)
@@ -87,7 +87,7 @@
 }
 
 func TestReceiveWithin(t *testing.T) {
-	Convey("A value that comes in time is received", t, func() {
+	Convey("A value that arrives in time is received", t, func() {
 		values := make(chan int, 1)
 		values <- 7
 		value, ok := ReceiveWithin(NewGroup(), values, testTimeout)
@@ -98,7 +98,7 @@
 		_, ok := ReceiveWithin(NewGroup(), make(chan int), time.Millisecond)
 		So(ok, ShouldBeFalse)
 	})
-	Convey("The wait ends without a value once the group is to stop", t, func() {
+	Convey("The wait ends without a value when the group stops", t, func() {
 		group := NewGroup()
 		outcomes := make(chan bool, 1)
 		group.Go(func() {
@@ -111,7 +111,7 @@
 }
 
 func TestCounters(t *testing.T) {
-	Convey("Counters begin at zero and are safe for concurrent use", t, func() {
+	Convey("Counters start at zero and are safe for concurrent use", t, func() {
 		counters, group := &Counters{}, NewGroup()
 		So(counters.Snapshot(), ShouldBeEmpty)
 		for range 8 {
