--- a/internal/transport/httpserver/client.go
+++ b/internal/transport/httpserver/client.go
@@ -16,11 +16,12 @@
 	"tansyseam/internal/transport/worker"
 )
 
-// Errors of a request, as types for errors.Is.
+// Error types of a request, for errors.Is.
 const (
-	// ErrNotSent says that nothing of the request has left this process.
+	// ErrNotSent is returned when nothing of the request has left this process.
 	ErrNotSent = errors.ConstError("request not sent")
-	// ErrOutcomeUnknown says that the request may have arrived and taken effect.
+	// ErrOutcomeUnknown is returned when the request may have arrived and taken
+	// effect.
 	ErrOutcomeUnknown = errors.ConstError("connection broken with a request in flight")
 
 	errNoResponse = errors.ConstError("no response in time")
@@ -29,7 +30,7 @@
 const (
 	// clientPollers is the number of event loops of a client.
 	clientPollers = 2
-	// maxResponseSize is the largest body of a response, in bytes.
+	// maxResponseSize is the maximum size of a response body, in bytes.
 	maxResponseSize = 16 << 20
 )
 
@@ -40,22 +41,22 @@
 	workers *worker.Group
 }
 
-// NewClient starts a client whose connections have a local IP address. An empty
-// or unspecified one leaves the choice to the system.
+// NewClient starts a client whose connections use localIP as their local address. If
+// localIP is empty or unspecified, the system chooses the address.
 func NewClient(localIP string, workers *worker.Group) (*Client, error) {
 	engine := nbhttp.NewEngine(nbhttp.Config{NPoller: clientPollers, MaxHTTPBodySize: maxResponseSize})
-	orderConnectionHandoff(engine.Engine)
+	syncConnectionHandoff(engine.Engine)
 	if err := engine.Start(); err != nil {
 		return nil, errors.Trace(err)
 	}
 	return &Client{engine: engine, local: tcp.LocalAddress(localIP), workers: workers}, nil
 }
 
-// Close ends the client and all its connections.
+// Close stops the client and closes all its connections.
 func (c *Client) Close() { c.engine.Stop() }
 
-// Response is the response to a request, or its error, which is of type
-// ErrNotSent or ErrOutcomeUnknown.
+// Response is the response to a request, or the error Err of the request, which is of
+// type ErrNotSent or ErrOutcomeUnknown.
 type Response struct {
 	Status int
 	Body   []byte
@@ -71,9 +72,8 @@
 	closed  bool
 }
 
-// Dial opens a connection. If onClose is not nil, it is called when the
-// connection ends. Dial blocks for up to timeout. Its errors are of type
-// ErrNotSent.
+// Dial opens a connection. If onClose is not nil, it is called when the connection is
+// closed. Dial blocks for up to timeout. Its errors are of type ErrNotSent.
 func (c *Client) Dial(address string, timeout time.Duration, onClose func()) (*ClientConn, error) {
 	dialer := net.Dialer{Timeout: timeout, LocalAddr: c.local, KeepAliveConfig: tcp.KeepAlive}
 	raw, err := dialer.Dial("tcp", address)
@@ -97,7 +97,7 @@
 	c.closed = true
 }
 
-// IsClosed says whether the connection has ended.
+// IsClosed reports whether the connection was closed.
 func (c *ClientConn) IsClosed() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -107,7 +107,7 @@
 // Address returns the remote address.
 func (c *ClientConn) Address() string { return c.address }
 
-// Close ends the connection. It does not block.
+// Close closes the connection. It does not block.
 func (c *ClientConn) Close() { c.client.workers.Go(c.conn.Close) }
 
 // PostAsync sends a POST request with a JSON body. The client's event loop calls
@@ -116,8 +116,7 @@
 	c.start(postRequest(path, body), done)
 }
 
-// Post sends a POST request with a JSON body and waits for the response. If none
-// comes within timeout, the connection is closed.
+// Post sends a POST request with a JSON body and waits for the response, as Send does.
 func (c *ClientConn) Post(path string, body []byte, timeout time.Duration) Response {
 	return c.Send(postRequest(path, body), timeout)
 }
@@ -126,8 +125,9 @@
 	return adapter.Request{Method: http.MethodPost, Path: path, Body: body}
 }
 
-// Send sends a request and waits for the response. If none comes within timeout, or
-// before the client's workers stop, the connection is closed.
+// Send sends a request and waits for the response. If no response arrives within
+// timeout, or before the client's workers stop, Send closes the connection and returns
+// an error of type ErrOutcomeUnknown.
 func (c *ClientConn) Send(request adapter.Request, timeout time.Duration) Response {
 	responses := make(chan Response, 1)
 	c.start(request, func(response Response) { worker.TrySend(responses, response) })
--- a/internal/transport/httpserver/connection_test.go
+++ b/internal/transport/httpserver/connection_test.go
@@ -19,8 +19,8 @@
 )
 
 func TestFirstRequestOfEachConnection(t *testing.T) {
-	Convey("The poller that reads from a connection sees all that the listener wrote to it", t, func() {
-		const dialers, each = 8, 60
+	Convey("The first request of each connection is served, because the poller observes all that the listener wrote", t, func() {
+		const dialers, connectionsPerDialer = 8, 60
 		address := reserve.Loopback(t)
 		var served atomic.Int64
 		server, err := Listen(address, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -42,7 +42,7 @@
 			running.Add(1)
 			workers.Go(func() {
 				defer running.Done()
-				for range each {
+				for range connectionsPerDialer {
 					conn, err := client.Dial(address, 10*time.Second, nil)
 					if err != nil {
 						continue
@@ -55,13 +55,13 @@
 			})
 		}
 		running.Wait()
-		So(answered.Load(), ShouldEqual, dialers*each)
-		So(served.Load(), ShouldEqual, dialers*each)
+		So(answered.Load(), ShouldEqual, dialers*connectionsPerDialer)
+		So(served.Load(), ShouldEqual, dialers*connectionsPerDialer)
 	})
 }
 
 func TestLongResponseWithConnectionClose(t *testing.T) {
-	Convey("A response longer than the connection accepts at once arrives completely, though the client asked for Connection: close", t, func() {
+	Convey("A response that is longer than the connection accepts at once arrives completely, even if the client sent Connection: close", t, func() {
 		const size = 16 << 20
 		address := reserve.Loopback(t)
 		server, err := Listen(address, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -69,10 +69,10 @@
 		}), nil)
 		So(err, ShouldBeNil)
 		Reset(server.Close)
-		narrow := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
+		smallBufferDialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
 		}}
-		conn, err := narrow.Dial("tcp", address)
+		conn, err := smallBufferDialer.Dial("tcp", address)
 		So(err, ShouldBeNil)
 		Reset(func() { _ = conn.Close() })
 		_, err = conn.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"))
--- a/internal/transport/httpserver/doc.go
+++ b/internal/transport/httpserver/doc.go
@@ -1,9 +1,10 @@
-// Package httpserver serves HTTP/1.1 and makes HTTP requests, both on nbio's event
-// loops.
+// Package httpserver serves HTTP/1.1 and sends HTTP requests, both on event loops of
+// nbio.
 //
-// Listen serves a standard http.Handler; handlers read bodies by ReadBody, which bounds
-// them. A Client opens connections by Dial. A ClientConn carries one request at a time,
-// by Post or Send, which wait, or by PostAsync, whose callback runs on the event loop
-// and must not block. Nothing is retried here: the errors ErrNotSent and
-// ErrOutcomeUnknown say whether a request may have taken effect.
+// Listen serves a standard http.Handler. Handlers read bodies with ReadBody, which
+// limits their size. A Client opens connections with Dial. A ClientConn carries one
+// request at a time. Post and Send wait for the response. PostAsync calls a callback,
+// which runs on the event loop and must not block. The package retries nothing: the
+// errors ErrNotSent and ErrOutcomeUnknown report whether a request may have taken
+// effect.
 package httpserver
--- a/internal/transport/httpserver/handoff.go
+++ b/internal/transport/httpserver/handoff.go
@@ -6,14 +6,15 @@
 	"github.com/lesismal/nbio"
 )
 
-// orderConnectionHandoff makes what was written before a connection was handed
-// to a poller visible to that poller by Go's memory model. The kernel orders the
-// two already, by epoll_ctl before epoll_wait, which the model does not know.
-func orderConnectionHandoff(engine *nbio.Engine) {
-	var opened atomic.Uint64
-	engine.OnOpen(func(*nbio.Conn) { opened.Add(1) })
+// syncConnectionHandoff makes all writes before the handoff of a connection to a
+// poller visible to that poller, as Go's memory model requires. The kernel already
+// orders the handoff by epoll_ctl before epoll_wait, but Go's memory model does not
+// cover these calls.
+func syncConnectionHandoff(engine *nbio.Engine) {
+	var openedConnections atomic.Uint64
+	engine.OnOpen(func(*nbio.Conn) { openedConnections.Add(1) })
 	engine.OnReadBufferAlloc(func(conn *nbio.Conn) *[]byte {
-		opened.Load()
+		openedConnections.Load()
 		return engine.PollerBufferPtr(conn)
 	})
 }
--- a/internal/transport/httpserver/server.go
+++ b/internal/transport/httpserver/server.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// MaxBodySize is the largest body of a request, in bytes.
+	// MaxBodySize is the maximum size of a request body, in bytes.
 	MaxBodySize = 1 << 20
 	// serverPollers is the number of event loops of a server.
 	serverPollers = 2
-	// idleTimeout is how long a connection without requests is kept.
+	// idleTimeout is how long a connection without requests stays open.
 	idleTimeout = 10 * time.Minute
 )
 
-// Errors of a server, as types for errors.Is.
+// Error types of a server, for errors.Is.
 const (
-	// ErrListen says that the address cannot be listened on.
-	ErrListen = errors.ConstError("address cannot be listened on")
-	// ErrBodyTooLarge says that a request's body is larger than MaxBodySize.
+	// ErrListen is returned when the server cannot listen on its address.
+	ErrListen = errors.ConstError("cannot listen on address")
+	// ErrBodyTooLarge is returned when the body of a request is larger than
+	// MaxBodySize.
 	ErrBodyTooLarge = errors.ConstError("request body too large")
 )
 
@@ -32,22 +33,22 @@
 	engine *nbhttp.Engine
 }
 
-// Listen opens an address and serves it. If onDisconnect is not nil, it is called
-// with the remote address of each connection that ends. Its errors are of type
-// ErrListen.
+// Listen listens on an address and serves requests. If onDisconnect is not nil, it is
+// called with the remote address of each connection that is closed. The errors of
+// Listen are of type ErrListen.
 func Listen(address string, handler http.Handler, onDisconnect func(remoteAddress string)) (*Server, error) {
 	engine := nbhttp.NewEngine(nbhttp.Config{
 		Network: "tcp",
 		Addrs:   []string{address},
 		Handler: withContentLength(handler),
 		NPoller: serverPollers,
-		// The limit of the library lies above that of ReadBody, so that a body which
-		// is too large is answered.
+		// The library's limit is above the limit of ReadBody, so that a request whose
+		// body is too large receives a response.
 		MaxHTTPBodySize:         MaxBodySize * 2,
 		KeepaliveTime:           idleTimeout,
 		ReleaseWebsocketPayload: true,
 	})
-	orderConnectionHandoff(engine.Engine)
+	syncConnectionHandoff(engine.Engine)
 	if onDisconnect != nil {
 		engine.OnClose(func(conn net.Conn, _ error) { onDisconnect(conn.RemoteAddr().String()) })
 	}
@@ -57,11 +58,11 @@
 	return &Server{engine: engine}, nil
 }
 
-// Close closes the address and all connections.
+// Close closes the listener and all connections.
 func (s *Server) Close() { s.engine.Stop() }
 
-// ReadBody returns the body of a request, ErrBodyTooLarge, or the error of
-// reading it.
+// ReadBody returns the body of a request. The error is ErrBodyTooLarge, or the error
+// of reading the body.
 func ReadBody(r *http.Request) ([]byte, error) {
 	if r.Body == nil {
 		return nil, nil
--- a/internal/transport/httpserver/server_test.go
+++ b/internal/transport/httpserver/server_test.go
@@ -20,8 +20,8 @@
 	"tansyseam/test/reserve"
 )
 
-// recordingAllocator never reuses a buffer, and records each one that is freed
-// more than once, or changed after it was freed.
+// recordingAllocator never reuses a buffer. It records a fault for each buffer that is
+// freed more than once, or changed after it was freed.
 type recordingAllocator struct {
 	mutex  sync.Mutex
 	freed  map[*[]byte]bool
@@ -34,28 +34,28 @@
 }
 
 func (a *recordingAllocator) Realloc(buffer *[]byte, size int) *[]byte {
-	panic("deprecated: nothing calls it")
+	panic("called Realloc, which is deprecated")
 }
 
-func (a *recordingAllocator) Append(buffer *[]byte, more ...byte) *[]byte {
+func (a *recordingAllocator) Append(buffer *[]byte, data ...byte) *[]byte {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.freed[buffer] {
-		a.faults = append(a.faults, fmt.Sprintf("%d bytes appended to a buffer that was freed", len(more)))
+		a.faults = append(a.faults, fmt.Sprintf("%d bytes appended to a freed buffer", len(data)))
 	}
-	*buffer = append(*buffer, more...)
+	*buffer = append(*buffer, data...)
 	return buffer
 }
 
-func (a *recordingAllocator) AppendString(buffer *[]byte, more string) *[]byte {
-	return a.Append(buffer, []byte(more)...)
+func (a *recordingAllocator) AppendString(buffer *[]byte, text string) *[]byte {
+	return a.Append(buffer, []byte(text)...)
 }
 
 func (a *recordingAllocator) Free(buffer *[]byte) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.freed[buffer] {
-		a.faults = append(a.faults, "a buffer freed twice")
+		a.faults = append(a.faults, "buffer freed twice")
 	}
 	a.freed[buffer] = true
 }
@@ -67,12 +67,12 @@
 }
 
 func installRecordingAllocator() (*recordingAllocator, func()) {
-	allocator, before := &recordingAllocator{freed: map[*[]byte]bool{}}, mempool.DefaultMemPool
+	allocator, previous := &recordingAllocator{freed: map[*[]byte]bool{}}, mempool.DefaultMemPool
 	mempool.DefaultMemPool = allocator
-	return allocator, func() { mempool.DefaultMemPool = before }
+	return allocator, func() { mempool.DefaultMemPool = previous }
 }
 
-// echo answers with the body, repeated as often as the path says.
+// echo responds with the request body, repeated as often as the number in the path.
 func echo(w http.ResponseWriter, r *http.Request) {
 	body, err := ReadBody(r)
 	if err != nil {
@@ -85,7 +85,7 @@
 	_, _ = w.Write(bytes.Repeat(body, count))
 }
 
-// recordedConn is a connection that keeps what is written to it.
+// recordedConn is a connection that records the bytes written to it.
 type recordedConn struct {
 	net.Conn
 	written bytes.Buffer
@@ -103,7 +103,7 @@
 		engine := nbhttp.NewEngine(nbhttp.Config{Handler: withContentLength(http.HandlerFunc(echo))})
 		for _, size := range []int{0, 1, 500, 1024, 40000, 65000, 65300, 65530, 65536, 70000, 200000} {
 			conn := &recordedConn{}
-			parser := nbhttp.NewParser(conn, engine, nbhttp.NewServerProcessor(), false, func(act func()) bool { act(); return true })
+			parser := nbhttp.NewParser(conn, engine, nbhttp.NewServerProcessor(), false, func(job func()) bool { job(); return true })
 			So(parser.Parse([]byte(fmt.Sprintf("POST /%d HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\ny", size))), ShouldBeNil)
 			response, err := http.ReadResponse(bufio.NewReader(&conn.written), nil)
 			So(err, ShouldBeNil)
@@ -158,9 +158,9 @@
 		So(allocator.recordedFaults(), ShouldBeEmpty)
 		So(lengths, ShouldResemble, make([]int64, len(lengths)))
 	})
-	Convey("Many connections, some of them closed with a response in flight: none reads the body of another", t, func() {
+	Convey("No connection receives the body of another connection, even if some are closed with a response in flight", t, func() {
 		var running sync.WaitGroup
-		wrong := make(chan string, 1000)
+		mismatches := make(chan string, 1000)
 		for number := range 40 {
 			running.Add(1)
 			workers.Go(func() {
@@ -170,7 +170,7 @@
 					count := []int{1, 30, 2000, 30000}[(number+round)%4]
 					conn, err := client.Dial(address, 5*time.Second, nil)
 					if err != nil {
-						wrong <- err.Error()
+						mismatches <- err.Error()
 						continue
 					}
 					if number%5 == 0 {
@@ -181,7 +181,7 @@
 					for range 3 {
 						response := conn.Post(fmt.Sprintf("/%d", count), []byte(body), 20*time.Second)
 						if response.Err != nil || string(response.Body) != strings.Repeat(body, count) {
-							wrong <- fmt.Sprintf("%s: %v, %.40s", body, response.Err, response.Body)
+							mismatches <- fmt.Sprintf("%s: %v, %.40s", body, response.Err, response.Body)
 						}
 					}
 					conn.Close()
@@ -189,8 +189,8 @@
 			})
 		}
 		running.Wait()
-		close(wrong)
-		for mismatch := range wrong {
+		close(mismatches)
+		for mismatch := range mismatches {
 			So(mismatch, ShouldBeEmpty)
 		}
 		So(allocator.recordedFaults(), ShouldBeEmpty)
--- a/internal/transport/httpserver/writer.go
+++ b/internal/transport/httpserver/writer.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// singleWriteSize is the number of bytes that one write to a socket accepts
-	// for certain.
+	// singleWriteSize is a number of bytes that a socket always accepts in one write.
 	singleWriteSize = 4 << 10
-	// closeDelay is how long a client that asked for the connection to be closed
-	// may take over the rest of a long response, if it does not close it itself.
+	// closeDelay is the time after which the server closes the connection of a client
+	// that sent Connection: close and receives a long response. The client has this
+	// time to read the rest of the response, unless it closes the connection earlier.
 	closeDelay = 5 * time.Second
 )
 
-// sizedWriter writes a response with its Content-Length, in one piece. A chunked
-// response of 64 KiB and more makes the library free a buffer that it goes on
-// using, and then free it again, so that two responses share it.
+// sizedWriter writes a response with its Content-Length, in one piece. For a chunked
+// response of 64 KiB or more, the library frees a buffer that it continues to use, and
+// then frees the buffer a second time, so that two responses share it.
 type sizedWriter struct {
 	http.ResponseWriter
 	request *http.Request
@@ -40,9 +40,9 @@
 	return w.ResponseWriter.Write(body)
 }
 
-// delayClose leaves it to the client to close the connection, for some time. The
-// library would close it with the rest of the response still queued, and drop
-// that.
+// delayClose lets the client close the connection, and closes it after closeDelay. The
+// library would close the connection immediately and drop the rest of the response,
+// which is still queued.
 func (w sizedWriter) delayClose() {
 	response, ok := w.ResponseWriter.(*nbhttp.Response)
 	if !ok {
--- a/internal/transport/lineserver/conn.go
+++ b/internal/transport/lineserver/conn.go
@@ -7,36 +7,36 @@
 	"github.com/lesismal/nbio"
 )
 
-// ErrLineTooLong ends a connection whose remote end sends a line longer than the
-// server allows.
+// ErrLineTooLong is passed to OnClose when the connection was closed because the
+// remote end sent a line longer than the server allows.
 const ErrLineTooLong = errors.ConstError("line too long")
 
-// Handler handles what happens on one connection.
+// Handler handles the events of one connection.
 type Handler interface {
-	// OnLines is called with complete lines, without their ends, that arrived
-	// together. They are valid until it returns.
+	// OnLines is called with the complete lines that arrived together, without their
+	// line ends. The lines are valid until OnLines returns.
 	OnLines(lines [][]byte)
-	// OnClose is called once, when the connection has ended or could not be
+	// OnClose is called once, when the connection was closed or could not be
 	// opened.
 	OnClose(err error)
 }
 
-// Conn is one connection.
+// Conn is a TCP connection that carries lines.
 type Conn struct {
 	raw     *nbio.Conn
 	handler Handler
-	// partial is the start of a line whose end has not arrived.
+	// partial is the start of a line that has not arrived completely.
 	partial       []byte
 	maxLineLength int
 	// closed is guarded by the server's mutex.
 	closed bool
 }
 
-// Write sends bytes. It does not block: what the socket does not accept at once
-// is queued. A connection whose queue grows too large is closed.
+// Write sends bytes without blocking. Bytes that the socket does not accept at once
+// are queued. The connection is closed if its queue grows too large.
 func (c *Conn) Write(data []byte) { _, _ = c.raw.Write(data) }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Conn) Close() { _ = c.raw.Close() }
 
 func (c *Conn) onData(data []byte) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// splitLines returns the complete lines at the start of data, up to the first
+// splitLines returns the complete lines at the start of data, up to the first line
 // that is too long, and the bytes after them.
 func splitLines(data []byte, maxLineLength int) (lines [][]byte, rest []byte) {
 	for {
--- a/internal/transport/lineserver/dial.go
+++ b/internal/transport/lineserver/dial.go
@@ -8,14 +8,14 @@
 )
 
 // userTimeout is how long sent bytes may stay unacknowledged before a dialed
-// connection is given up.
+// connection is closed.
 const userTimeout = 2 * time.Second
 
-// Dial opens a connection and sends the bytes in first as soon as it is open. It
-// does not block. onConnect is called with the connection before any other call;
-// if the connection cannot be opened within timeout, only the handler's OnClose
-// is called.
-func (s *Server) Dial(address string, first []byte, timeout time.Duration, handler Handler, onConnect func(*Conn)) {
+// Dial opens a connection and sends initialData as soon as the connection is open. It
+// does not block. onConnect is called with the connection before any method of the
+// handler. If the connection cannot be opened within timeout, only the handler's
+// OnClose is called.
+func (s *Server) Dial(address string, initialData []byte, timeout time.Duration, handler Handler, onConnect func(*Conn)) {
 	dialer := net.Dialer{Timeout: timeout, KeepAliveConfig: tcp.KeepAlive}
 	s.workers.Go(func() {
 		raw, err := tcp.Dial(dialer, address, userTimeout)
@@ -30,8 +30,8 @@
 			s.detach(raw, err)
 			return
 		}
-		if len(first) > 0 {
-			conn.Write(first)
+		if len(initialData) > 0 {
+			conn.Write(initialData)
 		}
 	})
 }
--- a/internal/transport/lineserver/dial_test.go
+++ b/internal/transport/lineserver/dial_test.go
@@ -10,7 +10,7 @@
 	"tansyseam/internal/transport/worker"
 )
 
-// lineCollector keeps the lines and the end of a connection.
+// lineCollector records the lines of a connection and the error of its close.
 type lineCollector struct {
 	lines chan string
 	ended chan error
@@ -25,7 +25,7 @@
 func (c *lineCollector) OnClose(err error) { c.ended <- err }
 
 func TestDial(t *testing.T) {
-	Convey("A dialed connection sends its first bytes and receives lines", t, func() {
+	Convey("A dialed connection sends its initial data and receives lines", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		server := NewServer(worker.NewGroup(), "", 100, nil)
--- a/internal/transport/lineserver/doc.go
+++ b/internal/transport/lineserver/doc.go
@@ -1,8 +1,9 @@
-// Package lineserver carries lines of text over TCP, on one event loop of nbio:
-// on connections that are accepted and on connections that are dialed. Lines end
-// with LF, or with CR and LF.
+// Package lineserver carries lines of text over TCP, on accepted connections and on
+// dialed connections. All connections of a server run on one event loop of nbio.
+// Lines end with LF, or with CR and LF.
 //
-// NewServer gets a function that returns a Handler for each accepted connection; Dial
-// gets the Handler of the one it opens. A connection's lines come to its handler in
-// order, on the event loop, so that handlers must not block. OnClose comes once.
+// NewServer takes a function that returns a Handler for each accepted connection. Dial
+// takes the Handler of the connection that it opens. A Handler receives the lines of
+// its connection in order, on the event loop, so it must not block. OnClose is called
+// once.
 package lineserver
--- a/internal/transport/lineserver/server.go
+++ b/internal/transport/lineserver/server.go
@@ -9,10 +9,11 @@
 	"tansyseam/internal/transport/worker"
 )
 
-// ErrListen says that the server's address cannot be listened on.
-const ErrListen = errors.ConstError("address cannot be listened on")
+// ErrListen is returned when the server cannot listen on its address.
+const ErrListen = errors.ConstError("cannot listen on address")
 
 const (
+	// readBufferSize is the size of the event loop's read buffer, in bytes.
 	readBufferSize = 16 << 10
 	// maxWriteBufferSize is the number of queued bytes at which a connection whose
 	// remote end does not read is closed.
@@ -24,31 +25,33 @@
 	engine        *nbio.Engine
 	workers       *worker.Group
 	maxLineLength int
-	accept        func(*Conn) Handler
-	// mutex guards the sessions of the raw connections.
+	newHandler    func(*Conn) Handler
+	// mutex guards the sessions of the raw connections and the field closed of each
+	// Conn.
 	mutex sync.Mutex
 }
 
-// closedEarly is the session of a raw connection that ended before its Conn was
-// attached.
-type closedEarly struct{ err error }
+// closedBeforeAttach is the session of a raw connection that was closed before its
+// Conn was attached.
+type closedBeforeAttach struct{ err error }
 
 // NewServer returns a server for an address, which Start opens. With an empty
-// address the server only dials. The function accept returns the handler of an
-// accepted connection; lines may have maxLineLength bytes.
-func NewServer(workers *worker.Group, address string, maxLineLength int, accept func(*Conn) Handler) *Server {
+// address the server only dials. newHandler returns the handler of an accepted
+// connection. A line may have up to maxLineLength bytes.
+func NewServer(workers *worker.Group, address string, maxLineLength int, newHandler func(*Conn) Handler) *Server {
 	config := nbio.Config{Network: "tcp", NPoller: 1, ReadBufferSize: readBufferSize, MaxWriteBufferSize: maxWriteBufferSize}
 	if address != "" {
 		config.Addrs = []string{address}
 	}
-	s := &Server{engine: nbio.NewEngine(config), workers: workers, maxLineLength: maxLineLength, accept: accept}
+	s := &Server{engine: nbio.NewEngine(config), workers: workers, maxLineLength: maxLineLength, newHandler: newHandler}
 	s.engine.OnOpen(s.onOpen)
 	s.engine.OnData(s.onData)
 	s.engine.OnClose(s.detach)
 	return s
 }
 
-// Start opens the address and serves. Its errors are of type ErrListen.
+// Start listens on the address and serves connections. Its errors are of type
+// ErrListen.
 func (s *Server) Start() error {
 	if err := s.engine.Start(); err != nil {
 		return errors.WithType(errors.Trace(err), ErrListen)
@@ -56,15 +59,15 @@
 	return nil
 }
 
-// Stop closes the address and all connections.
+// Stop closes the listener and all connections.
 func (s *Server) Stop() { s.engine.Stop() }
 
 func (s *Server) onOpen(raw *nbio.Conn) {
 	if s.connOf(raw) != nil {
-		return // It was dialed.
+		return // The connection was dialed and has its Conn already.
 	}
 	conn := &Conn{raw: raw, maxLineLength: s.maxLineLength}
-	conn.handler = s.accept(conn)
+	conn.handler = s.newHandler(conn)
 	s.attach(raw, conn)
 }
 
@@ -74,23 +77,23 @@
 	}
 }
 
-// attach joins a Conn to its raw connection. If that has ended in the meantime,
-// the handler is notified.
+// attach makes a Conn the session of its raw connection. If the raw connection has
+// been closed in the meantime, attach notifies the handler.
 func (s *Server) attach(raw *nbio.Conn, conn *Conn) {
 	s.mutex.Lock()
-	early, closed := raw.Session().(closedEarly)
+	earlyClose, closed := raw.Session().(closedBeforeAttach)
 	conn.closed = closed
 	if !closed {
 		raw.SetSession(conn)
 	}
 	s.mutex.Unlock()
 	if closed {
-		conn.handler.OnClose(early.err)
+		conn.handler.OnClose(earlyClose.err)
 	}
 }
 
-// detach notifies the handler of the end of a connection, once. If no Conn is
-// attached yet, attach does it.
+// detach notifies the handler that the connection was closed, once. If no Conn is
+// attached yet, attach notifies the handler later.
 func (s *Server) detach(raw *nbio.Conn, err error) {
 	s.mutex.Lock()
 	conn, attached := raw.Session().(*Conn)
@@ -98,7 +101,7 @@
 	if attached {
 		conn.closed = true
 	} else {
-		raw.SetSession(closedEarly{err})
+		raw.SetSession(closedBeforeAttach{err})
 	}
 	s.mutex.Unlock()
 	if attached && !notified {
--- a/internal/transport/lineserver/server_test.go
+++ b/internal/transport/lineserver/server_test.go
@@ -19,8 +19,8 @@
 
 const testTimeout = 30 * time.Second
 
-// recorder records one connection: events holds the lines, and "ended" at the
-// end.
+// recorder records the events of one connection: events receives each line, and
+// "ended" when the connection was closed.
 type recorder struct {
 	conn   *Conn
 	events chan string
@@ -77,9 +77,10 @@
 		return recorder
 	})
 	So(s.server.Start(), ShouldBeNil)
-	// The engine of nbio never ends if it is stopped before its listener runs.
-	first, _ := s.dial()
-	So(first.Close(), ShouldBeNil)
+	// Wait until the listener accepts connections: the engine of nbio never stops if
+	// Stop is called before its listener runs.
+	firstConn, _ := s.dial()
+	So(firstConn.Close(), ShouldBeNil)
 	return s
 }
 
@@ -103,14 +104,14 @@
 			_, err := conn.Write([]byte(text))
 			So(err, ShouldBeNil)
 		}
-		Convey("Lines arrive complete and in order, with or without CR, and empty ones too", func() {
+		Convey("Lines arrive complete and in order, with or without CR, including empty lines", func() {
 			send("one\r\ntwo\nthr")
 			So([]string{recorder.next(), recorder.next()}, ShouldResemble, []string{"one", "two"})
 			send("ee\r")
 			send("\n\r\n\nx\ry\r\r\n")
 			So([]string{recorder.next(), recorder.next(), recorder.next(), recorder.next()}, ShouldResemble, []string{"three", "", "", "x\ry\r"})
 		})
-		Convey("A line of the maximum length is accepted; one byte more ends the connection", func() {
+		Convey("A line of the maximum length is accepted, and a line that is one byte longer closes the connection", func() {
 			send(strings.Repeat("a", 1000) + "\n")
 			So(recorder.next(), ShouldEqual, strings.Repeat("a", 1000))
 			send("good\n" + strings.Repeat("b", 1001) + "\nnever\n")
@@ -119,12 +120,12 @@
 			So(errors.Is(recorder.closeError(), ErrLineTooLong), ShouldBeTrue)
 			So(len(recorder.events), ShouldEqual, 0)
 		})
-		Convey("The end of a line that is too long is not waited for", func() {
+		Convey("A line that is too long closes the connection before its end arrives", func() {
 			send(strings.Repeat("b", 1001))
 			So(recorder.next(), ShouldEqual, "ended")
 			So(errors.Is(recorder.closeError(), ErrLineTooLong), ShouldBeTrue)
 		})
-		Convey("A close by the remote end is notified once, after its lines and without an incomplete line", func() {
+		Convey("When the remote end closes the connection, the handler is notified once after the complete lines, and an incomplete line is dropped", func() {
 			send("one\ntwo\nhalf")
 			So(conn.CloseWrite(), ShouldBeNil)
 			So([]string{recorder.next(), recorder.next(), recorder.next()}, ShouldResemble, []string{"one", "two", "ended"})
@@ -132,7 +133,7 @@
 			So(err, ShouldNotBeNil)
 			So(len(recorder.events), ShouldEqual, 0)
 		})
-		Convey("A reset by the remote end is notified once", func() {
+		Convey("When the remote end resets the connection, the handler is notified once", func() {
 			send("one\n")
 			So(recorder.next(), ShouldEqual, "one")
 			So(conn.SetLinger(0), ShouldBeNil)
@@ -140,7 +141,7 @@
 			So(recorder.next(), ShouldEqual, "ended")
 			So(len(recorder.ended), ShouldEqual, 1)
 		})
-		Convey("A close by this end is notified once, and later writes do nothing", func() {
+		Convey("When this end closes the connection, the handler is notified once, and later writes do nothing", func() {
 			recorder.conn.Close()
 			So(recorder.next(), ShouldEqual, "ended")
 			recorder.conn.Close()
@@ -149,7 +150,7 @@
 			So(err, ShouldNotBeNil)
 			So(len(recorder.ended), ShouldEqual, 1)
 		})
-		Convey("A silent connection blocks no other", func() {
+		Convey("A connection that has sent an incomplete line does not block other connections", func() {
 			send("half a li")
 			for number := range 20 {
 				other, otherRecorder := s.dial()
@@ -166,7 +167,7 @@
 }
 
 func TestFlood(t *testing.T) {
-	Convey("Many lines at once arrive complete and in order, and are answered in order", t, func() {
+	Convey("Many lines that are sent at once arrive complete and in order, and all of them are echoed", t, func() {
 		s := startTestServer(t, 1000, true)
 		defer s.server.Stop()
 		conn, recorder := s.dial()
@@ -190,17 +191,17 @@
 			}
 			answered <- lines
 		})
-		wrong := 0
+		mismatches := 0
 		for number := range count {
 			if recorder.next() != fmt.Sprint(number) {
-				wrong++
+				mismatches++
 			}
 		}
-		So(wrong, ShouldEqual, 0)
+		So(mismatches, ShouldEqual, 0)
 		So(worker.Await(answered, testTimeout), ShouldBeTrue)
 		So(workers.Stop(testTimeout), ShouldBeTrue)
 	})
-	Convey("A connection whose remote end never reads is closed before it takes much memory", t, func() {
+	Convey("A connection whose remote end never reads is closed before it uses 24 MiB of memory", t, func() {
 		s := startTestServer(t, 1000, false)
 		defer s.server.Stop()
 		conn, recorder := s.dial()
@@ -209,16 +210,16 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		piece := bytes.Repeat([]byte{'x'}, 64<<10)
-		for at := 0; at < 1024 && len(recorder.ended) == 0; at++ {
-			recorder.conn.Write(piece)
+		chunk := bytes.Repeat([]byte{'x'}, 64<<10)
+		for writes := 0; writes < 1024 && len(recorder.ended) == 0; writes++ {
+			recorder.conn.Write(chunk)
 		}
 		So(recorder.next(), ShouldEqual, "ended")
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		So(int64(after.HeapAlloc)-int64(before.HeapAlloc), ShouldBeLessThan, 24<<20)
 	})
-	Convey("A hundred connections with an incomplete line each take little more memory than was sent", t, func() {
+	Convey("A hundred connections with an incomplete line each use less than four times the memory of the bytes sent", t, func() {
 		const count, size = 100, 60000
 		s := startTestServer(t, 1<<20, false)
 		defer s.server.Stop()
@@ -238,14 +239,14 @@
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		// The channel of each recorder takes 1 MiB of its own.
+		// The channel of each recorder uses 1 MiB, which does not count.
 		So(int64(after.HeapAlloc)-int64(before.HeapAlloc)-count<<20, ShouldBeLessThan, 4*count*size)
 	})
 }
 
 func TestDialedConnections(t *testing.T) {
 	Convey("Given a server that only dials", t, func() {
-		server := NewServer(worker.NewGroup(), "", 1000, func(*Conn) Handler { panic("nothing is accepted") })
+		server := NewServer(worker.NewGroup(), "", 1000, func(*Conn) Handler { panic("accepted a connection without a listener") })
 		So(server.Start(), ShouldBeNil)
 		defer server.Stop()
 		dial := func(address string, timeout time.Duration) (*recorder, chan bool) {
@@ -262,16 +263,17 @@
 			So(err, ShouldBeNil)
 			return recorder, remote
 		}
-		// The engine of nbio never ends if it is stopped before it runs.
-		first, remote := connect()
+		// Wait until the engine runs: the engine of nbio never stops if Stop is called
+		// before it runs.
+		firstRecorder, remote := connect()
 		So(remote.Close(), ShouldBeNil)
-		So(first.next(), ShouldEqual, "ended")
-		Convey("The first bytes are sent before all others, and the end is notified once", func() {
+		So(firstRecorder.next(), ShouldEqual, "ended")
+		Convey("A dialed connection sends the initial data first, and the handler is notified once of a close or of a failed dial", func() {
 			recorder, remote := connect()
-			first := make([]byte, 6)
-			_, err = remote.Read(first)
+			received := make([]byte, 6)
+			_, err = remote.Read(received)
 			So(err, ShouldBeNil)
-			So(string(first), ShouldEqual, "hello\n")
+			So(string(received), ShouldEqual, "hello\n")
 			_, err = remote.Write([]byte("READY\nand\n"))
 			So(err, ShouldBeNil)
 			So([]string{recorder.next(), recorder.next()}, ShouldResemble, []string{"READY", "and"})
@@ -282,16 +284,16 @@
 			So(recorder.next(), ShouldEqual, "ended")
 			So(recorder.closeError(), ShouldNotBeNil)
 		})
-		Convey("A refused connection ends once, and was never open", func() {
+		Convey("When a connection is refused, the handler is notified once and onConnect is not called", func() {
 			recorder, connected := dial(reserve.Loopback(t), testTimeout)
 			So(recorder.next(), ShouldEqual, "ended")
 			So(recorder.closeError(), ShouldNotBeNil)
 			So(len(connected), ShouldEqual, 0)
 			So(len(recorder.events), ShouldEqual, 0)
 		})
-		Convey("A remote end that never answers is given up at the time-out", func() {
-			address, done := listenWithFullBacklog()
-			defer done()
+		Convey("When the remote end does not answer, the dial fails at the timeout and onConnect is not called", func() {
+			address, closeListener := listenWithFullBacklog()
+			defer closeListener()
 			recorder, connected := dial(address, 50*time.Millisecond)
 			So(recorder.next(), ShouldEqual, "ended")
 			So(recorder.closeError(), ShouldNotBeNil)
@@ -301,8 +303,8 @@
 	})
 }
 
-// listenWithFullBacklog listens with a full backlog, so that connections are not
-// accepted. It returns the address and a function that ends it.
+// listenWithFullBacklog listens with a full backlog, so that further connections are
+// not accepted. It returns the address and a function that closes the listener.
 func listenWithFullBacklog() (string, func()) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	So(err, ShouldBeNil)
@@ -328,15 +330,15 @@
 }
 
 func TestAddressInUse(t *testing.T) {
-	Convey("An address in use is an error of its own type", t, func() {
+	Convey("Start returns an error of type ErrListen if the address is in use", t, func() {
 		s := startTestServer(t, 1000, false)
 		defer s.server.Stop()
 		So(errors.Is(NewServer(worker.NewGroup(), s.address, 1000, nil).Start(), ErrListen), ShouldBeTrue)
 	})
 }
 
-// FuzzLineSplitting checks that the lines are the same wherever the network cuts
-// them.
+// FuzzLineSplitting checks that the lines are the same however the network splits the
+// data into reads.
 func FuzzLineSplitting(f *testing.F) {
 	f.Add([]byte("one\r\ntwo\nthree"), []byte{1, 2, 3})
 	f.Add([]byte("\r\n\n\r\r\n"), []byte{1})
@@ -349,16 +351,16 @@
 			recorder := newRecorder()
 			conn := &Conn{handler: recorder, maxLineLength: 1 << 20}
 			rest := data
-			for at := 0; len(rest) > 0; at++ {
+			for chunkIndex := 0; len(rest) > 0; chunkIndex++ {
 				size := len(rest)
 				if len(cuts) > 0 {
-					size = min(size, int(cuts[at%len(cuts)])+1)
+					size = min(size, int(cuts[chunkIndex%len(cuts)])+1)
 				}
-				// The buffer is reused once it has been handled.
-				piece := append([]byte(nil), rest[:size]...)
-				conn.onData(piece)
-				for index := range piece {
-					piece[index] = '#'
+				// Overwrite the chunk after onData, as the event loop reuses its buffer.
+				chunk := append([]byte(nil), rest[:size]...)
+				conn.onData(chunk)
+				for index := range chunk {
+					chunk[index] = '#'
 				}
 				rest = rest[size:]
 			}
@@ -374,7 +376,7 @@
 		}
 		uncut, cut := split(nil), split(cuts)
 		if fmt.Sprintf("%q", uncut) != fmt.Sprintf("%q", cut) {
-			t.Fatalf("%q at once, %q in pieces", uncut, cut)
+			t.Fatalf("lines from one read = %q, from split reads = %q", uncut, cut)
 		}
 	})
 }
