--- a/internal/transport/rpc/call.go
+++ b/internal/transport/rpc/call.go
@@ -8,30 +8,31 @@
 	"tansyseam/internal/transport/worker"
 )
 
-// Errors of a call, for errors.Is.
+// Error types of a call, for errors.Is.
 const (
-	// ErrTimeout says that no reply came in time. The call may have been handled.
+	// ErrTimeout is returned when no reply arrived in time. The remote hub may have
+	// handled the call.
 	ErrTimeout = errors.ConstError("no reply in time")
-	// ErrUnreachable says that the remote hub could not be reached or that the
-	// connection to it broke. The call may have been handled.
+	// ErrUnreachable is returned when the remote hub could not be reached or the
+	// connection to it broke. The remote hub may have handled the call.
 	ErrUnreachable = errors.ConstError("peer unreachable")
 )
 
-// pendingCall is a call that waits for its reply. An envelope without a body says
-// that there will be none.
+// pendingCall is a call that waits for its reply.
 type pendingCall struct {
+	// response receives the reply, or an envelope without a body if the call failed.
 	response chan Envelope
 	address  string
 }
 
-// Call sends a request and waits for the reply. The error is ErrTimeout, also if
-// the hub's workers stop, or ErrUnreachable.
+// Call sends a request and waits for the reply. The error is ErrUnreachable, or
+// ErrTimeout if no reply arrives within timeout or before the hub's workers stop.
 func (h *Hub) Call(address string, body any, timeout time.Duration) (any, error) {
 	id, response := h.addCall(address)
 	h.sendTo(address, Envelope{From: h.name, Version: ProtocolVersion, ID: id, Body: body})
 	envelope, received := worker.ReceiveWithin(h.workers, response, timeout)
 	if !received {
-		h.takeCall(id)
+		h.removeCall(id)
 		return nil, errors.Annotatef(ErrTimeout, "%s", address)
 	}
 	if envelope.Body == nil {
@@ -49,8 +50,9 @@
 	return h.lastCallID, response
 }
 
-// takeCall removes a call from the pending ones.
-func (h *Hub) takeCall(id uint64) (pendingCall, bool) {
+// removeCall removes a call from the pending calls and returns it. It returns false if
+// the call is not pending.
+func (h *Hub) removeCall(id uint64) (pendingCall, bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	call, found := h.pending[id]
@@ -58,14 +60,14 @@
 	return call, found
 }
 
-// resolveCall gives a reply to its call, if that still waits.
+// resolveCall passes a reply to its call, if the call is still pending.
 func (h *Hub) resolveCall(envelope Envelope) {
-	if call, found := h.takeCall(envelope.ID); found {
+	if call, found := h.removeCall(envelope.ID); found {
 		call.response <- envelope
 	}
 }
 
-// failCalls ends the pending calls to an address. The caller holds the mutex.
+// failCalls fails the pending calls to an address. The caller must hold the mutex.
 func (h *Hub) failCalls(address string) {
 	for id, call := range h.pending {
 		if call.address == address {
--- a/internal/transport/rpc/dial.go
+++ b/internal/transport/rpc/dial.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection.
+	// dialTimeout is the maximum time for opening a connection.
 	dialTimeout = 500 * time.Millisecond
-	// maxBacklog is the number of messages kept for a connection that is being
-	// opened; more are dropped.
+	// maxBacklog is the maximum number of messages that are kept for a connection that
+	// is being opened. Further messages are dropped.
 	maxBacklog = 64
 	// userTimeout is how long sent bytes may stay unacknowledged before the
-	// connection is given up.
+	// connection is closed.
 	userTimeout = time.Second
 )
 
-// outboundLink is the connection to an address, or the attempt to open it.
+// outboundLink is the outgoing connection to an address, or the attempt to open it.
 type outboundLink struct {
 	// peer is nil until the connection is open.
 	peer    *peer
 	dialing bool
+	// backlog holds the messages to send when the connection is open.
 	backlog []Envelope
 }
 
@@ -42,19 +43,19 @@
 		link = &outboundLink{}
 		h.links[address] = link
 	}
-	to := link.peer
-	shouldDial := to == nil && link.enqueue(envelope)
+	destination := link.peer
+	shouldDial := destination == nil && link.enqueue(envelope)
 	h.mutex.Unlock()
-	if to != nil {
-		h.transmit(to, envelope)
+	if destination != nil {
+		h.transmit(destination, envelope)
 	}
 	if shouldDial {
 		h.workers.Go(func() { h.dial(address, link) })
 	}
 }
 
-// enqueue keeps a message until the connection is open. It returns true if the
-// caller has to dial.
+// enqueue keeps a message until the connection is open, or drops it if the backlog is
+// full. It reports whether the caller must dial.
 func (l *outboundLink) enqueue(envelope Envelope) bool {
 	if len(l.backlog) < maxBacklog {
 		l.backlog = append(l.backlog, envelope)
@@ -64,18 +65,18 @@
 	return shouldDial
 }
 
-func (h *Hub) transmit(to *peer, envelope Envelope) {
-	if err := to.send(envelope); err != nil {
+func (h *Hub) transmit(destination *peer, envelope Envelope) {
+	if err := destination.send(envelope); err != nil {
 		h.counters.Add(counterEncodeFailed, 1)
 		return
 	}
 	h.counters.Add(counterSent, 1)
 }
 
-// dial opens the connection of a link and sends its backlog. If that fails, the
-// backlog is dropped and the pending calls to the address fail.
+// dial opens the connection of a link and sends the link's backlog. If the connection
+// cannot be opened, the backlog is dropped and the pending calls to the address fail.
 func (h *Hub) dial(address string, link *outboundLink) {
-	conn, err := h.open(address)
+	conn, err := h.openConn(address)
 	h.mutex.Lock()
 	backlog := link.backlog
 	link.backlog, link.dialing = nil, false
@@ -94,7 +95,7 @@
 	}
 }
 
-func (h *Hub) open(address string) (*nbio.Conn, error) {
+func (h *Hub) openConn(address string) (*nbio.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, LocalAddr: tcp.LocalAddress(h.localHost)}
 	conn, err := tcp.Dial(dialer, address, userTimeout)
 	if err != nil {
--- a/internal/transport/rpc/frame.go
+++ b/internal/transport/rpc/frame.go
@@ -8,36 +8,37 @@
 	"github.com/juju/errors"
 )
 
-// ProtocolVersion is the version of the protocol that this build sends. It
-// receives from MinProtocolVersion up to the version after its own, so that a
+// ProtocolVersion is the version of the protocol that this build sends. The build
+// accepts frames from MinProtocolVersion up to the version after its own, so that a
 // fleet can be upgraded node by node.
 const (
 	ProtocolVersion    = 2
 	MinProtocolVersion = 2
 )
 
-// The header of a frame: three magic bytes, the version, then the size of the
-// payload with flags and its CRC-32 (IEEE), both as 32 bits in big-endian order.
+// The header of a frame consists of three magic bytes, one byte with the version, the
+// size of the payload combined with streamFlag, and the CRC-32 (IEEE) of the payload.
+// The last two have 32 bits each, in big-endian order.
 const (
 	versionOffset  = 3
 	sizeOffset     = 4
 	checksumOffset = 8
 	headerSize     = 12
 
-	// maxFrameSize is the largest payload, in bytes.
+	// maxFrameSize is the maximum size of a payload, in bytes.
 	maxFrameSize = 8 << 20
-	// streamFlag marks, in the size, a payload that continues the connection's gob
-	// stream. One without it is a gob stream of its own.
+	// streamFlag is set in the size field if the payload continues the connection's gob
+	// stream. A payload without the flag is a separate gob stream.
 	streamFlag = 1 << 31
 )
 
 var magic = [versionOffset]byte{'s', 'm', 'L'}
 
-// Errors of a frame. errIncomplete says that more bytes are needed; after the
-// others the connection is of no more use.
+// Errors of a frame. errIncomplete is returned when more bytes are needed. After any
+// other error the connection cannot be used any longer.
 const (
 	errIncomplete = errors.ConstError("incomplete frame")
-	errGarbage    = errors.ConstError("malformed frame")
+	errMalformed  = errors.ConstError("malformed frame")
 	errVersion    = errors.ConstError("frame of an unsupported version")
 	errOversized  = errors.ConstError("frame too large")
 	errChecksum   = errors.ConstError("frame with a wrong checksum")
@@ -48,13 +49,13 @@
 	streamed bool
 }
 
-// cutFrame returns the first frame in data and the bytes after it.
-func cutFrame(data []byte) (frame, []byte, error) {
+// parseFrame parses the first frame in data and returns it with the bytes after it.
+func parseFrame(data []byte) (frame, []byte, error) {
 	if len(data) < headerSize {
 		return frame{}, data, errIncomplete
 	}
 	if !bytes.HasPrefix(data, magic[:]) {
-		return frame{}, data, errGarbage
+		return frame{}, data, errMalformed
 	}
 	if version := data[versionOffset]; version < MinProtocolVersion || version > ProtocolVersion+1 {
 		return frame{}, data, errVersion
--- a/internal/transport/rpc/hub.go
+++ b/internal/transport/rpc/hub.go
@@ -11,29 +11,30 @@
 	"tansyseam/internal/transport/worker"
 )
 
-// ErrListen says that the hub's address cannot be listened on.
-const ErrListen = errors.ConstError("address cannot be listened on")
+// ErrListen is returned when the hub cannot listen on its address.
+const ErrListen = errors.ConstError("cannot listen on address")
 
 const (
-	// inboxSize is the number of messages that wait for a worker; more are
-	// dropped.
+	// inboxSize is the maximum number of messages that wait for a worker. Further
+	// messages are dropped.
 	inboxSize = 4096
-	// inboxWorkers is the number of messages that are handled at a time. It is large
-	// since handlers may wait, for instance for a call of their own.
+	// inboxWorkers is the number of messages that are handled concurrently. It is large
+	// because handlers may block, for instance while they wait for the reply to a call.
 	inboxWorkers = 48
 
-	// readBufferSize is in bytes.
+	// readBufferSize is the size of the event loop's read buffer, in bytes.
 	readBufferSize = 16 << 10
 	// maxWriteBufferSize is the number of queued bytes at which a connection whose
 	// remote end does not read is closed.
 	maxWriteBufferSize = 16 << 20
 )
 
-// Handler handles a message or call. It replies to a call by reply, at any time
-// or never; for other messages reply does nothing.
+// Handler handles a message or a call. It replies to a call with the function reply, at
+// any time or never. For other messages reply does nothing.
 type Handler func(from string, body any, reply func(any))
 
-// Hub is the end of all connections of a process.
+// Hub manages all connections between this process and the other processes of the
+// fleet.
 type Hub struct {
 	name      string
 	localHost string
@@ -56,8 +57,8 @@
 	from     *peer
 }
 
-// NewHub returns a hub for an address, which Listen opens. Its outgoing
-// connections have the address's IP, if that is a specific one.
+// NewHub returns a hub for an address, which Listen opens. If the address contains a
+// specific IP address, it is also the local address of the hub's outgoing connections.
 func NewHub(name, address string, workers *worker.Group, counters *worker.Counters, handler Handler) *Hub {
 	h := &Hub{
 		name:     name,
@@ -84,12 +85,12 @@
 	return h
 }
 
-// Listen opens the hub's address. Its errors are of type ErrListen.
+// Listen listens on the hub's address. Its errors are of type ErrListen.
 func (h *Hub) Listen() error {
 	return errors.WithType(errors.Annotate(h.engine.Start(), "listen"), ErrListen)
 }
 
-// Close closes the address and all connections.
+// Close closes the listener and all connections.
 func (h *Hub) Close() { h.engine.Stop() }
 
 func (h *Hub) onOpen(conn *nbio.Conn) {
@@ -120,15 +121,15 @@
 		_ = conn.Close()
 		return
 	}
-	// The event loop reuses the buffer that data is in.
+	// The rest is copied because the event loop reuses the buffer of data.
 	from.unparsed = append([]byte(nil), rest...)
 }
 
-// receiveFrames receives the complete frames at the start of data, and returns the
-// bytes after them. Its errors are those of rejectionCounters.
+// receiveFrames receives the complete frames at the start of data and returns the
+// bytes after them. Its errors are the keys of rejectionCounters.
 func (h *Hub) receiveFrames(from *peer, data []byte) ([]byte, error) {
 	for {
-		received, rest, err := cutFrame(data)
+		received, rest, err := parseFrame(data)
 		if errors.Is(err, errIncomplete) {
 			return data, nil
 		}
@@ -142,7 +143,8 @@
 	}
 }
 
-// receive passes the message in a frame on. The error is errGarbage.
+// receive passes the message in a frame to its pending call or to the inbox. The error
+// is errMalformed.
 func (h *Hub) receive(from *peer, received frame) error {
 	envelope, err := from.decode(received)
 	if errors.Is(err, errUnknownMessage) {
--- a/internal/transport/rpc/hub_test.go
+++ b/internal/transport/rpc/hub_test.go
@@ -18,7 +18,7 @@
 	"tansyseam/test/reserve"
 )
 
-// encodeFrame returns an envelope in a frame that is a gob stream of its own.
+// encodeFrame returns a frame with an envelope as a separate gob stream.
 func encodeFrame(envelope Envelope) []byte {
 	envelope.Body = message.Encode(envelope.Body)
 	var buffer bytes.Buffer
@@ -45,10 +45,10 @@
 	Convey("Given two hubs", t, func() {
 		workers, counters := worker.NewGroup(), &worker.Counters{}
 		clientAddress, serverAddress := reserve.Loopback(t), reserve.Loopback(t)
-		server := NewHub("far", serverAddress, workers, counters, func(from string, body any, reply func(any)) {
+		server := NewHub("server", serverAddress, workers, counters, func(from string, body any, reply func(any)) {
 			reply(idempotency.Status{State: from + " asked " + body.(idempotency.StatusRequest).RequestID})
 		})
-		client := NewHub("near", clientAddress, workers, &worker.Counters{}, func(_ string, _ any, reply func(any)) { reply(idempotency.Status{}) })
+		client := NewHub("client", clientAddress, workers, &worker.Counters{}, func(_ string, _ any, reply func(any)) { reply(idempotency.Status{}) })
 		So(server.Listen(), ShouldBeNil)
 		So(client.Listen(), ShouldBeNil)
 		Reset(func() {
@@ -56,7 +56,8 @@
 			server.Close()
 			client.Close()
 		})
-		// The engine of nbio never ends if it is stopped before its listener runs.
+		// Wait until both hubs answer: the engine of nbio never stops if it is stopped
+		// before its listener runs.
 		for hub, address := range map[*Hub]string{server: clientAddress, client: serverAddress} {
 			_, err := hub.Call(address, idempotency.StatusRequest{RequestID: "first"}, time.Minute)
 			So(err, ShouldBeNil)
@@ -66,48 +67,48 @@
 			So(err, ShouldBeNil)
 			return reply.(idempotency.Status).State
 		}
-		Convey("A call is answered, and a call to an address where nobody listens fails before its time-out", func() {
-			So(call(), ShouldEqual, "near asked x")
+		Convey("A call receives its reply, and a call to an address without a listener fails before its timeout", func() {
+			So(call(), ShouldEqual, "client asked x")
 			started := time.Now()
 			_, err := client.Call(reserve.Loopback(t), idempotency.StatusRequest{}, time.Minute)
 			So(errors.Is(err, ErrUnreachable), ShouldBeTrue)
 			So(time.Since(started), ShouldBeLessThan, 30*time.Second)
 		})
-		Convey("Malformed, oversized and corrupted frames and those of another version close their own connection, are counted, and affect no other", func() {
-			good := encodeFrame(Envelope{From: "evil", ID: 1, Body: idempotency.StatusRequest{RequestID: "x"}})
-			corrupt := func(change func([]byte)) []byte {
-				data := append([]byte(nil), good...)
+		Convey("Malformed, oversized and corrupted frames and frames of an unsupported version are counted and close only their own connection", func() {
+			validFrame := encodeFrame(Envelope{From: "sender", ID: 1, Body: idempotency.StatusRequest{RequestID: "x"}})
+			modified := func(change func([]byte)) []byte {
+				data := append([]byte(nil), validFrame...)
 				change(data)
 				return data
 			}
-			bad := map[string][]byte{
+			rejectedFrames := map[string][]byte{
 				"link_refused_garbage":   []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
-				"link_refused_version":   corrupt(func(data []byte) { data[versionOffset] = 99 }),
-				"link_refused_oversized": corrupt(func(data []byte) { binary.BigEndian.PutUint32(data[sizeOffset:], 1<<30) }),
-				"link_refused_checksum":  corrupt(func(data []byte) { data[len(data)-1] ^= 1 }),
+				"link_refused_version":   modified(func(data []byte) { data[versionOffset] = 99 }),
+				"link_refused_oversized": modified(func(data []byte) { binary.BigEndian.PutUint32(data[sizeOffset:], 1<<30) }),
+				"link_refused_checksum":  modified(func(data []byte) { data[len(data)-1] ^= 1 }),
 			}
-			for count, data := range bad {
+			for counter, data := range rejectedFrames {
 				_, err := exchange(serverAddress, data)
 				So(err, ShouldNotBeNil)
-				So(counters.Snapshot()[count], ShouldEqual, 1)
+				So(counters.Snapshot()[counter], ShouldEqual, 1)
 			}
-			So(call(), ShouldEqual, "near asked x")
+			So(call(), ShouldEqual, "client asked x")
 		})
-		Convey("A message that only a newer build knows is skipped, and the connection stays open", func() {
-			unknown := encodeFrame(Envelope{From: "newer", ID: 1, Body: idempotency.StatusRequest{RequestID: "y"}})
-			changed := bytes.ReplaceAll(unknown, []byte("goes.Ask"), []byte("goes.Nex"))
-			So(changed, ShouldNotResemble, unknown)
-			binary.BigEndian.PutUint32(changed[checksumOffset:], crc32.ChecksumIEEE(changed[headerSize:]))
-			known := encodeFrame(Envelope{From: "newer", ID: 2, Body: idempotency.StatusRequest{RequestID: "z"}})
-			count, err := exchange(serverAddress, append(changed, known...))
+		Convey("A message of a type that only a newer build registers is skipped, and the connection stays open", func() {
+			knownTypeFrame := encodeFrame(Envelope{From: "newer", ID: 1, Body: idempotency.StatusRequest{RequestID: "y"}})
+			unknownTypeFrame := bytes.ReplaceAll(knownTypeFrame, []byte("goes.Ask"), []byte("goes.Nex"))
+			So(unknownTypeFrame, ShouldNotResemble, knownTypeFrame)
+			binary.BigEndian.PutUint32(unknownTypeFrame[checksumOffset:], crc32.ChecksumIEEE(unknownTypeFrame[headerSize:]))
+			nextFrame := encodeFrame(Envelope{From: "newer", ID: 2, Body: idempotency.StatusRequest{RequestID: "z"}})
+			count, err := exchange(serverAddress, append(unknownTypeFrame, nextFrame...))
 			So(err, ShouldBeNil)
 			So(count, ShouldBeGreaterThan, headerSize)
 			So(counters.Snapshot()["link_unknown_message"], ShouldEqual, 1)
 		})
-		Convey("A frame of the next version is still read", func() {
-			next := encodeFrame(Envelope{From: "newer", ID: 1, Body: idempotency.StatusRequest{RequestID: "y"}})
-			next[versionOffset] = ProtocolVersion + 1
-			count, err := exchange(serverAddress, next)
+		Convey("A frame of the next protocol version is accepted", func() {
+			nextVersionFrame := encodeFrame(Envelope{From: "newer", ID: 1, Body: idempotency.StatusRequest{RequestID: "y"}})
+			nextVersionFrame[versionOffset] = ProtocolVersion + 1
+			count, err := exchange(serverAddress, nextVersionFrame)
 			So(err, ShouldBeNil)
 			So(count, ShouldBeGreaterThan, headerSize)
 		})
--- a/internal/transport/rpc/listen_test.go
+++ b/internal/transport/rpc/listen_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestListenFails(t *testing.T) {
-	Convey("An address that is in use cannot be listened on", t, func() {
+	Convey("Listen returns an error of type ErrListen if the address is in use", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		Reset(func() { _ = listener.Close() })
--- a/internal/transport/rpc/peer.go
+++ b/internal/transport/rpc/peer.go
@@ -13,35 +13,36 @@
 	"tansyseam/internal/transport/worker"
 )
 
-// errUnknownMessage says that a frame holds a message of a type that this build
-// does not know.
+// errUnknownMessage is returned when a frame contains a message of a type that is not
+// registered in this build.
 const errUnknownMessage = errors.ConstError("unknown message")
 
-// unknownTypeText is how package gob words that error, for which it has no value.
+// unknownTypeText is part of the error text of package gob for a type that is not
+// registered. Package gob has no error value for this error.
 const unknownTypeText = "name not registered"
 
-// Envelope is what a frame carries. Its field names are part of the encoding.
+// Envelope is the content of a frame. Its field names are part of the encoding.
 type Envelope struct {
 	From    string
 	Version int
-	// ID is the number of a call and of its reply, and 0 for other messages.
+	// ID is the number of a call and of its reply. It is 0 for other messages.
 	ID      uint64
 	IsReply bool
 	Body    any
 }
 
-// peer is one connection with its two gob streams.
+// peer is one connection with its outgoing and its incoming gob stream.
 type peer struct {
 	conn     *nbio.Conn
 	counters *worker.Counters
 
-	// mutex guards the outgoing stream. The incoming one belongs to the
-	// connection's event loop.
+	// mutex guards the outgoing stream. Only the connection's event loop uses the
+	// incoming stream.
 	mutex     sync.Mutex
 	outBuffer bytes.Buffer
 	encoder   *gob.Encoder
 
-	// unparsed is the start of a frame whose end has not arrived.
+	// unparsed is the start of a frame that has not arrived completely.
 	unparsed []byte
 	inBuffer bytes.Buffer
 	decoder  *gob.Decoder
@@ -53,8 +54,8 @@
 	return p
 }
 
-// send writes an envelope to the connection. After an error of encoding, the
-// stream cannot be continued and the connection is closed.
+// send writes an envelope to the connection. It closes the connection if the envelope
+// cannot be encoded, because the stream cannot be continued after such an error.
 func (p *peer) send(envelope Envelope) error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -74,7 +75,7 @@
 }
 
 // decode returns the envelope in a frame. The error is errUnknownMessage or
-// errGarbage.
+// errMalformed.
 func (p *peer) decode(received frame) (Envelope, error) {
 	var envelope Envelope
 	err := p.decoderOf(received).Decode(&envelope)
@@ -83,7 +84,7 @@
 		return Envelope{}, errUnknownMessage
 	}
 	if err != nil {
-		return Envelope{}, errGarbage
+		return Envelope{}, errMalformed
 	}
 	envelope.Body = message.Decode(envelope.Body)
 	return envelope, nil
