--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -16,7 +16,7 @@
 // internal.
 var layers = []string{"cmd", "app", "transport", "protocol", "coordination", "state"}
 
-func layerOf(path string) int {
+func layerRank(path string) int {
 	for rank, layer := range layers {
 		if path == layer || strings.HasPrefix(path, layer+"/") {
 			return rank
@@ -25,23 +25,23 @@
 	return -1
 }
 
-type source struct {
-	path string
-	text string
-	uses []string
+type sourceFile struct {
+	path    string
+	text    string
+	imports []string
 }
 
-// sources returns the product's files; the paths of those in internal begin with their
+// productFiles returns the product's files; the paths of those in internal begin with their
 // layer.
-func sources() []source {
-	internal, programs := sourcesIn("."), sourcesIn("../cmd")
-	So(len(internal), ShouldBeGreaterThan, 30)
-	So(len(programs), ShouldBeGreaterThan, 2)
-	return append(internal, programs...)
+func productFiles() []sourceFile {
+	internalFiles, commands := productFilesIn("."), productFilesIn("../cmd")
+	So(len(internalFiles), ShouldBeGreaterThan, 30)
+	So(len(commands), ShouldBeGreaterThan, 2)
+	return append(internalFiles, commands...)
 }
 
-func sourcesIn(root string) []source {
-	var list []source
+func productFilesIn(root string) []sourceFile {
+	var files []sourceFile
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
@@ -54,51 +54,51 @@
 		if err != nil {
 			return err
 		}
-		one := source{path: strings.TrimPrefix(path, "../"), text: string(text)}
-		for _, use := range file.Imports {
-			one.uses = append(one.uses, strings.Trim(use.Path.Value, `"`))
+		source := sourceFile{path: strings.TrimPrefix(path, "../"), text: string(text)}
+		for _, spec := range file.Imports {
+			source.imports = append(source.imports, strings.Trim(spec.Path.Value, `"`))
 		}
-		list = append(list, one)
+		files = append(files, source)
 		return nil
 	})
 	So(err, ShouldBeNil)
-	return list
+	return files
 }
 
 func TestLayers(t *testing.T) {
 	const module = "tansyseam/internal/"
 	Convey("Imports go downward only", t, func() {
-		for _, one := range sources() {
-			own := layerOf(one.path)
-			SoMsg(one.path, own, ShouldBeGreaterThanOrEqualTo, 0)
-			for _, use := range one.uses {
-				if inner, isOurs := strings.CutPrefix(use, module); isOurs {
-					SoMsg(one.path+" imports "+use, layerOf(inner), ShouldBeGreaterThanOrEqualTo, own)
+		for _, source := range productFiles() {
+			ownRank := layerRank(source.path)
+			SoMsg(source.path, ownRank, ShouldBeGreaterThanOrEqualTo, 0)
+			for _, importPath := range source.imports {
+				if internalPath, isInternal := strings.CutPrefix(importPath, module); isInternal {
+					SoMsg(source.path+" imports "+importPath, layerRank(internalPath), ShouldBeGreaterThanOrEqualTo, ownRank)
 				}
 			}
 		}
 	})
 	Convey("The machines of coordination do no I/O and have no clock or dice of their own", t, func() {
-		barred := []string{"os", "net", "net/http", "math/rand", "math/rand/v2", "crypto/rand", "sync"}
-		for _, one := range sources() {
-			if !strings.HasPrefix(one.path, "coordination/") {
+		forbidden := []string{"os", "net", "net/http", "math/rand", "math/rand/v2", "crypto/rand", "sync"}
+		for _, source := range productFiles() {
+			if !strings.HasPrefix(source.path, "coordination/") {
 				continue
 			}
-			for _, use := range one.uses {
-				SoMsg(one.path, barred, ShouldNotContain, use)
+			for _, importPath := range source.imports {
+				SoMsg(source.path, forbidden, ShouldNotContain, importPath)
 			}
 			for _, call := range []string{"time.Now(", "time.Since(", "time.After(", "time.Sleep(", "go func"} {
-				SoMsg(one.path, strings.Contains(one.text, call), ShouldBeFalse)
+				SoMsg(source.path, strings.Contains(source.text, call), ShouldBeFalse)
 			}
 		}
 	})
 	Convey("Goroutines start in one place, and there is no switch", t, func() {
-		for _, one := range sources() {
-			isHome := one.path == filepath.Join("transport", "worker", "group.go")
-			for _, line := range strings.Split(one.text, "\n") {
+		for _, source := range productFiles() {
+			mayStartGoroutines := source.path == filepath.Join("transport", "worker", "group.go")
+			for _, line := range strings.Split(source.text, "\n") {
 				line = strings.TrimSpace(line)
-				SoMsg(one.path+": "+line, !isHome && strings.HasPrefix(line, "go "), ShouldBeFalse)
-				SoMsg(one.path+": "+line, strings.HasPrefix(line, "switch "), ShouldBeFalse)
+				SoMsg(source.path+": "+line, !mayStartGoroutines && strings.HasPrefix(line, "go "), ShouldBeFalse)
+				SoMsg(source.path+": "+line, strings.HasPrefix(line, "switch "), ShouldBeFalse)
 			}
 		}
 	})
--- a/internal/protocol/bindings/bindings_test.go
+++ b/internal/protocol/bindings/bindings_test.go
@@ -14,9 +14,9 @@
 func databaseExists(name string) bool { return name == "desks1" }
 
 func TestBindingSets(t *testing.T) {
-	route := func(name, rest string) string {
+	route := func(name, extraBackendFields string) string {
 		return `{"apiVersion":"gateway.networking.k8s.io/v1alpha2","kind":"TCPRoute","metadata":{"name":"` + name + `","annotations":{"tansyseam.example/freshness-ms":"1500"}},` +
-			`"spec":{"rules":[{"backendRefs":[{"name":"desks1"` + rest + `}]}]}}`
+			`"spec":{"rules":[{"backendRefs":[{"name":"desks1"` + extraBackendFields + `}]}]}}`
 	}
 	read := func(text string) ([]model.Binding, []string) {
 		bindings, violations := Parse(fastjson.MustParse(text), databaseExists)
@@ -49,9 +49,9 @@
 	})
 	Convey("A time in the past or more than a year ahead is rejected", t, func() {
 		now := int64(1_800_000_000_000) * int64(time.Millisecond)
-		for text, count := range map[string]int{`{"at_ms":1799999999999}`: 1, `{"at_ms":1900000000000}`: 1, `{"at_ms":1800000001000}`: 0} {
+		for text, violationCount := range map[string]int{`{"at_ms":1799999999999}`: 1, `{"at_ms":1900000000000}`: 1, `{"at_ms":1800000001000}`: 0} {
 			_, violations := ParseScheduledTime(fastjson.MustParse(text), now)
-			So(len(violations), ShouldEqual, count)
+			So(len(violations), ShouldEqual, violationCount)
 		}
 	})
 }
--- a/internal/protocol/bindings/gatewayapi.go
+++ b/internal/protocol/bindings/gatewayapi.go
@@ -156,12 +156,12 @@
 	}
 	object.Visit(func(key []byte, field *fastjson.Value) {
 		name := string(key)
-		read, known := supported[name]
-		if !known {
+		readField, isSupported := supported[name]
+		if !isSupported {
 			r.violations.add(path+"/"+name, "field %q is not supported", name)
 			return
 		}
-		read(r, field, path+"/"+name)
+		readField(r, field, path+"/"+name)
 	})
 }
 
--- a/internal/protocol/bindings/manifest.go
+++ b/internal/protocol/bindings/manifest.go
@@ -17,9 +17,9 @@
 // violation that keeps it from being accepted.
 func ParseManifest(value *fastjson.Value) (model.BindingSet, []byte, []schema.Violation) {
 	p := &manifestParser{
-		set:       model.BindingSet{Version: value.GetUint64("version")},
-		databases: map[string]bool{},
-		names:     map[string]bool{},
+		set:           model.BindingSet{Version: value.GetUint64("version")},
+		databaseNames: map[string]bool{},
+		bindingNames:  map[string]bool{},
 	}
 	if p.set.Version == 0 {
 		p.violations.add("/version", "a version is 1 or more")
@@ -40,10 +40,10 @@
 
 // manifestParser gathers a manifest and the violations found in it.
 type manifestParser struct {
-	set        model.BindingSet
-	databases  map[string]bool
-	names      map[string]bool
-	violations violationList
+	set           model.BindingSet
+	databaseNames map[string]bool
+	bindingNames  map[string]bool
+	violations    violationList
 }
 
 func (p *manifestParser) readDatabase(index int, item *fastjson.Value) {
@@ -52,10 +52,10 @@
 		MaxConnections:  item.GetInt("connections"),
 		MinSyncReplicas: item.GetInt("synced"),
 	}
-	if p.databases[database.Name] {
+	if p.databaseNames[database.Name] {
 		p.violations.add(fmt.Sprintf("/databases/%d/name", index), "database %q stands twice", database.Name)
 	}
-	p.databases[database.Name] = true
+	p.databaseNames[database.Name] = true
 	p.set.Databases = append(p.set.Databases, database)
 }
 
@@ -70,16 +70,16 @@
 		Priority:       item.GetInt("priority"),
 		MaxAttempts:    item.GetInt("tries"),
 	}
-	if p.names[binding.Name] {
+	if p.bindingNames[binding.Name] {
 		p.violations.add(fmt.Sprintf("/bindings/%d/name", index), "name %q stands twice", binding.Name)
 	}
-	if !p.databases[binding.Database] {
+	if !p.databaseNames[binding.Database] {
 		p.violations.add(fmt.Sprintf("/bindings/%d/database", index), "unknown database %q", binding.Database)
 	}
 	if binding.Timeout == 0 {
 		p.violations.add(fmt.Sprintf("/bindings/%d/timeout_ms", index), "a statement needs time: 1 and more")
 	}
-	p.names[binding.Name] = true
+	p.bindingNames[binding.Name] = true
 	p.set.Bindings = append(p.set.Bindings, binding)
 }
 
--- a/internal/protocol/bindings/manifest_test.go
+++ b/internal/protocol/bindings/manifest_test.go
@@ -18,10 +18,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const good = `{"version":7,"bindings":[{"name":"b","database":"db","freshness_ms":1500,"own":true,"timeout_ms":1000,"target_ms":200,"priority":1,"tries":2}],` +
+	const validManifest = `{"version":7,"bindings":[{"name":"b","database":"db","freshness_ms":1500,"own":true,"timeout_ms":1000,"target_ms":200,"priority":1,"tries":2}],` +
 		`"databases":[{"name":"db","connections":80,"synced":1}],"limits":{"message_bytes":262144,"idle_ms":15000,"inside_ms":3000},"raw":"aGk="}`
 	Convey("Every field of a manifest is read, and written as it was read", t, func() {
-		value, violations := validator.ValidateRequest("/v1/manifest/replace", []byte(good))
+		value, violations := validator.ValidateRequest("/v1/manifest/replace", []byte(validManifest))
 		So(violations, ShouldBeEmpty)
 		set, raw, violations := ParseManifest(value)
 		So(violations, ShouldBeEmpty)
@@ -36,9 +36,9 @@
 		})
 		data, _ := json.Marshal(NewManifest(set))
 		So(validator.ValidateAnswer("/v1/manifest/fetch", data, false), ShouldBeEmpty)
-		again, _, violations := ParseManifest(fastjson.MustParseBytes(data))
+		reread, _, violations := ParseManifest(fastjson.MustParseBytes(data))
 		So(violations, ShouldBeEmpty)
-		So(again, ShouldResemble, set)
+		So(reread, ShouldResemble, set)
 	})
 	Convey("Every violation is reported at once", t, func() {
 		value, violations := validator.ValidateRequest("/v1/manifest/replace", []byte(`{"version":0,"bindings":[{"name":"b","database":"db","timeout_ms":0},{"name":"b","database":"nowhere","timeout_ms":5}],`+
--- a/internal/protocol/message/registry.go
+++ b/internal/protocol/message/registry.go
@@ -19,8 +19,8 @@
 	decode  func(any) any
 }
 
-// converted is a kind whose fields are sent under other names than they have here.
-func converted[Message, Encoded any](name string, encode func(Message) Encoded, decode func(Encoded) Message) kind {
+// convertedKind is a kind whose fields are sent under other names than they have here.
+func convertedKind[Message, Encoded any](name string, encode func(Message) Encoded, decode func(Encoded) Message) kind {
 	return kind{
 		name:    name,
 		message: *new(Message),
@@ -30,8 +30,8 @@
 	}
 }
 
-// plain is a kind that is sent as it is.
-func plain[Message any](name string) kind {
+// plainKind is a kind that is sent as it is.
+func plainKind[Message any](name string) kind {
 	unchanged := func(message any) any { return message }
 	return kind{name: name, message: *new(Message), encoded: *new(Message), encode: unchanged, decode: unchanged}
 }
@@ -39,50 +39,50 @@
 // kinds lists every message. The names are those of the first release, since two
 // builds share a fleet while a new version is rolled out: they never change.
 var kinds = []kind{
-	converted("tansyseam.example/pooler/coordination/steer.AskNews", encodeUpdateRequest, decodeUpdateRequest),
-	converted("tansyseam.example/pooler/coordination/steer.Told", encodeNodeReport, decodeNodeReport),
-	converted("tansyseam.example/pooler/coordination/steer.News", encodeUpdate, decodeUpdate),
-	converted("tansyseam.example/pooler/coordination/steer.RecordCase", encodeWriterRoleChange, decodeWriterRoleChange),
-	converted("tansyseam.example/pooler/coordination/goes.Ask", encodeStatusRequest, decodeStatusRequest),
-	converted("tansyseam.example/pooler/coordination/goes.Answer", encodeStatus, decodeStatus),
-	converted("tansyseam.example/pooler/coordination/goes.Legacy", encodeHandover, decodeHandover),
-	plain[idempotency.HandoverAck]("tansyseam.example/pooler/coordination/goes.LegacyTaken"),
-	converted("tansyseam.example/pooler/coordination/ballot.Ask", encodeVoteRequest, decodeVoteRequest),
-	converted("tansyseam.example/pooler/coordination/ballot.Vote", encodeVote, decodeVote),
-	converted("tansyseam.example/pooler/coordination/member.Gossip", encodeGossip, decodeGossip),
-	converted("tansyseam.example/pooler/coordination/takeover.Mark", encodeReportBound, decodeReportBound),
-	converted("tansyseam.example/pooler/coordination/epoch.Form", encodeFormCluster, decodeFormCluster),
-	plain[consensus.FormClusterAck]("tansyseam.example/pooler/coordination/epoch.FormAck"),
-	plain[consensus.ClusterFormed]("tansyseam.example/pooler/coordination/epoch.Formed"),
-	plain[consensus.StatusRequest]("tansyseam.example/pooler/coordination/epoch.AskStanding"),
-	plain[consensus.Status]("tansyseam.example/pooler/coordination/epoch.Standing"),
-	plain[consensus.Join]("tansyseam.example/pooler/coordination/epoch.Join"),
-	plain[consensus.Leaving]("tansyseam.example/pooler/coordination/epoch.Leaving"),
-	plain[consensus.Released]("tansyseam.example/pooler/coordination/epoch.Released"),
-	converted("tansyseam.example/pooler/coordination/epoch.Renew", encodeRenewLease, decodeRenewLease),
-	converted("tansyseam.example/pooler/coordination/epoch.RenewAck", encodeRenewLeaseAck, decodeRenewLeaseAck),
-	converted("tansyseam.example/pooler/coordination/epoch.Prepare", encodePrepare, decodePrepare),
-	converted("tansyseam.example/pooler/coordination/epoch.Promised", encodePromise, decodePromise),
-	plain[consensus.Accept]("tansyseam.example/pooler/coordination/epoch.Accept"),
-	plain[consensus.Accepted]("tansyseam.example/pooler/coordination/epoch.Accepted"),
-	plain[consensus.Decided]("tansyseam.example/pooler/coordination/epoch.Decided"),
-	converted("tansyseam.example/pooler/coordination/epoch.Write", encodeReplicate, decodeReplicate),
-	converted("tansyseam.example/pooler/coordination/epoch.WriteAck", encodeReplicateAck, decodeReplicateAck),
-	converted("tansyseam.example/pooler/coordination/epoch.Offer", encodeRepairDigests, decodeRepairDigests),
-	converted("tansyseam.example/pooler/coordination/epoch.Want", encodeRepairRequest, decodeRepairRequest),
-	converted("tansyseam.example/pooler/coordination/epoch.Fill", encodeRepairRanges, decodeRepairRanges),
-	converted("tansyseam.example/pooler/coordination/epoch.Filled", encodeRepairDone, decodeRepairDone),
-	converted("tansyseam.example/pooler/protocol/msg.PassNews", encodeForwardUpdateRequest, decodeForwardUpdateRequest),
-	plain[OperatorCall]("tansyseam.example/pooler/protocol/msg.Operate"),
-	converted("tansyseam.example/pooler/protocol/msg.Operated", encodeOperatorCallResult, decodeOperatorCallResult),
-	plain[EvidenceRequest]("tansyseam.example/pooler/protocol/msg.AskCase"),
-	converted("tansyseam.example/pooler/protocol/msg.CaseAnswer", encodeEvidenceResponse, decodeEvidenceResponse),
-	converted("tansyseam.example/pooler/protocol/msg.Recorded", encodeRecordResult, decodeRecordResult),
-	plain[QueryRequest]("tansyseam.example/pooler/protocol/msg.Query"),
-	plain[QueryResponse]("tansyseam.example/pooler/protocol/msg.QueryAnswer"),
-	converted("tansyseam.example/pooler/protocol/msg.Announce", encodeInstanceAnnouncement, decodeInstanceAnnouncement),
-	converted("tansyseam.example/pooler/protocol/msg.Announced", encodeAnnouncementResult, decodeAnnouncementResult),
-	plain[EpochChanged]("tansyseam.example/pooler/protocol/msg.Turned"),
+	convertedKind("tansyseam.example/pooler/coordination/steer.AskNews", encodeUpdateRequest, decodeUpdateRequest),
+	convertedKind("tansyseam.example/pooler/coordination/steer.Told", encodeNodeReport, decodeNodeReport),
+	convertedKind("tansyseam.example/pooler/coordination/steer.News", encodeUpdate, decodeUpdate),
+	convertedKind("tansyseam.example/pooler/coordination/steer.RecordCase", encodeWriterRoleChange, decodeWriterRoleChange),
+	convertedKind("tansyseam.example/pooler/coordination/goes.Ask", encodeStatusRequest, decodeStatusRequest),
+	convertedKind("tansyseam.example/pooler/coordination/goes.Answer", encodeStatus, decodeStatus),
+	convertedKind("tansyseam.example/pooler/coordination/goes.Legacy", encodeHandover, decodeHandover),
+	plainKind[idempotency.HandoverAck]("tansyseam.example/pooler/coordination/goes.LegacyTaken"),
+	convertedKind("tansyseam.example/pooler/coordination/ballot.Ask", encodeVoteRequest, decodeVoteRequest),
+	convertedKind("tansyseam.example/pooler/coordination/ballot.Vote", encodeVote, decodeVote),
+	convertedKind("tansyseam.example/pooler/coordination/member.Gossip", encodeGossip, decodeGossip),
+	convertedKind("tansyseam.example/pooler/coordination/takeover.Mark", encodeReportBound, decodeReportBound),
+	convertedKind("tansyseam.example/pooler/coordination/epoch.Form", encodeFormCluster, decodeFormCluster),
+	plainKind[consensus.FormClusterAck]("tansyseam.example/pooler/coordination/epoch.FormAck"),
+	plainKind[consensus.ClusterFormed]("tansyseam.example/pooler/coordination/epoch.Formed"),
+	plainKind[consensus.StatusRequest]("tansyseam.example/pooler/coordination/epoch.AskStanding"),
+	plainKind[consensus.Status]("tansyseam.example/pooler/coordination/epoch.Standing"),
+	plainKind[consensus.Join]("tansyseam.example/pooler/coordination/epoch.Join"),
+	plainKind[consensus.Leaving]("tansyseam.example/pooler/coordination/epoch.Leaving"),
+	plainKind[consensus.Released]("tansyseam.example/pooler/coordination/epoch.Released"),
+	convertedKind("tansyseam.example/pooler/coordination/epoch.Renew", encodeRenewLease, decodeRenewLease),
+	convertedKind("tansyseam.example/pooler/coordination/epoch.RenewAck", encodeRenewLeaseAck, decodeRenewLeaseAck),
+	convertedKind("tansyseam.example/pooler/coordination/epoch.Prepare", encodePrepare, decodePrepare),
+	convertedKind("tansyseam.example/pooler/coordination/epoch.Promised", encodePromise, decodePromise),
+	plainKind[consensus.Accept]("tansyseam.example/pooler/coordination/epoch.Accept"),
+	plainKind[consensus.Accepted]("tansyseam.example/pooler/coordination/epoch.Accepted"),
+	plainKind[consensus.Decided]("tansyseam.example/pooler/coordination/epoch.Decided"),
+	convertedKind("tansyseam.example/pooler/coordination/epoch.Write", encodeReplicate, decodeReplicate),
+	convertedKind("tansyseam.example/pooler/coordination/epoch.WriteAck", encodeReplicateAck, decodeReplicateAck),
+	convertedKind("tansyseam.example/pooler/coordination/epoch.Offer", encodeRepairDigests, decodeRepairDigests),
+	convertedKind("tansyseam.example/pooler/coordination/epoch.Want", encodeRepairRequest, decodeRepairRequest),
+	convertedKind("tansyseam.example/pooler/coordination/epoch.Fill", encodeRepairRanges, decodeRepairRanges),
+	convertedKind("tansyseam.example/pooler/coordination/epoch.Filled", encodeRepairDone, decodeRepairDone),
+	convertedKind("tansyseam.example/pooler/protocol/msg.PassNews", encodeForwardUpdateRequest, decodeForwardUpdateRequest),
+	plainKind[OperatorCall]("tansyseam.example/pooler/protocol/msg.Operate"),
+	convertedKind("tansyseam.example/pooler/protocol/msg.Operated", encodeOperatorCallResult, decodeOperatorCallResult),
+	plainKind[EvidenceRequest]("tansyseam.example/pooler/protocol/msg.AskCase"),
+	convertedKind("tansyseam.example/pooler/protocol/msg.CaseAnswer", encodeEvidenceResponse, decodeEvidenceResponse),
+	convertedKind("tansyseam.example/pooler/protocol/msg.Recorded", encodeRecordResult, decodeRecordResult),
+	plainKind[QueryRequest]("tansyseam.example/pooler/protocol/msg.Query"),
+	plainKind[QueryResponse]("tansyseam.example/pooler/protocol/msg.QueryAnswer"),
+	convertedKind("tansyseam.example/pooler/protocol/msg.Announce", encodeInstanceAnnouncement, decodeInstanceAnnouncement),
+	convertedKind("tansyseam.example/pooler/protocol/msg.Announced", encodeAnnouncementResult, decodeAnnouncementResult),
+	plainKind[EpochChanged]("tansyseam.example/pooler/protocol/msg.Turned"),
 }
 
 var (
@@ -90,10 +90,10 @@
 	kindsByEncoded = indexBy(func(k kind) any { return k.encoded })
 )
 
-func indexBy(sample func(kind) any) map[reflect.Type]kind {
+func indexBy(zeroValue func(kind) any) map[reflect.Type]kind {
 	index := make(map[reflect.Type]kind, len(kinds))
 	for _, kind := range kinds {
-		index[reflect.TypeOf(sample(kind))] = kind
+		index[reflect.TypeOf(zeroValue(kind))] = kind
 	}
 	return index
 }
--- a/internal/protocol/schema/announce_test.go
+++ b/internal/protocol/schema/announce_test.go
@@ -15,15 +15,15 @@
 		_, violations := validator.ValidateRequest("/v1/announce", []byte(body))
 		return len(violations) == 0
 	}
-	const head = `{"instance":"i-1","database":"db","address":"10.0.0.1:80","zone":"z","role":"replica","leaving":false`
-	const rest = `,"birth":"x","term":1,"position":{"term":1,"index":2},"connections":5,"slots":5`
+	const commonFields = `{"instance":"i-1","database":"db","address":"10.0.0.1:80","zone":"z","role":"replica","leaving":false`
+	const asyncFields = `,"birth":"x","term":1,"position":{"term":1,"index":2},"connections":5,"slots":5`
 	Convey("A synchronously replicated instance numbers its announcements, and may leave out birth, term and position; any other instance must give them", t, func() {
-		So(accepted(head+rest+`}`), ShouldBeTrue)
-		So(accepted(head+`}`), ShouldBeFalse)
-		So(accepted(head+`,"synced":false,"calls":1}`), ShouldBeFalse)
-		So(accepted(head+`,"synced":true,"calls":4,"slots":7}`), ShouldBeTrue)
-		So(accepted(head+`,"synced":true,"calls":4,"gone":true}`), ShouldBeTrue)
-		So(accepted(head+`,"synced":true}`), ShouldBeFalse)
+		So(accepted(commonFields+asyncFields+`}`), ShouldBeTrue)
+		So(accepted(commonFields+`}`), ShouldBeFalse)
+		So(accepted(commonFields+`,"synced":false,"calls":1}`), ShouldBeFalse)
+		So(accepted(commonFields+`,"synced":true,"calls":4,"slots":7}`), ShouldBeTrue)
+		So(accepted(commonFields+`,"synced":true,"calls":4,"gone":true}`), ShouldBeTrue)
+		So(accepted(commonFields+`,"synced":true}`), ShouldBeFalse)
 	})
 	Convey("The answer may name an HTTP address", t, func() {
 		So(validator.ValidateAnswer("/v1/announce", []byte(`{"nodes":[],"door":"10.0.0.1:81"}`), false), ShouldBeEmpty)
--- a/internal/protocol/schema/schema.go
+++ b/internal/protocol/schema/schema.go
@@ -34,8 +34,8 @@
 	Answer  string `json:"answer"`
 }
 
-// index is what the document holds besides the shapes themselves.
-type index struct {
+// documentContents is what the document holds besides the shapes themselves.
+type documentContents struct {
 	Endpoints map[string]endpoint        `json:"calls"`
 	Shapes    map[string]json.RawMessage `json:"$defs"`
 }
@@ -43,7 +43,7 @@
 // NewValidator compiles the schema document. Its errors are of type
 // ErrInvalidDocument.
 func NewValidator() (*Validator, error) {
-	var contents index
+	var contents documentContents
 	if err := json.Unmarshal(document, &contents); err != nil {
 		return nil, errors.WithType(errors.Annotate(err, "schema file"), ErrInvalidDocument)
 	}
--- a/internal/protocol/schema/schema_test.go
+++ b/internal/protocol/schema/schema_test.go
@@ -12,7 +12,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	paths := func(path, body string) map[string]string {
+	reasonsByPath := func(path, body string) map[string]string {
 		_, violations := validator.ValidateRequest(path, []byte(body))
 		found := map[string]string{}
 		for _, violation := range violations {
@@ -21,27 +21,27 @@
 		return found
 	}
 	Convey("Every violation is reported at once, each with its JSON path", t, func() {
-		found := paths("/v1/bindings/put", `{"id":"bad id","expected":-1,"extra":1,"bindings":[{"name":"","database":7,"freshness_ms":1.5},{}]}`)
+		found := reasonsByPath("/v1/bindings/put", `{"id":"bad id","expected":-1,"extra":1,"bindings":[{"name":"","database":7,"freshness_ms":1.5},{}]}`)
 		for _, path := range []string{"/id", "/expected", "/bindings/0/name", "/bindings/0/database", "/bindings/0/freshness_ms", "/bindings/1", ""} {
 			SoMsg(path, found, ShouldContainKey, path)
 		}
 	})
 	Convey("A duplicate key is rejected at any depth", t, func() {
-		found := paths("/v1/bindings/put", `{"id":"a","expected":0,"expected":1,"bindings":[{"name":"b","name":"c","database":"d","freshness_ms":0}]}`)
+		found := reasonsByPath("/v1/bindings/put", `{"id":"a","expected":0,"expected":1,"bindings":[{"name":"b","name":"c","database":"d","freshness_ms":0}]}`)
 		So(found["/expected"], ShouldContainSubstring, "twice")
 		So(found["/bindings/0/name"], ShouldContainSubstring, "twice")
 	})
 	Convey("Malformed bodies, unknown calls and wrong types are rejected; an empty body stands for an empty object", t, func() {
 		for _, body := range []string{`{"id":`, `[]`, `"x"`, `null`, `{} trailing`, strings.Repeat("[", 5000)} {
-			So(paths("/v1/bindings/put", body), ShouldNotBeEmpty)
+			So(reasonsByPath("/v1/bindings/put", body), ShouldNotBeEmpty)
 		}
-		So(paths("/v1/nowhere", `{}`), ShouldNotBeEmpty)
-		So(paths("/v1/fleet", ""), ShouldBeEmpty)
+		So(reasonsByPath("/v1/nowhere", `{}`), ShouldNotBeEmpty)
+		So(reasonsByPath("/v1/fleet", ""), ShouldBeEmpty)
 	})
 	Convey("A write must carry its request id; a statement has a text or a prepared name, not both", t, func() {
-		So(paths("/v1/statement", `{"session":"s","kind":"write","text":"x"}`), ShouldNotBeEmpty)
-		So(paths("/v1/statement", `{"session":"s","kind":"read","text":"x","prepared":"p"}`), ShouldNotBeEmpty)
-		So(paths("/v1/statement", `{"session":"s","kind":"write","text":"x","go":"s.1"}`), ShouldBeEmpty)
+		So(reasonsByPath("/v1/statement", `{"session":"s","kind":"write","text":"x"}`), ShouldNotBeEmpty)
+		So(reasonsByPath("/v1/statement", `{"session":"s","kind":"read","text":"x","prepared":"p"}`), ShouldNotBeEmpty)
+		So(reasonsByPath("/v1/statement", `{"session":"s","kind":"write","text":"x","go":"s.1"}`), ShouldBeEmpty)
 	})
 	Convey("Text is preserved as it was written, escapes included", t, func() {
 		value, violations := validator.ValidateRequest("/v1/statement", []byte(`{"session":"s","kind":"read","text":"a\u00e9\"\\\n\u2028 b"}`))
--- a/internal/protocol/schema/validate.go
+++ b/internal/protocol/schema/validate.go
@@ -30,8 +30,8 @@
 // ValidateRequest parses and validates the body of a call; an empty body stands
 // for {}. It gives all violations, or the value where there are none.
 func (v *Validator) ValidateRequest(path string, body []byte) (*fastjson.Value, []Violation) {
-	endpoint, known := v.endpoints[path]
-	if !known {
+	endpoint, found := v.endpoints[path]
+	if !found {
 		return nil, []Violation{{Reason: "no such call"}}
 	}
 	return v.validate(endpoint.Request, body)
--- a/internal/state/store/codec.go
+++ b/internal/state/store/codec.go
@@ -39,8 +39,8 @@
 
 // DecodePlain reads what EncodePlain wrote. The error is ErrDecode where data is not
 // of the form of into.
-func DecodePlain(data []byte, into any) error {
-	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(into); err != nil {
+func DecodePlain(data []byte, target any) error {
+	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(target); err != nil {
 		return errors.WithType(errors.Trace(err), ErrDecode)
 	}
 	return nil
--- a/internal/state/versionfile/format.go
+++ b/internal/state/versionfile/format.go
@@ -62,18 +62,18 @@
 	if !bytes.Equal(checksum, expected[:]) {
 		return nil, false
 	}
-	rest := body[len(magic):]
-	kindLength := int(binary.BigEndian.Uint16(rest))
-	rest = rest[kindLengthSize:]
-	if len(rest) < kindLength+sequenceSize+dataLengthSize || string(rest[:kindLength]) != kind {
+	remaining := body[len(magic):]
+	kindLength := int(binary.BigEndian.Uint16(remaining))
+	remaining = remaining[kindLengthSize:]
+	if len(remaining) < kindLength+sequenceSize+dataLengthSize || string(remaining[:kindLength]) != kind {
 		return nil, false
 	}
-	rest = rest[kindLength:]
-	if binary.BigEndian.Uint64(rest) != sequence {
+	remaining = remaining[kindLength:]
+	if binary.BigEndian.Uint64(remaining) != sequence {
 		return nil, false
 	}
-	rest = rest[sequenceSize:]
-	dataLength := int(binary.BigEndian.Uint32(rest))
-	data := rest[dataLengthSize:]
+	remaining = remaining[sequenceSize:]
+	dataLength := int(binary.BigEndian.Uint32(remaining))
+	data := remaining[dataLengthSize:]
 	return data, dataLength == len(data)
 }
--- a/internal/state/versionfile/store.go
+++ b/internal/state/versionfile/store.go
@@ -23,9 +23,9 @@
 // nothing may rely on it before that.
 const ErrNotSynced = errors.ConstError("version not synced")
 
-// minKept is how many versions of a kind are kept at least: the newest, and the one
+// minKeptVersions is how many versions of a kind are kept at least: the newest, and the one
 // before in case that the newest is found damaged.
-const minKept = 2
+const minKeptVersions = 2
 
 // Version is one version of a kind.
 type Version struct {
@@ -35,14 +35,14 @@
 
 // Store keeps versions of several kinds on one Disk.
 type Store struct {
-	disk Disk
-	kept int
+	disk         Disk
+	keptVersions int
 }
 
 // NewStore makes a store that keeps so many of the newest versions of each kind, two
 // at least.
-func NewStore(disk Disk, kept int) *Store {
-	return &Store{disk: disk, kept: max(kept, minKept)}
+func NewStore(disk Disk, keptVersions int) *Store {
+	return &Store{disk: disk, keptVersions: max(keptVersions, minKeptVersions)}
 }
 
 // Put syncs one version, and then removes old ones past those that are kept. The error
@@ -63,7 +63,7 @@
 		return
 	}
 	for rank, sequence := range sequences {
-		if rank >= s.kept && sequence < synced {
+		if rank >= s.keptVersions && sequence < synced {
 			_ = s.disk.Remove(fileName(kind, sequence))
 		}
 	}
@@ -106,11 +106,11 @@
 
 // read gives the data of one version, or false where it is missing or damaged.
 func (s *Store) read(kind string, sequence uint64) ([]byte, bool) {
-	raw, err := s.disk.Read(fileName(kind, sequence))
+	content, err := s.disk.Read(fileName(kind, sequence))
 	if err != nil {
 		return nil, false
 	}
-	return decodeVersion(raw, kind, sequence)
+	return decodeVersion(content, kind, sequence)
 }
 
 // sequences lists the versions of a kind by the names of the files, newest first.
--- a/internal/state/versionfile/store_test.go
+++ b/internal/state/versionfile/store_test.go
@@ -30,18 +30,18 @@
 		})
 		Convey("Torn, empty, foreign and changed files are never read as state", func() {
 			So(store.Put("table", 1, []byte("good")), ShouldBeNil)
-			good, _ := os.ReadFile(filepath.Join(path, fileName("table", 1)))
-			changed := append([]byte(nil), good...)
+			intact, _ := os.ReadFile(filepath.Join(path, fileName("table", 1)))
+			changed := append([]byte(nil), intact...)
 			changed[len(changed)/2] ^= 1
-			bad := map[uint64][]byte{2: good[:len(good)/2], 3: {}, 4: []byte("something else altogether, and quite long enough to be read"), 5: changed, 6: good}
-			for sequence, data := range bad {
+			damaged := map[uint64][]byte{2: intact[:len(intact)/2], 3: {}, 4: []byte("something else altogether, and quite long enough to be read"), 5: changed, 6: intact}
+			for sequence, data := range damaged {
 				So(os.WriteFile(filepath.Join(path, fileName("table", sequence)), data, 0o600), ShouldBeNil)
 			}
 			latest, skipped, err := store.Latest("table")
 			So(err, ShouldBeNil)
 			So(latest.Sequence, ShouldEqual, 1)
 			So(string(latest.Data), ShouldEqual, "good")
-			So(skipped, ShouldEqual, len(bad))
+			So(skipped, ShouldEqual, len(damaged))
 			So(store.RemoveCorrupt("table"), ShouldBeNil)
 			_, skipped, _ = store.Latest("table")
 			So(skipped, ShouldEqual, 0)
