--- a/internal/protocol/adapter/adapter.go
+++ b/internal/protocol/adapter/adapter.go
@@ -1,18 +1,18 @@
-// Package adapter holds the types by which the API of a platform is translated
-// to the product's own, and the platform's calls are made.
+// Package adapter defines the types that translate a platform's API to the
+// product's own API, and the types of the requests sent to a platform.
 package adapter
 
-// Translation is one request of a platform as a call of the product.
+// Translation is a platform's request translated to a call of the product's API.
 type Translation struct {
-	// Path and Body are those of the product's call.
+	// Path and Body are the path and the body of the product's call.
 	Path string
 	Body []byte
-	// Answer translates the HTTP status and the body of the product's answer back.
-	// Where it is nil, the answer is left unchanged.
+	// Answer translates the HTTP status and the body of the product's answer to
+	// those of the platform's API. If it is nil, the answer is sent unchanged.
 	Answer func(status int, body []byte) (int, []byte)
 }
 
-// TranslateFunc translates a request, or returns false for a request that is not
+// TranslateFunc translates a request. It returns false if the request is not part
 // of the platform's API.
 type TranslateFunc func(method, path string, body []byte) (Translation, bool)
 
@@ -20,7 +20,8 @@
 type Promotion struct {
 	Database string
 	Instance string
-	// LeaseHolder is the control server that calls, FencingToken its token.
+	// LeaseHolder is the control server that makes the call, and FencingToken is
+	// its fencing token.
 	LeaseHolder  string
 	FencingToken uint64
 }
--- a/internal/protocol/backend/codec.go
+++ b/internal/protocol/backend/codec.go
@@ -1,6 +1,5 @@
 // Package backend translates between the operations of the HTTP pool and the
-// messages that database instances understand. Another protocol is another
-// Codec.
+// messages that database instances understand. Each protocol has its own Codec.
 package backend
 
 import (
@@ -14,22 +13,24 @@
 	"tansyseam/internal/state/model"
 )
 
-// ErrMalformedReply says that an instance's reply can't be read.
+// ErrMalformedReply is returned when an instance's reply cannot be parsed.
 const ErrMalformedReply = errors.ConstError("malformed reply of an instance")
 
 // Codec turns operations into HTTP requests to an instance, and its responses
 // into replies.
 type Codec struct {
 	Encode func(op httppool.Op) (path string, body []byte)
-	// Decode fails with ErrMalformedReply.
+	// Decode returns an error of type ErrMalformedReply if the body cannot be parsed.
 	Decode func(status int, body []byte) (httppool.Reply, error)
 	// EncodeStatusRequest asks for the instance's position and role. The
-	// instance answers once it is past a position, or after waitMS
-	// milliseconds. It is no statement and needs no session there.
+	// instance answers once its position is past after, or when waitMS
+	// milliseconds have elapsed. The request is not a statement and needs no
+	// session at the instance.
 	EncodeStatusRequest func(after model.Position, waitMS int) (path string, body []byte)
 }
 
-// NewJSONCodec returns the codec of the protocol in docs/backends.md.
+// NewJSONCodec returns the codec of the JSON protocol that docs/backends.md
+// describes.
 func NewJSONCodec() Codec {
 	return Codec{Encode: encodeOperation, Decode: decodeReply, EncodeStatusRequest: encodeStatusRequest}
 }
@@ -58,7 +59,7 @@
 }
 
 func encodeOperation(op httppool.Op) (string, []byte) {
-	// Strings, numbers and lists of strings always encode.
+	// Marshal cannot fail for strings, numbers and lists of strings.
 	body, _ := json.Marshal(operationBody{
 		Text:      op.Text,
 		Prepared:  op.Prepared,
@@ -105,7 +106,7 @@
 }
 
 func encodeStatusRequest(after model.Position, waitMS int) (string, []byte) {
-	// Numbers always encode.
+	// Marshal cannot fail for numbers.
 	body, _ := json.Marshal(statusRequestBody{After: after, WaitMS: waitMS})
 	return statusPath, body
 }
--- a/internal/protocol/backend/codec_test.go
+++ b/internal/protocol/backend/codec_test.go
@@ -12,7 +12,7 @@
 
 func TestJSONCodec(t *testing.T) {
 	codec := NewJSONCodec()
-	Convey("Operations have the paths and keys of docs/backends.md", t, func() {
+	Convey("Operations are encoded with the paths and keys of docs/backends.md", t, func() {
 		operations := []struct {
 			op   httppool.Op
 			path string
@@ -39,7 +39,7 @@
 		So(path, ShouldEqual, "/db/status")
 		So(string(body), ShouldEqual, `{"after":{"term":2,"index":9},"wait_ms":80}`)
 	})
-	Convey("A reply is read in whole; 409 and 429 say that nothing was begun, other errors that it failed", t, func() {
+	Convey("All fields of a reply are decoded; statuses 409 and 429 mean that nothing was started (rejected), other error statuses that the operation failed, and a body that is not JSON is malformed", t, func() {
 		reply, err := codec.Decode(200, []byte(`{"rows":[["1"]],"position":{"term":2,"index":9},"clean":true,"inside":true,"role":"primary","term":2,"birth":"b","leaving":true}`))
 		So(err, ShouldBeNil)
 		So(reply, ShouldResemble, httppool.Reply{
--- a/internal/protocol/bindings/bindings.go
+++ b/internal/protocol/bindings/bindings.go
@@ -1,9 +1,11 @@
-// Package bindings reads and checks what operators send to change the bindings
-// of the cluster: binding sets in the product's own form or as routes of the
-// Kubernetes Gateway API, changes scheduled for later, and manifests. The shape
-// of a body was checked against the schema before; the checks here need to know
-// the databases, the clock, or several fields at once. Each reader gives all
-// violations at once, so that operators can mend them in one go.
+// Package bindings parses and validates the bodies that operators send to change
+// the cluster's bindings: binding sets in the product's own form or as routes of
+// the Kubernetes Gateway API, scheduled changes, and manifests.
+//
+// The caller has already validated the shape of a body against the schema. The
+// checks here are those that need the known databases, the clock, or several
+// fields at once. Each function returns all violations together, so that an
+// operator can correct them in one step.
 package bindings
 
 import (
@@ -16,15 +18,16 @@
 	"tansyseam/internal/state/model"
 )
 
-// MaxScheduleAhead is the furthest ahead that a change may be scheduled.
+// MaxScheduleAhead is the longest time in advance that a change may be scheduled.
 const MaxScheduleAhead = 366 * 24 * time.Hour
 
-// MinFreshness is the least staleness of a replica that can be promised; a
-// freshness of 0 means reads from the primary only.
+// MinFreshness is the smallest bound on a replica's staleness that can be
+// guaranteed. A freshness of 0 is also valid: it means that reads go to the primary
+// only.
 const MinFreshness = 50 * time.Millisecond
 
-// bindingPaths are the formats of the JSON paths at which a binding's fields
-// stand in a body; each takes the binding's index.
+// bindingPaths holds the format strings of the JSON paths of a binding's fields in
+// a body. Each format takes the binding's index.
 type bindingPaths struct{ name, database, freshness string }
 
 var (
@@ -40,8 +43,8 @@
 	}
 )
 
-// Parse reads a binding set in either form, and gives every violation that
-// keeps it from being accepted.
+// Parse parses a binding set in either form. It returns the bindings and every
+// violation for which the set must be rejected.
 func Parse(value *fastjson.Value, databaseExists func(name string) bool) ([]model.Binding, []schema.Violation) {
 	if value.Exists("routes") {
 		bindings, violations := parseRoutes(value)
@@ -76,8 +79,9 @@
 	return violations
 }
 
-// ParseScheduledTime reads the wall time, in ns since 1970, for which a change
-// is scheduled, and checks it against the current wall time in ns.
+// ParseScheduledTime parses the wall time for which a change is scheduled, and
+// checks it against the current wall time. Both times are Unix times: nanoseconds
+// since 1970.
 func ParseScheduledTime(value *fastjson.Value, wallTime int64) (int64, []schema.Violation) {
 	at := value.GetInt64("at_ms") * int64(time.Millisecond)
 	if at < wallTime {
--- a/internal/protocol/bindings/bindings_test.go
+++ b/internal/protocol/bindings/bindings_test.go
@@ -26,7 +26,7 @@
 		}
 		return bindings, paths
 	}
-	Convey("Both forms of a set give the same bindings", t, func() {
+	Convey("A set in the product's own form and the same set as routes are parsed to the same bindings", t, func() {
 		plain, violations := read(`{"bindings":[{"name":"floor","database":"desks1","freshness_ms":1500}]}`)
 		So(violations, ShouldBeEmpty)
 		routes, violations := read(`{"routes":[` + route("floor", "") + `]}`)
@@ -34,7 +34,7 @@
 		So(routes, ShouldResemble, plain)
 		So(plain[0].Freshness, ShouldEqual, 1500*time.Millisecond)
 	})
-	Convey("Unsupported fields are reported by name, with all other violations at once", t, func() {
+	Convey("Unsupported fields are reported by name, together with all other violations", t, func() {
 		_, violations := read(`{"routes":[` + route("floor", `,"weight":3`) + `,` + route("floor", "") + `,{"kind":"HTTPRoute","metadata":{"name":"-x","labels":{}},"spec":{"parentRefs":[],"rules":[]}}]}`)
 		for _, path := range []string{
 			"/routes/0/spec/rules/0/backendRefs/0/weight", "/routes/1/metadata/name", "/routes/2/kind", "/routes/2/metadata/name",
@@ -43,11 +43,11 @@
 			So(violations, ShouldContain, path)
 		}
 	})
-	Convey("Repeated names, unknown databases and a freshness that cannot be promised are each reported", t, func() {
+	Convey("Duplicate names, unknown databases and a freshness below the minimum are each reported", t, func() {
 		_, violations := read(`{"bindings":[{"name":"a","database":"nowhere","freshness_ms":7},{"name":"a","database":"desks1","freshness_ms":0}]}`)
 		So(violations, ShouldResemble, []string{"/bindings/0/database", "/bindings/0/freshness_ms", "/bindings/1/name"})
 	})
-	Convey("A time in the past or more than a year ahead is rejected", t, func() {
+	Convey("A scheduled time in the past or more than a year ahead is rejected, and any other is accepted", t, func() {
 		now := int64(1_800_000_000_000) * int64(time.Millisecond)
 		for text, violationCount := range map[string]int{`{"at_ms":1799999999999}`: 1, `{"at_ms":1900000000000}`: 1, `{"at_ms":1800000001000}`: 0} {
 			_, violations := ParseScheduledTime(fastjson.MustParse(text), now)
--- a/internal/protocol/bindings/gatewayapi.go
+++ b/internal/protocol/bindings/gatewayapi.go
@@ -12,23 +12,25 @@
 	"tansyseam/internal/state/model"
 )
 
-// FreshnessAnnotation is the annotation of a route that carries a binding's
-// freshness, in ms.
+// FreshnessAnnotation is the annotation of a route that holds the binding's
+// freshness, in milliseconds.
 const FreshnessAnnotation = "tansyseam.example/freshness-ms"
 
 const (
 	gatewayGroup = "gateway.networking.k8s.io/"
 	routeKind    = "TCPRoute"
-	// maxNameLength and maxFreshnessMillis are those of the schema.
+	// maxNameLength and maxFreshnessMillis equal the limits in the schema.
 	maxNameLength      = 63
 	maxFreshnessMillis = 3600000
-	// namePunctuation may stand in a name, but not begin it.
+	// namePunctuation holds the punctuation that a name may contain, except as its
+	// first character.
 	namePunctuation = "-._"
 )
 
-// parseRoutes reads a binding set that is given as routes of the Kubernetes
-// Gateway API: each binding is a TCPRoute of its name, whose one backend is the
-// database. A field that is not supported is a violation that names it.
+// parseRoutes parses a binding set given as routes of the Kubernetes Gateway API.
+// Each binding is a TCPRoute with the binding's name, and the route's only backend
+// is the database. An unsupported field is reported as a violation that names the
+// field.
 func parseRoutes(value *fastjson.Value) ([]model.Binding, []schema.Violation) {
 	var bindings []model.Binding
 	var violations []schema.Violation
@@ -40,7 +42,7 @@
 	return bindings, violations
 }
 
-// routeReader gathers the binding and the violations of one route.
+// routeReader collects the binding and the violations of one route.
 type routeReader struct {
 	binding     model.Binding
 	violations  violationList
@@ -67,10 +69,12 @@
 	return r
 }
 
-// fieldReaders holds how each supported field of an object is read.
+// fieldReaders maps each supported field of an object to the function that reads
+// it.
 type fieldReaders map[string]func(r *routeReader, value *fastjson.Value, path string)
 
-// The fields of a route, from the inside out: a table names those before it.
+// The supported fields of a route, from the innermost object to the outermost:
+// each table refers to the tables declared before it.
 var (
 	backendFields = fieldReaders{"name": (*routeReader).readDatabase}
 
@@ -147,7 +151,8 @@
 	return isLetter || isDigit || strings.ContainsRune(namePunctuation, char)
 }
 
-// readObject reads the supported fields of an object.
+// readObject reads the supported fields of an object, and reports any other field
+// as a violation.
 func (r *routeReader) readObject(supported fieldReaders, value *fastjson.Value, path string) {
 	object, err := value.Object()
 	if err != nil {
@@ -165,7 +170,7 @@
 	})
 }
 
-// readSingle reads the one object that a list must hold.
+// readSingle reads the object in a list that must have exactly one entry.
 func (r *routeReader) readSingle(supported fieldReaders, value *fastjson.Value, path string) {
 	list, err := value.Array()
 	if err != nil || len(list) != 1 {
--- a/internal/protocol/bindings/golden_test.go
+++ b/internal/protocol/bindings/golden_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestGoldenManifest(t *testing.T) {
-	Convey("A manifest in the product's own form has the bytes that were recorded", t, func() {
+	Convey("A manifest is encoded to the recorded bytes, with its keys in alphabetical order", t, func() {
 		write := func(set model.BindingSet) string {
 			data, err := json.Marshal(NewManifest(set))
 			So(err, ShouldBeNil)
--- a/internal/protocol/bindings/manifest.go
+++ b/internal/protocol/bindings/manifest.go
@@ -11,10 +11,10 @@
 	"tansyseam/internal/state/model"
 )
 
-// ParseManifest reads a manifest whose shape was checked: the operator's own
-// version, bindings, databases and limits. It gives the manifest, its bytes as
-// the operator sent them (empty where they were not sent along), and every
-// violation that keeps it from being accepted.
+// ParseManifest parses a manifest that has passed the schema: the operator's own
+// version, bindings, databases and limits. It returns the manifest, the manifest's
+// original text as the operator wrote it (empty if the call does not include it),
+// and every violation for which the manifest must be rejected.
 func ParseManifest(value *fastjson.Value) (model.BindingSet, []byte, []schema.Violation) {
 	p := &manifestParser{
 		set:           model.BindingSet{Version: value.GetUint64("version")},
@@ -38,9 +38,10 @@
 	return p.set, raw, p.violations
 }
 
-// manifestParser gathers a manifest and the violations found in it.
+// manifestParser collects a manifest and the violations found in it.
 type manifestParser struct {
-	set           model.BindingSet
+	set model.BindingSet
+	// databaseNames and bindingNames hold the names parsed so far.
 	databaseNames map[string]bool
 	bindingNames  map[string]bool
 	violations    violationList
@@ -92,8 +93,8 @@
 }
 
 // Manifest is a manifest in the form of the product's own schema. The fields
-// stand in the alphabetical order of their JSON keys, since answers have always
-// been written so.
+// are in the alphabetical order of their JSON keys, because answers have always
+// been encoded in that order.
 type Manifest struct {
 	Bindings  []ManifestBinding  `json:"bindings"`
 	Databases []ManifestDatabase `json:"databases"`
@@ -101,7 +102,7 @@
 	Version   uint64             `json:"version"`
 }
 
-// ManifestBinding is a binding of a Manifest; durations are in ms.
+// ManifestBinding is a binding of a Manifest. Durations are in milliseconds.
 type ManifestBinding struct {
 	Database            string `json:"database"`
 	FreshnessMillis     int64  `json:"freshness_ms"`
@@ -120,16 +121,17 @@
 	MinSyncReplicas int    `json:"synced"`
 }
 
-// ManifestLimits are the limits of a Manifest: bytes of a message, and ms that
-// a session may be idle outside and inside a transaction; 0 for no limit.
+// ManifestLimits holds the limits of a Manifest: the size of a message in bytes,
+// and how long a session may be idle outside and inside a transaction, in
+// milliseconds. A value of 0 means no limit.
 type ManifestLimits struct {
 	IdleTimeoutMillis            int64 `json:"idle_ms"`
 	TransactionIdleTimeoutMillis int64 `json:"inside_ms"`
 	MaxMessageBytes              int   `json:"message_bytes"`
 }
 
-// NewManifest gives the form of the product's schema that ParseManifest reads;
-// its lists are never nil.
+// NewManifest converts a binding set to the form of the product's schema, which
+// ParseManifest parses. The lists of the result are never nil.
 func NewManifest(set model.BindingSet) Manifest {
 	manifest := Manifest{
 		Bindings:  []ManifestBinding{},
--- a/internal/protocol/bindings/manifest_test.go
+++ b/internal/protocol/bindings/manifest_test.go
@@ -20,7 +20,7 @@
 	}
 	const validManifest = `{"version":7,"bindings":[{"name":"b","database":"db","freshness_ms":1500,"own":true,"timeout_ms":1000,"target_ms":200,"priority":1,"tries":2}],` +
 		`"databases":[{"name":"db","connections":80,"synced":1}],"limits":{"message_bytes":262144,"idle_ms":15000,"inside_ms":3000},"raw":"aGk="}`
-	Convey("Every field of a manifest is read, and written as it was read", t, func() {
+	Convey("Every field of a manifest is parsed, and is unchanged after encoding and parsing again", t, func() {
 		value, violations := validator.ValidateRequest("/v1/manifest/replace", []byte(validManifest))
 		So(violations, ShouldBeEmpty)
 		set, raw, violations := ParseManifest(value)
@@ -40,7 +40,7 @@
 		So(violations, ShouldBeEmpty)
 		So(reread, ShouldResemble, set)
 	})
-	Convey("Every violation is reported at once", t, func() {
+	Convey("All violations of a manifest are reported together", t, func() {
 		value, violations := validator.ValidateRequest("/v1/manifest/replace", []byte(`{"version":0,"bindings":[{"name":"b","database":"db","timeout_ms":0},{"name":"b","database":"nowhere","timeout_ms":5}],`+
 			`"databases":[{"name":"db","connections":1},{"name":"db","connections":1}],"raw":"!"}`))
 		So(violations, ShouldBeEmpty)
@@ -51,7 +51,7 @@
 		}
 		So(paths, ShouldResemble, []string{"/version", "/databases/1/name", "/bindings/0/timeout_ms", "/bindings/1/name", "/bindings/1/database", "/raw"})
 	})
-	Convey("A manifest of the wrong shape is rejected by the schema", t, func() {
+	Convey("The schema rejects a manifest of the wrong shape or with a duplicate key", t, func() {
 		for _, body := range []string{
 			`{}`, `[]`, `{"version":1,"bindings":[]}`, `{"version":-1,"bindings":[],"databases":[]}`, `{"version":1,"bindings":[{"name":"b"}],"databases":[]}`,
 			`{"version":1,"bindings":[],"databases":[],"more":1}`, `{"version":1,"version":2,"bindings":[],"databases":[]}`,
--- a/internal/protocol/message/encoding_asyncrepl.go
+++ b/internal/protocol/message/encoding_asyncrepl.go
@@ -8,9 +8,10 @@
 	"tansyseam/internal/state/model"
 )
 
-// The encoded names are those of the first release; see package encoded.
+// The encoded field names are those of the first release and must never change; see
+// package encoded.
 
-// encodedAsyncEvidence is asyncrepl.Evidence as it is sent.
+// encodedAsyncEvidence is the encoded form of asyncrepl.Evidence.
 type encodedAsyncEvidence struct {
 	Database   string
 	Writer     encoded.Writer
@@ -57,7 +58,7 @@
 	}
 }
 
-// encodedAsyncObservation is asyncrepl.Observation as it is sent.
+// encodedAsyncObservation is the encoded form of asyncrepl.Observation.
 type encodedAsyncObservation struct {
 	Instance encoded.Instance
 	Heard    time.Duration
--- a/internal/protocol/message/encoding_calls.go
+++ b/internal/protocol/message/encoding_calls.go
@@ -5,9 +5,10 @@
 	"tansyseam/internal/state/model"
 )
 
-// The encoded names are those of the first release; see package encoded.
+// The encoded field names are those of the first release and must never change; see
+// package encoded.
 
-// encodedForwardUpdateRequest is ForwardUpdateRequest as it is sent.
+// encodedForwardUpdateRequest is the encoded form of ForwardUpdateRequest.
 type encodedForwardUpdateRequest struct {
 	Ask encodedUpdateRequest
 }
@@ -24,7 +25,7 @@
 	}
 }
 
-// encodedOperatorCallResult is OperatorCallResult as it is sent.
+// encodedOperatorCallResult is the encoded form of OperatorCallResult.
 type encodedOperatorCallResult struct {
 	Status      int
 	Body        []byte
@@ -50,7 +51,7 @@
 	}
 }
 
-// encodedEvidenceResponse is EvidenceResponse as it is sent.
+// encodedEvidenceResponse is the encoded form of EvidenceResponse.
 type encodedEvidenceResponse struct {
 	IsPrimary bool
 	Databases []string
@@ -79,7 +80,7 @@
 	}
 }
 
-// encodedRecordResult is RecordResult as it is sent.
+// encodedRecordResult is the encoded form of RecordResult.
 type encodedRecordResult struct {
 	IsKept bool
 }
@@ -96,7 +97,7 @@
 	}
 }
 
-// encodedInstanceAnnouncement is InstanceAnnouncement as it is sent.
+// encodedInstanceAnnouncement is the encoded form of InstanceAnnouncement.
 type encodedInstanceAnnouncement struct {
 	Instance encoded.Instance
 }
@@ -113,7 +114,7 @@
 	}
 }
 
-// encodedAnnouncementResult is AnnouncementResult as it is sent.
+// encodedAnnouncementResult is the encoded form of AnnouncementResult.
 type encodedAnnouncementResult struct {
 	IsTaken bool
 	Door    string
--- a/internal/protocol/message/encoding_consensus.go
+++ b/internal/protocol/message/encoding_consensus.go
@@ -8,9 +8,10 @@
 	"tansyseam/internal/state/store"
 )
 
-// The encoded names are those of the first release; see package encoded.
+// The encoded field names are those of the first release and must never change; see
+// package encoded.
 
-// encodedFormCluster is consensus.FormCluster as it is sent.
+// encodedFormCluster is the encoded form of consensus.FormCluster.
 type encodedFormCluster struct {
 	Identity consensus.EncodedIdentity
 }
@@ -27,7 +28,7 @@
 	}
 }
 
-// encodedRenewLease is consensus.RenewLease as it is sent.
+// encodedRenewLease is the encoded form of consensus.RenewLease.
 type encodedRenewLease struct {
 	Record consensus.Record
 	Sent   time.Duration
@@ -50,7 +51,7 @@
 	}
 }
 
-// encodedRenewLeaseAck is consensus.RenewLeaseAck as it is sent.
+// encodedRenewLeaseAck is the encoded form of consensus.RenewLeaseAck.
 type encodedRenewLeaseAck struct {
 	Decided   consensus.Record
 	Sent      time.Duration
@@ -79,7 +80,7 @@
 	}
 }
 
-// encodedPrepare is consensus.Prepare as it is sent.
+// encodedPrepare is the encoded form of consensus.Prepare.
 type encodedPrepare struct {
 	Decided consensus.Record
 	Number  proposal.Number
@@ -102,7 +103,7 @@
 	}
 }
 
-// encodedPromise is consensus.Promise as it is sent.
+// encodedPromise is the encoded form of consensus.Promise.
 type encodedPromise struct {
 	Epoch    uint64
 	Number   proposal.Number
--- a/internal/protocol/message/encoding_distribution.go
+++ b/internal/protocol/message/encoding_distribution.go
@@ -10,9 +10,10 @@
 	"tansyseam/internal/state/store"
 )
 
-// The encoded names are those of the first release; see package encoded.
+// The encoded field names are those of the first release and must never change; see
+// package encoded.
 
-// encodedUpdateRequest is distribution.UpdateRequest as it is sent.
+// encodedUpdateRequest is the encoded form of distribution.UpdateRequest.
 type encodedUpdateRequest struct {
 	Node    string
 	Kind    string
@@ -65,7 +66,7 @@
 	}
 }
 
-// encodedInstanceReport is distribution.InstanceReport as it is sent.
+// encodedInstanceReport is the encoded form of distribution.InstanceReport.
 type encodedInstanceReport struct {
 	Instance  encoded.Instance
 	Announced time.Duration
@@ -100,7 +101,7 @@
 	}
 }
 
-// encodedNodeReport is distribution.NodeReport as it is sent.
+// encodedNodeReport is the encoded form of distribution.NodeReport.
 type encodedNodeReport struct {
 	Node    string
 	Reports []encodedInstanceReport
@@ -126,7 +127,7 @@
 	}
 }
 
-// encodedUpdate is distribution.Update as it is sent.
+// encodedUpdate is the encoded form of distribution.Update.
 type encodedUpdate struct {
 	IsPrimary bool
 	Record    consensus.Record
@@ -167,7 +168,7 @@
 	}
 }
 
-// encodedWriterRoleChange is distribution.WriterRoleChange as it is sent.
+// encodedWriterRoleChange is the encoded form of distribution.WriterRoleChange.
 type encodedWriterRoleChange struct {
 	Before   encoded.Writer
 	IsKnown  bool
--- a/internal/protocol/message/encoding_idempotency.go
+++ b/internal/protocol/message/encoding_idempotency.go
@@ -6,9 +6,10 @@
 	"tansyseam/internal/state/model"
 )
 
-// The encoded names are those of the first release; see package encoded.
+// The encoded field names are those of the first release and must never change; see
+// package encoded.
 
-// encodedStatusRequest is idempotency.StatusRequest as it is sent.
+// encodedStatusRequest is the encoded form of idempotency.StatusRequest.
 type encodedStatusRequest struct {
 	Go string
 	By string
@@ -28,7 +29,7 @@
 	}
 }
 
-// encodedStatus is idempotency.Status as it is sent.
+// encodedStatus is the encoded form of idempotency.Status.
 type encodedStatus struct {
 	Standing string
 	Rows     []byte
@@ -54,7 +55,7 @@
 	}
 }
 
-// encodedHandover is idempotency.Handover as it is sent.
+// encodedHandover is the encoded form of idempotency.Handover.
 type encodedHandover struct {
 	Node   string
 	Birth  string
--- a/internal/protocol/message/encoding_membership.go
+++ b/internal/protocol/message/encoding_membership.go
@@ -6,9 +6,10 @@
 	"tansyseam/internal/state/model"
 )
 
-// The encoded names are those of the first release; see package encoded.
+// The encoded field names are those of the first release and must never change; see
+// package encoded.
 
-// encodedGossip is membership.Gossip as it is sent.
+// encodedGossip is the encoded form of membership.Gossip.
 type encodedGossip struct {
 	From       encoded.Node
 	Nodes      []encoded.Node
@@ -46,7 +47,7 @@
 	}
 }
 
-// encodedSuspicion is membership.Suspicion as it is sent.
+// encodedSuspicion is the encoded form of membership.Suspicion.
 type encodedSuspicion struct {
 	Node string
 	By   string
--- a/internal/protocol/message/encoding_proposal.go
+++ b/internal/protocol/message/encoding_proposal.go
@@ -6,9 +6,10 @@
 	"tansyseam/internal/coordination/proposal"
 )
 
-// The encoded names are those of the first release; see package encoded.
+// The encoded field names are those of the first release and must never change; see
+// package encoded.
 
-// encodedVoteRequest is proposal.VoteRequest as it is sent.
+// encodedVoteRequest is the encoded form of proposal.VoteRequest.
 type encodedVoteRequest struct {
 	Duty      string
 	Go        uint64
@@ -34,7 +35,7 @@
 	}
 }
 
-// encodedVote is proposal.Vote as it is sent.
+// encodedVote is the encoded form of proposal.Vote.
 type encodedVote struct {
 	Voter     string
 	Duty      string
--- a/internal/protocol/message/encoding_replication.go
+++ b/internal/protocol/message/encoding_replication.go
@@ -6,9 +6,10 @@
 	"tansyseam/internal/state/store"
 )
 
-// The encoded names are those of the first release; see package encoded.
+// The encoded field names are those of the first release and must never change; see
+// package encoded.
 
-// encodedReplicate is consensus.Replicate as it is sent.
+// encodedReplicate is the encoded form of consensus.Replicate.
 type encodedReplicate struct {
 	Record consensus.Record
 	Before store.Version
@@ -34,7 +35,7 @@
 	}
 }
 
-// encodedReplicateAck is consensus.ReplicateAck as it is sent.
+// encodedReplicateAck is the encoded form of consensus.ReplicateAck.
 type encodedReplicateAck struct {
 	Stamp    store.Version
 	IsSynced bool
@@ -54,7 +55,7 @@
 	}
 }
 
-// encodedRepairDigests is consensus.RepairDigests as it is sent.
+// encodedRepairDigests is the encoded form of consensus.RepairDigests.
 type encodedRepairDigests struct {
 	Record  consensus.Record
 	Stamp   store.Version
@@ -77,7 +78,7 @@
 	}
 }
 
-// encodedRepairRequest is consensus.RepairRequest as it is sent.
+// encodedRepairRequest is the encoded form of consensus.RepairRequest.
 type encodedRepairRequest struct {
 	Stamp  store.Version
 	Ranges []int
@@ -97,7 +98,7 @@
 	}
 }
 
-// encodedRepairRanges is consensus.RepairRanges as it is sent.
+// encodedRepairRanges is the encoded form of consensus.RepairRanges.
 type encodedRepairRanges struct {
 	Record  consensus.Record
 	Stamp   store.Version
@@ -123,7 +124,7 @@
 	}
 }
 
-// encodedRepairDone is consensus.RepairDone as it is sent.
+// encodedRepairDone is the encoded form of consensus.RepairDone.
 type encodedRepairDone struct {
 	Stamp store.Version
 }
--- a/internal/protocol/message/encoding_syncrepl.go
+++ b/internal/protocol/message/encoding_syncrepl.go
@@ -9,9 +9,10 @@
 	"tansyseam/internal/state/store"
 )
 
-// The encoded names are those of the first release; see package encoded.
+// The encoded field names are those of the first release and must never change; see
+// package encoded.
 
-// encodedSyncEvidence is syncrepl.Evidence as it is sent.
+// encodedSyncEvidence is the encoded form of syncrepl.Evidence.
 type encodedSyncEvidence struct {
 	Database   string
 	Self       string
@@ -76,7 +77,7 @@
 	}
 }
 
-// encodedSyncObservation is syncrepl.Observation as it is sent.
+// encodedSyncObservation is the encoded form of syncrepl.Observation.
 type encodedSyncObservation struct {
 	Instance encoded.Instance
 	Heard    time.Duration
@@ -111,7 +112,7 @@
 	}
 }
 
-// encodedProbeResult is syncrepl.ProbeResult as it is sent.
+// encodedProbeResult is the encoded form of syncrepl.ProbeResult.
 type encodedProbeResult struct {
 	Age        time.Duration
 	IsAnswered bool
@@ -155,7 +156,7 @@
 	}
 }
 
-// encodedPromoteCall is syncrepl.PromoteCall as it is sent.
+// encodedPromoteCall is the encoded form of syncrepl.PromoteCall.
 type encodedPromoteCall struct {
 	Instance string
 	Age      time.Duration
@@ -184,7 +185,7 @@
 	}
 }
 
-// encodedReportBound is syncrepl.ReportBound as it is sent.
+// encodedReportBound is the encoded form of syncrepl.ReportBound.
 type encodedReportBound struct {
 	Database string
 	Tenure   string
--- a/internal/protocol/message/message.go
+++ b/internal/protocol/message/message.go
@@ -1,9 +1,9 @@
-// Package message lists the messages between the fleet's processes, and holds the
-// form in which they are sent.
+// Package message lists the messages between the fleet's processes, and defines
+// their encoded forms.
 //
-// The types that only carry a call or its answer are defined here; the others
-// belong to the packages that decide by them. What a receiver does with a second
-// copy of a message is described in docs/design/messages.md.
+// Messages that only carry a call or its answer are defined here. The other
+// messages are defined in the packages that act on them. docs/design/messages.md
+// describes how a receiver handles a second copy of a message.
 package message
 
 import (
@@ -18,8 +18,8 @@
 // control primary. The reply is the update.
 type ForwardUpdateRequest struct{ Request distribution.UpdateRequest }
 
-// OperatorCall forwards an operator's call to the control primary. Its body has
-// the shape that the schema gives the path.
+// OperatorCall forwards an operator's call to the control primary. The schema
+// defines the shape of the body for each path.
 type OperatorCall struct {
 	Path string
 	Body []byte
@@ -30,52 +30,54 @@
 type OperatorCallResult struct {
 	Status int
 	Body   []byte
-	// NotPrimary says that the node is not the control primary and did nothing.
-	// Primary is then the name of the node that it believes to be.
+	// NotPrimary is true if the node is not the control primary and did not execute
+	// the call. Primary is then the name of the node that it takes for the control
+	// primary.
 	NotPrimary bool
 	Primary    string
 }
 
 // EvidenceRequest asks the control primary for the failover evidence of a
-// database, or for the lists of databases if none is named.
+// database. If Database is empty, it asks for the lists of databases.
 type EvidenceRequest struct{ Database string }
 
 // EvidenceResponse replies to an EvidenceRequest.
 type EvidenceResponse struct {
-	// FromPrimary says that the node is the control primary. The rest is not set
-	// otherwise.
+	// FromPrimary is true if the node is the control primary. Otherwise the other
+	// fields are not set.
 	FromPrimary bool
-	// Databases lists all databases, if the request names none.
+	// Databases lists all databases if the request names none.
 	Databases []string
-	// Evidence is that of the named database, if its replication is asynchronous.
+	// Evidence is the evidence of the named database if its replication is
+	// asynchronous.
 	Evidence asyncrepl.Evidence
-	// SyncedDatabases are those of the databases whose replication is synchronous.
+	// SyncedDatabases lists the databases with synchronous replication.
 	SyncedDatabases []string
-	// SyncedEvidence is that of the named database, if its replication is
+	// SyncedEvidence is the evidence of the named database if its replication is
 	// synchronous.
 	SyncedEvidence syncrepl.Evidence
 }
 
-// RecordResult replies to a distribution.WriterRoleChange: whether the control
-// primary stored it.
+// RecordResult replies to a distribution.WriterRoleChange. Stored is true if the
+// control primary stored the change.
 type RecordResult struct{ Stored bool }
 
 // InstanceAnnouncement forwards the announcement of an instance with synchronous
 // replication to the control primary.
 type InstanceAnnouncement struct{ Instance model.Instance }
 
-// AnnouncementResult replies to an InstanceAnnouncement. HTTPAddress is where the
-// instance had best send the next one.
+// AnnouncementResult replies to an InstanceAnnouncement. HTTPAddress is the address
+// to which the instance should send its next announcement.
 type AnnouncementResult struct {
 	Accepted    bool
 	HTTPAddress string
 }
 
-// EpochChanged tells a proxy node of a newer epoch record, so that it need not
-// wait for a silent primary.
+// EpochChanged notifies a proxy node of a newer epoch record, so that the node does
+// not wait for a control primary that has stopped responding.
 type EpochChanged struct{ Record consensus.Record }
 
-// QueryRequest asks a node for its part of a query about the fleet.
+// QueryRequest asks a node for its part of the answer to a query about the fleet.
 type QueryRequest struct{ What string }
 
 // QueryResponse replies to a QueryRequest. The body is JSON.
--- a/internal/protocol/message/message_test.go
+++ b/internal/protocol/message/message_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestEveryMessageHasARule(t *testing.T) {
-	Convey("Each message between the programs has a row in the table of what may be repeated", t, func() {
+	Convey("Each message between processes has a row in the table of docs/design/messages.md that describes the handling of repeated copies", t, func() {
 		page, err := os.ReadFile("../../../docs/design/messages.md")
 		So(err, ShouldBeNil)
 		var rows []string
--- a/internal/protocol/message/registry.go
+++ b/internal/protocol/message/registry.go
@@ -9,8 +9,9 @@
 	"tansyseam/internal/coordination/idempotency"
 )
 
-// kind is one kind of message: the name under which it is registered with gob, and
-// how it is converted to and from the form in which it is sent.
+// kind is one kind of message. It holds the name under which gob registers the
+// message, zero values of the message and of its encoded form, and the conversions
+// between the two.
 type kind struct {
 	name    string
 	message any
@@ -19,7 +20,8 @@
 	decode  func(any) any
 }
 
-// convertedKind is a kind whose fields are sent under other names than they have here.
+// convertedKind returns a kind whose encoded form has other field names than the
+// message.
 func convertedKind[Message, Encoded any](name string, encode func(Message) Encoded, decode func(Encoded) Message) kind {
 	return kind{
 		name:    name,
@@ -30,14 +32,14 @@
 	}
 }
 
-// plainKind is a kind that is sent as it is.
+// plainKind returns a kind whose messages are sent without conversion.
 func plainKind[Message any](name string) kind {
 	unchanged := func(message any) any { return message }
 	return kind{name: name, message: *new(Message), encoded: *new(Message), encode: unchanged, decode: unchanged}
 }
 
-// kinds lists every message. The names are those of the first release, since two
-// builds share a fleet while a new version is rolled out: they never change.
+// kinds lists every message. The names are those of the first release. They must
+// never change, because two builds share a fleet while a new version is rolled out.
 var kinds = []kind{
 	convertedKind("tansyseam.example/pooler/coordination/steer.AskNews", encodeUpdateRequest, decodeUpdateRequest),
 	convertedKind("tansyseam.example/pooler/coordination/steer.Told", encodeNodeReport, decodeNodeReport),
@@ -98,8 +100,8 @@
 	return index
 }
 
-// Encode gives the form in which a message is sent. A value of no known kind is
-// returned as it is.
+// Encode returns the encoded form in which a message is sent. It returns a value of
+// an unregistered type unchanged.
 func Encode(message any) any {
 	if kind, ok := kindsByMessage[reflect.TypeOf(message)]; ok {
 		return kind.encode(message)
@@ -107,8 +109,8 @@
 	return message
 }
 
-// Decode gives the message that was received in the form in which it is sent. A
-// value of no known kind is returned as it is.
+// Decode returns the message for a received encoded form. It returns a value of an
+// unregistered type unchanged.
 func Decode(sent any) any {
 	if kind, ok := kindsByEncoded[reflect.TypeOf(sent)]; ok {
 		return kind.decode(sent)
@@ -116,7 +118,7 @@
 	return sent
 }
 
-// All lists a zero value of each message.
+// All returns a zero value of each message.
 func All() []any {
 	messages := make([]any, 0, len(kinds))
 	for _, kind := range kinds {
@@ -125,7 +127,7 @@
 	return messages
 }
 
-// Names lists the name under which each message of All is sent.
+// Names returns the names under which the messages are sent, in the order of All.
 func Names() []string {
 	names := make([]string, 0, len(kinds))
 	for _, kind := range kinds {
@@ -134,7 +136,7 @@
 	return names
 }
 
-// Register makes all messages known to gob. It must be called before the first
+// Register registers all messages with gob. It must be called before the first
 // message is sent or received.
 var Register = sync.OnceFunc(func() {
 	for _, kind := range kinds {
--- a/internal/protocol/promotion/promotion.go
+++ b/internal/protocol/promotion/promotion.go
@@ -1,5 +1,5 @@
-// Package promotion writes the call that asks the product's own platform
-// interface to make a replica the primary.
+// Package promotion builds the request that promotes a replica through the
+// product's own platform interface.
 package promotion
 
 import (
@@ -11,17 +11,18 @@
 
 const promotePath = "/platform/promote"
 
-// body is the body of the call.
+// body is the JSON body of the promote request.
 type body struct {
 	Database string `json:"database"`
 	Instance string `json:"instance"`
 	Term     uint64 `json:"term"`
 }
 
-// NewRequest returns the call that makes an instance the primary of a term. Its
-// outcome is learned by observing the instance: the answer may be lost.
+// NewRequest returns the request that makes an instance the primary of a term. The
+// caller must determine the outcome by observing the instance, because the answer
+// may be lost.
 func NewRequest(database, instance string, term uint64) adapter.Request {
-	// Strings and numbers always encode.
+	// Marshal cannot fail for strings and numbers.
 	encoded, _ := json.Marshal(body{Database: database, Instance: instance, Term: term})
 	return adapter.Request{Method: http.MethodPost, Path: promotePath, Body: encoded}
 }
--- a/internal/protocol/schema/announce_test.go
+++ b/internal/protocol/schema/announce_test.go
@@ -17,7 +17,7 @@
 	}
 	const commonFields = `{"instance":"i-1","database":"db","address":"10.0.0.1:80","zone":"z","role":"replica","leaving":false`
 	const asyncFields = `,"birth":"x","term":1,"position":{"term":1,"index":2},"connections":5,"slots":5`
-	Convey("A synchronously replicated instance numbers its announcements, and may leave out birth, term and position; any other instance must give them", t, func() {
+	Convey("An announcement with synchronous replication needs a number and may omit birth, term and position; any other announcement must have these three", t, func() {
 		So(accepted(commonFields+asyncFields+`}`), ShouldBeTrue)
 		So(accepted(commonFields+`}`), ShouldBeFalse)
 		So(accepted(commonFields+`,"synced":false,"calls":1}`), ShouldBeFalse)
@@ -25,7 +25,7 @@
 		So(accepted(commonFields+`,"synced":true,"calls":4,"gone":true}`), ShouldBeTrue)
 		So(accepted(commonFields+`,"synced":true}`), ShouldBeFalse)
 	})
-	Convey("The answer may name an HTTP address", t, func() {
+	Convey("The answer to an announcement is valid with and without an HTTP address", t, func() {
 		So(validator.ValidateAnswer("/v1/announce", []byte(`{"nodes":[],"door":"10.0.0.1:81"}`), false), ShouldBeEmpty)
 		So(validator.ValidateAnswer("/v1/announce", []byte(`{"nodes":[]}`), false), ShouldBeEmpty)
 	})
--- a/internal/protocol/schema/decode.go
+++ b/internal/protocol/schema/decode.go
@@ -6,10 +6,10 @@
 	"github.com/valyala/fastjson"
 )
 
-// Decode gives a parsed value in the form that the JSON Schema library
-// validates: nil, bool, float64, string, []any or map[string]any. Keys that
-// stand twice in an object, which a map cannot show, are added to the
-// violations. The path is that of the value in the body.
+// Decode converts a parsed value to the form that the JSON Schema library
+// validates: nil, bool, float64, string, []any or map[string]any. A map cannot
+// represent duplicate keys of an object, so Decode adds a violation for each of
+// them. The path is the JSON path of the value in the body.
 func Decode(value *fastjson.Value, path string, violations *[]Violation) any {
 	return decoders[value.Type()](value, path, violations)
 }
@@ -18,8 +18,8 @@
 
 var decoders map[fastjson.Type]decoder
 
-// The table stands in a function since arrays and objects are decoded by way
-// of it.
+// The table is filled in an init function to avoid an initialization cycle: the
+// decoders of arrays and objects use the table themselves.
 func init() {
 	decoders = map[fastjson.Type]decoder{
 		fastjson.TypeNull:   func(*fastjson.Value, string, *[]Violation) any { return nil },
--- a/internal/protocol/schema/schema.go
+++ b/internal/protocol/schema/schema.go
@@ -1,5 +1,5 @@
-// Package schema holds the JSON Schema document that fixes the form of all
-// remote calls, and validates the bodies of requests and answers against it.
+// Package schema holds the JSON Schema document that defines the bodies of all
+// remote calls, and validates requests and answers against it.
 package schema
 
 import (
@@ -11,8 +11,8 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
-// ErrInvalidDocument says that the schema document is broken, which is a defect of the
-// build.
+// ErrInvalidDocument is returned when the embedded schema document is invalid, which
+// is a defect of the build.
 const ErrInvalidDocument = errors.ConstError("invalid schema document")
 
 //go:embed schema.json
@@ -25,23 +25,24 @@
 	refusalShape = "Refusal"
 )
 
-// Document gives the schema document as it is served.
+// Document returns the schema document, as the nodes serve it.
 func Document() []byte { return document }
 
-// endpoint is a remote call: the names of the shapes of its bodies.
+// endpoint holds the names of the shapes of a remote call's request and answer.
 type endpoint struct {
 	Request string `json:"request"`
 	Answer  string `json:"answer"`
 }
 
-// documentContents is what the document holds besides the shapes themselves.
+// documentContents holds the remote calls of the schema document by path, and its
+// shapes by name.
 type documentContents struct {
 	Endpoints map[string]endpoint        `json:"calls"`
 	Shapes    map[string]json.RawMessage `json:"$defs"`
 }
 
-// NewValidator compiles the schema document. Its errors are of type
-// ErrInvalidDocument.
+// NewValidator compiles the schema document and returns a validator for it. Errors
+// are of type ErrInvalidDocument.
 func NewValidator() (*Validator, error) {
 	var contents documentContents
 	if err := json.Unmarshal(document, &contents); err != nil {
--- a/internal/protocol/schema/validate.go
+++ b/internal/protocol/schema/validate.go
@@ -11,11 +11,11 @@
 	"golang.org/x/text/message"
 )
 
-// maxErrorLength bounds the text of a parser's error in an answer, in bytes.
+// maxErrorLength limits the length of a JSON parser's error in an answer, in bytes.
 const maxErrorLength = 120
 
 // Violation is one reason why a body is rejected, with the JSON path of the
-// value that it is about.
+// invalid value.
 type Violation struct {
 	Path   string `json:"path"`
 	Reason string `json:"reason"`
@@ -27,8 +27,9 @@
 	shapes    map[string]*jsonschema.Schema
 }
 
-// ValidateRequest parses and validates the body of a call; an empty body stands
-// for {}. It gives all violations, or the value where there are none.
+// ValidateRequest parses and validates the request body of a call. An empty body is
+// treated as {}. It returns the parsed value if the body is valid, or else all
+// violations.
 func (v *Validator) ValidateRequest(path string, body []byte) (*fastjson.Value, []Violation) {
 	endpoint, found := v.endpoints[path]
 	if !found {
@@ -37,7 +38,8 @@
 	return v.validate(endpoint.Request, body)
 }
 
-// ValidateAnswer validates the body of an answer to a call, or of a refusal.
+// ValidateAnswer validates the body of an answer to a call. If refusal is set, the
+// answer must have the shape of answers that report an error.
 func (v *Validator) ValidateAnswer(path string, body []byte, refusal bool) []Violation {
 	shape := refusalShape
 	if !refusal {
@@ -71,7 +73,7 @@
 
 var printer = message.NewPrinter(language.English)
 
-// collectViolations gathers the leaves of a tree of validation errors.
+// collectViolations appends a violation for each leaf of a tree of validation errors.
 func collectViolations(invalid *jsonschema.ValidationError, violations *[]Violation) {
 	for _, cause := range invalid.Causes {
 		collectViolations(cause, violations)
