--- a/internal/state/encoded/encoded.go
+++ b/internal/state/encoded/encoded.go
@@ -1,13 +1,16 @@
-// Package encoded holds the shared types in the form in which they are stored on
-// disk and sent between processes.
+// Package encoded defines the encoded forms of the shared types: the forms that are
+// stored on disk and sent between processes.
 //
-// encoding/gob matches the fields of a struct by name, and leaves a field that the
-// other side does not know at zero without an error. The names here are therefore
-// those of the first release and must never change: a new build reads the files of
-// an old one, and both share a fleet while a new version is rolled out. Packages
-// store and model convert between these types and their own, by a method Encoded and a
-// function that ends in From; their types say what each field means. A new field is
-// added here and to both conversions.
+// encoding/gob matches the fields of a struct by name. It ignores a field that the
+// receiver does not have, and leaves a field that the sender does not have at zero,
+// both without an error. The names in this package are therefore those of the first
+// release and must never change: a new build reads the files of an old build, and
+// both share a fleet while a new version is rolled out.
+//
+// The packages store and model convert between these types and their own types with
+// a method Encoded and a function whose name ends in From. The types of those
+// packages document the meaning of each field. A new field must be added here and to
+// both conversions.
 package encoded
 
 import "time"
@@ -164,7 +167,7 @@
 	Evidence string
 }
 
-// Slice converts each element of a list; nil stays nil.
+// Slice converts each element of a list. It returns nil for a nil list.
 func Slice[From, To any](list []From, convert func(From) To) []To {
 	if list == nil {
 		return nil
@@ -176,7 +179,7 @@
 	return converted
 }
 
-// Map converts each value of a map; nil stays nil.
+// Map converts each value of a map. It returns nil for a nil map.
 func Map[From, To any](values map[string]From, convert func(From) To) map[string]To {
 	if values == nil {
 		return nil
@@ -188,7 +191,8 @@
 	return converted
 }
 
-// Pointer converts what a pointer points to; nil stays nil.
+// Pointer converts the value that a pointer refers to. It returns nil for a nil
+// pointer.
 func Pointer[From, To any](value *From, convert func(From) To) *To {
 	if value == nil {
 		return nil
--- a/internal/state/lineproto/admin.go
+++ b/internal/state/lineproto/admin.go
@@ -2,35 +2,37 @@
 
 import "tansyseam/internal/state/model"
 
-// Commands by which the control plane asks an instance for its status or for a
-// change of its role.
+// Commands with which the control plane requests an instance's status or changes
+// its role.
 const (
-	// AdminStatus asks for the status.
+	// AdminStatus requests the status.
 	AdminStatus = "status"
-	// AdminPause keeps a replica from receiving the log, until AdminResume, its
-	// promotion or its restart. Its term must be above the newest.
+	// AdminPause stops a replica from receiving the log until AdminResume, its
+	// promotion or its restart. The term of the command must be above the newest
+	// term.
 	AdminPause  = "pause"
 	AdminResume = "resume"
-	// AdminStepDown turns a primary of a term before the given one into a
-	// replica.
+	// AdminStepDown makes an instance a replica if it is the primary of a term
+	// before the given term.
 	AdminStepDown = "step down"
 )
 
-// Status is how an instance answers an admin command.
+// Status is an instance's answer to an admin command.
 type Status struct {
-	// Role is one of the roles of package model.
+	// Role is model.RolePrimary or model.RoleReplica.
 	Role string
-	// Term is that of the primary which it follows, or is.
+	// Term is the term of the primary that the instance follows, or its own term
+	// if it is the primary.
 	Term uint64
-	// Position is what it has received of the log.
+	// Position is the position up to which the instance has received the log.
 	Position model.Position
-	// HeldTerm is the term of the pause that keeps it from receiving; 0 for
-	// none.
+	// HeldTerm is the term of the pause that stops the instance from receiving
+	// the log, or 0 if it is not paused.
 	HeldTerm uint64
-	// Lag is its delay behind the primary, in milliseconds.
+	// Lag is the instance's delay behind the primary, in milliseconds.
 	Lag int
-	// BusyConnections and Connections count those that run a statement, and
-	// all.
+	// BusyConnections is the number of connections that run a statement, and
+	// Connections is the number of all connections.
 	BusyConnections int
 	Connections     int
 }
--- a/internal/state/lineproto/code.go
+++ b/internal/state/lineproto/code.go
@@ -5,33 +5,34 @@
 
 // Codes of errors.
 const (
-	// CodeOther is any reason that has no code here.
+	// CodeOther means any reason without a code of its own.
 	CodeOther Code = iota
-	// CodeBusy: the server has no capacity now.
+	// CodeBusy means that the server currently has no capacity.
 	CodeBusy
-	// CodeAborted: the transaction was rolled back.
+	// CodeAborted means that the transaction was rolled back.
 	CodeAborted
-	// CodeLagging: the replica has not reached the position that was asked for.
+	// CodeLagging means that the replica has not reached the requested position.
 	CodeLagging
-	// CodeReadOnly: the instance is not the primary.
+	// CodeReadOnly means that the instance is not the primary.
 	CodeReadOnly
-	// CodeWrongInstance: another instance answers at the address.
+	// CodeWrongInstance means that another instance answers at the address.
 	CodeWrongInstance
-	// CodeTooManyConnections: the instance takes no more connections.
+	// CodeTooManyConnections means that the instance accepts no more connections.
 	CodeTooManyConnections
-	// CodeUnknownOutcome: the statement may or may not have been applied.
+	// CodeUnknownOutcome means that it is unknown whether the statement was applied.
 	CodeUnknownOutcome
-	// CodeTimeout: the answer did not come in time.
+	// CodeTimeout means that the answer did not arrive in time.
 	CodeTimeout
-	// CodeFailed: the instance ran the statement, and it failed.
+	// CodeFailed means that the instance ran the statement, and it failed.
 	CodeFailed
-	// CodeNotFound: no statement is prepared under the name.
+	// CodeNotFound means that no statement is prepared under the name.
 	CodeNotFound
-	// CodeUnknownDatabase: nothing is served under the name.
+	// CodeUnknownDatabase means that no database is served under the name.
 	CodeUnknownDatabase
-	// CodeTooMuchInput: the client sent more than the server takes.
+	// CodeTooMuchInput means that the client sent more input than the server accepts.
 	CodeTooMuchInput
-	// CodeMalformed: the message makes no sense, or not in this state.
+	// CodeMalformed means that the message is malformed or not valid in the current
+	// state.
 	CodeMalformed
 )
 
--- a/internal/state/lineproto/codec.go
+++ b/internal/state/lineproto/codec.go
@@ -2,29 +2,29 @@
 
 import "tansyseam/internal/state/model"
 
-// Codec gives the words of a line protocol. Each function that writes a
+// Codec reads and writes the text of a line protocol. Each function that writes a
 // message appends a line to a buffer and returns the buffer.
 type Codec struct {
-	// Parse reads one line, without its end.
+	// Parse parses one line, given without its line ending.
 	Parse func(line string) Message
-	// ParseStatement reads the text of a query.
+	// ParseStatement parses the text of a query.
 	ParseStatement func(text string) Statement
-	// ParseStatus reads the payload of the row that answers an admin command.
-	// It returns false if it is no status.
+	// ParseStatus parses the payload of the row that answers an admin command.
+	// It returns false if the payload is not a status.
 	ParseStatus func(payload string) (Status, bool)
 
-	// Connect opens a session at an instance. An expected instance that is not
-	// empty has any other refuse the session.
+	// Connect opens a session at an instance. If expectedInstance is not empty,
+	// any other instance refuses the session.
 	Connect func(buffer []byte, database, clientName, expectedInstance string) []byte
-	// Query sends a text under an id. An empty id stands for a statement of the
-	// node's own. A position that is not zero is what the instance's log must
-	// have reached.
+	// Query sends a text with an id. The id is empty for a statement that the
+	// node itself issues. If minPosition is not zero, the instance's log must
+	// have reached that position.
 	Query func(buffer []byte, id, text string, minPosition model.Position) []byte
 	// Terminate ends a session.
 	Terminate func(buffer []byte) []byte
 
-	// Ready, Row, Done and Error write answers to a client, RawError an error
-	// as an instance wrote it.
+	// Ready, Row, Done and Error write answers to a client. RawError writes an
+	// error with the payload that an instance sent.
 	Ready    func(buffer []byte, state byte, position model.Position) []byte
 	Row      func(buffer []byte, payload string) []byte
 	Done     func(buffer []byte, payload string) []byte
@@ -39,7 +39,7 @@
 	Set      func(name, value string) string
 	Prepare  func(name, statement string) string
 	Execute  func(name, arguments string) string
-	// AdminCommand returns the text of an admin command, with the term where
-	// it takes one.
+	// AdminCommand returns the text of an admin command. The text includes the
+	// term if the command takes a term.
 	AdminCommand func(command string, term uint64) string
 }
--- a/internal/state/lineproto/lineproto.go
+++ b/internal/state/lineproto/lineproto.go
@@ -1,61 +1,63 @@
-// Package lineproto holds the types of a line protocol between clients, proxy
+// Package lineproto defines the types of a line protocol between clients, proxy
 // nodes and database instances. One connection is one session. A query carries
-// an id and a text; it is answered by rows, a result (done or an error) and a
-// ready, which gives the session's state and the log position.
+// an id and a text. The answer consists of rows, a result (a done or an error
+// message) and a ready message with the session's state and the log position.
 //
-// The package has the protocol's structure only. Its words belong to a Codec,
-// which the package of a platform provides.
+// The package defines only the structure of the protocol. A Codec, provided by the
+// package of a platform, defines its text.
 package lineproto
 
 import "tansyseam/internal/state/model"
 
-// MaxLineBytes limits the length of a line.
+// MaxLineBytes is the maximum length of a line.
 const MaxLineBytes = 1 << 20
 
-// Kind tells messages apart.
+// Kind is the kind of a message.
 type Kind int
 
 // Kinds of Message.
 const (
-	// KindInvalid is a line that is no message.
+	// KindInvalid is the kind of a line that is not a message.
 	KindInvalid Kind = iota
-	// KindConnect, KindQuery and KindTerminate are sent to a server: to open a
-	// session, to run a statement, and to end the session.
+	// KindConnect, KindQuery and KindTerminate are the kinds of messages to a
+	// server. They open a session, run a statement, and end the session.
 	KindConnect
 	KindQuery
 	KindTerminate
-	// KindReady, KindRow, KindDone and KindError are a server's answers.
+	// KindReady, KindRow, KindDone and KindError are the kinds of a server's
+	// answers.
 	KindReady
 	KindRow
 	KindDone
 	KindError
 )
 
-// States of a session, as a ready gives them.
+// States of a session in a ready message.
 const (
-	// StateIdle is outside of a transaction.
+	// StateIdle is the state outside a transaction.
 	StateIdle = byte('I')
-	// StateInTransaction is inside of one.
+	// StateInTransaction is the state inside a transaction.
 	StateInTransaction = byte('T')
-	// StateFailed is inside of one that can only be rolled back.
+	// StateFailed is the state inside a transaction that can only be rolled back.
 	StateFailed = byte('E')
 )
 
-// Message is one line. Which fields are set depends on its kind.
+// Message is one line. The kind determines which fields are set.
 type Message struct {
 	Kind Kind
-	// Database is what a connect asks for, ClientName who connects, and
-	// ExpectedInstance the instance that is to answer; it may be empty.
+	// Database, ClientName and ExpectedInstance are set in a connect message:
+	// the requested database, the name of the client, and the instance that must
+	// answer. ExpectedInstance may be empty.
 	Database, ClientName, ExpectedInstance string
-	// ID and Text are a query's.
+	// ID and Text are the id and the text of a query.
 	ID, Text string
-	// Payload is what a row, a done or an error holds, as it came.
+	// Payload is the unparsed content of a row, done or error message.
 	Payload string
-	// Code is the reason of an error. Text is its description where the node
-	// itself writes the error, which then has no payload.
+	// Code is the reason of an error. If the node itself creates the error, Text
+	// describes the error, and Payload is empty.
 	Code Code
-	// State and Position are a ready's: the session's state, and the log
-	// position that covers what was run.
+	// State and Position are set in a ready message: the session's state, and a
+	// log position that covers the statements run so far.
 	State    byte
 	Position model.Position
 }
--- a/internal/state/lineproto/statement.go
+++ b/internal/state/lineproto/statement.go
@@ -1,11 +1,11 @@
 package lineproto
 
-// Action is what the text of a query asks for.
+// Action is the operation that the text of a query requests.
 type Action int
 
 // Actions of a Statement.
 const (
-	// ActionInvalid is a text that is no statement.
+	// ActionInvalid is the action of a text that is not a statement.
 	ActionInvalid Action = iota
 	ActionBegin
 	ActionBeginReadOnly
@@ -16,24 +16,26 @@
 	ActionWrite
 	// ActionSet sets a variable of the session.
 	ActionSet
-	// ActionPrepare, ActionExecute and ActionDeallocate prepare a statement
-	// under a name, run it, and forget it.
+	// ActionPrepare prepares a statement under a name, ActionExecute runs the
+	// prepared statement, and ActionDeallocate removes it.
 	ActionPrepare
 	ActionExecute
 	ActionDeallocate
 )
 
-// Statement is what the text of a query asks for. Which fields are set depends
-// on its action.
+// Statement is the parsed text of a query. The action determines which fields are
+// set.
 type Statement struct {
 	Action Action
-	// Name is that of a variable or of a prepared statement.
+	// Name is the name of a variable or of a prepared statement.
 	Name string
-	// Value is that of a variable.
+	// Value is the value of a variable.
 	Value string
-	// PreparedText is the statement to prepare, Write whether it writes.
+	// PreparedText is the text of the statement to prepare. Write is true if that
+	// statement writes.
 	PreparedText string
 	Write        bool
-	// Arguments are those of an execute, with the blank before them.
+	// Arguments is the text of the arguments of an execute statement, including
+	// the space before it.
 	Arguments string
 }
--- a/internal/state/model/audit.go
+++ b/internal/state/model/audit.go
@@ -1,14 +1,15 @@
 package model
 
-// AuditEntry is one entry of the log of what the control plane decided.
+// AuditEntry is one entry of the log of the control plane's decisions.
 type AuditEntry struct {
-	// Sequence numbers the entries without gaps.
+	// Sequence is the number of the entry. Entries are numbered without gaps.
 	Sequence uint64 `json:"order"`
-	// At is when it was decided, in Unix nanoseconds by the control primary's clock.
+	// At is the time of the decision, in Unix nanoseconds by the control primary's clock.
 	At int64 `json:"at"`
-	// Subject names what the decision is about, such as a database.
+	// Subject is the name of the object of the decision, such as a database.
 	Subject string `json:"subject"`
-	// Action says what was decided, and Evidence on which grounds, for operators.
+	// Action describes the decision, and Evidence the reasons for it. Both are texts for
+	// operators.
 	Action   string `json:"what"`
 	Evidence string `json:"evidence"`
 }
--- a/internal/state/model/bindings.go
+++ b/internal/state/model/bindings.go
@@ -7,66 +7,68 @@
 type Binding struct {
 	Name     string `json:"name"`
 	Database string `json:"database"`
-	// Freshness bounds how stale a read may be; 0 requires the primary.
+	// Freshness is the maximum staleness of a read. If it is 0, reads require the primary.
 	Freshness time.Duration `json:"-"`
-	// ReadYourWrites says that a session's reads also see all its own commits.
+	// ReadYourWrites is true if a session's reads must reflect all its own commits.
 	ReadYourWrites bool `json:"-"`
-	// Timeout bounds a statement.
+	// Timeout is the maximum duration of a statement.
 	Timeout time.Duration `json:"-"`
 	// LatencyTarget is the operator's objective for an operation.
 	LatencyTarget time.Duration `json:"-"`
-	// Priority ranks bindings under overload; 0 is the highest.
+	// Priority is the priority of the binding under overload. 0 is the highest.
 	Priority int `json:"-"`
-	// MaxAttempts bounds how often a statement is tried.
+	// MaxAttempts is the maximum number of attempts to run a statement.
 	MaxAttempts int `json:"-"`
 }
 
-// Database is what a manifest says of a database.
+// Database holds a manifest's settings of a database.
 type Database struct {
 	Name string
-	// MaxConnections bounds the connections to each of its instances, over all nodes.
+	// MaxConnections is the maximum number of connections to each instance of the database,
+	// over all nodes.
 	MaxConnections int
-	// MinSyncReplicas is how many replicas must have received a commit before it is
-	// confirmed.
+	// MinSyncReplicas is the number of replicas that must have received a commit before it
+	// is confirmed.
 	MinSyncReplicas int
 }
 
-// Limits are those that a manifest sets; a limit of 0 is not set.
+// Limits holds the limits that a manifest sets. A limit of 0 is not set.
 type Limits struct {
-	// MaxMessageBytes bounds the size of a message.
+	// MaxMessageBytes is the maximum size of a message.
 	MaxMessageBytes int
-	// IdleTimeout bounds how long a session may be idle outside a transaction, and
-	// TransactionIdleTimeout inside one.
+	// IdleTimeout is how long a session may be idle outside a transaction, and
+	// TransactionIdleTimeout is how long it may be idle inside a transaction.
 	IdleTimeout            time.Duration
 	TransactionIdleTimeout time.Duration
 }
 
-// BindingSet is one version of the complete bindings. Sets take effect in the order of
-// their sequences.
+// BindingSet is one version of the complete set of bindings. Sets take effect in the
+// order of their sequences.
 type BindingSet struct {
-	// Sequence numbers the sets without gaps, from 1.
+	// Sequence is the number of the set. Sets are numbered without gaps, from 1.
 	Sequence uint64
 	Bindings []Binding
 	// EffectiveAt is when the set takes effect on all nodes, in Unix nanoseconds by the
-	// control primary's clock; 0 while the set is pending, that is while it is still
-	// being distributed.
+	// control primary's clock. It is 0 while the set is pending, that is, while it is
+	// still being distributed.
 	EffectiveAt int64
-	// NotBefore is the earliest EffectiveAt that the set may get; 0 for any.
+	// NotBefore is the earliest EffectiveAt that may be assigned to the set, or 0 for any.
 	NotBefore int64
-	// AcceptedAt is when the set got its sequence, in Unix nanoseconds by the control
-	// primary's clock.
+	// AcceptedAt is when the sequence was assigned to the set, in Unix nanoseconds by the
+	// control primary's clock.
 	AcceptedAt int64
 	// ScheduledBy is the tenure of the control primary that assigned EffectiveAt.
 	ScheduledBy string
-	// Source names the call or the scheduled change that the set is from.
+	// Source identifies the call or the scheduled change that created the set.
 	Source string
-	// Version is the operator's own version of the newest manifest, 0 if there is none.
+	// Version is the operator's own version of the newest manifest, or 0 if there is none.
 	Version   uint64
 	Databases []Database
 	Limits    Limits
 }
 
-// Database returns what the manifest says of a database.
+// Database returns the manifest's settings of a database. It returns false if the
+// manifest does not list the database.
 func (s BindingSet) Database(name string) (Database, bool) {
 	for _, database := range s.Databases {
 		if database.Name == name {
@@ -76,7 +78,7 @@
 	return Database{}, false
 }
 
-// Binding returns the binding of a name.
+// Binding returns the binding with a name. It returns false if there is none.
 func (s BindingSet) Binding(name string) (Binding, bool) {
 	for _, binding := range s.Bindings {
 		if binding.Name == name {
@@ -86,14 +88,14 @@
 	return Binding{}, false
 }
 
-// ScheduledChange is a change of the bindings that is to take effect at a later time.
+// ScheduledChange is a change of the bindings that is scheduled to take effect later.
 type ScheduledChange struct {
 	ID string
 	// EffectiveAt is when the change is to take effect, in Unix nanoseconds by the
 	// control primary's clock.
 	EffectiveAt int64
 	Bindings    []Binding
-	// Order is the sequence of the control state when the change was scheduled; it
-	// orders changes for the same time.
+	// Order is the sequence of the control state when the change was scheduled. Changes
+	// for the same time take effect in this order.
 	Order uint64
 }
--- a/internal/state/model/keys.go
+++ b/internal/state/model/keys.go
@@ -2,9 +2,10 @@
 
 import "fmt"
 
-// Prefixes of the keys of the control state.
+// Prefixes of keys in the control state. Each comment names the values under the prefix
+// and the rest of the key.
 const (
-	// PrefixBindingSet: a BindingSet by sequence, see BindingSetKey.
+	// PrefixBindingSet: a BindingSet by sequence (see BindingSetKey).
 	PrefixBindingSet = "set/"
 	// PrefixWriterRole: a WriterRole by database.
 	PrefixWriterRole = "db/"
@@ -12,17 +13,17 @@
 	PrefixScheduledChange = "book/"
 	// PrefixCallResult: the result of an operator's call, by the call's id.
 	PrefixCallResult = "call/"
-	// PrefixNode: when a node that may hold a lease was registered, by name.
+	// PrefixNode: the registration time of a node that may hold a lease, by name.
 	PrefixNode = "node/"
 	// PrefixAuditEntry: an AuditEntry by sequence.
 	PrefixAuditEntry = "entry/"
-	// PrefixManifestVersions: the digests of accepted manifests by version, many to a
-	// record.
+	// PrefixManifestVersions: the digests of accepted manifests by version. One record
+	// holds many digests.
 	PrefixManifestVersions = "versions/"
-	// PrefixManifest: the text of a manifest as it was sent, by the sequence of the set
-	// that it became.
+	// PrefixManifest: the original text of a manifest, by the sequence of the binding set
+	// created from it.
 	PrefixManifest = "raw/"
 )
 
-// BindingSetKey is the key of a binding set. Keys sort by sequence.
+// BindingSetKey returns the key of a binding set. The keys sort by sequence.
 func BindingSetKey(sequence uint64) string { return fmt.Sprintf("%s%012d", PrefixBindingSet, sequence) }
--- a/internal/state/model/node.go
+++ b/internal/state/model/node.go
@@ -1,11 +1,11 @@
 package model
 
 // Kinds of node. The values are part of the wire format and of the answers to
-// operators, which keep the names of the first release.
+// operators, so they remain the names of the first release.
 const (
-	// KindProxy is the data plane's program, tansyseam-proxy.
+	// KindProxy is a node of the data plane (tansyseam-proxy).
 	KindProxy = "seamd"
-	// KindControl is the control plane's program, tansyseam-control.
+	// KindControl is a node of the control plane (tansyseam-control).
 	KindControl = "seamc"
 )
 
@@ -17,15 +17,15 @@
 	Zone        string
 	RPCAddress  string
 	HTTPAddress string
-	// Incarnation identifies the run of the process; a later run has a higher one. It is
-	// the start of the run in Unix nanoseconds by the process's own clock.
+	// Incarnation identifies the run of the process. It is the start of the run in Unix
+	// nanoseconds by the process's own clock, so a later run has a higher incarnation.
 	Incarnation int64
-	// Version is that of the messages which the process understands.
+	// Version is the version of the messages that the process understands.
 	Version int
 	// Weight is the node's share of the load, relative to the weights of its peers.
 	Weight float64
-	// Heartbeat rises for as long as the process runs.
+	// Heartbeat increases while the process runs.
 	Heartbeat uint64
-	// Left says that the process has left the cluster gracefully.
+	// Left is true if the process has left the cluster gracefully.
 	Left bool
 }
--- a/internal/state/model/position.go
+++ b/internal/state/model/position.go
@@ -1,13 +1,13 @@
 package model
 
-// Position is a position in a database's log: the term of the primary that wrote
-// there, then the index.
+// Position is a position in a database's log. Positions are ordered by the term of the
+// primary that wrote the log entry, then by the entry's index.
 type Position struct {
 	Term  uint64 `json:"term"`
 	Index uint64 `json:"index"`
 }
 
-// IsBefore says whether p lies before other.
+// IsBefore reports whether p is before other.
 func (p Position) IsBefore(other Position) bool {
 	return p.Term < other.Term || (p.Term == other.Term && p.Index < other.Index)
 }
--- a/internal/state/model/snapshot.go
+++ b/internal/state/model/snapshot.go
@@ -8,16 +8,18 @@
 	"tansyseam/internal/state/store"
 )
 
-// Snapshot is the part of the control state that nodes get, or a delta of it.
+// Snapshot is the part of the control state that is distributed to nodes, or a delta of
+// that part.
 type Snapshot struct {
-	// Version is that of the last write that changed the snapshot.
+	// Version is the version of the last write that changed the snapshot.
 	Version store.Version
 	// Sets are sorted by sequence.
 	Sets []BindingSet
-	// Writers are the writer roles by database.
+	// Writers holds the writer roles by database.
 	Writers map[string]WriterRole
-	// BaseVersion is set in a delta: Sets and Writers are then only those written after
-	// that version, and FirstSequence is the lowest sequence that is left.
+	// BaseVersion is set in a delta only. Sets and Writers then hold only the records
+	// written after that version, and FirstSequence is the lowest sequence of the sets
+	// that the complete snapshot still holds.
 	BaseVersion   store.Version
 	FirstSequence uint64
 }
@@ -28,9 +30,9 @@
 	return snapshot
 }
 
-// RefreshSnapshot reads the snapshot from the control state, and takes from a previous
-// one, which was read from previousState, what was not written since. It returns also
-// how many records it has decoded.
+// RefreshSnapshot reads the snapshot from the control state. It reuses the records of
+// the previous snapshot, which was read from previousState, that were not written since.
+// It also returns the number of records that it decoded.
 func RefreshSnapshot(state *store.Table, previous Snapshot, previousState *store.Table) (Snapshot, int) {
 	reader := snapshotReader{state: state, previousState: previousState}
 	snapshot := Snapshot{Sets: reader.sets(previous.Sets), Writers: reader.writers(previous.Writers)}
@@ -38,12 +40,13 @@
 	return snapshot, reader.decoded
 }
 
-// snapshotReader reads the records of a snapshot that were written since another.
+// snapshotReader reads a snapshot. It decodes only the records that were written since a
+// previous snapshot.
 type snapshotReader struct {
 	state *store.Table
-	// previousState is nil if there is no other snapshot.
+	// previousState is nil if there is no previous snapshot.
 	previousState *store.Table
-	// newest is the newest version of the records that were read.
+	// newest is the newest version of the records read so far.
 	newest  store.Version
 	decoded int
 }
@@ -70,8 +73,9 @@
 	return writers
 }
 
-// readRecords returns the values of the records under a prefix. It takes from previous
-// those that were not written since, and leaves out those that cannot be decoded.
+// readRecords returns the values of the records under a prefix. It reuses the values in
+// previous whose records were not written since, and omits records that cannot be
+// decoded.
 func readRecords[Value, Encoded any](r *snapshotReader, prefix string, previous map[string]Value, from func(Encoded) Value) []Value {
 	var values []Value
 	for _, key := range r.state.Keys(prefix) {
@@ -88,13 +92,13 @@
 	return values
 }
 
-// isUnchanged says whether a record was not written since the previous state.
+// isUnchanged reports whether a record was not written since the previous state.
 func (r *snapshotReader) isUnchanged(key string) bool {
 	return r.previousState != nil && r.previousState.Records[key].Version == r.state.Records[key].Version
 }
 
-// DeltaSince returns what was written after a version, by the state that the snapshot
-// was read from.
+// DeltaSince returns the delta with the records written after a version. state must be
+// the control state from which the snapshot was read.
 func (s Snapshot) DeltaSince(version store.Version, state *store.Table) Snapshot {
 	delta := Snapshot{Version: s.Version, BaseVersion: version, Writers: map[string]WriterRole{}}
 	if len(s.Sets) > 0 {
@@ -113,9 +117,9 @@
 	return delta
 }
 
-// Apply returns the complete snapshot that results from a delta. It returns false if
-// the delta is based on another version. An update that is no delta replaces the
-// snapshot.
+// Apply returns the complete snapshot that results from an update. An update that is not
+// a delta replaces the snapshot. Apply returns the snapshot unchanged and false if the
+// update is a delta based on another version.
 func (s Snapshot) Apply(update Snapshot) (Snapshot, bool) {
 	if update.BaseVersion == (store.Version{}) {
 		return update, true
@@ -138,8 +142,8 @@
 
 func compareSequences(a, b BindingSet) int { return cmp.Compare(a.Sequence, b.Sequence) }
 
-// ActiveSet returns the set in effect at a time of the control primary's clock, in Unix
-// nanoseconds. It is empty if no set is in effect yet.
+// ActiveSet returns the set that is in effect at a time, given in Unix nanoseconds by the
+// control primary's clock. The result is empty if no set is in effect yet.
 func (s Snapshot) ActiveSet(wallNanos int64) BindingSet {
 	var active BindingSet
 	for _, set := range s.Sets {
@@ -150,8 +154,8 @@
 	return active
 }
 
-// NewestSet returns the last set that was accepted, in effect or not. It is empty if
-// there is none.
+// NewestSet returns the last set that was accepted, whether it is in effect or not. The
+// result is empty if there is no set.
 func (s Snapshot) NewestSet() BindingSet {
 	if len(s.Sets) == 0 {
 		return BindingSet{}
@@ -159,7 +163,7 @@
 	return s.Sets[len(s.Sets)-1]
 }
 
-// HasPendingSet says whether the newest set has no effective time yet.
+// HasPendingSet reports whether the newest set has no effective time yet.
 func (s Snapshot) HasPendingSet() bool {
 	return len(s.Sets) > 0 && s.NewestSet().EffectiveAt == 0
 }
--- a/internal/state/model/snapshot_test.go
+++ b/internal/state/model/snapshot_test.go
@@ -20,7 +20,7 @@
 }
 
 func TestActiveSet(t *testing.T) {
-	Convey("The last set whose effective time has come is active; a pending one is not", t, func() {
+	Convey("The active set is the last set whose effective time has been reached, and a pending set is never active", t, func() {
 		snapshot := Snapshot{Sets: []BindingSet{{Sequence: 1, EffectiveAt: 10}, {Sequence: 2, EffectiveAt: 20}, {Sequence: 3}}}
 		So(snapshot.ActiveSet(9).Sequence, ShouldEqual, 0)
 		So(snapshot.ActiveSet(19).Sequence, ShouldEqual, 1)
@@ -41,7 +41,7 @@
 	role := func(database string, term uint64) store.Put {
 		return store.Put{Key: PrefixWriterRole + database, Data: store.Encode(WriterRole{Database: database, Term: term})}
 	}
-	Convey("A snapshot with the delta since its version is the newer snapshot", t, func() {
+	Convey("An older snapshot with the delta since its version applied equals the newer snapshot", t, func() {
 		state := store.New()
 		write(state, set(1), set(2), role("a", 1), role("b", 1))
 		older := ReadSnapshot(state)
@@ -54,7 +54,7 @@
 		So(ok, ShouldBeTrue)
 		So(applied, ShouldResemble, newer)
 	})
-	Convey("A delta does not apply to a snapshot of another version", t, func() {
+	Convey("A delta based on another version is rejected and leaves the snapshot unchanged", t, func() {
 		snapshot := Snapshot{Version: store.Version{Epoch: 1, Sequence: 1}}
 		unchanged, ok := snapshot.Apply(Snapshot{BaseVersion: store.Version{Epoch: 1, Sequence: 2}})
 		So(ok, ShouldBeFalse)
--- a/internal/state/model/writerrole.go
+++ b/internal/state/model/writerrole.go
@@ -4,64 +4,68 @@
 
 // Phases of a database's writer role.
 const (
-	// PhaseOpen: the primary accepts writes.
+	// PhaseOpen means that the primary accepts writes.
 	PhaseOpen = "open"
-	// PhaseClosing: nodes are being notified to stop writing.
+	// PhaseClosing means that nodes are being notified to stop writing.
 	PhaseClosing = "closing"
-	// PhaseClosed: no node writes any more, and a new primary is to be selected.
+	// PhaseClosed means that no node writes any more, and that a new primary has yet to be
+	// selected.
 	PhaseClosed = "closed"
-	// PhasePromoting: the selected replica is being promoted.
+	// PhasePromoting means that the selected replica is being promoted.
 	PhasePromoting = "intent"
 )
 
-// WriterRole is the recorded state of one database's primary: who may write, in which
-// term, and how far a transfer to another instance has come.
+// WriterRole is the recorded state of one database's writer role: the instance that may
+// write, its term, and the progress of a transfer to another instance.
 type WriterRole struct {
 	Database string
-	// Term rises with every primary.
+	// Term increases with every new primary.
 	Term uint64
-	// Primary names the instance that has the role; while the role is moved, the one that
-	// had it last.
+	// Primary is the name of the instance that has the role. During a transfer it is the
+	// name of the last instance that had the role.
 	Primary string
 	// PrimaryIncarnation is the primary's incarnation when the term opened.
 	PrimaryIncarnation string
-	// Phase is one of the phases above.
+	// Phase is one of the constants PhaseOpen to PhasePromoting.
 	Phase string
-	// RequiredReplicas must have a commit before it is confirmed; Candidates may be
-	// promoted, since every node has waited for them. Both are incarnations by name.
+	// RequiredReplicas are the replicas that must have received a commit before it is
+	// confirmed. Candidates are the replicas that may be promoted, because every node has
+	// waited for them. Both map an instance's name to its incarnation.
 	RequiredReplicas map[string]string
 	Candidates       map[string]string
-	// Excluded replicas lagged too far behind. Commits do not wait for them until the
-	// time given, in Unix nanoseconds by the control primary's clock, by name.
+	// Excluded holds the replicas that lagged too far behind. It maps a replica's name to
+	// the time until which commits do not wait for the replica, in Unix nanoseconds by the
+	// control primary's clock.
 	Excluded map[string]int64
-	// Promoting names the replica that is being promoted, if any.
+	// Promoting is the name of the replica that is being promoted, if any.
 	Promoting string
 	// HighWatermark is the furthest position reported as confirmed.
 	HighWatermark Position
-	// TermStart is where the term began, and PreviousTerm the one that it continues.
+	// TermStart is the position at which the term began, and PreviousTerm is the term that
+	// it continues.
 	TermStart    Position
 	PreviousTerm uint64
-	// Reason says, for operators, what is being waited for.
+	// Reason describes to operators the condition on which the transfer waits.
 	Reason string
-	// LastTransitionAt is when the phase began or, if later, the last promote call was
-	// decided on, in Unix nanoseconds by the control primary's clock.
+	// LastTransitionAt is when the phase began or, if later, when the last promote call was
+	// decided on. It is in Unix nanoseconds by the control primary's clock.
 	LastTransitionAt int64
-	// PromoteCalls counts the promote calls decided on for the replica in Promoting.
+	// PromoteCalls is the number of promote calls decided on for the replica in Promoting.
 	PromoteCalls int
 
-	// SyncReplication says that the instances decide themselves when a commit is safe.
+	// SyncReplication is true if the instances themselves decide when a commit is safe.
 	// The fields below are set for such databases only.
 	SyncReplication bool
-	// MinPosition covers, while the term is closed, every commit ever confirmed to a
-	// client.
+	// MinPosition is, while the term is closed, a position that covers every commit ever
+	// confirmed to a client.
 	MinPosition Position
-	// Promoter is the control node that makes the promote call, and FencingToken rises
-	// with every selected replica and every change of the promoter.
+	// Promoter is the control node that makes the promote call. FencingToken increases with
+	// every selected replica and every change of the promoter.
 	Promoter     string
 	FencingToken uint64
 }
 
-// CloneWriterRole copies a writer role with its maps.
+// CloneWriterRole returns a copy of a writer role, including its maps.
 func CloneWriterRole(role WriterRole) WriterRole {
 	role.RequiredReplicas = maps.Clone(role.RequiredReplicas)
 	role.Candidates = maps.Clone(role.Candidates)
--- a/internal/state/store/codec.go
+++ b/internal/state/store/codec.go
@@ -7,18 +7,18 @@
 	"github.com/juju/errors"
 )
 
-// ErrDecode says that bytes are not an encoded value of the wanted type.
+// ErrDecode is returned when data is not an encoded value of the expected type.
 const ErrDecode = errors.ConstError("record not decodable")
 
-// Encode gives the bytes of a value that has an encoded form (see package encoded).
-// It panics where gob cannot encode the type, which is a defect of the program.
+// Encode returns the bytes of a value that has an encoded form (see package encoded).
+// It panics if gob cannot encode the type, which is a defect of the program.
 func Encode[Encoded any, Value interface{ Encoded() Encoded }](value Value) []byte {
 	return EncodePlain(value.Encoded())
 }
 
-// EncodePlain gives the bytes of a value whose fields are stored under the names that
-// they have in the code, which must then never change. It panics where gob cannot
-// encode the type.
+// EncodePlain returns the bytes of a value without a separate encoded form. The fields
+// are stored under their names in the code, so these names must never change. It panics
+// if gob cannot encode the type.
 func EncodePlain(value any) []byte {
 	var buffer bytes.Buffer
 	if err := gob.NewEncoder(&buffer).Encode(value); err != nil {
@@ -27,8 +27,8 @@
 	return buffer.Bytes()
 }
 
-// Decode reads what Encode wrote; from converts the encoded form. The error is
-// ErrDecode where data is not of that form.
+// Decode decodes a value that was encoded by Encode, and converts it from its encoded
+// form with from. It returns ErrDecode if data does not hold that encoded form.
 func Decode[Value, Encoded any](data []byte, from func(Encoded) Value) (Value, error) {
 	var encoded Encoded
 	if err := DecodePlain(data, &encoded); err != nil {
@@ -37,8 +37,8 @@
 	return from(encoded), nil
 }
 
-// DecodePlain reads what EncodePlain wrote. The error is ErrDecode where data is not
-// of the form of into.
+// DecodePlain decodes a value that was encoded by EncodePlain into target. It returns
+// ErrDecode if data does not match the type of target.
 func DecodePlain(data []byte, target any) error {
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(target); err != nil {
 		return errors.WithType(errors.Trace(err), ErrDecode)
@@ -46,7 +46,8 @@
 	return nil
 }
 
-// Get reads one record; it gives false where there is none, or an unreadable one.
+// Get returns the value of one record. It returns false if the record does not exist or
+// cannot be decoded.
 func Get[Value, Encoded any](t *Table, key string, from func(Encoded) Value) (Value, bool) {
 	record, found := t.Records[key]
 	if !found {
@@ -56,8 +57,8 @@
 	return value, err == nil
 }
 
-// GetPlain reads one record that was written by EncodePlain; it gives false where
-// there is none, or an unreadable one.
+// GetPlain returns the value of one record that was encoded by EncodePlain. It returns
+// false if the record does not exist or cannot be decoded.
 func GetPlain[Value any](t *Table, key string) (Value, bool) {
 	var value Value
 	record, found := t.Records[key]
--- a/internal/state/store/digest.go
+++ b/internal/state/store/digest.go
@@ -8,15 +8,15 @@
 	"slices"
 )
 
-// RangeCount is the number of key ranges that digests are taken over. Keys are spread
-// over the ranges by their hash.
+// RangeCount is the number of key ranges, each of which has one digest. Keys are
+// assigned to the ranges by their hash.
 const RangeCount = 16
 
-// Digests has one SHA-256 digest for each key range. Two tables have equal digests of
-// a range where they have the same keys, versions and values in it.
+// Digests holds one SHA-256 digest for each key range. Two tables have the same digest
+// for a range if they have the same keys, versions and values in that range.
 type Digests = [RangeCount][sha256.Size]byte
 
-// Digests takes the digests of all key ranges.
+// Digests returns the digests of all key ranges.
 func (t *Table) Digests() Digests {
 	var keysByRange [RangeCount][]string
 	for key := range t.Records {
@@ -48,7 +48,7 @@
 	sum.Write(record.Data)
 }
 
-// DifferingRanges lists the indexes of the key ranges whose digests differ.
+// DifferingRanges returns the indexes of the key ranges whose digests differ.
 func DifferingRanges(ours, theirs Digests) []int {
 	var ranges []int
 	for index := range ours {
@@ -59,7 +59,7 @@
 	return ranges
 }
 
-// RecordsInRanges gives the records of some key ranges.
+// RecordsInRanges returns the records of the given key ranges.
 func (t *Table) RecordsInRanges(ranges []int) map[string]Record {
 	records := map[string]Record{}
 	for key, record := range t.Records {
@@ -70,8 +70,8 @@
 	return records
 }
 
-// ReplaceRanges replaces the content of some key ranges with records of a newer
-// replica, and takes over that replica's version.
+// ReplaceRanges replaces the content of the given key ranges with records of a newer
+// replica, and sets the table's version to that replica's version.
 func (t *Table) ReplaceRanges(version Version, ranges []int, records map[string]Record) {
 	for key := range t.Records {
 		if slices.Contains(ranges, rangeOf(key)) {
@@ -82,7 +82,8 @@
 	t.Version = version
 }
 
-// rangeOf gives the index of the range that a key is in, by the first byte of its hash.
+// rangeOf returns the index of a key's range, computed from the first byte of the key's
+// hash.
 func rangeOf(key string) int {
 	const firstByteValues = 256
 	sum := sha256.Sum256([]byte(key))
--- a/internal/state/store/encoding.go
+++ b/internal/state/store/encoding.go
@@ -2,7 +2,7 @@
 
 import "tansyseam/internal/state/encoded"
 
-// Encoded gives the form that is stored and sent.
+// Encoded returns the form that is stored and sent.
 func (p Put) Encoded() encoded.Put {
 	return encoded.Put{
 		Key:    p.Key,
@@ -11,7 +11,7 @@
 	}
 }
 
-// PutFrom reads the form that is stored and sent.
+// PutFrom converts the form that is stored and sent.
 func PutFrom(e encoded.Put) Put {
 	return Put{
 		Key:     e.Key,
@@ -20,7 +20,7 @@
 	}
 }
 
-// Encoded gives the form that is stored and sent.
+// Encoded returns the form that is stored and sent.
 func (r Record) Encoded() encoded.Record {
 	return encoded.Record{
 		Stamp: encoded.Stamp(r.Version),
@@ -28,7 +28,7 @@
 	}
 }
 
-// RecordFrom reads the form that is stored and sent.
+// RecordFrom converts the form that is stored and sent.
 func RecordFrom(e encoded.Record) Record {
 	return Record{
 		Version: Version(e.Stamp),
@@ -36,7 +36,7 @@
 	}
 }
 
-// Encoded gives the form that is stored and sent.
+// Encoded returns the form that is stored and sent.
 func (t Table) Encoded() encoded.Table {
 	return encoded.Table{
 		Stamp:   encoded.Stamp(t.Version),
@@ -44,7 +44,7 @@
 	}
 }
 
-// TableFrom reads the form that is stored and sent.
+// TableFrom converts the form that is stored and sent.
 func TableFrom(e encoded.Table) Table {
 	return Table{
 		Version: Version(e.Stamp),
--- a/internal/state/store/table.go
+++ b/internal/state/store/table.go
@@ -1,9 +1,10 @@
 // Package store holds the replicated control state: a table of keyed records, each
 // with the version of its last write.
 //
-// A Table is a plain value without locks; replicas are compared by digests over key
-// ranges, so that only ranges that differ need to be sent (anti-entropy). Records are
-// stored as gob; codec.go says which names are encoded.
+// A Table is a plain value without locks. Replicas are compared by digests over key
+// ranges, so that only the ranges that differ need to be sent (anti-entropy). The
+// values of records are encoded with encoding/gob; codec.go documents which field
+// names the encoding uses.
 package store
 
 import (
@@ -21,7 +22,7 @@
 	Sequence uint64
 }
 
-// IsBefore says whether v is older than other.
+// IsBefore reports whether v is older than other.
 func (v Version) IsBefore(other Version) bool {
 	return v.Epoch < other.Epoch || (v.Epoch == other.Epoch && v.Sequence < other.Sequence)
 }
@@ -37,35 +38,37 @@
 // Record is one value with the version of its last write.
 type Record struct {
 	Version Version
-	// Data is the encoded value. It is shared between copies and never changed.
+	// Data is the encoded value. Copies of a table share it, so it must never be
+	// modified.
 	Data []byte
 }
 
 // Table is one replica of the control state.
 type Table struct {
-	// Version is that of the last write applied.
+	// Version is the version of the last write applied.
 	Version Version
 	Records map[string]Record
 }
 
-// Put sets one key, or removes it.
+// Put sets or removes one key.
 type Put struct {
 	Key string
-	// Data is the new value; it is ignored where Deleted is set.
+	// Data is the new value. It is ignored if Deleted is set.
 	Data []byte
-	// Deleted removes the key.
+	// Deleted is true if the key is to be removed.
 	Deleted bool
 }
 
-// New makes an empty table.
+// New returns an empty table.
 func New() *Table { return &Table{Records: map[string]Record{}} }
 
-// Clone copies the table. The bytes of the records are shared.
+// Clone returns a copy of the table. The copy shares the data of the records.
 func (t *Table) Clone() *Table {
 	return &Table{Version: t.Version, Records: maps.Clone(t.Records)}
 }
 
-// Apply makes one write of several puts, in order, under a new version.
+// Apply applies the puts of one write in order, and assigns version to the table and to
+// each record that was set.
 func (t *Table) Apply(version Version, puts []Put) {
 	t.Version = version
 	for _, put := range puts {
@@ -77,7 +80,7 @@
 	}
 }
 
-// Keys lists the keys that begin with prefix, sorted.
+// Keys returns the keys that begin with prefix, sorted.
 func (t *Table) Keys(prefix string) []string {
 	var keys []string
 	for key := range t.Records {
--- a/internal/state/store/table_test.go
+++ b/internal/state/store/table_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestRepairByDigests(t *testing.T) {
-	Convey("A replica is repaired from a newer one by the ranges that differ, and only those", t, func() {
+	Convey("An older replica equals a newer one after only the differing key ranges are replaced", t, func() {
 		newer := New()
 		for number := range 300 {
 			newer.Apply(Version{Epoch: 1, Sequence: uint64(number + 1)}, []Put{{Key: fmt.Sprintf("k/%d", number), Data: EncodePlain(number)}})
@@ -29,7 +29,7 @@
 		_, found = GetPlain[int](older, "k/stray")
 		So(found, ShouldBeFalse)
 	})
-	Convey("A record of another shape is no value", t, func() {
+	Convey("A record that cannot be decoded is reported as not found", t, func() {
 		table := New()
 		table.Apply(Version{Epoch: 1, Sequence: 1}, []Put{{Key: "x", Data: []byte("garbage")}})
 		_, found := GetPlain[int](table, "x")
--- a/internal/state/versionfile/directory.go
+++ b/internal/state/versionfile/directory.go
@@ -10,10 +10,11 @@
 )
 
 const (
-	// temporarySuffix marks files that are being written. It is that of the first
-	// release, whose leftovers are cleared too.
+	// temporarySuffix is the suffix of files that are being written. It is the
+	// suffix of the first release, so that temporary files left by an old build are
+	// removed too.
 	temporarySuffix = ".aside"
-	// maxFileBytes bounds what is read of one file.
+	// maxFileBytes limits how much of one file is read.
 	maxFileBytes = 64 << 20
 
 	directoryMode = 0o750
@@ -22,21 +23,22 @@
 
 // Disk is the part of a file system that a Store needs, so that tests can replace it.
 type Disk interface {
-	// Write replaces a file as a whole; once it returns nil, the file survives a crash.
+	// Write replaces a file atomically. Once it returns nil, the file survives a crash.
 	Write(name string, data []byte) error
-	// Read gives the content of a file.
+	// Read returns the content of a file.
 	Read(name string) ([]byte, error)
-	// Names lists the files.
+	// Names returns the names of the files.
 	Names() ([]string, error)
 	// Remove deletes a file.
 	Remove(name string) error
 }
 
-// Directory is a directory of the file system as a Disk; its value is the path.
+// Directory is a Disk that keeps its files in a directory of the file system. Its value
+// is the path of the directory.
 type Directory string
 
-// OpenDirectory makes the directory where it is missing, and removes files that an
-// earlier run left half written.
+// OpenDirectory creates the directory if it does not exist, and removes temporary files
+// that an earlier run did not finish.
 func OpenDirectory(path string) (Directory, error) {
 	if err := os.MkdirAll(path, directoryMode); err != nil {
 		return "", errors.Annotate(err, "data directory")
@@ -54,7 +56,8 @@
 	return directory, nil
 }
 
-// Write writes a temporary file, syncs it, renames it and syncs the directory.
+// Write replaces a file: it writes and syncs a temporary file, renames it, and syncs the
+// directory.
 func (d Directory) Write(name string, data []byte) error {
 	temporary := d.path(name + temporarySuffix)
 	if err := writeSynced(temporary, data); err != nil {
@@ -66,7 +69,7 @@
 	return errors.Trace(d.sync())
 }
 
-// Read gives the content of a file, 64 MiB of it at most.
+// Read returns at most the first 64 MiB of a file.
 func (d Directory) Read(name string) ([]byte, error) {
 	file, err := os.Open(d.path(name))
 	if err != nil {
@@ -77,7 +80,7 @@
 	return data, errors.Trace(err)
 }
 
-// Names lists the regular files.
+// Names returns the names of the regular files.
 func (d Directory) Names() ([]string, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
@@ -109,8 +112,8 @@
 	return errors.Trace(file.Sync())
 }
 
-// writeSynced creates or replaces a file and syncs its content. Where that fails, the
-// file is removed as far as possible.
+// writeSynced creates or replaces a file and syncs its content. If writing or syncing
+// fails, it tries to remove the file.
 func writeSynced(path string, data []byte) error {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 	if err != nil {
--- a/internal/state/versionfile/format.go
+++ b/internal/state/versionfile/format.go
@@ -9,9 +9,9 @@
 	"strings"
 )
 
-// A version file holds, with numbers in big-endian order: the magic bytes, the kind
-// (16-bit length and text), the sequence (64 bits), the data (32-bit length and
-// bytes), and the SHA-256 checksum of all that.
+// A version file consists of the magic bytes, the kind (16-bit length and text), the
+// sequence (64 bits), the data (32-bit length and bytes), and the SHA-256 checksum of
+// everything before it. Numbers are in big-endian order.
 const magic = "seamv001"
 
 const (
@@ -23,12 +23,14 @@
 	versionSuffix = ".v"
 )
 
-// fileName gives the name of a version's file, in which sequences sort as text.
+// fileName returns the name of a version's file. The sequence is padded with zeros, so
+// that names sort by sequence.
 func fileName(kind string, sequence uint64) string {
 	return fmt.Sprintf("%s-%020d%s", kind, sequence, versionSuffix)
 }
 
-// parseFileName gives the sequence of a file that is a version of kind.
+// parseFileName returns the sequence in the name of a version's file. It returns false
+// if the name is not that of a version of kind.
 func parseFileName(kind, name string) (uint64, bool) {
 	rest, isKind := strings.CutPrefix(name, kind+"-")
 	digits, isVersion := strings.CutSuffix(rest, versionSuffix)
@@ -39,7 +41,7 @@
 	return sequence, err == nil
 }
 
-// encodeVersion gives the content of a version's file.
+// encodeVersion returns the content of a version's file.
 func encodeVersion(kind string, sequence uint64, data []byte) []byte {
 	content := []byte(magic)
 	content = binary.BigEndian.AppendUint16(content, uint16(len(kind)))
@@ -51,8 +53,8 @@
 	return append(content, checksum[:]...)
 }
 
-// decodeVersion gives the data in a version's file, or false where the content is
-// damaged or is another version's.
+// decodeVersion returns the data in a version's file. It returns false if the content
+// is damaged or belongs to another version.
 func decodeVersion(content []byte, kind string, sequence uint64) ([]byte, bool) {
 	if len(content) < minFileSize || !bytes.HasPrefix(content, []byte(magic)) {
 		return nil, false
--- a/internal/state/versionfile/store.go
+++ b/internal/state/versionfile/store.go
@@ -1,13 +1,14 @@
-// Package versionfile keeps numbered versions of a few kinds of data on disk, each in
-// a file of its own with a checksum.
+// Package versionfile keeps numbered versions of several kinds of data on disk. Each
+// version is a separate file with a checksum.
 //
-// A version is written to a temporary file, synced, renamed, and its directory synced,
-// so that after a crash each version is there as a whole or not at all. Older versions
-// stay until newer ones were synced; a reader takes the newest whose checksum fits.
+// A Store writes a version to a temporary file, syncs and renames the file, and syncs the
+// directory. After a crash, each version therefore exists completely or not at all. Older
+// versions are kept until newer ones are synced. Readers use the newest version whose
+// checksum is correct.
 //
-// A program opens its data directory by OpenDirectory, which removes what an earlier run
-// left half written, and makes a Store of it. A Store has no lock: its caller writes one
-// version at a time.
+// A program opens its data directory with OpenDirectory, which removes temporary files
+// that an earlier run did not finish, and creates a Store with the result. A Store has no
+// lock: its caller must write one version at a time.
 package versionfile
 
 import (
@@ -16,15 +17,15 @@
 	"github.com/juju/errors"
 )
 
-// ErrNotFound says that there is no readable version of a kind.
+// ErrNotFound is returned when there is no readable version of a kind.
 const ErrNotFound = errors.ConstError("no readable version on disk")
 
-// ErrNotSynced says that a change did not reach the disk: it may be tried again, and
-// nothing may rely on it before that.
+// ErrNotSynced is returned when a change was not synced to disk. The caller can retry the
+// change, and must not rely on it until a retry succeeds.
 const ErrNotSynced = errors.ConstError("version not synced")
 
-// minKeptVersions is how many versions of a kind are kept at least: the newest, and the one
-// before in case that the newest is found damaged.
+// minKeptVersions is the minimum number of versions to keep of each kind: the newest, and
+// the one before it in case the newest is damaged.
 const minKeptVersions = 2
 
 // Version is one version of a kind.
@@ -39,14 +40,15 @@
 	keptVersions int
 }
 
-// NewStore makes a store that keeps so many of the newest versions of each kind, two
-// at least.
+// NewStore returns a store that keeps the newest keptVersions versions of each kind, at
+// least two.
 func NewStore(disk Disk, keptVersions int) *Store {
 	return &Store{disk: disk, keptVersions: max(keptVersions, minKeptVersions)}
 }
 
-// Put syncs one version, and then removes old ones past those that are kept. The error
-// is ErrNotSynced; old versions that cannot be removed are none.
+// Put writes and syncs one version, and then removes the old versions beyond the number
+// to keep. It returns ErrNotSynced if the version was not synced. A failure to remove an
+// old version is not an error.
 func (s *Store) Put(kind string, sequence uint64, data []byte) error {
 	if err := s.disk.Write(fileName(kind, sequence), encodeVersion(kind, sequence, data)); err != nil {
 		return errors.WithType(errors.Annotatef(err, "%s %d", kind, sequence), ErrNotSynced)
@@ -55,8 +57,9 @@
 	return nil
 }
 
-// prune removes versions that are older than one just synced and past those kept. A
-// failure is left to the prune after the next write.
+// prune removes the versions of a kind that are older than the version just synced and
+// beyond the number to keep. Versions that it fails to remove are removed by the prune
+// after the next write.
 func (s *Store) prune(kind string, synced uint64) {
 	sequences, err := s.sequences(kind)
 	if err != nil {
@@ -69,8 +72,9 @@
 	}
 }
 
-// Latest gives the newest readable version of a kind, and how many damaged newer files
-// were skipped. The error is ErrNotFound where no version is readable.
+// Latest returns the newest readable version of a kind, and the number of newer files
+// that were skipped because they are damaged. It returns ErrNotFound if no version is
+// readable.
 func (s *Store) Latest(kind string) (latest Version, skipped int, err error) {
 	sequences, err := s.sequences(kind)
 	if err != nil {
@@ -85,9 +89,9 @@
 	return Version{}, skipped, ErrNotFound
 }
 
-// RemoveCorrupt removes the damaged versions of a kind. It is to be called only once
-// what they may have held was recovered from elsewhere. The error is ErrNotSynced where
-// a file could not be removed.
+// RemoveCorrupt removes the damaged versions of a kind. It must be called only after the
+// data that they may have held was recovered from elsewhere. It returns ErrNotSynced if a
+// file cannot be removed.
 func (s *Store) RemoveCorrupt(kind string) error {
 	sequences, err := s.sequences(kind)
 	if err != nil {
@@ -104,7 +108,8 @@
 	return nil
 }
 
-// read gives the data of one version, or false where it is missing or damaged.
+// read returns the data of one version. It returns false if the file is missing or
+// damaged.
 func (s *Store) read(kind string, sequence uint64) ([]byte, bool) {
 	content, err := s.disk.Read(fileName(kind, sequence))
 	if err != nil {
@@ -113,7 +118,7 @@
 	return decodeVersion(content, kind, sequence)
 }
 
-// sequences lists the versions of a kind by the names of the files, newest first.
+// sequences returns the sequences in the names of a kind's files, newest first.
 func (s *Store) sequences(kind string) ([]uint64, error) {
 	names, err := s.disk.Names()
 	if err != nil {
--- a/internal/state/versionfile/store_test.go
+++ b/internal/state/versionfile/store_test.go
@@ -16,7 +16,7 @@
 		directory, err := OpenDirectory(path)
 		So(err, ShouldBeNil)
 		store := NewStore(directory, 3)
-		Convey("The newest version is read back, and old ones are pruned", func() {
+		Convey("After nine versions are written to a store that keeps three, the newest is returned and three files remain", func() {
 			for sequence := uint64(1); sequence <= 9; sequence++ {
 				So(store.Put("table", sequence, []byte{byte(sequence)}), ShouldBeNil)
 			}
@@ -28,7 +28,7 @@
 			names, _ := directory.Names()
 			So(len(names), ShouldEqual, 3)
 		})
-		Convey("Torn, empty, foreign and changed files are never read as state", func() {
+		Convey("Truncated, empty, foreign and modified files and a file of another version are skipped, and RemoveCorrupt removes them", func() {
 			So(store.Put("table", 1, []byte("good")), ShouldBeNil)
 			intact, _ := os.ReadFile(filepath.Join(path, fileName("table", 1)))
 			changed := append([]byte(nil), intact...)
@@ -46,7 +46,7 @@
 			_, skipped, _ = store.Latest("table")
 			So(skipped, ShouldEqual, 0)
 		})
-		Convey("A temporary file left half written is cleared, and is no version", func() {
+		Convey("An unfinished temporary file is removed when the directory is opened, and is not read as a version", func() {
 			So(os.WriteFile(filepath.Join(path, fileName("table", 7)+".aside"), []byte("half"), 0o600), ShouldBeNil)
 			_, err := OpenDirectory(path)
 			So(err, ShouldBeNil)
@@ -55,7 +55,7 @@
 			names, _ := directory.Names()
 			So(names, ShouldBeEmpty)
 		})
-		Convey("A write that fails says so", func() {
+		Convey("A failed write returns ErrNotSynced", func() {
 			store := NewStore(Directory(filepath.Join(path, "missing")), 3)
 			So(errors.Is(store.Put("table", 1, nil), ErrNotSynced), ShouldBeTrue)
 		})
