--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -12,10 +12,12 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// layers are the folders of the product from the top down: the programs, then those of
-// internal.
+// layers lists the layers of the product from top to bottom: the programs in cmd, then
+// the directories of internal.
 var layers = []string{"cmd", "app", "transport", "protocol", "coordination", "state"}
 
+// layerRank returns the index in layers of the layer that a path belongs to, or -1 if it
+// belongs to none.
 func layerRank(path string) int {
 	for rank, layer := range layers {
 		if path == layer || strings.HasPrefix(path, layer+"/") {
@@ -31,8 +33,8 @@
 	imports []string
 }
 
-// productFiles returns the product's files; the paths of those in internal begin with their
-// layer.
+// productFiles returns the product's Go files without tests. Their paths begin with the
+// name of their layer: paths are relative to internal, or to the parent directory of cmd.
 func productFiles() []sourceFile {
 	internalFiles, commands := productFilesIn("."), productFilesIn("../cmd")
 	So(len(internalFiles), ShouldBeGreaterThan, 30)
@@ -67,7 +69,7 @@
 
 func TestLayers(t *testing.T) {
 	const module = "tansyseam/internal/"
-	Convey("Imports go downward only", t, func() {
+	Convey("Each file belongs to a layer and imports only its own layer and layers below it", t, func() {
 		for _, source := range productFiles() {
 			ownRank := layerRank(source.path)
 			SoMsg(source.path, ownRank, ShouldBeGreaterThanOrEqualTo, 0)
@@ -78,7 +80,7 @@
 			}
 		}
 	})
-	Convey("The machines of coordination do no I/O and have no clock or dice of their own", t, func() {
+	Convey("The state machines in coordination do no I/O, start no goroutines, and use no locks, clock or source of random numbers", t, func() {
 		forbidden := []string{"os", "net", "net/http", "math/rand", "math/rand/v2", "crypto/rand", "sync"}
 		for _, source := range productFiles() {
 			if !strings.HasPrefix(source.path, "coordination/") {
@@ -92,7 +94,7 @@
 			}
 		}
 	})
-	Convey("Goroutines start in one place, and there is no switch", t, func() {
+	Convey("Only transport/worker/group.go starts goroutines, and no file has a switch statement", t, func() {
 		for _, source := range productFiles() {
 			mayStartGoroutines := source.path == filepath.Join("transport", "worker", "group.go")
 			for _, line := range strings.Split(source.text, "\n") {
