--- a/internal/state/versionfile/store_test.go
+++ b/internal/state/versionfile/store_test.go
@@ -16,7 +16,7 @@
 		directory, err := OpenDirectory(path)
 		So(err, ShouldBeNil)
 		store := NewStore(directory, 3)
-		Convey("The newest version is read back, and old ones are pruned", func() {
+		Convey("After nine versions are written to a store that keeps three, the newest is returned and three files remain", func() {
 			for sequence := uint64(1); sequence <= 9; sequence++ {
 				So(store.Put("table", sequence, []byte{byte(sequence)}), ShouldBeNil)
 			}
@@ -28,25 +28,25 @@
 			names, _ := directory.Names()
 			So(len(names), ShouldEqual, 3)
 		})
-		Convey("Torn, empty, foreign and changed files are never read as state", func() {
+		Convey("Truncated, empty, foreign and modified files and a file of another version are skipped, and RemoveCorrupt removes them", func() {
 			So(store.Put("table", 1, []byte("good")), ShouldBeNil)
-			good, _ := os.ReadFile(filepath.Join(path, fileName("table", 1)))
-			changed := append([]byte(nil), good...)
+			intact, _ := os.ReadFile(filepath.Join(path, fileName("table", 1)))
+			changed := append([]byte(nil), intact...)
 			changed[len(changed)/2] ^= 1
-			bad := map[uint64][]byte{2: good[:len(good)/2], 3: {}, 4: []byte("something else altogether, and quite long enough to be read"), 5: changed, 6: good}
-			for sequence, data := range bad {
+			damaged := map[uint64][]byte{2: intact[:len(intact)/2], 3: {}, 4: []byte("something else altogether, and quite long enough to be read"), 5: changed, 6: intact}
+			for sequence, data := range damaged {
 				So(os.WriteFile(filepath.Join(path, fileName("table", sequence)), data, 0o600), ShouldBeNil)
 			}
 			latest, skipped, err := store.Latest("table")
 			So(err, ShouldBeNil)
 			So(latest.Sequence, ShouldEqual, 1)
 			So(string(latest.Data), ShouldEqual, "good")
-			So(skipped, ShouldEqual, len(bad))
+			So(skipped, ShouldEqual, len(damaged))
 			So(store.RemoveCorrupt("table"), ShouldBeNil)
 			_, skipped, _ = store.Latest("table")
 			So(skipped, ShouldEqual, 0)
 		})
-		Convey("A temporary file left half written is cleared, and is no version", func() {
+		Convey("An unfinished temporary file is removed when the directory is opened, and is not read as a version", func() {
 			So(os.WriteFile(filepath.Join(path, fileName("table", 7)+".aside"), []byte("half"), 0o600), ShouldBeNil)
 			_, err := OpenDirectory(path)
 			So(err, ShouldBeNil)
@@ -55,7 +55,7 @@
 			names, _ := directory.Names()
 			So(names, ShouldBeEmpty)
 		})
-		Convey("A write that fails says so", func() {
+		Convey("A failed write returns ErrNotSynced", func() {
 			store := NewStore(Directory(filepath.Join(path, "missing")), 3)
 			So(errors.Is(store.Put("table", 1, nil), ErrNotSynced), ShouldBeTrue)
 		})
