--- a/test/simulation/caller_test.go
+++ b/test/simulation/caller_test.go
@@ -9,21 +9,21 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestCallersAskLevel(t *testing.T) {
+func TestCallersDrawOperationsEvenly(t *testing.T) {
 	Convey("Of ten turns of a caller each tenth of the draws comes once, in an order of chance", t, func() {
-		drawing := &caller{fleet: &fleet{}, decks: map[int][]int{}, random: rand.New(rand.NewPCG(1, 1))}
+		c := &caller{fleet: &fleet{}, decks: map[int][]int{}, random: rand.New(rand.NewPCG(1, 1))}
 		var orders []string
 		for range 50 {
-			order := ""
+			tensDrawn := ""
 			tens := map[int]int{}
 			for range 10 {
-				draw := drawing.drawPercent()
+				draw := c.drawPercent()
 				So(draw, ShouldBeBetweenOrEqual, 0, 99)
 				tens[draw/10]++
-				order += fmt.Sprint(draw / 10)
+				tensDrawn += fmt.Sprint(draw / 10)
 			}
 			So(len(tens), ShouldEqual, 10)
-			orders = append(orders, order)
+			orders = append(orders, tensDrawn)
 		}
 		So(len(slices.Compact(slices.Sorted(slices.Values(orders)))), ShouldBeGreaterThan, 45)
 	})
--- a/test/simulation/connection.go
+++ b/test/simulation/connection.go
@@ -74,36 +74,36 @@
 	c.instance.connections = append(c.instance.connections, c)
 }
 
-func (c *connection) enqueue(way direction, receive func()) {
-	way.stream.queue = append(way.stream.queue, receive)
-	if !way.stream.delivering {
-		way.stream.delivering = true
+func (c *connection) enqueue(dir direction, receive func()) {
+	dir.stream.queue = append(dir.stream.queue, receive)
+	if !dir.stream.delivering {
+		dir.stream.delivering = true
 		s := c.node.simulator
-		s.after(s.reliableTransit(), func() { c.deliverNext(way) })
+		s.after(s.reliableTransit(), func() { c.deliverNext(dir) })
 	}
 }
 
 // deliverNext delivers the first message of a stream, and goes on with the
 // rest after a while. A blocked link holds the stream up.
-func (c *connection) deliverNext(way direction) {
+func (c *connection) deliverNext(dir direction) {
 	s := c.node.simulator
-	blocked := s.network.blocked[link{way.from.name, way.to.name}] || (!way.to.running && way.to.vanished)
+	blocked := s.network.blocked[link{dir.from.name, dir.to.name}] || (!dir.to.running && dir.to.vanished)
 	if blocked && !c.closed {
-		s.after(blockedRetryInterval, func() { c.deliverNext(way) })
+		s.after(blockedRetryInterval, func() { c.deliverNext(dir) })
 		return
 	}
-	if c.closed || len(way.stream.queue) == 0 {
-		way.stream.queue, way.stream.delivering = nil, false
+	if c.closed || len(dir.stream.queue) == 0 {
+		dir.stream.queue, dir.stream.delivering = nil, false
 		return
 	}
-	if !way.to.running || way.to.incarnation != way.incarnation {
+	if !dir.to.running || dir.to.incarnation != dir.incarnation {
 		c.reset()
 		return
 	}
-	receive := way.stream.queue[0]
-	way.stream.queue = way.stream.queue[1:]
-	way.to.runDuring(way.incarnation, receive)
-	s.after(s.randomDuration(minMessageGap, maxMessageGap), func() { c.deliverNext(way) })
+	receive := dir.stream.queue[0]
+	dir.stream.queue = dir.stream.queue[1:]
+	dir.to.runDuring(dir.incarnation, receive)
+	s.after(s.randomDuration(minMessageGap, maxMessageGap), func() { c.deliverNext(dir) })
 }
 
 // request sends an operation; done receives the reply, or that there is none.
--- a/test/simulation/control_failover.go
+++ b/test/simulation/control_failover.go
@@ -56,34 +56,34 @@
 
 // failoverProbe measures the failover that follows a loss.
 type failoverProbe struct {
-	fleet  *fleet
-	lost   *controlServer
-	lostAt time.Duration
-	writes int
-	found  *ControlFailover
+	fleet       *fleet
+	lost        *controlServer
+	lostAt      time.Duration
+	writes      int
+	measurement *ControlFailover
 }
 
 // MeasureControlFailover loses the control primary of a fleet without other
 // faults, and measures what follows.
 func MeasureControlFailover(seed uint64, config Config, loss PrimaryLoss) ControlFailover {
-	found := ControlFailover{Seed: seed, Primacy: -1, FirstWrite: -1}
+	measurement := ControlFailover{Seed: seed, Primacy: -1, FirstWrite: -1}
 	config.WarmUp, config.FaultDuration, config.RecoveryDuration, config.Callers = time.Second, 6*time.Second, 6*time.Second, 2
 	config.Script = func(f *fleet) {
-		f.simulator.after(f.simulator.randomDuration(0, time.Second), func() { probeFailover(f, loss, &found) })
+		f.simulator.after(f.simulator.randomDuration(0, time.Second), func() { probeFailover(f, loss, &measurement) })
 	}
 	result := Run(seed, config, Defects{}, nil)
 	for _, rule := range []string{ownRule, history.RuleInconsistentSets} {
-		found.Violations += len(result.Violations[rule])
+		measurement.Violations += len(result.Violations[rule])
 	}
-	return found
+	return measurement
 }
 
-func probeFailover(f *fleet, loss PrimaryLoss, found *ControlFailover) {
+func probeFailover(f *fleet, loss PrimaryLoss, measurement *ControlFailover) {
 	primaries := f.primaries()
 	if len(primaries) == 0 {
 		return
 	}
-	probe := &failoverProbe{fleet: f, lost: primaries[0], lostAt: f.simulator.now, found: found}
+	probe := &failoverProbe{fleet: f, lost: primaries[0], lostAt: f.simulator.now, measurement: measurement}
 	loss.inject(f, probe.lost)
 	probe.check()
 }
@@ -96,14 +96,14 @@
 		if primary.frozen {
 			continue
 		}
-		if primary != p.lost && p.found.Primacy < 0 {
-			p.found.Primacy = p.elapsed()
+		if primary != p.lost && p.measurement.Primacy < 0 {
+			p.measurement.Primacy = p.elapsed()
 		}
 		if p.elapsed()%probeWriteInterval == 0 {
 			p.submitWrite(primary)
 		}
 	}
-	if p.elapsed() < primaryLossDuration && p.found.FirstWrite < 0 {
+	if p.elapsed() < primaryLossDuration && p.measurement.FirstWrite < 0 {
 		p.fleet.simulator.after(failoverCheckPeriod, p.check)
 	}
 }
@@ -113,8 +113,8 @@
 	control.submit(func(*store.Table) []store.Put {
 		return []store.Put{{Key: fmt.Sprintf("measured/%d", p.writes), Data: []byte("x")}}
 	}, func(result consensus.SubmitResult) {
-		if result.Committed && control != p.lost && p.found.FirstWrite < 0 {
-			p.found.FirstWrite = p.elapsed()
+		if result.Committed && control != p.lost && p.measurement.FirstWrite < 0 {
+			p.measurement.FirstWrite = p.elapsed()
 		}
 	})
 }
--- a/test/simulation/control_failover_test.go
+++ b/test/simulation/control_failover_test.go
@@ -13,22 +13,22 @@
 func TestControlFailover(t *testing.T) {
 	onlyWithoutRace(t)
 	timing := consensus.DefaultTiming()
-	stalls := map[string]bool{"disk hangs": true, "disk refuses": true}
+	diskFaults := map[string]bool{"disk hangs": true, "disk refuses": true}
 	Convey("However control's primary is lost, another holds primacy soon, and never before the old one's has lapsed; soon after, a write is kept", t, func() {
-		for _, shape := range []Config{SmallConfig(), LargeConfig()} {
+		for _, config := range []Config{SmallConfig(), LargeConfig()} {
 			for _, loss := range PrimaryLosses() {
 				bound := timing.PrimaryLease + timing.RenewInterval
-				if stalls[loss.Name] {
+				if diskFaults[loss.Name] {
 					bound += timing.ReplyTimeout
 				}
-				primacy, kept, faults := MeasureControlFailovers(500, 16, shape, loss, 8)
-				about := fmt.Sprintf("%d machines, %s: primacy %v, kept %v", shape.Controls, loss.Name, primacy, kept)
-				SoMsg(about, faults, ShouldEqual, 0)
-				SoMsg(about, Quantile(primacy, 0), ShouldBeGreaterThan, timing.PrimaryLease*9/10-timing.RenewInterval)
-				SoMsg(about, Quantile(primacy, 0.5), ShouldBeBetween, 0, bound)
-				SoMsg(about, Quantile(primacy, 0.99), ShouldBeBetween, 0, bound+timing.RenewInterval)
-				SoMsg(about, Quantile(kept, 0.5), ShouldBeBetween, 0, bound+timing.RenewInterval)
-				SoMsg(about, Quantile(kept, 0.99), ShouldBeBetween, 0, bound+2*timing.RenewInterval)
+				primacy, firstWrites, violations := MeasureControlFailovers(500, 16, config, loss, 8)
+				description := fmt.Sprintf("%d machines, %s: primacy %v, kept %v", config.Controls, loss.Name, primacy, firstWrites)
+				SoMsg(description, violations, ShouldEqual, 0)
+				SoMsg(description, Quantile(primacy, 0), ShouldBeGreaterThan, timing.PrimaryLease*9/10-timing.RenewInterval)
+				SoMsg(description, Quantile(primacy, 0.5), ShouldBeBetween, 0, bound)
+				SoMsg(description, Quantile(primacy, 0.99), ShouldBeBetween, 0, bound+timing.RenewInterval)
+				SoMsg(description, Quantile(firstWrites, 0.5), ShouldBeBetween, 0, bound+timing.RenewInterval)
+				SoMsg(description, Quantile(firstWrites, 0.99), ShouldBeBetween, 0, bound+2*timing.RenewInterval)
 			}
 		}
 	})
@@ -36,11 +36,11 @@
 
 func TestQuantile(t *testing.T) {
 	Convey("A quantile is one of the spans; what did not come sorts first, and is no span", t, func() {
-		spans := []time.Duration{5, 1, 4, 2, 3}
-		So(Quantile(spans, 0), ShouldEqual, 1)
-		So(Quantile(spans, 0.5), ShouldEqual, 3)
-		So(Quantile(spans, 0.99), ShouldEqual, 5)
-		So(Quantile(append(spans, -1), 0), ShouldEqual, -1)
+		durations := []time.Duration{5, 1, 4, 2, 3}
+		So(Quantile(durations, 0), ShouldEqual, 1)
+		So(Quantile(durations, 0.5), ShouldEqual, 3)
+		So(Quantile(durations, 0.99), ShouldEqual, 5)
+		So(Quantile(append(durations, -1), 0), ShouldEqual, -1)
 		So(Quantile(nil, 0.5), ShouldEqual, -1)
 	})
 }
--- a/test/simulation/control_replacement.go
+++ b/test/simulation/control_replacement.go
@@ -20,7 +20,7 @@
 // replaceControl removes a control server of a healthy fleet for good, and
 // starts one with a blank disk after a span. Where that is planned, the new
 // one is started first.
-func (p *controlPlane) replaceControl(old *controlServer, span time.Duration, planned bool) {
+func (p *controlPlane) replaceControl(old *controlServer, duration time.Duration, planned bool) {
 	if !p.isControlHealthy() || len(p.removedControls) >= maxReplacedControls {
 		return
 	}
@@ -28,20 +28,20 @@
 	if !planned {
 		old.crash()
 		p.removeControl(old)
-		p.afterUnlessRepaired(span, p.addControl)
+		p.afterUnlessRepaired(duration, p.addControl)
 		return
 	}
 	p.addControl()
-	p.afterUnlessRepaired(span, func() {
+	p.afterUnlessRepaired(duration, func() {
 		old.stop(func() { p.removeControl(old) })
 	})
 }
 
 // restartControl stops a control server as planned, and starts it again after
 // a span.
-func (p *controlPlane) restartControl(control *controlServer, span time.Duration) {
+func (p *controlPlane) restartControl(control *controlServer, duration time.Duration) {
 	control.stop(func() {
-		p.simulator.after(span, func() { control.ensureRunning(control.start) })
+		p.simulator.after(duration, func() { control.ensureRunning(control.start) })
 	})
 }
 
--- a/test/simulation/control_test.go
+++ b/test/simulation/control_test.go
@@ -25,8 +25,8 @@
 			return Run(100+index, config, Defects{}, nil)
 		})
 		promoted := 0
-		for at, result := range results {
-			SoMsg(time.Duration(at).String(), result.Violations, ShouldBeEmpty)
+		for index, result := range results {
+			SoMsg(time.Duration(index).String(), result.Violations, ShouldBeEmpty)
 			if result.Terms > 1 {
 				promoted++
 			}
@@ -94,9 +94,9 @@
 		f.faults.followUpsLeft = 0
 		isolated := f.activePrimary()
 		for _, other := range f.controls {
-			for _, way := range blocked(isolated.name, other.name) {
+			for _, l := range blocked(isolated.name, other.name) {
 				if other != isolated {
-					f.simulator.blockLink(way, 20*time.Second)
+					f.simulator.blockLink(l, 20*time.Second)
 				}
 			}
 		}
--- a/test/simulation/defects_test.go
+++ b/test/simulation/defects_test.go
@@ -29,7 +29,7 @@
 
 func TestPlantedDefectsAreSeen(t *testing.T) {
 	onlyWithoutRace(t)
-	with := func(only ...string) Config {
+	configWith := func(only ...string) Config {
 		config := SmallConfig()
 		config.AllowedFaults, config.MaxFaultDuration = only, 12*time.Second
 		return config
@@ -37,39 +37,39 @@
 	cutOff := SmallConfig()
 	cutOff.FaultDuration = 12 * time.Second
 	cutOff.Script = cutOffNodeAndFreezePrimary
-	plants := []struct {
-		name   string
-		plant  Defects
-		rule   string
-		config Config
+	plantedDefects := []struct {
+		name    string
+		defects Defects
+		rule    string
+		config  Config
 	}{
-		{"nodes' leases are too long", Defects{OverlongLeases: true}, history.RuleIgnoredChanges, with("node cut off")},
-		{"other nodes' records of goes seem blank", Defects{BlankIdempotencyRecords: true}, history.RuleDuplicateEffects, with("answers lost")},
-		{"replicas seem to hold what they do not: confirmed too soon", Defects{InflatedReplicaPositions: true}, history.RuleLostCommits, with("replica lag", "primary crash")},
-		{"primaries seem to stand where they stood: replicas seem fresh", Defects{OutdatedPrimaryPositions: true}, history.RuleStaleReads, with("replica hears nothing")},
-		{"a request is sent again when its answer is lost", Defects{ResendUnanswered: true}, history.RuleUnsentStatements, with("answers lost")},
+		{"nodes' leases are too long", Defects{OverlongLeases: true}, history.RuleIgnoredChanges, configWith("node cut off")},
+		{"other nodes' records of goes seem blank", Defects{BlankIdempotencyRecords: true}, history.RuleDuplicateEffects, configWith("answers lost")},
+		{"replicas seem to hold what they do not: confirmed too soon", Defects{InflatedReplicaPositions: true}, history.RuleLostCommits, configWith("replica lag", "primary crash")},
+		{"primaries seem to stand where they stood: replicas seem fresh", Defects{OutdatedPrimaryPositions: true}, history.RuleStaleReads, configWith("replica hears nothing")},
+		{"a request is sent again when its answer is lost", Defects{ResendUnanswered: true}, history.RuleUnsentStatements, configWith("answers lost")},
 		{"cut-off nodes write on, and confirm", Defects{OverlongLeases: true, InflatedReplicaPositions: true}, history.RuleOldPrimaryCommits, cutOff},
-		{"the worst replica is promoted", Defects{PromoteWorstReplica: true}, history.RuleLostCommits, with("replica lag", "primary crash")},
-		{"nobody hears that an instance is leaving", Defects{IgnoreLeaving: true}, history.RuleWorkAfterLeaving, with("instance leaving")},
-		{"instances call connections with state clean", Defects{DirtyConnections: true}, history.RuleMixedSessions, with("instance slow")},
-		{"a planned stop does not wait", Defects{AbruptStop: true}, history.RuleCutRequests, with("node stopped as planned")},
-		{"the control primary writes other bindings than were sent", Defects{AlteredBindings: true}, history.RuleInconsistentSets, with("instance slow")},
+		{"the worst replica is promoted", Defects{PromoteWorstReplica: true}, history.RuleLostCommits, configWith("replica lag", "primary crash")},
+		{"nobody hears that an instance is leaving", Defects{IgnoreLeaving: true}, history.RuleWorkAfterLeaving, configWith("instance leaving")},
+		{"instances call connections with state clean", Defects{DirtyConnections: true}, history.RuleMixedSessions, configWith("instance slow")},
+		{"a planned stop does not wait", Defects{AbruptStop: true}, history.RuleCutRequests, configWith("node stopped as planned")},
+		{"the control primary writes other bindings than were sent", Defects{AlteredBindings: true}, history.RuleInconsistentSets, configWith("instance slow")},
 	}
 	Convey("Each planted defect breaks its rule on some of a few seeds, and the same seeds pass without it", t, func() {
-		seen := map[string]int{}
-		for _, planted := range plants {
+		violatingSeeds := map[string]int{}
+		for _, planted := range plantedDefects {
 			count := 0
-			for _, result := range runMany(1, 8, planted.config, planted.plant) {
+			for _, result := range runMany(1, 8, planted.config, planted.defects) {
 				if _, broken := result.Violations[planted.rule]; broken {
 					count++
 				}
 			}
-			seen[planted.name] = count
+			violatingSeeds[planted.name] = count
 			for _, result := range runMany(1, 2, planted.config, Defects{}) {
 				SoMsg(planted.name+": without", result.Violations, ShouldBeEmpty)
 			}
 		}
-		for name, count := range seen {
+		for name, count := range violatingSeeds {
 			So(fmt.Sprintf("%s: %v", name, count > 0), ShouldEqual, name+": true")
 		}
 	})
--- a/test/simulation/failover_test.go
+++ b/test/simulation/failover_test.go
@@ -13,7 +13,7 @@
 		config.FaultDuration, config.RecoveryDuration = 12*time.Second, 15*time.Second
 		terms := []uint64{}
 		config.Script = func(f *fleet) {
-			at := func(span time.Duration, act func()) { f.simulator.after(span, act) }
+			at := func(delay time.Duration, act func()) { f.simulator.after(delay, act) }
 			database := f.databases[0]
 			lagging, candidate := f.findInstance(database+"-b"), f.findInstance(database+"-c")
 			f.faults.followUpsLeft = 0
--- a/test/simulation/faults.go
+++ b/test/simulation/faults.go
@@ -36,7 +36,7 @@
 type faultKind[F any] struct {
 	name string
 	// inject begins the fault; one that has an end ends after the span.
-	inject func(fleet F, span time.Duration)
+	inject func(fleet F, duration time.Duration)
 }
 
 func findFault[F any](catalog []faultKind[F], name string) faultKind[F] {
@@ -79,7 +79,7 @@
 	allowed                  []string
 	maxDuration              time.Duration
 	minInterval, maxInterval time.Duration
-	inject                   func(kind faultKind[F], span time.Duration)
+	inject                   func(kind faultKind[F], duration time.Duration)
 }
 
 func (s faultSchedule[F]) runUntil(until time.Duration) {
@@ -106,25 +106,25 @@
 	schedule.runUntil(until)
 }
 
-func (f *fleet) injectFault(kind faultKind[*fleet], span time.Duration) {
+func (f *fleet) injectFault(kind faultKind[*fleet], duration time.Duration) {
 	phases := f.writerPhases()
 	if f.isAnyNodeStopping() {
 		phases = append(phases, phaseNodeStopping)
 	}
-	f.recordFault(kind.name, span, phases)
-	kind.inject(f, span)
+	f.recordFault(kind.name, duration, phases)
+	kind.inject(f, duration)
 }
 
 // setFor gives a variable another value for a span. The variable must not move
 // in that time, as those of a disk do when it is replaced.
-func setFor[T any](s *simulator, span time.Duration, variable *T, temporary, usual T) {
+func setFor[T any](s *simulator, duration time.Duration, variable *T, temporary, usual T) {
 	*variable = temporary
-	s.after(span, func() { *variable = usual })
+	s.after(duration, func() { *variable = usual })
 }
 
 // recordFault records a fault, and the phases that it meets.
-func (p *controlPlane) recordFault(name string, span time.Duration, phases []string) {
-	p.simulator.record("trouble: %s for %v", name, span)
+func (p *controlPlane) recordFault(name string, duration time.Duration, phases []string) {
+	p.simulator.record("trouble: %s for %v", name, duration)
 	for _, phase := range phases {
 		p.faults.phaseCounts[name+" / "+phase]++
 	}
--- a/test/simulation/faults_control.go
+++ b/test/simulation/faults_control.go
@@ -13,14 +13,14 @@
 
 func (p *controlPlane) randomControl() *controlServer { return pickRandom(p.simulator, p.controls) }
 
-func (p *controlPlane) crashControl(span time.Duration) {
+func (p *controlPlane) crashControl(duration time.Duration) {
 	control := p.randomControl()
-	control.crashAndRestart(control.start, span)
+	control.crashAndRestart(control.start, duration)
 }
 
-func (p *controlPlane) crashControlPrimary(span time.Duration) {
+func (p *controlPlane) crashControlPrimary(duration time.Duration) {
 	if primaries := p.primaries(); len(primaries) > 0 {
-		primaries[0].crashAndRestart(primaries[0].start, span)
+		primaries[0].crashAndRestart(primaries[0].start, duration)
 	}
 }
 
@@ -28,68 +28,70 @@
 	p.randomControl().writesUntilCrash = 1 + p.simulator.random.IntN(maxWritesUntilCrash)
 }
 
-func (p *controlPlane) loseControlDisk(span time.Duration) {
+func (p *controlPlane) loseControlDisk(duration time.Duration) {
 	if !p.isControlHealthy() {
 		return
 	}
 	control := p.randomControl()
-	control.crashAndRestart(control.start, span)
+	control.crashAndRestart(control.start, duration)
 	control.disk = newDisk()
 	p.simulator.record("%s lost its disk", control.name)
 }
 
-func (p *controlPlane) tearControlFile(span time.Duration) {
+func (p *controlPlane) tearControlFile(duration time.Duration) {
 	if !p.isControlHealthy() {
 		return
 	}
 	control := p.randomControl()
-	control.crashAndRestart(control.start, span)
+	control.crashAndRestart(control.start, duration)
 	control.disk.tear()
 	p.simulator.record("%s has a torn file", control.name)
 }
 
-func (p *controlPlane) fillControlDisk(span time.Duration) { p.randomControl().fillDisk(span) }
+func (p *controlPlane) fillControlDisk(duration time.Duration) { p.randomControl().fillDisk(duration) }
 
 // fillDisk has the disk refuse writes for a span.
-func (c *controlServer) fillDisk(span time.Duration) {
+func (c *controlServer) fillDisk(duration time.Duration) {
 	c.disk.failing = true
-	c.simulator.after(span, func() { c.disk.failing = false })
+	c.simulator.after(duration, func() { c.disk.failing = false })
 }
 
 // hangDisk has writes take until the end of a span.
-func (c *controlServer) hangDisk(span time.Duration) { c.disk.hangsUntil = c.simulator.now + span }
+func (c *controlServer) hangDisk(duration time.Duration) {
+	c.disk.hangsUntil = c.simulator.now + duration
+}
 
-func (p *controlPlane) hangControlPrimaryDisk(span time.Duration) {
+func (p *controlPlane) hangControlPrimaryDisk(duration time.Duration) {
 	for _, primary := range p.primaries() {
-		primary.hangDisk(span)
+		primary.hangDisk(duration)
 	}
 }
 
-func (p *controlPlane) slowControlDisk(span time.Duration) {
+func (p *controlPlane) slowControlDisk(duration time.Duration) {
 	control := p.randomControl()
 	control.disk.writeDelay = p.simulator.randomDuration(minSlowDiskDelay, maxSlowDiskDelay)
-	p.simulator.after(span, func() { control.disk.writeDelay = 0 })
+	p.simulator.after(duration, func() { control.disk.writeDelay = 0 })
 }
 
 // isolateControl cuts a control server off from the others, from some of them
 // one way only.
-func (p *controlPlane) isolateControl(span time.Duration) {
+func (p *controlPlane) isolateControl(duration time.Duration) {
 	isolated := p.randomControl()
 	for _, control := range p.controls {
 		if control == isolated {
 			continue
 		}
-		way := link{isolated.name, control.name}
-		p.simulator.blockLink(way, span)
+		l := link{isolated.name, control.name}
+		p.simulator.blockLink(l, duration)
 		if p.simulator.chance(isolationProbability) {
-			p.simulator.blockLink(way.reversed(), span)
+			p.simulator.blockLink(l.reversed(), duration)
 		}
 	}
 }
 
-func (p *controlPlane) setClockWrong(span time.Duration) {
+func (p *controlPlane) setClockWrong(duration time.Duration) {
 	control := p.randomControl()
 	skew := control.wallClockSkew
 	control.wallClockSkew += p.simulator.randomDuration(-maxClockError, maxClockError)
-	p.simulator.after(span, func() { control.wallClockSkew = skew })
+	p.simulator.after(duration, func() { control.wallClockSkew = skew })
 }
--- a/test/simulation/faults_instance.go
+++ b/test/simulation/faults_instance.go
@@ -38,20 +38,20 @@
 	return found
 }
 
-func (f *fleet) crashInstance(span time.Duration) {
+func (f *fleet) crashInstance(duration time.Duration) {
 	instance := f.randomInstance()
-	instance.crashAndRestart(instance.start, span)
+	instance.crashAndRestart(instance.start, duration)
 }
 
-func (f *fleet) crashPrimary(span time.Duration) {
+func (f *fleet) crashPrimary(duration time.Duration) {
 	if primary := f.randomPrimary(); primary != nil {
-		primary.crashAndRestart(primary.start, span)
+		primary.crashAndRestart(primary.start, duration)
 	}
 }
 
-func (f *fleet) freezePrimary(span time.Duration) {
+func (f *fleet) freezePrimary(duration time.Duration) {
 	if primary := f.randomPrimary(); primary != nil {
-		primary.freezeFor(span)
+		primary.freezeFor(duration)
 	}
 }
 
@@ -63,7 +63,7 @@
 
 // isolateReplicaAndCrashPrimary crashes a primary that one of its replicas has
 // not received the last entries from.
-func (f *fleet) isolateReplicaAndCrashPrimary(span time.Duration) {
+func (f *fleet) isolateReplicaAndCrashPrimary(duration time.Duration) {
 	database := pickRandom(f.simulator, f.databases)
 	primary := f.currentPrimary(database)
 	if primary == nil {
@@ -71,55 +71,55 @@
 	}
 	for _, replica := range f.instancesOf(database) {
 		if replica != primary {
-			f.simulator.blockLink(link{primary.name, replica.name}, span)
+			f.simulator.blockLink(link{primary.name, replica.name}, duration)
 			break
 		}
 	}
-	f.afterUnlessRepaired(f.simulator.randomDuration(0, maxCrashDelay), func() { primary.crashAndRestart(primary.start, span) })
+	f.afterUnlessRepaired(f.simulator.randomDuration(0, maxCrashDelay), func() { primary.crashAndRestart(primary.start, duration) })
 }
 
 // isolateReplica blocks what an instance receives from the others of its
 // database.
-func (f *fleet) isolateReplica(span time.Duration) {
+func (f *fleet) isolateReplica(duration time.Duration) {
 	isolated := f.randomInstance()
 	for _, other := range f.instancesOf(isolated.database) {
 		if other != isolated {
-			f.simulator.blockLink(link{other.name, isolated.name}, span)
+			f.simulator.blockLink(link{other.name, isolated.name}, duration)
 		}
 	}
 }
 
-func (f *fleet) delayReplication(span time.Duration) {
+func (f *fleet) delayReplication(duration time.Duration) {
 	instance := f.randomInstance()
-	setFor(f.simulator, span, &instance.replicationDelay, f.simulator.randomDuration(minLag, maxLag), defaultReplicationDelay)
+	setFor(f.simulator, duration, &instance.replicationDelay, f.simulator.randomDuration(minLag, maxLag), defaultReplicationDelay)
 }
 
-func (f *fleet) slowInstance(span time.Duration) {
+func (f *fleet) slowInstance(duration time.Duration) {
 	instance := f.randomInstance()
-	setFor(f.simulator, span, &instance.serviceTime, f.simulator.randomDuration(minSlowService, maxSlowService), defaultServiceTime)
+	setFor(f.simulator, duration, &instance.serviceTime, f.simulator.randomDuration(minSlowService, maxSlowService), defaultServiceTime)
 }
 
-func (f *fleet) haveInstanceLeave(span time.Duration) {
+func (f *fleet) haveInstanceLeave(duration time.Duration) {
 	instance := f.randomInstance()
 	if instance.leavingSince != 0 {
 		return
 	}
-	setFor(f.simulator, span, &instance.leavingSince, int64(f.simulator.now), 0)
+	setFor(f.simulator, duration, &instance.leavingSince, int64(f.simulator.now), 0)
 }
 
-func (f *fleet) silenceInstance(span time.Duration) {
+func (f *fleet) silenceInstance(duration time.Duration) {
 	instance := f.randomInstance()
-	setFor(f.simulator, span, &instance.silent, true, false)
+	setFor(f.simulator, duration, &instance.silent, true, false)
 }
 
 // loseInstanceData crashes one instance of the run with its data, where its
 // database has another candidate.
-func (f *fleet) loseInstanceData(span time.Duration) {
+func (f *fleet) loseInstanceData(duration time.Duration) {
 	instance := f.randomInstance()
 	if f.hasLostData() || !f.isHealthy(instance.database) || len(f.writerRole(instance.database).Candidates) < 2 {
 		return
 	}
-	instance.crashAndRestart(instance.start, span)
+	instance.crashAndRestart(instance.start, duration)
 	instance.loseData()
 	for _, other := range f.instancesOf(instance.database) {
 		if other != instance && instance.upstream == nil {
--- a/test/simulation/faults_network.go
+++ b/test/simulation/faults_network.go
@@ -9,32 +9,32 @@
 	reverseProbability = 0.5
 )
 
-func (p *controlPlane) slowLinks(span time.Duration) {
+func (p *controlPlane) slowLinks(duration time.Duration) {
 	network := &p.simulator.network
-	setFor(p.simulator, span, &network.extraDelay, p.simulator.randomDuration(minSlowLinkDelay, maxSlowLinkDelay), 0)
+	setFor(p.simulator, duration, &network.extraDelay, p.simulator.randomDuration(minSlowLinkDelay, maxSlowLinkDelay), 0)
 }
 
-func (p *controlPlane) loseMessages(span time.Duration) {
+func (p *controlPlane) loseMessages(duration time.Duration) {
 	network := &p.simulator.network
-	setFor(p.simulator, span, &network.lossRate, faultLossRate, 0)
+	setFor(p.simulator, duration, &network.lossRate, faultLossRate, 0)
 }
 
 // blockOneWay blocks one direction between a node and a control server.
-func (f *fleet) blockOneWay(span time.Duration) {
-	way := link{f.randomNode().name, f.randomControl().name}
+func (f *fleet) blockOneWay(duration time.Duration) {
+	l := link{f.randomNode().name, f.randomControl().name}
 	if f.simulator.chance(reverseProbability) {
-		way = way.reversed()
+		l = l.reversed()
 	}
-	f.simulator.blockLink(way, span)
+	f.simulator.blockLink(l, duration)
 }
 
 // blockNode blocks all links of a node to control servers, and to peers, both
 // ways.
-func (p *controlPlane) blockNode(isolated string, peers []string, span time.Duration) {
+func (p *controlPlane) blockNode(isolated string, peers []string, duration time.Duration) {
 	for _, control := range p.controls {
-		p.simulator.blockBothWays(link{isolated, control.name}, span)
+		p.simulator.blockBothWays(link{isolated, control.name}, duration)
 	}
 	for _, peer := range peers {
-		p.simulator.blockBothWays(link{isolated, peer}, span)
+		p.simulator.blockBothWays(link{isolated, peer}, duration)
 	}
 }
--- a/test/simulation/faults_node.go
+++ b/test/simulation/faults_node.go
@@ -25,14 +25,14 @@
 	return slices.ContainsFunc(f.nodes, func(n *node) bool { return n.stopping })
 }
 
-func (f *fleet) crashNode(span time.Duration) {
+func (f *fleet) crashNode(duration time.Duration) {
 	node := f.randomNode()
-	node.crashAndRestart(node.start, span)
+	node.crashAndRestart(node.start, duration)
 }
 
-func (f *fleet) stopNode(span time.Duration) {
+func (f *fleet) stopNode(duration time.Duration) {
 	if !f.isAnyNodeStopping() {
-		f.randomNode().stop(span)
+		f.randomNode().stop(duration)
 	}
 }
 
@@ -69,8 +69,8 @@
 	}
 }
 
-func (f *fleet) raiseLoad(span time.Duration) {
-	setFor(f.simulator, span, &f.loadFactor, rushLoadFactor, 1)
+func (f *fleet) raiseLoad(duration time.Duration) {
+	setFor(f.simulator, duration, &f.loadFactor, rushLoadFactor, 1)
 }
 
 func (f *fleet) addNode(time.Duration) {
@@ -80,7 +80,7 @@
 }
 
 // replaceNode removes a node for good, and starts another after a span.
-func (f *fleet) replaceNode(span time.Duration) {
+func (f *fleet) replaceNode(duration time.Duration) {
 	if len(f.nodes) >= f.config.Nodes+maxAddedNodes || len(f.removedNodes) >= maxRemovedNodes {
 		return
 	}
@@ -88,21 +88,21 @@
 	if old.running && !f.removedNodes[old.name] {
 		f.removedNodes[old.name] = true
 		old.crash()
-		f.simulator.after(span, f.createNode().start)
+		f.simulator.after(duration, f.createNode().start)
 	}
 }
 
-func (f *fleet) changeNodeWeight(span time.Duration) {
+func (f *fleet) changeNodeWeight(duration time.Duration) {
 	node := f.randomNode()
-	setFor(f.simulator, span, &node.weight, minNodeWeight+nodeWeightRange*f.simulator.random.Float64(), 1)
+	setFor(f.simulator, duration, &node.weight, minNodeWeight+nodeWeightRange*f.simulator.random.Float64(), 1)
 }
 
 // isolateNode cuts a node off from control and from all nodes.
-func (f *fleet) isolateNode(span time.Duration) {
+func (f *fleet) isolateNode(duration time.Duration) {
 	isolated := f.randomNode()
 	var peers []string
 	for _, node := range f.nodes {
 		peers = append(peers, node.name)
 	}
-	f.blockNode(isolated.name, peers, span)
+	f.blockNode(isolated.name, peers, duration)
 }
--- a/test/simulation/machine.go
+++ b/test/simulation/machine.go
@@ -112,12 +112,12 @@
 
 // crashAndRestart crashes a running machine, and starts it after a span where
 // nothing else did.
-func (m *machine) crashAndRestart(start func(), span time.Duration) {
+func (m *machine) crashAndRestart(start func(), duration time.Duration) {
 	if !m.running {
 		return
 	}
 	m.crash()
-	m.simulator.after(span, func() { m.ensureRunning(start) })
+	m.simulator.after(duration, func() { m.ensureRunning(start) })
 }
 
 func (m *machine) ensureRunning(start func()) {
@@ -148,7 +148,7 @@
 }
 
 // freezeFor freezes the machine for a span.
-func (m *machine) freezeFor(span time.Duration) {
+func (m *machine) freezeFor(duration time.Duration) {
 	m.freeze()
-	m.simulator.after(span, m.thaw)
+	m.simulator.after(duration, m.thaw)
 }
--- a/test/simulation/network.go
+++ b/test/simulation/network.go
@@ -68,16 +68,16 @@
 }
 
 // blockLink loses all messages of one direction for a span.
-func (s *simulator) blockLink(way link, span time.Duration) {
-	s.network.blocked[way] = true
-	s.record("cut %s from %s", way.to, way.from)
-	s.after(span, func() { delete(s.network.blocked, way) })
+func (s *simulator) blockLink(l link, duration time.Duration) {
+	s.network.blocked[l] = true
+	s.record("cut %s from %s", l.to, l.from)
+	s.after(duration, func() { delete(s.network.blocked, l) })
 }
 
 // blockBothWays loses all messages between two machines for a span.
-func (s *simulator) blockBothWays(way link, span time.Duration) {
-	s.blockLink(way, span)
-	s.blockLink(way.reversed(), span)
+func (s *simulator) blockBothWays(l link, duration time.Duration) {
+	s.blockLink(l, duration)
+	s.blockLink(l.reversed(), duration)
 }
 
 // repairNetwork ends all faults of links.
--- a/test/simulation/node_effects.go
+++ b/test/simulation/node_effects.go
@@ -50,8 +50,8 @@
 		n.after(n.simulator.randomDuration(0, maxSendDelay), func() { n.send(send, sent) })
 	})
 	handleNodeEffect((*node).openConnection)
-	handleNodeEffect(func(_ *node, shut httppool.CloseConn) {
-		if connection, open := shut.Conn.Transport.(*connection); open {
+	handleNodeEffect(func(_ *node, closeConn httppool.CloseConn) {
+		if connection, open := closeConn.Conn.Transport.(*connection); open {
 			connection.close()
 		}
 	})
--- a/test/simulation/recorder.go
+++ b/test/simulation/recorder.go
@@ -19,19 +19,19 @@
 type recorder struct {
 	evidence history.Evidence
 	// outstanding has the requests without an answer, by their number.
-	outstanding map[uint64]standin.Event
-	lastRequest uint64
-	knownServed map[servedSet]bool
+	outstanding  map[uint64]standin.Event
+	lastRequest  uint64
+	recordedSets map[servedSet]bool
 	// violations are those that the simulator found itself.
 	violations []string
 }
 
 func newRecorder() recorder {
-	return recorder{outstanding: map[uint64]standin.Event{}, knownServed: map[servedSet]bool{}}
+	return recorder{outstanding: map[uint64]standin.Event{}, recordedSets: map[servedSet]bool{}}
 }
 
-func (r *recorder) addViolation(format string, parts ...any) {
-	r.violations = append(r.violations, fmt.Sprintf(format, parts...))
+func (r *recorder) addViolation(format string, args ...any) {
+	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
 // beginRequest records that a request is outstanding, and gives its number.
@@ -55,8 +55,8 @@
 func (r *recorder) addServedSets(machine string, sets []model.BindingSet, at time.Duration) {
 	for _, set := range sets {
 		key := servedSet{set.Sequence, bindingsContent(set.Bindings)}
-		if !r.knownServed[key] {
-			r.knownServed[key] = true
+		if !r.recordedSets[key] {
+			r.recordedSets[key] = true
 			r.evidence.ServedSets = append(r.evidence.ServedSets, history.ServedSet{Node: machine, Sequence: key.sequence, Content: key.content, At: int64(at)})
 		}
 	}
--- a/test/simulation/run.go
+++ b/test/simulation/run.go
@@ -56,17 +56,17 @@
 	}
 	f.setUp()
 	f.startCallers(seed)
-	warmUp := s.now
-	s.runUntil(warmUp + config.WarmUp)
-	faults := s.now
+	warmUpStart := s.now
+	s.runUntil(warmUpStart + config.WarmUp)
+	faultsStart := s.now
 	f.runFaults()
-	recovery := s.now
-	f.recorder.addQuietSpan(warmUp+callerStartTime, faults)
-	f.recorder.addQuietSpan(recovery+settleTime, recovery+config.RecoveryDuration)
+	recoveryStart := s.now
+	f.recorder.addQuietSpan(warmUpStart+callerStartTime, faultsStart)
+	f.recorder.addQuietSpan(recoveryStart+settleTime, recoveryStart+config.RecoveryDuration)
 	f.recorder.addClosedFault(history.ClosedFault{
-		Name: "all faults", BeforeFrom: int64(warmUp + callerStartTime), BeforeUntil: int64(faults), At: int64(recovery),
+		Name: "all faults", BeforeFrom: int64(warmUpStart + callerStartTime), BeforeUntil: int64(faultsStart), At: int64(recoveryStart),
 	})
-	s.runUntil(recovery + config.RecoveryDuration)
+	s.runUntil(recoveryStart + config.RecoveryDuration)
 	return f.result(seed)
 }
 
--- a/test/simulation/simulation_test.go
+++ b/test/simulation/simulation_test.go
@@ -24,8 +24,8 @@
 func TestSameSeedSameHistory(t *testing.T) {
 	Convey("The same seed gives the same history, byte for byte, and another another", t, func() {
 		config := SmallConfig()
-		first, again, other := Run(3, config, Defects{}, nil), Run(3, config, Defects{}, nil), Run(4, config, Defects{}, nil)
-		So(first.HistoryDigest, ShouldEqual, again.HistoryDigest)
+		first, repeated, other := Run(3, config, Defects{}, nil), Run(3, config, Defects{}, nil), Run(4, config, Defects{}, nil)
+		So(first.HistoryDigest, ShouldEqual, repeated.HistoryDigest)
 		So(first.HistoryDigest, ShouldNotEqual, other.HistoryDigest)
 	})
 }
@@ -47,7 +47,7 @@
 	})
 }
 
-func diced(config Config) Config {
+func withIndependentDraws(config Config) Config {
 	config.IndependentDraws, config.WarmUp = true, 3*time.Second
 	return config
 }
@@ -55,21 +55,21 @@
 func TestSeedsOnceBroken(t *testing.T) {
 	onlyWithoutRace(t)
 	seeds := []struct {
-		why    string
-		seed   uint64
-		config Config
+		failure string
+		seed    uint64
+		config  Config
 	}{
-		{"an intent was given up for a position told before it", 7000138, diced(SmallConfig())},
-		{"a control primary that came back published a write that its backup had not", 7000103, diced(SmallConfig())},
+		{"an intent was given up for a position told before it", 7000138, withIndependentDraws(SmallConfig())},
+		{"a control primary that came back published a write that its backup had not", 7000103, withIndependentDraws(SmallConfig())},
 		{"a write was published before it was synced", 7000967, SmallConfig()},
 		{"a lull in what callers asked for was taken for a service that is down", 7000386, SmallConfig()},
 		{"as before", 9100765, LargeConfig()},
 		{"as before", 9101192, LargeConfig()},
 	}
 	Convey("Seeds on which a rule was broken once break none", t, func() {
-		for _, known := range seeds {
-			Convey(fmt.Sprintf("%d: %s", known.seed, known.why), func() {
-				So(Run(known.seed, known.config, Defects{}, nil).Violations, ShouldBeEmpty)
+		for _, regression := range seeds {
+			Convey(fmt.Sprintf("%d: %s", regression.seed, regression.failure), func() {
+				So(Run(regression.seed, regression.config, Defects{}, nil).Violations, ShouldBeEmpty)
 			})
 		}
 	})
--- a/test/simulation/simulator.go
+++ b/test/simulation/simulator.go
@@ -54,7 +54,7 @@
 	network   network
 	// trace is the digest of the history so far.
 	trace hash.Hash
-	log   func(format string, parts ...any)
+	log   func(format string, args ...any)
 }
 
 func newSimulator(seed uint64) *simulator {
@@ -65,8 +65,8 @@
 }
 
 // record adds a line to the history.
-func (s *simulator) record(format string, parts ...any) {
-	line := fmt.Sprintf("%9.3f ", sinceStartMS(s.now)) + fmt.Sprintf(format, parts...)
+func (s *simulator) record(format string, args ...any) {
+	line := fmt.Sprintf("%9.3f ", sinceStartMS(s.now)) + fmt.Sprintf(format, args...)
 	_, _ = earlierTexts.WriteString(s.trace, line+"\n")
 	s.log("%s", line)
 }
