--- a/test/simulation/control_failover.go
+++ b/test/simulation/control_failover.go
@@ -72,7 +72,7 @@
 		f.simulator.after(f.simulator.randomDuration(0, time.Second), func() { probeFailover(f, loss, &measurement) })
 	}
 	result := Run(seed, config, Defects{}, nil)
-	for _, rule := range []string{ownRule, history.RuleInconsistentSets} {
+	for _, rule := range []string{simulatorRule, history.RuleInconsistentSets} {
 		measurement.Violations += len(result.Violations[rule])
 	}
 	return measurement
--- a/test/simulation/control_test.go
+++ b/test/simulation/control_test.go
@@ -140,7 +140,7 @@
 		broken := 0
 		for seed := range uint64(4) {
 			run := cutOffPrimary(40+seed, bothWays, Defects{ReadWithoutPrimacy: true})
-			broken += len(run.violations[ownRule])
+			broken += len(run.violations[simulatorRule])
 		}
 		So(broken, ShouldBeGreaterThan, 0)
 	})
--- a/test/simulation/lines_run.go
+++ b/test/simulation/lines_run.go
@@ -85,7 +85,7 @@
 	l.checkNewestVersion()
 	checker := l.checker
 	if len(l.recorder.violations) > 0 {
-		checker.violations[ownRule] = l.recorder.violations
+		checker.violations[simulatorRule] = l.recorder.violations
 	}
 	result := LineResult{
 		Seed: seed, Violations: checker.violations, Served: checker.served, Writes: checker.writes,
--- a/test/simulation/run.go
+++ b/test/simulation/run.go
@@ -24,8 +24,8 @@
 	settleTime = 12 * time.Second
 )
 
-// ownRule names the rule of the violations that the simulator finds itself.
-const ownRule = "simulation"
+// simulatorRule names the rule of the violations that the simulator finds itself.
+const simulatorRule = "simulation"
 
 // Result is what one simulated run showed.
 type Result struct {
@@ -127,7 +127,7 @@
 	}
 	result.Violations = history.Violations(evidence)
 	if len(f.recorder.violations) > 0 {
-		result.Violations[ownRule] = f.recorder.violations
+		result.Violations[simulatorRule] = f.recorder.violations
 	}
 	return result
 }
--- a/test/simulation/window_test.go
+++ b/test/simulation/window_test.go
@@ -25,7 +25,7 @@
 				f.simulator.after(13*time.Second, func() { updates, maxWindow = f.windows.updates, f.windows.maxWindow })
 			}
 			result := Run(5, config, Defects{}, nil)
-			So(result.Violations[ownRule], ShouldBeEmpty)
+			So(result.Violations[simulatorRule], ShouldBeEmpty)
 			So(updates, ShouldBeGreaterThan, 8)
 			So(maxWindow, ShouldBeGreaterThan, 2.5)
 		}
