--- a/test/simulation/caller.go
+++ b/test/simulation/caller.go
@@ -18,16 +18,19 @@
 	maxCallerStartDelay = 100 * time.Millisecond
 	openTimeout         = time.Second
 	openRetryDelay      = 50 * time.Millisecond
-	// disconnectDelay is how soon a caller sees that its node is gone.
+	// disconnectDelay is the time after which a caller detects that its node is
+	// gone.
 	disconnectDelay = time.Millisecond
-	// One of so many times a caller leaves before its next operation.
+	// A caller disconnects before one in operationsPerLeave operations on
+	// average.
 	operationsPerLeave = 60
-	// callerRandomStream separates the random numbers of callers.
+	// callerRandomStream separates the random numbers of callers from those of
+	// the simulator, which are drawn from the same seed.
 	callerRandomStream = 99
 )
 
-// caller is a client of the product's own protocol: one session at a time, and
-// one request after the other.
+// caller is a client of the product's own protocol. It has one session at a
+// time, and sends one request after the other.
 type caller struct {
 	machine
 	fleet       *fleet
@@ -36,26 +39,29 @@
 	random      *rand.Rand
 	// readOnly callers neither write nor begin transactions.
 	readOnly bool
-	// decks hold the shuffled operations that are still to be drawn, by the
-	// size of the deck.
+	// decks holds the shuffled numbers that drawFromDeck has not yet drawn, by
+	// the size of the deck.
 	decks map[int][]int
 
-	// node and remoteAddress are those of the connection; node is nil for
-	// none.
+	// node is the peer of the connection, nil if there is no connection.
+	// remoteAddress is the caller's address on it.
 	node            *node
 	remoteAddress   string
 	connectionsMade int
 	session         string
 	requestsMade    int
-	// setting and prepared are the state of the session.
+	// setting is the value of the session's setting, prepared the text of its
+	// prepared statement.
 	setting  string
 	prepared string
-	// minPositions are what the caller's reads must see, by database; they
-	// outlast the session.
+	// minPositions has, by database, the position that the caller's reads must
+	// include. It outlasts the session.
 	minPositions map[string]model.Position
-	// disconnect ends the request that is pending; nil for none.
+	// disconnect ends the pending request as disconnected. It is nil if no
+	// request is pending.
 	disconnect func()
-	// resetByRun says that a fault reset the caller's own end.
+	// resetByRun is true if a fault reset the caller's own end of the
+	// connection during the pending request.
 	resetByRun bool
 }
 
@@ -75,7 +81,7 @@
 	return time.Duration(c.random.ExpFloat64() * float64(meanThinkTime) / c.fleet.loadFactor)
 }
 
-// run does the next operation, after opening a session where there is none.
+// run performs the next operation. It opens a session first if there is none.
 func (c *caller) run() {
 	if c.node != nil && c.random.IntN(operationsPerLeave) == 0 {
 		c.leave()
@@ -89,12 +95,13 @@
 
 func (c *caller) runAfterThinking() { c.after(c.thinkTime(), c.run) }
 
-// runAfterRetry goes on after the pause that an answer asks for.
+// runAfterRetry performs the next operation after the retry delay of an answer
+// and the think time.
 func (c *caller) runAfterRetry(event standin.Event) {
 	c.after(time.Duration(event.RetryAfterMS)*time.Millisecond+c.thinkTime(), c.run)
 }
 
-// leave closes the connection.
+// leave closes the connection to the node, if there is one.
 func (c *caller) leave() {
 	if c.node == nil {
 		return
@@ -121,12 +128,14 @@
 	}
 }
 
-// isConnectedBy reports whether a connection is still the caller's.
+// isConnectedBy reports whether the caller still uses the connection to the node
+// with the remote address.
 func (c *caller) isConnectedBy(node *node, remote string) bool {
 	return c.node == node && c.remoteAddress == remote
 }
 
-// connect begins a connection to a random node; nil where that takes none.
+// connect opens a connection to a random node and returns the node. It returns
+// nil if that node accepts no connections.
 func (c *caller) connect() *node {
 	c.leave()
 	chosen := c.fleet.nodes[c.random.IntN(len(c.fleet.nodes))]
@@ -139,11 +148,12 @@
 	return chosen
 }
 
-// openSession tries to open a session, and goes on also where it fails.
-func (c *caller) openSession(then func()) {
+// openSession tries to open a session. It calls next whether or not that
+// succeeds.
+func (c *caller) openSession(next func()) {
 	node := c.connect()
 	if node == nil {
-		c.after(openRetryDelay, then)
+		c.after(openRetryDelay, next)
 		return
 	}
 	remote := c.remoteAddress
@@ -156,11 +166,11 @@
 		c.disconnect = nil
 		if session != "" && c.isConnectedBy(node, remote) {
 			c.onSessionOpened(session, sequence, sent)
-			then()
+			next()
 			return
 		}
 		c.leave()
-		c.after(retryAfter, then)
+		c.after(retryAfter, next)
 	}
 	c.disconnect = func() { finish("", 0, openRetryDelay) }
 	c.after(openTimeout, c.disconnect)
@@ -183,16 +193,16 @@
 	c.fleet.recorder.addEvent(event)
 }
 
-// withSession goes on once there is a session.
-func (c *caller) withSession(then func()) {
+// withSession calls next once there is a session.
+func (c *caller) withSession(next func()) {
 	if c.session != "" {
-		then()
+		next()
 		return
 	}
-	c.openSession(func() { c.withSession(then) })
+	c.openSession(func() { c.withSession(next) })
 }
 
-// newEvent gives the event of a request that is sent now.
+// newEvent returns the event of a request that is sent now.
 func (c *caller) newEvent(kind string) standin.Event {
 	event := standin.Event{
 		Caller: c.name, Session: c.session, Kind: kind, Database: c.database, FreshnessMS: c.stalenessMS,
@@ -204,7 +214,7 @@
 	return event
 }
 
-// newStatementEvent gives the event of a statement; reads have no request ID.
+// newStatementEvent returns the event of a statement. Reads have no request ID.
 func (c *caller) newStatementEvent(kind, requestID, text string) standin.Event {
 	event := c.newEvent(kind)
 	event.RequestID, event.Text = requestID, text
@@ -216,7 +226,7 @@
 	return fmt.Sprintf("%s.%d", c.session, c.requestsMade)
 }
 
-// acceptsSession reports whether the session outlasts a result.
+// acceptsSession reports whether the session is still usable after a result.
 func acceptsSession(result httppool.Result) bool {
 	return !result.SessionClosed && result.Cause != httppool.ErrNoSession && result.Cause != httppool.ErrNoBinding
 }
--- a/test/simulation/caller_operations.go
+++ b/test/simulation/caller_operations.go
@@ -13,18 +13,20 @@
 	maxRepeats    = 3
 	minRepeatWait = 20 * time.Millisecond
 	maxRepeatWait = 300 * time.Millisecond
-	// Of so many transactions, or statements in one, one is rolled back or
-	// abandoned.
+	// One in transactionsPerRollback transactions is rolled back, and the
+	// transaction is abandoned at one in statementsPerAbandon statements.
 	transactionsPerRollback = 8
 	statementsPerAbandon    = 25
 	maxStatements           = 3
-	// One of so many repeats of a write goes over the same session.
+	// One in repeatsPerSameSession repeats of a write uses the same session.
 	repeatsPerSameSession = 3
-	// maxTextNumber makes the texts of statements differ.
+	// maxTextNumber bounds the random numbers that make the texts of statements
+	// differ.
 	maxTextNumber = 1e6
 )
 
-// Percentages of the operations; what is left runs a prepared statement.
+// Percentages of the operations. The remaining operations run a prepared
+// statement.
 const (
 	readPercent         = 42
 	writePercent        = 40
@@ -34,13 +36,13 @@
 	readOnlyReadPercent = readPercent + writePercent + transactionPercent
 )
 
-// weightedOperation is one of the operations that are drawn by weight.
+// weightedOperation is an operation with the percentage of draws that select it.
 type weightedOperation struct {
 	percent int
 	run     func()
 }
 
-// runOperation draws the next operation.
+// runOperation draws the next operation and runs it.
 func (c *caller) runOperation() {
 	operations := []weightedOperation{
 		{readPercent, c.read}, {writePercent, c.write}, {transactionPercent, c.beginTransaction},
@@ -52,7 +54,8 @@
 	runWeighted(operations, c.drawPercent())
 }
 
-// runWeighted runs the operation that a number from 0 to 99 falls to.
+// runWeighted runs the operation whose range of percentages contains draw, a
+// number from 0 to 99.
 func runWeighted(operations []weightedOperation, draw int) {
 	for _, operation := range operations {
 		if draw < operation.percent {
@@ -63,8 +66,8 @@
 	}
 }
 
-// drawFromDeck draws a number below a count. Each comes once before any comes
-// again, so that the load is level.
+// drawFromDeck draws a number below count. Each number is drawn once before any
+// is drawn a second time, so that the load is even.
 func (c *caller) drawFromDeck(count int) int {
 	if c.fleet.config.IndependentDraws {
 		return c.random.IntN(count)
@@ -77,7 +80,8 @@
 	return first
 }
 
-// drawPercent draws a number from 0 to 99, level in its tens.
+// drawPercent draws a number from 0 to 99. Its tens digit is drawn from a deck,
+// so that each occurs equally often.
 func (c *caller) drawPercent() int {
 	if c.fleet.config.IndependentDraws {
 		return c.random.IntN(100)
@@ -102,7 +106,8 @@
 	})
 }
 
-// prepare prepares a statement. All callers use one name for many texts.
+// prepare prepares a statement. All callers use the same statement name, with
+// different texts.
 func (c *caller) prepare() {
 	text := fmt.Sprintf("look by %s prepared %d", c.name, c.random.IntN(maxTextNumber))
 	c.request(c.newEvent(history.KindPrepare), httppool.Op{Kind: httppool.OpPrepare, Name: "p", Text: text}, func(event standin.Event, open bool) {
@@ -126,8 +131,8 @@
 	c.attemptWrite(id, fmt.Sprintf("book %s by %s x", id, c.name), 0)
 }
 
-// attemptWrite writes, and repeats the write under the same request ID while
-// its outcome is unknown.
+// attemptWrite sends a write. It repeats the write under the same request ID
+// while the outcome is unknown, up to maxRepeats times.
 func (c *caller) attemptWrite(id, text string, repeats int) {
 	event := c.newStatementEvent(history.KindWrite, id, text)
 	event.Retry = repeats > 0
@@ -145,7 +150,7 @@
 	})
 }
 
-// isUnknown reports whether a caller does not know if its request took effect.
+// isUnknown reports whether the caller cannot tell if its request took effect.
 func isUnknown(event standin.Event) bool {
 	return event.Outcome == history.OutcomeUnknown || event.Outcome == history.OutcomeCut
 }
@@ -160,7 +165,8 @@
 	})
 }
 
-// runInTransaction writes so many statements more, and ends the transaction.
+// runInTransaction runs the remaining number of write statements, and then ends
+// the transaction.
 func (c *caller) runInTransaction(requestIDs []string, remaining int) {
 	if remaining == 0 {
 		c.endTransaction(requestIDs)
@@ -203,8 +209,8 @@
 	c.request(event, httppool.Op{Kind: httppool.OpRollback}, func(event standin.Event, _ bool) { c.onTransactionEnd(event) })
 }
 
-// attemptCommit commits, and repeats the commit under the same request ID
-// while its outcome is unknown.
+// attemptCommit sends a commit. It repeats the commit under the same request ID
+// while the outcome is unknown, up to maxRepeats times.
 func (c *caller) attemptCommit(id string, requestIDs []string, repeats int) {
 	event := c.newStatementEvent(history.KindCommit, id, "")
 	event.RequestIDs, event.Retry = requestIDs, repeats > 0
@@ -227,8 +233,8 @@
 	c.runAfterRetry(event)
 }
 
-// recordAbandoned records that the caller left in a transaction, which must
-// not take effect.
+// recordAbandoned records that the caller disconnected within a transaction,
+// which must not take effect.
 func (c *caller) recordAbandoned(requestIDs []string) {
 	event := c.newEvent(history.KindRollback)
 	event.RequestIDs, event.AnsweredAt, event.Outcome = requestIDs, int64(c.simulator.now), history.OutcomeLeft
--- a/test/simulation/caller_request.go
+++ b/test/simulation/caller_request.go
@@ -11,27 +11,28 @@
 
 const (
 	requestTimeout = 6500 * time.Millisecond
-	// One of so many requests has a deadline of its own.
+	// One in requestsPerDeadline requests has its own deadline.
 	requestsPerDeadline = 12
 	minDeadlineMS       = 5
 	deadlineRangeMS     = 400
 )
 
-// callerRequest is a request that is pending.
+// callerRequest is a pending request of a caller.
 type callerRequest struct {
 	caller *caller
 	number uint64
 	event  standin.Event
-	// node and remote are those of the connection that it was sent by.
+	// node is the peer of the connection over which the request was sent, remote
+	// the caller's address on it.
 	node     *node
 	remote   string
 	finished bool
-	// done receives the event of the answer, and whether the session is still
-	// open.
+	// done is called with the event of the answer. open is true if the session
+	// is still open.
 	done func(event standin.Event, open bool)
 }
 
-// request sends an operation, and records what becomes of it.
+// request sends an operation, and records its outcome.
 func (c *caller) request(event standin.Event, op httppool.Op, done func(event standin.Event, open bool)) {
 	number := c.fleet.recorder.beginRequest(event)
 	r := &callerRequest{caller: c, number: number, event: event, node: c.node, remote: c.remoteAddress, done: done}
@@ -55,7 +56,7 @@
 	})
 }
 
-// drawDeadline gives a deadline to some of the requests; 0 for none.
+// drawDeadline returns a deadline for some of the requests, and 0 for the others.
 func (c *caller) drawDeadline() time.Duration {
 	if c.fleet.windows.enabled || c.random.IntN(requestsPerDeadline) != 0 {
 		return 0
@@ -69,7 +70,8 @@
 	}
 }
 
-// finish ends the request by its result, or by the loss of the connection.
+// finish ends the request with its result. cut is true if the connection was lost
+// or the request timed out instead.
 func (r *callerRequest) finish(result httppool.Result, cut bool) {
 	if r.finished {
 		return
--- a/test/simulation/caller_test.go
+++ b/test/simulation/caller_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestCallersDrawOperationsEvenly(t *testing.T) {
-	Convey("Of ten turns of a caller each tenth of the draws comes once, in an order of chance", t, func() {
+	Convey("A caller's ten draws have each tens digit once, in random order", t, func() {
 		c := &caller{fleet: &fleet{}, decks: map[int][]int{}, random: rand.New(rand.NewPCG(1, 1))}
 		var orders []string
 		for range 50 {
--- a/test/simulation/concurrency.go
+++ b/test/simulation/concurrency.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// runConcurrently makes independent runs, so many at once as there are jobs,
-// and gives their results in the order of the index.
+// runConcurrently executes count independent runs, at most jobs of them at once,
+// and returns their results in the order of the index.
 func runConcurrently[T any](count uint64, jobs int, run func(index uint64) T) []T {
 	results := make([]T, count)
 	slots := make(chan struct{}, jobs)
--- a/test/simulation/config.go
+++ b/test/simulation/config.go
@@ -2,66 +2,70 @@
 
 import "time"
 
-// Defects are put on purpose into what surrounds the product's machines, to
-// show that the checks find them.
+// Defects are planted in the simulated environment of the product's state
+// machines, to show that the checks detect them.
 type Defects struct {
 	// OverlongLeases makes each lease that a node receives a hundred times
 	// longer.
 	OverlongLeases bool
-	// BlankIdempotencyRecords has other nodes answer that they know nothing
+	// BlankIdempotencyRecords makes other nodes answer that they have no record
 	// of a request.
 	BlankIdempotencyRecords bool
-	// InflatedReplicaPositions shows replicas at the position of the furthest
-	// instance.
+	// InflatedReplicaPositions reports replicas at the most advanced position of
+	// any instance of their database.
 	InflatedReplicaPositions bool
-	// OutdatedPrimaryPositions shows primaries at their position of 4 s ago.
+	// OutdatedPrimaryPositions reports primaries at their position of 4 s ago.
 	OutdatedPrimaryPositions bool
-	// PromoteWorstReplica has failovers promote the replica that is furthest
+	// PromoteWorstReplica makes failovers promote the replica that is furthest
 	// behind.
 	PromoteWorstReplica bool
-	// ResendUnanswered sends a request again when its answer is lost.
+	// ResendUnanswered makes nodes resend a request when its answer is lost.
 	ResendUnanswered bool
-	// IgnoreLeaving hides from nodes that an instance is leaving.
+	// IgnoreLeaving hides from nodes the fact that an instance is leaving.
 	IgnoreLeaving bool
-	// DirtyConnections has instances report connections with state as clean.
+	// DirtyConnections makes instances report connections that have session
+	// state as clean.
 	DirtyConnections bool
-	// AbruptStop has a planned stop not wait for forwarded requests.
+	// AbruptStop makes a planned stop skip the wait for forwarded requests.
 	AbruptStop bool
-	// AlteredBindings has the control primary write other bindings than it
-	// was sent.
+	// AlteredBindings makes the control primary write other bindings than it
+	// received.
 	AlteredBindings bool
-	// ReadWithoutPrimacy has control servers answer reads also when they are
+	// ReadWithoutPrimacy makes control servers answer reads even if they are
 	// not primary.
 	ReadWithoutPrimacy bool
 }
 
-// Config is the size of a simulated fleet, and what befalls it.
+// Config is the size of a simulated fleet, its load and its faults.
 type Config struct {
 	Controls  int
 	Nodes     int
 	Databases int
 	Callers   int
-	// Connections and Slots are those of each instance.
+	// Connections is the maximum number of connections of each instance, Slots
+	// the number of operations that it runs at once.
 	Connections, Slots int
-	// WarmUp is how long callers are served before the first fault.
+	// WarmUp is the time for which callers are served before the first fault.
 	WarmUp time.Duration
-	// FaultDuration is how long faults are injected; RecoveryDuration follows
-	// without any.
+	// FaultDuration is the length of the fault phase. RecoveryDuration is the
+	// length of the phase without faults that follows it.
 	FaultDuration, RecoveryDuration time.Duration
-	// AllowedFaults, where given, names the faults that may be injected, and
-	// MaxFaultDuration bounds them then.
+	// AllowedFaults, if set, names the faults that may be injected.
+	// MaxFaultDuration then bounds the duration of each fault.
 	AllowedFaults    []string
 	MaxFaultDuration time.Duration
-	// IndependentDraws has callers draw each operation independently, and go
-	// on in a transaction whose end failed, as they did when some of the kept
-	// seeds were found. Otherwise they shuffle the operations, so that the
-	// load is level, and leave after such an end.
+	// IndependentDraws makes callers draw each operation independently, and keep
+	// their session, which may still be in the transaction, after a commit or
+	// rollback failed. Callers did so when some of the regression seeds were
+	// found. Otherwise callers shuffle the operations, so that the load is even,
+	// and disconnect after such a failure.
 	IndependentDraws bool
-	// Script, where given, is run in place of random faults.
+	// Script, if set, runs in place of random faults.
 	Script func(*fleet)
 }
 
-// SmallConfig gives a fleet with three control servers and one database.
+// SmallConfig returns the configuration of a fleet with three control servers
+// and one database.
 func SmallConfig() Config {
 	return Config{
 		Controls: 3, Nodes: 5, Databases: 1, Callers: 24, Connections: 24, Slots: 4,
@@ -69,7 +73,8 @@
 	}
 }
 
-// LargeConfig gives a fleet with five control servers and two databases.
+// LargeConfig returns the configuration of a fleet with five control servers and
+// two databases.
 func LargeConfig() Config {
 	config := SmallConfig()
 	config.Controls, config.Nodes, config.Databases = 5, 4, 2
--- a/test/simulation/connection.go
+++ b/test/simulation/connection.go
@@ -8,16 +8,19 @@
 )
 
 const (
-	// lossDetectionDelay is how soon a node sees that an answer will not
-	// come, resetDetectionDelay how soon it sees a reset.
+	// lossDetectionDelay is the time after which a node detects that an answer
+	// will not arrive, resetDetectionDelay the time after which it detects a
+	// connection reset.
 	lossDetectionDelay  = 100 * time.Microsecond
 	resetDetectionDelay = 500 * time.Microsecond
-	// blockedRetryInterval is that of a stream whose link is blocked.
+	// blockedRetryInterval is the time between delivery attempts of a stream
+	// whose link is blocked.
 	blockedRetryInterval = 200 * time.Millisecond
 	minMessageGap        = 10 * time.Microsecond
 	maxMessageGap        = 200 * time.Microsecond
-	// An instance sees the crash of a node soon, or, where the node vanished,
-	// by its own time-out.
+	// An instance detects the crash of a node after minCrashDetection to
+	// maxCrashDetection. If the node vanished without a reset, the instance
+	// detects it by its own time-out, vanishedNodeTimeout.
 	minCrashDetection      = 200 * time.Microsecond
 	maxCrashDetection      = 3 * time.Millisecond
 	vanishedNodeTimeout    = 5 * time.Second
@@ -27,7 +30,7 @@
 )
 
 // connection is a node's connection to an instance. The node's end has at most
-// one request out.
+// one outstanding request.
 type connection struct {
 	node                *node
 	nodeIncarnation     int
@@ -38,18 +41,18 @@
 	closed              bool
 	pendingReply        func(reply httppool.Reply, broken bool)
 
-	// session is the instance's end.
+	// session is the state of the instance's end.
 	session instanceSession
 }
 
-// messageStream delivers messages of one direction in order.
+// messageStream delivers the messages of one direction in order.
 type messageStream struct {
 	queue      []func()
 	delivering bool
 }
 
 // direction is one direction of a connection, with the incarnation of the
-// receiver that it leads to.
+// receiver that its messages are for.
 type direction struct {
 	stream      *messageStream
 	from, to    *machine
@@ -64,7 +67,7 @@
 	return direction{&c.toNode, &c.instance.machine, &c.node.machine, c.nodeIncarnation}
 }
 
-// accept opens the instance's end.
+// accept opens the instance's end of the connection.
 func (c *connection) accept() {
 	c.instanceIncarnation = c.instance.incarnation
 	c.instance.connectionsMade++
@@ -83,8 +86,9 @@
 	}
 }
 
-// deliverNext delivers the first message of a stream, and goes on with the
-// rest after a while. A blocked link holds the stream up.
+// deliverNext delivers the first message of a stream, and schedules the next
+// delivery after a random gap. While the link is blocked, it retries after
+// blockedRetryInterval. It resets the connection if the receiver has crashed.
 func (c *connection) deliverNext(dir direction) {
 	s := c.node.simulator
 	blocked := s.network.blocked[link{dir.from.name, dir.to.name}] || (!dir.to.running && dir.to.vanished)
@@ -106,7 +110,8 @@
 	s.after(s.randomDuration(minMessageGap, maxMessageGap), func() { c.deliverNext(dir) })
 }
 
-// request sends an operation; done receives the reply, or that there is none.
+// request sends an operation. done is called with the reply, or with broken set
+// if the connection failed before a reply arrived.
 func (c *connection) request(op httppool.Op, done func(reply httppool.Reply, broken bool)) {
 	if c.closed {
 		c.node.after(lossDetectionDelay, func() { done(httppool.Reply{}, true) })
@@ -116,7 +121,7 @@
 	c.enqueue(c.towardsInstance(), func() { c.instance.runOperation(c, op) })
 }
 
-// reply sends the instance's reply.
+// reply sends the instance's reply to the node.
 func (c *connection) reply(reply httppool.Reply) {
 	c.enqueue(c.towardsNode(), func() { c.finishRequest(reply, false) })
 }
@@ -129,14 +134,15 @@
 	}
 }
 
-// failRequest has the node see that the reply will not come.
+// failRequest notifies the node that the reply will not arrive.
 func (c *connection) failRequest() {
 	if c.node.incarnation == c.nodeIncarnation {
 		c.node.after(lossDetectionDelay, func() { c.finishRequest(httppool.Reply{}, true) })
 	}
 }
 
-// reset ends the connection at both ends at once, with what was on its way.
+// reset closes both ends of the connection at once, and drops the messages in
+// flight.
 func (c *connection) reset() {
 	if c.closed {
 		return
@@ -152,13 +158,15 @@
 	}
 }
 
-// close ends the connection at the node's end, after what was sent before.
+// close closes the connection from the node's end. The messages that the node
+// sent before are delivered first.
 func (c *connection) close() {
 	c.failRequest()
 	c.enqueue(c.towardsInstance(), c.reset)
 }
 
-// onNodeCrash has the instance see the crash of the node.
+// onNodeCrash makes the instance detect the crash of the node. vanished is true
+// if the instance receives no reset.
 func (c *connection) onNodeCrash(vanished bool) {
 	c.pendingReply = nil
 	delay := c.node.simulator.randomDuration(minCrashDetection, maxCrashDetection)
@@ -168,8 +176,8 @@
 	c.node.simulator.after(delay, func() { c.instance.runDuring(c.instanceIncarnation, c.reset) })
 }
 
-// probePeer has the node see that the instance vanished, once it waits for
-// nothing that has a time-out of its own.
+// probePeer makes the node detect that the instance vanished, once the node
+// waits for no reply. A request that waits has its own time-out.
 func (c *connection) probePeer() {
 	if c.pendingReply != nil {
 		c.node.simulator.after(connectionProbeTimeout, c.probePeer)
