--- a/test/simulation/control.go
+++ b/test/simulation/control.go
@@ -18,13 +18,13 @@
 	controlStartDelay    = time.Millisecond
 	controlTickInterval  = 20 * time.Millisecond
 	singletonsStartDelay = 5 * time.Millisecond
-	// keptFileVersions is how many versions of each file a control server
-	// keeps.
+	// keptFileVersions is the number of versions of each file that a control
+	// server keeps.
 	keptFileVersions = 4
 )
 
-// controlServer is a control server: the product's consensus, distribution
-// and singleton machines on a simulated disk.
+// controlServer is a control server. It runs the product's consensus,
+// distribution and singleton state machines on a simulated disk.
 type controlServer struct {
 	machine
 	plane       *controlPlane
@@ -33,25 +33,27 @@
 	consensus   *consensus.Machine
 	distributor *distribution.Machine
 	singleton   *singleton.Machine
-	// syncFailover is what the server knows of instances that replicate
+	// syncFailover holds the server's observations of instances that replicate
 	// synchronously.
 	syncFailover *syncrepl.Observer
-	// announcements has, by instance, the newest announcement.
+	// announcements has the newest announcement of each instance, by name.
 	announcements map[string]distribution.Observation
 
 	gate consensus.SyncGate
-	// primacyUntil is when the server's lease as primary ends, on its clock.
+	// primacyUntil is the time on the server's clock at which its lease as
+	// primary ends.
 	primacyUntil time.Duration
-	// pendingWrites and pendingUpdates have those who wait, by token.
+	// pendingWrites and pendingUpdates have the callbacks of writes and of
+	// requests for updates that are not yet answered, by token.
 	pendingWrites  map[uint64]func(consensus.SubmitResult)
 	pendingUpdates map[uint64]func(distribution.Update)
 	lastToken      uint64
-	// lastAwaited numbers, by database, the answers that are waited for.
+	// lastAwaited has, by database, the number of the last awaited answer.
 	lastAwaited map[string]int
-	// writesUntilCrash has the server crash before a write to come; 0 for
-	// never.
+	// writesUntilCrash is the number of the upcoming write before which the
+	// server crashes. 0 means that it does not crash.
 	writesUntilCrash int
-	// joinedLater says that the fleet was founded without this server.
+	// joinedLater is true if the server was added after the fleet was formed.
 	joinedLater bool
 }
 
@@ -64,7 +66,9 @@
 	c.lastAwaited = map[string]int{}
 	c.syncFailover = syncrepl.NewObserver(c.name)
 	c.store = versionfile.NewStore(c.disk, keptFileVersions)
-	saved, err := consensus.Load(c.store, func(kind string, passed int) { c.simulator.record("%s passed over %d %s", c.name, passed, kind) })
+	saved, err := consensus.Load(c.store, func(kind string, skipped int) {
+		c.simulator.record("%s skipped corrupt files: %d %s", c.name, skipped, kind)
+	})
 	if err != nil {
 		c.simulator.record("%s cannot read its disk: %v", c.name, err)
 		c.running = false
@@ -89,7 +93,8 @@
 
 func (c *controlServer) isPrimary() bool { return c.clock() < c.primacyUntil }
 
-// wallNow gives the wall time that the server goes by, in Unix nanoseconds.
+// wallNow returns the wall time of the server's consensus machine, in Unix
+// nanoseconds.
 func (c *controlServer) wallNow() int64 { return c.consensus.WallNanos(c.clock()) }
 
 func (c *controlServer) tick() {
@@ -100,14 +105,15 @@
 	c.after(controlTickInterval, c.tick)
 }
 
-// step passes an event to consensus. Effects that need a sync wait in the
-// gate.
+// step passes an event to the consensus machine. Effects that depend on a disk
+// sync wait in the gate.
 func (c *controlServer) step(event any) {
 	c.applyEffects(c.gate.Pass(c.consensus.Step(event, c.clock()), c.clock()))
 }
 
-// applyEffects shortens primacy at once, and extends it only after the
-// effects that may belong to a change of epoch.
+// applyEffects carries out effects. It shortens primacy before the effects. It
+// extends primacy only after them, because they may belong to a change of epoch,
+// and not while a change of epoch waits in the gate.
 func (c *controlServer) applyEffects(effects []consensus.Effect) {
 	leaseUntil := time.Duration(0)
 	if c.consensus.IsPrimary(c.clock()) {
@@ -153,8 +159,8 @@
 	})
 }
 
-// submit has the table written; done receives the result, unless the server
-// crashes.
+// submit submits a write of the table. done is called with the result, unless
+// the server crashes.
 func (c *controlServer) submit(build func(*store.Table) []store.Put, done func(consensus.SubmitResult)) {
 	c.lastToken++
 	token := c.lastToken
@@ -170,8 +176,8 @@
 	}
 }
 
-// onUpdateRequest answers a node's request for an update, now or when there is
-// one.
+// onUpdateRequest answers a node's request for an update, at once or as soon as
+// there is an update.
 func (c *controlServer) onUpdateRequest(request distribution.UpdateRequest, answer func(distribution.Update)) {
 	if !c.isPrimary() {
 		answer(distribution.Update{Record: c.consensus.Record()})
@@ -192,7 +198,8 @@
 	}
 }
 
-// submitDueWrites has a primary write what its distributor wants written.
+// submitDueWrites submits the due writes of the distributor, if the server is
+// primary.
 func (c *controlServer) submitDueWrites() {
 	if !c.isPrimary() {
 		return
@@ -207,7 +214,7 @@
 	}
 }
 
-// announcementsByName gives the announcements in the order of the names.
+// announcementsByName returns the announcements sorted by instance name.
 func (c *controlServer) announcementsByName() []distribution.Observation {
 	var list []distribution.Observation
 	for _, name := range slices.Sorted(maps.Keys(c.announcements)) {
--- a/test/simulation/control_elections.go
+++ b/test/simulation/control_elections.go
@@ -6,8 +6,8 @@
 	"tansyseam/internal/coordination/singleton"
 )
 
-// runSingletons does what is due at the control server itself, and then what
-// the singleton roles ask for.
+// runSingletons does the due work of the control server itself, and then the work
+// of its singleton roles.
 func (c *controlServer) runSingletons() {
 	c.after(singleton.TickInterval, c.runSingletons)
 	c.flushUpdates()
@@ -23,8 +23,8 @@
 	c.campaign(state)
 }
 
-// refreshDatabases learns the databases from the primary, which may be this
-// server.
+// refreshDatabases requests the list of databases from the primary, which may be
+// this server.
 func (c *controlServer) refreshDatabases() {
 	primary := c.plane.findControl(c.consensus.Record().Primary)
 	if primary == nil {
@@ -47,7 +47,8 @@
 	return singleton.NodeState{Primary: c.isPrimary(), FailoverActive: c.distributor.IsSyncFailoverActive()}
 }
 
-// campaign stands for singleton roles, and attends to those that are held.
+// campaign requests votes for singleton roles, and evaluates the databases whose
+// roles the server holds.
 func (c *controlServer) campaign(state singleton.NodeState) {
 	for _, effect := range c.singleton.Campaign(state, c.clock()) {
 		if request, ok := effect.(singleton.RequestVotes); ok {
@@ -74,8 +75,9 @@
 }
 
 // awaitAnswer begins to wait for an answer about a database under evaluation,
-// and ends the evaluation when it does not come. The function that it gives
-// says of an answer whether it came in time.
+// and ends the evaluation if no answer arrives within the time-out. The returned
+// function must be called when the answer arrives. It reports whether the answer
+// arrived in time.
 func (c *controlServer) awaitAnswer(database string, timeout time.Duration) (inTime func() bool) {
 	c.lastAwaited[database]++
 	number := c.lastAwaited[database]
--- a/test/simulation/control_evaluation.go
+++ b/test/simulation/control_evaluation.go
@@ -9,8 +9,8 @@
 	"tansyseam/internal/state/store"
 )
 
-// requestEvidence asks the primary for what is known of a database, and
-// decides by it.
+// requestEvidence requests the evidence about a database from the primary, and
+// decides on it.
 func (c *controlServer) requestEvidence(evaluate singleton.Evaluate) {
 	database := evaluate.Database
 	primary := c.plane.findControl(c.consensus.Record().Primary)
@@ -32,9 +32,9 @@
 	})
 }
 
-// decisionBy gathers the evidence at the primary, and gives the decision that
-// it leads to. There is none where the primary takes the database for one of the
-// other kind of replication.
+// decisionBy gathers the evidence at the primary, and returns a function that
+// decides on it. If the primary has the database recorded with the other kind of
+// replication, the function only ends the evaluation.
 func (c *controlServer) decisionBy(primary *controlServer, evaluate singleton.Evaluate) func() {
 	evidence := primary.distributor.FailoverEvidence(evaluate.Database, primary.announcementList(), primary.wallNow(), primary.clock())
 	if evaluate.Synced && evidence.Sync.Database == evaluate.Database {
@@ -46,8 +46,8 @@
 	return func() { c.singleton.EndEvaluation(evaluate.Database) }
 }
 
-// announcementList gives the announcements in the order in which the
-// instances were made.
+// announcementList returns the announcements in the order in which the instances
+// were created.
 func (c *controlServer) announcementList() []distribution.Observation {
 	var list []distribution.Observation
 	for _, name := range c.plane.backends.instanceNames() {
@@ -58,15 +58,15 @@
 	return list
 }
 
-// decision is that of one evaluation by a control server.
+// decision is the outcome of one evaluation of a database by a control server.
 type decision struct {
 	primary  *controlServer
 	database string
-	// previous is the writer role that the decision goes by.
+	// previous is the writer role on which the decision is based.
 	previous       model.WriterRole
 	previousExists bool
-	// act carries out what is not a record, recorded hears of each record
-	// that was committed.
+	// act carries out an effect other than a Record. recorded is called with
+	// each Record that was committed.
 	act      func(effect failover.Effect)
 	recorded func(failover.Record)
 }
@@ -86,9 +86,9 @@
 	executor.Execute(effects)
 }
 
-// recordDecision has the primary commit a change of the writer role, and goes
-// on once that is done.
-func (c *controlServer) recordDecision(decided decision, record failover.Record, then func()) {
+// recordDecision requests that the primary commit a change of the writer role,
+// and calls next once it is committed.
+func (c *controlServer) recordDecision(decided decision, record failover.Record, next func()) {
 	primary, database := decided.primary, decided.database
 	change := distribution.NewWriterRoleChange(decided.previous, decided.previousExists, record, c.name)
 	inTime := c.awaitAnswer(database, failover.RecordTimeout)
@@ -101,7 +101,7 @@
 			return
 		}
 		c.simulator.record("%s records %s: %s (%s)", c.name, database, record.Change, record.Reason)
-		then()
+		next()
 	}
 	c.simulator.send(&c.machine, &primary.machine, func() {
 		if primary.isPrimary() {
@@ -112,8 +112,8 @@
 	})
 }
 
-// commitWriterRole commits a change of a writer role, unless the role is no
-// longer what the change goes by.
+// commitWriterRole commits a change of a writer role, unless the role has changed
+// since the decision was made.
 func (c *controlServer) commitWriterRole(change distribution.WriterRoleChange, done func(committed bool)) {
 	accepted := false
 	c.submit(func(table *store.Table) []store.Put {
--- a/test/simulation/control_failover.go
+++ b/test/simulation/control_failover.go
@@ -11,23 +11,24 @@
 )
 
 const (
-	// primaryLossDuration is how long each loss lasts, and how long is looked
-	// for what comes after.
+	// primaryLossDuration is the duration of each loss, and the maximum time for
+	// which the failover is measured.
 	primaryLossDuration = 4 * time.Second
 	failoverCheckPeriod = time.Millisecond
 	probeWriteInterval  = 50 * time.Millisecond
 )
 
-// ControlFailover is how control came back after its primary was lost.
+// ControlFailover is the measurement of one failover of the control primary.
 type ControlFailover struct {
 	Seed uint64
-	// Primacy is the time until another server was primary, FirstWrite until
-	// one of the writes that were submitted again and again was committed by
-	// it and a backup. Both are in virtual time, and -1 for what did not come
+	// Primacy is the time until another server was primary. FirstWrite is the
+	// time until it and a backup committed one of the writes that are submitted
+	// periodically. Both are in virtual time, and -1 if the event did not occur
 	// within 4 s.
 	Primacy, FirstWrite time.Duration
-	// Violations counts those of a single primary and of sets; the level of
-	// service is not judged with so few callers.
+	// Violations counts the violations of the rules for a single primary and for
+	// binding sets. Availability is not checked, because there are too few
+	// callers.
 	Violations int
 }
 
@@ -37,7 +38,8 @@
 	inject func(f *fleet, primary *controlServer)
 }
 
-// PrimaryLosses lists the ways; each lasts for 4 s.
+// PrimaryLosses lists the ways to lose the control primary. Each loss lasts for
+// 4 s.
 func PrimaryLosses() []PrimaryLoss {
 	return []PrimaryLoss{
 		{"crash", func(_ *fleet, primary *controlServer) { primary.crashAndRestart(primary.start, primaryLossDuration) }},
@@ -54,7 +56,7 @@
 	}
 }
 
-// failoverProbe measures the failover that follows a loss.
+// failoverProbe measures the failover that follows the loss of a primary.
 type failoverProbe struct {
 	fleet       *fleet
 	lost        *controlServer
@@ -63,8 +65,8 @@
 	measurement *ControlFailover
 }
 
-// MeasureControlFailover loses the control primary of a fleet without other
-// faults, and measures what follows.
+// MeasureControlFailover injects the loss of the control primary into a fleet
+// without other faults, and measures the failover.
 func MeasureControlFailover(seed uint64, config Config, loss PrimaryLoss) ControlFailover {
 	measurement := ControlFailover{Seed: seed, Primacy: -1, FirstWrite: -1}
 	config.WarmUp, config.FaultDuration, config.RecoveryDuration, config.Callers = time.Second, 6*time.Second, 6*time.Second, 2
@@ -90,7 +92,8 @@
 
 func (p *failoverProbe) elapsed() time.Duration { return p.fleet.simulator.now - p.lostAt }
 
-// check looks for another primary, and submits writes to each that is one.
+// check looks for another primary, and periodically submits a write to each
+// server that is primary.
 func (p *failoverProbe) check() {
 	for _, primary := range p.fleet.primaries() {
 		if primary.frozen {
@@ -119,8 +122,8 @@
 	})
 }
 
-// MeasureControlFailovers measures consecutive seeds, so many at once as there
-// are jobs, and counts the violations.
+// MeasureControlFailovers measures count consecutive seeds, at most jobs of them
+// at once. It returns the times of each seed, and the total of the violations.
 func MeasureControlFailovers(from, count uint64, config Config, loss PrimaryLoss, jobs int) (primacy, firstWrites []time.Duration, violations int) {
 	results := runConcurrently(count, jobs, func(index uint64) ControlFailover { return MeasureControlFailover(from+index, config, loss) })
 	for _, result := range results {
@@ -131,8 +134,8 @@
 	return primacy, firstWrites, violations
 }
 
-// Quantile gives the smallest of the durations that a part of all, from 0 to
-// 1, do not exceed; -1 for none.
+// Quantile returns the quantile of the durations at part, which is from 0 to 1.
+// It is always one of the durations. Quantile returns -1 if there are none.
 func Quantile(durations []time.Duration, part float64) time.Duration {
 	if len(durations) == 0 {
 		return -1
--- a/test/simulation/control_failover_test.go
+++ b/test/simulation/control_failover_test.go
@@ -14,7 +14,7 @@
 	onlyWithoutRace(t)
 	timing := consensus.DefaultTiming()
 	diskFaults := map[string]bool{"disk hangs": true, "disk refuses": true}
-	Convey("However control's primary is lost, another holds primacy soon, and never before the old one's has lapsed; soon after, a write is kept", t, func() {
+	Convey("However the control primary is lost, another server becomes primary soon, but only after the old lease has expired, and a write is committed soon after", t, func() {
 		for _, config := range []Config{SmallConfig(), LargeConfig()} {
 			for _, loss := range PrimaryLosses() {
 				bound := timing.PrimaryLease + timing.RenewInterval
@@ -22,7 +22,7 @@
 					bound += timing.ReplyTimeout
 				}
 				primacy, firstWrites, violations := MeasureControlFailovers(500, 16, config, loss, 8)
-				description := fmt.Sprintf("%d machines, %s: primacy %v, kept %v", config.Controls, loss.Name, primacy, firstWrites)
+				description := fmt.Sprintf("%d control servers, %s: primacy %v, first write %v", config.Controls, loss.Name, primacy, firstWrites)
 				SoMsg(description, violations, ShouldEqual, 0)
 				SoMsg(description, Quantile(primacy, 0), ShouldBeGreaterThan, timing.PrimaryLease*9/10-timing.RenewInterval)
 				SoMsg(description, Quantile(primacy, 0.5), ShouldBeBetween, 0, bound)
@@ -35,7 +35,7 @@
 }
 
 func TestQuantile(t *testing.T) {
-	Convey("A quantile is one of the spans; what did not come sorts first, and is no span", t, func() {
+	Convey("A quantile is one of the durations, of which -1 for a missing event sorts first, or -1 if there are none", t, func() {
 		durations := []time.Duration{5, 1, 4, 2, 3}
 		So(Quantile(durations, 0), ShouldEqual, 1)
 		So(Quantile(durations, 0.5), ShouldEqual, 3)
--- a/test/simulation/control_plane.go
+++ b/test/simulation/control_plane.go
@@ -9,31 +9,33 @@
 	"tansyseam/internal/coordination/failover/syncrepl"
 )
 
-// primaryCheckInterval is how often it is checked that there is one primary.
+// primaryCheckInterval is the time between checks for more than one primary.
 const primaryCheckInterval = 5 * time.Millisecond
 
-// backends are the database instances that control looks after.
+// backends are the database instances that the control servers manage.
 type backends interface {
-	// instanceNames lists the instances in the order of their making.
+	// instanceNames lists the instances in the order of their creation.
 	instanceNames() []string
-	// decideAsync and decideSync have a control server decide on evidence
-	// that the control primary gathered.
+	// decideAsync and decideSync make a control server decide on evidence that
+	// the control primary gathered.
 	decideAsync(control, primary *controlServer, evidence asyncrepl.Evidence)
 	decideSync(control, primary *controlServer, evidence syncrepl.Evidence)
 }
 
-// controlPlane is the control servers of a fleet, and what both kinds of
-// fleets have beside them.
+// controlPlane holds the control servers of a fleet, and the other state that
+// both kinds of fleets have.
 type controlPlane struct {
 	simulator *simulator
 	backends  backends
 	databases []string
 	recorder  recorder
 	faults    faultState
-	// foundingServers is how many servers the fleet was founded with.
+	// foundingServers is the number of control servers with which the fleet was
+	// formed.
 	foundingServers int
 	controls        []*controlServer
-	// removedControls were replaced for good.
+	// removedControls are the control servers that were replaced. They do not
+	// return.
 	removedControls []*controlServer
 }
 
@@ -59,8 +61,8 @@
 	return names
 }
 
-// findControl gives a control server by its name, also one that was removed;
-// nil for none.
+// findControl returns a control server by its name, including removed ones. It
+// returns nil if there is none.
 func (p *controlPlane) findControl(name string) *controlServer {
 	for _, control := range slices.Concat(p.controls, p.removedControls) {
 		if control.name == name {
@@ -70,8 +72,8 @@
 	return nil
 }
 
-// primaries gives the control servers that are primary by their own clocks,
-// also frozen ones. More than one is a violation.
+// primaries returns the control servers that are primary by their own clocks,
+// including frozen ones. More than one is a violation.
 func (p *controlPlane) primaries() []*controlServer {
 	var found []*controlServer
 	for _, control := range p.controls {
@@ -82,7 +84,7 @@
 	return found
 }
 
-// activePrimary gives the first primary that is not frozen; nil for none.
+// activePrimary returns the first primary that is not frozen, or nil.
 func (p *controlPlane) activePrimary() *controlServer {
 	for _, primary := range p.primaries() {
 		if !primary.frozen {
@@ -92,7 +94,8 @@
 	return nil
 }
 
-// checkSinglePrimaryUntil checks that at most one control server is primary.
+// checkSinglePrimaryUntil checks periodically until the given time that at most
+// one control server is primary.
 func (p *controlPlane) checkSinglePrimaryUntil(until time.Duration) {
 	if primaries := p.primaries(); len(primaries) > 1 {
 		p.recorder.addViolation("%v hold primacy at once at %v", controlNames(primaries), p.simulator.now)
@@ -102,8 +105,8 @@
 	}
 }
 
-// isControlHealthy reports whether every voter is a running member at rest
-// that knows of a backup, so that the fleet survives the loss of one.
+// isControlHealthy reports whether every voter is a running member that is
+// settled and has a backup recorded, so that the fleet survives the loss of one.
 func (p *controlPlane) isControlHealthy() bool {
 	var voters []string
 	for _, primary := range p.primaries() {
--- a/test/simulation/control_replacement.go
+++ b/test/simulation/control_replacement.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	// maxReplacedControls bounds how many control servers of a run are
-	// replaced.
+	// maxReplacedControls is the maximum number of control servers that a run
+	// replaces.
 	maxReplacedControls = 6
-	// controlStopTimeout is how long a control server that is stopped waits
-	// for others to take over its roles.
+	// controlStopTimeout is the maximum time for which a stopping control server
+	// waits for others to take over its roles.
 	controlStopTimeout       = 5 * time.Second
 	controlStopCheckInterval = 20 * time.Millisecond
 )
 
-// replaceControl removes a control server of a healthy fleet for good, and
-// starts one with a blank disk after a span. Where that is planned, the new
-// one is started first.
+// replaceControl removes a control server of a healthy fleet permanently, and
+// starts a new one with a blank disk. A planned replacement starts the new server
+// first and stops the old one after the duration. Otherwise the old server
+// crashes, and the new one starts after the duration.
 func (p *controlPlane) replaceControl(old *controlServer, duration time.Duration, planned bool) {
 	if !p.isControlHealthy() || len(p.removedControls) >= maxReplacedControls {
 		return
@@ -37,21 +38,21 @@
 	})
 }
 
-// restartControl stops a control server as planned, and starts it again after
-// a span.
+// restartControl stops a control server as planned, and starts it again after the
+// duration.
 func (p *controlPlane) restartControl(control *controlServer, duration time.Duration) {
 	control.stop(func() {
 		p.simulator.after(duration, func() { control.ensureRunning(control.start) })
 	})
 }
 
-// stop tells a control server to stop, which it does once it has no role, or
-// after a time-out.
-func (c *controlServer) stop(then func()) {
+// stop asks a control server to stop. The server stops once it has no role, or
+// after controlStopTimeout. next is called after that.
+func (c *controlServer) stop(next func()) {
 	if !c.running || c.frozen {
 		return
 	}
-	c.simulator.record("%s is told to end", c.name)
+	c.simulator.record("%s asked to stop", c.name)
 	incarnation, since := c.incarnation, c.simulator.now
 	c.step(consensus.Leave{})
 	var check func()
@@ -64,7 +65,7 @@
 			return
 		}
 		c.crash()
-		then()
+		next()
 	}
 	check()
 }
--- a/test/simulation/control_storage.go
+++ b/test/simulation/control_storage.go
@@ -14,7 +14,7 @@
 	maxWritesUntilCrash = 6
 )
 
-// startWrite begins the next write that the gate asks for, if any.
+// startWrite begins the gate's next disk task, if one is due.
 func (c *controlServer) startWrite() {
 	task, due := c.gate.Next(c.clock())
 	if !due {
@@ -42,7 +42,7 @@
 	}
 	err := consensus.RunDiskTask(c.store, task)
 	if err != nil {
-		c.simulator.record("%s is refused: %v", c.name, err)
+		c.simulator.record("%s disk write failed: %v", c.name, err)
 	}
 	c.applyEffects(c.gate.Done(err == nil, c.clock()))
 }
--- a/test/simulation/control_test.go
+++ b/test/simulation/control_test.go
@@ -9,7 +9,7 @@
 
 func TestKilledAtEachStep(t *testing.T) {
 	onlyWithoutRace(t)
-	Convey("The control primary, and its backup, killed before each of its syncs while sets are put, an epoch changes and a promotion runs", t, func() {
+	Convey("When the control primary or its backup crashes before any of its syncs, during submissions of sets, a change of epoch and a promotion, no rule is violated, and most runs promote another instance", t, func() {
 		results := runConcurrently(2*24, concurrentRuns, func(index uint64) Result {
 			config := SmallConfig()
 			config.FaultDuration, config.RecoveryDuration = 8*time.Second, 15*time.Second
@@ -37,7 +37,7 @@
 
 func TestDiskMachinesLostForGood(t *testing.T) {
 	onlyWithoutRace(t)
-	Convey("Of five disk machines, the primary is lost for good, and after the repair the next primary too", t, func() {
+	Convey("When two primaries of five control servers are lost permanently, the second one after the epoch was repaired, no rule is violated", t, func() {
 		config := LargeConfig()
 		config.FaultDuration, config.RecoveryDuration = 9*time.Second, 15*time.Second
 		var lost []*controlServer
@@ -56,7 +56,7 @@
 		So(lost[0].name, ShouldNotEqual, lost[1].name)
 		So(result.Epochs, ShouldBeGreaterThanOrEqualTo, 5)
 	})
-	Convey("Of three, one is lost with its disk and returns blank; after the repair another is", t, func() {
+	Convey("When the primary of three control servers loses its disk and returns blank, and then the next one does after the epoch was repaired, no rule is violated", t, func() {
 		config := SmallConfig()
 		config.FaultDuration, config.RecoveryDuration = 12*time.Second, 15*time.Second
 		config.Script = func(f *fleet) {
@@ -74,17 +74,17 @@
 	})
 }
 
-// cutOffRun is what a run showed in which the control primary was cut off.
+// cutOffRun is the result of a run in which the control primary was cut off.
 type cutOffRun struct {
 	violations map[string][]string
-	// answeredReads counts the operators' reads that were answered.
+	// answeredReads is the number of operators' reads that were answered.
 	answeredReads int
-	// hasSuccessor says that another server was primary soon.
+	// hasSuccessor is true if another server was primary 4 s after the cut.
 	hasSuccessor bool
 }
 
 // cutOffPrimary cuts the control primary off from the other control servers for
-// 20 s. The function blocked gives the links that are cut between it and each
+// 20 s. The function blocked returns the links that are cut between it and each
 // other server.
 func cutOffPrimary(seed uint64, blocked func(isolated, other string) []link, defects Defects) cutOffRun {
 	run := cutOffRun{}
@@ -114,17 +114,17 @@
 	onlyWithoutRace(t)
 	bothWays := func(isolated, other string) []link { return []link{{isolated, other}, {other, isolated}} }
 	cuts := map[string]func(isolated, other string) []link{
-		"both ways":     bothWays,
-		"none hears it": func(isolated, other string) []link { return []link{{isolated, other}} },
-		"it hears none": func(isolated, other string) []link { return []link{{other, isolated}} },
-		"not from c3": func(isolated, other string) []link {
+		"both ways":             bothWays,
+		"only from the primary": func(isolated, other string) []link { return []link{{isolated, other}} },
+		"only to the primary":   func(isolated, other string) []link { return []link{{other, isolated}} },
+		"both ways, except for c3": func(isolated, other string) []link {
 			if other == "c3" {
 				return nil
 			}
 			return bothWays(isolated, other)
 		},
 	}
-	Convey("A control primary is cut off from the others for 20 s, while it still meets nodes and operators: nobody reads older than was acknowledged, at most one holds primacy, and orders go on elsewhere", t, func() {
+	Convey("When the control primary is cut off from the other control servers for 20 s, but not from nodes and operators, no read is older than an acknowledged write, at most one server is primary, and another server takes over if the cut is in both directions", t, func() {
 		for name, blocked := range cuts {
 			for seed := range uint64(4) {
 				run := cutOffPrimary(40+seed, blocked, Defects{})
@@ -136,7 +136,7 @@
 			}
 		}
 	})
-	Convey("A control machine that answers reads without primacy is found by it", t, func() {
+	Convey("The checks detect a control server that answers reads without being primary", t, func() {
 		broken := 0
 		for seed := range uint64(4) {
 			run := cutOffPrimary(40+seed, bothWays, Defects{ReadWithoutPrimacy: true})
--- a/test/simulation/digest_texts.go
+++ b/test/simulation/digest_texts.go
@@ -7,6 +7,15 @@
 // valid: each pair is the present text and the earlier one. Each present text
 // stands for one earlier text only.
 var earlierTexts = strings.NewReplacer(
+	"fault injected: ", "trouble: ",
+	"all faults repaired", "all is mended",
+	" asked to stop", " is told to end",
+	" skipped corrupt files: ", " passed over ",
+	" disk write failed: ", " is refused: ",
+	" committed true conflict ", " kept true conflict ",
+	" committed false conflict ", " kept false conflict ",
+	" activated binding set ", " serves under ",
+	"session closed, or wrong term or role", "not here",
 	"status received", "told standing",
 	"decision received", "told",
 	"proposal won", "ballot won",
