--- a/test/simulation/defects_test.go
+++ b/test/simulation/defects_test.go
@@ -11,8 +11,8 @@
 )
 
 // cutOffNodeAndFreezePrimary cuts a node off and freezes the primary of its
-// database until after another was promoted. The platform does not tell the old
-// one, so that the node still finds a primary.
+// database until after another instance was promoted. The platform does not
+// demote the old primary, so that the node still finds a primary.
 func cutOffNodeAndFreezePrimary(f *fleet) {
 	isolated, old := f.nodes[0], f.currentPrimary(f.databases[0])
 	for _, control := range f.controls {
@@ -43,19 +43,19 @@
 		rule    string
 		config  Config
 	}{
-		{"nodes' leases are too long", Defects{OverlongLeases: true}, history.RuleIgnoredChanges, configWith("node cut off")},
-		{"other nodes' records of goes seem blank", Defects{BlankIdempotencyRecords: true}, history.RuleDuplicateEffects, configWith("answers lost")},
-		{"replicas seem to hold what they do not: confirmed too soon", Defects{InflatedReplicaPositions: true}, history.RuleLostCommits, configWith("replica lag", "primary crash")},
-		{"primaries seem to stand where they stood: replicas seem fresh", Defects{OutdatedPrimaryPositions: true}, history.RuleStaleReads, configWith("replica hears nothing")},
+		{"leases of nodes are too long", Defects{OverlongLeases: true}, history.RuleIgnoredChanges, configWith("node cut off")},
+		{"other nodes answer that they have no record of a request", Defects{BlankIdempotencyRecords: true}, history.RuleDuplicateEffects, configWith("answers lost")},
+		{"positions of replicas are reported too high, so that commits are confirmed too soon", Defects{InflatedReplicaPositions: true}, history.RuleLostCommits, configWith("replica lag", "primary crash")},
+		{"outdated positions of primaries are reported, so that stale replicas seem fresh", Defects{OutdatedPrimaryPositions: true}, history.RuleStaleReads, configWith("replica hears nothing")},
 		{"a request is sent again when its answer is lost", Defects{ResendUnanswered: true}, history.RuleUnsentStatements, configWith("answers lost")},
-		{"cut-off nodes write on, and confirm", Defects{OverlongLeases: true, InflatedReplicaPositions: true}, history.RuleOldPrimaryCommits, cutOff},
+		{"isolated nodes continue to write, and confirm the commits", Defects{OverlongLeases: true, InflatedReplicaPositions: true}, history.RuleOldPrimaryCommits, cutOff},
 		{"the worst replica is promoted", Defects{PromoteWorstReplica: true}, history.RuleLostCommits, configWith("replica lag", "primary crash")},
-		{"nobody hears that an instance is leaving", Defects{IgnoreLeaving: true}, history.RuleWorkAfterLeaving, configWith("instance leaving")},
-		{"instances call connections with state clean", Defects{DirtyConnections: true}, history.RuleMixedSessions, configWith("instance slow")},
-		{"a planned stop does not wait", Defects{AbruptStop: true}, history.RuleCutRequests, configWith("node stopped as planned")},
-		{"the control primary writes other bindings than were sent", Defects{AlteredBindings: true}, history.RuleInconsistentSets, configWith("instance slow")},
+		{"nodes are not notified that an instance is leaving", Defects{IgnoreLeaving: true}, history.RuleWorkAfterLeaving, configWith("instance leaving")},
+		{"instances report connections that have session state as clean", Defects{DirtyConnections: true}, history.RuleMixedSessions, configWith("instance slow")},
+		{"a planned stop does not wait for forwarded requests", Defects{AbruptStop: true}, history.RuleCutRequests, configWith("node stopped as planned")},
+		{"the control primary writes other bindings than it received", Defects{AlteredBindings: true}, history.RuleInconsistentSets, configWith("instance slow")},
 	}
-	Convey("Each planted defect breaks its rule on some of a few seeds, and the same seeds pass without it", t, func() {
+	Convey("Each planted defect violates its rule on at least one of eight seeds, and the first two seeds pass without the defect", t, func() {
 		violatingSeeds := map[string]int{}
 		for _, planted := range plantedDefects {
 			count := 0
@@ -66,7 +66,7 @@
 			}
 			violatingSeeds[planted.name] = count
 			for _, result := range runMany(1, 2, planted.config, Defects{}) {
-				SoMsg(planted.name+": without", result.Violations, ShouldBeEmpty)
+				SoMsg(planted.name+": without the defect", result.Violations, ShouldBeEmpty)
 			}
 		}
 		for name, count := range violatingSeeds {
--- a/test/simulation/disk.go
+++ b/test/simulation/disk.go
@@ -11,19 +11,20 @@
 	errFileNotFound = errors.New("no such file")
 )
 
-// disk is the simulated disk of a control server. Its files outlast a crash.
+// disk is the simulated disk of a control server. Its files survive a crash.
 type disk struct {
 	files map[string][]byte
-	// failing says that writes are refused.
+	// failing is true if writes fail with errDiskFull.
 	failing bool
-	// writeDelay is added to each write, and no write ends before hangsUntil.
+	// writeDelay is added to the duration of each write. No write ends before
+	// hangsUntil.
 	writeDelay time.Duration
 	hangsUntil time.Duration
 }
 
 func newDisk() *disk { return &disk{files: map[string][]byte{}} }
 
-// Write replaces a file. It fails with errDiskFull on a disk that is failing.
+// Write replaces a file. It returns errDiskFull if the disk is failing.
 func (d *disk) Write(name string, data []byte) error {
 	if d.failing {
 		return errDiskFull
@@ -32,7 +33,7 @@
 	return nil
 }
 
-// Read gives a file's data, or errFileNotFound.
+// Read returns the data of a file, or errFileNotFound.
 func (d *disk) Read(name string) ([]byte, error) {
 	data, found := d.files[name]
 	if !found {
@@ -41,7 +42,7 @@
 	return data, nil
 }
 
-// Names lists the files in order.
+// Names returns the sorted names of the files.
 func (d *disk) Names() ([]string, error) {
 	var names []string
 	for name := range d.files {
@@ -51,13 +52,14 @@
 	return names, nil
 }
 
-// Remove removes a file, if it is there.
+// Remove removes a file, if it exists.
 func (d *disk) Remove(name string) error {
 	delete(d.files, name)
 	return nil
 }
 
-// tear cuts the last file in half, as a crash in the middle of a write may.
+// tear truncates the last file to half of its length, as a crash during a write
+// may do.
 func (d *disk) tear() {
 	names, _ := d.Names()
 	if len(names) > 0 {
--- a/test/simulation/failover.go
+++ b/test/simulation/failover.go
@@ -8,8 +8,8 @@
 	"tansyseam/internal/coordination/failover/syncrepl"
 )
 
-// decideAsync has a control server decide on a database, and calls the
-// platform where that promotes an instance.
+// decideAsync makes a control server decide on a database. If the decision
+// promotes an instance, the server calls the platform.
 func (f *fleet) decideAsync(control, primary *controlServer, evidence asyncrepl.Evidence) {
 	effects := asyncrepl.Step(evidence, asyncrepl.DefaultTiming())
 	if f.defects.PromoteWorstReplica && len(effects) == 2 {
@@ -27,15 +27,16 @@
 	control.carryOut(decided, effects)
 }
 
-// decideSync finds that control takes a database for one whose instances
-// replicate synchronously, which none of this fleet do.
+// decideSync records a violation, because control evaluates a database as
+// synchronously replicating, but no instance of this fleet replicates
+// synchronously.
 func (f *fleet) decideSync(control, _ *controlServer, evidence syncrepl.Evidence) {
 	f.recorder.addViolation("%s is evaluated as if it replicated synchronously", evidence.Database)
 	control.singleton.EndEvaluation(evidence.Database)
 }
 
-// withWorstReplica changes a promotion to one of the replica that is furthest
-// behind.
+// withWorstReplica returns the effects of a promotion, changed to promote the
+// replica that is furthest behind.
 func withWorstReplica(evidence asyncrepl.Evidence, record failover.Record) []failover.Effect {
 	primary := evidence.Writer.Primary
 	worst := slices.MinFunc(evidence.Observations, func(a, b asyncrepl.Observation) int {
--- a/test/simulation/failover_test.go
+++ b/test/simulation/failover_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestNothingIsPromotedWithoutProof(t *testing.T) {
-	Convey("With the primary gone and the only candidate unheard, nothing is promoted until it is heard again", t, func() {
+	Convey("When the primary is down and the only candidate is unreachable, no instance is promoted until the candidate is reachable again", t, func() {
 		config := SmallConfig()
 		config.FaultDuration, config.RecoveryDuration = 12*time.Second, 15*time.Second
 		terms := []uint64{}
--- a/test/simulation/fault_catalog.go
+++ b/test/simulation/fault_catalog.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// faultCatalog has the faults of Run. Faults are drawn by their place in it,
-// so that another order gives other histories.
+// faultCatalog lists the faults of Run. Faults are drawn by their index, so that
+// another order leads to other histories.
 var faultCatalog = []faultKind[*fleet]{
 	{"control crash", (*fleet).crashControl},
 	{"control primary crash", (*fleet).crashControlPrimary},
--- a/test/simulation/faults.go
+++ b/test/simulation/faults.go
@@ -9,25 +9,26 @@
 
 const (
 	minFaultDuration = 100 * time.Millisecond
-	// Bounds of random faults, and of the time from one to the next.
+	// Bounds of the duration of random faults, and of the time from one fault to
+	// the next.
 	maxFaultDuration = 5 * time.Second
 	minFaultInterval = 200 * time.Millisecond
 	maxFaultInterval = 2500 * time.Millisecond
-	// A follow-up is a fault that meets the move of a writer role.
+	// A follow-up is a fault that is injected during the move of a writer role.
 	followUpProbability = 0.25
 	maxFollowUpDelay    = 600 * time.Millisecond
 	maxFollowUpDuration = 4 * time.Second
 )
 
-// Phases of a fleet that are counted, beside those of a writer role, when a
-// fault meets them.
+// Phases of a fleet, in addition to those of a writer role. The faults that occur
+// in each phase are counted.
 const (
 	phaseEpochChange  = "epoch change"
 	phaseSetPending   = "set pending"
 	phaseNodeStopping = "node stopping"
 )
 
-// Phases are those in which a fault may meet a fleet.
+// Phases lists the phases of a fleet for which faults are counted.
 var Phases = []string{
 	model.PhaseOpen, model.PhaseClosing, model.PhaseClosed, model.PhasePromoting, phaseEpochChange, phaseSetPending, phaseNodeStopping,
 }
@@ -35,7 +36,8 @@
 // faultKind is a kind of fault in a fleet of type F.
 type faultKind[F any] struct {
 	name string
-	// inject begins the fault; one that has an end ends after the span.
+	// inject begins the fault. A fault that is not instantaneous ends after the
+	// duration.
 	inject func(fleet F, duration time.Duration)
 }
 
@@ -54,16 +56,17 @@
 // FaultNames lists the kinds of faults of Run.
 func FaultNames() []string { return faultNames(faultCatalog) }
 
-// faultState is what a run knows of its faults.
+// faultState is the state of a run's faults.
 type faultState struct {
-	// phaseCounts counts how often each fault met each phase.
+	// phaseCounts counts how often each fault occurred in each phase, by "fault
+	// / phase".
 	phaseCounts map[string]int
-	// followUpsLeft bounds the follow-ups that are still to come.
+	// followUpsLeft is the number of follow-ups that may still be injected.
 	followUpsLeft int
-	// repaired says that the span of faults is over.
+	// repaired is true once the fault phase is over.
 	repaired bool
-	// replacingInstances says that instances are replaced in turn, which is
-	// done once.
+	// replacingInstances is true once the replacement of instances in turn has
+	// begun, which happens once in a run.
 	replacingInstances bool
 }
 
@@ -75,7 +78,7 @@
 type faultSchedule[F any] struct {
 	simulator *simulator
 	catalog   []faultKind[F]
-	// allowed, where given, names those of the catalog that may be injected.
+	// allowed, if set, names the faults of the catalog that may be injected.
 	allowed                  []string
 	maxDuration              time.Duration
 	minInterval, maxInterval time.Duration
@@ -94,7 +97,7 @@
 	s.simulator.after(s.simulator.randomDuration(s.minInterval, s.maxInterval), func() { s.runUntil(until) })
 }
 
-// injectFaultsUntil injects random faults.
+// injectFaultsUntil injects random faults until the given time.
 func (f *fleet) injectFaultsUntil(until time.Duration) {
 	schedule := faultSchedule[*fleet]{
 		simulator: f.simulator, catalog: faultCatalog, allowed: f.config.AllowedFaults, maxDuration: maxFaultDuration,
@@ -115,23 +118,24 @@
 	kind.inject(f, duration)
 }
 
-// setFor gives a variable another value for a span. The variable must not move
-// in that time, as those of a disk do when it is replaced.
+// setFor sets a variable to a temporary value for the duration. The variable must
+// not be replaced by another one in that time, as the fields of a disk are when
+// the disk is replaced.
 func setFor[T any](s *simulator, duration time.Duration, variable *T, temporary, usual T) {
 	*variable = temporary
 	s.after(duration, func() { *variable = usual })
 }
 
-// recordFault records a fault, and the phases that it meets.
+// recordFault records a fault, and counts the phases in which it occurs.
 func (p *controlPlane) recordFault(name string, duration time.Duration, phases []string) {
-	p.simulator.record("trouble: %s for %v", name, duration)
+	p.simulator.record("fault injected: %s for %v", name, duration)
 	for _, phase := range phases {
 		p.faults.phaseCounts[name+" / "+phase]++
 	}
 }
 
-// writerPhases gives the phases of the writer roles, as the control primary
-// knows them, and those of control.
+// writerPhases returns the phases of the writer roles that the control primary has
+// recorded, and the phases of the control plane.
 func (p *controlPlane) writerPhases() []string {
 	var phases []string
 	primaries := p.primaries()
@@ -152,8 +156,8 @@
 	return phases
 }
 
-// afterUnlessRepaired schedules a part of a fault, which the end of the span
-// of faults calls off.
+// afterUnlessRepaired schedules a part of a fault. The end of the fault phase
+// cancels it.
 func (p *controlPlane) afterUnlessRepaired(delay time.Duration, act func()) {
 	p.simulator.after(delay, func() {
 		if !p.faults.repaired {
@@ -162,8 +166,9 @@
 	})
 }
 
-// maybeInjectFollowUp may inject another fault soon, as the writer role of a
-// database moves.
+// maybeInjectFollowUp injects another fault after a short delay, with the
+// probability followUpProbability. It is called when the writer role of a database
+// moves.
 func (f *fleet) maybeInjectFollowUp() {
 	if f.faults.followUpsLeft == 0 || !f.simulator.chance(followUpProbability) {
 		return
@@ -174,8 +179,9 @@
 	})
 }
 
-// endFaultPhase calls off what was drawn for the span of faults and would go
-// on after it. It does so in a scripted run too, which repairs nothing else.
+// endFaultPhase cancels the follow-ups and the leaving of instances that would
+// continue after the fault phase. It does so in scripted runs too, which repair
+// nothing else.
 func (f *fleet) endFaultPhase() {
 	f.faults.repaired, f.faults.followUpsLeft = true, 0
 	for _, instance := range f.instances {
@@ -183,10 +189,10 @@
 	}
 }
 
-// repairAll ends all faults.
+// repairAll ends all faults of the fleet.
 func (f *fleet) repairAll() {
 	f.faults.repaired = true
-	f.simulator.record("all is mended")
+	f.simulator.record("all faults repaired")
 	f.simulator.repairNetwork()
 	f.loadFactor = 1
 	f.platform.repair()
--- a/test/simulation/faults_control.go
+++ b/test/simulation/faults_control.go
@@ -6,8 +6,8 @@
 	minSlowDiskDelay = 20 * time.Millisecond
 	maxSlowDiskDelay = 300 * time.Millisecond
 	maxClockError    = 3 * time.Second
-	// isolationProbability is that of a control server that is cut off being
-	// cut off both ways from another.
+	// isolationProbability is the probability that an isolated control server is
+	// cut off from another one in both directions.
 	isolationProbability = 0.7
 )
 
@@ -50,13 +50,13 @@
 
 func (p *controlPlane) fillControlDisk(duration time.Duration) { p.randomControl().fillDisk(duration) }
 
-// fillDisk has the disk refuse writes for a span.
+// fillDisk makes disk writes fail for the duration.
 func (c *controlServer) fillDisk(duration time.Duration) {
 	c.disk.failing = true
 	c.simulator.after(duration, func() { c.disk.failing = false })
 }
 
-// hangDisk has writes take until the end of a span.
+// hangDisk makes disk writes hang until the end of the duration.
 func (c *controlServer) hangDisk(duration time.Duration) {
 	c.disk.hangsUntil = c.simulator.now + duration
 }
@@ -73,8 +73,8 @@
 	p.simulator.after(duration, func() { control.disk.writeDelay = 0 })
 }
 
-// isolateControl cuts a control server off from the others, from some of them
-// one way only.
+// isolateControl blocks all messages from a control server to the others, and the
+// messages from some of the others to it.
 func (p *controlPlane) isolateControl(duration time.Duration) {
 	isolated := p.randomControl()
 	for _, control := range p.controls {
--- a/test/simulation/faults_instance.go
+++ b/test/simulation/faults_instance.go
@@ -13,8 +13,9 @@
 	maxLag         = 3 * time.Second
 	minSlowService = 50 * time.Millisecond
 	maxSlowService = 900 * time.Millisecond
-	// A replaced instance leaves first, is then down for a while, and has
-	// some time to catch up before the next is replaced.
+	// A replaced instance leaves for replacementLeavingTime, and is then down for
+	// replacementDownTime. replacementInterval is the time from one replacement
+	// to the next, in which the new instance catches up.
 	replacementLeavingTime = 4 * time.Second
 	replacementDownTime    = time.Second
 	replacementInterval    = 9 * time.Second
@@ -22,12 +23,12 @@
 
 func (f *fleet) randomInstance() *instance { return pickRandom(f.simulator, f.instances) }
 
-// randomPrimary gives the primary of a random database; nil for none.
+// randomPrimary returns the primary of a random database, or nil.
 func (f *fleet) randomPrimary() *instance {
 	return f.currentPrimary(pickRandom(f.simulator, f.databases))
 }
 
-// instancesOf gives the instances of a database.
+// instancesOf returns the instances of a database.
 func (f *fleet) instancesOf(database string) []*instance {
 	var found []*instance
 	for _, instance := range f.instances {
@@ -61,8 +62,9 @@
 	}
 }
 
-// isolateReplicaAndCrashPrimary crashes a primary that one of its replicas has
-// not received the last entries from.
+// isolateReplicaAndCrashPrimary blocks the link from a primary to one of its
+// replicas, and crashes the primary soon after, so that the replica lacks the last
+// entries.
 func (f *fleet) isolateReplicaAndCrashPrimary(duration time.Duration) {
 	database := pickRandom(f.simulator, f.databases)
 	primary := f.currentPrimary(database)
@@ -78,8 +80,8 @@
 	f.afterUnlessRepaired(f.simulator.randomDuration(0, maxCrashDelay), func() { primary.crashAndRestart(primary.start, duration) })
 }
 
-// isolateReplica blocks what an instance receives from the others of its
-// database.
+// isolateReplica blocks the messages to an instance from the other instances of
+// its database.
 func (f *fleet) isolateReplica(duration time.Duration) {
 	isolated := f.randomInstance()
 	for _, other := range f.instancesOf(isolated.database) {
@@ -112,8 +114,8 @@
 	setFor(f.simulator, duration, &instance.silent, true, false)
 }
 
-// loseInstanceData crashes one instance of the run with its data, where its
-// database has another candidate.
+// loseInstanceData crashes an instance and deletes its data, if its database is
+// healthy and has another candidate. It does so at most once in a run.
 func (f *fleet) loseInstanceData(duration time.Duration) {
 	instance := f.randomInstance()
 	if f.hasLostData() || !f.isHealthy(instance.database) || len(f.writerRole(instance.database).Candidates) < 2 {
@@ -132,8 +134,8 @@
 	return slices.ContainsFunc(f.instances, func(i *instance) bool { return i.dataLosses > 0 })
 }
 
-// isHealthy reports whether the primary of a database is settled, and all its
-// instances run and are in its term.
+// isHealthy reports whether the writer role of a database is open at its current
+// primary, and all instances of the database run and are in the primary's term.
 func (f *fleet) isHealthy(database string) bool {
 	writer, primary := f.writerRole(database), f.currentPrimary(database)
 	if primary == nil || writer.Phase != model.PhaseOpen || primary.term != writer.Term {
@@ -159,8 +161,9 @@
 	}
 }
 
-// replaceInstance has an instance leave, and then replaces it by a blank one,
-// unless its database needs its data by then.
+// replaceInstance makes an instance leave, and then replaces it by a blank one. It
+// does not replace an instance that is the primary or the only candidate by then,
+// because the database needs its data.
 func (f *fleet) replaceInstance(instance *instance) {
 	if !f.isHealthy(instance.database) {
 		return
--- a/test/simulation/faults_network.go
+++ b/test/simulation/faults_network.go
@@ -19,7 +19,8 @@
 	setFor(p.simulator, duration, &network.lossRate, faultLossRate, 0)
 }
 
-// blockOneWay blocks one direction between a node and a control server.
+// blockOneWay blocks one direction between a random node and a random control
+// server.
 func (f *fleet) blockOneWay(duration time.Duration) {
 	l := link{f.randomNode().name, f.randomControl().name}
 	if f.simulator.chance(reverseProbability) {
@@ -28,8 +29,8 @@
 	f.simulator.blockLink(l, duration)
 }
 
-// blockNode blocks all links of a node to control servers, and to peers, both
-// ways.
+// blockNode blocks all links between a node and the control servers and peers, in
+// both directions.
 func (p *controlPlane) blockNode(isolated string, peers []string, duration time.Duration) {
 	for _, control := range p.controls {
 		p.simulator.blockBothWays(link{isolated, control.name}, duration)
--- a/test/simulation/faults_node.go
+++ b/test/simulation/faults_node.go
@@ -6,12 +6,13 @@
 )
 
 const (
-	// maxAddedNodes bounds the nodes that are added to those of the
-	// configuration, maxRemovedNodes those that are removed for good.
+	// maxAddedNodes is the maximum number of nodes that are added to those of
+	// the configuration, maxRemovedNodes the maximum number of nodes that are
+	// removed permanently.
 	maxAddedNodes   = 2
 	maxRemovedNodes = 2
-	// A restart of all nodes in turn has each down for a while, and waits
-	// before the next.
+	// A restart of all nodes in turn keeps each node down for restartDownTime,
+	// and stops the next node restartInterval after the previous one.
 	restartDownTime = 300 * time.Millisecond
 	restartInterval = 1200 * time.Millisecond
 	rushLoadFactor  = 8
@@ -47,8 +48,8 @@
 	}
 }
 
-// resetCallers resets the connections of a node's callers, whether they wait
-// for an answer or not.
+// resetCallers resets the connections of all callers of a node, whether or not
+// they wait for an answer.
 func (f *fleet) resetCallers(time.Duration) {
 	for _, caller := range slices.Clone(f.randomNode().callers) {
 		disconnect := caller.disconnect
@@ -60,7 +61,8 @@
 	}
 }
 
-// haveCallersLeave has those of a node's callers leave that wait for no answer.
+// haveCallersLeave disconnects the callers of a node that do not wait for an
+// answer.
 func (f *fleet) haveCallersLeave(time.Duration) {
 	for _, caller := range slices.Clone(f.randomNode().callers) {
 		if caller.disconnect == nil {
@@ -79,7 +81,8 @@
 	}
 }
 
-// replaceNode removes a node for good, and starts another after a span.
+// replaceNode removes a node permanently, and starts another one after the
+// duration.
 func (f *fleet) replaceNode(duration time.Duration) {
 	if len(f.nodes) >= f.config.Nodes+maxAddedNodes || len(f.removedNodes) >= maxRemovedNodes {
 		return
@@ -97,7 +100,7 @@
 	setFor(f.simulator, duration, &node.weight, minNodeWeight+nodeWeightRange*f.simulator.random.Float64(), 1)
 }
 
-// isolateNode cuts a node off from control and from all nodes.
+// isolateNode cuts a node off from all control servers and all other nodes.
 func (f *fleet) isolateNode(duration time.Duration) {
 	isolated := f.randomNode()
 	var peers []string
--- a/test/simulation/faults_platform.go
+++ b/test/simulation/faults_platform.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// delayPlatform has calls of the platform take longer for a span.
+// delayPlatform delays the platform's calls by a random time for the duration.
 func (f *fleet) delayPlatform(minDelay, maxDelay, duration time.Duration) {
 	setFor(f.simulator, duration, &f.platform.delay, f.simulator.randomDuration(minDelay, maxDelay), 0)
 }
--- a/test/simulation/fleet.go
+++ b/test/simulation/fleet.go
@@ -9,18 +9,18 @@
 
 const (
 	instancesPerDatabase = 3
-	// maxFollowUps bounds the faults that are injected because the writer
-	// role of a database moves.
+	// maxFollowUps is the maximum number of faults that are injected because the
+	// writer role of a database moves.
 	maxFollowUps = 4
-	// defaultReplicationDelay and defaultServiceTime are those of instances
-	// without a fault.
+	// defaultReplicationDelay and defaultServiceTime apply to instances without
+	// a fault.
 	defaultReplicationDelay = 2 * time.Millisecond
 	defaultServiceTime      = 8 * time.Millisecond
 )
 
 var zones = []string{"za", "zb", "zc"}
 
-// fleet is a whole fleet with its callers, operators and platform.
+// fleet is a simulated fleet with its callers, operators and platform.
 type fleet struct {
 	controlPlane
 	defects      Defects
@@ -30,11 +30,11 @@
 	instances    []*instance
 	platform     *platform
 
-	// newestSequence is the newest one that operators know, and
-	// acknowledgedSequence the newest that was acknowledged to one.
+	// newestSequence is the newest sequence number that an operator received,
+	// acknowledgedSequence the newest one that was acknowledged to an operator.
 	newestSequence       uint64
 	acknowledgedSequence uint64
-	// answeredReads counts operators' reads of the newest set.
+	// answeredReads counts the answered reads of the newest set by operators.
 	answeredReads int
 	// loadFactor multiplies the load of the callers.
 	loadFactor float64
@@ -75,8 +75,8 @@
 	return created
 }
 
-// createDatabase makes a primary and replicas that follow it, each in a zone
-// of its own.
+// createDatabase creates the primary of a database and the replicas that follow
+// it, each in its own zone.
 func (f *fleet) createDatabase(database string) {
 	f.databases = append(f.databases, database)
 	var primary *instance
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// instanceNames lists the instances in the order of their making.
+// instanceNames lists the instances in the order of their creation.
 func (f *fleet) instanceNames() []string {
 	var names []string
 	for _, instance := range f.instances {
@@ -129,12 +129,12 @@
 	return names
 }
 
-// writerRole gives the writer role of a database as the first node knows it.
+// writerRole returns the writer role of a database as recorded by the first node.
 func (f *fleet) writerRole(database string) model.WriterRole {
 	return f.nodes[0].pool.Routing().WriterRole(database)
 }
 
-// currentPrimary gives the primary of a database; nil for none.
+// currentPrimary returns the primary of a database, or nil.
 func (f *fleet) currentPrimary(database string) *instance {
 	return f.findInstance(f.writerRole(database).Primary)
 }
--- a/test/simulation/instance.go
+++ b/test/simulation/instance.go
@@ -13,20 +13,22 @@
 const (
 	instanceStartDelay   = time.Millisecond
 	announcementInterval = 400 * time.Millisecond
-	// outdatedPositionAge is that of the defect OutdatedPrimaryPositions.
+	// outdatedPositionAge is the age of the positions that the defect
+	// OutdatedPrimaryPositions reports.
 	outdatedPositionAge = 4 * time.Second
-	// replicationHold is how long a primary holds a replica's request that
-	// has nothing new, replicationTimeout how long the replica waits.
+	// replicationHold is the time for which a primary holds a replica's request
+	// if it has no new entries, replicationTimeout the time for which the replica
+	// waits for the answer.
 	replicationHold    = 300 * time.Millisecond
 	replicationTimeout = 700 * time.Millisecond
 	noUpstreamDelay    = 100 * time.Millisecond
-	// lostWithoutResetProbability is that of a lost answer after which the
-	// connection stays.
+	// lostWithoutResetProbability is the probability that the connection stays
+	// open after a lost answer.
 	lostWithoutResetProbability = 0.5
 )
 
-// instance is a simulated back end that pushes its position: a log, which
-// replicas pull from the primary, and sessions that run statements on it.
+// instance is a simulated back end that pushes its position. It has a log, which
+// replicas pull from the primary, and sessions that run statements on the log.
 type instance struct {
 	machine
 	fleet    *fleet
@@ -41,13 +43,14 @@
 	upstream         *instance
 	replicationDelay time.Duration
 	serviceTime      time.Duration
-	// leavingSince is when the instance was told to leave; 0 for not.
+	// leavingSince is the time at which the instance began to leave, 0 if it is
+	// not leaving.
 	leavingSince int64
-	// silent says that the instance announces nothing.
+	// silent is true if the instance sends no announcements.
 	silent bool
-	// answersToLose counts the answers that a fault loses.
+	// answersToLose is the number of answers that a fault will still lose.
 	answersToLose int
-	// claimsClean is the defect DirtyConnections.
+	// claimsClean is true if the defect DirtyConnections is planted.
 	claimsClean     bool
 	logWaiters      logWaiters
 	executions      []standin.Execution
@@ -91,7 +94,7 @@
 	i.simulator.record("%s lost its data", i.name)
 }
 
-// append adds an entry of the instance's own term to its log.
+// append adds an entry of the instance's current term to its log.
 func (i *instance) append(requestIDs, texts []string) {
 	i.addEntry(standin.Entry{Term: i.term, Index: uint64(len(i.entries)) + 1, RequestIDs: requestIDs, Statements: texts})
 }
@@ -101,8 +104,8 @@
 	i.logWaiters.wakeAll()
 }
 
-// awaitBeyond calls a function once the log is past a position, or after a
-// time-out.
+// awaitBeyond calls wake once the log is past the position after, or when the
+// time-out expires.
 func (i *instance) awaitBeyond(after model.Position, timeout time.Duration, wake func()) {
 	if after.IsBefore(i.position()) {
 		wake()
@@ -111,13 +114,13 @@
 	i.logWaiters.add(&i.machine, timeout, wake)
 }
 
-// positionSample is where the log ended at a time.
+// positionSample is the position at which the log ended at a time.
 type positionSample struct {
 	at       time.Duration
 	position model.Position
 }
 
-// positionBefore gives where the log ended a span ago.
+// positionBefore returns the position at which the log ended the given time ago.
 func (i *instance) positionBefore(age time.Duration) model.Position {
 	for _, sample := range slices.Backward(i.positionHistory) {
 		if sample.at <= i.simulator.now-age {
@@ -127,8 +130,8 @@
 	return model.Position{}
 }
 
-// announce tells all nodes and control servers of the instance, again and
-// again.
+// announce periodically sends an announcement of the instance to all nodes and
+// control servers.
 func (i *instance) announce() {
 	i.positionHistory = append(i.positionHistory, positionSample{i.simulator.now, i.position()})
 	i.after(announcementInterval, i.announce)
@@ -146,17 +149,17 @@
 	}
 }
 
-// logSuffix is what a replica has to do to follow: cut its log back, or append
-// entries.
+// logSuffix is the change that a replica has to make to follow its upstream
+// instance: truncate its log, or append entries.
 type logSuffix struct {
 	entries []standin.Entry
-	// truncate says that the log is to be cut to a length.
+	// truncate is true if the log is to be truncated to length.
 	truncate bool
 	length   int
 	term     uint64
 }
 
-// replicate pulls from the upstream instance, again and again.
+// replicate continuously pulls entries from the upstream instance.
 func (i *instance) replicate() {
 	if i.role != model.RoleReplica || i.upstream == nil {
 		i.after(noUpstreamDelay, i.replicate)
@@ -180,8 +183,8 @@
 	})
 }
 
-// suffixAfter gives what a replica whose log ends at a position has to do. A
-// replica that is asked does not have others cut their logs.
+// suffixAfter returns the change for a replica whose log ends at the position. Only
+// a primary makes other instances truncate their logs.
 func (i *instance) suffixAfter(position model.Position) logSuffix {
 	length := int(position.Index)
 	tooLong := length > len(i.entries)
--- a/test/simulation/instance_operations.go
+++ b/test/simulation/instance_operations.go
@@ -6,7 +6,7 @@
 	"tansyseam/internal/coordination/pool/httppool"
 )
 
-// instanceOperations runs each kind of operation.
+// instanceOperations has the function that runs each kind of operation.
 var instanceOperations = map[httppool.OpKind]func(*instance, *connection, httppool.Op){
 	httppool.OpOpen:     (*instance).openSession,
 	httppool.OpRun:      (*instance).runStatement,
@@ -111,7 +111,8 @@
 	})
 }
 
-// write adds to the transaction, or commits at once where there is none.
+// write adds a statement to the transaction, or commits it at once if there is no
+// transaction.
 func (i *instance) write(transaction *openTransaction, requestID, text string) {
 	if transaction == nil {
 		i.append([]string{requestID}, []string{text})
--- a/test/simulation/instance_session.go
+++ b/test/simulation/instance_session.go
@@ -9,10 +9,11 @@
 	"tansyseam/test/standin"
 )
 
-// instanceSession is the instance's end of a connection.
+// instanceSession is the state of the instance's end of a connection.
 type instanceSession struct {
 	id string
-	// open says that the session counts against the limit of the instance.
+	// open is true if the session counts towards the connection limit of the
+	// instance.
 	open        bool
 	settings    map[string]string
 	prepared    map[string]string
@@ -30,15 +31,15 @@
 	texts      []string
 }
 
-// answerRows are the rows of an answer: what the statement saw, so that
-// callers can check it.
+// answerRows are the rows of an answer. They contain the log position, settings
+// and text with which the statement ran, so that callers can check them.
 type answerRows struct {
 	Upto     standin.Position  `json:"upto"`
 	Settings map[string]string `json:"settings"`
 	Text     string            `json:"text"`
 }
 
-// dropConnection ends the instance's end of a connection.
+// dropConnection closes the instance's end of a connection.
 func (i *instance) dropConnection(c *connection) {
 	if c.session.open {
 		i.openConnections--
@@ -52,8 +53,8 @@
 	}
 }
 
-// onCrash ends all connections: the nodes see it at once, or, where the
-// instance vanished, after a while.
+// onCrash closes all connections. The nodes detect it soon, or, if the instance
+// vanished without resets, after minVanishedDetection to maxVanishedDetection.
 func (i *instance) onCrash(vanished bool) {
 	connections := i.connections
 	i.connections, i.openConnections = nil, 0
@@ -75,21 +76,21 @@
 	}
 }
 
-// refuse replies that the operation was not begun.
+// refuse replies that the operation was rejected before it began.
 func (i *instance) refuse(c *connection, reason string) {
 	reply := i.newReply(c)
 	reply.Rejected, reply.Error = true, reason
 	c.reply(reply)
 }
 
-// fail replies that the operation failed by its own fault.
+// fail replies that the operation failed because of its own error.
 func (i *instance) fail(c *connection, reason string) {
 	reply := i.newReply(c)
 	reply.Failed, reply.Error = true, reason
 	c.reply(reply)
 }
 
-// succeed replies with rows, unless a fault loses the answer.
+// succeed replies with the rows of the answer, unless a fault loses the answer.
 func (i *instance) succeed(c *connection, text string) {
 	if i.answersToLose > 0 {
 		i.answersToLose--
@@ -110,18 +111,18 @@
 	c.reset()
 }
 
-// accepts refuses an operation that is for another term, or a write at a
-// replica.
+// accepts reports whether an operation may run. It rejects an operation of a closed
+// session or for another term, and a write at a replica.
 func (i *instance) accepts(c *connection, op httppool.Op, write bool) bool {
 	if !c.session.open || (op.Term != 0 && op.Term != i.term) || (write && i.role != model.RolePrimary) {
-		i.refuse(c, "not here")
+		i.refuse(c, "session closed, or wrong term or role")
 		return false
 	}
 	return true
 }
 
-// stillPrimary refuses a write whose instance lost the writer role while the
-// write waited for a slot.
+// stillPrimary reports whether a write may still run. It rejects the write if the
+// instance lost the writer role while the write waited for a slot.
 func (i *instance) stillPrimary(c *connection) bool {
 	if i.role != model.RolePrimary {
 		i.refuse(c, "not primary any more")
@@ -130,8 +131,8 @@
 	return true
 }
 
-// runInSlot runs work once a slot is free, after its service time. Reads take
-// half as long.
+// runInSlot waits for a free slot, and runs work at the end of its service time.
+// Reads take half as long as writes.
 func (i *instance) runInSlot(write bool, work func()) {
 	i.slots.run(func() {
 		service := i.simulator.randomDuration(i.serviceTime/2, i.serviceTime)
--- a/test/simulation/log_waiters.go
+++ b/test/simulation/log_waiters.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// logWaiters are those who wait for a log to grow.
+// logWaiters holds the callbacks that wait for a log to grow.
 type logWaiters struct{ waiting []func() }
 
-// add has a function called when the log grows, or after a time-out.
+// add registers wake to be called once, when the log grows or the time-out expires.
 func (w *logWaiters) add(m *machine, timeout time.Duration, wake func()) {
 	wake = once(wake)
 	w.waiting = append(w.waiting, wake)
 	m.after(timeout, wake)
 }
 
-// wakeAll tells all who wait that the log has grown.
+// wakeAll calls all waiting callbacks.
 func (w *logWaiters) wakeAll() {
 	waiting := w.waiting
 	w.waiting = nil
--- a/test/simulation/machine.go
+++ b/test/simulation/machine.go
@@ -6,31 +6,33 @@
 	// wallClockEpoch is the wall time at virtual time zero, in Unix
 	// nanoseconds.
 	wallClockEpoch = 1_700_000_000_000_000_000
-	// maxClockDrift is how much faster or slower a machine's clock may run.
+	// maxClockDrift is the maximum relative drift of a machine's monotonic clock
+	// in either direction.
 	maxClockDrift    = 0.002
 	maxWallClockSkew = 20 * time.Millisecond
-	// vanishProbability is that of a crash after which the machine's peers
-	// get no reset, as after a loss of power.
+	// vanishProbability is the probability that the peers of a crashed machine
+	// receive no reset, as after a loss of power.
 	vanishProbability = 0.4
 )
 
-// machine is what all simulated processes have: a clock of their own, and a
-// life that ends with a crash and begins anew with a start.
+// machine is the state that all simulated processes have. It has its own clock,
+// and runs from a start to a crash, after which it can be started again.
 type machine struct {
 	simulator *simulator
 	name      string
 	zone      string
 	running   bool
-	// frozen machines run nothing, and catch up when they are thawed.
+	// frozen is true if the machine is suspended. It runs the deferred work when
+	// it is thawed.
 	frozen      bool
 	freezeCount int
-	// incarnation counts the crashes.
+	// incarnation is the number of crashes so far.
 	incarnation int
-	// deferred is the work that came while the machine was frozen.
+	// deferred is the work that became due while the machine was frozen.
 	deferred      []func()
 	clockDrift    float64
 	wallClockSkew time.Duration
-	// vanished says of a machine that is down that its peers get no reset.
+	// vanished is true if the machine crashed without a reset to its peers.
 	vanished     bool
 	crashHandler func(vanished bool)
 }
@@ -42,32 +44,34 @@
 	}
 }
 
-// newOperator gives the machine from which operators call.
+// newOperator returns the machine from which operators send their calls.
 func newOperator(s *simulator) *machine {
 	return &machine{simulator: s, name: "operator", running: true}
 }
 
-// asMachine gives the machine of a process that is one.
+// asMachine returns the machine itself, for processes that embed one.
 func (m *machine) asMachine() *machine { return m }
 
-// clock gives the machine's monotonic time.
+// clock returns the machine's monotonic time.
 func (m *machine) clock() time.Duration {
 	return startTime + time.Duration(float64(m.simulator.now-startTime)*(1+m.clockDrift))
 }
 
-// wallClock gives the machine's wall time, in Unix nanoseconds.
+// wallClock returns the machine's wall time, in Unix nanoseconds.
 func (m *machine) wallClock() int64 { return int64(m.simulator.now+m.wallClockSkew) + wallClockEpoch }
 
-// markStarted makes the machine run, with nothing left of an earlier life.
+// markStarted marks the machine as running, and drops the deferred work of earlier
+// incarnations.
 func (m *machine) markStarted() { m.running, m.frozen, m.deferred = true, false, nil }
 
-// after schedules work that a crash calls off.
+// after schedules work after a delay. A crash of the machine cancels it.
 func (m *machine) after(delay time.Duration, work func()) {
 	incarnation := m.incarnation
 	m.simulator.after(delay, func() { m.runDuring(incarnation, work) })
 }
 
-// runDuring runs work unless the incarnation that it is for has ended.
+// runDuring runs work if the machine still runs in the given incarnation. If the
+// machine is frozen, the work is deferred.
 func (m *machine) runDuring(incarnation int, work func()) {
 	if !m.running || m.incarnation != incarnation {
 		return
@@ -79,14 +83,13 @@
 	work()
 }
 
-// attempt is one of a series of attempts, of which the next begins when this
-// one ends.
+// attempt is an attempt in a series. The next attempt begins when this one ends.
 type attempt struct {
 	ended bool
 	next  func()
 }
 
-// beginAttempt begins an attempt, which a time-out ends.
+// beginAttempt begins an attempt that ends at the latest after the time-out.
 func (m *machine) beginAttempt(timeout time.Duration, next func()) *attempt {
 	begun := &attempt{next: next}
 	m.after(timeout, begun.end)
@@ -110,8 +113,8 @@
 	}
 }
 
-// crashAndRestart crashes a running machine, and starts it after a span where
-// nothing else did.
+// crashAndRestart crashes a running machine, and starts it after the duration
+// unless it was started before.
 func (m *machine) crashAndRestart(start func(), duration time.Duration) {
 	if !m.running {
 		return
@@ -147,7 +150,7 @@
 	}
 }
 
-// freezeFor freezes the machine for a span.
+// freezeFor freezes the machine for the duration.
 func (m *machine) freezeFor(duration time.Duration) {
 	m.freeze()
 	m.simulator.after(duration, m.thaw)
