--- a/test/simulation/node.go
+++ b/test/simulation/node.go
@@ -14,11 +14,11 @@
 	nodeHeartbeatInterval = 20 * time.Millisecond
 	nodeUpdateTimeout     = 600 * time.Millisecond
 	nodeReportDelay       = 20 * time.Millisecond
-	// nodeTriesPerRelay has each second try go through another node.
+	// nodeTriesPerRelay makes every second request go through another node.
 	nodeTriesPerRelay = 2
 )
 
-// node is a data-plane node: the product's pool for its own protocol, on
+// node is a data-plane node. It runs the product's pool for its own protocol on
 // simulated links.
 type node struct {
 	machine
@@ -28,9 +28,10 @@
 	control     controlChoice
 	connections []*connection
 	callers     []*caller
-	// stopping says that a planned stop is under way.
+	// stopping is true while a planned stop is in progress.
 	stopping bool
-	// weight is the node's share against that of others.
+	// weight is the node's share of the instances' capacity relative to other
+	// nodes.
 	weight       float64
 	windowModels map[string]*windowModel
 }
@@ -59,7 +60,7 @@
 	n.callers = nil
 }
 
-// step has the pool act, and carries out the effects.
+// step calls act, which acts on the pool, and carries out the resulting effects.
 func (n *node) step(act func(now time.Duration)) {
 	act(n.clock())
 	for _, effect := range n.pool.Effects() {
@@ -67,7 +68,7 @@
 	}
 }
 
-// stepWithin takes a step after a random delay up to a bound.
+// stepWithin takes a step after a random delay of at most maxDelay.
 func (n *node) stepWithin(maxDelay time.Duration, act func(now time.Duration)) {
 	n.after(n.simulator.randomDuration(0, maxDelay), func() { n.step(act) })
 }
@@ -86,7 +87,7 @@
 	})
 }
 
-// requestUpdate asks a control server for the next update.
+// requestUpdate requests the next update from a control server.
 func (n *node) requestUpdate() {
 	n.control.requestUpdate(n, n.fleet.controls, nodeUpdateTimeout)
 }
@@ -103,8 +104,9 @@
 	return &n.fleet.randomNode().machine
 }
 
-// onUpdateTimeout turns to the next control server once both ways to this one,
-// direct and through another node, were tried.
+// onUpdateTimeout sends the next request. It changes to the next control server
+// once both the direct path to the current one and the path through another node
+// were tried.
 func (n *node) onUpdateTimeout() {
 	if n.control.missedAnswers%nodeTriesPerRelay == 0 {
 		n.control.index++
@@ -130,7 +132,9 @@
 	n.requestUpdate()
 }
 
-// chooseControl turns to the control server that an answer names as primary.
+// chooseControl changes to the control server that an answer names as primary. Every
+// fourth time it changes to the next server instead, because the named one may be
+// unreachable.
 func (n *node) chooseControl(primary string) {
 	n.control.missedAnswers++
 	if n.control.skipsRedirect() {
@@ -142,7 +146,7 @@
 	}
 }
 
-// sendReport reports to control what the node observed of instances.
+// sendReport sends the node's observations of instances to its control server.
 func (n *node) sendReport() {
 	n.control.sendReport(&n.machine, n.fleet.controls, n.pool.Observations(n.clock()))
 }
@@ -152,7 +156,7 @@
 	n.step(func(now time.Duration) { n.pool.UpdateInstance(announced, now) })
 }
 
-// distort applies the defects of observations.
+// distort returns an observation of an instance, changed by the planted defects.
 func (f *fleet) distort(observed model.Instance) model.Instance {
 	if f.defects.IgnoreLeaving {
 		observed.Leaving = false
--- a/test/simulation/node_effects.go
+++ b/test/simulation/node_effects.go
@@ -9,8 +9,8 @@
 	"tansyseam/internal/state/model"
 )
 
-// The product carries effects out on goroutines of its own; these are the
-// longest delays that this adds.
+// Maximum delays between an effect and its execution. The product executes these
+// effects on separate goroutines, which adds such delays.
 const (
 	maxEnqueueDelay = 200 * time.Microsecond
 	maxForwardDelay = 300 * time.Microsecond
@@ -20,17 +20,18 @@
 
 const (
 	connectTimeout = 1600 * time.Millisecond
-	// refusedConnectDelay is how soon a connection attempt fails at a machine
-	// whose process is down.
+	// refusedConnectDelay is the time after which a connection attempt to a
+	// machine fails if its process is down.
 	refusedConnectDelay = 2 * time.Millisecond
 	lookupTimeout       = 800 * time.Millisecond
 	lookupFailureDelay  = time.Millisecond
 	watchTimeout        = time.Second
-	// watchHold is how long an instance holds a watch that has nothing new.
+	// watchHold is the time for which an instance holds a watch request if its
+	// log has no new entries.
 	watchHold = 80 * time.Millisecond
 )
 
-// nodeEffectHandlers carries each kind of effect out.
+// nodeEffectHandlers has the function that carries out each type of effect.
 var nodeEffectHandlers = map[reflect.Type]func(*node, httppool.Effect){}
 
 func handleNodeEffect[T httppool.Effect](handle func(*node, T)) {
@@ -60,7 +61,7 @@
 	handleNodeEffect(func(n *node, _ httppool.Report) { n.after(nodeReportDelay, n.sendReport) })
 	handleNodeEffect((*node).onWriterChanged)
 	handleNodeEffect(func(n *node, activated httppool.BindingsActivated) {
-		n.simulator.record("%s serves under %d", n.name, activated.Set.Sequence)
+		n.simulator.record("%s activated binding set %d", n.name, activated.Set.Sequence)
 	})
 }
 
@@ -71,8 +72,8 @@
 	n.stepWithin(maxForwardDelay, func(now time.Duration) { n.pool.Forward(forward.Request, now) })
 }
 
-// send passes an operation to the instance. A defect sends it again when its
-// answer is lost.
+// send sends an operation to the instance. The defect ResendUnanswered resends it
+// when its answer is lost.
 func (n *node) send(send httppool.Send, sent time.Duration) {
 	connection := send.Conn.Transport.(*connection)
 	finished := false
@@ -124,7 +125,7 @@
 	}
 }
 
-// lookUpRequest asks another node what became of a request.
+// lookUpRequest asks another node for the status of a request.
 func (n *node) lookUpRequest(lookup httppool.Lookup) {
 	other := n.fleet.findNode(lookup.Node)
 	finished, incarnation := false, n.incarnation
@@ -152,8 +153,9 @@
 	})
 }
 
-// watchInstance asks an instance for its status as soon as its log is past a
-// position, again and again while the pool wants it.
+// watchInstance requests the status of an instance, which answers as soon as its
+// log is past a position. It repeats the request while the pool wants to watch the
+// instance.
 func (n *node) watchInstance(target *instance) {
 	_, after, wanted := n.pool.WatchTarget(target.name, n.clock())
 	if !wanted {
@@ -181,7 +183,8 @@
 	n.step(func(now time.Duration) { n.pool.InstanceStatusReceived(name, reply, sent, now) })
 }
 
-// onWriterChanged may have another fault meet the move of a writer role.
+// onWriterChanged records the change of a writer role. While the role moves, it may
+// inject another fault.
 func (n *node) onWriterChanged(changed httppool.WriterChanged) {
 	current := changed.Change.Current
 	if current.Phase != model.PhaseOpen {
@@ -190,7 +193,7 @@
 	n.simulator.record("%s holds %s: term %d %s at %s", n.name, changed.Change.Database, current.Term, current.Phase, current.Primary)
 }
 
-// execute runs a session's operation; respond receives the result.
+// execute runs an operation of a session. respond is called with the result.
 func (n *node) execute(session string, op httppool.Op, deadline time.Duration, respond func(httppool.Result)) {
 	n.step(func(now time.Duration) {
 		request, refusal, accepted := n.pool.Accept(session, op, deadline, respond, now)
--- a/test/simulation/node_stop.go
+++ b/test/simulation/node_stop.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// nodeStopTimeout is how long a node that is stopped waits for the work
-	// in flight.
+	// nodeStopTimeout is the maximum time for which a stopping node waits for
+	// the work in flight.
 	nodeStopTimeout       = 5500 * time.Millisecond
 	nodeStopCheckInterval = 20 * time.Millisecond
-	// nodeLingerTime is how long a node stays after its last work, for
-	// answers that are still on their way.
+	// nodeLingerTime is the time for which a node keeps running after its last
+	// work, so that answers in flight are delivered.
 	nodeLingerTime = 700 * time.Millisecond
-	// nodeStopOvertime is how long after the time-out a stop is over in any
-	// case.
+	// nodeStopOvertime is the time after nodeStopTimeout by which every stop is
+	// over. A node that crashed during its stop counts as stopping until then.
 	nodeStopOvertime = 2 * time.Second
 )
 
-// stop stops a node as planned, and starts it again after a span.
+// stop stops a node as planned, and starts it again after downTime.
 func (n *node) stop(downTime time.Duration) {
 	if !n.running || n.frozen || n.stopping {
 		return
@@ -36,7 +36,8 @@
 	})
 }
 
-// awaitDrained waits until no session is active, or for the time-out.
+// awaitDrained finishes the stop once no session is active, or after
+// nodeStopTimeout.
 func (n *node) awaitDrained(downTime time.Duration) {
 	since, freezes := n.simulator.now, n.freezeCount
 	var check func()
@@ -50,9 +51,9 @@
 	check()
 }
 
-// finishStop ends all sessions, hands the records of requests over and crashes
-// the node. A stop during which the node was frozen does not count as one that
-// went as planned.
+// finishStop disconnects all sessions, hands over the idempotency records and
+// crashes the node. A stop during which the node was frozen is not recorded as a
+// planned restart.
 func (n *node) finishStop(since time.Duration, freezes int, downTime time.Duration) {
 	n.step(func(time.Duration) { n.pool.DisconnectSessions() })
 	n.handOverRecords()
@@ -69,8 +70,8 @@
 	})
 }
 
-// handOverRecords sends the records of requests to another node, and tells the
-// rest which one that is.
+// handOverRecords sends the idempotency records to a successor node, and notifies
+// the other nodes of the successor.
 func (n *node) handOverRecords() {
 	successor := n.findSuccessor()
 	if successor == nil {
--- a/test/simulation/operator.go
+++ b/test/simulation/operator.go
@@ -25,22 +25,23 @@
 	maxScheduleDelay  = 4 * time.Second
 )
 
-// Probabilities that an operator submits, beside a set, a competing one, the
-// same one again, and a scheduled one.
+// Probabilities that an operator submits, in addition to a binding set, a
+// competing set, the same set a second time, and a scheduled set.
 const (
 	competingProbability = 0.3
 	repeatProbability    = 0.4
 	scheduledProbability = 0.3
 )
 
-// stalenessBoundsMS are the bounds of the bindings of each database.
+// stalenessBoundsMS are the staleness bounds of the bindings of each database.
 var stalenessBoundsMS = []int{0, 1500, 2500}
 
 func bindingName(database string, boundMS int) string {
 	return fmt.Sprintf("%s-%d", database, boundMS)
 }
 
-// newBindings gives the bindings of a set, which its ID marks.
+// newBindings returns the bindings of a set. The name of the first one contains the
+// ID of the set, so that the content of each set is unique.
 func newBindings(databases []string, id string) []model.Binding {
 	bindings := []model.Binding{{Name: "mark-" + id, Database: databases[0]}}
 	for _, database := range databases {
@@ -53,7 +54,7 @@
 	return bindings
 }
 
-// bindingsContent writes bindings out, for the comparison of sets.
+// bindingsContent formats bindings as text, for the comparison of sets.
 func bindingsContent(bindings []model.Binding) string {
 	content := ""
 	for _, binding := range bindings {
@@ -62,19 +63,20 @@
 	return content
 }
 
-// setSubmission is a set that an operator submits. One without a time when it
-// is to take effect follows on a sequence.
+// setSubmission is a binding set that an operator submits. A set that is not
+// scheduled must follow the set with the expected sequence number.
 type setSubmission struct {
 	id               string
 	expectedSequence uint64
-	// effectiveAt is in Unix nanoseconds; 0 for at once.
+	// effectiveAt is the time at which the set takes effect, in Unix
+	// nanoseconds. 0 means at once.
 	effectiveAt int64
 	bindings    []model.Binding
 }
 
 func (s setSubmission) scheduled() bool { return s.effectiveAt != 0 }
 
-// submitSet submits a set to the first control server that is primary.
+// submitSet submits a set to the first active control primary, if there is one.
 func (f *fleet) submitSet(submission setSubmission) {
 	operator := newOperator(f.simulator)
 	control := f.activePrimary()
@@ -89,7 +91,7 @@
 	f.simulator.send(operator, &control.machine, func() { f.handleSet(operator, control, submission) })
 }
 
-// setOutcome is what became of a submitted set at the primary.
+// setOutcome is the outcome of a submitted set at the primary.
 type setOutcome struct {
 	sequence uint64
 	conflict bool
@@ -112,8 +114,8 @@
 	})
 }
 
-// build gives the writes of a submission; none where it was already handled,
-// or conflicts.
+// build returns the writes of a submission. There are none if the submission was
+// already handled, or conflicts with another set.
 func (s setSubmission) build(table *store.Table, wallNow int64) ([]store.Put, setOutcome) {
 	if past, handled := callresult.Find(table, s.id); handled {
 		return nil, setOutcome{sequence: uint64(past.Status)}
@@ -135,7 +137,7 @@
 }
 
 func (f *fleet) onSetAnswer(submission setSubmission, outcome setOutcome, committed bool) {
-	f.simulator.record("operator: %s on %d kept %v conflict %v sequence %d", submission.id, submission.expectedSequence, committed, outcome.conflict, outcome.sequence)
+	f.simulator.record("operator: %s on %d committed %v conflict %v sequence %d", submission.id, submission.expectedSequence, committed, outcome.conflict, outcome.sequence)
 	f.newestSequence = max(f.newestSequence, outcome.sequence)
 	if committed {
 		f.acknowledgedSequence = max(f.acknowledgedSequence, outcome.sequence)
@@ -149,8 +151,8 @@
 	}
 }
 
-// submitSetsUntil has operators submit sets at random times, some of them
-// competing, repeated or scheduled.
+// submitSetsUntil makes operators submit sets at random times until the given time.
+// Some of the sets are competing, repeated or scheduled.
 func (f *fleet) submitSetsUntil(until time.Duration) {
 	s := f.simulator
 	number := 0
@@ -176,8 +178,9 @@
 	submit()
 }
 
-// checkReadsUntil reads the newest set from random control servers, and checks
-// that each answer has all that was acknowledged before the read was sent.
+// checkReadsUntil reads the newest set from random control servers until the given
+// time, and checks that each answer includes every set that was acknowledged before
+// the read was sent.
 func (f *fleet) checkReadsUntil(until time.Duration) {
 	operator := newOperator(f.simulator)
 	var read func()
@@ -200,7 +203,7 @@
 		f.simulator.send(&control.machine, operator, func() {
 			f.answeredReads++
 			if newest < acknowledged {
-				f.recorder.addViolation("%s gave sequence %d to a read, %d was acknowledged before", control.name, newest, acknowledged)
+				f.recorder.addViolation("%s answered a read with sequence %d, but %d was acknowledged before", control.name, newest, acknowledged)
 			}
 		})
 	})
--- a/test/simulation/platform.go
+++ b/test/simulation/platform.go
@@ -14,21 +14,22 @@
 	maxRedirectAttempts = 400
 )
 
-// platform is the users' platform, which promotes instances when it is called
-// and has the others follow.
+// platform is the users' platform. It promotes instances when it is called, and
+// makes the other instances follow the new primary.
 type platform struct {
 	machine
 	fleet *fleet
-	// delay is how long a call takes.
+	// delay is the duration of a call.
 	delay time.Duration
-	// refusals counts the calls that are still refused.
+	// refusals is the number of upcoming calls that the platform refuses.
 	refusals int
 	cutOff   bool
-	// keepsOldPrimary says that the platform does not have others follow.
+	// keepsOldPrimary is true if the platform does not make the other instances
+	// follow the new primary.
 	keepsOldPrimary bool
 }
 
-// requestPromotion calls the platform for the promotion of an instance.
+// requestPromotion sends a call for the promotion of an instance to the platform.
 func (p *platform) requestPromotion(from *controlServer, call asyncrepl.Promote) {
 	p.simulator.record("%s calls for %s to be promoted to term %d", from.name, call.Instance, call.Term)
 	p.simulator.send(&from.machine, &p.machine, func() {
@@ -58,7 +59,8 @@
 	})
 }
 
-// becomePrimary begins a term with an entry of its own.
+// becomePrimary makes the instance the primary of a term. The term begins with an
+// empty log entry.
 func (i *instance) becomePrimary(term uint64) {
 	i.role, i.term, i.upstream = model.RolePrimary, term, nil
 	i.append(nil, nil)
@@ -66,8 +68,8 @@
 	i.simulator.record("%s promoted to term %d at %v", i.name, i.term, i.position())
 }
 
-// redirect has an instance follow the primary of a term, and tries again until
-// the instance has received it.
+// redirect makes an instance follow the primary of a term. It retries until the
+// instance has received the order, at most attempts times.
 func (p *platform) redirect(other, primary *instance, term uint64, attempts int) {
 	if attempts == 0 {
 		return
--- a/test/simulation/recorder.go
+++ b/test/simulation/recorder.go
@@ -9,20 +9,20 @@
 	"tansyseam/test/standin"
 )
 
-// servedSet names a set that was served by its sequence and content.
+// servedSet identifies a binding set that was served, by its sequence and content.
 type servedSet struct {
 	sequence uint64
 	content  string
 }
 
-// recorder gathers the evidence of a run.
+// recorder collects the evidence of a run.
 type recorder struct {
 	evidence history.Evidence
-	// outstanding has the requests without an answer, by their number.
+	// outstanding has the unanswered requests, by their number.
 	outstanding  map[uint64]standin.Event
 	lastRequest  uint64
 	recordedSets map[servedSet]bool
-	// violations are those that the simulator found itself.
+	// violations are the violations that the simulator itself detected.
 	violations []string
 }
 
@@ -34,7 +34,7 @@
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// beginRequest records that a request is outstanding, and gives its number.
+// beginRequest records that a request is outstanding, and returns its number.
 func (r *recorder) beginRequest(event standin.Event) uint64 {
 	r.lastRequest++
 	r.outstanding[r.lastRequest] = event
@@ -50,8 +50,8 @@
 	r.evidence.Events = append(r.evidence.Events, event)
 }
 
-// addServedSets records the sets that a machine serves under, the first time
-// that each is seen.
+// addServedSets records the sets that a machine serves. Each set is recorded only
+// for the first machine that serves it.
 func (r *recorder) addServedSets(machine string, sets []model.BindingSet, at time.Duration) {
 	for _, set := range sets {
 		key := servedSet{set.Sequence, bindingsContent(set.Bindings)}
--- a/test/simulation/run.go
+++ b/test/simulation/run.go
@@ -8,45 +8,51 @@
 )
 
 const (
-	// electionTime is how long after its start a fleet has a control primary.
+	// electionTime is the time after the start of a fleet at which it has a
+	// control primary.
 	electionTime = 1500 * time.Millisecond
-	// firstSetAttempts and firstSetInterval are those of the operator who
-	// submits the first set.
+	// firstSetAttempts and firstSetInterval are the number of submissions of the
+	// first set by an operator, and the time between them.
 	firstSetAttempts = 10
 	firstSetInterval = 300 * time.Millisecond
-	// setUpTime is how long after its start a fleet serves callers.
+	// setUpTime is the time after the start of a fleet at which it serves
+	// callers.
 	setUpTime = 5500 * time.Millisecond
-	// callerStartTime is how long callers take to open their sessions.
+	// callerStartTime is the time in which callers open their sessions.
 	callerStartTime = 500 * time.Millisecond
-	// operatorOvertime is how long operators go on after the last fault.
+	// operatorOvertime is the time for which operators continue after the fault
+	// phase.
 	operatorOvertime = 2 * time.Second
-	// settleTime is how long after the last fault requests may still fail.
+	// settleTime is the time after the fault phase for which requests may still
+	// fail.
 	settleTime = 12 * time.Second
 )
 
-// simulatorRule names the rule of the violations that the simulator finds itself.
+// simulatorRule is the rule under which Result lists the violations that the
+// simulator itself detects.
 const simulatorRule = "simulation"
 
-// Result is what one simulated run showed.
+// Result is the result of one simulated run.
 type Result struct {
 	Seed uint64
-	// Violations has what the checks found, by the name of the rule.
+	// Violations has the violations that the checks detected, by the name of the
+	// rule.
 	Violations map[string][]string
 	Events     int
 	Writes     int
 	Reads      int
 	// HistoryDigest covers every line of the history.
 	HistoryDigest string
-	// Terms is the highest term of any database, Epochs the highest epoch of
-	// control.
+	// Terms is the highest term of any database, Epochs the highest epoch of the
+	// control servers.
 	Terms  uint64
 	Epochs uint64
-	// FaultPhases counts how often each fault met each phase, under "fault /
-	// phase".
+	// FaultPhases counts how often each fault occurred in each phase, by "fault
+	// / phase".
 	FaultPhases map[string]int
 }
 
-// Run simulates one seed. Log, where given, receives every line of the
+// Run simulates one seed. If log is not nil, it is called with every line of the
 // history.
 func Run(seed uint64, config Config, defects Defects, log func(string, ...any)) Result {
 	f := newFleet(seed, config, defects)
@@ -70,7 +76,7 @@
 	return f.result(seed)
 }
 
-// setUp runs until the fleet has a control primary and its first set.
+// setUp runs the fleet until it has a control primary and its first binding set.
 func (f *fleet) setUp() {
 	s := f.simulator
 	start := s.now
@@ -82,7 +88,7 @@
 	s.runUntil(start + setUpTime)
 }
 
-// runFaults runs the span of faults, in which operators submit and read sets.
+// runFaults runs the fault phase, in which operators also submit and read sets.
 func (f *fleet) runFaults() {
 	s := f.simulator
 	end := s.now + f.config.FaultDuration
@@ -132,8 +138,8 @@
 	return result
 }
 
-// finalEvidence adds to the evidence what the instances hold at the end;
-// requests that are still outstanding count as cut off.
+// finalEvidence returns the recorded evidence, with the final logs and the
+// executions of the instances. Requests that are still outstanding count as cut off.
 func (f *fleet) finalEvidence() history.Evidence {
 	evidence := f.recorder.evidence
 	evidence.End = int64(f.simulator.now)
@@ -152,8 +158,7 @@
 	return evidence
 }
 
-// bestInformedNode gives the running node with the newest version of the
-// routing.
+// bestInformedNode returns the running node with the newest version of the routing.
 func (f *fleet) bestInformedNode() *node {
 	var best *node
 	for _, node := range f.nodes {
--- a/test/simulation/service_slots.go
+++ b/test/simulation/service_slots.go
@@ -1,14 +1,14 @@
 package simulation
 
-// serviceSlots bound how much work a server does at once. The rest waits in the
-// order in which it came.
+// serviceSlots bounds the number of work items that a server runs at once. The
+// others wait in the order of their arrival.
 type serviceSlots struct {
 	limit int
 	busy  int
 	queue []func()
 }
 
-// run begins work once a slot is free. The work holds the slot until it calls
+// run starts work once a slot is free. The work holds the slot until it calls
 // release.
 func (s *serviceSlots) run(work func()) {
 	if s.busy >= s.limit {
@@ -19,7 +19,7 @@
 	work()
 }
 
-// release frees a slot, which the work that has waited longest takes.
+// release frees a slot, and starts the work that has waited longest, if any.
 func (s *serviceSlots) release() {
 	s.busy--
 	if len(s.queue) > 0 {
@@ -30,8 +30,8 @@
 	}
 }
 
-// waiting counts the work that waits for a slot.
+// waiting returns the number of work items that wait for a slot.
 func (s *serviceSlots) waiting() int { return len(s.queue) }
 
-// reset frees all slots and drops what waits, as a crash does.
+// reset frees all slots and drops the waiting work, as a crash does.
 func (s *serviceSlots) reset() { s.busy, s.queue = 0, nil }
--- a/test/simulation/service_slots_test.go
+++ b/test/simulation/service_slots_test.go
@@ -7,12 +7,12 @@
 )
 
 func TestServiceSlots(t *testing.T) {
-	Convey("Given a server with two slots and four pieces of work", t, func() {
+	Convey("Given a server with two slots and four work items", t, func() {
 		slots, begun := &serviceSlots{limit: 2}, []int{}
 		for number := range 4 {
 			slots.run(func() { begun = append(begun, number) })
 		}
-		Convey("Two begin at once, and the others in order as slots are freed", func() {
+		Convey("Two start at once, and the others in order as slots are released", func() {
 			So(begun, ShouldResemble, []int{0, 1})
 			So(slots.waiting(), ShouldEqual, 2)
 			slots.release()
@@ -21,7 +21,7 @@
 			So(begun, ShouldResemble, []int{0, 1, 2, 3})
 			So(slots.waiting(), ShouldEqual, 0)
 		})
-		Convey("After a reset nothing waits, and all slots are free", func() {
+		Convey("After a reset no work waits, and all slots are free", func() {
 			slots.reset()
 			So(slots.waiting(), ShouldEqual, 0)
 			for number := range 3 {
--- a/test/simulation/simulation_test.go
+++ b/test/simulation/simulation_test.go
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// concurrentRuns bounds the runs at once of one test.
+// concurrentRuns is the maximum number of runs that one test executes at once.
 const concurrentRuns = 5
 
 func runMany(from, count uint64, config Config, defects Defects) []Result {
@@ -17,12 +17,12 @@
 
 func onlyWithoutRace(t *testing.T) {
 	if isRace {
-		t.Skip("played without the race detector")
+		t.Skip("runs only without the race detector")
 	}
 }
 
 func TestSameSeedSameHistory(t *testing.T) {
-	Convey("The same seed gives the same history, byte for byte, and another another", t, func() {
+	Convey("The same seed produces the same history, byte for byte, and a different seed produces a different history", t, func() {
 		config := SmallConfig()
 		first, repeated, other := Run(3, config, Defects{}, nil), Run(3, config, Defects{}, nil), Run(4, config, Defects{}, nil)
 		So(first.HistoryDigest, ShouldEqual, repeated.HistoryDigest)
@@ -32,7 +32,7 @@
 
 func TestFixedSeeds(t *testing.T) {
 	onlyWithoutRace(t)
-	Convey("On fixed seeds, no rule is broken while machines, links, disks, clocks, instances and the platform fail", t, func() {
+	Convey("On fixed seeds, no rule is violated while machines, links, disks, clocks, instances and the platform fail", t, func() {
 		terms, epochs := uint64(0), uint64(0)
 		for _, batch := range [][]Result{runMany(1, 8, SmallConfig(), Defects{}), runMany(1, 4, LargeConfig(), Defects{})} {
 			for _, result := range batch {
@@ -59,14 +59,14 @@
 		seed    uint64
 		config  Config
 	}{
-		{"an intent was given up for a position told before it", 7000138, withIndependentDraws(SmallConfig())},
-		{"a control primary that came back published a write that its backup had not", 7000103, withIndependentDraws(SmallConfig())},
+		{"a promotion was abandoned because of a position that was reported before the promotion", 7000138, withIndependentDraws(SmallConfig())},
+		{"a control primary that had returned published a write that its backup did not have", 7000103, withIndependentDraws(SmallConfig())},
 		{"a write was published before it was synced", 7000967, SmallConfig()},
-		{"a lull in what callers asked for was taken for a service that is down", 7000386, SmallConfig()},
-		{"as before", 9100765, LargeConfig()},
-		{"as before", 9101192, LargeConfig()},
+		{"a lull in the load of the callers was mistaken for a service outage", 7000386, SmallConfig()},
+		{"a lull in the load of the callers was mistaken for a service outage", 9100765, LargeConfig()},
+		{"a lull in the load of the callers was mistaken for a service outage", 9101192, LargeConfig()},
 	}
-	Convey("Seeds on which a rule was broken once break none", t, func() {
+	Convey("Seeds on which a rule was once violated violate none", t, func() {
 		for _, regression := range seeds {
 			Convey(fmt.Sprintf("%d: %s", regression.seed, regression.failure), func() {
 				So(Run(regression.seed, regression.config, Defects{}, nil).Violations, ShouldBeEmpty)
@@ -77,7 +77,7 @@
 
 func TestBookedSetBesideManyEpochs(t *testing.T) {
 	onlyWithoutRace(t)
-	Convey("A booked set shows everywhere within 3 s of its due time, on a seed with sixteen epochs", t, func() {
+	Convey("On a seed with sixteen epochs, a scheduled set is active on all nodes within 3 s of its due time", t, func() {
 		So(Run(14000423, SmallConfig(), Defects{}, nil).Violations, ShouldBeEmpty)
 	})
 }
--- a/test/simulation/simulator.go
+++ b/test/simulation/simulator.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// startTime is the virtual time at which each run begins. It is not zero, so
-// that code which subtracts spans from it stays in positive times.
+// startTime is the virtual time at which each run begins. It is not zero, so that
+// code that subtracts durations from the time does not get negative times.
 const startTime = time.Hour
 
-// randomStream separates the random numbers of the simulator from those of
-// its callers and clients, which are drawn from the same seed.
+// randomStream separates the random numbers of the simulator from those of its
+// callers and clients, which are drawn from the same seed.
 const randomStream = 0x5ea7
 
 type scheduledEvent struct {
 	at time.Duration
-	// order breaks ties: events of one time run in the order in which they
+	// order breaks ties. Events with the same time run in the order in which they
 	// were scheduled.
 	order uint64
 	run   func()
 }
 
-// eventQueue is a heap of events by time.
+// eventQueue is a heap of events, ordered by time.
 type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -44,8 +44,8 @@
 	return last
 }
 
-// simulator holds the virtual clock, the events to come, the random numbers
-// and the state of the network. All machines of a run share it.
+// simulator holds the virtual clock, the queue of events, the random numbers and
+// the state of the network. All machines of a run share it.
 type simulator struct {
 	now       time.Duration
 	queue     eventQueue
@@ -64,7 +64,7 @@
 	}
 }
 
-// record adds a line to the history.
+// record adds a line with the current virtual time to the history.
 func (s *simulator) record(format string, args ...any) {
 	line := fmt.Sprintf("%9.3f ", sinceStartMS(s.now)) + fmt.Sprintf(format, args...)
 	_, _ = earlierTexts.WriteString(s.trace, line+"\n")
@@ -73,16 +73,17 @@
 
 func (s *simulator) historyDigest() string { return fmt.Sprintf("%x", s.trace.Sum(nil)) }
 
-// sinceStartMS gives a virtual time in milliseconds since the run began.
+// sinceStartMS returns a virtual time in milliseconds since the start of the run.
 func sinceStartMS(at time.Duration) float64 { return (at - startTime).Seconds() * 1000 }
 
-// after schedules an event.
+// after schedules an event after a delay.
 func (s *simulator) after(delay time.Duration, run func()) {
 	s.lastOrder++
 	heap.Push(&s.queue, scheduledEvent{at: s.now + delay, order: s.lastOrder, run: run})
 }
 
-// runUntil runs all events up to a time, and sets the clock to it.
+// runUntil runs all events up to and including the time end, and sets the clock to
+// it.
 func (s *simulator) runUntil(end time.Duration) {
 	for s.queue.Len() > 0 && s.queue[0].at <= end {
 		next := heap.Pop(&s.queue).(scheduledEvent)
@@ -92,22 +93,23 @@
 	s.now = end
 }
 
-// randomDuration draws evenly between two durations, both included.
+// randomDuration returns a uniformly random duration from low to high, both
+// included.
 func (s *simulator) randomDuration(low, high time.Duration) time.Duration {
 	return drawDuration(s.random, low, high)
 }
 
-// chance is true with a probability.
+// chance returns true with the given probability.
 func (s *simulator) chance(probability float64) bool { return s.random.Float64() < probability }
 
 func drawDuration(random *rand.Rand, low, high time.Duration) time.Duration {
 	return low + time.Duration(random.Int64N(int64(high-low)+1))
 }
 
-// pickRandom draws one of a list.
+// pickRandom returns a random element of a list.
 func pickRandom[T any](s *simulator, list []T) T { return list[s.random.IntN(len(list))] }
 
-// once gives a function that acts on its first call only.
+// once returns a function that calls act on its first call only.
 func once(act func()) func() {
 	called := false
 	return func() {
--- a/test/simulation/update_request.go
+++ b/test/simulation/update_request.go
@@ -8,20 +8,22 @@
 )
 
 const (
-	// updateRetryDelay is how long a node waits after a control server that
-	// is not primary answered.
+	// updateRetryDelay is the time for which a node waits after an answer from a
+	// control server that is not primary.
 	updateRetryDelay = 30 * time.Millisecond
-	// overlongLeaseFactor is that of the defect OverlongLeases.
+	// overlongLeaseFactor is the factor by which the defect OverlongLeases
+	// extends leases.
 	overlongLeaseFactor = 100
 	nodeStartDelay      = time.Millisecond
 )
 
-// controlChoice is a node's choice of the control server that it calls.
+// controlChoice is a node's choice of the control server to which it sends its
+// requests.
 type controlChoice struct {
 	index         int
 	missedAnswers int
-	// lastRequest numbers the requests for updates; only the answer to the
-	// last one counts.
+	// lastRequest is the number of the last request for an update. Answers to
+	// earlier requests are ignored.
 	lastRequest uint64
 }
 
@@ -29,29 +31,30 @@
 	return controls[c.index%len(controls)]
 }
 
-// skipsRedirect reports whether the node tries the next server in place of the
-// one that an answer names: the named one may be out of reach.
+// skipsRedirect reports whether the node tries the next server instead of the one
+// that an answer names, because the named one may be unreachable.
 func (c *controlChoice) skipsRedirect() bool { return c.missedAnswers%4 == 3 }
 
-// usesRelay reports whether the next request goes through another node, as one
-// of each so many tries does.
+// usesRelay reports whether the next request goes through another node. One in
+// tries requests does.
 func (c *controlChoice) usesRelay(tries int) bool { return c.missedAnswers%tries == tries-1 }
 
-// updateRequester is a node that asks control for updates, one request after
-// another.
+// updateRequester is a node that requests updates from control servers, one request
+// at a time.
 type updateRequester interface {
 	asMachine() *machine
 	buildUpdateRequest() distribution.UpdateRequest
-	// chooseRelay gives the node that the request goes through; nil for none.
+	// chooseRelay returns the node through which the request goes, or nil if it
+	// goes directly.
 	chooseRelay() *machine
-	// onUpdateTimeout and onUpdate end a request; sent is the node's time when
-	// it was sent.
+	// onUpdateTimeout and onUpdate end a request. sent is the node's time at which
+	// the request was sent.
 	onUpdateTimeout()
 	onUpdate(update distribution.Update, sent time.Duration)
 }
 
-// requestUpdate sends a node's request to the chosen control server, and hands
-// the node the answer to it, or that none came in time.
+// requestUpdate sends a node's request to the chosen control server. It calls
+// onUpdate with the answer, or onUpdateTimeout if no answer arrives in time.
 func (c *controlChoice) requestUpdate(requester updateRequester, controls []*controlServer, timeout time.Duration) {
 	node := requester.asMachine()
 	c.lastRequest++
@@ -87,7 +90,7 @@
 	node.simulator.send(node, &target.machine, func() { target.distributor.HandleReport(report, target.clock()) })
 }
 
-// indexOf gives the index of a control server by name.
+// indexOf returns the index of a control server by name, and whether it exists.
 func indexOf(controls []*controlServer, name string) (int, bool) {
 	index := slices.IndexFunc(controls, func(control *controlServer) bool { return control.name == name })
 	return index, index >= 0
