--- a/test/simulation/failover_test.go
+++ b/test/simulation/failover_test.go
@@ -8,12 +8,12 @@
 )
 
 func TestNothingIsPromotedWithoutProof(t *testing.T) {
-	Convey("With the primary gone and the only candidate unheard, nothing is promoted until it is heard again", t, func() {
+	Convey("When the primary is down and the only candidate is unreachable, no instance is promoted until the candidate is reachable again", t, func() {
 		config := SmallConfig()
 		config.FaultDuration, config.RecoveryDuration = 12*time.Second, 15*time.Second
 		terms := []uint64{}
 		config.Script = func(f *fleet) {
-			at := func(span time.Duration, act func()) { f.simulator.after(span, act) }
+			at := func(delay time.Duration, act func()) { f.simulator.after(delay, act) }
 			database := f.databases[0]
 			lagging, candidate := f.findInstance(database+"-b"), f.findInstance(database+"-c")
 			f.faults.followUpsLeft = 0
--- a/test/simulation/faults_instance.go
+++ b/test/simulation/faults_instance.go
@@ -13,8 +13,9 @@
 	maxLag         = 3 * time.Second
 	minSlowService = 50 * time.Millisecond
 	maxSlowService = 900 * time.Millisecond
-	// A replaced instance leaves first, is then down for a while, and has
-	// some time to catch up before the next is replaced.
+	// A replaced instance leaves for replacementLeavingTime, and is then down for
+	// replacementDownTime. replacementInterval is the time from one replacement
+	// to the next, in which the new instance catches up.
 	replacementLeavingTime = 4 * time.Second
 	replacementDownTime    = time.Second
 	replacementInterval    = 9 * time.Second
@@ -22,12 +23,12 @@
 
 func (f *fleet) randomInstance() *instance { return pickRandom(f.simulator, f.instances) }
 
-// randomPrimary gives the primary of a random database; nil for none.
+// randomPrimary returns the primary of a random database, or nil.
 func (f *fleet) randomPrimary() *instance {
 	return f.currentPrimary(pickRandom(f.simulator, f.databases))
 }
 
-// instancesOf gives the instances of a database.
+// instancesOf returns the instances of a database.
 func (f *fleet) instancesOf(database string) []*instance {
 	var found []*instance
 	for _, instance := range f.instances {
@@ -38,20 +39,20 @@
 	return found
 }
 
-func (f *fleet) crashInstance(span time.Duration) {
+func (f *fleet) crashInstance(duration time.Duration) {
 	instance := f.randomInstance()
-	instance.crashAndRestart(instance.start, span)
+	instance.crashAndRestart(instance.start, duration)
 }
 
-func (f *fleet) crashPrimary(span time.Duration) {
+func (f *fleet) crashPrimary(duration time.Duration) {
 	if primary := f.randomPrimary(); primary != nil {
-		primary.crashAndRestart(primary.start, span)
+		primary.crashAndRestart(primary.start, duration)
 	}
 }
 
-func (f *fleet) freezePrimary(span time.Duration) {
+func (f *fleet) freezePrimary(duration time.Duration) {
 	if primary := f.randomPrimary(); primary != nil {
-		primary.freezeFor(span)
+		primary.freezeFor(duration)
 	}
 }
 
@@ -61,9 +62,10 @@
 	}
 }
 
-// isolateReplicaAndCrashPrimary crashes a primary that one of its replicas has
-// not received the last entries from.
-func (f *fleet) isolateReplicaAndCrashPrimary(span time.Duration) {
+// isolateReplicaAndCrashPrimary blocks the link from a primary to one of its
+// replicas, and crashes the primary soon after, so that the replica lacks the last
+// entries.
+func (f *fleet) isolateReplicaAndCrashPrimary(duration time.Duration) {
 	database := pickRandom(f.simulator, f.databases)
 	primary := f.currentPrimary(database)
 	if primary == nil {
@@ -71,55 +73,55 @@
 	}
 	for _, replica := range f.instancesOf(database) {
 		if replica != primary {
-			f.simulator.blockLink(link{primary.name, replica.name}, span)
+			f.simulator.blockLink(link{primary.name, replica.name}, duration)
 			break
 		}
 	}
-	f.afterUnlessRepaired(f.simulator.randomDuration(0, maxCrashDelay), func() { primary.crashAndRestart(primary.start, span) })
+	f.afterUnlessRepaired(f.simulator.randomDuration(0, maxCrashDelay), func() { primary.crashAndRestart(primary.start, duration) })
 }
 
-// isolateReplica blocks what an instance receives from the others of its
-// database.
-func (f *fleet) isolateReplica(span time.Duration) {
+// isolateReplica blocks the messages to an instance from the other instances of
+// its database.
+func (f *fleet) isolateReplica(duration time.Duration) {
 	isolated := f.randomInstance()
 	for _, other := range f.instancesOf(isolated.database) {
 		if other != isolated {
-			f.simulator.blockLink(link{other.name, isolated.name}, span)
+			f.simulator.blockLink(link{other.name, isolated.name}, duration)
 		}
 	}
 }
 
-func (f *fleet) delayReplication(span time.Duration) {
+func (f *fleet) delayReplication(duration time.Duration) {
 	instance := f.randomInstance()
-	setFor(f.simulator, span, &instance.replicationDelay, f.simulator.randomDuration(minLag, maxLag), defaultReplicationDelay)
+	setFor(f.simulator, duration, &instance.replicationDelay, f.simulator.randomDuration(minLag, maxLag), defaultReplicationDelay)
 }
 
-func (f *fleet) slowInstance(span time.Duration) {
+func (f *fleet) slowInstance(duration time.Duration) {
 	instance := f.randomInstance()
-	setFor(f.simulator, span, &instance.serviceTime, f.simulator.randomDuration(minSlowService, maxSlowService), defaultServiceTime)
+	setFor(f.simulator, duration, &instance.serviceTime, f.simulator.randomDuration(minSlowService, maxSlowService), defaultServiceTime)
 }
 
-func (f *fleet) haveInstanceLeave(span time.Duration) {
+func (f *fleet) haveInstanceLeave(duration time.Duration) {
 	instance := f.randomInstance()
 	if instance.leavingSince != 0 {
 		return
 	}
-	setFor(f.simulator, span, &instance.leavingSince, int64(f.simulator.now), 0)
+	setFor(f.simulator, duration, &instance.leavingSince, int64(f.simulator.now), 0)
 }
 
-func (f *fleet) silenceInstance(span time.Duration) {
+func (f *fleet) silenceInstance(duration time.Duration) {
 	instance := f.randomInstance()
-	setFor(f.simulator, span, &instance.silent, true, false)
+	setFor(f.simulator, duration, &instance.silent, true, false)
 }
 
-// loseInstanceData crashes one instance of the run with its data, where its
-// database has another candidate.
-func (f *fleet) loseInstanceData(span time.Duration) {
+// loseInstanceData crashes an instance and deletes its data, if its database is
+// healthy and has another candidate. It does so at most once in a run.
+func (f *fleet) loseInstanceData(duration time.Duration) {
 	instance := f.randomInstance()
 	if f.hasLostData() || !f.isHealthy(instance.database) || len(f.writerRole(instance.database).Candidates) < 2 {
 		return
 	}
-	instance.crashAndRestart(instance.start, span)
+	instance.crashAndRestart(instance.start, duration)
 	instance.loseData()
 	for _, other := range f.instancesOf(instance.database) {
 		if other != instance && instance.upstream == nil {
@@ -132,8 +134,8 @@
 	return slices.ContainsFunc(f.instances, func(i *instance) bool { return i.dataLosses > 0 })
 }
 
-// isHealthy reports whether the primary of a database is settled, and all its
-// instances run and are in its term.
+// isHealthy reports whether the writer role of a database is open at its current
+// primary, and all instances of the database run and are in the primary's term.
 func (f *fleet) isHealthy(database string) bool {
 	writer, primary := f.writerRole(database), f.currentPrimary(database)
 	if primary == nil || writer.Phase != model.PhaseOpen || primary.term != writer.Term {
@@ -159,8 +161,9 @@
 	}
 }
 
-// replaceInstance has an instance leave, and then replaces it by a blank one,
-// unless its database needs its data by then.
+// replaceInstance makes an instance leave, and then replaces it by a blank one. It
+// does not replace an instance that is the primary or the only candidate by then,
+// because the database needs its data.
 func (f *fleet) replaceInstance(instance *instance) {
 	if !f.isHealthy(instance.database) {
 		return
