--- a/internal/coordination/consensus/bootstrap.go
+++ b/internal/coordination/consensus/bootstrap.go
@@ -79,9 +79,9 @@
 	m.saveIdentity()
 }
 
-// diskIncarnation returns the identifier of this node's disk. It differs from those of
-// the node's earlier disks, because only one disk was blank when this run of the
-// program began.
+// diskIncarnation returns the incarnation of a disk that has no identity yet. It differs
+// from those of the node's other disks, because it identifies this run of the program,
+// and only one disk was blank when the run began.
 func (m *Machine) diskIncarnation() uint64 { return uint64(m.processIncarnation) }
 
 func (m *Machine) requestFormation(now time.Duration) {
--- a/internal/coordination/consensus/clock.go
+++ b/internal/coordination/consensus/clock.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// maxClockSlewNanos is the largest single adjustment of the cluster clock while the
-	// clock is in use.
+	// maxClockSlewNanos is the largest single adjustment of the cluster clock while this
+	// node holds the lease.
 	maxClockSlewNanos = int64(time.Millisecond)
 	// maxClockRoundTrip is the round trip from which on another node's clock reading is
 	// ignored. Two nodes' clocks agree if they differ by less than this.
@@ -62,7 +62,8 @@
 
 // adjust moves the estimate to the median of the clocks of this node and of the voters
 // that have replied recently. While inUse is true, each call moves the estimate by at
-// most maxClockSlewNanos, so that values that nodes have computed from it stay close.
+// most maxClockSlewNanos, so that what nodes have derived from earlier readings of the
+// cluster clock stays nearly correct.
 func (c *clusterClock) adjust(lastReply map[string]time.Duration, inUse bool, now time.Duration) {
 	offsets := []int64{c.localNanos - int64(c.readAt)}
 	for name, offset := range c.peerOffsets {
--- a/internal/coordination/consensus/cluster_test.go
+++ b/internal/coordination/consensus/cluster_test.go
@@ -116,8 +116,9 @@
 // start.
 const catchUpTime = 4 * time.Second
 
-// newFormedCluster returns a formed cluster of the first of the given names. The voters
-// argument is the number of its nodes, all of which vote.
+// newFormedCluster returns a formed cluster, and the function that returns the
+// BootstrapConfig of its nodes. The voters argument is the number of its nodes, all of
+// which vote. They have the first of the given names.
 func newFormedCluster(voters int, names ...string) (*cluster, func(string) BootstrapConfig) {
 	var seeds []string
 	for i := range 3 {
--- a/internal/coordination/consensus/contacts.go
+++ b/internal/coordination/consensus/contacts.go
@@ -15,8 +15,9 @@
 type contacts struct {
 	// received is when the last message of any kind arrived from each node.
 	received map[string]time.Duration
-	// primaryAt is when the primary of the newest known epoch last sent a message that
-	// names this epoch, or when this node received the record of the epoch.
+	// primaryAt is when this node last received a RenewLease or Decided of the newest
+	// known epoch from the primary of that epoch, or when it received the record of the
+	// epoch.
 	primaryAt time.Duration
 	// statusRequestedAt is when this node last asked all others for their status, or
 	// last offered itself to the primary as a standby.
@@ -37,8 +38,8 @@
 	return now-m.contacts.statusRequestedAt >= m.timing.FormInterval
 }
 
-// notePrimaryContact records the time of a message from the primary of the newest known
-// epoch.
+// notePrimaryContact records the time at which a message with a record was received, if
+// the record is the newest known one and the sender is its primary.
 func (m *Machine) notePrimaryContact(from string, record Record, now time.Duration) {
 	if m.isFormed() && m.voterState.Decided == record && record.Primary == from {
 		m.contacts.primaryAt = now
--- a/internal/coordination/consensus/disk.go
+++ b/internal/coordination/consensus/disk.go
@@ -6,8 +6,8 @@
 type diskHealth struct {
 	// corrupted is true while damaged files still have to be removed.
 	corrupted bool
-	// syncPending is how long the sync in progress has not finished, or 0 if there is
-	// none.
+	// syncPending is SyncGate.SyncPending as of the last tick. It is 0 if no disk task is
+	// queued.
 	syncPending time.Duration
 }
 
--- a/internal/coordination/consensus/diskloss_test.go
+++ b/internal/coordination/consensus/diskloss_test.go
@@ -34,8 +34,9 @@
 	return newMachine(self, len(fiveNodes), DefaultTiming(), saved, now)
 }
 
-// countParticipation returns how often a node grants, votes, proposes or syncs when it
-// receives each kind of request and a tick.
+// countParticipation returns how many messages a node sends that only a voter may send,
+// when it receives each kind of request and a tick. It counts lease renewals and their
+// answers, proposals, votes, acceptances, acknowledged writes and repair messages.
 func countParticipation(m *Machine, from string, now time.Duration) int {
 	record := m.Record()
 	number := proposal.Number{Round: 1, Name: from}
--- a/internal/coordination/consensus/epoch.go
+++ b/internal/coordination/consensus/epoch.go
@@ -54,15 +54,16 @@
 	state.ReplicaIncomplete = state.ReplicaIncomplete || (m.requiredSpares() > 0 && !m.IsMember())
 }
 
-// becomePrimary discards the state of the voters that remains from an earlier time as
-// primary.
+// becomePrimary discards what remains in the tracker from an earlier time as primary,
+// and treats all writes in the replica as committed.
 func (m *Machine) becomePrimary(now time.Duration) {
 	m.tracker = newVoterTracker(now)
 	m.replica.commit()
 }
 
-// continueAsPrimary renews the lease at once. A pending write does not wait for the
-// backup of the previous epoch.
+// continueAsPrimary makes the next tick renew the lease. A pending write does not wait
+// for the backup of the previous epoch: it counts as synced by the backup, unless writes
+// are held until there is a backup.
 func (m *Machine) continueAsPrimary(now time.Duration) {
 	m.lease.renewedAt = now - m.timing.RenewInterval
 	if !m.awaitsBackup() {
--- a/internal/coordination/consensus/events.go
+++ b/internal/coordination/consensus/events.go
@@ -13,8 +13,8 @@
 	Tick struct {
 		// WallNanos is this node's wall clock.
 		WallNanos int64
-		// SyncPending is how long the sync in progress has not finished; see
-		// SyncGate.SyncPending.
+		// SyncPending is how long the first queued disk task has been pending, or 0 if
+		// there is none; see SyncGate.SyncPending.
 		SyncPending time.Duration
 	}
 	// Received is a message from another node.
--- a/internal/coordination/consensus/lease.go
+++ b/internal/coordination/consensus/lease.go
@@ -22,9 +22,10 @@
 	// this epoch was sent.
 	grantSentAt map[string]time.Duration
 	// until is the end of the lease. No other node can become primary before then: more
-	// than half of the voters have granted a renewal that was sent less than the usable
-	// span of a lease earlier, and each of them votes for no other candidate for longer
-	// than that.
+	// than half of the voters have granted a renewal that was sent at most the usable
+	// span of a lease before until, and each of them votes for no other candidate for a
+	// whole lease, which is longer. This node may be one of them. It votes for no other
+	// candidate before until.
 	until time.Duration
 }
 
@@ -38,9 +39,9 @@
 	l.grantSentAt[voter] = max(l.grantSentAt[voter], sentAt)
 }
 
-// extend sets the end of the lease, given the times at which the granted renewals were
-// sent. A quorum of the renewals was sent at or after the quorum-th latest of these
-// times, from which the lease is counted.
+// extend moves the end of the lease, given the times at which the granted renewals were
+// sent. The lease is counted from the quorum-th latest of these times, because a quorum
+// of the renewals was sent at that time or later.
 func (l *heldLease) extend(sentAt []time.Duration, quorum int, span time.Duration) {
 	slices.Sort(sentAt)
 	l.until = max(l.until, sentAt[len(sentAt)-quorum]+proposal.UsableSpan(span))
--- a/internal/coordination/consensus/leaving.go
+++ b/internal/coordination/consensus/leaving.go
@@ -37,7 +37,8 @@
 }
 
 // onLeaving records that a node is leaving. A node without a role is released at once
-// if no standby could vote in its place and the other voters are a majority without it.
+// if no standby could vote in its place and the voters that respond are a majority
+// without it.
 func (m *Machine) onLeaving(from string, _ Leaving, now time.Duration) {
 	m.leaving[from] = now
 	decided := m.voterState.Decided
--- a/internal/coordination/consensus/machine.go
+++ b/internal/coordination/consensus/machine.go
@@ -17,8 +17,8 @@
 	self      string
 	bootstrap BootstrapConfig
 	timing    Timing
-	// startedAt is when this run of the program began, or when the node entered its
-	// cluster.
+	// startedAt is when this run of the program began or, if that was later, when the
+	// node entered its cluster.
 	startedAt time.Duration
 	// processIncarnation is the wall clock at the first tick. It distinguishes replies
 	// to this run of the program from replies to an earlier run. It is 0 before the
@@ -103,8 +103,8 @@
 // Record returns the newest known epoch record.
 func (m *Machine) Record() Record { return m.voterState.Decided }
 
-// CommittedTable returns the state that may be served. It contains no write that the
-// backup may lack. The caller must not change it.
+// CommittedTable returns the state that may be served while IsPrimary reports true. It
+// then contains no write that the backup may lack. The caller must not change it.
 func (m *Machine) CommittedTable() *store.Table { return m.replica.committed }
 
 // ReplicaTable returns this node's replica, including the write in progress. The caller
--- a/internal/coordination/consensus/membership_test.go
+++ b/internal/coordination/consensus/membership_test.go
@@ -87,7 +87,7 @@
 			}
 		}
 	})
-	Convey("A node that was replaced while it was down returns as a standby, and makes no node primary in its old epoch", t, func() {
+	Convey("A node that was replaced while it was down does not become primary on the basis of its old record, and returns as a standby", t, func() {
 		c, bootstrap := newFormedCluster(3, "c1", "c2", "c3")
 		absent := c.primary()
 		c.up[absent] = false
--- a/internal/coordination/consensus/parts_test.go
+++ b/internal/coordination/consensus/parts_test.go
@@ -18,7 +18,7 @@
 		sentAt        []time.Duration
 		wantUntil     time.Duration
 	}{
-		{"is counted from the time at which the last voter of a quorum was asked", 0, []time.Duration{70, 30, 50}, 50 + span*9/10},
+		{"is counted from the quorum-th latest of the times at which the renewals were sent", 0, []time.Duration{70, 30, 50}, 50 + span*9/10},
 		{"is not extended by a voter beyond the quorum", 0, []time.Duration{50, 70, 50}, 50 + span*9/10},
 		{"never becomes shorter", 2 * span, []time.Duration{70, 30, 50}, 2 * span},
 	}
@@ -64,7 +64,7 @@
 		p.observeRound(3)
 		So(p.nextNumber("c1"), ShouldResemble, proposal.Number{Round: 8, Name: "c1"})
 	})
-	Convey("A proposal that timed out may still be decided until its epoch ends", t, func() {
+	Convey("A proposal that timed out may still be decided until a record of its epoch is decided", t, func() {
 		p := startProposal()
 		p.expire(replyTimeout, replyTimeout)
 		So(p.isUnderWay(), ShouldBeTrue)
--- a/internal/coordination/consensus/persist.go
+++ b/internal/coordination/consensus/persist.go
@@ -24,9 +24,11 @@
 	Self string
 	// Incarnation distinguishes the disk from the disks that the node had before.
 	Incarnation uint64
-	// Voters are the names of the nodes that the cluster is formed with.
+	// Voters are the names of the nodes that the cluster is formed with. It is empty if
+	// the node joined a cluster that was already formed.
 	Voters []string
-	// Formed is true once all Voters have agreed.
+	// Formed is true once all Voters have agreed, or once the node has joined a cluster
+	// that was already formed.
 	Formed bool
 }
 
@@ -81,9 +83,9 @@
 
 func (m *Machine) saveTable() { m.emit(m.replica.save()) }
 
-// restore sets the state of the machine from the content of the disk. If the content
-// may be less than what was synced, the node may have lost a vote, so it continues like
-// a node with a blank disk.
+// restore sets the state of the machine from the content of the disk. If the disk may
+// have lost data that was synced, the node may have lost a vote, so it continues like a
+// node with a blank disk.
 func (m *Machine) restore(saved PersistentState) {
 	m.disk.corrupted = saved.Corrupted
 	if saved.VoterState != nil {
--- a/internal/coordination/consensus/proposer.go
+++ b/internal/coordination/consensus/proposer.go
@@ -140,7 +140,9 @@
 }
 
 // noteRefusal schedules the next proposal after a voter has refused one. The voter must
-// not vote for this node for retryAfter.
+// not vote for this node for retryAfter. If the voter is the primary or this node is a
+// spare voter, the next proposal is also postponed by retryAfter, unless expire makes it
+// due earlier.
 func (m *Machine) noteRefusal(voter string, retryAfter time.Duration, now time.Duration) {
 	retryAt := now + retryAfter
 	if retryAfter > 0 {
--- a/internal/coordination/consensus/spares.go
+++ b/internal/coordination/consensus/spares.go
@@ -6,16 +6,18 @@
 	"tansyseam/internal/state/store"
 )
 
-// A spare voter is a voter that is neither primary nor backup in the record. If more
-// than one disk may be lost at once, a write is synced by the backup and by enough
-// spare voters that more than half of the voters have it. A replica accepts a write
-// only on top of the previous version, so its version determines which writes it has.
+// A spare voter, or spare, is a voter that is neither primary nor backup in the record
+// of a cluster that must tolerate the loss of more than one disk at once. In such a
+// cluster, a write is synced by the backup and by enough spare voters that more than half
+// of the voters have it. A replica accepts a write only on top of the previous version,
+// so its version determines which writes it has.
 
 // spareProposalLeases is the number of leases for which a spare lets the primary and
 // the backup propose an epoch before it proposes one itself.
 const spareProposalLeases = 3
 
-// requiredSpares returns the number of spare voters that must sync each write.
+// requiredSpares returns the number of spare voters that must sync each write, or 0 if
+// the cluster has no spare voters.
 func (m *Machine) requiredSpares() int {
 	if !m.bootstrap.RequireBackup {
 		return 0
@@ -78,9 +80,10 @@
 
 // votesForSpare reports whether this node votes for a spare. It does so only if its own
 // replica is complete and not ahead of the candidate's. Each committed write was synced
-// by more than half of the voters, so at least one member of any majority has it. A
-// spare that could become primary itself delays its own proposals by one lease in
-// favour of a better candidate.
+// by more than half of the voters, so at least one member of any majority has it. If
+// this node is a spare itself, it delays its own proposals by one lease in favour of a
+// better candidate, which is one with a newer replica or with a name that sorts before
+// this node's.
 func (m *Machine) votesForSpare(candidate string, version store.Version, now time.Duration) bool {
 	if m.requiredSpares() == 0 || m.voterState.ReplicaIncomplete || !m.isVoter(candidate) || version.IsBefore(m.replica.version()) {
 		return false
--- a/internal/coordination/consensus/syncgate.go
+++ b/internal/coordination/consensus/syncgate.go
@@ -108,8 +108,8 @@
 	return "", ok
 }
 
-// enqueue adds a task. A Save replaces the last task if that saves the same kind of
-// file and the disk has not started it.
+// enqueue adds a task. A Save replaces the last task if that task saves the same kind of
+// file and the disk is not working on it.
 func (g *SyncGate) enqueue(effect Effect, kind string, now time.Duration) {
 	if len(g.tasks) == 0 {
 		g.pendingSince = now
@@ -126,8 +126,8 @@
 	g.tasks = append(g.tasks, task)
 }
 
-// isReplaceable reports whether a task saves the given kind of file and has not been
-// started.
+// isReplaceable reports whether a task saves the given kind of file and is not in
+// progress. A failed task that waits for its retry is not in progress.
 func (g *SyncGate) isReplaceable(index int, kind string) bool {
 	isWaiting := index > 0 || (index == 0 && !g.inFlight)
 	if !isWaiting {
@@ -193,8 +193,8 @@
 	return ready
 }
 
-// SyncPending returns how long the first task in the queue has been pending, whether or
-// not the disk has started it. It is 0 if there is no task.
+// SyncPending returns the time since the first task in the queue became the first,
+// whether or not the disk has started it. It is 0 if there is no task.
 func (g *SyncGate) SyncPending(now time.Duration) time.Duration {
 	if len(g.tasks) == 0 {
 		return 0
--- a/internal/coordination/consensus/tracker.go
+++ b/internal/coordination/consensus/tracker.go
@@ -7,8 +7,8 @@
 	"tansyseam/internal/state/store"
 )
 
-// voterTracker is the primary's record of the other voters. It is created anew when a
-// node becomes primary, and the entries of replaced voters are removed.
+// voterTracker holds what the primary knows about the other voters. It is created anew
+// when a node becomes primary, and the entries of replaced voters are removed.
 type voterTracker struct {
 	// since is when the node became primary or the voters last changed. The silence of
 	// a voter is counted from then at the earliest.
@@ -18,8 +18,8 @@
 	// spareVersions holds the version up to which each spare voter has synced the
 	// replica.
 	spareVersions map[string]store.Version
-	// excludedUntil holds, for each voter that failed as backup, the time before which
-	// it is not tried again.
+	// excludedUntil holds, for each voter that failed as backup or was not repaired in
+	// time to become it, the time before which it is not tried again.
 	excludedUntil map[string]time.Duration
 }
 
--- a/internal/coordination/consensus/writes.go
+++ b/internal/coordination/consensus/writes.go
@@ -24,8 +24,8 @@
 	token   uint64
 	version store.Version
 	// sentAt is when the write was sent to the backup, or when a sync of the primary's
-	// disk was last in progress, if that is later. The backup must reply within
-	// ReplyTimeout of it.
+	// disk was last pending, if that is later. The backup must reply within ReplyTimeout
+	// of sentAt.
 	sentAt       time.Duration
 	backupSynced bool
 }
--- a/internal/coordination/lease/grantor.go
+++ b/internal/coordination/lease/grantor.go
@@ -83,7 +83,8 @@
 	return duration
 }
 
-// Remove removes a node that is no longer registered.
+// Remove removes a node that is no longer registered. If it was granted a lease that has
+// not been counted as lapsed, that lease is counted now, even if it has not ended.
 func (g *Grantor) Remove(node string) {
 	if g.leases[node].lapsePending {
 		g.lapseCount++
--- a/internal/coordination/lease/timing.go
+++ b/internal/coordination/lease/timing.go
@@ -19,7 +19,7 @@
 	// and the primary's may run at different rates.
 	DriftPercent int
 	// ActivationMargin is how far an effective time lies after the end of the last lease
-	// that was granted without knowledge of it.
+	// that was granted without knowledge of that effective time.
 	ActivationMargin time.Duration
 	// PollTimeout is the longest time that a request waits for an update.
 	PollTimeout time.Duration
--- a/internal/coordination/membership/machine.go
+++ b/internal/coordination/membership/machine.go
@@ -22,8 +22,9 @@
 	suspicions map[Suspicion]time.Duration
 	// lastHeartbeat is when this node last sent heartbeats.
 	lastHeartbeat time.Duration
-	// lastSeedContact is when a seed was last contacted in turn. seedContacts counts
-	// these contacts, starting at 1. It is 0 until the first contact is scheduled.
+	// lastSeedContact is when a seed was last contacted in turn. Before the first such
+	// contact, it is the time from which the seed interval is counted. seedContacts is 0
+	// until the first contact is scheduled, which sets it to 1. Each contact then adds 1.
 	lastSeedContact time.Duration
 	seedContacts    int
 	// selfGossipUntil is the time until which this node's complete entry is included in
--- a/internal/coordination/membership/peer.go
+++ b/internal/coordination/membership/peer.go
@@ -25,7 +25,8 @@
 	// were last sent to the node to start an exchange.
 	digest       uint64
 	lastCompared time.Duration
-	// hasSelfEntry is true if the node has this node's complete entry.
+	// hasSelfEntry is true if the node's last digest shows that it has this node's
+	// complete entry.
 	hasSelfEntry bool
 	// lastRequested is when this node last subscribed to the peer's heartbeats.
 	// subscribedUntil is when the peer's subscription to this node's heartbeats ends.
--- a/internal/coordination/proposal/election_test.go
+++ b/internal/coordination/proposal/election_test.go
@@ -8,7 +8,8 @@
 )
 
 // elect runs three candidates, each of which is also a voter and has voted for itself at
-// the start. It returns the leaders at each time until span at which there are any.
+// the start. It returns the names of the leaders at each time before span. Times without
+// a leader have no entry.
 func elect(span time.Duration, isDown func(name string, now time.Duration) bool) (leaders map[time.Duration][]string) {
 	const voteDuration = 1200 * time.Millisecond
 	names := []string{"a", "b", "c"}
--- a/internal/coordination/singleton/status.go
+++ b/internal/coordination/singleton/status.go
@@ -9,7 +9,9 @@
 
 // RoleStatus is the state of a role as it is shown to operators.
 type RoleStatus struct {
-	Role     string `json:"duty"`
+	Role string `json:"duty"`
+	// Database is the database of the role. For the role of all databases with
+	// synchronous replication, it is the name of the role.
 	Database string `json:"database"`
 	// Leading is true if this control server leads the role.
 	Leading bool `json:"is_held"`
