--- a/internal/coordination/distribution/activation.go
+++ b/internal/coordination/distribution/activation.go
@@ -29,7 +29,8 @@
 	m.activating = true
 	return Write{Build: build, Done: func() {
 		m.activating = false
-		// If the write failed, there is no new snapshot that lifts the limit on leases.
+		// Publish lifts the limit on leases once the sets have their effective times. If
+		// the write failed, that does not happen, so the limit is lifted here.
 		m.grantor.Unfreeze()
 	}}, true
 }
@@ -53,11 +54,11 @@
 	}
 }
 
-// freezeLeases returns the earliest time at which the pending sets may take effect. That is
-// the end of the last lease granted so far, plus the activation margin, because every lease
-// granted without the effective time must have ended by then. Leases granted from now on
-// are limited to the same time. The very first set replaces no other and therefore waits
-// only for the activation margin.
+// freezeLeases limits the end of the leases granted from now on, and returns the earliest
+// time at which the pending sets may take effect. Both are the end of the last lease granted
+// so far, plus the activation margin, because every lease granted without the effective time
+// must have ended by then. The very first set replaces no other and therefore waits only for
+// the activation margin.
 func (m *Machine) freezeLeases(now time.Duration) time.Duration {
 	earliest := m.grantor.LatestExpiry(now) + m.timing.ActivationMargin
 	m.grantor.Freeze(earliest)
@@ -73,8 +74,9 @@
 
 // overdueSets returns the sets whose effective time lies in the future although they should
 // have taken effect, with the effective time replaced by effectiveAtOnce. A set is overdue
-// if a node has already activated it, or if an earlier tenure assigned the effective time
-// by a clock that was set wrong.
+// if a node has already activated it. It is also overdue if its NotBefore has passed and an
+// earlier tenure assigned an effective time that trustsEffectiveTime does not accept, for
+// example because that tenure's clock was set wrong.
 func (m *Machine) overdueSets(wallNanos int64) []model.BindingSet {
 	var overdue []model.BindingSet
 	for _, set := range m.snapshot.Sets {
@@ -99,9 +101,10 @@
 }
 
 // trustsEffectiveTime reports whether an effective time assigned by an earlier tenure is
-// plausible, which requires that the clock is trusted and that the time is no further ahead
-// than effective times are assigned. Every node with a lease past a plausible effective
-// time has received that time.
+// plausible, which requires that this node's clock is trusted and that the time is less than
+// the longest lease plus the activation margin ahead, since effective times are assigned no
+// further ahead than that. Every node with a lease past a plausible effective time has
+// received that time.
 func (m *Machine) trustsEffectiveTime(set model.BindingSet, wallNanos int64) bool {
 	return m.clockTrusted && time.Duration(set.EffectiveAt-wallNanos) < m.timing.LeaseDuration+m.timing.ActivationMargin
 }
--- a/internal/coordination/distribution/activation_test.go
+++ b/internal/coordination/distribution/activation_test.go
@@ -38,7 +38,7 @@
 		So(next.write(write), ShouldBeGreaterThan, 0)
 		So(next.Snapshot().NewestSet().EffectiveAt, ShouldBeGreaterThan, next.wallNanos)
 	})
-	Convey("While a set waits for a node that has not applied it, leases end in time for the activation deadline, and no lease is granted after that time", t, func() {
+	Convey("While a set waits for a node that has not applied it, leases end within the limit for a pending set, and no lease is granted after that limit", t, func() {
 		h := newHarness(1, store.New())
 		h.request("d1", store.Version{})
 		h.request("d2", store.Version{})
@@ -213,7 +213,7 @@
 
 func TestEffectiveTimeOfEarlierTenure(t *testing.T) {
 	Convey("A plausible effective time of an earlier tenure is kept if the clock is trusted, since every leased node has received it; otherwise no lease is granted", t, func() {
-		first := newHarnessWithSetAhead(1)
+		first := newHarnessWithUpcomingSet(1)
 		effectiveAt := first.Snapshot().NewestSet().EffectiveAt
 		So(effectiveAt, ShouldBeGreaterThan, first.wallNanos)
 		for _, trusted := range []bool{true, false} {
@@ -261,7 +261,7 @@
 
 func TestRequestsEndWithActivation(t *testing.T) {
 	Convey("A request received before a set's effective time is answered after that time, with a full lease", t, func() {
-		h := newHarnessWithSetAhead(3)
+		h := newHarnessWithUpcomingSet(3)
 		timeLeft := time.Duration(h.Snapshot().NewestSet().EffectiveAt - h.wallNanos)
 		So(timeLeft, ShouldBeGreaterThan, 0)
 		h.advance(timeLeft - time.Millisecond)
--- a/internal/coordination/distribution/asyncfailover.go
+++ b/internal/coordination/distribution/asyncfailover.go
@@ -15,7 +15,8 @@
 	version store.Version
 	// since is the time at which every leased node was first found to have applied it.
 	since time.Duration
-	// primaryPosition is the first position of the primary observed after since.
+	// primaryPosition is the position of the primary that was known at the first contact
+	// with it after since. hasPosition is true once there was such a contact.
 	primaryPosition model.Position
 	hasPosition     bool
 }
@@ -73,7 +74,8 @@
 }
 
 // markRoleAcknowledged adds to the evidence for how long every leased node has applied the
-// writer role, and the first position of the primary observed since then.
+// writer role, and the position of the primary that was known at the first contact since
+// then.
 func (m *Machine) markRoleAcknowledged(evidence *asyncrepl.Evidence, now time.Duration) {
 	database := evidence.Database
 	record, found := m.state.Records[model.PrefixWriterRole+database]
@@ -94,8 +96,8 @@
 	evidence.PrimaryPosition, evidence.HasPrimaryPosition = acknowledged.primaryPosition, acknowledged.hasPosition
 }
 
-// recentPrimaryPosition returns the position of the primary if the last contact with it is
-// less than maxAge ago.
+// recentPrimaryPosition returns the known position of the primary if the last contact with
+// it is less than maxAge ago. The position itself may be older than that contact.
 func recentPrimaryPosition(evidence *asyncrepl.Evidence, maxAge time.Duration) (model.Position, bool) {
 	index := slices.IndexFunc(evidence.Observations, func(observation asyncrepl.Observation) bool {
 		return observation.Instance.Name == evidence.Writer.Primary && observation.ContactAge < maxAge
--- a/internal/coordination/distribution/delta_test.go
+++ b/internal/coordination/distribution/delta_test.go
@@ -23,7 +23,7 @@
 		complete := h.requestSnapshot(store.Version{}, true)
 		So(len(complete.Writers), ShouldEqual, 100)
 		version := complete.Version
-		Convey("after a write the node gets only what was written, and other nodes get the complete snapshot", func() {
+		Convey("after a write a request that accepts deltas gets only what was written; a request that does not, or that has a version of an earlier tenure, gets the complete snapshot", func() {
 			h.put(writerPut("db7", 2))
 			delta := h.requestSnapshot(version, true)
 			So(len(delta.Writers), ShouldEqual, 1)
@@ -62,7 +62,7 @@
 			So(len(update.Writers), ShouldEqual, 1)
 		})
 	})
-	Convey("Writes of open, untransferred writer roles with synchronous replication are sent together after the settle delay; any other writer role and any set is sent immediately", t, func() {
+	Convey("Writes of open writer roles with synchronous replication that no promotion has moved are sent together after the settle delay; any other writer role and any set is sent immediately", t, func() {
 		for _, write := range []struct {
 			puts     []store.Put
 			mayDelay bool
--- a/internal/coordination/distribution/doc.go
+++ b/internal/coordination/distribution/doc.go
@@ -11,7 +11,8 @@
 //
 // The caller passes in:
 //   - each epoch record (EpochChanged);
-//   - each control state that is safe to publish (Publish);
+//   - each committed control state, which contains no write that the backup may lack
+//     (Publish);
 //   - the nodes' requests (HandleRequest);
 //   - the reports that nodes send while a request is pending (HandleReport);
 //   - the instances that the control node itself observes (UpdateInstances).
@@ -25,7 +26,8 @@
 // Three invariants hold:
 //   - Only a registered node gets a lease, so that the next primary can tell from the
 //     control state which nodes may hold one.
-//   - A lease is granted only together with the newest snapshot.
+//   - A lease is granted only to a node that has applied the newest snapshot, or together
+//     with that snapshot.
 //   - A set that replaces another takes effect only once every lease that was granted
 //     without its effective time has ended, or once a node has activated the set.
 //
--- a/internal/coordination/distribution/evaluation.go
+++ b/internal/coordination/distribution/evaluation.go
@@ -25,7 +25,8 @@
 }
 
 // DatabasesByReplication returns the sorted names of all databases, and the sorted names of
-// the databases with synchronous replication. Each kind has its own singleton roles.
+// the databases with synchronous replication. Each kind of replication has its own singleton
+// roles.
 func (m *Machine) DatabasesByReplication(observations []Observation) (all, synchronous []string) {
 	all = m.Databases(observations)
 	for _, database := range all {
--- a/internal/coordination/distribution/harness_test.go
+++ b/internal/coordination/distribution/harness_test.go
@@ -53,9 +53,9 @@
 	return h
 }
 
-// newHarnessWithSetAhead returns a harness with a leased node d1, an active set, and a
+// newHarnessWithUpcomingSet returns a harness with a leased node d1, an active set, and a
 // second set whose effective time lies in the future.
-func newHarnessWithSetAhead(epoch uint64) *harness {
+func newHarnessWithUpcomingSet(epoch uint64) *harness {
 	h := newHarness(epoch, store.New())
 	h.request("d1", store.Version{})
 	h.putSet(0)
--- a/internal/coordination/distribution/instances.go
+++ b/internal/coordination/distribution/instances.go
@@ -9,9 +9,9 @@
 	"tansyseam/internal/state/model"
 )
 
-// maxObservationAge is the longest time before the start of a tenure at which an instance
-// may have been observed to be listed in that tenure. Nodes may have received newer data
-// than an older observation from the previous tenure.
+// maxObservationAge is how long before the start of a tenure an instance may have been
+// observed and still be listed in that tenure. For an older observation, nodes may have
+// received newer data from the previous tenure.
 const maxObservationAge = time.Second
 
 // Observation is an instance as observed by this control node itself.
@@ -65,7 +65,7 @@
 	return changed
 }
 
-// UpdateInstances replaces the list by the instances that this control node has observed.
+// UpdateInstances replaces the list with the instances that this control node has observed.
 // Observations made more than maxObservationAge before the tenure are left out. It returns
 // true if an instance was added or a listed field of one changed.
 func (m *Machine) UpdateInstances(observations []Observation) bool {
--- a/internal/coordination/distribution/machine.go
+++ b/internal/coordination/distribution/machine.go
@@ -11,22 +11,25 @@
 	"tansyseam/internal/state/store"
 )
 
-// Machine is the distribution state machine of one control node. Only the machine of the
-// control primary is in use.
+// Machine is the distribution state machine of one control node. Only the control primary
+// grants leases and sends updates. On any other node the machine follows the epoch record
+// and the control state, and Flush answers the requests still pending with the record.
 type Machine struct {
 	self   string
 	timing lease.Timing
 	record consensus.Record
-	// state is the newest control state that is safe to publish, and snapshot is the
-	// part of it that is sent to nodes.
+	// state is the newest committed control state, and snapshot is the part of it that
+	// is sent to nodes.
 	state        *store.Table
 	snapshot     model.Snapshot
 	clockTrusted bool
 	pending      []pendingRequest
 	// tenureCount is the number of tenures that this process has started. tenureEpoch is
-	// the epoch in which the current tenure began, and firstVersion is the version of
-	// the first write that it published. A node that has applied that version has no
-	// writes that are missing from this tenure's history.
+	// the lowest epoch whose writes belong to the current tenure: the epoch in which it
+	// began or, after a start of the process, the one after the epoch on disk.
+	// firstVersion is the version of the first such write that was published. A node that
+	// has applied that version or a later one has no writes that are missing from the
+	// state of this tenure, and may get a delta.
 	tenureCount  uint64
 	tenureEpoch  uint64
 	firstVersion store.Version
@@ -119,7 +122,7 @@
 // unknown how long ago an earlier primary accepted a pending set.
 func (m *Machine) SetClockTrusted(trusted bool) { m.clockTrusted = trusted }
 
-// Publish handles a new state that is safe to publish.
+// Publish handles a new committed state.
 func (m *Machine) Publish(state *store.Table) {
 	previous := m.snapshot
 	m.snapshot, _ = model.RefreshSnapshot(state, previous, m.state)
--- a/internal/coordination/distribution/messages.go
+++ b/internal/coordination/distribution/messages.go
@@ -36,8 +36,9 @@
 	// written after Version.
 	AcceptsDelta bool
 	// WithoutLease is true if the node holds no lease and will accept no lease that was
-	// granted for an earlier request. It is not set in a request that is sent over two
-	// paths.
+	// granted for an earlier request. It is not set in a request that is sent both
+	// directly and through a peer, because the later copy would release the lease that
+	// was granted for the other one.
 	WithoutLease bool
 }
 
--- a/internal/coordination/distribution/requests.go
+++ b/internal/coordination/distribution/requests.go
@@ -147,7 +147,7 @@
 
 // isUrgent reports whether a change that must be sent to nodes immediately was written
 // after a request's version. Every change is urgent, except an open writer role with
-// synchronous replication that was never transferred.
+// synchronous replication that was never moved by a promotion.
 func (m *Machine) isUrgent(request UpdateRequest) bool {
 	if !m.hasVersionOfTenure(request) {
 		return true
--- a/internal/coordination/distribution/syncfailover.go
+++ b/internal/coordination/distribution/syncfailover.go
@@ -8,8 +8,8 @@
 	"tansyseam/internal/state/store"
 )
 
-// minRefusals is the number of refused connections that a node must report to be counted as
-// finding the instance down.
+// minRefusals is the number of refused connections that a node must report to be counted in
+// RefusedNodes.
 const minRefusals = 2
 
 // acknowledgedPhase records since when every leased node has applied a phase of a writer
@@ -18,8 +18,8 @@
 	term             uint64
 	phase            string
 	lastTransitionAt int64
-	// version is the first version in which the role has the phase. since is 0 until
-	// every leased node has applied that version.
+	// version is the version of the role's record when evidence was first requested in
+	// the phase. since is 0 until every leased node has applied that version.
 	version store.Version
 	since   time.Duration
 }
--- a/internal/coordination/failover/asyncrepl/doc.go
+++ b/internal/coordination/failover/asyncrepl/doc.go
@@ -8,12 +8,13 @@
 //   - open: proxies write to the primary. The machine maintains the set of replicas
 //     that commits wait for, and the set of replicas that may be promoted (the
 //     candidates).
-//   - closing: the primary is suspected to have failed. Proxies stop writing.
+//   - closing: the primary is leaving or is suspected to have failed, lost its data or
+//     lost its role. Proxies stop writing.
 //   - closed: no proxy with a lease writes any more. The machine chooses a candidate
 //     that holds all confirmed commits.
 //   - promoting: the choice is recorded and the promote call is made. The machine
-//     derives the outcome from the instance's announcements, not from the answer to
-//     the call.
+//     derives the outcome from the nodes' observations of the instance, not from the
+//     answer to the call.
 //
 // The machine keeps these invariants:
 //
--- a/internal/coordination/failover/asyncrepl/evidence.go
+++ b/internal/coordination/failover/asyncrepl/evidence.go
@@ -7,14 +7,16 @@
 	"tansyseam/internal/state/model"
 )
 
-// Observation is the combined view that the nodes have of one instance. Ages are
-// relative to the time at which the evidence was collected.
+// Observation is the combined view that the control primary and the nodes have of one
+// instance. Ages are relative to the time at which the evidence was collected.
 type Observation struct {
 	Instance model.Instance
-	// ContactAge is the age of the latest announcement or answer that any node
-	// received from the instance.
+	// ContactAge is the age of the latest announcement or answer that the control
+	// primary or a node with a lease received from the instance.
 	ContactAge time.Duration
-	// PositionAge is the age of the position in Instance.
+	// PositionAge is the time since a node sent the last query for the instance's
+	// position that was answered. If Instance is the control primary's own
+	// observation, it is so long that the position never counts as recent.
 	PositionAge time.Duration
 	// SilentNodes is the number of nodes, out of ReportingNodes, that received
 	// neither an announcement nor an answer within the silence timeout. Only nodes
@@ -37,8 +39,9 @@
 	// recorded writer role. SettledFor is how long this has been true.
 	Settled    bool
 	SettledFor time.Duration
-	// PrimaryPosition is a position that the primary had after the writer role was
-	// settled. It is valid if HasPrimaryPosition is true.
+	// PrimaryPosition is the position of the primary that was known at the first
+	// contact with it after the writer role was settled. It is valid if
+	// HasPrimaryPosition is true.
 	PrimaryPosition    model.Position
 	HasPrimaryPosition bool
 	// ReportingNodes is the number of nodes with a lease that reported recently.
@@ -58,8 +61,8 @@
 	return Observation{}, false
 }
 
-// responsive returns the instances that had contact with a node within the silence
-// timeout.
+// responsive returns the instances that had contact with the control primary or a node
+// within the silence timeout.
 func (e Evidence) responsive(timing Timing) []Observation {
 	var responsive []Observation
 	for _, observed := range e.Observations {
@@ -91,9 +94,9 @@
 	return instance.Incarnation == incarnation && !instance.Position.IsBefore(e.Writer.HighWatermark)
 }
 
-// unreachable reports whether no node had contact with an instance within the silence
-// timeout, and most of the reporting nodes count it as silent. The reason is for the
-// audit log.
+// unreachable reports whether neither the control primary nor a node had contact with an
+// instance within the silence timeout, and most of the reporting nodes count it as
+// silent. The reason is for the audit log.
 func (o Observation) unreachable(timing Timing) (reason string, unreachable bool) {
 	if o.ContactAge <= timing.SilenceTimeout || o.SilentNodes*2 <= o.ReportingNodes {
 		return "", false
--- a/internal/coordination/failover/asyncrepl/promotion.go
+++ b/internal/coordination/failover/asyncrepl/promotion.go
@@ -66,7 +66,7 @@
 	return leading && evidence.holdsConfirmedCommits(primary.Instance, evidence.Writer.PrimaryIncarnation)
 }
 
-// onPromoting determines the outcome of the promote call from the announcements of the
+// onPromoting determines the outcome of the promote call from the observation of the
 // chosen instance. No other instance is called while the outcome is unknown.
 func onPromoting(evidence Evidence, timing Timing) []failover.Effect {
 	observed, found := evidence.observation(evidence.Writer.Promoting)
--- a/internal/coordination/failover/asyncrepl/replicas_test.go
+++ b/internal/coordination/failover/asyncrepl/replicas_test.go
@@ -37,7 +37,7 @@
 		evidence.Writer = firstWriter(evidence)
 		So(firstWriter(evidence).RequiredReplicas, ShouldContainKey, "c")
 	})
-	Convey("If commits wait long for every replica, or the primary had no recent contact, no replica is removed as slow", t, func() {
+	Convey("If commits wait long for every replica, or there was no recent contact with the primary, no replica is removed as slow", t, func() {
 		evidence := openTerm()
 		evidence.Observations[1].CommitWait = time.Second
 		evidence.Observations[2].CommitWait = time.Second
--- a/internal/coordination/failover/execute.go
+++ b/internal/coordination/failover/execute.go
@@ -19,13 +19,14 @@
 	Record func(record Record, committed func())
 	// Act carries out an effect that is not a Record.
 	Act func(effect Effect)
-	// Finish, if not nil, is called once all effects are carried out.
+	// Finish, if not nil, is called once all effects are carried out. It is not called
+	// if a record is refused or lost.
 	Finish func()
 }
 
 // Execute carries out effects in order. The effects after a Record wait until the
-// Record is committed, because they may depend on it, even if another control server
-// takes over.
+// Record is committed, because they may depend on it. A control server that takes over
+// therefore finds the Record if any of these effects was carried out.
 func (e Executor) Execute(effects []Effect) {
 	for index, effect := range effects {
 		if record, ok := effect.(Record); ok {
--- a/internal/coordination/failover/failover.go
+++ b/internal/coordination/failover/failover.go
@@ -7,7 +7,8 @@
 // replicate synchronously by themselves. Both machines are pure: a step maps
 // evidence to effects, and the caller executes the effects in order. All state is
 // in the recorded writer role, so a step that is repeated after a crash, or by
-// another control server, continues from the last recorded step.
+// another control server (the server process of another control node), continues
+// from the last recorded step.
 package failover
 
 import "tansyseam/internal/state/model"
--- a/internal/coordination/failover/syncrepl/candidate.go
+++ b/internal/coordination/failover/syncrepl/candidate.go
@@ -66,7 +66,8 @@
 
 // oldPrimaryBound returns a position at or past every acknowledged commit. Such a bound
 // is found if the old primary, or an instance that took over its log, answered with its
-// position after the nodes had stopped using the old primary.
+// position as primary of the recorded term after the nodes had stopped using the old
+// primary.
 func oldPrimaryBound(evidence Evidence) (bound model.Position, found bool) {
 	for _, probe := range evidence.Probes {
 		if evidence.Settled && probe.AfterSettled && probe.leads(evidence.Writer.Term) {
--- a/internal/coordination/failover/syncrepl/doc.go
+++ b/internal/coordination/failover/syncrepl/doc.go
@@ -7,9 +7,9 @@
 //   - open: proxies write to the primary. The machine maintains the set of replicas
 //     that may hold commits. If the proxies' reports of commits are incomplete, it
 //     covers the gap with the primary's own position.
-//   - closing: the primary is suspected to have failed. Once no proxy with a lease uses
-//     it any more, the machine probes the replicas for their positions and chooses one
-//     that is proven to hold all acknowledged commits.
+//   - closing: the primary is leaving or is suspected to have failed or lost its role.
+//     Once no proxy with a lease uses it any more, the machine probes the replicas for
+//     their positions and chooses one that is proven to hold all acknowledged commits.
 //   - promoting: the choice is recorded and the promote call is made, with a fencing
 //     token. The machine determines the outcome by probing the instances.
 //
--- a/internal/coordination/failover/syncrepl/evidence.go
+++ b/internal/coordination/failover/syncrepl/evidence.go
@@ -7,12 +7,13 @@
 	"tansyseam/internal/state/store"
 )
 
-// Observation is the combined view that the nodes have of one instance. Ages are
-// relative to the time at which the evidence was collected.
+// Observation is the combined view that the control primary and the nodes have of one
+// instance. Ages are relative to the time at which the evidence was collected.
 type Observation struct {
 	Instance model.Instance
-	// ContactAge is the age of the latest announcement or answer that any node
-	// received from the instance.
+	// ContactAge is the age of the latest announcement that the control primary
+	// received from the instance, or of the latest answer that a node with a lease
+	// received, whichever is smaller.
 	ContactAge time.Duration
 	// ReportingNodes is the number of nodes with a lease that had evidence for or
 	// against the instance in the last second. RefusedNodes of them had connections
@@ -164,7 +165,8 @@
 
 // warmedUp reports whether the nodes' reports may count as evidence against the primary:
 // reports have been collected for long enough, and the last transition is long enough
-// ago. A transition in the future means that the clock was set back.
+// ago. A transition in the future means that the clock was set back, and counts as long
+// ago.
 func (e Evidence) warmedUp(timing Timing) bool {
 	sinceTransition := e.sinceTransition()
 	return e.GatheredFor > timing.ReportWarmup && (sinceTransition > timing.TermWarmup || sinceTransition < 0)
--- a/internal/coordination/failover/syncrepl/promoting.go
+++ b/internal/coordination/failover/syncrepl/promoting.go
@@ -109,7 +109,7 @@
 // isRetryDue reports whether the promote call may be repeated: after
 // PromoteRetryInterval, or already after the shorter RetryInterval if the platform
 // refused the last call because of its rate limit. A transition in the future means
-// that the clock was set back.
+// that the clock was set back, and the call may then be repeated at once.
 func isRetryDue(evidence Evidence, timing Timing) bool {
 	waited := evidence.sinceTransition()
 	if isThrottled(evidence.PromoteCalls) && waited > timing.RetryInterval {
--- a/internal/coordination/failover/syncrepl/timing.go
+++ b/internal/coordination/failover/syncrepl/timing.go
@@ -34,7 +34,7 @@
 	FastProbeInterval time.Duration
 	IdleProbeInterval time.Duration
 	// ReplicaWait is how long a closing term waits for the positions of silent
-	// replicas.
+	// replicas, and for a replica that is not leaving to hold all acknowledged commits.
 	ReplicaWait time.Duration
 	// OldPrimaryWait is how long a closing term waits for a probe of the old primary.
 	OldPrimaryWait time.Duration
--- a/internal/coordination/idempotency/handover.go
+++ b/internal/coordination/idempotency/handover.go
@@ -20,7 +20,8 @@
 // HandoverAck is the answer to a Handover that was imported.
 type HandoverAck struct{}
 
-// predecessor is a node that has shut down. Only its successor has its records.
+// predecessor is a node that has shut down. The records and sessions are empty unless this
+// node is its successor.
 type predecessor struct {
 	successor string
 	records   map[string]*requestRecord
--- a/internal/coordination/idempotency/machine.go
+++ b/internal/coordination/idempotency/machine.go
@@ -85,8 +85,8 @@
 // Kinds of decision. The strings must not change, since they are part of the names of
 // counters.
 const (
-	// Execute means that the request must be executed: its id was never seen before, and
-	// is now recorded as in flight.
+	// Execute means that the request must be executed: no node is known to have executed
+	// it, and its id is now recorded as in flight.
 	Execute DecisionKind = "run"
 	// Wait means that the first attempt is in flight at this node. Complete returns the
 	// token of the retry when the attempt has ended.
--- a/internal/coordination/rollout/manifest.go
+++ b/internal/coordination/rollout/manifest.go
@@ -16,7 +16,8 @@
 	Compressed []byte
 	// Digest identifies the content, see DigestOf.
 	Digest Digest
-	// Source is the name of the call by which the manifest was sent.
+	// Source is stored as the source of the binding set, and is the evidence in the audit
+	// entry.
 	Source string
 }
 
@@ -28,7 +29,7 @@
 
 // AcceptManifest returns the puts that accept a manifest. It returns no puts if the
 // manifest's version is not above the newest accepted version, and ErrVersionConflict if
-// that version was accepted with other content.
+// the manifest's version was already accepted with other content.
 func AcceptManifest(state *store.Table, manifest Manifest, wallNanos int64) ([]store.Put, error) {
 	newest := model.ReadSnapshot(state).NewestSet()
 	if newest.Version >= manifest.Version {
--- a/internal/coordination/rollout/rollout.go
+++ b/internal/coordination/rollout/rollout.go
@@ -1,8 +1,8 @@
 // Package rollout decides how binding sets change: how a set is accepted from an
 // operator or from the schedule, when it takes effect on all nodes, and when it is
-// deleted. Its functions take a copy of the control state and return the puts that carry
-// out a decision. If the decision does not apply to that state, they return no puts or an
-// error.
+// deleted. Its functions read the control state, which they do not change, and return the
+// puts that carry out a decision. If the decision does not apply to that state, they return
+// no puts or an error.
 //
 // A set passes through these states:
 //   - scheduled: it is stored as a model.ScheduledChange;
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestAcceptBindings(t *testing.T) {
-	Convey("A set is rejected with the newest sequence if the caller expected another sequence", t, func() {
+	Convey("A set is rejected with an error that contains the newest sequence if the caller expected another sequence", t, func() {
 		state := store.New()
 		puts, err := AcceptBindings(state, 0, nil, "x", 1)
 		So(puts, ShouldNotBeEmpty)
@@ -25,7 +25,7 @@
 }
 
 func TestSchedule(t *testing.T) {
-	Convey("A change scheduled for an earlier time than that of a set being distributed is rejected with that set", t, func() {
+	Convey("A change scheduled for an earlier time than that of a set being distributed is rejected with an error that contains that set", t, func() {
 		state := store.New()
 		pending := model.BindingSet{Sequence: 1, NotBefore: 100}
 		state.Apply(store.Version{Epoch: 1, Sequence: 1}, []store.Put{setPut(pending)})
--- a/internal/coordination/rollout/versions.go
+++ b/internal/coordination/rollout/versions.go
@@ -9,8 +9,9 @@
 	"tansyseam/internal/state/store"
 )
 
-// MinRetainedVersions is the minimum number of manifests whose accepted versions and
-// digests stay stored.
+// MinRetainedVersions is the minimum number of the newest sequences for which the versions
+// and digests of accepted manifests stay stored. If no other sets are accepted between the
+// manifests, it is also the minimum number of such manifests.
 const MinRetainedVersions = 1024
 
 // Many accepted versions are stored in one record, so that few keys are needed.
--- a/internal/coordination/routing/doc.go
+++ b/internal/coordination/routing/doc.go
@@ -4,11 +4,12 @@
 // these the machine decides which binding set is active, which instance may answer a
 // read, and whether a commit is durable.
 //
-// Each node has one Machine. The node sends an UpdateRequest, or a DeltaUpdateRequest if
-// it observes the instances itself, to the control primary, and passes the answer to
-// ApplyUpdate. It passes the announcements of instances to HandleAnnouncement, and their
-// answers to HandlePosition. It calls MayWrite or MayRead before each statement, and
-// CommitVerdict before it answers a commit.
+// Each node has one Machine. The node sends the control primary an UpdateRequest, which
+// reports the machine's observations of the instances, or a DeltaUpdateRequest, which
+// reports the caller's own observations. It passes the answer to ApplyUpdate. It passes
+// the announcements of instances to HandleAnnouncement, and their answers to
+// HandlePosition. It calls MayWrite or MayRead before each statement, and CommitVerdict
+// before it answers a commit.
 //
 // The machine keeps these invariants:
 //
--- a/internal/coordination/routing/machine.go
+++ b/internal/coordination/routing/machine.go
@@ -19,7 +19,7 @@
 	// by sequence.
 	activationTimes map[uint64]time.Duration
 	observations    map[string]*Observation
-	// samples are positions of the primaries in the order of the queries, by database.
+	// samples are positions of the primaries in the order of the answers, by database.
 	samples map[string][]primarySample
 	// highWatermarks are the furthest positions confirmed by this node, by database.
 	highWatermarks map[string]model.Position
@@ -58,7 +58,7 @@
 func (m *Machine) WriterRole(database string) model.WriterRole { return m.snapshot.Writers[database] }
 
 // ActiveSet returns the active binding set, and whether that set has become active since
-// the last call.
+// the last call. UpdateRequest, DeltaUpdateRequest and ApplyUpdate make such calls too.
 func (m *Machine) ActiveSet(now time.Duration) (model.BindingSet, bool) {
 	var active model.BindingSet
 	for _, set := range m.snapshot.Sets {
--- a/internal/coordination/routing/updates.go
+++ b/internal/coordination/routing/updates.go
@@ -24,9 +24,9 @@
 	return m.newRequest(m.Report(now, commitWaits), now)
 }
 
-// DeltaUpdateRequest returns the next request of a node that observes the instances
-// itself. It omits the parts of the report that the control primary has received with
-// earlier requests.
+// DeltaUpdateRequest returns the node's next request, with a report that the caller made
+// from its own observations of the instances. It omits the parts of the report that the
+// control primary has received with earlier requests.
 func (m *Machine) DeltaUpdateRequest(report distribution.NodeReport, now time.Duration) distribution.UpdateRequest {
 	return m.newRequest(m.reporter.NextReport(report, now), now)
 }
@@ -77,10 +77,10 @@
 }
 
 // ApplyUpdate handles the update that answers the request sent at sentAt, and returns
-// the changes of writer roles. Restrictions in the update take effect at once, and the
-// version in the next request acknowledges them. A delta on a version other than the
-// node's changes neither the snapshot nor the lease, since a lease is valid only with
-// the newest snapshot.
+// the changes of writer roles. The new snapshot takes effect at once: for example,
+// nothing may be written in a term that it closes. The version in the next request
+// acknowledges the snapshot. A delta on a version other than the node's changes neither
+// the snapshot nor the lease, since a lease is valid only with the newest snapshot.
 func (m *Machine) ApplyUpdate(update distribution.Update, sentAt, now time.Duration) []WriterRoleChanged {
 	var changes []WriterRoleChanged
 	m.reporter.Acknowledge(update.Tenure)
--- a/internal/coordination/schedule/schedule.go
+++ b/internal/coordination/schedule/schedule.go
@@ -11,8 +11,8 @@
 	"tansyseam/internal/state/model"
 )
 
-// LeadTime is the time by which a scheduled change is accepted before its effective time,
-// so that it is distributed to all nodes in time.
+// LeadTime is how long before its effective time a scheduled change is accepted, so that it
+// is distributed to all nodes in time.
 const LeadTime = 1800 * time.Millisecond
 
 // NextDue returns the first scheduled change, and reports whether it is due to be accepted
@@ -32,8 +32,8 @@
 // AssignEffectiveTimes returns the pending sets with an effective time assigned to each.
 // The effective time of a set is the latest of earliest, its own NotBefore, and the
 // effective times of all sets with a lower sequence. The caller chooses earliest so that
-// every lease granted without the set has ended by then. The parameter sets is sorted by
-// sequence. Times are Unix times in nanoseconds.
+// every lease granted without these effective times has ended by then. The parameter sets
+// is sorted by sequence. Times are Unix times in nanoseconds.
 func AssignEffectiveTimes(sets []model.BindingSet, earliest int64) []model.BindingSet {
 	var assigned []model.BindingSet
 	latest := int64(0)
