--- a/test/simulation/admission.go
+++ b/test/simulation/admission.go
@@ -8,39 +8,43 @@
 )
 
 const (
-	// longStatementFactor is how much longer a long statement takes.
+	// longStatementFactor is the factor by which a long statement takes longer
+	// than another one.
 	longStatementFactor = 10
-	// A statement takes from minServiceFactor of the service time on, within
-	// a range.
+	// The time of a statement is the load's service time multiplied by a
+	// random factor that is at least minServiceFactor, and at most
+	// serviceFactorRange more.
 	minServiceFactor    = 0.6
 	serviceFactorRange  = 0.8
 	admissionTickPeriod = 20 * time.Millisecond
 	windowSamplePeriod  = time.Second
 )
 
-// NodeShare is what one node got in an experiment.
+// NodeShare is the result of one node in an experiment.
 type NodeShare struct {
 	Weight float64
+	// Served is the number of statements that the server completed.
 	Served int
-	// Window and Cal are the window and its calculated average latency at the
-	// end.
+	// Window and Cal are the window and the calculated average latency (CAL)
+	// at the end.
 	Window       float64
 	Cal          time.Duration
 	QueueTimeP99 time.Duration
 }
 
-// AdmissionResult is what an experiment showed. Capacity and Served are
+// AdmissionResult is the result of an experiment. Capacity and Served are in
 // statements per second.
 type AdmissionResult struct {
 	Name     string
 	Capacity float64
 	Served   float64
-	// Latency is that at the server, QueueTime that in the node's queue; both
-	// have the median and the 99th percentile.
+	// Latency is the median time from sending a statement to the server until
+	// its completion. QueueTime is the median time in the queue of the node.
+	// The fields that end in P99 are the 99th percentiles.
 	Latency, LatencyP99     time.Duration
 	QueueTime, QueueTimeP99 time.Duration
 	Shares                  []NodeShare
-	// Windows is the sum of all windows at the end of each second.
+	// Windows has the sum of all windows at the start and after each second.
 	Windows []float64
 }
 
@@ -102,10 +106,10 @@
 	}
 }
 
-// burst is how many statements arrive at once.
+// burst returns the number of statements that arrive at once.
 func (r *admissionRun) burst() int { return max(r.load.Burst, 1) }
 
-// arrivalInterval is the mean time between arrivals at one node.
+// arrivalInterval returns the mean time between arrivals at one node.
 func (r *admissionRun) arrivalInterval() time.Duration {
 	return time.Duration(float64(time.Second) * float64(r.burst()) * float64(len(r.nodes)) / r.load.StatementsPerSecond)
 }
@@ -118,7 +122,7 @@
 	r.simulator.after(time.Duration(r.simulator.random.ExpFloat64()*float64(r.arrivalInterval())), func() { r.arrive(node) })
 }
 
-// forward sends what a node's window has room for.
+// forward sends queued statements of a node while its window has room.
 func (r *admissionRun) forward(node *admissionNode) {
 	for len(node.queue) > 0 && (r.load.Unlimited || node.window.HasRoom()) {
 		next := node.queue[0]
@@ -178,7 +182,7 @@
 	return &sharedServer{simulator: s, load: load, start: s.now, slots: serviceSlots{limit: load.Slots}}
 }
 
-// run runs a statement once a slot is free.
+// run runs a statement once a slot is free, and then calls done.
 func (s *sharedServer) run(long bool, done func()) {
 	s.slots.run(func() {
 		s.simulator.after(s.serviceTime(long), func() {
--- a/test/simulation/digest.go
+++ b/test/simulation/digest.go
@@ -2,10 +2,12 @@
 
 import "fmt"
 
-// fleetKind names a kind of fleet as the options of the simulate command do.
+// fleetKind is a kind of fleet, named like the values of the flags -manner and
+// -shape of the simulate command.
 type fleetKind struct{ mode, shape string }
 
-// digestRuns gives the digest of the history of a seed, by kind of fleet.
+// digestRuns has, for each kind of fleet, the function that runs a seed and
+// returns the digest of its history.
 var digestRuns = map[fleetKind]func(seed uint64) string{
 	{"json", "magnolia"}:  func(seed uint64) string { return Run(seed, SmallConfig(), Defects{}, nil).HistoryDigest },
 	{"json", "chile"}:     func(seed uint64) string { return Run(seed, LargeConfig(), Defects{}, nil).HistoryDigest },
@@ -13,19 +15,21 @@
 	{"lines", "chile"}:    func(seed uint64) string { return RunLines(seed, LargeLineConfig(), LineDefects{}, nil).HistoryDigest },
 }
 
-// UnknownFleetError says that there is no kind of fleet of these names.
+// UnknownFleetError is returned when no kind of fleet has the given mode and
+// shape.
 type UnknownFleetError struct{ Mode, Shape string }
 
 func (e *UnknownFleetError) Error() string {
 	return fmt.Sprintf("no fleet of mode %q and shape %q", e.Mode, e.Shape)
 }
 
-// DigestOf gives the function from a seed to the digest of its history, for a
-// kind of fleet. The digest covers every line of the history; builds whose
-// machines decide alike have the same. The error is an UnknownFleetError.
+// DigestOf returns the function that runs a seed of a kind of fleet and returns
+// the digest of its history. The digest covers every line of the history: two
+// builds that make the same decisions have the same digest. The error is an
+// UnknownFleetError.
 func DigestOf(mode, shape string) (func(seed uint64) string, error) {
-	run, known := digestRuns[fleetKind{mode, shape}]
-	if !known {
+	run, found := digestRuns[fleetKind{mode, shape}]
+	if !found {
 		return nil, &UnknownFleetError{Mode: mode, Shape: shape}
 	}
 	return run, nil
--- a/test/simulation/digest_test.go
+++ b/test/simulation/digest_test.go
@@ -11,8 +11,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// digestsPerKind is how many of the recorded seeds of each kind of fleet a test run
-// plays; the simulate command plays them all.
+// digestsPerKind returns the number of recorded seeds of each kind of fleet that
+// the test runs. More seeds are recorded; the simulate command can run them all.
 func digestsPerKind() uint64 {
 	if isRace {
 		return 4
@@ -20,11 +20,12 @@
 	return 20
 }
 
-// TestHistoriesStay compares histories with those that were recorded. A change
-// that is meant to alter decisions records them anew with
-// `go run ./test/cmd/simulate -digests` and says so; a refactoring may not.
+// TestHistoriesStay compares the digests of histories with recorded digests. A
+// change that is meant to alter decisions records the digests again with
+// `go run ./test/cmd/simulate -digests`, and its description says so. A
+// refactoring must not change a digest.
 func TestHistoriesStay(t *testing.T) {
-	Convey("The history of each recorded seed is the same to the byte", t, func() {
+	Convey("The history of each recorded seed is the same, byte for byte", t, func() {
 		file, err := os.ReadFile("testdata/digests.txt")
 		So(err, ShouldBeNil)
 		var rows []string
--- a/test/simulation/window.go
+++ b/test/simulation/window.go
@@ -7,8 +7,9 @@
 	"tansyseam/internal/coordination/flowcontrol"
 )
 
-// Constants of the paper on flow control (docs/paper.md): the weights of the
-// averages, and the latency threshold in nanoseconds.
+// Constants of the paper on flow control (docs/paper.md). paperAlpha is the
+// smoothing factor of the average latency, paperGamma that of the window, and
+// paperThresholdNanos the latency threshold in nanoseconds.
 const (
 	paperAlpha          = 0.9
 	paperGamma          = 0.2
@@ -18,31 +19,34 @@
 const (
 	windowPeriod  = time.Second
 	initialWindow = 2
-	// roundingMargin makes up for rounding when a window is compared with a
-	// count.
+	// roundingMargin compensates for rounding errors when a window is compared
+	// with a number of statements.
 	roundingMargin = 1e-9
-	// windowTolerance and latencyTolerance are how far the product's figures
-	// may be from the model's; the latter is in nanoseconds.
+	// windowTolerance and latencyTolerance are the largest permitted
+	// differences between the product and the model. latencyTolerance is in
+	// nanoseconds.
 	windowTolerance  = 1e-6
 	latencyTolerance = 2
 )
 
-// windowModel is the paper's equations for one window of one node, written a
-// second time to check the product's. It shares no code with the product.
+// windowModel is a second implementation of the paper's equations, for one
+// window of one node. It checks the product's implementation, and shares no
+// code with it.
 type windowModel struct {
-	// averageLatency is the paper's CAL, in nanoseconds.
+	// averageLatency is the paper's calculated average latency (CAL), in
+	// nanoseconds.
 	averageLatency          float64
 	window, beta, maxWindow float64
 	periodStart             time.Duration
 	started                 bool
-	// saturated says that the window was full in this period.
+	// saturated is true if the window was full at some time in this period.
 	saturated  bool
 	latencySum float64
 	samples    int
 	inFlight   int
 	updates    int
-	// uncertain says that the model lacks what the product saw in this
-	// period.
+	// uncertain is true if the model may lack a sample that the product has
+	// taken in this period.
 	uncertain bool
 }
 
@@ -67,7 +71,7 @@
 	m.samples++
 }
 
-// limit applies a new largest window.
+// limit sets the maximum window.
 func (m *windowModel) limit(maxWindow float64) {
 	m.maxWindow = maxWindow
 	m.window = math.Min(m.window, maxWindow)
@@ -102,37 +106,41 @@
 	m.latencySum, m.samples, m.saturated = 0, 0, m.isFull()
 }
 
-// differsFrom reports whether the product's figures are not the model's.
+// differsFrom reports whether the window or the average latency of the product
+// differs from the model by more than the tolerance.
 func (m *windowModel) differsFrom(reading flowcontrol.Reading) bool {
 	return math.Abs(m.window-reading.Size) > windowTolerance || math.Abs(m.averageLatency-float64(reading.AverageLatency)) > latencyTolerance
 }
 
-// adopt takes the product's figures over, so that one difference is found
-// once.
+// adopt sets the model to the values of the product, so that one difference is
+// reported only once.
 func (m *windowModel) adopt(reading flowcontrol.Reading) {
 	m.window, m.averageLatency = reading.Size, float64(reading.AverageLatency)
 }
 
-// windowChecks says whether the windows of all nodes are checked against a
-// model. The other fields show how much there was to check.
+// windowChecks counts the checks of windows against their models, so that a
+// test can tell whether enough was checked.
 type windowChecks struct {
-	enabled   bool
-	updates   int
+	// enabled is true if the run checks windows.
+	enabled bool
+	// updates is the largest number of updates of any window.
+	updates int
+	// uncertain counts the closed connections that made a model uncertain.
 	uncertain int
 	maxWindow float64
-	// maxLatency is in nanoseconds.
+	// maxLatency is the largest average latency, in nanoseconds.
 	maxLatency float64
 }
 
-// observe takes in a model after a check.
+// observe updates the counts after a check of a model.
 func (c *windowChecks) observe(model *windowModel) {
 	c.updates = max(c.updates, model.updates)
 	c.maxWindow = math.Max(c.maxWindow, model.window)
 	c.maxLatency = math.Max(c.maxLatency, model.averageLatency)
 }
 
-// windowModelFor gives the model of the window for an instance; nil where the
-// run models none, or the node knows no such instance.
+// windowModelFor returns the model of the node's window for an instance. It
+// returns nil if the run checks no windows or the node has no such instance.
 func (n *node) windowModelFor(name string) *windowModel {
 	reading, found := n.pool.WindowReading(name)
 	if !n.fleet.windows.enabled || !found {
@@ -156,7 +164,7 @@
 		model.limit(reading.MaxWindow)
 		model.tick(now)
 		if model.differsFrom(reading) {
-			n.fleet.recorder.addViolation("%s for %s: window %v and CAL %v, by the equations %v and %v", n.name, instance.name, reading.Size, reading.AverageLatency, model.window, time.Duration(model.averageLatency))
+			n.fleet.recorder.addViolation("%s for %s: window %v and CAL %v, but the paper's equations give %v and %v", n.name, instance.name, reading.Size, reading.AverageLatency, model.window, time.Duration(model.averageLatency))
 			model.adopt(reading)
 		}
 		n.fleet.windows.observe(model)
--- a/test/simulation/window_test.go
+++ b/test/simulation/window_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestWindowsFollowThePaper(t *testing.T) {
-	Convey("On a whole fleet at work, every window and CAL of each node is what the paper's equations give for the latencies that its connections saw", t, func() {
+	Convey("In a whole fleet under load, each window and CAL of each node equals the result of the paper's equations for the latencies on its connections", t, func() {
 		for _, busy := range []bool{false, true} {
 			config := SmallConfig()
 			config.FaultDuration, config.RecoveryDuration, config.Callers = 14*time.Second, time.Second, 40
