--- a/test/simulation/digest_texts.go
+++ b/test/simulation/digest_texts.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// earlierTexts gives texts of a history the words they had when the digests in
-// testdata were recorded, so that a change of words alone leaves the digests
-// valid: each pair is the present text and the earlier one. Each present text
-// stands for one earlier text only.
+// earlierTexts replaces reworded texts of a history by the texts that they had
+// when the digests in testdata were recorded, so that a change of wording alone
+// keeps the digests valid. Each pair is the present text and the earlier text.
+// A present text must replace one earlier text only.
 var earlierTexts = strings.NewReplacer(
 	"status received", "told standing",
 	"decision received", "told",
@@ -33,4 +33,11 @@
 	", complete ", ", whole ",
 	", and no other instance is reachable", ", and no other instance can be heard",
 	"answers overdue at ", "owes answers to ",
+	"all faults repaired", "all is mended",
+	" truncates its log from ", " is cut back from ",
+	" becomes primary of term ", " leads term ",
+	" applies the writer role of ", " holds ",
+	" requests promotion of ", " calls for ",
+	" to primary of ", " to lead ",
+	", fencing token ", ", fence ",
 )
--- a/test/simulation/lines_checks.go
+++ b/test/simulation/lines_checks.go
@@ -12,44 +12,47 @@
 	"tansyseam/test/linehistory"
 )
 
-// Names of rules that are checked beside those of linehistory.
+// Names of rules that are checked in addition to those of linehistory.
 const (
-	// RuleWire is broken by messages that nobody asked for.
+	// RuleWire is violated by a message to a client that has no pending query.
 	RuleWire = "wire"
-	// RuleWindow is broken by windows that differ from the paper's equations.
+	// RuleWindow is violated by a window that differs from the paper's
+	// equations.
 	RuleWindow = "window"
 )
 
 const (
-	// drainTimeout is how long after its leaving was acknowledged an instance
-	// may still receive work.
+	// drainTimeout is the time after control acknowledged that an instance is
+	// leaving in which the instance may still receive work.
 	drainTimeout = 7 * time.Second
-	// contactTimeout is how long a node may need to hear of changes after it
-	// was started or thawed.
+	// contactTimeout is the time that a node may need to receive updates after
+	// it was started or thawed.
 	contactTimeout = 4 * time.Second
-	// checkedCommits bounds how many acknowledged commits a read is checked
-	// against.
+	// checkedCommits limits the number of acknowledged commits that a read is
+	// checked against.
 	checkedCommits = 400
 )
 
-// acknowledgedCommits are the commits of one database that were acknowledged
-// to clients, in order.
+// acknowledgedCommits are the commits of one database that clients received an
+// acknowledgement for, in the order of the acknowledgements.
 type acknowledgedCommits struct {
 	times     []time.Duration
 	positions []model.Position
 }
 
-// lineChecker checks the rules of line sessions while a run goes on.
+// lineChecker checks the rules of line sessions during a run.
 type lineChecker struct {
 	simulator *simulator
-	// violations has what was found, by the name of the rule.
+	// violations has the descriptions of violations, by the name of the rule.
 	violations map[string][]string
-	queries    map[string]*query
-	// stampOwners gives the query of each answer's stamp.
+	// queries has the queries of all clients, by their ID.
+	queries map[string]*query
+	// stampOwners maps the stamp of each answer to the ID of its query.
 	stampOwners map[string]string
-	// commitPositions gives where each write is in a log.
+	// commitPositions maps each committed write to its position in the log.
 	commitPositions map[string]model.Position
-	// refusals has, by write, the answer that promised that it has no effect.
+	// refusals maps a write to the error which guaranteed that the write has
+	// no effect.
 	refusals     map[string]string
 	acknowledged map[string]*acknowledgedCommits
 	versions     versionHistory
@@ -57,10 +60,10 @@
 	served       int
 	writes       int
 	failureCodes map[string]int
-	// recoveryCheckFrom begins the span in which operations are counted after
-	// the last fault; 0 for not yet.
+	// recoveryCheckFrom is the start of the span after the last fault in which
+	// operations are counted; 0 until the faults have ended.
 	recoveryCheckFrom time.Duration
-	recoveryBegun     int
+	recoveryStarted   int
 	recoveryServed    int
 }
 
@@ -72,13 +75,14 @@
 	}
 }
 
-func (c *lineChecker) addViolation(rule, format string, parts ...any) {
-	text := fmt.Sprintf("%9.3f ", sinceStartMS(c.simulator.now)) + fmt.Sprintf(format, parts...)
+func (c *lineChecker) addViolation(rule, format string, arguments ...any) {
+	text := fmt.Sprintf("%9.3f ", sinceStartMS(c.simulator.now)) + fmt.Sprintf(format, arguments...)
 	c.violations[rule] = append(c.violations[rule], text)
-	c.simulator.record("BROKEN %s: %s", rule, text)
+	c.simulator.record("violation of rule %s: %s", rule, text)
 }
 
-// acknowledge takes in that a client was told of a commit.
+// acknowledge records a commit that a client has received an acknowledgement
+// for.
 func (c *lineChecker) acknowledge(database string, position model.Position) {
 	commits := c.commitsOf(database)
 	commits.times = append(commits.times, c.simulator.now)
@@ -92,20 +96,21 @@
 	return c.acknowledged[database]
 }
 
-// checkComplete checks that an instance's log has all acknowledged commits;
-// role says which instance it is.
+// checkComplete checks that the log of an instance has all acknowledged commits.
+// The violation describes the instance by its role.
 func (c *lineChecker) checkComplete(instance *lineInstance, role string) {
 	commits := c.commitsOf(instance.database)
 	for index, position := range commits.positions {
 		if !instance.holds(position) {
-			c.addViolation(linehistory.RuleLostCommits, "%s, %s at %v, lacks %v, told kept at %.3f", role, instance.name, instance.position(), position, sinceStartMS(commits.times[index]))
+			c.addViolation(linehistory.RuleLostCommits, "%s, %s at %v, lacks the commit at %v, which was acknowledged at %.3f", role, instance.name, instance.position(), position, sinceStartMS(commits.times[index]))
 			return
 		}
 	}
 }
 
-// missingCommit gives the furthest of the last commits acknowledged before a
-// time, and whether the first entries of an instance's log lack it.
+// missingCommit returns the highest position of the last commits that were
+// acknowledged before a time, and reports whether the first logSize entries of
+// the instance's log lack that commit.
 func (c *lineChecker) missingCommit(instance *lineInstance, logSize int, before time.Duration) (model.Position, bool) {
 	commits := c.commitsOf(instance.database)
 	var furthest model.Position
@@ -121,11 +126,12 @@
 	if furthest == (model.Position{}) {
 		return furthest, false
 	}
-	return furthest, instance.lacksInFirst(logSize, furthest)
+	return furthest, instance.lacksInPrefix(logSize, furthest)
 }
 
-// lacksInFirst reports whether the first entries of the log lack a position.
-func (i *lineInstance) lacksInFirst(logSize int, position model.Position) bool {
+// lacksInPrefix reports whether the first logSize entries of the log lack the
+// entry at a position.
+func (i *lineInstance) lacksInPrefix(logSize int, position model.Position) bool {
 	return int(position.Index) > logSize || !i.holds(position)
 }
 
@@ -133,66 +139,67 @@
 func (c *lineChecker) checkCommit(writeIDs []string, position model.Position) {
 	for _, id := range writeIDs {
 		if earlier, committed := c.commitPositions[id]; committed {
-			c.addViolation(linehistory.RuleDuplicateWrites, "%s is at %v and at %v", id, earlier, position)
+			c.addViolation(linehistory.RuleDuplicateWrites, "write %s is committed at %v and at %v", id, earlier, position)
 		}
 		c.commitPositions[id] = position
 		if code := c.refusals[id]; code != "" {
-			c.addViolation(linehistory.RuleRefusedButKept, "%s was told %s, and is kept at %v", id, code, position)
+			c.addViolation(linehistory.RuleRefusedButKept, "write %s was refused with %s, but is committed at %v", id, code, position)
 		}
 	}
 }
 
-// refuse takes in an answer that promises that a write has no effect.
+// refuse records an error which guarantees that a write has no effect.
 func (c *lineChecker) refuse(writeID, code string) {
 	c.refusals[writeID] = code
 	if position, committed := c.commitPositions[writeID]; committed {
-		c.addViolation(linehistory.RuleRefusedButKept, "%s was told %s, and is kept at %v", writeID, code, position)
+		c.addViolation(linehistory.RuleRefusedButKept, "write %s was refused with %s, but is committed at %v", writeID, code, position)
 	}
 }
 
-// checkAnswer checks that a success is an instance's own answer to the query.
+// checkAnswer checks that the answer to a successful query is the one that an
+// instance gave to this query, with the expected number of rows.
 func (c *lineChecker) checkAnswer(sent *query, answer response, rows int) {
-	own := c.stampOwners[answer.payload] == sent.id && len(answer.rows) == rows
-	if own && rows > 0 {
-		own = answer.rows[0] == rowPayload(answer.payload)
+	matches := c.stampOwners[answer.payload] == sent.id && len(answer.rows) == rows
+	if matches && rows > 0 {
+		matches = answer.rows[0] == rowPayload(answer.payload)
 	}
-	if !own {
-		c.addViolation(linehistory.RuleMixedAnswers, "%s was answered %s with %v", sent.id, answer.payload, answer.rows)
+	if !matches {
+		c.addViolation(linehistory.RuleMixedAnswers, "query %s was answered with stamp %s and rows %v", sent.id, answer.payload, answer.rows)
 	}
 }
 
-// rowPayload is the row that belongs to a stamp.
+// rowPayload returns the row that an instance sends with a stamp.
 func rowPayload(stamp string) string { return "row " + stamp }
 
-// checkAcknowledgement checks a commit that a client is told of.
+// checkAcknowledgement checks the acknowledgement of a commit to a client.
 func (c *lineChecker) checkAcknowledgement(sent *query) {
 	c.writes++
 	if sent.position == (model.Position{}) {
-		c.addViolation(linehistory.RuleMixedAnswers, "%s was told kept, and is nowhere", sent.id)
+		c.addViolation(linehistory.RuleMixedAnswers, "query %s was acknowledged, but no instance committed it", sent.id)
 		return
 	}
 	client := sent.client
 	if sent.byOldPrimary && client.node != nil && client.node.thawedAt < sent.sentAt-thawTolerance {
-		c.addViolation(linehistory.RuleOldPrimaryCommits, "%s was kept at %v by a primary that was one no more, and told so", sent.id, sent.position)
+		c.addViolation(linehistory.RuleOldPrimaryCommits, "query %s was committed at %v by an instance that was no longer the primary, and acknowledged", sent.id, sent.position)
 	}
 	c.acknowledge(sent.database, sent.position)
 	client.ownPositions[sent.database] = client.ownPositions[sent.database].Max(sent.position)
 }
 
-// checkStatement checks a statement that an instance is about to run; it gives
-// nil where no client sent it.
+// checkStatement checks a statement that an instance is about to run, and
+// returns its query. It returns nil if no client sent the statement.
 func (l *lineFleet) checkStatement(session *serverSession, id, text string) *query {
 	instance, checker := session.instance, l.checker
 	sent := checker.queries[id]
 	if sent == nil || sent.text != text {
-		checker.addViolation(linehistory.RuleUnrequested, "%s runs %q as %s", instance.name, text, id)
+		checker.addViolation(linehistory.RuleUnrequested, "%s runs %q as query %s, which no client sent with this text", instance.name, text, id)
 		return nil
 	}
 	if values := joinValues(session.state.values); values != sent.values {
-		checker.addViolation(linehistory.RuleWrongSession, "%s runs with %q, its session has %q", id, values, sent.values)
+		checker.addViolation(linehistory.RuleWrongSession, "query %s runs with the settings %q, the client's session has %q", id, values, sent.values)
 	}
 	if (session.transaction == nil) != (sent.transaction == nil) {
-		checker.addViolation(linehistory.RuleWrongSession, "%s runs inside a transaction: %v, was sent inside: %v", id, session.transaction != nil, sent.transaction != nil)
+		checker.addViolation(linehistory.RuleWrongSession, "query %s runs inside a transaction: %v, was sent inside a transaction: %v", id, session.transaction != nil, sent.transaction != nil)
 		return sent
 	}
 	logSize := len(instance.entries)
@@ -205,7 +212,7 @@
 		return sent
 	}
 	if instance.leavingAcknowledged != 0 && l.simulator.now > instance.leavingAcknowledged+drainTimeout && !session.connection.node.isRecovering() {
-		checker.addViolation(linehistory.RuleWorkAfterLeaving, "%s runs at %s, which is leaving since %.3f", id, instance.name, sinceStartMS(instance.leavingAcknowledged))
+		checker.addViolation(linehistory.RuleWorkAfterLeaving, "query %s runs at %s, whose leaving was acknowledged at %.3f", id, instance.name, sinceStartMS(instance.leavingAcknowledged))
 	}
 	if sent.client.route == markedRoute {
 		l.checkMarkedRoute(sent, instance)
@@ -213,8 +220,8 @@
 	return sent
 }
 
-// checkTransaction checks that a client's transaction stays in one transaction
-// of one connection.
+// checkTransaction checks that all statements of a client's transaction run in
+// one session of an instance, and in one transaction of that session.
 func (c *lineChecker) checkTransaction(session *serverSession, sent *query) {
 	if sent.transaction.session == nil {
 		sent.transaction.session = session
@@ -223,11 +230,11 @@
 		session.transaction.owner = sent.transaction
 	}
 	if sent.transaction.session != session || session.transaction.owner != sent.transaction {
-		c.addViolation(linehistory.RuleWrongSession, "%s runs on another connection than its transaction, or inside another's", sent.id)
+		c.addViolation(linehistory.RuleWrongSession, "query %s runs on another connection than its transaction, or inside another transaction", sent.id)
 	}
 }
 
-// checkFreshness checks that a read sees what its route promises.
+// checkFreshness checks that a read is as fresh as its route guarantees.
 func (c *lineChecker) checkFreshness(sent *query, instance *lineInstance, logSize int) {
 	if isWriteText(sent.text) || sent.action == lineproto.ActionCommit {
 		return
@@ -243,15 +250,15 @@
 		before -= stalenessBound
 	}
 	if position, missing := c.missingCommit(instance, logSize, before); missing {
-		c.addViolation(linehistory.RuleStaleReads, "%s, sent at %.3f, runs at %s at %d, which lacks %v", sent.id, sinceStartMS(snapshotAt), instance.name, logSize, position)
+		c.addViolation(linehistory.RuleStaleReads, "query %s, sent at %.3f, runs at %s with the first %d entries of the log, which lack the commit at %v", sent.id, sinceStartMS(snapshotAt), instance.name, logSize, position)
 	}
-	own := sent.ownPositions[instance.database]
-	if ownRoute && own != (model.Position{}) && instance.lacksInFirst(logSize, own) {
-		c.addViolation(linehistory.RuleStaleReads, "%s runs at %s at %d, which lacks the session's own %v", sent.id, instance.name, logSize, own)
+	ownPosition := sent.ownPositions[instance.database]
+	if ownRoute && ownPosition != (model.Position{}) && instance.lacksInPrefix(logSize, ownPosition) {
+		c.addViolation(linehistory.RuleStaleReads, "query %s runs at %s with the first %d entries of the log, which lack the session's own commit at %v", sent.id, instance.name, logSize, ownPosition)
 	}
 }
 
-// joinValues writes the settings of a session out, for comparison.
+// joinValues returns the settings of a session as one text, for comparison.
 func joinValues(values map[string]string) string {
 	var parts []string
 	for _, name := range slices.Sorted(maps.Keys(values)) {
--- a/test/simulation/lines_client.go
+++ b/test/simulation/lines_client.go
@@ -19,48 +19,53 @@
 	maxReopenDelay      = 400 * time.Millisecond
 	lineOpenTimeout     = 2 * time.Second
 	queryTimeout        = 6 * time.Second
-	// lineDisconnectDelay is how soon a client sees that its node is gone.
+	// lineDisconnectDelay is the time after which a client detects the crash of
+	// its node.
 	lineDisconnectDelay = 2 * time.Millisecond
-	// clientRandomStream separates the random numbers of clients.
+	// clientRandomStream is the random stream of the first client. It separates
+	// the random numbers of clients from those of the simulator.
 	clientRandomStream = 100
 	keyCount           = 50
 )
 
-// clientTransaction is a transaction as its client sees it.
+// clientTransaction is the client's state of a transaction.
 type clientTransaction struct {
 	sentAt     time.Duration
 	statements int
-	// session is where it runs.
+	// session is the instance's session in which the transaction runs; nil
+	// until its first statement has run.
 	session *serverSession
 }
 
-// query is one query of a client, and what became of it.
+// query is one query of a client, and its outcome.
 type query struct {
 	id     string
 	client *lineClient
 	action lineproto.Action
 	text   string
-	// values are the settings of the session.
+	// values are the settings of the session, as joinValues returns them.
 	values      string
 	transaction *clientTransaction
-	// continuation says that it is not the first statement of its
+	// continuation is true if the query is not the first statement of its
 	// transaction.
 	continuation bool
 	sentAt       time.Duration
-	// ownPositions are those of the session's own commits, by database.
+	// ownPositions has the highest position of the session's own commits, by
+	// database.
 	ownPositions map[string]model.Position
-	// version is that of the configuration under which the query ran.
+	// version is the version of the configuration under which the query ran.
 	version uint64
-	// database and position are those of its commit; byOldPrimary says that
-	// another instance had been promoted before.
-	database     string
-	position     model.Position
+	// database and position are the place of the query's commit.
+	database string
+	position model.Position
+	// byOldPrimary is true if another instance had been promoted before the
+	// commit.
 	byOldPrimary bool
 }
 
-// response is what a client received for a query.
+// response is the result of a query at the client.
 type response struct {
-	// disconnected says that the session ended without a complete answer.
+	// disconnected is true if the session ended without a complete answer.
 	disconnected bool
 	failed       bool
 	code         lineproto.Code
@@ -70,32 +75,36 @@
 
 func (r response) succeeded() bool { return !r.disconnected && !r.failed }
 
-// lineClient is a client of line sessions: one session at a time, and one
-// operation after the other.
+// lineClient is a client of line sessions. It has one session at a time, and
+// runs one operation after the other.
 type lineClient struct {
 	machine
 	fleet  *lineFleet
 	random *rand.Rand
 	route  string
-	// pace is the mean pause between operations, more or less.
+	// pace is the approximate mean pause between operations.
 	pace time.Duration
 
-	// node is nil where there is no session; the session of the node's pool
-	// is nil until the node has accepted it.
+	// node is the node of the session; nil if there is no session.
 	node            *lineNode
 	nodeIncarnation int
-	session         *linepool.Client
-	// sessionNumber counts the sessions, also those that failed to open.
+	// session is the session in the node's pool; nil until the node has
+	// accepted it.
+	session *linepool.Client
+	// sessionNumber identifies the session. Opening and closing a session
+	// increase it, so that late events of an earlier session are ignored.
 	sessionNumber int
 	opened        bool
-	// lastToNode and lastToClient are when the last messages arrive.
+	// lastToNode and lastToClient are the times at which the last message sent
+	// in each direction arrives.
 	lastToNode, lastToClient time.Duration
 	transactionState         byte
 	state                    sessionState
 	ownPositions             map[string]model.Position
-	// pendingResponse receives the next answer; answers counts them.
+	// pendingResponse receives the next answer.
 	pendingResponse func(response)
-	answers         int
+	// answers counts the complete answers.
+	answers int
 }
 
 func (l *lineFleet) startClients(seed uint64) {
@@ -121,7 +130,7 @@
 
 func (c *lineClient) randomKey() string { return fmt.Sprintf("t%d", c.random.IntN(keyCount)) }
 
-// run does the next operation, after opening a session where there is none.
+// run runs the next operation, and opens a session before it if there is none.
 func (c *lineClient) run() {
 	if c.node == nil {
 		c.openSession(c.run)
@@ -132,9 +141,9 @@
 
 func (c *lineClient) pause() { c.after(c.randomDuration(c.pace/4, c.pace*2), c.run) }
 
-// openSession tries to open a session at a node that the platform lists, and
-// goes on also where it fails.
-func (c *lineClient) openSession(then func()) {
+// openSession tries to open a session at a node that the platform lists. It
+// calls next after a success, and also, with a delay, after a failure.
+func (c *lineClient) openSession(next func()) {
 	listed := c.fleet.listedNodes()
 	node := listed[c.random.IntN(len(listed))]
 	c.sessionNumber++
@@ -144,14 +153,14 @@
 	c.pendingResponse = func(answer response) {
 		if answer.succeeded() {
 			c.opened = true
-			then()
+			next()
 			return
 		}
 		if answer.failed && answer.code == lineproto.CodeUnknownDatabase {
-			c.fleet.checker.addViolation(linehistory.RuleWrongConfiguration, "%s: %s is refused by %s", c.name, c.route, node.name)
+			c.fleet.checker.addViolation(linehistory.RuleWrongConfiguration, "%s: route %s is refused as unknown by %s", c.name, c.route, node.name)
 		}
 		c.closeSession()
-		c.after(c.randomDuration(minReopenDelay, maxReopenDelay), then)
+		c.after(c.randomDuration(minReopenDelay, maxReopenDelay), next)
 	}
 	c.sendToNode(func() {
 		c.session = node.pool.Accept(c, node.clock())
@@ -163,7 +172,8 @@
 	c.setTimeout(lineOpenTimeout)
 }
 
-// setTimeout ends the session where no answer comes in time.
+// setTimeout ends the session if the pending query receives no answer within the
+// time-out.
 func (c *lineClient) setTimeout(timeout time.Duration) {
 	number, answers := c.sessionNumber, c.answers
 	c.after(timeout, func() {
@@ -173,7 +183,7 @@
 	})
 }
 
-// disconnect ends the session and the query that is pending.
+// disconnect ends the session and the pending query.
 func (c *lineClient) disconnect() {
 	receive := c.pendingResponse
 	c.pendingResponse = nil
@@ -199,7 +209,8 @@
 	c.sessionNumber++
 }
 
-// sendToNode carries a message to the node, where it is a step of the pool.
+// sendToNode delivers a message to the node, which handles it in one step of its
+// pool. If the node is not running, the session ends.
 func (c *lineClient) sendToNode(receive func()) {
 	s, node, incarnation, number := c.simulator, c.node, c.nodeIncarnation, c.sessionNumber
 	c.lastToNode = max(s.now+s.reliableTransit(), c.lastToNode+lineMessageGap)
@@ -214,8 +225,8 @@
 	})
 }
 
-// sendToClient carries a message from a node, which only the session that it
-// is for receives.
+// sendToClient delivers a message of a node to the client, unless the session
+// that it belongs to has ended.
 func (c *lineClient) sendToClient(node *lineNode, session *linepool.Client, receive func()) {
 	s, number := c.simulator, c.sessionNumber
 	c.lastToClient = max(s.now+s.randomDuration(minTransit, maxTransit), c.lastToClient+lineMessageGap)
@@ -246,8 +257,8 @@
 	})
 }
 
-// receive takes in the answer to the pending query. One that does not end with
-// the session being ready ends the session.
+// receive handles the answer to the pending query. An answer whose last message
+// does not report that the session is ready ends the session.
 func (c *lineClient) receive(messages []lineproto.Message) {
 	answer := readResponse(messages)
 	last := messages[len(messages)-1]
@@ -255,7 +266,7 @@
 	receive := c.pendingResponse
 	if receive == nil {
 		if complete || !answer.failed {
-			c.fleet.checker.addViolation(RuleWire, "%s hears %v and has asked nothing", c.name, messages)
+			c.fleet.checker.addViolation(RuleWire, "%s received %v without a pending query", c.name, messages)
 		}
 		return
 	}
@@ -284,7 +295,7 @@
 	return answer
 }
 
-// sendQuery sends a query; done receives the response.
+// sendQuery sends a query, and calls done with the response.
 func (c *lineClient) sendQuery(text string, statement lineproto.Statement, transaction *clientTransaction, done func(*query, response)) {
 	sent := c.newQuery(text, statement, transaction)
 	c.pendingResponse = func(answer response) { done(sent, answer) }
@@ -315,7 +326,8 @@
 	return created
 }
 
-// runsAtInstance reports whether statements of an action read or write.
+// runsAtInstance reports whether instances run the statements of an action, which
+// read or write.
 func runsAtInstance(action lineproto.Action) bool {
 	return action == lineproto.ActionRead || action == lineproto.ActionWrite || action == lineproto.ActionExecute
 }
--- a/test/simulation/lines_client_operations.go
+++ b/test/simulation/lines_client_operations.go
@@ -8,69 +8,71 @@
 )
 
 const (
-	// operationTimeout is how long after its start an operation is tried
-	// again.
+	// operationTimeout is the time after its start in which an operation is
+	// retried.
 	operationTimeout  = 2 * time.Second
 	minOperationRetry = 20 * time.Millisecond
 	maxOperationRetry = 200 * time.Millisecond
 	settingNames      = 2
 	settingValues     = 5
 	preparedNames     = 3
-	// Of so many failures inside a transaction, one ends the session.
+	// failuresPerClose is the number of failures inside a transaction of which
+	// one, on average, ends the session.
 	failuresPerClose = 2
 )
 
-// localText is that of statements which nodes answer themselves.
-const localText = "own"
+// nodeLocalText is the text of statements that the node answers without an
+// instance.
+const nodeLocalText = "own"
 
-// preparedTexts are those that clients prepare.
+// preparedTexts are the texts of the statements that clients prepare.
 var preparedTexts = []string{"read q", "write q", "read z"}
 
-// operation is an operation of a client, which is tried again where that is
-// safe.
+// operation is an operation of a client, which is retried if that is safe.
 type operation struct {
 	client *lineClient
-	// run begins an attempt.
+	// run starts an attempt.
 	run       func(*operation)
 	startedAt time.Duration
-	// readOnly says that trying again is always safe.
+	// readOnly is true if the operation has no writes, so that a retry is
+	// always safe.
 	readOnly bool
-	// writeIDs are the writes of this attempt; writeSent says that they may
-	// take effect.
-	writeIDs  []string
+	// writeIDs are the writes of this attempt.
+	writeIDs []string
+	// writeSent is true if the writes of this attempt may take effect.
 	writeSent bool
-	// counted says that the operation is one of those that must be served
-	// after the last fault.
-	counted bool
+	// countedForRecovery is true if the operation counts in the check that
+	// clients are served after the last fault.
+	countedForRecovery bool
 }
 
-// runOperation draws the next operation.
+// runOperation runs a random operation.
 func (c *lineClient) runOperation() {
 	runWeighted([]weightedOperation{
-		{36, c.begins((*operation).read)},
-		{20, c.begins((*operation).write)},
-		{22, c.begins((*operation).transact)},
-		{8, c.begins((*operation).transactReadOnly)},
-		{5, c.begins((*operation).set)},
-		{4, c.begins((*operation).prepare)},
-		{5, c.begins((*operation).execute)},
+		{36, c.operationStarter((*operation).read)},
+		{20, c.operationStarter((*operation).write)},
+		{22, c.operationStarter((*operation).runReadWriteTransaction)},
+		{8, c.operationStarter((*operation).runReadOnlyTransaction)},
+		{5, c.operationStarter((*operation).set)},
+		{4, c.operationStarter((*operation).prepare)},
+		{5, c.operationStarter((*operation).execute)},
 		{100, c.endSession},
 	}, c.random.IntN(100))
 }
 
-// begins gives the function that begins an operation.
-func (c *lineClient) begins(run func(*operation)) func() {
+// operationStarter returns a function that starts an operation.
+func (c *lineClient) operationStarter(run func(*operation)) func() {
 	return func() {
-		begun := &operation{client: c, run: run, startedAt: c.simulator.now, counted: c.fleet.checker.countsRecovery()}
-		if begun.counted {
-			c.fleet.checker.recoveryBegun++
+		started := &operation{client: c, run: run, startedAt: c.simulator.now, countedForRecovery: c.fleet.checker.countsRecovery()}
+		if started.countedForRecovery {
+			c.fleet.checker.recoveryStarted++
 		}
-		begun.start()
+		started.start()
 	}
 }
 
-// countsRecovery reports whether operations that begin now must be served, as
-// the last fault has ended long enough ago.
+// countsRecovery reports whether operations that start now count in the check
+// that clients are served after the last fault.
 func (c *lineChecker) countsRecovery() bool {
 	from, now := c.recoveryCheckFrom, c.simulator.now
 	return from != 0 && now > from && now < from+recoveryCheckSpan
@@ -89,7 +91,7 @@
 func (o *operation) succeed() {
 	checker := o.client.fleet.checker
 	checker.served++
-	if o.counted {
+	if o.countedForRecovery {
 		checker.recoveryServed++
 	}
 	o.client.pause()
@@ -104,9 +106,9 @@
 	o.runSingle("write "+o.client.randomKey(), lineproto.Statement{Action: lineproto.ActionWrite})
 }
 
-func (o *operation) transact() { o.beginTransaction("begin", lineproto.ActionBegin) }
+func (o *operation) runReadWriteTransaction() { o.beginTransaction("begin", lineproto.ActionBegin) }
 
-func (o *operation) transactReadOnly() {
+func (o *operation) runReadOnlyTransaction() {
 	o.readOnly = true
 	o.beginTransaction("begin read", lineproto.ActionBeginReadOnly)
 }
@@ -126,7 +128,7 @@
 
 func preparedName(number int) string { return fmt.Sprintf("s%d", number) }
 
-// execute runs the first prepared statement, or reads where there is none.
+// execute runs the first prepared statement, or a read if there is none.
 func (o *operation) execute() {
 	for number := range preparedNames {
 		name := preparedName(number)
@@ -139,15 +141,15 @@
 	o.read()
 }
 
-// runLocal sends what the node answers itself.
-func (o *operation) runLocal(statement lineproto.Statement, then func()) {
+// runLocal sends a statement that the node answers without an instance.
+func (o *operation) runLocal(statement lineproto.Statement, onSuccess func()) {
 	o.readOnly = true
-	o.client.sendQuery(localText, statement, nil, func(_ *query, answer response) {
+	o.client.sendQuery(nodeLocalText, statement, nil, func(_ *query, answer response) {
 		if !answer.succeeded() {
 			o.fail(answer)
 			return
 		}
-		then()
+		onSuccess()
 		o.succeed()
 	})
 }
@@ -176,8 +178,8 @@
 	})
 }
 
-// fail takes in a failed attempt, brings the session back to where the next
-// operation can begin, and tries again where that is safe.
+// fail handles a failed attempt. It brings the session into a state in which
+// another operation can start, and retries the operation if that is safe.
 func (o *operation) fail(answer response) {
 	c := o.client
 	o.recordFailure(answer)
@@ -207,7 +209,8 @@
 	})
 }
 
-// recordFailure counts a failure, and takes in what its code promises.
+// recordFailure counts a failure by its code. If the code guarantees that the
+// writes have no effect, it records that too.
 func (o *operation) recordFailure(answer response) {
 	checker := o.client.fleet.checker
 	code := "cut"
@@ -224,8 +227,8 @@
 
 func (r response) guaranteesNoEffect() bool { return r.failed && r.code.GuaranteesNoEffect() }
 
-// mayRetry reports whether a failed attempt cannot have taken effect, so that
-// another is safe.
+// mayRetry reports whether a retry is safe, because the failed attempt cannot
+// have taken effect.
 func (o *operation) mayRetry(answer response) bool {
 	if answer.guaranteesNoEffect() {
 		return true
--- a/test/simulation/lines_client_transactions.go
+++ b/test/simulation/lines_client_transactions.go
@@ -13,7 +13,8 @@
 	maxLineStatements = 4
 )
 
-// Of so many statements or transactions, one does something else.
+// The number of statements or transactions of which one, on average, ends the
+// session, changes a setting or is rolled back instead.
 const (
 	statementsPerDisconnect     = 40
 	statementsPerSet            = 10
@@ -31,7 +32,7 @@
 	})
 }
 
-// runInTransaction runs so many statements more, and ends the transaction.
+// runInTransaction runs the remaining statements, and then ends the transaction.
 func (o *operation) runInTransaction(transaction *clientTransaction, remaining int) {
 	random := o.client.random
 	if remaining == 0 {
@@ -72,7 +73,7 @@
 
 func (o *operation) setInTransaction(transaction *clientTransaction, remaining int) {
 	name, value := "v1", fmt.Sprint(o.client.random.IntN(settingValues))
-	o.client.sendQuery(localText, lineproto.Statement{Action: lineproto.ActionSet, Name: name, Value: value}, transaction, func(_ *query, answer response) {
+	o.client.sendQuery(nodeLocalText, lineproto.Statement{Action: lineproto.ActionSet, Name: name, Value: value}, transaction, func(_ *query, answer response) {
 		if !answer.succeeded() {
 			o.fail(answer)
 			return
--- a/test/simulation/lines_config.go
+++ b/test/simulation/lines_config.go
@@ -2,67 +2,71 @@
 
 import "time"
 
-// LineDefects are put on purpose into what surrounds the machines of a fleet
-// of line sessions, to show that the checks find them.
+// LineDefects are defects planted in the simulated surroundings of the product's
+// state machines in a fleet of line sessions. Tests plant them to show that the
+// checks find them.
 type LineDefects struct {
-	// AlteredTexts has nodes change the texts of statements.
+	// AlteredTexts makes nodes change the texts of statements.
 	AlteredTexts bool
-	// SwappedAnswers has nodes answer with another client's answer.
+	// SwappedAnswers makes nodes send a client the answer of another query.
 	SwappedAnswers bool
-	// IgnoredResets has instances not carry out resets of sessions.
+	// IgnoredResets makes instances ignore resets of sessions.
 	IgnoredResets bool
-	// DuplicatedWrites has nodes send single writes twice.
+	// DuplicatedWrites makes nodes send writes outside of transactions twice.
 	DuplicatedWrites bool
-	// UnknownReportedAsBusy has nodes answer BUSY in place of UNKNOWN.
+	// UnknownReportedAsBusy makes nodes answer BUSY in place of UNKNOWN.
 	UnknownReportedAsBusy bool
-	// DroppedMinPositions has nodes lose the positions that statements must
-	// see.
+	// DroppedMinPositions makes nodes drop the minimum positions that
+	// statements require of an instance.
 	DroppedMinPositions bool
 	// OverlongLeases makes each lease that a node receives a hundred times
 	// longer.
 	OverlongLeases bool
-	// PromoteWorstReplica has failovers promote the replica that is furthest
+	// PromoteWorstReplica makes failovers promote the replica that is furthest
 	// behind.
 	PromoteWorstReplica bool
 	// IgnoreLeaving hides from nodes that an instance is leaving.
 	IgnoreLeaving bool
-	// AbruptStop has a node that is stopped end all sessions at once.
+	// AbruptStop makes a node end all sessions at once when a planned stop
+	// begins.
 	AbruptStop bool
-	// NoUpdatesAfterRestart has a restarted node ask for no updates.
+	// NoUpdatesAfterRestart makes a restarted node request no updates.
 	NoUpdatesAfterRestart bool
-	// LateAnswers passes answers to a node's pool as if they came later.
+	// LateAnswers passes answers to a node's pool with a later time than that
+	// of their arrival.
 	LateAnswers bool
-	// WrongWeight gives nodes the weight of another.
+	// WrongWeight makes nodes use a wrong weight.
 	WrongWeight bool
 }
 
-// LineConfig is the size of a simulated fleet of line sessions, and what
-// befalls it.
+// LineConfig is the size of a simulated fleet of line sessions, and the choice
+// of its faults.
 type LineConfig struct {
 	Controls, Nodes, Databases, Clients int
-	// Connections and Slots are those of each instance.
+	// Connections and Slots are the limits of each instance.
 	Connections, Slots int
-	// FaultDuration is how long faults are injected; RecoveryDuration follows
-	// without any.
+	// FaultDuration is the length of the span in which faults are injected.
+	// RecoveryDuration is the length of the span without faults that follows.
 	FaultDuration, RecoveryDuration time.Duration
-	// FencesChecked says that control relies on the platform to check fencing
+	// FencesChecked is true if control relies on the platform to check fencing
 	// tokens.
 	FencesChecked bool
-	// MaxFaultInterval is the longest time from one fault to the next; 0 for
+	// MaxFaultInterval is the longest time from one fault to the next; 0 means
 	// 3 s.
 	MaxFaultInterval time.Duration
-	// AllowedFaults, where given, names the faults that may be injected, and
-	// MaxFaultDuration bounds them then.
+	// AllowedFaults names the faults that may be injected; all faults if it is
+	// empty. MaxFaultDuration limits their duration, and applies only if
+	// AllowedFaults is not empty.
 	AllowedFaults    []string
 	MaxFaultDuration time.Duration
-	// StaleLatencyTarget is the latency target of the bindings that may be
-	// stale; 0 for that of the others, 200 ms.
+	// StaleLatencyTarget is the latency target of the bindings that permit
+	// stale reads; 0 means that of the other bindings, 200 ms.
 	StaleLatencyTarget time.Duration
-	// Script, where given, is run in place of random faults.
+	// Script replaces the random faults; nil for random faults.
 	Script func(*lineFleet)
 }
 
-// SmallLineConfig gives a fleet with three control servers and three nodes.
+// SmallLineConfig returns a fleet with three control servers and three nodes.
 func SmallLineConfig() LineConfig {
 	return LineConfig{
 		FencesChecked: true, Controls: 3, Nodes: 3, Databases: 2, Clients: 20, Connections: 24, Slots: 6,
@@ -70,7 +74,7 @@
 	}
 }
 
-// CrowdedLineConfig gives a fleet with more nodes than an instance takes
+// CrowdedLineConfig returns a fleet with more nodes than an instance accepts
 // connections.
 func CrowdedLineConfig() LineConfig {
 	return LineConfig{
@@ -79,8 +83,8 @@
 	}
 }
 
-// LargeLineConfig gives a fleet with five control servers, and more nodes and
-// more faults at once.
+// LargeLineConfig returns a fleet with five control servers, and with more nodes
+// and more simultaneous faults than that of SmallLineConfig.
 func LargeLineConfig() LineConfig {
 	return LineConfig{
 		Controls: 5, Nodes: 5, Databases: 2, Clients: 36, Connections: 40, Slots: 6,
--- a/test/simulation/lines_connection.go
+++ b/test/simulation/lines_connection.go
@@ -10,13 +10,15 @@
 const (
 	// lineMessageGap keeps the messages of one direction in order.
 	lineMessageGap = time.Microsecond
-	// lateAnswerDelay is that of the defect LateAnswers.
+	// lateAnswerDelay is the delay that the defect LateAnswers adds.
 	lateAnswerDelay = 2 * time.Millisecond
-	// connectTime is how long an instance takes to open a session.
+	// connectTime is the time that an instance takes to open a session.
 	connectTime = 2 * time.Millisecond
-	// lineCrashDetection is how soon an instance sees the crash of a node,
-	// lineVanishedTimeout how soon where the node vanished.
-	lineCrashDetection  = 2 * time.Millisecond
+	// lineCrashDetection is the time after which an instance detects the crash
+	// of a node.
+	lineCrashDetection = 2 * time.Millisecond
+	// lineVanishedTimeout is that time for a node that vanished without closing
+	// its connections.
 	lineVanishedTimeout = 3 * time.Second
 )
 
@@ -27,9 +29,10 @@
 	instance            *lineInstance
 	instanceIncarnation int
 	poolConnection      *linepool.Conn
-	// session is the instance's end; nil until it is open.
+	// session is the instance's end of the connection; nil until it is open.
 	session *serverSession
-	// lastToInstance and lastToNode are when the last messages arrive.
+	// lastToInstance and lastToNode are the times at which the last message
+	// sent in each direction arrives.
 	lastToInstance, lastToNode time.Duration
 	closed                     bool
 
@@ -41,8 +44,8 @@
 	return s.reliableTransit() + s.network.extraDelay
 }
 
-// nextArrival gives when a message arrives that is sent now, after the last
-// one.
+// nextArrival returns the arrival time of a message that is sent now. It is later
+// than the arrival of the last message in the same direction.
 func (c *lineConnection) nextArrival(last time.Duration) time.Duration {
 	return max(c.node.simulator.now+c.transitTime(), last+lineMessageGap)
 }
@@ -88,7 +91,7 @@
 	})
 }
 
-// breakOff ends the connection at the instance's end.
+// breakOff ends the connection from the instance's end.
 func (c *lineConnection) breakOff() {
 	c.sendToNode(func() {
 		c.node.dropConnection(c)
@@ -102,15 +105,15 @@
 	c.breakOff()
 }
 
-// closeSession ends the instance's end, for the node's end that is closed.
+// closeSession closes the instance's end, because the node's end is closed.
 func (c *lineConnection) closeSession() {
 	if c.session != nil {
 		c.session.closeFromPeer()
 	}
 }
 
-// onNodeCrash has the instance see the crash of the node, after what was sent
-// before.
+// onNodeCrash closes the node's end. The instance detects the crash later, after
+// the messages that were sent before.
 func (c *lineConnection) onNodeCrash(vanished bool) {
 	c.closed = true
 	delay := lineCrashDetection
@@ -123,7 +126,8 @@
 	})
 }
 
-// accept opens a session at the instance, which takes a slot for a while.
+// accept opens a session at the instance. This occupies a slot of the instance
+// for connectTime.
 func (c *lineConnection) accept(instance string) {
 	target := c.instance
 	if instance != target.name {
--- a/test/simulation/lines_defects_test.go
+++ b/test/simulation/lines_defects_test.go
@@ -10,10 +10,10 @@
 	"tansyseam/test/linehistory"
 )
 
-// cutOffNodeAndOldPrimary cuts a node off, and then the primary of a database
-// with it, so that the primary is replaced where the node cannot hear of it. The
-// other nodes lose their connections to the old primary, and control is told that
-// it leaves.
+// cutOffNodeAndOldPrimary isolates a node and the primary of a database from
+// control. Control replaces the primary, and the node cannot receive the change.
+// The other nodes lose their connections to the old primary, and control receives
+// an announcement that the old primary is leaving.
 func cutOffNodeAndOldPrimary(l *lineFleet) {
 	isolated := l.nodes[0]
 	for _, control := range l.controls {
@@ -26,10 +26,10 @@
 	for _, control := range l.controls {
 		l.simulator.blockBothWays(link{old.name, control.name}, 8*time.Second)
 	}
-	next, last := l.instancesByAddress["db1-b:1"], l.instancesByAddress["db1-c:1"]
-	last.replicationDelay = 60 * time.Millisecond
-	for _, way := range []link{{next.name, last.name}, {last.name, next.name}, {next.name, old.name}} {
-		l.simulator.after(1500*time.Millisecond, func() { l.simulator.blockLink(way, 8*time.Second) })
+	successor, laggingReplica := l.instancesByAddress["db1-b:1"], l.instancesByAddress["db1-c:1"]
+	laggingReplica.replicationDelay = 60 * time.Millisecond
+	for _, blocked := range []link{{successor.name, laggingReplica.name}, {laggingReplica.name, successor.name}, {successor.name, old.name}} {
+		l.simulator.after(1500*time.Millisecond, func() { l.simulator.blockLink(blocked, 8*time.Second) })
 	}
 	l.simulator.after(time.Second, func() {
 		for _, node := range l.nodes[1:] {
@@ -50,9 +50,9 @@
 
 func TestLinesPlantedDefects(t *testing.T) {
 	onlyWithoutRace(t)
-	with := func(longest time.Duration, only ...string) LineConfig {
+	onlyFaults := func(maxDuration time.Duration, allowed ...string) LineConfig {
 		config := shortLines()
-		config.AllowedFaults, config.MaxFaultDuration = only, longest
+		config.AllowedFaults, config.MaxFaultDuration = allowed, maxDuration
 		return config
 	}
 	cutOff := shortLines()
@@ -63,33 +63,33 @@
 		rule    string
 		config  LineConfig
 	}{
-		{"a node changes texts", LineDefects{AlteredTexts: true}, linehistory.RuleUnrequested, with(time.Second, "replica lag")},
-		{"a node mixes answers up", LineDefects{SwappedAnswers: true}, linehistory.RuleMixedAnswers, with(time.Second, "replica lag")},
-		{"instances do not reset", LineDefects{IgnoredResets: true}, linehistory.RuleWrongSession, with(time.Second, "replica lag")},
-		{"a node sends writes twice", LineDefects{DuplicatedWrites: true}, linehistory.RuleDuplicateWrites, with(time.Second, "replica lag")},
-		{"a node promises what it does not know", LineDefects{UnknownReportedAsBusy: true}, linehistory.RuleRefusedButKept, with(time.Second, "answers lost", "connections reset")},
-		{"floors are lost", LineDefects{DroppedMinPositions: true}, linehistory.RuleStaleReads, with(8*time.Second, "replica lag", "replica deaf")},
-		{"leases are too long", LineDefects{OverlongLeases: true}, linehistory.RuleOldPrimaryCommits, cutOff},
-		{"the worst replica is promoted", LineDefects{PromoteWorstReplica: true}, linehistory.RuleLostCommits, with(6*time.Second, "replica deaf, primary crash")},
-		{"nobody hears that an instance leaves", LineDefects{IgnoreLeaving: true}, linehistory.RuleWorkAfterLeaving, with(time.Second, "instance leaving")},
-		{"leases are too long for a set that comes", LineDefects{OverlongLeases: true}, linehistory.RuleWrongConfiguration, with(9*time.Second, "node cut off")},
-		{"a planned stop ends sessions at once", LineDefects{AbruptStop: true}, linehistory.RuleLostCommits, with(time.Second, "node stopped as planned")},
-		{"nodes that start again ask for nothing", LineDefects{NoUpdatesAfterRestart: true}, linehistory.RuleFailedRecoveries, with(time.Second, "node kill")},
+		{"nodes change texts of statements", LineDefects{AlteredTexts: true}, linehistory.RuleUnrequested, onlyFaults(time.Second, "replica lag")},
+		{"nodes swap answers", LineDefects{SwappedAnswers: true}, linehistory.RuleMixedAnswers, onlyFaults(time.Second, "replica lag")},
+		{"instances ignore resets", LineDefects{IgnoredResets: true}, linehistory.RuleWrongSession, onlyFaults(time.Second, "replica lag")},
+		{"nodes send writes twice", LineDefects{DuplicatedWrites: true}, linehistory.RuleDuplicateWrites, onlyFaults(time.Second, "replica lag")},
+		{"nodes report an unknown outcome as busy", LineDefects{UnknownReportedAsBusy: true}, linehistory.RuleRefusedButKept, onlyFaults(time.Second, "answers lost", "connections reset")},
+		{"nodes drop minimum positions", LineDefects{DroppedMinPositions: true}, linehistory.RuleStaleReads, onlyFaults(8*time.Second, "replica lag", "replica deaf")},
+		{"leases are too long, and a primary is replaced", LineDefects{OverlongLeases: true}, linehistory.RuleOldPrimaryCommits, cutOff},
+		{"the worst replica is promoted", LineDefects{PromoteWorstReplica: true}, linehistory.RuleLostCommits, onlyFaults(6*time.Second, "replica deaf, primary crash")},
+		{"nodes ignore that an instance is leaving", LineDefects{IgnoreLeaving: true}, linehistory.RuleWorkAfterLeaving, onlyFaults(time.Second, "instance leaving")},
+		{"leases are too long, and the configuration changes", LineDefects{OverlongLeases: true}, linehistory.RuleWrongConfiguration, onlyFaults(9*time.Second, "node cut off")},
+		{"a planned stop ends sessions at once", LineDefects{AbruptStop: true}, linehistory.RuleLostCommits, onlyFaults(time.Second, "node stopped as planned")},
+		{"restarted nodes request no updates", LineDefects{NoUpdatesAfterRestart: true}, linehistory.RuleFailedRecoveries, onlyFaults(time.Second, "node kill")},
 	}
-	Convey("Each planted defect breaks its rule on some of a few seeds, and the same seeds pass without it", t, func() {
-		for _, plant := range planted {
-			count, others := 0, map[string]int{}
-			for _, result := range runManyLines(1, 4, plant.config, plant.defects) {
-				if _, broken := result.Violations[plant.rule]; broken {
-					count++
+	Convey("Each planted defect violates its rule on at least one of four seeds, and the first seed passes without the defect", t, func() {
+		for _, defect := range planted {
+			violatingRuns, violatedRules := 0, map[string]int{}
+			for _, result := range runManyLines(1, 4, defect.config, defect.defects) {
+				if _, broken := result.Violations[defect.rule]; broken {
+					violatingRuns++
 				}
 				for rule := range result.Violations {
-					others[rule]++
+					violatedRules[rule]++
 				}
 			}
-			So(fmt.Sprintf("%s: %v, broke %v", plant.name, count > 0, others), ShouldStartWith, plant.name+": true")
-			for _, result := range runManyLines(1, 1, plant.config, LineDefects{}) {
-				SoMsg(plant.name+": without", result.Violations, ShouldBeEmpty)
+			So(fmt.Sprintf("%s: %v, broke %v", defect.name, violatingRuns > 0, violatedRules), ShouldStartWith, defect.name+": true")
+			for _, result := range runManyLines(1, 1, defect.config, LineDefects{}) {
+				SoMsg(defect.name+": without", result.Violations, ShouldBeEmpty)
 			}
 		}
 	})
--- a/test/simulation/lines_failover.go
+++ b/test/simulation/lines_failover.go
@@ -13,14 +13,15 @@
 	probeTimeout          = 400 * time.Millisecond
 	refusedProbeDelay     = 3 * time.Millisecond
 	busyProbability       = 0.05
-	unreachableTerm       = 1 << 60
+	maxTerm               = 1 << 60
 	noStepDown            = 0
 	statusDone            = 200
 	statusConflict        = 409
 	statusTooManyRequests = 429
 )
 
-// decideSync has a control server decide on a database.
+// decideSync runs the failover decision of a control server for a database with
+// synchronous replication.
 func (l *lineFleet) decideSync(control, primary *controlServer, evidence syncrepl.Evidence) {
 	evidence.FencingEnforced = l.config.FencesChecked
 	evidence = control.syncFailover.Augment(evidence, control.clock())
@@ -36,14 +37,15 @@
 	control.carryOut(decided, effects)
 }
 
-// decideAsync decides as for instances that push their positions, where
-// control does not know better yet. That cannot promote any.
+// decideAsync runs the decision for asynchronous replication, which control
+// applies until it has observed that the instances replicate synchronously. It
+// must not promote an instance.
 func (l *lineFleet) decideAsync(control, primary *controlServer, evidence asyncrepl.Evidence) {
 	decided := decision{
 		primary: primary, database: evidence.Database, previous: evidence.Writer, previousExists: evidence.Known,
 		act: func(effect failover.Effect) {
 			if promote, ok := effect.(asyncrepl.Promote); ok {
-				l.recorder.addViolation("%s is promoted as if it pushed its position", promote.Instance)
+				l.recorder.addViolation("%s is promoted by the rules of asynchronous replication", promote.Instance)
 			}
 		},
 		recorded: func(failover.Record) {},
@@ -55,8 +57,8 @@
 	if status, ok := effect.(syncrepl.QueryStatus); ok {
 		l.probeInstance(control, evidence, status.Instance, status.Address, noStepDown)
 	}
-	if down, ok := effect.(syncrepl.StepDown); ok {
-		l.probeInstance(control, evidence, down.Instance, down.Address, down.Term)
+	if order, ok := effect.(syncrepl.StepDown); ok {
+		l.probeInstance(control, evidence, order.Instance, order.Address, order.Term)
 	}
 	if bound, ok := effect.(syncrepl.ReportBound); ok {
 		l.simulator.send(&control.machine, &primary.machine, func() {
@@ -70,7 +72,8 @@
 	}
 }
 
-// promoteWorst changes promotions to one of the worst replica.
+// promoteWorst changes the effects of a promotion so that they promote the given
+// replica.
 func promoteWorst(effects []failover.Effect, worst string) {
 	for index, effect := range effects {
 		if record, ok := effect.(failover.Record); ok && record.Writer.Phase == model.PhasePromoting {
@@ -84,20 +87,21 @@
 	}
 }
 
-// worstReplica names the replica that answered from furthest behind.
+// worstReplica returns the name of the replica with the lowest position among
+// those that answered a probe.
 func worstReplica(evidence syncrepl.Evidence) string {
-	name, least := "", model.Position{Term: unreachableTerm}
+	name, furthestBehind := "", model.Position{Term: maxTerm}
 	for _, observation := range evidence.Observations {
 		probe := evidence.Probes[observation.Instance.Name]
-		if probe.Answered && probe.Role == model.RoleReplica && probe.Position.IsBefore(least) {
-			name, least = observation.Instance.Name, probe.Position
+		if probe.Answered && probe.Role == model.RoleReplica && probe.Position.IsBefore(furthestBehind) {
+			name, furthestBehind = observation.Instance.Name, probe.Position
 		}
 	}
 	return name
 }
 
-// probeInstance asks an instance for its status, and orders it to step down
-// for a term where one is given.
+// probeInstance requests the status of an instance. If stepDownTerm is not
+// noStepDown, the instance is also ordered to step down for that term.
 func (l *lineFleet) probeInstance(control *controlServer, evidence syncrepl.Evidence, name, address string, stepDownTerm uint64) {
 	report := control.syncFailover.BeginProbe(evidence, name)
 	if report == nil {
@@ -126,7 +130,8 @@
 	})
 }
 
-// probeResult answers a probe for the instance of a name.
+// probeResult returns the answer to a probe that is meant for the instance of
+// the given name.
 func (i *lineInstance) probeResult(name string) syncrepl.ProbeResult {
 	if i.name != name {
 		return syncrepl.ProbeResult{Gone: true}
--- a/test/simulation/lines_faults.go
+++ b/test/simulation/lines_faults.go
@@ -26,8 +26,8 @@
 	linePlatformRefusals = 2
 )
 
-// lineFaultCatalog has the faults of RunLines. Faults are drawn by their place
-// in it, so that another order gives other histories.
+// lineFaultCatalog has the kinds of faults of RunLines. Random faults are chosen
+// by their index, so a different order leads to different histories.
 var lineFaultCatalog = []faultKind[*lineFleet]{
 	{"instance crash", func(l *lineFleet, span time.Duration) { l.crashInstance(l.randomInstance(), span) }},
 	{"instance dark", func(l *lineFleet, span time.Duration) { l.randomInstance().freezeFor(span) }},
@@ -66,10 +66,10 @@
 	{"links slow", (*lineFleet).slowLinks},
 }
 
-// LineFaultNames lists the kinds of faults of RunLines.
+// LineFaultNames returns the names of the kinds of faults of RunLines.
 func LineFaultNames() []string { return faultNames(lineFaultCatalog) }
 
-// injectFaultsUntil injects random faults.
+// injectFaultsUntil injects random faults until a time.
 func (l *lineFleet) injectFaultsUntil(until time.Duration) {
 	schedule := faultSchedule[*lineFleet]{
 		simulator: l.simulator, catalog: lineFaultCatalog, allowed: l.config.AllowedFaults, maxDuration: maxLineFaultDuration,
@@ -86,12 +86,14 @@
 
 func (l *lineFleet) injectFault(kind faultKind[*lineFleet], span time.Duration) {
 	l.recordFault(kind.name, span, l.writerPhases())
-	l.faultyUntil = max(l.faultyUntil, l.simulator.now+span)
+	l.lastFaultEnd = max(l.lastFaultEnd, l.simulator.now+span)
 	kind.inject(l, span)
 }
 
-// maybeInjectFollowUp may inject another fault soon, as the writer role of a
-// database moves.
+// maybeInjectFollowUp is called when the writer role of a database moves. It
+// injects a further fault during the move, with a probability of
+// lineFollowUpProbability. It does not in a run with a script or a list of
+// allowed faults, or when the number of follow-ups is used up.
 func (l *lineFleet) maybeInjectFollowUp() {
 	disabled := l.faults.followUpsLeft == 0 || l.config.Script != nil || len(l.config.AllowedFaults) > 0
 	if disabled || !l.simulator.chance(lineFollowUpProbability) {
@@ -106,10 +108,10 @@
 // repairAll ends all faults.
 func (l *lineFleet) repairAll() {
 	l.faults.repaired = true
-	l.simulator.record("all is mended")
+	l.simulator.record("all faults repaired")
 	l.simulator.repairNetwork()
 	l.platform.repair()
-	l.faultyUntil = l.simulator.now
+	l.lastFaultEnd = l.simulator.now
 	l.repairControls()
 	for _, node := range l.nodes {
 		node.thaw()
@@ -132,13 +134,13 @@
 
 func (l *lineFleet) randomNode() *lineNode { return pickRandom(l.simulator, l.nodes) }
 
-// randomInstance gives a random instance of a random database.
+// randomInstance returns a random instance of a random database.
 func (l *lineFleet) randomInstance() *lineInstance {
 	return pickRandom(l.simulator, l.instancesOf(pickRandom(l.simulator, l.databases)))
 }
 
-// randomPrimary gives the primary of a random database, or any instance where
-// it has none.
+// randomPrimary returns the primary of a random database. If the database has
+// none, it returns a random instance.
 func (l *lineFleet) randomPrimary() *lineInstance {
 	if primary := l.primaryOf(pickRandom(l.simulator, l.databases)); primary != nil {
 		return primary
@@ -152,8 +154,8 @@
 	}
 }
 
-// haveInstanceLeave has an instance leave where all others of its database run
-// and stay.
+// haveInstanceLeave starts the leaving of an instance, if all instances of its
+// database are running and none of them is leaving.
 func (l *lineFleet) haveInstanceLeave(instance *lineInstance) {
 	for _, other := range l.instancesOf(instance.database) {
 		if other.leavingSince != 0 || !other.running {
@@ -173,8 +175,8 @@
 	setFor(l.simulator, span, &instance.replicationDelay, l.simulator.randomDuration(minLineLag, maxLineLag), defaultLineReplicationDelay)
 }
 
-// isolateReplica blocks what an instance receives from the others of its
-// database.
+// isolateReplica blocks the messages to an instance from the other instances of
+// its database.
 func (l *lineFleet) isolateReplica(isolated *lineInstance, span time.Duration) {
 	for _, other := range l.instancesOf(isolated.database) {
 		if other != isolated {
@@ -183,8 +185,8 @@
 	}
 }
 
-// isolateReplicaAndCrashPrimary crashes a primary that one of its replicas has
-// not received the last commits from.
+// isolateReplicaAndCrashPrimary crashes a primary after one of its replicas was
+// isolated, so that this replica lacks the last commits.
 func (l *lineFleet) isolateReplicaAndCrashPrimary(span time.Duration) {
 	primary := l.randomPrimary()
 	for _, replica := range l.instancesOf(primary.database) {
@@ -196,12 +198,12 @@
 	l.afterUnlessRepaired(l.simulator.randomDuration(minLineCrashDelay, maxLineCrashDelay), func() { l.crashInstance(primary, span) })
 }
 
-// replaceReplica ends a replica without notice, and replaces it by a blank one
-// after a span. It does so once for a database, while all its instances have
-// the same log.
+// replaceReplica ends a replica without notice, and starts a blank one in its
+// place after a span. It does so only once for each database, and only if all
+// instances of the database have the same log.
 func (l *lineFleet) replaceReplica(span time.Duration) {
 	replica := l.randomInstance()
-	if replica.role == model.RolePrimary || l.replicaReplaced[replica.database] || !l.isInStepWith(replica) {
+	if replica.role == model.RolePrimary || l.replicaReplaced[replica.database] || !l.isDatabaseInSync(replica) {
 		return
 	}
 	l.replicaReplaced[replica.database] = true
@@ -210,9 +212,9 @@
 	l.afterUnlessRepaired(span, func() { l.startReplacement(replica) })
 }
 
-// isInStepWith reports whether all instances of a database run and stay, with
-// the log of one of them.
-func (l *lineFleet) isInStepWith(instance *lineInstance) bool {
+// isDatabaseInSync reports whether all instances of the instance's database are
+// running, neither frozen nor leaving, and at the position of this instance.
+func (l *lineFleet) isDatabaseInSync(instance *lineInstance) bool {
 	return !slices.ContainsFunc(l.instancesOf(instance.database), func(other *lineInstance) bool {
 		return !other.running || other.frozen || other.leavingSince != 0 || other.position() != instance.position()
 	})
@@ -230,7 +232,8 @@
 	node.crashAndRestart(node.start, span)
 }
 
-// isolateNode cuts a node off from control and from all nodes.
+// isolateNode blocks the links between a random node and control, and those
+// between that node and all nodes.
 func (l *lineFleet) isolateNode(span time.Duration) {
 	isolated := l.randomNode()
 	var peers []string
@@ -240,7 +243,7 @@
 	l.blockNode(isolated.name, peers, span)
 }
 
-// delayPlatform has calls of the platform take longer for a span.
+// delayPlatform delays calls to the platform for a span.
 func (l *lineFleet) delayPlatform(span time.Duration) {
 	setFor(l.simulator, span, &l.platform.delay, l.simulator.randomDuration(minPlatformDelay, maxPlatformDelay), 0)
 }
--- a/test/simulation/lines_fleet.go
+++ b/test/simulation/lines_fleet.go
@@ -28,13 +28,15 @@
 	checker            *lineChecker
 	// newestTerms has the newest term of each database.
 	newestTerms map[string]uint64
-	// faultyUntil is when the last fault so far ends.
-	faultyUntil time.Duration
-	// lastNumber numbers queries and instances.
+	// lastFaultEnd is the latest end of the faults so far.
+	lastFaultEnd time.Duration
+	// lastNumber is the last number given to a query or an instance.
 	lastNumber int
-	// lastStamp is what the defect SwappedAnswers answers with.
+	// lastStamp is the stamp of the last answer, which the defect
+	// SwappedAnswers may send in place of the next one.
 	lastStamp string
-	// replicaReplaced has the databases that lost a replica for good.
+	// replicaReplaced has the databases of which a replica was replaced by a
+	// blank one.
 	replicaReplaced map[string]bool
 
 	windows windowChecks
@@ -69,8 +71,8 @@
 	return l
 }
 
-// createDatabase makes a primary and replicas that follow it, each in a zone
-// of its own.
+// createDatabase adds a database with a primary and the replicas that follow it,
+// each in a different zone.
 func (l *lineFleet) createDatabase(database string) {
 	l.databases = append(l.databases, database)
 	l.newestTerms[database] = 1
@@ -97,13 +99,13 @@
 	return added
 }
 
-// addSuccessor makes an instance at the address of one that has ended.
+// addSuccessor adds an instance at the address of an instance that has ended.
 func (l *lineFleet) addSuccessor(old *lineInstance) *lineInstance {
 	base, _, _ := strings.Cut(old.name, ".")
 	return l.addInstance(old.database, fmt.Sprintf("%s.%d", base, l.lastNumber), old.address, old.zone)
 }
 
-// instancesOf gives the instances of a database that have not ended.
+// instancesOf returns the instances of a database that have not ended.
 func (l *lineFleet) instancesOf(database string) []*lineInstance {
 	var found []*lineInstance
 	for _, instance := range l.instances {
@@ -114,7 +116,8 @@
 	return found
 }
 
-// primaryOf gives the primary of the newest term of a database; nil for none.
+// primaryOf returns the primary with the newest term of a database; nil if there
+// is no primary.
 func (l *lineFleet) primaryOf(database string) *lineInstance {
 	var newest *lineInstance
 	for _, instance := range l.instancesOf(database) {
@@ -134,7 +137,7 @@
 	return nil
 }
 
-// instanceNames lists the instances in the order of their making.
+// instanceNames returns the names of the instances in the order of their creation.
 func (l *lineFleet) instanceNames() []string {
 	var names []string
 	for _, instance := range l.instances {
--- a/test/simulation/lines_instance.go
+++ b/test/simulation/lines_instance.go
@@ -11,7 +11,7 @@
 	lineReplicationHold    = 120 * time.Millisecond
 	lineReplicationTimeout = 300 * time.Millisecond
 	lineNoUpstreamDelay    = 50 * time.Millisecond
-	// maxQueueLength bounds the statements that wait for a slot.
+	// maxQueueLength limits the number of statements that wait for a slot.
 	maxQueueLength = 12
 )
 
@@ -21,13 +21,13 @@
 	writeIDs []string
 }
 
-// pendingCommit is a commit that no replica has received yet.
+// pendingCommit is a commit that no replica has acknowledged yet.
 type pendingCommit struct {
 	position model.Position
 	done     func()
 }
 
-// lineInstance is an instance that replicates synchronously: its log is
+// lineInstance is an instance that replicates synchronously: its log entries are
 // numbered, and a commit is acknowledged once one replica has received it.
 type lineInstance struct {
 	machine
@@ -45,17 +45,19 @@
 	slots            serviceSlots
 	pendingCommits   []pendingCommit
 	logWaiters       logWaiters
-	// announcementsMade numbers the announcements.
-	announcementsMade uint64
-	// leavingSince is when the instance was told to leave, and
-	// leavingAcknowledged when control knew it; 0 for not.
-	leavingSince        time.Duration
+	// lastAnnouncementNumber is the number of the last announcement.
+	lastAnnouncementNumber uint64
+	// leavingSince is the time at which the instance started to leave; 0 if it
+	// is not leaving.
+	leavingSince time.Duration
+	// leavingAcknowledged is the time at which control acknowledged an
+	// announcement that the instance is leaving; 0 if it has not.
 	leavingAcknowledged time.Duration
-	// ended says that the instance is gone for good.
+	// ended is true once the instance has been removed for good.
 	ended bool
-	// answersToLose counts the answers that a fault loses.
+	// answersToLose is the number of answers that a fault still loses.
 	answersToLose  int
-	statementsMade int
+	statementCount int
 }
 
 func (i *lineInstance) position() model.Position {
@@ -100,8 +102,7 @@
 	i.sessions = nil
 }
 
-// append adds a commit to the log; done is called once a replica has received
-// it.
+// append adds a commit to the log, and calls done once a replica has received it.
 func (i *lineInstance) append(writeIDs []string, done func()) model.Position {
 	i.entries = append(i.entries, logEntry{term: i.term, writeIDs: writeIDs})
 	position := i.position()
@@ -111,7 +112,8 @@
 	return position
 }
 
-// onReceived takes in that a replica has received the log up to a position.
+// onReceived handles the acknowledgement of a replica that has received the log
+// up to a position.
 func (i *lineInstance) onReceived(position model.Position) {
 	if i.role != model.RolePrimary {
 		return
@@ -127,9 +129,9 @@
 	i.pendingCommits = pending
 }
 
-// awaitLonger calls a function once the log is longer than a size, or after a
+// awaitLogGrowth calls wake once the log is longer than a size, or after a
 // time-out.
-func (i *lineInstance) awaitLonger(size int, timeout time.Duration, wake func()) {
+func (i *lineInstance) awaitLogGrowth(size int, timeout time.Duration, wake func()) {
 	if len(i.entries) > size {
 		wake()
 		return
@@ -137,8 +139,8 @@
 	i.logWaiters.add(&i.machine, timeout, wake)
 }
 
-// replicate pulls from the primary that is known, again and again. The request
-// acknowledges what has been received.
+// replicate repeatedly requests the log of the upstream instance. Each request
+// acknowledges the entries received so far.
 func (i *lineInstance) replicate() {
 	if i.role != model.RoleReplica || i.upstream == nil || i.upstream == i {
 		i.after(lineNoUpstreamDelay, i.replicate)
@@ -155,7 +157,7 @@
 		if upstream.holds(position) {
 			size = len(i.entries)
 		}
-		upstream.awaitLonger(size, lineReplicationHold, func() {
+		upstream.awaitLogGrowth(size, lineReplicationHold, func() {
 			entries, term := upstream.entries, upstream.term
 			i.simulator.send(&upstream.machine, &i.machine, func() {
 				i.after(i.replicationDelay, func() {
@@ -170,27 +172,29 @@
 	})
 }
 
-// adoptLog makes the log that of the primary, and acknowledges it.
+// adoptLog replaces the log by that of the primary, and acknowledges it. Entries
+// that differ from the primary's are removed.
 func (i *lineInstance) adoptLog(entries []logEntry, term uint64) {
-	common := min(len(entries), len(i.entries))
-	for common > 0 && entries[common-1].term != i.entries[common-1].term {
-		common--
+	commonLength := min(len(entries), len(i.entries))
+	for commonLength > 0 && entries[commonLength-1].term != i.entries[commonLength-1].term {
+		commonLength--
 	}
-	if common < len(i.entries) {
-		i.simulator.record("%s is cut back from %d to %d", i.name, len(i.entries), common)
-		i.entries = slices.Clone(i.entries[:common])
+	if commonLength < len(i.entries) {
+		i.simulator.record("%s truncates its log from %d to %d", i.name, len(i.entries), commonLength)
+		i.entries = slices.Clone(i.entries[:commonLength])
 	}
-	i.entries = append(i.entries, entries[common:]...)
+	i.entries = append(i.entries, entries[commonLength:]...)
 	i.term = max(i.term, term)
 	upstream, position := i.upstream, i.position()
 	i.simulator.send(&i.machine, &upstream.machine, func() { upstream.onReceived(position) })
 }
 
-// isOverloaded reports whether the instance takes no more work.
+// isOverloaded reports whether the instance accepts no more work.
 func (i *lineInstance) isOverloaded() bool { return i.slots.waiting() > maxQueueLength }
 
-// runInSlot runs work once a slot is free; it gives false where too much work
-// waits. The slot is free again when the work calls release.
+// runInSlot runs work once a slot is free, and reports whether the work was
+// accepted. It is refused if too much work is waiting. The work holds the slot
+// until it calls release.
 func (i *lineInstance) runInSlot(work func(release func())) bool {
 	if i.isOverloaded() {
 		return false
--- a/test/simulation/lines_instance_announcement.go
+++ b/test/simulation/lines_instance_announcement.go
@@ -12,12 +12,12 @@
 	announcementRetries     = 2
 )
 
-// info gives the next announcement of the instance.
+// info returns the next announcement of the instance.
 func (i *lineInstance) info() model.Instance {
-	i.announcementsMade++
+	i.lastAnnouncementNumber++
 	return model.Instance{
 		Name: i.name, Database: i.database, Address: i.address, Zone: i.zone, Role: i.role, Leaving: i.leavingSince != 0,
-		Slots: i.fleet.config.Slots, SyncReplication: true, AnnouncementNumber: i.announcementsMade,
+		Slots: i.fleet.config.Slots, SyncReplication: true, AnnouncementNumber: i.lastAnnouncementNumber,
 	}
 }
 
@@ -26,22 +26,23 @@
 	i.announce(i.info(), announcementRetries)
 }
 
-// announce sends an announcement to any control server, which passes it to the
-// primary before it answers.
+// announce sends an announcement to a random control server, which forwards it
+// to the control primary before it answers. The announcement is retried if no
+// answer arrives in time.
 func (i *lineInstance) announce(info model.Instance, retries int) {
-	first := pickRandom(i.simulator, i.fleet.controls)
+	receiver := pickRandom(i.simulator, i.fleet.controls)
 	answered := false
-	i.simulator.send(&i.machine, &first.machine, func() {
-		primary := i.fleet.findControl(first.consensus.Record().Primary)
+	i.simulator.send(&i.machine, &receiver.machine, func() {
+		primary := i.fleet.findControl(receiver.consensus.Record().Primary)
 		if primary == nil {
 			return
 		}
-		i.simulator.send(&first.machine, &primary.machine, func() {
+		i.simulator.send(&receiver.machine, &primary.machine, func() {
 			if !primary.isPrimary() {
 				return
 			}
 			primary.onAnnouncement(info)
-			i.simulator.sendAlong([]*machine{&primary.machine, &first.machine, &i.machine}, func() {
+			i.simulator.sendAlong([]*machine{&primary.machine, &receiver.machine, &i.machine}, func() {
 				answered = true
 				if info.Leaving && i.leavingAcknowledged == 0 {
 					i.leavingAcknowledged = i.simulator.now
@@ -56,9 +57,10 @@
 	})
 }
 
-// onAnnouncement takes in an announcement, unless a newer one is known.
+// onAnnouncement stores an announcement, unless a newer one of the same instance
+// is already stored.
 func (c *controlServer) onAnnouncement(info model.Instance) {
-	if last, known := c.announcements[info.Name]; known && info.AnnouncementNumber <= last.Instance.AnnouncementNumber {
+	if last, found := c.announcements[info.Name]; found && info.AnnouncementNumber <= last.Instance.AnnouncementNumber {
 		return
 	}
 	c.announcements[info.Name] = distribution.Observation{Instance: info, ObservedAt: c.clock()}
--- a/test/simulation/lines_instance_leaving.go
+++ b/test/simulation/lines_instance_leaving.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// drainDuration is how long an instance that leaves still serves.
+	// drainDuration is the time for which a leaving instance still serves.
 	drainDuration = drainTimeout + 1500*time.Millisecond
-	// stoppedAnnouncementTime is how long an instance that has stopped goes on
-	// to announce that.
+	// stoppedAnnouncementTime is the time between an instance's announcement
+	// that it has stopped and its end.
 	stoppedAnnouncementTime = 500 * time.Millisecond
 	successorStartDelay     = 300 * time.Millisecond
 )
 
-// leave has the instance end as planned. A successor takes over its log and
-// address.
+// leave starts the planned end of the instance. After it, a successor with the
+// same log and address starts.
 func (i *lineInstance) leave() {
 	if i.leavingSince != 0 || i.ended {
 		return
@@ -28,7 +28,8 @@
 	i.drain(drainDuration)
 }
 
-// drain ends the instance after a span; start takes it up again after a crash.
+// drain ends the instance after a span. After a crash, start calls it again with
+// the time that is left.
 func (i *lineInstance) drain(span time.Duration) {
 	i.after(span, func() {
 		info := i.info()
@@ -46,7 +47,8 @@
 	i.simulator.after(successorStartDelay, i.startSuccessor)
 }
 
-// startSuccessor starts the instance that takes over from this one.
+// startSuccessor starts the successor of the instance, with its log, address and
+// role.
 func (i *lineInstance) startSuccessor() {
 	successor := i.fleet.addSuccessor(i)
 	successor.role, successor.term, successor.entries, successor.upstream = model.RoleReplica, i.term, slices.Clone(i.entries), i.upstream
@@ -61,8 +63,8 @@
 	successor.start()
 }
 
-// startReplacement starts a blank replica at the address of an instance that
-// is gone for good.
+// startReplacement starts a blank replica at the address of an instance that was
+// removed for good.
 func (l *lineFleet) startReplacement(old *lineInstance) {
 	l.lastNumber++
 	replacement := l.addSuccessor(old)
--- a/test/simulation/lines_instance_role.go
+++ b/test/simulation/lines_instance_role.go
@@ -10,23 +10,23 @@
 const (
 	lineRedirectInterval = 200 * time.Millisecond
 	lineRedirectAttempts = 200
-	// stepDownDelay is how long an old primary takes to follow a new one.
+	// stepDownDelay is the time that an old primary takes to follow a new one.
 	stepDownDelay = time.Second
 )
 
-// becomePrimary makes the instance primary of a term, and has the others
-// follow.
+// becomePrimary makes the instance the primary of a term, and redirects the
+// other instances of its database to it.
 func (i *lineInstance) becomePrimary(term uint64) {
 	i.role, i.term, i.pendingCommits = model.RolePrimary, term, nil
 	i.fleet.newestTerms[i.database] = term
-	i.simulator.record("%s leads term %d at %v", i.name, term, i.position())
-	i.fleet.checker.checkComplete(i, "the promoted one")
+	i.simulator.record("%s becomes primary of term %d at %v", i.name, term, i.position())
+	i.fleet.checker.checkComplete(i, "the promoted instance")
 	i.announce(i.info(), announcementRetries)
 	i.redirectReplicas()
 }
 
-// redirectReplicas has the others follow; a primary that starts again does so
-// anew.
+// redirectReplicas makes the other instances of the database follow this one. A
+// primary does so after its promotion and after each restart.
 func (i *lineInstance) redirectReplicas() {
 	for _, other := range i.fleet.instancesOf(i.database) {
 		if other != i {
@@ -35,7 +35,8 @@
 	}
 }
 
-// redirect has an instance follow, and tries again until it has received it.
+// redirect orders another instance to follow this one, and retries until the
+// order is delivered or the attempts are used up.
 func (i *lineInstance) redirect(other *lineInstance, term uint64, attempts int) {
 	if attempts == 0 || i.term != term || other.ended {
 		return
@@ -59,8 +60,8 @@
 	})
 }
 
-// stepDown makes a primary follow that of a newer term. Sessions with a commit
-// in flight end.
+// stepDown makes the instance follow the primary of a newer term. Its sessions
+// with a commit in flight end.
 func (i *lineInstance) stepDown(term uint64, primary *lineInstance) {
 	if i.term >= term {
 		return
--- a/test/simulation/lines_node.go
+++ b/test/simulation/lines_node.go
@@ -14,19 +14,20 @@
 	lineHeartbeatInterval = 25 * time.Millisecond
 	lineUpdateTimeout     = 900 * time.Millisecond
 	lineReportDelay       = 5 * time.Millisecond
-	// lineTriesPerRelay has each third try go through another node.
+	// lineTriesPerRelay is the number of update requests of which one goes
+	// through another node.
 	lineTriesPerRelay = 3
-	// strandedRetryDelay is how long a node waits whose commits at a closing
-	// primary may still be answered, before it looks again.
-	strandedRetryDelay = 10 * time.Millisecond
+	// strandedCommitsRetryDelay is the delay before a node checks again whether
+	// commits at a closing primary may still be answered.
+	strandedCommitsRetryDelay = 10 * time.Millisecond
 
 	lineStopCheckInterval = 20 * time.Millisecond
 	minLineStopTime       = 2500 * time.Millisecond
 	maxLineStopTime       = 5600 * time.Millisecond
 )
 
-// lineNode is a data-plane node of line sessions: the product's pool for them
-// on simulated links.
+// lineNode is a data-plane node of line sessions. It runs the product's pool for
+// line sessions on simulated links.
 type lineNode struct {
 	machine
 	fleet       *lineFleet
@@ -34,19 +35,19 @@
 	starts      int64
 	control     controlChoice
 	connections []*lineConnection
-	// clients and openQueries have the sessions, and how many queries of each
-	// are without an answer.
-	clients     map[*linepool.Client]*lineClient
+	// clients has the client of each session.
+	clients map[*linepool.Client]*lineClient
+	// openQueries has the number of unanswered queries of each session.
 	openQueries map[*linepool.Client]int
-	// stopping says that a planned stop is under way, since stoppingSince.
+	// stopping is true during a planned stop, which began at stoppingSince.
 	stopping      bool
 	stoppingSince time.Duration
 	startedAt     time.Duration
 	thawedAt      time.Duration
-	// missedProbes counts the platform's probes since the last one that found
+	// missedProbes counts the platform's probes since the last probe that found
 	// the node ready.
 	missedProbes int
-	// reportPending says that a report is about to be sent.
+	// reportPending is true while a report to control is scheduled.
 	reportPending bool
 	windowModels  map[string]*windowModel
 }
@@ -82,7 +83,7 @@
 	n.connections, n.clients = nil, map[*linepool.Client]*lineClient{}
 }
 
-// thaw also notes when a frozen node was thawed.
+// thaw ends a freeze, and records the time.
 func (n *lineNode) thaw() {
 	if n.frozen {
 		n.thawedAt = n.simulator.now
@@ -97,12 +98,12 @@
 }
 
 // isRecovering reports whether the node is frozen, or was started or thawed so
-// lately that bounds do not hold for it yet.
+// recently that time limits do not apply to it yet.
 func (n *lineNode) isRecovering() bool {
 	return n.frozen || n.simulator.now-max(n.startedAt, n.thawedAt) < contactTimeout
 }
 
-// step has the pool act, and carries out the effects.
+// step runs one step of the pool, and executes its effects.
 func (n *lineNode) step(act func(now time.Duration)) {
 	act(n.clock())
 	for _, effect := range n.pool.Effects() {
@@ -128,11 +129,12 @@
 	})
 }
 
-// requestUpdate asks a control server for the next update, once no commits at a
-// closing primary may still be answered.
+// requestUpdate requests the next update from a control server. It waits while
+// commits at a closing primary may still be answered, because the request also
+// reports that the node has stopped using that primary.
 func (n *lineNode) requestUpdate() {
 	if n.pool.HasStrandedCommits(n.clock()) {
-		n.after(strandedRetryDelay, n.requestUpdate)
+		n.after(strandedCommitsRetryDelay, n.requestUpdate)
 		return
 	}
 	n.control.requestUpdate(n, n.fleet.controls, lineUpdateTimeout)
@@ -176,8 +178,8 @@
 	n.requestUpdate()
 }
 
-// chooseControl turns to the control server that an answer names as primary,
-// or to the next one.
+// chooseControl selects the control server that an answer names as primary, or
+// the next one in turn.
 func (n *lineNode) chooseControl(primary string) {
 	n.control.missedAnswers++
 	n.control.index++
@@ -186,13 +188,13 @@
 	}
 }
 
-// sendReport reports to control what the node observed of instances.
+// sendReport sends the node's observations of instances to control.
 func (n *lineNode) sendReport() {
 	n.reportPending = false
 	n.control.sendReport(&n.machine, n.fleet.controls, n.pool.Observations(n.clock()))
 }
 
-// stop stops a node as planned, and starts it again after a span.
+// stop starts a planned stop of the node, which starts again after downTime.
 func (n *lineNode) stop(downTime time.Duration) {
 	if !n.running || n.frozen || n.stopping {
 		return
--- a/test/simulation/lines_node_effects.go
+++ b/test/simulation/lines_node_effects.go
@@ -11,21 +11,21 @@
 	"tansyseam/test/linehistory"
 )
 
-// Probabilities of the defects that strike at random.
+// Probabilities of the defects that occur at random.
 const (
 	swapProbability  = 0.05
 	alterProbability = 0.05
 )
 
 const (
-	// sessionEndTolerance is how much earlier than its time-out a node that
-	// stops may end sessions.
+	// sessionEndTolerance is the time before the time-out of a planned stop in
+	// which the node may already end sessions.
 	sessionEndTolerance = 100 * time.Millisecond
-	// noPayload is that of a success without a stamp.
+	// noPayload is the payload of a success without a stamp.
 	noPayload = "-"
 )
 
-// lineEffectHandlers carries each kind of effect out.
+// lineEffectHandlers has the handler of each type of effect.
 var lineEffectHandlers = map[reflect.Type]func(*lineNode, linepool.Effect){}
 
 func handleLineEffect[T linepool.Effect](handle func(*lineNode, T)) {
@@ -58,13 +58,13 @@
 	messages := slices.Clone(respond.Messages)
 	for index, message := range messages {
 		n.countAnswer(respond.Client, message, index == len(messages)-1)
-		n.distortAnswer(&messages[index])
+		n.applyAnswerDefects(&messages[index])
 	}
 	client.deliverMessages(n, respond.Client, messages)
 }
 
-// countAnswer takes in that a query was answered. An error that ends the
-// messages ends the session.
+// countAnswer updates the number of unanswered queries of a session after a
+// message to its client. An error that is the last message ends the session.
 func (n *lineNode) countAnswer(session *linepool.Client, message lineproto.Message, last bool) {
 	if message.Kind == lineproto.KindReady && n.openQueries[session] > 0 {
 		n.openQueries[session]--
@@ -74,8 +74,8 @@
 	}
 }
 
-// distortAnswer applies the defects of answers.
-func (n *lineNode) distortAnswer(message *lineproto.Message) {
+// applyAnswerDefects applies the planted defects that change answers.
+func (n *lineNode) applyAnswerDefects(message *lineproto.Message) {
 	l := n.fleet
 	if l.defects.UnknownReportedAsBusy && message.Kind == lineproto.KindError && message.Code == lineproto.CodeUnknownOutcome {
 		message.Code = lineproto.CodeBusy
@@ -93,7 +93,7 @@
 	client := n.clients[closed.Client]
 	early := n.simulator.now-n.stoppingSince < linepool.DefaultTiming().EndSessions-sessionEndTolerance
 	if n.openQueries[closed.Client] > 0 && n.stopping && early {
-		n.fleet.checker.addViolation(linehistory.RuleLostCommits, "%s, which stops as planned, ends a session with a question open", n.name)
+		n.fleet.checker.addViolation(linehistory.RuleLostCommits, "%s ends a session with an unanswered query during a planned stop", n.name)
 	}
 	delete(n.clients, closed.Client)
 	delete(n.openQueries, closed.Client)
@@ -124,7 +124,7 @@
 	}
 }
 
-// dropConnection ends the node's end of a connection.
+// dropConnection closes the node's end of a connection.
 func (n *lineNode) dropConnection(connection *lineConnection) {
 	connection.closed = true
 	n.connections = slices.DeleteFunc(n.connections, func(other *lineConnection) bool { return other == connection })
@@ -138,7 +138,7 @@
 		if sent := n.fleet.checker.queries[commands[index].ID]; sent != nil && sent.version == 0 {
 			sent.version = n.pool.EffectiveSet(n.clock()).Version
 		}
-		n.distortCommand(&commands[index])
+		n.applyCommandDefects(&commands[index])
 	}
 	last := commands[len(commands)-1]
 	single := connection.session != nil && connection.session.transaction == nil && isWriteText(last.Text)
@@ -152,8 +152,8 @@
 	})
 }
 
-// distortCommand applies the defects of commands.
-func (n *lineNode) distortCommand(command *linepool.Command) {
+// applyCommandDefects applies the planted defects that change commands.
+func (n *lineNode) applyCommandDefects(command *linepool.Command) {
 	defects := n.fleet.defects
 	if defects.DroppedMinPositions {
 		command.MinPosition = model.Position{}
@@ -163,10 +163,10 @@
 	}
 }
 
-// onWriterChanged may have another fault meet the move of a writer role.
+// onWriterChanged may inject a further fault while a writer role moves.
 func (n *lineNode) onWriterChanged(changed linepool.WriterChanged) {
 	current := changed.Change.Current
-	n.simulator.record("%s holds %s: term %d %s at %s", n.name, changed.Change.Database, current.Term, current.Phase, current.Primary)
+	n.simulator.record("%s applies the writer role of %s: term %d %s at %s", n.name, changed.Change.Database, current.Term, current.Phase, current.Primary)
 	if current.Phase != model.PhaseOpen {
 		n.fleet.maybeInjectFollowUp()
 	}
--- a/test/simulation/lines_operator.go
+++ b/test/simulation/lines_operator.go
@@ -23,22 +23,24 @@
 	versionAttempts      = 8
 	minVersionInterval   = 1500 * time.Millisecond
 	maxVersionInterval   = 6 * time.Second
-	// outdatedProbability is that of an operator submitting an old version
-	// once more.
+	// outdatedProbability is the probability that an operator submits an old
+	// version again.
 	outdatedProbability = 0.2
 
-	// configurationTimeout is how long after its acknowledgement a
-	// configuration may be without effect, downgradeTolerance how long after
-	// it had effect an older one may still be used.
+	// configurationTimeout is the time after its acknowledgement within which a
+	// configuration must take effect.
 	configurationTimeout = 3 * time.Second
-	downgradeTolerance   = 250 * time.Millisecond
-	// thawTolerance is how long after a node was thawed it may still act on
-	// what it knew before.
+	// downgradeTolerance is the time after a configuration took effect in which
+	// an older one may still be used.
+	downgradeTolerance = 250 * time.Millisecond
+	// thawTolerance is the time after a node was thawed in which it may still
+	// act on its state from before the freeze.
 	thawTolerance = 300 * time.Millisecond
 )
 
-// Routes of a database end with these; the marked route, which leads to
-// another database with each version, has a name of its own.
+// markedRoute is the name of the marked route, whose database depends on the
+// version of the configuration. The suffixes are those of the names of the other
+// routes, which begin with the name of their database.
 const (
 	markedRoute  = "mark"
 	strictSuffix = "-strict"
@@ -46,20 +48,22 @@
 	ownSuffix    = "-own"
 )
 
-// versionTime is when something became of a version.
+// versionTime is the time of an event of a version, which is its acknowledgement
+// or its first use.
 type versionTime struct {
 	version uint64
 	at      time.Duration
 }
 
-// versionHistory is what became of the configurations that operators
-// submitted.
+// versionHistory has the events of the configurations that operators submitted.
 type versionHistory struct {
-	newest       uint64
+	// newest is the newest version submitted.
+	newest uint64
+	// sent has the time of the first submission of each version.
 	sent         map[uint64]time.Duration
 	acknowledged []versionTime
-	// observed has the versions under which queries ran, each newer than the
-	// last.
+	// observed has the versions under which queries ran. Each is newer than the
+	// one before it.
 	observed []versionTime
 }
 
@@ -71,26 +75,27 @@
 	return newest
 }
 
-// observe takes in the version under which a query ran.
+// observe records the version under which a query ran, if it is newer than those
+// observed before.
 func (h *versionHistory) observe(version uint64, at time.Duration) {
 	if len(h.observed) == 0 || h.observed[len(h.observed)-1].version < version {
 		h.observed = append(h.observed, versionTime{version, at})
 	}
 }
 
-// newestBefore gives the newest of the versions that something became of a
-// span or longer before a time.
+// newestBefore returns the newest of the versions whose event was more than span
+// before a time; 0 if there is none.
 func newestBefore(versions []versionTime, at, span time.Duration) uint64 {
 	newest := uint64(0)
-	for _, known := range versions {
-		if known.at+span < at {
-			newest = max(newest, known.version)
+	for _, entry := range versions {
+		if entry.at+span < at {
+			newest = max(newest, entry.version)
 		}
 	}
 	return newest
 }
 
-// configurationOf gives the configuration of a version.
+// configurationOf returns the configuration of a version.
 func (l *lineFleet) configurationOf(version uint64) model.BindingSet {
 	set := model.BindingSet{Version: version, Limits: model.Limits{TransactionIdleTimeout: transactionIdleTimeout}}
 	add := func(name, database string, staleness time.Duration, readYourWrites bool) {
@@ -116,13 +121,13 @@
 	return referenceLatencyTarget
 }
 
-// markedDatabase gives the database that the marked route leads to.
+// markedDatabase returns the database of the marked route in a version.
 func (l *lineFleet) markedDatabase(version uint64) string {
 	return l.databases[version%uint64(len(l.databases))]
 }
 
-// submitVersion submits a version until it is acknowledged, or the attempts
-// are used up.
+// submitVersion submits a version repeatedly until it is acknowledged, or the
+// retries are used up.
 func (l *lineFleet) submitVersion(version uint64, retries int) {
 	operator := newOperator(l.simulator)
 	versions := &l.checker.versions
@@ -150,7 +155,8 @@
 	})
 }
 
-// handleVersion has a control primary commit a version.
+// handleVersion commits a version at the control primary, and calls committed
+// after a success.
 func (l *lineFleet) handleVersion(control *controlServer, version uint64, committed func()) {
 	if !control.isPrimary() {
 		return
@@ -167,8 +173,8 @@
 	})
 }
 
-// submitVersionsUntil has operators submit versions at random times, some of
-// which are left out, and some old ones.
+// submitVersionsUntil submits versions at random times until the given time.
+// Some version numbers are skipped, and some old versions are submitted again.
 func (l *lineFleet) submitVersionsUntil(until time.Duration) {
 	s, versions := l.simulator, &l.checker.versions
 	versions.newest += 1 + uint64(s.random.IntN(2))*2
@@ -183,12 +189,12 @@
 	}
 }
 
-// checkMarkedRoute checks that a query on the marked route ran where a version
-// allows that is not outdated.
+// checkMarkedRoute checks that a query on the marked route ran at a database that
+// a version which is not outdated permits.
 func (l *lineFleet) checkMarkedRoute(sent *query, instance *lineInstance) {
 	versions := &l.checker.versions
 	oldest := uint64(0)
-	if l.simulator.now-l.faultyUntil > 2*contactTimeout {
+	if l.simulator.now-l.lastFaultEnd > 2*contactTimeout {
 		oldest = newestBefore(versions.acknowledged, sent.sentAt, configurationTimeout)
 	}
 	node := sent.client.node
@@ -196,15 +202,15 @@
 	if !disturbed {
 		oldest = max(oldest, newestBefore(versions.observed, sent.sentAt, downgradeTolerance))
 	}
-	if !l.isAllowedFrom(instance.database, oldest) {
-		l.checker.addViolation(linehistory.RuleWrongConfiguration, "%s sent at %.3f ran at %s, as only a version before %d allows", sent.id, sinceStartMS(sent.sentAt), instance.name, oldest)
+	if !l.isDatabaseOfVersionSince(instance.database, oldest) {
+		l.checker.addViolation(linehistory.RuleWrongConfiguration, "query %s, sent at %.3f, ran at %s, which only versions before %d permit", sent.id, sinceStartMS(sent.sentAt), instance.name, oldest)
 	}
 	versions.observe(sent.version, l.simulator.now)
 }
 
-// isAllowedFrom reports whether a version from one on leads the marked route
-// to a database.
-func (l *lineFleet) isAllowedFrom(database string, oldest uint64) bool {
+// isDatabaseOfVersionSince reports whether the marked route leads to a database
+// in any submitted version that is not older than the given one.
+func (l *lineFleet) isDatabaseOfVersionSince(database string, oldest uint64) bool {
 	return slices.ContainsFunc(slices.Collect(maps.Keys(l.checker.versions.sent)), func(version uint64) bool {
 		return version >= oldest && l.markedDatabase(version) == database
 	})
--- a/test/simulation/lines_platform.go
+++ b/test/simulation/lines_platform.go
@@ -15,18 +15,19 @@
 	maxRepeatedCallLag = 2 * time.Second
 )
 
-// linePlatform is the users' platform of line sessions: it promotes instances
-// when it is called, checks fencing tokens, and probes which nodes are ready.
+// linePlatform is the simulated platform of the users of line sessions. It
+// promotes instances on request, checks fencing tokens, and probes nodes for
+// readiness.
 type linePlatform struct {
 	machine
 	fleet         *lineFleet
 	fencingTokens map[string]uint64
-	// delay is how long a call takes.
+	// delay is the time that a call takes.
 	delay time.Duration
-	// refusals counts the calls that are still refused.
+	// refusals is the number of calls that the platform will still refuse.
 	refusals int
 	cutOff   bool
-	// repeats says that each call is carried out a second time, later.
+	// repeats is true if each call is executed a second time, later.
 	repeats bool
 }
 
@@ -36,10 +37,11 @@
 	return platform
 }
 
-// requestPromotion calls the platform for the promotion of an instance.
+// requestPromotion sends a control server's request to promote an instance to the
+// platform.
 func (p *linePlatform) requestPromotion(control *controlServer, call syncrepl.Promote) {
 	report := control.syncFailover.BeginPromote(call, control.clock())
-	p.simulator.record("%s calls for %s to lead %s, fence %d", control.name, call.Instance, call.Database, call.FencingToken)
+	p.simulator.record("%s requests promotion of %s to primary of %s, fencing token %d", control.name, call.Instance, call.Database, call.FencingToken)
 	handle := func() {
 		status := p.promote(call)
 		p.simulator.record("the platform answers %d for %s", status, call.Instance)
@@ -56,7 +58,7 @@
 	})
 }
 
-// promote begins a promotion, and gives the status of the answer.
+// promote starts a promotion, and returns the status code of the answer.
 func (p *linePlatform) promote(call syncrepl.Promote) int {
 	if p.refusals > 0 {
 		p.refusals--
@@ -81,12 +83,12 @@
 	return statusDone
 }
 
-// isNewestPrimary reports whether the instance is primary in the newest term.
+// isNewestPrimary reports whether the instance is the primary of the newest term.
 func (i *lineInstance) isNewestPrimary() bool {
 	return i.role == model.RolePrimary && i.term == i.fleet.newestTerms[i.database]
 }
 
-// probeReadiness probes all nodes, again and again. A node that misses two
+// probeReadiness probes all nodes at regular intervals. A node that misses two
 // probes gets no new sessions.
 func (l *lineFleet) probeReadiness() {
 	for _, node := range l.nodes {
@@ -100,8 +102,8 @@
 	l.simulator.after(readinessInterval, l.probeReadiness)
 }
 
-// listedNodes are those that the platform lists for new sessions: all of them
-// where fewer than half are ready.
+// listedNodes returns the nodes that the platform lists for new sessions. These
+// are the ready nodes, or all nodes if fewer than half are ready.
 func (l *lineFleet) listedNodes() []*lineNode {
 	var listed []*lineNode
 	for _, node := range l.nodes {
--- a/test/simulation/lines_run.go
+++ b/test/simulation/lines_run.go
@@ -8,48 +8,53 @@
 )
 
 const (
-	// lineSetUpTime is how long a fleet takes from its first configuration to
-	// serving clients, lineWarmUp how long clients are served before the
-	// first fault.
+	// lineSetUpTime is the time that a fleet takes from its first configuration
+	// until it serves clients.
 	lineSetUpTime = 4 * time.Second
-	lineWarmUp    = 2 * time.Second
-	// firstVersionAttempts are those of the first configuration, which comes
-	// before there may be a primary.
+	// lineWarmUp is the time for which clients are served before the first
+	// fault.
+	lineWarmUp = 2 * time.Second
+	// firstVersionAttempts is the number of retries of the first configuration.
+	// There are many, because it may be submitted before there is a control
+	// primary.
 	firstVersionAttempts = 20
-	// operatorEnd is how long before the end of a run operators stop.
+	// operatorEnd is the time before the end of a run at which operators stop.
 	operatorEnd = 8 * time.Second
-	// recoveryTimeout is how long after the last fault operations may still
-	// fail, recoveryCheckSpan the span after it in which they are counted.
-	recoveryTimeout   = 12 * time.Second
+	// recoveryTimeout is the time after the last fault in which operations may
+	// still fail.
+	recoveryTimeout = 12 * time.Second
+	// recoveryCheckSpan is the span after recoveryTimeout in which operations
+	// are counted.
 	recoveryCheckSpan = 3500 * time.Millisecond
-	// writerSettleTime is how long before the end of a run a writer role may
-	// have moved.
+	// writerSettleTime is the span before the end of a run in which a writer
+	// role that is not open may have changed last.
 	writerSettleTime = 5 * time.Second
-	// minRecoveryOperations are those that must be counted after recovery, of
-	// which three in four must be served.
+	// minRecoveryOperations is the minimum number of operations that must start
+	// in recoveryCheckSpan. Three in four of them must be served.
 	minRecoveryOperations = 10
 )
 
-// LineResult is what one simulated run showed.
+// LineResult is the result of one simulated run.
 type LineResult struct {
 	Seed uint64
-	// Violations has what the checks found, by the name of the rule.
+	// Violations has the descriptions of violations, by the name of the rule.
 	Violations map[string][]string
-	// Served counts operations, Writes those that were committed.
+	// Served counts the successful operations, Writes the acknowledged commits
+	// of writes.
 	Served int
 	Writes int
 	// Terms is the highest term of any database.
 	Terms uint64
 	// HistoryDigest covers every line of the history.
 	HistoryDigest string
-	// FailureCodes counts the failures that clients met, by code.
+	// FailureCodes counts the failures of clients' queries, by code.
 	FailureCodes map[string]int
-	// FaultPhases counts how often each fault met each phase, under "fault /
-	// phase".
+	// FaultPhases counts how often each fault began in each phase of the
+	// fleet, with "fault / phase" as the key.
 	FaultPhases map[string]int
 }
 
-// RunLines simulates one seed of a fleet of line sessions. Log, where given,
+// RunLines simulates one seed of a fleet of line sessions. If log is not nil, it
 // receives every line of the history.
 func RunLines(seed uint64, config LineConfig, defects LineDefects, log func(string, ...any)) LineResult {
 	l := newLineFleet(seed, config, defects)
@@ -99,14 +104,14 @@
 
 // checkRecovery checks that clients are served again after the last fault.
 func (l *lineFleet) checkRecovery() {
-	begun, served := l.checker.recoveryBegun, l.checker.recoveryServed
-	if begun < minRecoveryOperations || served*4 < begun*3 {
-		l.checker.addViolation(linehistory.RuleFailedRecoveries, "%d of %d served from %v after all was mended on", served, begun, recoveryTimeout)
+	started, served := l.checker.recoveryStarted, l.checker.recoveryServed
+	if started < minRecoveryOperations || served*4 < started*3 {
+		l.checker.addViolation(linehistory.RuleFailedRecoveries, "only %d of %d operations were served from %v after the repair of all faults on", served, started, recoveryTimeout)
 	}
 }
 
-// checkPrimaries checks that each database has a primary at the end, with all
-// acknowledged commits.
+// checkPrimaries checks that each database has a primary at the end, and that it
+// has all acknowledged commits.
 func (l *lineFleet) checkPrimaries() {
 	for _, database := range l.databases {
 		primary := l.primaryOf(database)
@@ -118,8 +123,8 @@
 	}
 }
 
-// checkNewestVersion checks that the control primary holds the newest
-// acknowledged configuration.
+// checkNewestVersion checks that the control primary has the newest acknowledged
+// configuration. It also checks the writer roles.
 func (l *lineFleet) checkNewestVersion() {
 	newest, held := l.checker.versions.newestAcknowledged(), uint64(0)
 	for _, primary := range l.primaries() {
@@ -127,17 +132,17 @@
 		l.checkWritersOpen(primary)
 	}
 	if held < newest {
-		l.checker.addViolation(linehistory.RuleLostCommits, "version %d was acknowledged, %d is held", newest, held)
+		l.checker.addViolation(linehistory.RuleLostCommits, "version %d was acknowledged, but the newest version of the control primary is %d", newest, held)
 	}
 }
 
-// checkWritersOpen checks that every writer role is open, or has moved just
-// now.
+// checkWritersOpen checks that every writer role is open, or changed within
+// writerSettleTime.
 func (l *lineFleet) checkWritersOpen(control *controlServer) {
 	for _, database := range l.databases {
 		writer := control.distributor.Snapshot().Writers[database]
 		if writer.Phase != model.PhaseOpen && control.wallNow()-writer.LastTransitionAt > int64(writerSettleTime) {
-			l.checker.addViolation(linehistory.RuleFailedRecoveries, "%s is %s at the end: %s", database, writer.Phase, writer.Reason)
+			l.checker.addViolation(linehistory.RuleFailedRecoveries, "the writer role of %s is still %s at the end: %s", database, writer.Phase, writer.Reason)
 		}
 	}
 }
--- a/test/simulation/lines_session.go
+++ b/test/simulation/lines_session.go
@@ -11,19 +11,21 @@
 
 const (
 	lineLostAnswerProbability = 0.3
-	// discardProbability is that of an instance discarding what it has not
-	// yet run for a session whose peer has closed it.
+	// discardProbability is the probability that an instance discards the
+	// queued commands of a session that its peer has closed. It applies at
+	// each check, one every peerCloseCheckDelay.
 	discardProbability  = 0.5
 	peerCloseCheckDelay = 20 * time.Millisecond
 )
 
-// lineTransaction is a transaction at an instance.
+// lineTransaction is the instance's state of a transaction.
 type lineTransaction struct {
 	readOnly bool
-	// failed says that nothing but a rollback is accepted.
+	// failed is true after a refused statement. Clients may only roll the
+	// transaction back then.
 	failed bool
 	term   uint64
-	// logSize is the length of the log that the transaction sees.
+	// logSize is the length of the log that is visible to the transaction.
 	logSize  int
 	writeIDs []string
 	// owner is the client's transaction.
@@ -45,21 +47,23 @@
 	return &sessionState{values: maps.Clone(s.values), prepared: maps.Clone(s.prepared)}
 }
 
-// serverSession is the instance's end of a connection. It runs commands one
-// after the other.
+// serverSession is the instance's end of a connection. It runs one command after
+// the other.
 type serverSession struct {
 	instance   *lineInstance
 	connection *lineConnection
 	state      sessionState
-	// stateBefore is the state to which a rollback returns; nil outside of a
+	// stateBefore is the state that a rollback restores; nil outside of a
 	// transaction.
 	stateBefore *sessionState
 	transaction *lineTransaction
 	queue       []linepool.Command
 	busy        bool
 	closed      bool
-	// committing says that a commit waits for a replica.
-	committing  bool
+	// committing is true while a commit waits for a replica.
+	committing bool
+	// releaseSlot frees the slot that a statement of the session holds; nil if
+	// there is none.
 	releaseSlot func()
 }
 
@@ -78,8 +82,8 @@
 	}
 }
 
-// closeFromPeer closes the session for its peer's closing. What came before
-// may still be run.
+// closeFromPeer closes the session after its peer has closed the connection.
+// Commands that arrived before may still run.
 func (s *serverSession) closeFromPeer() {
 	if s.closed {
 		return
@@ -94,7 +98,7 @@
 	s.instance.after(peerCloseCheckDelay, s.closeFromPeer)
 }
 
-// transactionState gives the state that each answer ends with.
+// transactionState returns the transaction state that each answer ends with.
 func (s *serverSession) transactionState() byte {
 	if s.transaction == nil {
 		return lineproto.StateIdle
@@ -105,8 +109,8 @@
 	return lineproto.StateInTransaction
 }
 
-// answer sends messages, and that the session is ready. A fault may lose a
-// part of them, and the connection.
+// answer sends messages, and then the message that the session is ready. A fault
+// may lose some of them together with the connection.
 func (s *serverSession) answer(messages ...lineproto.Message) {
 	instance := s.instance
 	messages = append(messages, lineproto.Message{Kind: lineproto.KindReady, State: s.transactionState(), Position: instance.position()})
@@ -129,14 +133,14 @@
 	return lineproto.Message{Kind: lineproto.KindError, Code: code, Payload: payload}
 }
 
-// receive queues commands.
+// receive queues commands and runs them.
 func (s *serverSession) receive(commands []linepool.Command) {
 	s.queue = append(s.queue, commands...)
 	s.runNext()
 }
 
-// runNext runs the next command: at once where it changes the session only,
-// and otherwise in a slot.
+// runNext runs the next command. A command that only changes the session runs at
+// once, any other command in a slot of the instance.
 func (s *serverSession) runNext() {
 	if s.busy || s.closed || len(s.queue) == 0 {
 		return
@@ -164,7 +168,7 @@
 	}
 }
 
-// finish ends a statement with its answer, and goes on with the next command.
+// finish ends a statement with its answer, and continues with the next command.
 func (s *serverSession) finish(messages ...lineproto.Message) {
 	s.busy, s.committing = false, false
 	if s.releaseSlot != nil {
--- a/test/simulation/lines_session_commands.go
+++ b/test/simulation/lines_session_commands.go
@@ -6,7 +6,8 @@
 	"tansyseam/internal/state/model"
 )
 
-// sessionCommands run the commands that change the session only.
+// sessionCommands has the functions that run the commands which only change the
+// session.
 var sessionCommands = map[linepool.CommandKind]func(*serverSession, linepool.Command) lineproto.Message{
 	linepool.CommandReset:         (*serverSession).reset,
 	linepool.CommandSet:           (*serverSession).set,
--- a/test/simulation/lines_session_statements.go
+++ b/test/simulation/lines_session_statements.go
@@ -9,7 +9,7 @@
 	"tansyseam/internal/state/model"
 )
 
-// Texts of statements. Those of reads and writes begin with a prefix.
+// Texts of statements. The texts of reads and writes begin with a prefix.
 const (
 	commitText  = "commit"
 	readPrefix  = "read"
@@ -46,13 +46,13 @@
 		s.fail(lineproto.CodeOther, "OTHER")
 		return
 	}
-	instance.statementsMade++
-	stamp := fmt.Sprintf("%s.%s.%d", command.ID, instance.name, instance.statementsMade)
+	instance.statementCount++
+	stamp := fmt.Sprintf("%s.%s.%d", command.ID, instance.name, instance.statementCount)
 	instance.fleet.checker.stampOwners[stamp] = command.ID
 	s.execute(sent, text, stamp)
 }
 
-// execute carries a statement out that was accepted.
+// execute runs a statement that was accepted.
 func (s *serverSession) execute(sent *query, text, stamp string) {
 	if text == commitText {
 		s.commit(sent, stamp)
@@ -68,9 +68,10 @@
 	s.finish(lineproto.Message{Kind: lineproto.KindRow, Payload: rowPayload(stamp)}, doneMessage(stamp))
 }
 
-// refusesForRole refuses writes at an instance that is not primary, or in a
-// read-only transaction, and all statements of a transaction whose instance
-// lost the role. A commit of no writes passes.
+// refusesForRole reports whether it has refused a statement. It refuses writes at
+// an instance that is not primary, writes in a read-only transaction, and all
+// statements of a transaction whose instance has lost the primary role. It never
+// refuses a commit without writes.
 func (s *serverSession) refusesForRole(text string) bool {
 	primary := s.instance.role == model.RolePrimary
 	transaction := s.transaction
--- a/test/simulation/lines_test.go
+++ b/test/simulation/lines_test.go
@@ -19,16 +19,17 @@
 }
 
 func TestLinesSameSeedSameHistory(t *testing.T) {
-	Convey("The same seed gives the same history of a fleet of synced instances, and another another", t, func() {
+	Convey("The same seed leads to the same history of a fleet of line sessions, and another seed to a different history", t, func() {
 		config := shortLines()
-		first, again, other := RunLines(3, config, LineDefects{}, nil), RunLines(3, config, LineDefects{}, nil), RunLines(4, config, LineDefects{}, nil)
-		So(first.HistoryDigest, ShouldEqual, again.HistoryDigest)
+		first, repeated, other := RunLines(3, config, LineDefects{}, nil), RunLines(3, config, LineDefects{}, nil), RunLines(4, config, LineDefects{}, nil)
+		So(first.HistoryDigest, ShouldEqual, repeated.HistoryDigest)
 		So(first.HistoryDigest, ShouldNotEqual, other.HistoryDigest)
 	})
 }
 
-// soServesAllWithoutFaults checks a run without any fault.
-func soServesAllWithoutFaults(config LineConfig) {
+// assertAllServedWithoutFaults checks that a run without faults has no violation,
+// no failed operation and no failover.
+func assertAllServedWithoutFaults(config LineConfig) {
 	config.Script = func(*lineFleet) {}
 	result := RunLines(1, config, LineDefects{}, nil)
 	So(result.Violations, ShouldBeEmpty)
@@ -38,10 +39,10 @@
 }
 
 func TestLinesFixedSeeds(t *testing.T) {
-	Convey("Without trouble all is served, and without a promise or a cut", t, func() {
-		soServesAllWithoutFaults(shortLines())
+	Convey("Without faults, all operations are served, and no query fails or loses its session", t, func() {
+		assertAllServedWithoutFaults(shortLines())
 	})
-	Convey("Every rule holds under random troubles, by fixed seeds", t, func() {
+	Convey("Under random faults of fixed seeds, no rule is violated", t, func() {
 		count := uint64(16)
 		if isRace {
 			count = 8
@@ -57,10 +58,10 @@
 }
 
 func TestLinesCrowded(t *testing.T) {
-	Convey("With more nodes than an instance takes connections all is served, and without a promise or a cut", t, func() {
-		soServesAllWithoutFaults(CrowdedLineConfig())
+	Convey("With more nodes than an instance accepts connections, all operations are served, and no query fails or loses its session", t, func() {
+		assertAllServedWithoutFaults(CrowdedLineConfig())
 	})
-	Convey("So every rule holds there under random troubles", t, func() {
+	Convey("With more nodes than an instance accepts connections, no rule is violated under random faults", t, func() {
 		onlyWithoutRace(t)
 		for _, result := range runManyLines(1, 4, CrowdedLineConfig(), LineDefects{}) {
 			SoMsg(fmt.Sprintf("seed %d", result.Seed), result.Violations, ShouldBeEmpty)
@@ -72,26 +73,26 @@
 func TestLinesSeedsOnceBroken(t *testing.T) {
 	onlyWithoutRace(t)
 	seeds := []struct {
-		why    string
+		fault  string
 		seed   uint64
 		config LineConfig
 	}{
-		{"a late promote call of an earlier intent, of the same holder and fence, was taken", 8000170, SmallLineConfig()},
-		{"a primary that started again never had the others follow, and one that crashed while leaving never ended", 8000029, SmallLineConfig()},
-		{"a control primary that took over listed an instance that leaves as it had heard it long before", 8001066, LargeLineConfig()},
-		{"the holder of a duty did not renew it in time, and never saw an instance's answer while it was fresh", 8006071, LargeLineConfig()},
+		{"a late promotion call of an earlier promotion attempt, with the same duty holder and fencing token, was accepted", 8000170, SmallLineConfig()},
+		{"a restarted primary never redirected the other instances to itself, and a primary that crashed while leaving never ended", 8000029, SmallLineConfig()},
+		{"a new control primary listed a leaving instance by an announcement that it had received long before the failover", 8001066, LargeLineConfig()},
+		{"the holder of a duty did not renew it in time, and never processed an instance's answer while the answer was fresh", 8006071, LargeLineConfig()},
 	}
-	Convey("Seeds of lines on which a rule was broken once break none", t, func() {
-		for _, known := range seeds {
-			Convey(fmt.Sprintf("%d: %s", known.seed, known.why), func() {
-				So(RunLines(known.seed, known.config, LineDefects{}, nil).Violations, ShouldBeEmpty)
+	Convey("Seeds of line sessions that violated a rule earlier violate none", t, func() {
+		for _, regression := range seeds {
+			Convey(fmt.Sprintf("%d: %s", regression.seed, regression.fault), func() {
+				So(RunLines(regression.seed, regression.config, LineDefects{}, nil).Violations, ShouldBeEmpty)
 			})
 		}
 	})
 }
 
 func TestLinesStartsAgain(t *testing.T) {
-	Convey("A primary that crashed before the others heard of its term has them follow when it is back", t, func() {
+	Convey("When a primary crashes before the other instances receive its term, they follow it after its restart", t, func() {
 		config := shortLines()
 		config.Script = func(l *lineFleet) {
 			old := l.instancesByAddress["db1-a:1"]
@@ -115,7 +116,7 @@
 		So(result.Terms, ShouldEqual, 2)
 		So(result.Violations, ShouldBeEmpty)
 	})
-	Convey("An instance that crashed while it was leaving ends all the same", t, func() {
+	Convey("When an instance crashes while it is leaving, it still ends after its restart", t, func() {
 		config := shortLines()
 		var leaving *lineInstance
 		config.Script = func(l *lineFleet) {
--- a/test/simulation/lines_window.go
+++ b/test/simulation/lines_window.go
@@ -9,31 +9,36 @@
 	"tansyseam/internal/state/lineproto"
 )
 
-// expectedAnswer is what an instance still has to answer on a connection.
+// expectedAnswer is an answer that an instance still owes on a connection.
 type expectedAnswer struct {
-	// scored answers hold a slot of the window; that of a begin is held until
-	// the statement that follows has ended.
-	scored, begin bool
-	// scale brings latencies to the reference target.
-	scale float64
+	// takesSlot is true if the command takes a slot of the window. isBegin is
+	// true if it begins a transaction; its slot is held until the statement that
+	// follows has ended.
+	takesSlot, isBegin bool
+	// latencyScale converts a latency to the reference target: the reference
+	// target divided by the latency target of the query's route.
+	latencyScale float64
 }
 
-// windowSlot is a connection's slot in the window of its instance.
+// windowSlot is a connection's slot in the window of its instance. The slot
+// belongs to the last command that took a slot.
 type windowSlot struct {
-	taken, begin, begun bool
-	takenAt             time.Duration
-	scale               float64
+	// isBegin is true if the command begins a transaction, transactionOpen if
+	// that command has succeeded.
+	taken, isBegin, transactionOpen bool
+	takenAt                         time.Duration
+	latencyScale                    float64
 }
 
-// connectionWindow is what the model of the window knows of a connection.
+// connectionWindow is the state of a connection for the model of the window.
 type connectionWindow struct {
 	expectedAnswers []expectedAnswer
 	slot            windowSlot
 	lastResult      lineproto.Message
 }
 
-// codesWithoutWork are those of statements that an instance did not work on,
-// whose latency does not count.
+// codesWithoutWork are the codes of statements that an instance refused without
+// running them. Their latency is no sample.
 var codesWithoutWork = map[lineproto.Code]bool{
 	lineproto.CodeBusy: true, lineproto.CodeLagging: true, lineproto.CodeReadOnly: true, lineproto.CodeNotFound: true,
 }
@@ -48,8 +53,8 @@
 	return flowcontrol.Reading{}, false
 }
 
-// windowModelFor gives the model of the window for an instance; nil where the
-// run models none, or the node knows no such instance.
+// windowModelFor returns the model of the node's window for an instance. It
+// returns nil if the run checks no windows or the node has no such instance.
 func (n *lineNode) windowModelFor(name string) *windowModel {
 	if !n.fleet.windows.enabled {
 		return nil
@@ -72,8 +77,8 @@
 
 func (m *windowModel) isUnused() bool { return m.updates == 0 && m.samples == 0 && m.inFlight == 0 }
 
-// modelSend takes in commands that are sent. The last one may take a slot; the
-// others only prepare the session.
+// modelSend updates the model for commands that are sent. The last command may
+// take a slot; the others only prepare the session.
 func (n *lineNode) modelSend(connection *lineConnection, commands []linepool.Command) {
 	if !n.fleet.windows.enabled {
 		return
@@ -83,34 +88,34 @@
 	window.expectedAnswers = append(window.expectedAnswers, make([]expectedAnswer, len(commands)-1)...)
 	window.expectedAnswers = append(window.expectedAnswers, expected)
 	model := n.windowModelFor(connection.instance.name)
-	if !expected.scored || model == nil {
+	if !expected.takesSlot || model == nil {
 		return
 	}
 	if !window.slot.taken {
 		n.checkRoom(connection.instance.name, model)
 		model.begin()
 	}
-	window.slot = windowSlot{taken: true, begin: expected.begin, takenAt: n.clock(), scale: expected.scale}
+	window.slot = windowSlot{taken: true, isBegin: expected.isBegin, takenAt: n.clock(), latencyScale: expected.latencyScale}
 }
 
 func (n *lineNode) expectedAnswerTo(command linepool.Command) expectedAnswer {
 	begin := command.Kind == linepool.CommandBegin || command.Kind == linepool.CommandBeginReadOnly
-	expected := expectedAnswer{begin: begin, scored: begin || command.Kind == linepool.CommandText || command.Kind == linepool.CommandExecute}
+	expected := expectedAnswer{isBegin: begin, takesSlot: begin || command.Kind == linepool.CommandText || command.Kind == linepool.CommandExecute}
 	if sent := n.fleet.checker.queries[command.ID]; sent != nil {
-		expected.scale = referenceLatencyTarget.Seconds() / n.fleet.latencyTarget(sent.client.route).Seconds()
+		expected.latencyScale = referenceLatencyTarget.Seconds() / n.fleet.latencyTarget(sent.client.route).Seconds()
 	}
 	return expected
 }
 
-// checkRoom checks that the window has room for one more.
+// checkRoom checks that the window has room for one more statement.
 func (n *lineNode) checkRoom(instance string, model *windowModel) {
-	room := int(math.Max(1, math.Floor(model.window+roundingMargin)))
-	if model.inFlight >= room {
-		n.fleet.checker.addViolation(RuleWindow, "%s has %d out at %s, with a window of %v", n.name, model.inFlight+1, instance, model.window)
+	limit := int(math.Max(1, math.Floor(model.window+roundingMargin)))
+	if model.inFlight >= limit {
+		n.fleet.checker.addViolation(RuleWindow, "%s has %d statements in flight at %s, with a window of %v", n.name, model.inFlight+1, instance, model.window)
 	}
 }
 
-// modelAnswer takes in a message from an instance.
+// modelAnswer updates the model for a message from an instance.
 func (n *lineNode) modelAnswer(connection *lineConnection, message lineproto.Message) {
 	window := &connection.window
 	if len(window.expectedAnswers) == 0 {
@@ -125,27 +130,28 @@
 	expected := window.expectedAnswers[0]
 	window.expectedAnswers = window.expectedAnswers[1:]
 	model := n.windowModelFor(connection.instance.name)
-	if !expected.scored || model == nil {
+	if !expected.takesSlot || model == nil {
 		return
 	}
 	result := window.lastResult
-	if expected.begin && result.Kind == lineproto.KindDone && message.State == lineproto.StateInTransaction {
-		window.slot.begun = true
+	if expected.isBegin && result.Kind == lineproto.KindDone && message.State == lineproto.StateInTransaction {
+		window.slot.transactionOpen = true
 		return
 	}
 	latency := n.clock() - window.slot.takenAt
-	worked := !expected.begin && (result.Kind != lineproto.KindError || !codesWithoutWork[result.Code])
+	counted := !expected.isBegin && (result.Kind != lineproto.KindError || !codesWithoutWork[result.Code])
 	window.slot = windowSlot{}
 	model.inFlight--
-	if worked {
-		model.addSample(time.Duration(float64(latency) * expected.scale))
+	if counted {
+		model.addSample(time.Duration(float64(latency) * expected.latencyScale))
 	}
 }
 
-// modelClose takes in that a connection is closed. A statement that was in
-// flight counts with its age, and no less than the threshold. Whether a begin
-// that was in flight counts is not known from here, so that the window is
-// taken over from the product once.
+// modelClose updates the model for a connection that is closed. A statement in
+// flight counts with its age, or with the threshold if its age is less. The model
+// cannot tell whether the product counts a begin in flight. In that case, the
+// model is uncertain, and adopts the product's window once instead of reporting a
+// difference.
 func (n *lineNode) modelClose(connection *lineConnection) {
 	slot := connection.window.slot
 	connection.window.slot = windowSlot{}
@@ -154,12 +160,12 @@
 		return
 	}
 	model.inFlight--
-	if slot.begin && !slot.begun {
+	if slot.isBegin && !slot.transactionOpen {
 		model.uncertain = true
 		n.fleet.windows.uncertain++
 	}
-	if !slot.begin {
-		age := time.Duration(float64(n.clock()-slot.takenAt) * slot.scale)
+	if !slot.isBegin {
+		age := time.Duration(float64(n.clock()-slot.takenAt) * slot.latencyScale)
 		model.addSample(max(age, time.Duration(paperThresholdNanos)))
 	}
 }
@@ -182,7 +188,7 @@
 	model.tick(now)
 	differs := model.differsFrom(reading)
 	if differs && !model.uncertain {
-		n.fleet.checker.addViolation(RuleWindow, "%s for %s: window %v and CAL %v, by the equations %v and %v", n.name, instance, reading.Size, reading.AverageLatency, model.window, time.Duration(model.averageLatency))
+		n.fleet.checker.addViolation(RuleWindow, "%s for %s: window %v and CAL %v, but the paper's equations give %v and %v", n.name, instance, reading.Size, reading.AverageLatency, model.window, time.Duration(model.averageLatency))
 	}
 	if differs {
 		model.adopt(reading)
--- a/test/simulation/lines_window_test.go
+++ b/test/simulation/lines_window_test.go
@@ -7,9 +7,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// runWithWindowModels runs fleets at work in which one instance is slow for a
-// while, one loses answers and one lags, with each window checked against the
-// paper's equations.
+// runWithWindowModels runs a fleet in which one instance is slow for some time,
+// one loses answers and one lags. Each window is checked against the paper's
+// equations. If busy is true, the clients send operations at a higher rate.
 func runWithWindowModels(defects LineDefects, busy bool) (LineResult, windowChecks) {
 	config := shortLines()
 	config.FaultDuration, config.RecoveryDuration, config.Connections, config.StaleLatencyTarget = 18*time.Second, 13*time.Second, 48, 800*time.Millisecond
@@ -37,7 +37,7 @@
 }
 
 func TestLineWindowsFollowThePaper(t *testing.T) {
-	Convey("On a whole fleet of synced instances, every window and CAL of each node is what the paper's equations give for the latencies that its connections saw, and no more is out than that", t, func() {
+	Convey("In a whole fleet of line sessions, each window and CAL of each node equals the result of the paper's equations for the latencies on its connections, and no node has more statements in flight than its window permits", t, func() {
 		for _, busy := range []bool{false, true} {
 			result, windows := runWithWindowModels(LineDefects{}, busy)
 			So(result.Violations, ShouldBeEmpty)
@@ -47,7 +47,7 @@
 			So(windows.maxLatency, ShouldBeGreaterThan, float64(30*time.Millisecond))
 		}
 	})
-	Convey("A node that takes answers for later than they are, or grows by another's weight, is found", t, func() {
+	Convey("When a node records answers later than they arrive, or uses a wrong weight, its windows violate the rule", t, func() {
 		for _, defects := range []LineDefects{{LateAnswers: true}, {WrongWeight: true}} {
 			result, _ := runWithWindowModels(defects, true)
 			So(len(result.Violations[RuleWindow]), ShouldBeGreaterThan, 10)
