--- a/test/cmd/simulate/digests.go
+++ b/test/cmd/simulate/digests.go
@@ -8,7 +8,7 @@
 )
 
 // printDigests prints the digest of the history of each seed, in the order of
-// the seeds. Two builds that decide alike print the same.
+// the seeds. Two builds that make the same decisions print the same digests.
 func printDigests(o options) int {
 	digest, err := simulation.DigestOf(o.mode, o.shape)
 	if err != nil {
--- a/test/cmd/simulate/main.go
+++ b/test/cmd/simulate/main.go
@@ -1,9 +1,10 @@
-// Program simulate runs the simulator over many seeds and prints those that
-// break a rule. With -replay it plays one seed and prints its whole history.
-// Further modes measure admission control and the failover of the control
-// primary, and print digests of histories, by which two builds are compared.
+// Program simulate runs the simulator with many seeds and prints the seeds that
+// violate a rule. With -replay, it runs one seed and prints its whole history.
+// With other flags, it measures admission control or the failover of the control
+// primary, or prints digests of histories to compare two builds.
 //
-// It exits with 1 where a rule was broken, and with 2 on wrong options.
+// It exits with status 1 if a rule was violated, and with status 2 if a flag is
+// invalid.
 package main
 
 import (
@@ -16,11 +17,11 @@
 )
 
 const (
-	exitBroken = 1
-	exitUsage  = 2
+	exitViolation = 1
+	exitUsage     = 2
 )
 
-// modeLines is the mode that simulates line sessions.
+// modeLines is the value of -manner that simulates fleets of line sessions.
 const modeLines = "lines"
 
 // options are the command's flags.
@@ -38,14 +39,14 @@
 	var o options
 	flag.Uint64Var(&o.from, "from", 1, "first seed")
 	flag.Uint64Var(&o.count, "count", 100, "number of seeds")
-	flag.StringVar(&o.shape, "shape", "magnolia", "magnolia or chile")
-	flag.Uint64Var(&o.replay, "replay", 0, "replay this one seed, with its history")
-	flag.StringVar(&o.mode, "manner", "json", "json for back ends that push positions, lines for synced instances")
-	flag.IntVar(&o.jobs, "jobs", runtime.NumCPU(), "seeds played at once")
-	flag.BoolVar(&o.printPhases, "met", false, "print how often each fault met each phase")
-	flag.BoolVar(&o.admission, "admission", false, "play the admission experiments and print their table")
-	flag.BoolVar(&o.digests, "digests", false, "print the digest of each seed's history, by which two builds are compared")
-	flag.BoolVar(&o.failover, "takeover", false, "lose control's primary in each way, over the seeds, and print how long it takes")
+	flag.StringVar(&o.shape, "shape", "magnolia", "size of the fleet: magnolia (small) or chile (large)")
+	flag.Uint64Var(&o.replay, "replay", 0, "run only this seed and print its history; 0 runs the seeds of -from and -count")
+	flag.StringVar(&o.mode, "manner", "json", "json for instances that push their positions, lines for line sessions to instances that replicate synchronously")
+	flag.IntVar(&o.jobs, "jobs", runtime.NumCPU(), "number of seeds to run concurrently")
+	flag.BoolVar(&o.printPhases, "met", false, "print how often each fault began in each phase of the fleet")
+	flag.BoolVar(&o.admission, "admission", false, "run the admission experiments and print a table of their results")
+	flag.BoolVar(&o.digests, "digests", false, "print the digest of each seed's history, to compare two builds")
+	flag.BoolVar(&o.failover, "takeover", false, "measure the failover of the control primary for each kind of loss, with each seed, and print a table of the times")
 	flag.Parse()
 	return o
 }
@@ -67,8 +68,8 @@
 }
 
 func runFleets(o options) int {
-	config, known := map[string]simulation.Config{"magnolia": simulation.SmallConfig(), "chile": simulation.LargeConfig()}[o.shape]
-	if !known {
+	config, found := map[string]simulation.Config{"magnolia": simulation.SmallConfig(), "chile": simulation.LargeConfig()}[o.shape]
+	if !found {
 		return reportUnknownShape()
 	}
 	if o.failover {
@@ -83,8 +84,8 @@
 }
 
 func runLineFleets(o options) int {
-	config, known := map[string]simulation.LineConfig{"magnolia": simulation.SmallLineConfig(), "chile": simulation.LargeLineConfig()}[o.shape]
-	if !known {
+	config, found := map[string]simulation.LineConfig{"magnolia": simulation.SmallLineConfig(), "chile": simulation.LargeLineConfig()}[o.shape]
+	if !found {
 		return reportUnknownShape()
 	}
 	if o.replay != 0 {
@@ -96,15 +97,15 @@
 }
 
 func reportUnknownShape() int {
-	fmt.Fprintln(os.Stderr, "no such shape")
+	fmt.Fprintln(os.Stderr, "-shape must be magnolia or chile")
 	return exitUsage
 }
 
-func printLine(format string, parts ...any) { fmt.Printf(format+"\n", parts...) }
+func printLine(format string, arguments ...any) { fmt.Printf(format+"\n", arguments...) }
 
-func exitCode(broken int) int {
-	if broken > 0 {
-		return exitBroken
+func exitCode(violations int) int {
+	if violations > 0 {
+		return exitViolation
 	}
 	return 0
 }
--- a/test/cmd/simulate/measurements.go
+++ b/test/cmd/simulate/measurements.go
@@ -8,7 +8,8 @@
 	"tansyseam/test/simulation"
 )
 
-// printAdmission plays the admission experiments, and prints one row each.
+// printAdmission runs the admission experiments, and prints a table with one row
+// for each.
 func printAdmission(seed uint64) {
 	fmt.Println("| load | capacity/s | served/s | latency p50, p99 ms | wait p50, p99 ms | windows at the end, by node | served, by node |")
 	fmt.Println("|---|---|---|---|---|---|---|")
@@ -26,24 +27,24 @@
 	}
 }
 
-// printControlFailover loses the control primary in each way, and prints how
-// long the failover takes.
+// printControlFailover measures the failover of the control primary for each kind
+// of loss, and prints a table of the times.
 func printControlFailover(from, count uint64, config simulation.Config, jobs int) int {
 	fmt.Println("| control machines | primary lost by | another has primacy: least, p50, p99, most ms | a write is kept: p50, p99, most ms | faults |")
 	fmt.Println("|---|---|---|---|---|")
-	broken := 0
+	total := 0
 	for _, loss := range simulation.PrimaryLosses() {
 		primacy, writes, violations := simulation.MeasureControlFailovers(from, count, config, loss, jobs)
 		fmt.Printf("| %d | %s | %s | %s | %d |\n", config.Controls, loss.Name, quantiles(primacy, 0, 0.5, 0.99, 1), quantiles(writes, 0.5, 0.99, 1), violations)
-		broken += violations
+		total += violations
 	}
-	return exitCode(broken)
+	return exitCode(total)
 }
 
-func quantiles(spans []time.Duration, parts ...float64) string {
+func quantiles(spans []time.Duration, fractions ...float64) string {
 	var texts []string
-	for _, part := range parts {
-		texts = append(texts, fmt.Sprintf("%.0f", milliseconds(simulation.Quantile(spans, part))))
+	for _, fraction := range fractions {
+		texts = append(texts, fmt.Sprintf("%.0f", milliseconds(simulation.Quantile(spans, fraction))))
 	}
 	return strings.Join(texts, ", ")
 }
--- a/test/cmd/simulate/seeds.go
+++ b/test/cmd/simulate/seeds.go
@@ -8,8 +8,8 @@
 	value T
 }
 
-// playSeeds plays consecutive seeds, so many at once as there are jobs, and
-// gives the results as they come.
+// playSeeds runs consecutive seeds, at most jobs of them concurrently, and
+// returns a channel that receives each result when it is available.
 func playSeeds[T any](from, count uint64, jobs int, play func(seed uint64) T) <-chan seedResult[T] {
 	seeds := make(chan uint64)
 	results := make(chan seedResult[T])
--- a/test/cmd/simulate/summary.go
+++ b/test/cmd/simulate/summary.go
@@ -7,13 +7,14 @@
 	"tansyseam/test/simulation"
 )
 
-// maxPrintedViolations bounds what is printed of one rule for one seed.
+// maxPrintedViolations limits the violations that are printed of one rule for one
+// seed.
 const maxPrintedViolations = 3
 
-// summarize plays fleets of back ends that push positions, prints the seeds
-// that break a rule, and the totals.
+// summarize runs fleets of instances that push their positions, and prints the
+// seeds that violate a rule and the totals.
 func summarize(o options, config simulation.Config) int {
-	broken, writes, reads, promotions, epochs := 0, 0, 0, uint64(0), uint64(0)
+	violatingSeeds, writes, reads, promotions, epochs := 0, 0, 0, uint64(0), uint64(0)
 	faultPhases := map[string]int{}
 	results := playSeeds(o.from, o.count, o.jobs, func(seed uint64) simulation.Result {
 		return simulation.Run(seed, config, simulation.Defects{}, nil)
@@ -26,20 +27,21 @@
 		promotions += result.Terms - 1
 		epochs += result.Epochs
 		if len(result.Violations) > 0 {
-			broken++
+			violatingSeeds++
 			printResult(result)
 		}
 	}
 	if o.printPhases {
 		printFaultPhases(simulation.FaultNames(), faultPhases)
 	}
-	fmt.Printf("%d seeds of %s, %d broken; %d writes kept, %d reads, %d promotions, %d epochs\n", o.count, o.shape, broken, writes, reads, promotions, epochs)
-	return exitCode(broken)
+	fmt.Printf("%d seeds of %s, %d violated a rule; %d writes committed, %d reads, %d promotions, %d epochs\n", o.count, o.shape, violatingSeeds, writes, reads, promotions, epochs)
+	return exitCode(violatingSeeds)
 }
 
-// summarizeLines does the same for fleets of line sessions.
+// summarizeLines runs fleets of line sessions, and prints the seeds that violate
+// a rule and the totals.
 func summarizeLines(o options, config simulation.LineConfig) int {
-	broken, served, writes, promotions := 0, 0, 0, uint64(0)
+	violatingSeeds, served, writes, promotions := 0, 0, 0, uint64(0)
 	faultPhases, failureCodes := map[string]int{}, map[string]int{}
 	results := playSeeds(o.from, o.count, o.jobs, func(seed uint64) simulation.LineResult {
 		return simulation.RunLines(seed, config, simulation.LineDefects{}, nil)
@@ -52,15 +54,15 @@
 		writes += result.Writes
 		promotions += result.Terms - 1
 		if len(result.Violations) > 0 {
-			broken++
+			violatingSeeds++
 			printLineResult(result)
 		}
 	}
 	if o.printPhases {
 		printFaultPhases(simulation.LineFaultNames(), faultPhases)
 	}
-	fmt.Printf("%d seeds of lines, %s, %d broken; %d operations served, %d writes kept, %d promotions; failures met by clients %v\n", o.count, o.shape, broken, served, writes, promotions, failureCodes)
-	return exitCode(broken)
+	fmt.Printf("%d seeds of lines, %s, %d violated a rule; %d operations served, %d writes committed, %d promotions; failures of client queries by code %v\n", o.count, o.shape, violatingSeeds, served, writes, promotions, failureCodes)
+	return exitCode(violatingSeeds)
 }
 
 func addCounts(totals, counts map[string]int) {
@@ -70,12 +72,12 @@
 }
 
 func printResult(result simulation.Result) {
-	fmt.Printf("seed %d: kept %d, reads %d, terms %d, epochs %d, history %.16s\n", result.Seed, result.Writes, result.Reads, result.Terms, result.Epochs, result.HistoryDigest)
+	fmt.Printf("seed %d: writes committed %d, reads %d, terms %d, epochs %d, history %.16s\n", result.Seed, result.Writes, result.Reads, result.Terms, result.Epochs, result.HistoryDigest)
 	printViolations(result.Violations)
 }
 
 func printLineResult(result simulation.LineResult) {
-	fmt.Printf("seed %d: served %d, writes kept %d, terms %d, history %.16s\n", result.Seed, result.Served, result.Writes, result.Terms, result.HistoryDigest)
+	fmt.Printf("seed %d: served %d, writes committed %d, terms %d, history %.16s\n", result.Seed, result.Served, result.Writes, result.Terms, result.HistoryDigest)
 	printViolations(result.Violations)
 }
 
