--- a/test/cmd/simulate/main.go
+++ b/test/cmd/simulate/main.go
@@ -43,10 +43,12 @@
 	flag.Uint64Var(&o.replay, "replay", 0, "run only this seed and print its history; 0 runs the seeds of -from and -count")
 	flag.StringVar(&o.mode, "manner", "json", "json for instances that push their positions, lines for line sessions to instances that replicate synchronously")
 	flag.IntVar(&o.jobs, "jobs", runtime.NumCPU(), "number of seeds to run concurrently")
-	flag.BoolVar(&o.printPhases, "met", false, "print how often each fault began in each phase of the fleet")
+	flag.BoolVar(&o.printPhases, "fault-phases", false, "print how often each fault began in each phase of the fleet")
+	flag.BoolVar(&o.printPhases, "met", false, "earlier name of -fault-phases")
 	flag.BoolVar(&o.admission, "admission", false, "run the admission experiments and print a table of their results")
 	flag.BoolVar(&o.digests, "digests", false, "print the digest of each seed's history, to compare two builds")
-	flag.BoolVar(&o.failover, "takeover", false, "measure the failover of the control primary for each kind of loss, with each seed, and print a table of the times")
+	flag.BoolVar(&o.failover, "control-failover", false, "measure the failover of the control primary for each kind of loss, with each seed, and print a table of the times")
+	flag.BoolVar(&o.failover, "takeover", false, "earlier name of -control-failover")
 	flag.Parse()
 	return o
 }
