--- a/test/cmd/simulate/measurements.go
+++ b/test/cmd/simulate/measurements.go
@@ -11,7 +11,7 @@
 // printAdmission runs the admission experiments, and prints a table with one row
 // for each.
 func printAdmission(seed uint64) {
-	fmt.Println("| load | capacity/s | served/s | latency p50, p99 ms | wait p50, p99 ms | windows at the end, by node | served, by node |")
+	fmt.Println("| load | capacity/s | served/s | latency p50, p99 ms | queue time p50, p99 ms | windows at the end, by node | served, by node |")
 	fmt.Println("|---|---|---|---|---|---|---|")
 	for _, load := range simulation.Loads() {
 		result := simulation.RunAdmission(seed, load)
@@ -30,7 +30,7 @@
 // printControlFailover measures the failover of the control primary for each kind
 // of loss, and prints a table of the times.
 func printControlFailover(from, count uint64, config simulation.Config, jobs int) int {
-	fmt.Println("| control machines | primary lost by | another has primacy: least, p50, p99, most ms | a write is kept: p50, p99, most ms | faults |")
+	fmt.Println("| control servers | loss of the primary | time to the next primary: min, p50, p99, max ms | time to the next committed write: p50, p99, max ms | violations |")
 	fmt.Println("|---|---|---|---|---|")
 	total := 0
 	for _, loss := range simulation.PrimaryLosses() {
--- a/test/simulation/lines_client.go
+++ b/test/simulation/lines_client.go
@@ -19,8 +19,8 @@
 	maxReopenDelay      = 400 * time.Millisecond
 	lineOpenTimeout     = 2 * time.Second
 	queryTimeout        = 6 * time.Second
-	// lineDisconnectDelay is the time after which a client detects the crash of
-	// its node.
+	// lineDisconnectDelay is the time from the crash of a node until its clients
+	// detect it.
 	lineDisconnectDelay = 2 * time.Millisecond
 	// clientRandomStream is the random stream of the first client. It separates
 	// the random numbers of clients from those of the simulator.
--- a/test/simulation/lines_client_transactions.go
+++ b/test/simulation/lines_client_transactions.go
@@ -13,8 +13,10 @@
 	maxLineStatements = 4
 )
 
-// The number of statements or transactions of which one, on average, ends the
-// session, changes a setting or is rolled back instead.
+// Of statementsPerDisconnect statements, one is replaced by the end of the
+// session on average, and of statementsPerSet statements, one is preceded by a
+// change of a setting. Of lineTransactionsPerRollback transactions, one is rolled
+// back.
 const (
 	statementsPerDisconnect     = 40
 	statementsPerSet            = 10
--- a/test/simulation/lines_connection.go
+++ b/test/simulation/lines_connection.go
@@ -14,11 +14,11 @@
 	lateAnswerDelay = 2 * time.Millisecond
 	// connectTime is the time that an instance takes to open a session.
 	connectTime = 2 * time.Millisecond
-	// lineCrashDetection is the time after which an instance detects the crash
-	// of a node.
+	// lineCrashDetection is the time from the crash of a node until instances
+	// detect it.
 	lineCrashDetection = 2 * time.Millisecond
-	// lineVanishedTimeout is that time for a node that vanished without closing
-	// its connections.
+	// lineVanishedTimeout is the time until instances detect that a node has
+	// vanished without closing its connections.
 	lineVanishedTimeout = 3 * time.Second
 )
 
--- a/test/simulation/lines_test.go
+++ b/test/simulation/lines_test.go
@@ -82,7 +82,7 @@
 		{"a new control primary listed a leaving instance by an announcement that it had received long before the failover", 8001066, LargeLineConfig()},
 		{"the holder of a duty did not renew it in time, and never processed an instance's answer while the answer was fresh", 8006071, LargeLineConfig()},
 	}
-	Convey("Seeds of line sessions that violated a rule earlier violate none", t, func() {
+	Convey("Seeds of line sessions on which a rule was once violated violate no rule", t, func() {
 		for _, regression := range seeds {
 			Convey(fmt.Sprintf("%d: %s", regression.seed, regression.fault), func() {
 				So(RunLines(regression.seed, regression.config, LineDefects{}, nil).Violations, ShouldBeEmpty)
--- a/test/simulation/window.go
+++ b/test/simulation/window.go
@@ -8,8 +8,9 @@
 )
 
 // Constants of the paper on flow control (docs/paper.md). paperAlpha is the
-// smoothing factor of the average latency, paperGamma that of the window, and
-// paperThresholdNanos the latency threshold in nanoseconds.
+// weight of the previous average in the average latency, paperGamma the weight of
+// the new value in the window, and paperThresholdNanos the latency threshold in
+// nanoseconds.
 const (
 	paperAlpha          = 0.9
 	paperGamma          = 0.2
