--- a/test/simulation/lines_client_transactions.go
+++ b/test/simulation/lines_client_transactions.go
@@ -13,7 +13,10 @@
 	maxLineStatements = 4
 )
 
-// Of so many statements or transactions, one does something else.
+// Of statementsPerDisconnect statements, one is replaced by the end of the
+// session on average, and of statementsPerSet statements, one is preceded by a
+// change of a setting. Of lineTransactionsPerRollback transactions, one is rolled
+// back.
 const (
 	statementsPerDisconnect     = 40
 	statementsPerSet            = 10
@@ -31,7 +34,7 @@
 	})
 }
 
-// runInTransaction runs so many statements more, and ends the transaction.
+// runInTransaction runs the remaining statements, and then ends the transaction.
 func (o *operation) runInTransaction(transaction *clientTransaction, remaining int) {
 	random := o.client.random
 	if remaining == 0 {
@@ -72,7 +75,7 @@
 
 func (o *operation) setInTransaction(transaction *clientTransaction, remaining int) {
 	name, value := "v1", fmt.Sprint(o.client.random.IntN(settingValues))
-	o.client.sendQuery(localText, lineproto.Statement{Action: lineproto.ActionSet, Name: name, Value: value}, transaction, func(_ *query, answer response) {
+	o.client.sendQuery(nodeLocalText, lineproto.Statement{Action: lineproto.ActionSet, Name: name, Value: value}, transaction, func(_ *query, answer response) {
 		if !answer.succeeded() {
 			o.fail(answer)
 			return
