--- a/test/simulation/digest_texts.go
+++ b/test/simulation/digest_texts.go
@@ -42,7 +42,6 @@
 	", complete ", ", whole ",
 	", and no other instance is reachable", ", and no other instance can be heard",
 	"answers overdue at ", "owes answers to ",
-	"all faults repaired", "all is mended",
 	" truncates its log from ", " is cut back from ",
 	" becomes primary of term ", " leads term ",
 	" applies the writer role of ", " holds ",
