--- a/test/e2e/address.go
+++ b/test/e2e/address.go
@@ -6,12 +6,12 @@
 	"tansyseam/test/reserve"
 )
 
-// loopbackIP returns an IP that only one process of a fleet has.
+// loopbackIP returns the loopback IP of a process. No two processes of a fleet share one.
 func loopbackIP(group, number int) string { return fmt.Sprintf("127.1.%d.%d", group, number+1) }
 
-// allocateAddress returns an address of an IP that was not returned before. It stays
-// reserved until the runner ends, as fleets run side by side and their processes
-// start again on the same addresses.
+// allocateAddress returns an address of an IP with a port that was not returned before.
+// The address stays reserved until the runner ends, because several fleets may run at
+// the same time and their processes restart on the same addresses.
 func allocateAddress(ip string) (string, error) {
 	reservation, err := reserve.Any(ip)
 	if err != nil {
--- a/test/e2e/brief_test.go
+++ b/test/e2e/brief_test.go
@@ -20,11 +20,11 @@
 	briefDirectory = "../../docs/brief"
 )
 
-// partLink is a link from the brief's page to one of its parts.
+// partLink matches a link from the brief's page to one of its parts.
 var partLink = regexp.MustCompile(`\]\(brief/([^)]+)\)`)
 
-// readBrief gives the text of the brief's page and of all its parts, each of which the
-// page must link.
+// readBrief returns the text of the brief's page and of all its parts. The page must
+// link every part.
 func readBrief() string {
 	text, err := os.ReadFile(briefPage)
 	So(err, ShouldBeNil)
@@ -47,8 +47,8 @@
 	return page
 }
 
-// testNames are those of all tests of the repository.
-func testNames() map[string]bool {
+// testFunctionNames returns the names of all test functions of the repository.
+func testFunctionNames() map[string]bool {
 	found := map[string]bool{}
 	for _, root := range []string{"../../internal", "../../cmd", "../../platform", "../../test"} {
 		_ = filepath.WalkDir(root, func(path string, _ os.DirEntry, err error) error {
@@ -64,57 +64,58 @@
 	return found
 }
 
-// knownNames are what a citation may name, by its kind.
-func knownNames() map[string]map[string]bool {
-	names := map[string]map[string]bool{"test": testNames(), "run": {}, "trouble": {}, "rule": {}, "plant": {}}
+// citableNames returns the names that a citation may contain, by kind of citation.
+func citableNames() map[string]map[string]bool {
+	names := map[string]map[string]bool{"test": testFunctionNames(), "run": {}, "trouble": {}, "rule": {}, "plant": {}}
 	for _, scenario := range Scenarios() {
 		names["run"][scenario.Name] = true
 	}
-	for _, trouble := range simulation.FaultNames() {
-		names["trouble"][trouble] = true
+	for _, fault := range simulation.FaultNames() {
+		names["trouble"][fault] = true
 	}
 	for _, rule := range history.Rules() {
 		names["rule"][rule.Name] = true
 	}
-	plant := reflect.TypeFor[simulation.Defects]()
-	for index := range plant.NumField() {
-		names["plant"][plant.Field(index).Name] = true
+	defects := reflect.TypeFor[simulation.Defects]()
+	for index := range defects.NumField() {
+		names["plant"][defects.Field(index).Name] = true
 	}
 	return names
 }
 
-// pageFaults lists the citations of what does not exist, and what no citation names.
-func pageFaults(page string, names map[string]map[string]bool) []string {
-	var faults []string
+// citationErrors returns an entry for each citation of a name that does not exist, and
+// for each run, fault, rule and planted defect that the page does not cite.
+func citationErrors(page string, names map[string]map[string]bool) []string {
+	var problems []string
 	cited := map[string]bool{}
 	for _, match := range regexp.MustCompile("`(test|run|trouble|rule|plant):([^`]+)`").FindAllStringSubmatch(page, -1) {
 		cited[match[1]+":"+match[2]] = true
 		if !names[match[1]][match[2]] {
-			faults = append(faults, "there is no "+match[1]+" "+match[2])
+			problems = append(problems, "there is no "+match[1]+" "+match[2])
 		}
 	}
 	for _, match := range regexp.MustCompile("`((?:coordination|protocol|state|transport|app)/[\\w/]+)`").FindAllStringSubmatch(page, -1) {
 		if _, err := os.Stat(filepath.Join("../../internal", match[1])); err != nil {
-			faults = append(faults, "there is no "+match[1])
+			problems = append(problems, "there is no "+match[1])
 		}
 	}
 	for _, kind := range []string{"run", "trouble", "rule", "plant"} {
 		for name := range names[kind] {
 			if !cited[kind+":"+name] {
-				faults = append(faults, "not cited: "+kind+" "+name)
+				problems = append(problems, "not cited: "+kind+" "+name)
 			}
 		}
 	}
-	return faults
+	return problems
 }
 
 func TestBriefPage(t *testing.T) {
-	Convey("Each test, run, trouble, rule, planted defect and package that the pages of the brief name exists, and none is left out", t, func() {
+	Convey("The brief cites only tests, runs, faults, rules, planted defects and packages that exist, and cites every run, fault, rule and planted defect", t, func() {
 		page := readBrief()
-		names := knownNames()
+		names := citableNames()
 		So(len(names["test"]), ShouldBeGreaterThan, 20)
-		So(pageFaults(page, names), ShouldBeEmpty)
-		So(pageFaults(page+"`run:nosuch` `app/nosuch`", names), ShouldHaveLength, 2)
-		So(pageFaults(strings.ReplaceAll(page, "`trouble:rush`", ""), names), ShouldHaveLength, 1)
+		So(citationErrors(page, names), ShouldBeEmpty)
+		So(citationErrors(page+"`run:nosuch` `app/nosuch`", names), ShouldHaveLength, 2)
+		So(citationErrors(strings.ReplaceAll(page, "`trouble:rush`", ""), names), ShouldHaveLength, 1)
 	})
 }
--- a/test/e2e/fleet.go
+++ b/test/e2e/fleet.go
@@ -10,7 +10,7 @@
 	"tansyseam/test/standin"
 )
 
-// Fleet is a running deployment.
+// Fleet is a running deployment of the product, together with its stand-ins.
 type Fleet struct {
 	Shape     Shape
 	Directory string
@@ -20,9 +20,10 @@
 	Instances []*Process
 	Platform  *standin.Platform
 	History   *standin.History
-	// Seeds are RPC addresses, separated by commas.
+	// Seeds is the comma-separated list of the RPC addresses of the seed processes.
 	Seeds string
-	// Relays are by process name; there are none unless the options ask.
+	// Relays holds the relay of each process by process name. It is empty unless
+	// Options.Relays is set.
 	Relays map[string]*standin.Relay
 
 	cancel context.CancelFunc
@@ -30,15 +31,15 @@
 	client *http.Client
 }
 
-// Options change how a fleet is started.
+// Options are the settings with which a fleet is started.
 type Options struct {
-	// Relays puts a relay before each process's RPC address.
+	// Relays puts a relay in front of the RPC address of each proxy and control process.
 	Relays bool
 	// ConfigFiles gives each proxy a configuration file of its own.
 	ConfigFiles bool
 }
 
-// Start starts instances, control plane and data plane, in that order.
+// Start starts the instances, the control processes and the proxies, in that order.
 func Start(shape Shape, programs Programs, directory string, options Options) (*Fleet, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &Fleet{
@@ -60,7 +61,7 @@
 	return f, nil
 }
 
-// Stop kills all processes that the fleet started, and ends its stand-ins.
+// Stop kills all processes that the fleet started, and stops its stand-ins.
 func (f *Fleet) Stop() {
 	all := slices.Concat(f.Proxies, f.Controls, f.Instances)
 	for _, process := range all {
@@ -76,7 +77,7 @@
 	f.cancel()
 }
 
-// AddProxy starts a proxy beside those that were planned.
+// AddProxy starts a proxy in addition to those that the fleet started with.
 func (f *Fleet) AddProxy() (*Process, error) {
 	proxy, err := f.newProcess(proxyProgram, proxyGroup, len(f.Proxies))
 	if err != nil {
@@ -91,7 +92,7 @@
 	return proxy, nil
 }
 
-// FindProcess returns a process by name, nil where there is none.
+// FindProcess returns the process with a name, or nil if there is none.
 func (f *Fleet) FindProcess(name string) *Process {
 	for _, list := range [][]*Process{f.Proxies, f.Controls, f.Instances} {
 		for _, process := range list {
@@ -103,14 +104,15 @@
 	return nil
 }
 
-// StartCallers starts the shape's load, scaled.
+// StartCallers starts the load of the shape's mix. The scale multiplies the number of
+// sessions and the request rate.
 func (f *Fleet) StartCallers(seed uint64, scale float64) *standin.Callers {
 	return standin.StartCallers(f.ctx, f.Shape.Mix, f.Platform, f.History, seed, scale)
 }
 
 const pollInterval = 20 * time.Millisecond
 
-// WaitUntil polls a condition until it holds; false after a timeout.
+// WaitUntil polls a condition until it holds. It returns false after a timeout.
 func WaitUntil(timeout time.Duration, condition func() bool) bool {
 	deadline := time.Now().Add(timeout)
 	for {
--- a/test/e2e/fleet_api.go
+++ b/test/e2e/fleet_api.go
@@ -11,8 +11,8 @@
 	"tansyseam/test/standin"
 )
 
-// Post makes a call with a JSON body at an HTTP address and returns the status
-// and the body of the answer.
+// Post sends a JSON body to a path at an HTTP address and returns the status and the
+// body of the response.
 func (f *Fleet) Post(address, path string, body any) (int, []byte, error) {
 	return postJSON(f.client, address, path, body)
 }
@@ -31,8 +31,8 @@
 	return response.StatusCode, raw, err
 }
 
-// FindControlPrimary asks control processes which of them is primary of the
-// control plane; nil where none says so.
+// FindControlPrimary returns the first of the given control processes that reports to be
+// primary of the control plane, or nil if none does.
 func FindControlPrimary(client *http.Client, controls []*Process) *Process {
 	for _, control := range controls {
 		_, raw, err := postJSON(client, control.HTTPAddress, "/v1/fleet", struct{}{})
@@ -50,7 +50,7 @@
 	Fault standin.Fault `json:"fault"`
 }
 
-// SetFault changes how an instance misbehaves.
+// SetFault changes the faults of an instance.
 func (f *Fleet) SetFault(instance string, fault standin.Fault) error {
 	for _, process := range f.Instances {
 		if process.Name == instance {
@@ -67,8 +67,8 @@
 	Bindings []standin.Binding `json:"bindings"`
 }
 
-// PutBindings sends a set of bindings to the first proxy that answers. The
-// expected sequence is the one that the set is to replace.
+// PutBindings sends a set of bindings to one proxy after the other until one responds.
+// The expected sequence is that of the set to be replaced.
 func (f *Fleet) PutBindings(id string, expected uint64, bindings []standin.Binding) (status int, raw []byte, err error) {
 	body := putRequest{ID: id, Expected: expected, Bindings: bindings}
 	for _, proxy := range f.Proxies {
@@ -79,28 +79,29 @@
 	return status, raw, err
 }
 
-// AwaitReady waits until the fleet has formed and taken its first bindings, all
-// proxies are ready, and all databases are served. The timeout is for each.
+// AwaitReady waits until the fleet has formed and accepted its first bindings, all
+// proxies are ready, and all databases are served. The timeout applies to each of
+// these steps.
 func (f *Fleet) AwaitReady(timeout time.Duration) error {
-	accepted := WaitUntil(timeout, func() bool {
+	bindingsAccepted := WaitUntil(timeout, func() bool {
 		status, _, err := f.PutBindings("first", 0, f.Shape.Mix.Bindings())
 		return err == nil && status == http.StatusOK
 	})
-	if !accepted {
+	if !bindingsAccepted {
 		status, raw, err := f.PutBindings("first", 0, f.Shape.Mix.Bindings())
-		return fmt.Errorf("first bindings not taken: %d %s %v", status, raw, err)
+		return fmt.Errorf("first bindings were not accepted: status %d: %s: %v", status, raw, err)
 	}
 	if !WaitUntil(timeout, func() bool { return f.Platform.ReadyCount() >= len(f.Proxies) }) {
-		return fmt.Errorf("%d of %d proxies ready", f.Platform.ReadyCount(), len(f.Proxies))
+		return fmt.Errorf("only %d of %d proxies are ready", f.Platform.ReadyCount(), len(f.Proxies))
 	}
 	if !WaitUntil(timeout, func() bool { return f.allServing() }) {
-		return fmt.Errorf("writer roles not open")
+		return fmt.Errorf("not all writer roles are open with all their candidates")
 	}
 	return nil
 }
 
-// Writer is a database's writer role as a node reports it. The fields are named
-// as in the report.
+// Writer is a database's writer role as a node reports it. The fields have the names
+// that the report uses.
 type Writer struct {
 	Database   string
 	Term       uint64
@@ -111,8 +112,8 @@
 	Why        string
 }
 
-// Writers asks a node for the writer roles, by database; nil where it does not
-// answer.
+// Writers returns the writer roles that a node reports, by database. It returns nil if
+// the node does not respond.
 func (f *Fleet) Writers(address string) map[string]Writer {
 	_, raw, err := f.Post(address, "/v1/fleet", struct{}{})
 	if err != nil {
@@ -124,11 +125,11 @@
 	if json.Unmarshal(raw, &view) != nil {
 		return nil
 	}
-	found := map[string]Writer{}
+	byDatabase := map[string]Writer{}
 	for _, writer := range view.Writers {
-		found[writer.Database] = writer
+		byDatabase[writer.Database] = writer
 	}
-	return found
+	return byDatabase
 }
 
 func (f *Fleet) allServing() bool {
--- a/test/e2e/fleet_plan.go
+++ b/test/e2e/fleet_plan.go
@@ -29,8 +29,8 @@
 	replicationDelayMS = 3
 )
 
-// planProcesses decides on addresses and arguments of all processes, and
-// starts the stand-ins that live in this one.
+// planProcesses chooses the addresses and arguments of all processes, and starts the
+// stand-ins that run inside the current process.
 func (f *Fleet) planProcesses(options Options) error {
 	platformAddress, err := allocateAddress(loopbackIP(platformGroup, 0))
 	if err != nil {
@@ -96,8 +96,9 @@
 	}, nil
 }
 
-// advertise returns the RPC addresses that processes advertise, by name: their
-// own, or those of relays before them.
+// advertise returns the RPC addresses that processes advertise, by process name. If the
+// options ask for relays, it opens one in front of each process and returns the relay's
+// address instead of the process's own.
 func (f *Fleet) advertise(options Options) (map[string]string, error) {
 	advertised := map[string]string{}
 	for _, process := range slices.Concat(f.Controls, f.Proxies) {
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// planInstances plans the instances of each database; the first is primary.
+// planInstances plans the instances of each database. The first one is the primary.
 func (f *Fleet) planInstances() error {
 	for _, database := range f.Shape.Databases {
 		primary := ""
@@ -147,7 +148,7 @@
 }
 
 // planInstance plans one instance: a replica of the given primary, or the
-// primary itself where none is given.
+// primary itself if none is given.
 func (f *Fleet) planInstance(database string, index int, primary string) (*Process, error) {
 	number := len(f.Instances)
 	ip := loopbackIP(instanceGroup, number)
--- a/test/e2e/logs.go
+++ b/test/e2e/logs.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// crashMarks begin the runtime's reports of a crash.
-var crashMarks = []string{"panic:", "fatal error:"}
+// crashPrefixes are the texts with which the Go runtime's crash reports begin.
+var crashPrefixes = []string{"panic:", "fatal error:"}
 
-// CheckLogs looks for races and crashes in the logs of processes, and records
-// a failure for each.
+// CheckLogs searches the logs of processes for data races and crashes. It records a
+// failure for each kind that a log contains.
 func (r *Recorder) CheckLogs(directory string, processes []*Process) {
 	for _, process := range processes {
 		log, err := os.ReadFile(filepath.Join(directory, process.Name+".log"))
@@ -18,23 +18,24 @@
 			continue
 		}
 		if HasProductRace(string(log)) {
-			r.Errorf("%s: data race, see its log", process.Name)
+			r.Errorf("%s: data race in its log", process.Name)
 		}
-		for _, mark := range crashMarks {
-			if strings.Contains(string(log), mark) {
-				r.Errorf("%s: %s, see its log", process.Name, mark)
+		for _, prefix := range crashPrefixes {
+			if strings.Contains(string(log), prefix) {
+				r.Errorf("%s: %s in its log", process.Name, prefix)
 			}
 		}
 	}
 }
 
-// HasProductRace reports whether a log holds a report of the race detector that
-// touches the product. Reports of the HTTP engine alone do not count: it syncs
-// in ways that the detector does not see.
+// HasProductRace reports whether a log contains a report of the race detector in which
+// the product's own code accessed the memory. Reports that involve only the HTTP engine
+// do not count, because the engine synchronizes in ways that the detector does not
+// observe.
 func HasProductRace(log string) bool {
 	for _, report := range strings.Split(log, "WARNING: DATA RACE")[1:] {
-		touched, _, _ := strings.Cut(report, "Goroutine ")
-		if strings.Contains(touched, "tansyseam/internal") {
+		accessStacks, _, _ := strings.Cut(report, "Goroutine ")
+		if strings.Contains(accessStacks, "tansyseam/internal") {
 			return true
 		}
 	}
--- a/test/e2e/process.go
+++ b/test/e2e/process.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// Process is one program that is started, and started again.
+// Process is a program of a fleet that can be started, stopped and restarted.
 type Process struct {
 	Name    string
 	Program string
 	Args    []string
-	// IP is that of both addresses.
+	// IP is the IP of RPCAddress and HTTPAddress.
 	IP          string
 	RPCAddress  string
 	HTTPAddress string
 	Zone        string
-	// Database is given for instances.
+	// Database is set only for instances.
 	Database      string
 	DataDirectory string
-	// ConfigFile is empty where there is none.
+	// ConfigFile is empty if the process has no configuration file.
 	ConfigFile string
 
 	mutex    sync.Mutex
@@ -31,8 +31,8 @@
 	exitCode int
 }
 
-// Start starts the process. Its output is appended to a log file of its name
-// in a directory.
+// Start starts the process. Its output is appended to a log file in a directory. The file
+// is named after the process.
 func (p *Process) Start(directory string) error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// Signal sends a signal to the process, where it was started.
+// Signal sends a signal to the process if it was started.
 func (p *Process) Signal(signal syscall.Signal) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -69,8 +69,8 @@
 	}
 }
 
-// AwaitExit waits until the process has ended or was never started; false
-// after a timeout.
+// AwaitExit waits until the process has exited. It returns true at once if the process
+// was never started, and false after a timeout.
 func (p *Process) AwaitExit(timeout time.Duration) bool {
 	p.mutex.Lock()
 	exited := p.exited
@@ -88,14 +88,14 @@
 	}
 }
 
-// ExitCode returns the exit code of the last process that has ended.
+// ExitCode returns the exit code of the last run of the process that has ended.
 func (p *Process) ExitCode() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.exitCode
 }
 
-// Kill kills the process and waits until it has ended.
+// Kill kills the process and waits up to 5 s until it has exited.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	p.AwaitExit(5 * time.Second)
--- a/test/e2e/programs.go
+++ b/test/e2e/programs.go
@@ -6,27 +6,29 @@
 	"path/filepath"
 )
 
-// Programs says where the programs of a fleet are.
+// Programs holds the locations of the programs of a fleet.
 type Programs struct {
-	// Directory has the programs of this build.
+	// Directory contains the programs of this build.
 	Directory string
-	// OtherBuild, if given, has tansyseam-proxy and tansyseam-control of another
-	// build. Every second process of a kind runs it, as during a roll-out.
+	// OtherBuild, if given, is a directory that contains tansyseam-proxy and
+	// tansyseam-control of another build. Every second process of a kind runs them, as
+	// during a roll-out.
 	OtherBuild string
-	// OtherFirst says that the first process of a kind is of the other build.
+	// OtherFirst is true if the first process of a kind runs the other build.
 	OtherFirst bool
 }
 
-// Path returns the program of the process with an index among those of its kind.
+// Path returns the path of a program. The index is that of the process among those of
+// its kind.
 func (p Programs) Path(program string, index int) string {
-	other := (index%2 == 1) != p.OtherFirst
-	if p.OtherBuild != "" && other {
+	useOther := (index%2 == 1) != p.OtherFirst
+	if p.OtherBuild != "" && useOther {
 		return filepath.Join(p.OtherBuild, program)
 	}
 	return filepath.Join(p.Directory, program)
 }
 
-// CurrentPath returns a program of this build.
+// CurrentPath returns the path of a program of this build.
 func (p Programs) CurrentPath(program string) string { return filepath.Join(p.Directory, program) }
 
 // Build compiles the product's programs and the stand-in instance of a source
--- a/test/e2e/programs_test.go
+++ b/test/e2e/programs_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestProgramsOfTwoBuilds(t *testing.T) {
-	Convey("Every second process runs the other build, where there is one", t, func() {
+	Convey("If another build is given, every second process runs it, starting with the first or the second process as configured", t, func() {
 		paths := func(programs Programs) []string {
 			var list []string
 			for index := range 3 {
--- a/test/e2e/race_test.go
+++ b/test/e2e/race_test.go
@@ -7,11 +7,11 @@
 )
 
 func TestRaceReports(t *testing.T) {
-	Convey("Only races in which the product's own code touched the memory count", t, func() {
-		engine := "WARNING: DATA RACE\nRead at 0x1 by goroutine 1:\n  github.com/lesismal/nbio.x()\n\nGoroutine 1 created at:\n  tansyseam/internal/app/node.y()\n"
-		own := "WARNING: DATA RACE\nRead at 0x1 by goroutine 1:\n  tansyseam/internal/app/httpproxy.x()\n\nGoroutine 1 created at:\n"
+	Convey("A log has a product race only if the product's own code accessed the memory", t, func() {
+		engineRace := "WARNING: DATA RACE\nRead at 0x1 by goroutine 1:\n  github.com/lesismal/nbio.x()\n\nGoroutine 1 created at:\n  tansyseam/internal/app/node.y()\n"
+		productRace := "WARNING: DATA RACE\nRead at 0x1 by goroutine 1:\n  tansyseam/internal/app/httpproxy.x()\n\nGoroutine 1 created at:\n"
 		So(HasProductRace("all is well"), ShouldBeFalse)
-		So(HasProductRace(engine), ShouldBeFalse)
-		So(HasProductRace(engine+own), ShouldBeTrue)
+		So(HasProductRace(engineRace), ShouldBeFalse)
+		So(HasProductRace(engineRace+productRace), ShouldBeTrue)
 	})
 }
--- a/test/e2e/result.go
+++ b/test/e2e/result.go
@@ -12,30 +12,34 @@
 	"tansyseam/test/standin"
 )
 
-// Result is what a run showed.
+// Result holds the violations and the measurements of a run.
 type Result struct {
 	Scenario string
 	Shape    string
 	Seed     uint64
 	Notes    []string
-	// Violations are by rule; failures of the run itself stand under "scenario".
+	// Violations holds the violations of each rule. Failures of the run itself are
+	// listed under "scenario".
 	Violations map[string][]string
 	// Outcomes counts requests by kind and outcome.
 	Outcomes map[string]int
-	// Rates are requests served in each second of the run.
+	// Rates holds the number of requests served in each second of the run.
 	Rates []int
-	// P50 and P99 are of single writes kept, in milliseconds.
+	// P50 and P99 are latency percentiles of committed single writes that were not
+	// retries, in milliseconds.
 	P50, P99 float64
-	// LongestGapMS is the longest time without a kept write at one database.
+	// LongestGapMS is the longest time between two committed single writes of one
+	// database, in milliseconds.
 	LongestGapMS float64
-	// WorstSecond is the rate of the worst full second as a part of the median.
+	// WorstSecond is the lowest rate of a full second, divided by the median rate.
 	WorstSecond float64
-	// SpreadMS is the longest time from a set's first effect at any proxy to
-	// the first at the last proxy that showed it.
+	// SpreadMS is the longest time that a binding set took to spread, in milliseconds:
+	// from the first answer under the set at any proxy to the first answer under it at
+	// the last proxy that used it.
 	SpreadMS float64
 }
 
-// measure computes the figures of a history.
+// measure computes the measurements from the events of a history.
 func (r *Result) measure(events []standin.Event, startedAt time.Time) {
 	last := startedAt.UnixNano()
 	for _, event := range events {
@@ -55,27 +59,28 @@
 	if len(r.Rates) <= 3 {
 		return
 	}
-	full := slices.Sorted(slices.Values(r.Rates[1 : len(r.Rates)-1]))
-	r.WorstSecond = float64(full[0]) / float64(max(full[len(full)/2], 1))
+	fullSeconds := slices.Sorted(slices.Values(r.Rates[1 : len(r.Rates)-1]))
+	r.WorstSecond = float64(fullSeconds[0]) / float64(max(fullSeconds[len(fullSeconds)/2], 1))
 }
 
-// isKeptWrite reports whether a single write was acknowledged as committed.
-func isKeptWrite(event standin.Event) bool {
+// isCommittedWrite reports whether an event is a single write that was acknowledged as
+// committed.
+func isCommittedWrite(event standin.Event) bool {
 	return event.Kind == history.KindWrite && event.Outcome == history.OutcomeKept
 }
 
 func (r *Result) measureLatencies(events []standin.Event) {
 	var latencies []float64
 	for _, event := range events {
-		if isKeptWrite(event) && !event.Retry {
+		if isCommittedWrite(event) && !event.Retry {
 			latencies = append(latencies, milliseconds(event.AnsweredAt-event.SentAt))
 		}
 	}
 	r.P50, r.P99 = Percentiles(latencies)
 }
 
-// Percentiles returns the median and the 99th percentile of values, which it sorts;
-// zeros where there are none.
+// Percentiles returns the median and the 99th percentile of values, or zeros if there
+// are none. It sorts the values in place.
 func Percentiles[T cmp.Ordered](values []T) (p50, p99 T) {
 	if len(values) == 0 {
 		return p50, p99
@@ -85,13 +90,13 @@
 }
 
 func (r *Result) measureGaps(events []standin.Event) {
-	kept := map[string][]int64{}
+	committedAt := map[string][]int64{}
 	for _, event := range events {
-		if isKeptWrite(event) {
-			kept[event.Database] = append(kept[event.Database], event.AnsweredAt)
+		if isCommittedWrite(event) {
+			committedAt[event.Database] = append(committedAt[event.Database], event.AnsweredAt)
 		}
 	}
-	for _, times := range kept {
+	for _, times := range committedAt {
 		slices.Sort(times)
 		for index := 1; index < len(times); index++ {
 			r.LongestGapMS = max(r.LongestGapMS, milliseconds(times[index]-times[index-1]))
@@ -100,7 +105,7 @@
 }
 
 func (r *Result) measureSpread(events []standin.Event) {
-	// firstSeen is by sequence and address of a proxy.
+	// firstSeen is indexed by sequence and by proxy address.
 	firstSeen := map[uint64]map[string]int64{}
 	for _, event := range events {
 		if event.Sequence < 2 || event.Outcome == history.OutcomeCut {
@@ -123,8 +128,8 @@
 	return float64(nanoseconds) / float64(time.Millisecond)
 }
 
-// maxPrinted is how many violations of a rule are printed.
-const maxPrinted = 4
+// maxPrintedPerRule is the maximum number of violations printed for each rule.
+const maxPrintedPerRule = 4
 
 // Print writes a summary of the result.
 func (r Result) Print(out io.Writer) {
@@ -132,13 +137,13 @@
 	for _, note := range r.Notes {
 		_, _ = fmt.Fprintln(out, "   ", note)
 	}
-	_, _ = fmt.Fprintf(out, "    served each second: %v\n", r.Rates)
-	_, _ = fmt.Fprintf(out, "    single writes kept: p50 %.1f ms, p99 %.1f ms\n", r.P50, r.P99)
+	_, _ = fmt.Fprintf(out, "    requests served in each second: %v\n", r.Rates)
+	_, _ = fmt.Fprintf(out, "    committed single writes: p50 %.1f ms, p99 %.1f ms\n", r.P50, r.P99)
 	_, _ = fmt.Fprintf(out, "    outcomes: %v\n", r.Outcomes)
 	PrintViolations(out, r.Violations)
 }
 
-// Verdict says in a word whether there are violations.
+// Verdict returns "BROKEN" if there are violations, and "good" otherwise.
 func Verdict(violations map[string][]string) string {
 	if len(violations) > 0 {
 		return "BROKEN"
@@ -146,13 +151,13 @@
 	return "good"
 }
 
-// PrintViolations writes the number of violations of each rule, and the first
-// of them.
+// PrintViolations writes the number of violations of each rule, followed by the first
+// few violations.
 func PrintViolations(out io.Writer, violations map[string][]string) {
 	for _, rule := range slices.Sorted(maps.Keys(violations)) {
 		list := violations[rule]
 		_, _ = fmt.Fprintf(out, "    %s: %d\n", rule, len(list))
-		for _, violation := range list[:min(len(list), maxPrinted)] {
+		for _, violation := range list[:min(len(list), maxPrintedPerRule)] {
 			_, _ = fmt.Fprintln(out, "       ", violation)
 		}
 	}
--- a/test/e2e/revision.go
+++ b/test/e2e/revision.go
@@ -8,15 +8,15 @@
 	"path/filepath"
 )
 
-// ErrNoRevision says that the repository does not have a revision, as a shallow
-// clone may not.
+// ErrNoRevision is returned when the repository does not contain a revision, for example
+// because the repository is a shallow clone.
 var ErrNoRevision = errors.New("no such revision in this repository")
 
-// programSource is where a program's main package lay in a tree.
+// programSource is the location of a program's main package in a source tree.
 type programSource struct{ program, module, directory string }
 
-// sourcesOf returns the sources of the programs in a tree. Up to 6cad5d2 they lay in a
-// module of their own, under other names.
+// sourcesOf returns the locations of the programs' main packages in a source tree. In
+// revisions up to 6cad5d2 they were in a separate module, under other names.
 func sourcesOf(tree string) []programSource {
 	if _, err := os.Stat(filepath.Join(tree, "pooler")); err == nil {
 		module := filepath.Join(tree, "pooler")
@@ -32,8 +32,8 @@
 }
 
 // BuildRevision compiles tansyseam-proxy and tansyseam-control of a revision of the
-// repository at root into a directory, by a work tree that it removes again. The error
-// is ErrNoRevision where the repository does not have it.
+// repository at root into a directory. It checks the revision out into a temporary work
+// tree. The error is ErrNoRevision if the repository does not contain the revision.
 func BuildRevision(root, directory, revision string) error {
 	if err := exec.Command("git", "-C", root, "cat-file", "-e", revision+"^{commit}").Run(); err != nil {
 		return fmt.Errorf("%s: %w", revision, ErrNoRevision)
--- a/test/e2e/run.go
+++ b/test/e2e/run.go
@@ -10,8 +10,8 @@
 	"tansyseam/test/standin"
 )
 
-// Run is one scenario under way: the fleet, its load, and what is recorded
-// besides the callers' history.
+// Run is a scenario in progress: the fleet, its load, and the evidence that is recorded
+// in addition to the callers' history.
 type Run struct {
 	*Fleet
 	Recorder
@@ -19,11 +19,11 @@
 	Evidence *history.Evidence
 }
 
-// Sleep lets the load run for a while.
+// Sleep lets the load run for a duration.
 func (r *Run) Sleep(duration time.Duration) { time.Sleep(duration) }
 
-// ReplaceBindings replaces the bindings by the mix's own, where the sequence in
-// force is the expected one. It returns the sequence that is in force then.
+// ReplaceBindings replaces the bindings with those of the mix if the sequence in force
+// is the expected one. It returns the sequence that is in force afterwards.
 func (r *Run) ReplaceBindings(expected uint64) uint64 {
 	bindings := r.Shape.Mix.Bindings()
 	id := fmt.Sprintf("put-%d-%d", expected, time.Now().UnixNano())
@@ -36,10 +36,10 @@
 			r.recordAcceptedSet(answer.Sequence, time.Time{})
 			return answer.Sequence
 		}
-		r.Logf("put answered %d %s", status, raw)
+		r.Logf("bindings put was answered with status %d: %s", status, raw)
 		time.Sleep(replaceInterval)
 	}
-	r.Errorf("no set could be put on %d", expected)
+	r.Errorf("no binding set was accepted as the successor of sequence %d", expected)
 	return expected
 }
 
@@ -48,8 +48,8 @@
 	replaceInterval = 300 * time.Millisecond
 )
 
-// recordAcceptedSet records a set that was acknowledged now, and when it is to
-// take effect where it was scheduled.
+// recordAcceptedSet records that a set is acknowledged now. For a scheduled set,
+// effectiveAt is when it takes effect; otherwise it is the zero time.
 func (r *Run) recordAcceptedSet(sequence uint64, effectiveAt time.Time) {
 	set := history.AcceptedSet{Sequence: sequence, AcknowledgedAt: time.Now().UnixNano()}
 	if !effectiveAt.IsZero() {
@@ -58,16 +58,17 @@
 	r.Evidence.AcceptedSets = append(r.Evidence.AcceptedSets, set)
 }
 
-// recordRestart records a planned restart of a proxy that ended now.
+// recordRestart records a planned restart of a proxy. The restart lasted from the given
+// time until now.
 func (r *Run) recordRestart(proxy *Process, from time.Time) {
 	r.Evidence.Restarts = append(r.Evidence.Restarts, history.Restart{Address: proxy.HTTPAddress, From: from.UnixNano(), Until: time.Now().UnixNano()})
 }
 
-// baseline is a time of load without faults.
+// baseline is a period of load without faults.
 type baseline struct{ from, until time.Time }
 
-// observeBaseline lets the load run for 3 s before a fault; the level after
-// the fault is compared to it.
+// observeBaseline lets the load run for 3 s before a fault and returns that period. The
+// level of service after the fault is compared with the level in this period.
 func (r *Run) observeBaseline() baseline {
 	from := time.Now()
 	r.Sleep(3 * time.Second)
@@ -81,21 +82,21 @@
 	})
 }
 
-// awaitAllReady waits until all proxies are ready; false after a timeout.
+// awaitAllReady waits until all proxies are ready. It returns false after a timeout.
 func (r *Run) awaitAllReady(timeout time.Duration) bool {
 	return WaitUntil(timeout, func() bool { return r.Platform.ReadyCount() >= len(r.Proxies) })
 }
 
-// expectNoFailover checks, at a proxy, that the first database is still in
-// its first term; kind says what its primary is like.
+// expectNoFailover checks, at a proxy, that the first database is still in its first
+// term. The failure message describes the primary by kind, such as "a slow primary".
 func (r *Run) expectNoFailover(proxy *Process, kind string) {
 	if term := r.Writers(proxy.HTTPAddress)[r.database()].Term; term != 1 {
-		r.Errorf("%s was taken for dead: term %d", kind, term)
+		r.Errorf("%s was declared dead: term %d", kind, term)
 	}
 }
 
-// Primary returns the process of a database's primary as the proxies know it,
-// nil where none does.
+// Primary returns the process that the proxies report as a database's primary, or nil
+// if no proxy reports one.
 func (r *Run) Primary(database string) *Process {
 	for _, proxy := range r.Proxies {
 		if writer, found := r.Writers(proxy.HTTPAddress)[database]; found {
@@ -105,14 +106,14 @@
 	return nil
 }
 
-// AwaitTerm waits until a database's writer role is open in a term past the
-// given one; false after a timeout.
-func (r *Run) AwaitTerm(database string, past uint64, timeout time.Duration) (Writer, bool) {
+// AwaitTerm waits until a database's writer role is open in a term later than afterTerm,
+// and returns the role. It returns false after a timeout.
+func (r *Run) AwaitTerm(database string, afterTerm uint64, timeout time.Duration) (Writer, bool) {
 	var writer Writer
 	open := WaitUntil(timeout, func() bool {
 		for _, proxy := range r.Proxies {
 			writer = r.Writers(proxy.HTTPAddress)[database]
-			if writer.Term > past && writer.Phase == "open" {
+			if writer.Term > afterTerm && writer.Phase == "open" {
 				return true
 			}
 		}
@@ -121,12 +122,12 @@
 	return writer, open
 }
 
-// ControlPrimary returns the process that is primary of the control plane, nil
-// where none says so.
+// ControlPrimary returns the process that reports to be primary of the control plane,
+// or nil if none does.
 func (r *Run) ControlPrimary() *Process { return FindControlPrimary(r.client, r.Controls) }
 
-// Epoch asks a control process for its epoch and who is primary and backup in
-// it; zero values where it does not answer.
+// Epoch returns the epoch that a control process reports, with the names of the primary
+// and the backup in it. It returns zero values if the process does not respond.
 func (r *Run) Epoch(control *Process) (epoch uint64, primary, backup string) {
 	_, raw, err := r.Post(control.HTTPAddress, "/v1/vitals", struct{}{})
 	var vitals struct {
@@ -140,5 +141,5 @@
 	return vitals.Epoch, vitals.Primary, vitals.Backup
 }
 
-// database is the one that scenarios inject faults into.
+// database returns the database that scenarios inject faults into.
 func (r *Run) database() string { return r.Shape.Databases[0] }
--- a/test/e2e/runner.go
+++ b/test/e2e/runner.go
@@ -11,12 +11,13 @@
 
 const (
 	readyTimeout = 30 * time.Second
-	// warmUpTime is the load before a scenario begins.
+	// warmUpTime is how long the load runs before a scenario begins.
 	warmUpTime = time.Second
 )
 
 // RunScenario runs one scenario on a new fleet in a directory, which is emptied
-// first, and checks the history. The error is given where no fleet came up.
+// first, and checks the history. It returns an error if the fleet does not start or does
+// not become ready.
 func RunScenario(scenario Scenario, shape Shape, programs Programs, directory string, seed uint64, scale float64) (Result, error) {
 	result := Result{Scenario: scenario.Name, Shape: shape.Name, Seed: seed, Violations: map[string][]string{}, Outcomes: map[string]int{}}
 	if err := EmptyDirectory(directory); err != nil {
@@ -41,7 +42,8 @@
 	return result, nil
 }
 
-// EmptyDirectory makes a directory, and removes all that an earlier run left in it.
+// EmptyDirectory creates a directory and removes everything that an earlier run left in
+// it.
 func EmptyDirectory(directory string) error {
 	if err := os.RemoveAll(directory); err != nil {
 		return err
@@ -58,7 +60,7 @@
 	r.Callers.Stop()
 }
 
-// stopInstances ends the instances, so that their files are complete.
+// stopInstances stops the instances, so that their files are complete.
 func (r *Run) stopInstances() {
 	for _, process := range r.Instances {
 		process.Signal(syscall.SIGCONT)
@@ -69,8 +71,8 @@
 	}
 }
 
-// collectEvidence joins the callers' history, the instances' files, also those
-// of data directories that were moved away, and what the run recorded.
+// collectEvidence combines the callers' history, the instances' files (also those in
+// data directories that removeData renamed) and the evidence that the run recorded.
 func (r *Run) collectEvidence() history.Evidence {
 	databases := map[string]string{}
 	for _, process := range r.Instances {
@@ -78,27 +80,29 @@
 	}
 	evidence := history.Load(r.Directory, databases, r.History.Events())
 	for _, process := range r.Instances {
-		past := history.Load(r.Directory, map[string]string{process.Name + goneSuffix: "gone"}, nil)
-		evidence.Executions = append(evidence.Executions, past.Executions...)
+		removed := history.Load(r.Directory, map[string]string{process.Name + removedSuffix: "gone"}, nil)
+		evidence.Executions = append(evidence.Executions, removed.Executions...)
 	}
 	evidence.AcceptedSets, evidence.Restarts, evidence.ClosedFaults = r.Evidence.AcceptedSets, r.Evidence.Restarts, r.Evidence.ClosedFaults
 	return evidence
 }
 
-// goneSuffix is added to data directories that are taken from their process.
-const goneSuffix = ".gone"
+// removedSuffix is the suffix that removeData adds to the name of a data directory.
+const removedSuffix = ".gone"
 
-// loseData takes a process's data directory away.
-func loseData(process *Process) {
-	_ = os.Rename(process.DataDirectory, process.DataDirectory+goneSuffix)
+// removeData renames a process's data directory, so that the process restarts without
+// its data.
+func removeData(process *Process) {
+	_ = os.Rename(process.DataDirectory, process.DataDirectory+removedSuffix)
 }
 
-// judge joins the violations of rules and the failures of the run. A planted
-// violation must be among the first, which are then as they should be.
+// judge returns the violations of rules together with the failures of the run. In a
+// scenario with a planted violation, the run fails unless the planted rule is violated.
+// All violations of rules are then expected and are not returned.
 func (r *Run) judge(scenario Scenario, violations map[string][]string) map[string][]string {
 	if scenario.PlantedViolation != "" {
 		if _, found := violations[scenario.PlantedViolation]; !found {
-			r.Errorf("the planted defect was not seen: %s", scenario.PlantedViolation)
+			r.Errorf("the planted defect was not detected: no violation of %s", scenario.PlantedViolation)
 		}
 		violations = map[string][]string{}
 	}
--- a/test/e2e/scenario.go
+++ b/test/e2e/scenario.go
@@ -2,21 +2,20 @@
 
 import "time"
 
-// Scenario is one fault, or one change, that a fleet meets under load.
+// Scenario subjects a fleet under load to a fault or a change.
 type Scenario struct {
 	Name        string
 	Description string
 	Options     Options
 	Run         func(*Run)
-	// SettleTime is how long the load goes on afterwards.
+	// SettleTime is how long the load continues after Run has returned.
 	SettleTime time.Duration
-	// PlantedViolation names the rule that this run must break: its defect is
-	// injected to show that load and checks would see it.
+	// PlantedViolation is the name of the rule that this run must violate. Such a run
+	// injects a defect to show that the load and the checks detect it.
 	PlantedViolation string
 }
 
-// Scenarios returns the runs of real processes, in the order in which they are
-// played.
+// Scenarios returns the scenarios of real processes, in the order in which they run.
 func Scenarios() []Scenario {
 	return []Scenario{
 		{Name: "steady", Description: "load and nothing else", Run: runSteady},
--- a/test/e2e/scenario_bindings.go
+++ b/test/e2e/scenario_bindings.go
@@ -10,8 +10,8 @@
 	"tansyseam/test/standin"
 )
 
-// runChange replaces sets, repeats and races them, sends a broken one, and
-// schedules three.
+// runChange replaces binding sets, sends two concurrently, repeats an earlier one, sends
+// an invalid one, and schedules three.
 func runChange(r *Run) {
 	bindings := r.Shape.Mix.Bindings()
 	r.Sleep(time.Second)
@@ -19,17 +19,17 @@
 	r.raceSets(bindings)
 	status, raw, _ := r.PutBindings("first", 0, bindings)
 	if status != http.StatusOK || !strings.Contains(string(raw), `"sequence":1`) {
-		r.Errorf("a repeated call must get its first answer: %d %s", status, raw)
+		r.Errorf("a repeated put did not receive its first answer: status %d: %s", status, raw)
 	}
-	broken := append(slices.Clone(bindings), bindings[0], standin.Binding{Name: "x", Database: "nowhere", FreshnessMS: 7})
-	status, raw, _ = r.PutBindings("broken", 3, broken)
+	invalid := append(slices.Clone(bindings), bindings[0], standin.Binding{Name: "x", Database: "nowhere", FreshnessMS: 7})
+	status, raw, _ = r.PutBindings("broken", 3, invalid)
 	if status != http.StatusUnprocessableEntity || strings.Count(string(raw), `"path"`) != 3 {
-		r.Errorf("a broken set must be refused with every reason: %d %s", status, raw)
+		r.Errorf("an invalid set was not refused with all three reasons: status %d: %s", status, raw)
 	}
 	r.scheduleSets(bindings)
 }
 
-// raceSets has two operators replace the set of sequence 2 at once.
+// raceSets sends two replacements of the set with sequence 2 concurrently.
 func (r *Run) raceSets(bindings []standin.Binding) {
 	statuses := make(chan int, 2)
 	for index := range 2 {
@@ -38,10 +38,10 @@
 			statuses <- status
 		}()
 	}
-	first, second := <-statuses, <-statuses
-	r.Logf("two operators on one sequence: %d and %d", first, second)
-	if first+second != http.StatusOK+http.StatusConflict {
-		r.Errorf("one of two racing puts must be taken and one told of the conflict: %d, %d", first, second)
+	firstStatus, secondStatus := <-statuses, <-statuses
+	r.Logf("two concurrent puts on one sequence: status %d and %d", firstStatus, secondStatus)
+	if firstStatus+secondStatus != http.StatusOK+http.StatusConflict {
+		r.Errorf("of two concurrent puts, one must be accepted and one refused with a conflict: status %d and %d", firstStatus, secondStatus)
 	}
 	r.recordAcceptedSet(3, time.Time{})
 }
@@ -61,7 +61,7 @@
 			ID: fmt.Sprintf("book-%d", index), AtMS: effectiveAt.UnixMilli(), Bindings: bindings,
 		})
 		if err != nil || status != http.StatusOK {
-			r.Errorf("booking %d: %d %s %v", index, status, raw, err)
+			r.Errorf("scheduling set %d: status %d: %s: %v", index, status, raw, err)
 		}
 		r.recordAcceptedSet(uint64(4+index), effectiveAt)
 	}
@@ -70,6 +70,6 @@
 		return err == nil && strings.Contains(string(raw), `"sequence":6,`)
 	})
 	if !active {
-		r.Errorf("three scheduled changes did not take effect")
+		r.Errorf("the three scheduled sets did not take effect within 8 s")
 	}
 }
--- a/test/e2e/scenario_control.go
+++ b/test/e2e/scenario_control.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// failOverControl injects a fault into the control primary, waits until another
-// has taken over with a backup, and has the old one return.
+// failOverControl injects a fault into the control primary, waits until another control
+// process has taken over and has a backup, and resumes or restarts the old primary.
 func (r *Run) failOverControl(inject func(*Process)) {
 	target := r.ControlPrimary()
 	if target == nil {
@@ -17,23 +17,23 @@
 	epoch, _, _ := r.Epoch(target)
 	injectedAt := time.Now()
 	inject(target)
-	r.Logf("%s hit in epoch %d", target.Name, epoch)
+	r.Logf("injected fault into %s in epoch %d", target.Name, epoch)
 	takenOver := WaitUntil(15*time.Second, func() bool {
 		for _, control := range r.Controls {
 			if control == target {
 				continue
 			}
-			if now, primary, backup := r.Epoch(control); now > epoch && primary != target.Name && backup != "" {
+			if currentEpoch, primary, backup := r.Epoch(control); currentEpoch > epoch && primary != target.Name && backup != "" {
 				return true
 			}
 		}
 		return false
 	})
 	if !takenOver {
-		r.Errorf("no takeover with a backup brought in within 15 s")
+		r.Errorf("no takeover with a backup within 15 s")
 		return
 	}
-	r.Logf("taken over with a backup after %d ms", time.Since(injectedAt).Milliseconds())
+	r.Logf("takeover with a backup after %d ms", time.Since(injectedAt).Milliseconds())
 	sequence = r.ReplaceBindings(sequence)
 	r.Sleep(2 * time.Second)
 	target.Signal(syscall.SIGCONT)
@@ -44,7 +44,7 @@
 	r.ReplaceBindings(sequence)
 }
 
-// runControlOutage kills all control processes for 4 s.
+// runControlOutage kills all control processes and restarts them after 4 s.
 func runControlOutage(r *Run) {
 	for _, control := range r.Controls {
 		control.Kill()
@@ -54,14 +54,14 @@
 		_ = control.Start(r.Directory)
 	}
 	if !r.awaitAllReady(10 * time.Second) {
-		r.Errorf("proxies not ready again")
+		r.Errorf("proxies are not ready after the outage")
 	}
 	r.Logf("ready again")
 	r.ReplaceBindings(1)
 }
 
-// runPartition cuts a proxy off from the control primary, in each direction and
-// in both.
+// runPartition blocks the traffic between a proxy and the control primary, first in each
+// direction and then in both.
 func runPartition(r *Run) {
 	control := r.ControlPrimary()
 	if control == nil {
@@ -77,7 +77,7 @@
 		r.Sleep(time.Second)
 		sequence = r.ReplaceBindings(sequence)
 		r.Sleep(3 * time.Second)
-		r.Logf("cut %v: %d proxies ready", blocked, r.Platform.ReadyCount())
+		r.Logf("blocked directions (to, from) %v: %d proxies ready", blocked, r.Platform.ReadyCount())
 		relay.Block(proxy.IP, false, false)
 		relay.Reset()
 		r.Sleep(time.Second)
@@ -95,7 +95,7 @@
 func runControlDataLoss(r *Run) {
 	r.failOverControl(func(target *Process) {
 		target.Kill()
-		loseData(target)
+		removeData(target)
 	})
 }
 
--- a/test/e2e/scenario_database.go
+++ b/test/e2e/scenario_database.go
@@ -7,25 +7,25 @@
 	"tansyseam/test/standin"
 )
 
-// failOverPrimary injects a fault into the primary of the first database, waits
-// until another is open in a new term, and has the old one return.
+// failOverPrimary injects a fault into the primary of the first database, waits until
+// the writer role is open in a new term, and resumes or restarts the old primary.
 func (r *Run) failOverPrimary(inject func(*Process)) {
 	before := r.observeBaseline()
 	target := r.Primary(r.database())
 	if target == nil {
-		r.Errorf("no primary known")
+		r.Errorf("no proxy reports a primary")
 		return
 	}
 	term := r.Writers(r.Proxies[0].HTTPAddress)[r.database()].Term
 	injectedAt := time.Now()
 	inject(target)
-	r.Logf("%s hit", target.Name)
+	r.Logf("injected fault into %s", target.Name)
 	writer, open := r.AwaitTerm(r.database(), term, 20*time.Second)
 	if !open {
-		r.Errorf("no new term within 20 s: %+v", writer)
+		r.Errorf("writer role did not open in a new term within 20 s: %+v", writer)
 		return
 	}
-	r.Logf("term %d open at %s after %d ms", writer.Term, writer.Primary, time.Since(injectedAt).Milliseconds())
+	r.Logf("writer role open in term %d at %s after %d ms", writer.Term, writer.Primary, time.Since(injectedAt).Milliseconds())
 	r.Sleep(2 * time.Second)
 	target.Signal(syscall.SIGCONT)
 	if target.AwaitExit(10 * time.Millisecond) {
@@ -33,11 +33,11 @@
 			r.Errorf("%v", err)
 		}
 	}
-	r.Logf("%s back", target.Name)
+	r.Logf("%s resumed or restarted", target.Name)
 	r.recordClosedFault("primary lost", before)
 }
 
-// runReplicaReplacement replaces replicas by empty ones, one after the other.
+// runReplicaReplacement replaces each replica with an empty one, one after the other.
 func runReplicaReplacement(r *Run) {
 	for _, suffix := range []string{"-b", "-c"} {
 		name := r.database() + suffix
@@ -46,13 +46,13 @@
 		r.Sleep(4 * time.Second)
 		replica.Signal(syscall.SIGTERM)
 		replica.AwaitExit(3 * time.Second)
-		loseData(replica)
+		removeData(replica)
 		_ = replica.Start(r.Directory)
-		candidate := WaitUntil(15*time.Second, func() bool {
+		isCandidate := WaitUntil(15*time.Second, func() bool {
 			return len(r.Writers(r.Proxies[0].HTTPAddress)[r.database()].Candidates) == r.Shape.InstancesPerDatabase-1
 		})
-		if !candidate {
-			r.Errorf("%s is no candidate again: %+v", name, r.Writers(r.Proxies[0].HTTPAddress)[r.database()])
+		if !isCandidate {
+			r.Errorf("%s did not become a candidate again within 15 s: %+v", name, r.Writers(r.Proxies[0].HTTPAddress)[r.database()])
 		}
 		r.Logf("%s replaced", name)
 	}
@@ -70,15 +70,15 @@
 	r.failOverPrimary(func(target *Process) { _ = r.SetFault(target.Name, standin.Fault{Leaving: pointerTo(true)}) })
 }
 
-// runPrimaryDataLoss has a primary return without its data.
+// runPrimaryDataLoss kills a primary and restarts it without its data.
 func runPrimaryDataLoss(r *Run) {
 	r.failOverPrimary(func(target *Process) {
 		target.Kill()
-		loseData(target)
+		removeData(target)
 	})
 }
 
-// runReplicaLag crashes the primary while one replica is 4 s behind.
+// runReplicaLag kills the primary while one replica lags by 4 s.
 func runReplicaLag(r *Run) {
 	_ = r.SetFault(r.database()+"-b", standin.Fault{ReplicationDelayMS: pointerTo(4000)})
 	r.Sleep(3 * time.Second)
@@ -93,7 +93,8 @@
 	_ = replica.Start(r.Directory)
 }
 
-// runSilentPrimary stops the announcements of a primary that still answers.
+// runSilentPrimary stops the announcements of a primary that still answers requests.
+// There must be no failover.
 func runSilentPrimary(r *Run) {
 	_ = r.SetFault(r.Primary(r.database()).Name, standin.Fault{Silent: pointerTo(true)})
 	r.Sleep(5 * time.Second)
--- a/test/e2e/scenario_load.go
+++ b/test/e2e/scenario_load.go
@@ -27,14 +27,14 @@
 	r.expectNoFailover(r.Proxies[0], "a slow primary")
 }
 
-// slowDown multiplies the time of statements at the primary and a replica.
+// slowDown multiplies the duration of statements at the primary and a replica.
 func (r *Run) slowDown(factor float64) {
 	for _, name := range []string{r.Primary(r.database()).Name, r.database() + "-b"} {
 		_ = r.SetFault(name, standin.Fault{Slowdown: pointerTo(factor)})
 	}
 }
 
-// runLostAnswers loses answers and resets connections in bursts.
+// runLostAnswers makes the primary lose answers and reset connections in bursts.
 func runLostAnswers(r *Run) {
 	for range 5 {
 		_ = r.SetFault(r.Primary(r.database()).Name, standin.Fault{LoseAnswers: pointerTo(5), ResetConnections: pointerTo(5)})
--- a/test/e2e/scenario_planted.go
+++ b/test/e2e/scenario_planted.go
@@ -6,7 +6,7 @@
 	"tansyseam/test/standin"
 )
 
-// runPlantedKill kills proxies and records planned restarts.
+// runPlantedKill kills a proxy several times and records each kill as a planned restart.
 func runPlantedKill(r *Run) {
 	for range 6 {
 		proxy := r.Proxies[0]
@@ -20,7 +20,7 @@
 	}
 }
 
-// runPlantedUnclean has instances call each session clean.
+// runPlantedUnclean makes the instances report every session as clean.
 func runPlantedUnclean(r *Run) {
 	for _, process := range r.Instances {
 		_ = r.SetFault(process.Name, standin.Fault{MisreportClean: pointerTo(true)})
--- a/test/e2e/scenario_proxy.go
+++ b/test/e2e/scenario_proxy.go
@@ -8,18 +8,18 @@
 	"tansyseam/test/standin"
 )
 
-// runRestart restarts proxies as planned, one after the other.
+// runRestart restarts up to three proxies as planned, one after the other.
 func runRestart(r *Run) {
 	for _, proxy := range r.Proxies[:min(3, len(r.Proxies))] {
 		from := time.Now()
 		proxy.Signal(syscall.SIGTERM)
 		if !proxy.AwaitExit(8 * time.Second) {
-			r.Errorf("%s did not end within 8 s", proxy.Name)
+			r.Errorf("%s did not exit within 8 s", proxy.Name)
 			proxy.Kill()
 		}
-		r.Logf("%s stopped with code %d after %d ms", proxy.Name, proxy.ExitCode(), time.Since(from).Milliseconds())
+		r.Logf("%s exited with code %d after %d ms", proxy.Name, proxy.ExitCode(), time.Since(from).Milliseconds())
 		if proxy.ExitCode() != 0 {
-			r.Errorf("%s ended with code %d", proxy.Name, proxy.ExitCode())
+			r.Errorf("%s exited with code %d", proxy.Name, proxy.ExitCode())
 		}
 		r.recordRestart(proxy, from)
 		r.Sleep(500 * time.Millisecond)
@@ -27,13 +27,13 @@
 			r.Errorf("%v", err)
 		}
 		if !r.awaitAllReady(8 * time.Second) {
-			r.Errorf("%s not ready again", proxy.Name)
+			r.Errorf("%s is not ready after its restart", proxy.Name)
 		}
 		r.Logf("%s ready again", proxy.Name)
 	}
 }
 
-// runProxyKill kills a proxy, changes bindings meanwhile, and starts it again.
+// runProxyKill kills a proxy, replaces the bindings while it is down, and restarts it.
 func runProxyKill(r *Run) {
 	before := r.observeBaseline()
 	proxy := r.Proxies[0]
@@ -47,7 +47,7 @@
 	r.recordClosedFault("proxy killed", before)
 }
 
-// runZoneOutage kills all processes of a zone for 5 s.
+// runZoneOutage kills all processes of a zone and restarts them after 5 s.
 func runZoneOutage(r *Run) {
 	before := r.observeBaseline()
 	zone := r.Shape.Zones[0]
@@ -71,7 +71,7 @@
 	r.recordClosedFault("zone lost", before)
 }
 
-// runScaling adds a proxy, then takes another one of its zone away.
+// runScaling adds a proxy, then removes another proxy of the same zone.
 func runScaling(r *Run) {
 	proxy, err := r.AddProxy()
 	if err != nil {
@@ -87,12 +87,12 @@
 	r.Platform.RemoveProxy(target.HTTPAddress)
 	target.Signal(syscall.SIGTERM)
 	if !target.AwaitExit(8*time.Second) || target.ExitCode() != 0 {
-		r.Errorf("%s did not end in good order", target.Name)
+		r.Errorf("%s did not exit with code 0 within 8 s", target.Name)
 	}
 	r.ReplaceBindings(2)
 	r.Sleep(2 * time.Second)
 	if served := r.counter(proxy, "passed_on"); served <= 0 {
-		r.Errorf("the added proxy served nothing")
+		r.Errorf("the added proxy served no requests")
 	}
 }
 
@@ -104,18 +104,18 @@
 	from := time.Now()
 	proxy.Signal(syscall.SIGTERM)
 	if !proxy.AwaitExit(8*time.Second) || proxy.ExitCode() != 0 {
-		r.Errorf("%s did not end in good order", proxy.Name)
+		r.Errorf("%s did not exit with code 0 within 8 s", proxy.Name)
 		proxy.Kill()
 	}
-	r.Logf("stopped after %d ms", time.Since(from).Milliseconds())
+	r.Logf("proxy exited after %d ms", time.Since(from).Milliseconds())
 	r.recordRestart(proxy, from.Add(-2*time.Second))
 	_ = r.SetFault(r.Primary(r.database()).Name, standin.Fault{Slowdown: pointerTo(1.0)})
 	_ = proxy.Start(r.Directory)
 	r.expectNoFailover(r.Proxies[1], "a slow primary")
 }
 
-// runProxyFreeze freezes a proxy for longer than its lease, with a change of
-// bindings that it does not see.
+// runProxyFreeze freezes a proxy for longer than its lease, and replaces the bindings
+// while the proxy is frozen.
 func runProxyFreeze(r *Run) {
 	proxy := r.Proxies[len(r.Proxies)-1]
 	proxy.Signal(syscall.SIGSTOP)
--- a/test/e2e/scenario_settings.go
+++ b/test/e2e/scenario_settings.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// runSettings changes a proxy's configuration file with and without a signal,
-// and breaks it.
+// runSettings changes a proxy's configuration file with and without a signal, and makes
+// it invalid.
 func runSettings(r *Run) {
 	proxy := r.Proxies[0]
 	write := func(text string) {
@@ -16,9 +16,9 @@
 			r.Errorf("%v", err)
 		}
 	}
-	expect := func(what string, condition func() bool) {
+	expect := func(description string, condition func() bool) {
 		if !WaitUntil(5*time.Second, condition) {
-			r.Errorf("%s did not come", what)
+			r.Errorf("not observed within 5 s: %s", description)
 		}
 	}
 	write(`{"weight": 2}`)
@@ -27,16 +27,16 @@
 	proxy.Signal(syscall.SIGHUP)
 	expect("weight 3, with a signal", func() bool { return r.weight(proxy) == 3 })
 	write(`{"weight": "heavy", "nonsense": 1}`)
-	expect("the refusal of a broken file", func() bool { return r.counter(proxy, "settings_refused") > 0 })
+	expect("refusal of an invalid file", func() bool { return r.counter(proxy, "settings_refused") > 0 })
 	if r.weight(proxy) != 3 {
-		r.Errorf("a broken file must leave the old settings in force")
+		r.Errorf("an invalid file changed the settings in force")
 	}
 	write(`{"weight": 1, "log_json": true}`)
 	expect("weight 1 again", func() bool { return r.weight(proxy) == 1 })
-	expect("the count of a setting that needs a restart", func() bool { return r.counter(proxy, "settings_need_restart") > 0 })
+	expect("count of a setting that needs a restart", func() bool { return r.counter(proxy, "settings_need_restart") > 0 })
 }
 
-// counter asks a process for one of its counters; -1 where it does not answer.
+// counter returns a counter of a process, or -1 if the process does not respond.
 func (r *Run) counter(process *Process, name string) int {
 	_, raw, err := r.Post(process.HTTPAddress, "/v1/counters", struct{}{})
 	var answer struct {
@@ -48,7 +48,7 @@
 	return answer.Counters[name]
 }
 
-// weight asks a proxy for its weight; -1 where it does not answer.
+// weight returns the weight that a proxy reports, or -1 if the proxy does not respond.
 func (r *Run) weight(proxy *Process) float64 {
 	_, raw, err := r.Post(proxy.HTTPAddress, "/v1/fleet", struct{}{})
 	var answer struct {
--- a/test/e2e/scenario_shell.go
+++ b/test/e2e/scenario_shell.go
@@ -6,28 +6,29 @@
 	"strings"
 )
 
-// Exit codes of the shell.
+// Exit codes of the shell (tansyseamctl).
 const (
 	shellSuccess     = 0
 	shellUnreachable = 1
 	shellMisuse      = 2
 )
 
-// checkShell runs each query of the shell, misuses it, and uses its prompt.
+// checkShell runs each query of the shell, invokes the shell with invalid arguments and
+// an unreachable address, and uses its interactive prompt.
 func (r *Run) checkShell() {
 	address := r.Controls[0].HTTPAddress
 	expected := map[string]string{
 		"nodes": "proxy1", "vitals": "control1", "instances": r.database() + "-a", "windows": "threshold", "bindings": "in force", "changes": "at",
 		"epochs": "control2", "duties": "failover/" + r.database(), "leases": "proxy1", "writers": "open", "counters": "announcements", "help": "epochs",
 	}
-	for query, part := range expected {
-		if output := strings.ToLower(r.shell(shellSuccess, "--at", address, query)); !strings.Contains(output, part) {
-			r.Errorf("tansyseamctl %s does not show %q: %s", query, part, output)
+	for query, text := range expected {
+		if output := strings.ToLower(r.shell(shellSuccess, "--at", address, query)); !strings.Contains(output, text) {
+			r.Errorf("tansyseamctl %s does not show %q: %s", query, text, output)
 		}
 	}
-	r.checkWhy(address)
+	r.checkAuditQuery(address)
 	if output := r.shell(shellSuccess, "--at", address, "--json", "why", r.database()); !json.Valid([]byte(output)) {
-		r.Errorf("tansyseamctl --json gives no JSON: %s", output)
+		r.Errorf("tansyseamctl --json did not print valid JSON: %s", output)
 	}
 	r.shell(shellSuccess, "--at", address, "counters", "proxy1")
 	for _, arguments := range [][]string{
@@ -40,15 +41,16 @@
 	r.checkPrompt(address)
 }
 
-// How the audit log words the first binding set, by the build that wrote the entry.
+// Texts of the audit log entry for the first binding set. Earlier builds write
+// earlierFirstSetText.
 const (
 	firstSetText        = "sequence 1 accepted"
 	earlierFirstSetText = "sequence 1 taken"
 )
 
-// checkWhy runs the query of the audit log. In a fleet of two builds the control
-// primary that wrote the entry may be of the earlier one.
-func (r *Run) checkWhy(address string) {
+// checkAuditQuery runs the query of the audit log. In a fleet of two builds, the control
+// primary that wrote the entry may run the earlier build.
+func (r *Run) checkAuditQuery(address string) {
 	output := strings.ToLower(r.shell(shellSuccess, "--at", address, "why"))
 	if strings.Contains(output, firstSetText) {
 		return
@@ -64,7 +66,7 @@
 	command := exec.Command(r.Programs.CurrentPath("tansyseamctl"), arguments...)
 	output, _ := command.CombinedOutput()
 	if code := command.ProcessState.ExitCode(); code != want {
-		r.Errorf("tansyseamctl %v ended with %d, wanted %d: %s", arguments, code, want, output)
+		r.Errorf("tansyseamctl %v exited with code %d, want %d: %s", arguments, code, want, output)
 	}
 	return string(output)
 }
@@ -73,9 +75,9 @@
 	command := exec.Command(r.Programs.CurrentPath("tansyseamctl"), "--at", address)
 	command.Stdin = strings.NewReader("epochs\nnonsense\nnodes\nquit\n")
 	output, _ := command.CombinedOutput()
-	for _, part := range []string{"tansyseamctl>", "no query \"nonsense\"", "proxy1"} {
-		if !strings.Contains(string(output), part) {
-			r.Errorf("the prompt does not show %q: %s", part, output)
+	for _, text := range []string{"tansyseamctl>", "no query \"nonsense\"", "proxy1"} {
+		if !strings.Contains(string(output), text) {
+			r.Errorf("the prompt does not show %q: %s", text, output)
 		}
 	}
 }
--- a/test/e2e/shape.go
+++ b/test/e2e/shape.go
@@ -2,23 +2,23 @@
 
 import "tansyseam/test/standin"
 
-// Shape is the size of a deployment.
+// Shape describes the size and the load of a deployment.
 type Shape struct {
 	Name                 string
 	Proxies              int
 	Controls             int
 	Databases            []string
 	InstancesPerDatabase int
-	// Connections and Slots are the caps of one instance.
+	// Connections and Slots are the limits of one instance.
 	Connections int
 	Slots       int
-	// ServiceTimeUS is the time of a write, in microseconds.
+	// ServiceTimeUS is how long a write takes at an instance, in microseconds.
 	ServiceTimeUS int
 	Zones         []string
 	Mix           standin.Mix
 }
 
-// Magnolia returns the desk-booking deployment.
+// Magnolia returns the shape of the desk-booking deployment.
 func Magnolia() Shape {
 	mix := standin.Magnolia()
 	return Shape{
@@ -27,7 +27,7 @@
 	}
 }
 
-// Chile returns the portability deployment.
+// Chile returns the shape of the portability deployment.
 func Chile() Shape {
 	mix := standin.Chile()
 	return Shape{
@@ -36,7 +36,7 @@
 	}
 }
 
-// Small returns a fleet for short runs: fewer of everything.
+// Small returns a shape for short runs: Magnolia with fewer proxies and one database.
 func Small() Shape {
 	shape := Magnolia()
 	shape.Name, shape.Proxies, shape.Databases = "small", 3, shape.Databases[:1]
@@ -44,7 +44,7 @@
 	return shape
 }
 
-// Shapes returns the shapes by name.
+// Shapes returns all shapes by name.
 func Shapes() map[string]Shape {
 	return map[string]Shape{"magnolia": Magnolia(), "chile": Chile(), "small": Small()}
 }
