--- a/test/cmd/e2e/main.go
+++ b/test/cmd/e2e/main.go
@@ -1,6 +1,6 @@
 // Command e2e runs fleets of real processes through scenarios and checks their
-// histories. It ends with 0 where all runs are good, 1 where one is not, and 2
-// where it was misused.
+// histories. It exits with 0 if all runs pass, with 1 if a run fails or cannot be
+// started, and with 2 if the arguments are invalid.
 package main
 
 import (
@@ -19,16 +19,16 @@
 
 // Exit codes.
 const (
-	exitGood   = 0
-	exitBroken = 1
-	exitMisuse = 2
+	exitSuccess = 0
+	exitFailure = 1
+	exitMisuse  = 2
 )
 
 func main() {
 	os.Exit(runMain())
 }
 
-// options are what the command line gives.
+// options are the settings from the command line.
 type options struct {
 	shape      string
 	scenarios  []string
@@ -40,114 +40,114 @@
 	list       bool
 	platform   bool
 	otherBuild string
-	// otherRevision, if given, is built to be the other build.
+	// otherRevision, if given, is the revision from which the other build is compiled.
 	otherRevision string
 	otherFirst    bool
 }
 
 func parseOptions() options {
-	var given options
-	flag.StringVar(&given.shape, "shape", "small", "magnolia, chile or small")
-	names := flag.String("run", "steady", "scenarios with commas between, or all")
-	flag.Uint64Var(&given.seed, "seed", 1, "seed of the callers")
-	flag.StringVar(&given.root, "root", ".", "the workspace")
-	flag.StringVar(&given.directory, "folder", "", "folder to leave logs in")
-	flag.Float64Var(&given.scale, "scale", 1, "part of the deployment's load")
-	flag.BoolVar(&given.race, "race", false, "build the programs with the race detector")
-	flag.BoolVar(&given.list, "list", false, "list the scenarios")
-	mode := flag.String("manner", "", "platform, for the scenarios in platform mode")
-	flag.StringVar(&given.otherBuild, "beside", "", "folder with tansyseam-proxy and tansyseam-control of another build, which every second process runs")
-	flag.StringVar(&given.otherRevision, "beside-revision", "", "git revision to build for -beside; where the repository does not have it, nothing is played")
-	flag.BoolVar(&given.otherFirst, "other-first", false, "with -beside or -beside-revision: the first process of a kind is of the other build")
+	var parsed options
+	flag.StringVar(&parsed.shape, "shape", "small", "magnolia, chile or small")
+	names := flag.String("run", "steady", "comma-separated scenarios, or all")
+	flag.Uint64Var(&parsed.seed, "seed", 1, "seed of the callers")
+	flag.StringVar(&parsed.root, "root", ".", "root of the source tree")
+	flag.StringVar(&parsed.directory, "folder", "", "directory for logs and histories; a temporary one if empty")
+	flag.Float64Var(&parsed.scale, "scale", 1, "factor by which the deployment's load is multiplied")
+	flag.BoolVar(&parsed.race, "race", false, "build the programs with the race detector")
+	flag.BoolVar(&parsed.list, "list", false, "list the scenarios")
+	mode := flag.String("manner", "", "platform, to run the scenarios in platform mode")
+	flag.StringVar(&parsed.otherBuild, "beside", "", "directory with tansyseam-proxy and tansyseam-control of another build, which every second process runs")
+	flag.StringVar(&parsed.otherRevision, "beside-revision", "", "git revision to build for -beside; if the repository does not contain it, nothing is run")
+	flag.BoolVar(&parsed.otherFirst, "other-first", false, "with -beside or -beside-revision: the first process of a kind runs the other build")
 	flag.Parse()
-	given.scenarios, given.platform = strings.Split(*names, ","), *mode != ""
-	return given
+	parsed.scenarios, parsed.platform = strings.Split(*names, ","), *mode != ""
+	return parsed
 }
 
-// scenario is a scenario of either mode.
+// scenario is a scenario with or without platform mode.
 type scenario struct {
 	name, description string
-	// run plays the scenario in a directory.
+	// run runs the scenario in a directory.
 	run func(programs e2e.Programs, directory string) (result, error)
 }
 
 type result struct {
-	good  bool
-	print func(io.Writer)
+	passed bool
+	print  func(io.Writer)
 }
 
 func runMain() int {
-	given := parseOptions()
-	shape, found := e2e.Shapes()[given.shape]
+	opts := parseOptions()
+	shape, found := e2e.Shapes()[opts.shape]
 	if !found {
-		fmt.Fprintln(os.Stderr, "no such shape")
+		fmt.Fprintln(os.Stderr, "unknown shape; use magnolia, chile or small")
 		return exitMisuse
 	}
-	scenarios := scenariosOf(given, shape)
-	if given.list {
+	scenarios := scenariosForMode(opts, shape)
+	if opts.list {
 		for _, scenario := range scenarios {
 			fmt.Printf("%-15s %s\n", scenario.name, scenario.description)
 		}
-		return exitGood
+		return exitSuccess
 	}
-	selected, ok := selectScenarios(scenarios, given.scenarios)
+	selected, ok := selectScenarios(scenarios, opts.scenarios)
 	if !ok {
-		fmt.Fprintln(os.Stderr, "not all of these are scenarios; see -list")
+		fmt.Fprintln(os.Stderr, "unknown scenario; see -list")
 		return exitMisuse
 	}
-	directory, err := resultDirectory(given.directory)
+	directory, err := resultDirectory(opts.directory)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return exitBroken
+		return exitFailure
 	}
-	programs, err := buildPrograms(given, directory)
+	programs, err := buildPrograms(opts, directory)
 	if errors.Is(err, e2e.ErrNoRevision) {
 		fmt.Println("skipped:", err)
-		return exitGood
+		return exitSuccess
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return exitBroken
+		return exitFailure
 	}
 	return runScenarios(selected, programs, directory)
 }
 
-// buildPrograms builds the programs of this tree, and those of the other revision where
-// one is given. The error is e2e.ErrNoRevision where the repository does not have it.
-func buildPrograms(given options, directory string) (e2e.Programs, error) {
-	programs := e2e.Programs{Directory: filepath.Join(directory, "bin"), OtherBuild: given.otherBuild, OtherFirst: given.otherFirst}
-	if err := e2e.Build(given.root, programs.Directory, given.race); err != nil {
+// buildPrograms builds the programs of this tree, and those of the other revision if one
+// is given. The error is e2e.ErrNoRevision if the repository does not contain it.
+func buildPrograms(opts options, directory string) (e2e.Programs, error) {
+	programs := e2e.Programs{Directory: filepath.Join(directory, "bin"), OtherBuild: opts.otherBuild, OtherFirst: opts.otherFirst}
+	if err := e2e.Build(opts.root, programs.Directory, opts.race); err != nil {
 		return programs, err
 	}
-	if given.otherRevision == "" {
+	if opts.otherRevision == "" {
 		return programs, nil
 	}
 	programs.OtherBuild = filepath.Join(directory, "other-bin")
-	return programs, e2e.BuildRevision(given.root, programs.OtherBuild, given.otherRevision)
+	return programs, e2e.BuildRevision(opts.root, programs.OtherBuild, opts.otherRevision)
 }
 
-func scenariosOf(given options, shape e2e.Shape) []scenario {
+func scenariosForMode(opts options, shape e2e.Shape) []scenario {
 	var list []scenario
-	if given.platform {
-		for _, played := range platforme2e.Scenarios() {
-			list = append(list, scenario{played.Name, played.Description, func(programs e2e.Programs, directory string) (result, error) {
-				outcome, err := platforme2e.RunScenario(played, given.root, programs, directory, given.seed)
+	if opts.platform {
+		for _, definition := range platforme2e.Scenarios() {
+			list = append(list, scenario{definition.Name, definition.Description, func(programs e2e.Programs, directory string) (result, error) {
+				outcome, err := platforme2e.RunScenario(definition, opts.root, programs, directory, opts.seed)
 				return result{len(outcome.Violations) == 0, outcome.Print}, err
 			}})
 		}
 		return list
 	}
-	for _, played := range e2e.Scenarios() {
-		list = append(list, scenario{played.Name, played.Description, func(programs e2e.Programs, directory string) (result, error) {
-			outcome, err := e2e.RunScenario(played, shape, programs, directory, given.seed, given.scale)
+	for _, definition := range e2e.Scenarios() {
+		list = append(list, scenario{definition.Name, definition.Description, func(programs e2e.Programs, directory string) (result, error) {
+			outcome, err := e2e.RunScenario(definition, shape, programs, directory, opts.seed, opts.scale)
 			return result{len(outcome.Violations) == 0, outcome.Print}, err
 		}})
 	}
 	return list
 }
 
-// selectScenarios returns the scenarios of some names, or all; false where a
-// name is not a scenario's.
+// selectScenarios returns the scenarios with the given names, or all scenarios if the
+// names contain "all". It returns false if a name is not that of a scenario.
 func selectScenarios(scenarios []scenario, names []string) ([]scenario, bool) {
 	if slices.Contains(names, "all") {
 		return scenarios, true
@@ -161,25 +161,25 @@
 	return selected, len(selected) == len(names)
 }
 
-func resultDirectory(given string) (string, error) {
-	if given != "" {
-		return given, nil
+func resultDirectory(requested string) (string, error) {
+	if requested != "" {
+		return requested, nil
 	}
 	return os.MkdirTemp("", "tansyseam-e2e")
 }
 
 func runScenarios(scenarios []scenario, programs e2e.Programs, directory string) int {
-	code := exitGood
+	code := exitSuccess
 	for _, scenario := range scenarios {
 		outcome, err := scenario.run(programs, filepath.Join(directory, scenario.name))
 		if err != nil {
-			fmt.Printf("%s: could not be played: %v\n", scenario.name, err)
-			code = exitBroken
+			fmt.Printf("%s: could not be run: %v\n", scenario.name, err)
+			code = exitFailure
 			continue
 		}
 		outcome.print(os.Stdout)
-		if !outcome.good {
-			code = exitBroken
+		if !outcome.passed {
+			code = exitFailure
 		}
 	}
 	fmt.Println("logs and histories are in", directory)
--- a/test/platforme2e/plan.go
+++ b/test/platforme2e/plan.go
@@ -26,7 +26,8 @@
 	instanceGroup = 3
 )
 
-// ports are the same on all addresses of a run, as on the users' platform.
+// ports holds the port numbers of a run. They are the same on all IPs of the run, as on
+// the users' platform.
 type ports struct {
 	rpc, http, session, platform int
 }
@@ -39,8 +40,8 @@
 	return fmt.Sprint(r.ip(group, number), ":", port)
 }
 
-// planProcesses starts the stand-ins, and decides on addresses and
-// configuration files of all processes.
+// planProcesses starts the stand-ins, chooses the addresses of all processes and writes
+// their configuration files.
 func (r *Run) planProcesses(root string, programs e2e.Programs, services int) error {
 	ports, err := r.reservePorts(services)
 	if err != nil {
@@ -74,7 +75,8 @@
 	return nil
 }
 
-// reservePorts reserves ports on all IPs of the run, until it ends.
+// reservePorts reserves ports on all IPs of the run. They stay reserved until the run
+// ends.
 func (r *Run) reservePorts(services int) (ports, error) {
 	var ips []string
 	for group, count := range []int{1, proxyCount, controlCount + spareControlCount, services * (replicaCount + 1)} {
@@ -82,8 +84,8 @@
 			ips = append(ips, r.ip(group, number))
 		}
 	}
-	var found ports
-	for _, port := range []*int{&found.rpc, &found.http, &found.session, &found.platform} {
+	var reserved ports
+	for _, port := range []*int{&reserved.rpc, &reserved.http, &reserved.session, &reserved.platform} {
 		reservations, err := reserve.SharedPort(ips...)
 		if err != nil {
 			return ports{}, err
@@ -91,10 +93,10 @@
 		r.reservations = append(r.reservations, reservations...)
 		*port = reservations[0].PortNumber()
 	}
-	return found, nil
+	return reserved, nil
 }
 
-// startService starts a service with its instances.
+// startService starts a service and its instances.
 func (r *Run) startService(number int, ports ports) error {
 	service := platformstandin.NewService(r.group, r.History, platformstandin.ServiceConfig{
 		Name: fmt.Sprintf("db%d", number+1), SyncReplicas: 1, ReplicationDelay: 2 * time.Millisecond, ApplyDelay: 8 * time.Millisecond,
@@ -113,8 +115,8 @@
 	return nil
 }
 
-// planProgram plans processes of one program, each with a configuration file
-// that is filled from the deploy template.
+// planProgram plans the processes of one program and writes the configuration file of
+// each, which it fills from the deploy template.
 func (r *Run) planProgram(root string, programs e2e.Programs, program string, group, count int, ports ports) ([]*e2e.Process, error) {
 	template, err := os.ReadFile(filepath.Join(root, "deploy", program+".json.tmpl"))
 	if err != nil {
@@ -141,7 +143,7 @@
 	return list, nil
 }
 
-// templateFields are the fields that the users' platform gives to templates.
+// templateFields returns the fields that the users' platform provides to templates.
 func (r *Run) templateFields(process *e2e.Process, number int, ports ports) map[string]any {
 	seeds := []any{}
 	for _, address := range r.controlAddresses[:controlCount] {
--- a/test/platforme2e/result.go
+++ b/test/platforme2e/result.go
@@ -10,22 +10,24 @@
 	"tansyseam/test/platformstandin"
 )
 
-// Result is what a run showed.
+// Result holds the violations and the measurements of a run.
 type Result struct {
 	Scenario string
 	Notes    []string
-	// Violations are by rule; failures of the run itself stand under "scenario".
+	// Violations holds the violations of each rule. Failures of the run itself are
+	// listed under "scenario".
 	Violations                 map[string][]string
 	QueryCount, ExecutionCount int
 	SucceededCount, CutCount   int
-	// Codes counts answers that are errors.
+	// Codes counts the error answers by code.
 	Codes map[string]int
-	// P50 and P99 are of statements answered with success.
+	// P50 and P99 are latency percentiles of statements that were answered with
+	// success.
 	P50, P99     time.Duration
 	PromoteCalls []platformstandin.PromoteCall
 }
 
-// measure computes the figures of a history.
+// measure computes the measurements from a history.
 func (r *Result) measure(history linehistory.History) {
 	r.QueryCount, r.ExecutionCount = len(history.Queries), len(history.Executions)
 	var latencies []time.Duration
@@ -48,7 +50,7 @@
 
 // Print writes a summary of the result.
 func (r Result) Print(out io.Writer) {
-	_, _ = fmt.Fprintf(out, "%s: %s; asked %d, answered well %d, cut %d, run %d, codes %v, p50 %.1f ms, p99 %.1f ms, promote calls %d\n",
+	_, _ = fmt.Fprintf(out, "%s: %s; sent %d, succeeded %d, cut off %d, executed %d, error codes %v, p50 %.1f ms, p99 %.1f ms, promote calls %d\n",
 		r.Scenario, e2e.Verdict(r.Violations), r.QueryCount, r.SucceededCount, r.CutCount, r.ExecutionCount, r.Codes,
 		milliseconds(r.P50), milliseconds(r.P99), len(r.PromoteCalls))
 	for _, note := range r.Notes {
--- a/test/platforme2e/run.go
+++ b/test/platforme2e/run.go
@@ -14,7 +14,7 @@
 	"tansyseam/test/reserve"
 )
 
-// Run is one scenario under way.
+// Run is a scenario in progress.
 type Run struct {
 	e2e.Recorder
 	Proxies, Controls []*e2e.Process
@@ -24,26 +24,29 @@
 	Operator          *platformstandin.Operator
 	History           *platformstandin.History
 
-	// group runs the stand-ins, loadGroup the clients, which end first.
+	// group runs the stand-ins. loadGroup runs the clients, which stop first.
 	group, loadGroup *worker.Group
 	directory        string
-	// networkOctet is the second one of all addresses, so that runs side by
-	// side do not meet.
+	// networkOctet is the second octet of all addresses. It is derived from the
+	// process ID, to keep the addresses of concurrent runs apart.
 	networkOctet int
-	// version is that of the last configuration sent.
+	// version is the version of the last configuration that was sent.
 	version          uint64
 	controlAddresses []string
-	// reservations keep the run's ports until it ends.
+	// reservations reserve the run's ports until the run ends.
 	reservations []*reserve.Reservation
 }
 
 const (
 	proxyCount, controlCount, replicaCount = 3, 3, 2
-	// spareControlCount is for controls that a run may start beside the first.
+	// spareControlCount is the number of control processes that a run can start in
+	// addition to the initial ones.
 	spareControlCount = 2
-	// sessionCount is for clients, each of which has one session.
+	// sessionCount is the number of clients. Each client has one session.
 	sessionCount = 24
-	// versionStep leaves versions free that race in a scenario.
+	// versionStep is the distance between the versions of successive configurations.
+	// The versions in between are free for scenarios that send versions concurrently
+	// or late.
 	versionStep = 3
 )
 
@@ -54,7 +57,7 @@
 
 var zones = []string{"za", "zb", "zc"}
 
-// Routes returns the run's routes, one of each kind for each service.
+// Routes returns the routes of the run: one of each kind for each service.
 func (r *Run) Routes() []platformstandin.Route {
 	var list []platformstandin.Route
 	for _, service := range r.Services {
@@ -75,16 +78,16 @@
 	return list
 }
 
-// mixes are what clients do, by kind of route.
+// mixes holds the mix of operations of the clients, by kind of route.
 var mixes = map[string]platformstandin.Mix{
 	"primary":     {WriteShare: 0.2, TransactionShare: 0.5, ThinkTime: 60 * time.Millisecond},
 	"bounded_lag": {TransactionShare: 0.1, ThinkTime: 80 * time.Millisecond},
 	"own_writes":  {WriteShare: 0.3, TransactionShare: 0.15, ThinkTime: 80 * time.Millisecond},
 }
 
-// Start starts stand-ins and programs, sends the first configuration and waits
-// until all proxies are ready. The root is that of the source tree, which has
-// the templates of configuration files.
+// Start starts stand-ins and programs, sends the first configuration and waits until all
+// proxies are ready. The root is that of the source tree, which contains the templates of
+// the configuration files.
 func Start(root string, programs e2e.Programs, directory string, services int) (*Run, error) {
 	group := worker.NewGroup()
 	r := &Run{
@@ -109,21 +112,21 @@
 	}
 	r.version = 1
 	if status := r.Operator.Replace(r.version, r.Routes(), 0); status != http.StatusOK {
-		return fmt.Errorf("the first configuration was answered %d", status)
+		return fmt.Errorf("first configuration was answered with status %d", status)
 	}
 	if !r.awaitAllReady(readyTimeout) {
-		return fmt.Errorf("%d of %d nodes ready", r.Platform.ReadyCount(), len(r.Proxies))
+		return fmt.Errorf("only %d of %d proxies are ready", r.Platform.ReadyCount(), len(r.Proxies))
 	}
 	return nil
 }
 
-// awaitAllReady waits until all proxies are ready; false after a timeout.
+// awaitAllReady waits until all proxies are ready. It returns false after a timeout.
 func (r *Run) awaitAllReady(timeout time.Duration) bool {
 	return e2e.WaitUntil(timeout, func() bool { return r.Platform.ReadyCount() == len(r.Proxies) })
 }
 
-// AddControl starts a further control process with an empty data directory. It
-// has the seeds that all had at first.
+// AddControl starts an additional control process with an empty data directory. Its
+// seeds are the initial control processes.
 func (r *Run) AddControl() *e2e.Process {
 	process := r.spareControls[0]
 	r.spareControls = r.spareControls[1:]
@@ -134,7 +137,7 @@
 	return process
 }
 
-// StartLoad starts the clients, by turns over routes and zones.
+// StartLoad starts the clients and assigns them to routes and zones in rotation.
 func (r *Run) StartLoad(seed uint64) {
 	clients, routes := platformstandin.NewClients(r.loadGroup, r.Platform, r.History), r.Routes()
 	for number := range sessionCount {
@@ -144,7 +147,7 @@
 	}
 }
 
-// Stop ends all that the run has started.
+// Stop stops everything that the run has started.
 func (r *Run) Stop() {
 	r.loadGroup.Stop(stopTimeout)
 	for _, process := range slices.Concat(r.Proxies, r.Controls) {
@@ -161,5 +164,5 @@
 	reserve.ReleaseAll(r.reservations)
 }
 
-// Sleep lets the load run for a while.
+// Sleep lets the load run for a duration, or until the run stops.
 func (r *Run) Sleep(duration time.Duration) { worker.Await(r.group.Stopping(), duration) }
--- a/test/platforme2e/runner.go
+++ b/test/platforme2e/runner.go
@@ -14,12 +14,12 @@
 	serviceTimeout = 20 * time.Second
 )
 
-// bounds are the times within which the rules want effects.
+// bounds are the time limits that the rules check.
 var bounds = linehistory.Bounds{Apply: 3 * time.Second, Drain: 7 * time.Second, Recover: 12 * time.Second, Slack: time.Second}
 
 // RunScenario runs one scenario in a directory, which is emptied first, and
-// checks the history. The root is that of the source tree. The error is given
-// where no fleet came up.
+// checks the history. The root is that of the source tree. It returns an error if the
+// fleet does not start or does not become ready.
 func RunScenario(scenario Scenario, root string, programs e2e.Programs, directory string, seed uint64) (Result, error) {
 	result := Result{Scenario: scenario.Name, Codes: map[string]int{}}
 	if err := e2e.EmptyDirectory(directory); err != nil {
@@ -50,14 +50,14 @@
 	r.AwaitService("at the end", serviceTimeout)
 	r.loadGroup.Stop(stopTimeout)
 	if status := r.Operator.Fetch(); status != http.StatusOK {
-		r.Errorf("the configuration was read back with %d", status)
+		r.Errorf("fetching the configuration was answered with status %d", status)
 	}
 	history := r.History.Copy()
 	history.End, history.Bounds, history.Logs = r.group.Now(), bounds, map[string][]linehistory.LogEntry{}
 	for _, service := range r.Services {
 		history.Logs[service.Name] = service.Log()
 	}
-	if scenario.Quiet {
+	if scenario.FaultFree {
 		history.QuietSpans = []linehistory.Span{{From: startedAt, Until: history.End}}
 	}
 	return history
--- a/test/platforme2e/scenario.go
+++ b/test/platforme2e/scenario.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// Scenario is one fault, or one change, that a fleet meets under load.
+// Scenario subjects a fleet under load to a fault or a change.
 type Scenario struct {
 	Name, Description string
 	Run               func(*Run)
-	// Quiet says that the scenario has no faults, only planned work.
-	Quiet bool
+	// FaultFree is true if the scenario injects no faults and only performs planned
+	// operations.
+	FaultFree bool
 }
 
-// Scenarios returns the runs in platform mode, in the order in which they are
-// played.
+// Scenarios returns the scenarios in platform mode, in the order in which they run.
 func Scenarios() []Scenario {
 	return []Scenario{
-		{Name: "steady", Description: "load, and no trouble", Quiet: true, Run: runSteady},
-		{Name: "primary-crash", Description: "a primary crashes, and returns with its log", Run: runPrimaryCrash},
-		{Name: "primary-dark", Description: "a primary goes dark, for good", Run: runPrimaryHang},
+		{Name: "steady", Description: "load without faults", FaultFree: true, Run: runSteady},
+		{Name: "primary-crash", Description: "a primary crashes and restarts with its log", Run: runPrimaryCrash},
+		{Name: "primary-dark", Description: "a primary hangs and does not return", Run: runPrimaryHang},
 		{Name: "promote-trouble", Description: "a primary crashes while the platform refuses and is slow", Run: runPromoteFaults},
-		{Name: "replace", Description: "a primary is to be replaced: it drains, leaves and ends", Quiet: true, Run: runPrimaryReplacement},
-		{Name: "stop", Description: "a node stopped by SIGTERM, and started again", Quiet: true, Run: runPlannedStop},
-		{Name: "control-kill", Description: "the control primary killed, back later", Run: runControlKill},
+		{Name: "replace", Description: "a primary replaced as planned: it drains, leaves and stops", FaultFree: true, Run: runPrimaryReplacement},
+		{Name: "stop", Description: "a proxy stopped by SIGTERM and restarted", FaultFree: true, Run: runPlannedStop},
+		{Name: "control-kill", Description: "the control primary killed and restarted", Run: runControlKill},
 		{
-			Name: "control-replace", Description: "control processes gone for good and replaced, one after the other, then one stopped as planned",
+			Name: "control-replace", Description: "two control processes killed and replaced, one after the other, then one stopped as planned",
 			Run: runControlReplacement,
 		},
-		{Name: "change", Description: "configurations changed, racing, old and broken", Quiet: true, Run: runChange},
-		{Name: "lose", Description: "answers lost after running, and statements refused as busy", Run: runLostAnswers},
+		{Name: "change", Description: "configurations replaced, sent concurrently, outdated and invalid", FaultFree: true, Run: runChange},
+		{Name: "lose", Description: "answers lost after execution, and statements refused as busy", Run: runLostAnswers},
 	}
 }
 
 func runSteady(r *Run) {
 	r.Sleep(4 * time.Second)
 	if count := len(r.Platform.PromoteCalls()); count != 0 {
-		r.Errorf("%d promote calls without a cause", count)
+		r.Errorf("%d promote calls without a fault", count)
 	}
 }
 
--- a/test/platforme2e/scenario_database.go
+++ b/test/platforme2e/scenario_database.go
@@ -10,8 +10,8 @@
 
 const promotionTimeout = 15 * time.Second
 
-// failOverPrimary injects a fault into the primary of the first service, waits
-// until another is promoted, and repairs the old one.
+// failOverPrimary injects a fault into the primary of the first service, waits until
+// another instance is promoted, and repairs the old primary.
 func (r *Run) failOverPrimary(inject, repair func(old *platformstandin.Instance)) {
 	service := r.Services[0]
 	old := service.Primary()
@@ -20,18 +20,18 @@
 	if !r.awaitPromotion(service, old, injectedAt) {
 		return
 	}
-	r.AwaitService("after the promote", 15*time.Second)
+	r.AwaitService("after the promotion", 15*time.Second)
 	repair(old)
 	r.Sleep(2 * time.Second)
 	if service.Primary() == old {
-		r.Errorf("%s is primary again", old.ID)
+		r.Errorf("old primary %s became primary again", old.ID)
 	}
 }
 
-// awaitPromotion waits until another instance than the old one is primary.
+// awaitPromotion waits until an instance other than the old primary is primary.
 func (r *Run) awaitPromotion(service *platformstandin.Service, old *platformstandin.Instance, since time.Duration) bool {
 	if !e2e.WaitUntil(promotionTimeout, func() bool { return service.Primary() != old }) {
-		r.Errorf("no other primary within 15 s")
+		r.Errorf("no other instance became primary within 15 s")
 		return false
 	}
 	r.Logf("%s is primary after %d ms", service.Primary().ID, (r.group.Now() - since).Milliseconds())
@@ -52,21 +52,21 @@
 	r.failOverPrimary(crash, restart)
 }
 
-// runPrimaryReplacement drains a primary, has it leave and ends it.
+// runPrimaryReplacement drains a primary, makes it leave and stops it.
 func runPrimaryReplacement(r *Run) {
 	service := r.Services[0]
 	old := service.Primary()
 	drainedAt := r.group.Now()
 	old.Drain()
 	if !e2e.WaitUntil(promotionTimeout, func() bool { return old.LeaveAcknowledgedAt() != 0 }) {
-		r.Errorf("the leaving was not acknowledged within 15 s")
+		r.Errorf("the announcement that the primary leaves was not acknowledged within 15 s")
 	}
 	if !r.awaitPromotion(service, old, drainedAt) {
 		return
 	}
 	r.Sleep(8 * time.Second)
 	if status := old.Leave(); status != http.StatusOK {
-		r.Errorf("the leave was answered %d", status)
+		r.Errorf("the leave call was answered with status %d", status)
 	}
 	r.Sleep(time.Second)
 }
--- a/test/platforme2e/scenario_processes.go
+++ b/test/platforme2e/scenario_processes.go
@@ -7,26 +7,26 @@
 	"tansyseam/test/e2e"
 )
 
-// runPlannedStop stops a proxy by SIGTERM and starts it again.
+// runPlannedStop stops a proxy by SIGTERM and restarts it.
 func runPlannedStop(r *Run) {
 	proxy := r.Proxies[0]
 	proxy.Signal(syscall.SIGTERM)
 	if !proxy.AwaitExit(20 * time.Second) {
-		r.Errorf("%s did not end within 20 s", proxy.Name)
+		r.Errorf("%s did not exit within 20 s", proxy.Name)
 		proxy.Kill()
 	}
 	if proxy.ExitCode() != 0 {
-		r.Errorf("%s ended with code %d", proxy.Name, proxy.ExitCode())
+		r.Errorf("%s exited with code %d", proxy.Name, proxy.ExitCode())
 	}
 	if err := proxy.Start(r.directory); err != nil {
 		r.Errorf("%v", err)
 	}
 	if !r.awaitAllReady(10 * time.Second) {
-		r.Errorf("%s is not ready again", proxy.Name)
+		r.Errorf("%s is not ready after its restart", proxy.Name)
 	}
 }
 
-// runControlKill kills the control primary and starts it again.
+// runControlKill kills the control primary and restarts it.
 func runControlKill(r *Run) {
 	old := r.ControlPrimary()
 	if old == nil {
@@ -43,20 +43,21 @@
 	r.ReplaceConfiguration(r.Routes(), 1)
 }
 
-// killAndReplaceConfiguration measures how long a change takes after a kill.
+// killAndReplaceConfiguration kills a control process and measures how long it takes
+// until a new configuration is accepted.
 func (r *Run) killAndReplaceConfiguration(control *e2e.Process) {
 	control.Kill()
 	killedAt := r.group.Now()
 	r.ReplaceConfiguration(r.Routes(), 0)
-	r.Logf("a change is taken %d ms after the kill of %s", (r.group.Now() - killedAt).Milliseconds(), control.Name)
+	r.Logf("a new configuration was accepted %d ms after the kill of %s", (r.group.Now() - killedAt).Milliseconds(), control.Name)
 }
 
-// repairTime is how long a control process that was started has until the next
-// one may be lost.
+// repairTime is how long a newly started control process has before the next one may be
+// lost.
 const repairTime = 4 * time.Second
 
-// runControlReplacement loses two of three control processes for good, one after
-// the other was replaced, and stops a third as planned.
+// runControlReplacement kills two of the three initial control processes for good,
+// starts a replacement after each kill, and then stops the control primary as planned.
 func runControlReplacement(r *Run) {
 	primary := r.ControlPrimary()
 	if primary == nil {
@@ -80,9 +81,9 @@
 	signaledAt := r.group.Now()
 	leaving.Signal(syscall.SIGTERM)
 	if !leaving.AwaitExit(10 * time.Second) {
-		r.Errorf("%s did not end within 10 s", leaving.Name)
+		r.Errorf("%s did not exit within 10 s", leaving.Name)
 	}
-	r.Logf("%s ended %d ms after it was told to", leaving.Name, (r.group.Now() - signaledAt).Milliseconds())
+	r.Logf("%s exited %d ms after SIGTERM", leaving.Name, (r.group.Now() - signaledAt).Milliseconds())
 	r.ReplaceConfiguration(r.Routes(), 1)
-	r.AwaitService("without three of five", 10*time.Second)
+	r.AwaitService("without three of five control processes", 10*time.Second)
 }
--- a/test/platforme2e/service.go
+++ b/test/platforme2e/service.go
@@ -9,8 +9,8 @@
 	"tansyseam/test/platformstandin"
 )
 
-// CountServed returns how many statements of an act, sent since a time, were
-// answered with success.
+// CountServed returns the number of statements of an act that were sent at or after a
+// time and were answered with success.
 func (r *Run) CountServed(act string, since time.Duration) int {
 	count := 0
 	for _, query := range r.History.Copy().Queries {
@@ -21,16 +21,17 @@
 	return count
 }
 
-// Numbers of statements that show that service is back.
+// Numbers of successful statements after which AwaitService considers the service
+// restored.
 const (
 	servedReads   = 30
 	servedWrites  = 10
 	servedCommits = 10
 )
 
-// AwaitService waits until reads, writes and commits are served again; it
-// records a failure after a timeout.
-func (r *Run) AwaitService(what string, timeout time.Duration) {
+// AwaitService waits until reads, writes and commits are served again. It records a
+// failure after a timeout. The stage names the part of the run in notes and failures.
+func (r *Run) AwaitService(stage string, timeout time.Duration) {
 	since := r.group.Now()
 	reads, writes, commits := 0, 0, 0
 	served := e2e.WaitUntil(timeout, func() bool {
@@ -38,23 +39,23 @@
 		return reads >= servedReads && writes >= servedWrites && commits >= servedCommits
 	})
 	if !served {
-		r.Errorf("%s: reads %d, writes %d, commits %d served within %v", what, reads, writes, commits, timeout)
+		r.Errorf("%s: reads %d, writes %d, commits %d served within %v", stage, reads, writes, commits, timeout)
 		return
 	}
-	r.Logf("%s: served after %d ms", what, (r.group.Now() - since).Milliseconds())
+	r.Logf("%s: served after %d ms", stage, (r.group.Now() - since).Milliseconds())
 }
 
-// ReplaceConfiguration sends a further version, to the first address first; it
-// records a failure where it is not taken.
+// ReplaceConfiguration sends the routes as a new version, beginning with the control
+// address of index first. It records a failure if the version is not accepted.
 func (r *Run) ReplaceConfiguration(routes []platformstandin.Route, first int) {
 	r.version += versionStep
 	if status := r.Operator.Replace(r.version, routes, first); status != http.StatusOK {
-		r.Errorf("version %d was answered %d", r.version, status)
+		r.Errorf("version %d was answered with status %d", r.version, status)
 	}
 }
 
-// ControlPrimary returns the process that is primary of the control plane, nil
-// where none says so.
+// ControlPrimary returns the process that reports to be primary of the control plane,
+// or nil if none does.
 func (r *Run) ControlPrimary() *e2e.Process {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	return e2e.FindControlPrimary(client, r.Controls)
--- a/test/platforme2e/template.go
+++ b/test/platforme2e/template.go
@@ -12,8 +12,8 @@
 
 var sectionStart = regexp.MustCompile(`\{\{#([^}|]+)\}\}`)
 
-// expandSections keeps what stands between {{#a}} and {{/a}} where the value is
-// given and not false, and leaves it out elsewhere.
+// expandSections keeps the content of each section from {{#a}} to {{/a}} if the value at
+// path a is present and not false, and removes it otherwise.
 func expandSections(template string, fields map[string]any) (string, error) {
 	for {
 		index := sectionStart.FindStringSubmatchIndex(template)
@@ -24,7 +24,7 @@
 		end := "{{/" + name + "}}"
 		inside, after, ended := strings.Cut(template[index[1]:], end)
 		if !ended {
-			return "", fmt.Errorf("no end of %s", name)
+			return "", fmt.Errorf("section %s has no end", name)
 		}
 		if value := lookup(fields, name); value == nil || value == false {
 			inside = ""
@@ -33,7 +33,7 @@
 	}
 }
 
-// lookup returns the value at a path with dots, nil where there is none.
+// lookup returns the value at a dotted path, or nil if there is none.
 func lookup(fields map[string]any, path string) any {
 	var value any = fields
 	for _, name := range strings.Split(path, ".") {
@@ -42,9 +42,9 @@
 	return value
 }
 
-// FillTemplate fills a template of a deploy file from the platform's fields, by
-// path: {{a.b}} is replaced by the text of a value, {{a|json}} by its JSON. A
-// placeholder without a field is an error.
+// FillTemplate fills a template of a deploy file with the platform's fields. {{a.b}} is
+// replaced by the text of the value at path a.b, and {{a|json}} by the JSON of the value
+// at path a. A placeholder without a field is an error.
 func FillTemplate(template string, fields map[string]any) (string, error) {
 	var missing []string
 	template, err := expandSections(template, fields)
@@ -64,12 +64,13 @@
 		return string(data)
 	})
 	if len(missing) > 0 {
-		return "", fmt.Errorf("no fields %v", missing)
+		return "", fmt.Errorf("no fields for the placeholders %v", missing)
 	}
 	return filled, nil
 }
 
-// child returns a member of an object, or an element of an array by its index.
+// child returns a member of an object by its name or an element of an array by its index,
+// or nil if there is none.
 func child(value any, name string) any {
 	if object, isObject := value.(map[string]any); isObject {
 		return object[name]
