--- a/internal/coordination/balancer/balancer.go
+++ b/internal/coordination/balancer/balancer.go
@@ -30,7 +30,8 @@
 	// exceeds 1 while a window that has shrunk has more statements in flight than
 	// its size.
 	Utilization float64
-	// Latency is the time that a statement takes at an idle instance.
+	// Latency is the average latency that was observed at the instance, or 0 if it
+	// is unknown.
 	Latency time.Duration
 	// CostFactor is the factor by which past failures multiply the cost. A value
 	// below 1 counts as 1.
--- a/internal/coordination/connquota/quota.go
+++ b/internal/coordination/connquota/quota.go
@@ -2,11 +2,12 @@
 // Nodes with the same list of members compute the same quotas without
 // communication.
 //
-// If the limit allows two connections or more per node, each node gets an equal
-// share. If it allows fewer, half of the limit is assigned: for each instance,
-// rendezvous hashing selects the nodes that may keep one idle connection. The
-// other half is shared: any node may open a connection for a waiting statement,
-// and closes the connection when it becomes idle.
+// The limit is divided into equal shares, one for each node and one for the control
+// primary. If a share has two connections or more, each node gets its share. If it
+// has fewer, half of the limit is assigned: for each instance, rendezvous hashing
+// selects the nodes that may keep one idle connection. The other half is shared:
+// any node may open a connection for a waiting statement, and closes the connection
+// when it becomes idle.
 package connquota
 
 import (
--- a/internal/coordination/pool/httppool/cancel.go
+++ b/internal/coordination/pool/httppool/cancel.go
@@ -12,9 +12,9 @@
 	retryAfterMax    = 5 * time.Second
 )
 
-// Cancel ends a request whose deadline has passed or for which the next stage has
-// no capacity. The request is answered at once, with the outcome as far as it is
-// known.
+// Cancel ends a request, for example because its deadline has passed or the next
+// stage has no capacity for it. The request is answered at once, with the outcome
+// as far as it is known.
 func (m *Machine) Cancel(request *Request, now time.Duration) {
 	if request.responded {
 		return
--- a/internal/coordination/pool/httppool/commit.go
+++ b/internal/coordination/pool/httppool/commit.go
@@ -9,8 +9,8 @@
 )
 
 // confirmCommits answers the executed commits for which there is a verdict by now. A
-// commit is durable if all required replicas have it or if the next term began after
-// it. The outcome of any other commit is unknown once its term has ended.
+// commit is durable if all required replicas have it or if the next term began past
+// its position. The outcome of any other commit is unknown once its term has ended.
 func (m *Machine) confirmCommits(database *databaseState, now time.Duration) {
 	if len(database.unconfirmed) == 0 {
 		return
--- a/internal/coordination/pool/httppool/doc.go
+++ b/internal/coordination/pool/httppool/doc.go
@@ -12,8 +12,8 @@
 //   - Forward sends the request to the instance.
 //   - ReplyReceived handles the instance's reply.
 //
-// A commit is answered only when it is known to be safe on the replicas. Cancel
-// ends a request in any of these phases.
+// A commit is reported as committed only when it is known to be safe on the
+// replicas. Cancel ends a request in any of these phases.
 //
 // Invariants: a request is answered once (Respond), and a session has at most one
 // unanswered request. A request id whose outcome is recorded is not sent again. An
--- a/internal/coordination/pool/httppool/drain.go
+++ b/internal/coordination/pool/httppool/drain.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Drain marks the node as stopping and rejects all waiting requests, so that their
-// clients retry on another node. Assigned requests still run, and open transactions
-// continue.
+// Drain marks the node as stopping. It ends the requests that wait for a lease and
+// the queued requests outside of transactions, so that their clients retry on
+// another node. Assigned requests still run, and open transactions continue.
 func (m *Machine) Drain(now time.Duration) {
 	m.StartDraining()
 	for _, request := range m.awaitingLease {
--- a/internal/coordination/pool/linepool/client.go
+++ b/internal/coordination/pool/linepool/client.go
@@ -28,7 +28,7 @@
 	// the queries that the client sent before that statement was answered.
 	request   *Request
 	pipelined []Query
-	// serial numbers the clients in order of arrival.
+	// serial is the client's number in order of arrival.
 	serial    uint64
 	lastUsed  time.Duration
 	connected bool
--- a/internal/coordination/pool/linepool/confirm.go
+++ b/internal/coordination/pool/linepool/confirm.go
@@ -7,12 +7,13 @@
 	"tansyseam/internal/state/model"
 )
 
-// confirmCommits answers the commits that instances have carried out. It does
+// confirmCommits confirms the commits that instances have carried out. It does
 // so only while the node holds a lease and the term in which they ran is open,
 // or is closing and the node has not yet reported to the control primary that
 // it has observed the close. Until that report no other instance is promoted,
 // and the positions that the control primary collects afterwards cover every
-// commit that is confirmed now.
+// commit that is confirmed now. A commit of any other term ends with an unknown
+// outcome.
 func (m *Machine) confirmCommits(database *databaseState, now time.Duration) {
 	for _, request := range slices.Clone(database.unconfirmed) {
 		if !m.isTermCurrent(database, request) {
@@ -72,7 +73,7 @@
 }
 
 // abortStranded ends a commit that is in flight at an instance which is no
-// longer the primary.
+// longer the primary or whose drain window is over. Its outcome is unknown.
 func (m *Machine) abortStranded(request *Request, now time.Duration) {
 	m.closeAttemptConns(request, now)
 	if request.transaction != nil {
--- a/internal/coordination/pool/linepool/conn.go
+++ b/internal/coordination/pool/linepool/conn.go
@@ -250,8 +250,9 @@
 	}
 }
 
-// closeSurplusConns closes idle connections beyond the number that the node may
-// keep idle, so that other nodes can open connections.
+// closeSurplusConns closes connections that have been idle for SurplusIdle,
+// while the node has more connections, idle or in use, than it may keep idle.
+// Other nodes can then open connections.
 func (m *Machine) closeSurplusConns(instance *instanceState, now time.Duration) {
 	if !instance.quota.IsScarce() {
 		return
--- a/internal/coordination/pool/linepool/dispatch.go
+++ b/internal/coordination/pool/linepool/dispatch.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// maxDispatchMisses limits the number of queued reads per round for which
-	// no instance is found.
+	// maxDispatchMisses is the number of queued reads that a round may fail to
+	// send and still continue.
 	maxDispatchMisses = 8
 	// hedgeDelayPercent is the percentage of a binding's latency target after
 	// which a read is sent to a second instance. defaultHedgeDelay is used
--- a/internal/coordination/pool/linepool/doc.go
+++ b/internal/coordination/pool/linepool/doc.go
@@ -11,10 +11,12 @@
 //   - For each instance, it keeps the window of statements in flight, the
 //     connections and the health.
 //
-// Strict statements are routed to the primary, and only under the node's lease.
-// Bounded reads are routed to any instance that is fresh enough. A commit is
-// confirmed to the client only while the lease holds and the primary's term is
-// the one in which the commit ran.
+// Writes, transactions that may write, and reads whose binding has a freshness
+// of 0 are strict: they are routed to the primary. Other reads are bounded: they
+// are routed to any instance that is fresh enough. Without the node's lease no
+// queued statement is sent, except those of read-only transactions that have
+// begun. A commit is confirmed to the client only while the lease holds and the
+// primary's term is the one in which the commit ran.
 //
 // Accept adds a session, Connect names its binding, Query submits its
 // statements, and ClientLost or Terminate ends it. A statement gets the binding
--- a/internal/coordination/pool/linepool/instance.go
+++ b/internal/coordination/pool/linepool/instance.go
@@ -11,7 +11,7 @@
 	"tansyseam/internal/state/model"
 )
 
-// neverAnswered is the time of the last response of an instance that has not
+// neverAnswered is the value of lastResponse for an instance that has not
 // answered yet.
 const neverAnswered = -time.Hour
 
--- a/internal/coordination/pool/linepool/position.go
+++ b/internal/coordination/pool/linepool/position.go
@@ -7,13 +7,16 @@
 )
 
 const (
-	// freshnessMargin covers the time between a client's request and the
-	// moments at which positions are sampled.
+	// freshnessMargin is the amount by which the freshness bound of a read is
+	// shortened. It covers the time between a client's request and the moments
+	// at which positions are sampled.
 	freshnessMargin = 100 * time.Millisecond
-	// sampleRetention is the age at which a position sample is dropped; no
-	// binding allows reads that are older.
+	// sampleRetention is the age from which a position sample is dropped when
+	// another one is recorded. A read with a longer freshness bound uses the
+	// oldest sample that is left.
 	sampleRetention = 8 * time.Second
-	// sampleInterval is the minimum time between two samples that are kept.
+	// sampleInterval is the minimum time between a sample and the second one
+	// before it. It bounds the number of samples that are kept.
 	sampleInterval = 20 * time.Millisecond
 )
 
@@ -43,7 +46,8 @@
 
 // samplePrimaryPosition records the position in an answer from the primary as a
 // sample. The position covers what was committed before the request was sent to
-// the primary.
+// the primary. Nothing is recorded without a lease, or if the request was not
+// sent in the primary's open term.
 func (m *Machine) samplePrimaryPosition(attempt *requestAttempt, position model.Position, now time.Duration) {
 	database := attempt.conn.instance.database
 	writer, primary, open := m.writer(database)
@@ -54,7 +58,8 @@
 }
 
 // recordPosition adds a sample. Samples are ordered by time, and their
-// positions never decrease.
+// positions never decrease. If the new sample is within sampleInterval of the
+// next-to-last one, it replaces the last one.
 func (d *databaseState) recordPosition(takenAt time.Duration, position model.Position, now time.Duration) {
 	for len(d.samples) > 0 && now-d.samples[0].takenAt > sampleRetention {
 		d.samples = d.samples[1:]
--- a/internal/coordination/pool/linepool/query_test.go
+++ b/internal/coordination/pool/linepool/query_test.go
@@ -105,8 +105,8 @@
 		{"write", func() Query { return write("1") }, map[string]string{"I": "", "T": "", "E": "ERROR MALFORMED / READY E"}},
 		{"set", func() Query { return set("v", "1") }, map[string]string{"I": "DONE - / READY I", "T": "DONE - / READY T", "E": "ERROR MALFORMED / READY E"}},
 		{"prepare", func() Query { return prepare("p", "read q") }, map[string]string{"I": "DONE - / READY I", "T": "DONE - / READY T", "E": "ERROR MALFORMED / READY E"}},
-		{"run", func() Query { return execute("none", "1") }, map[string]string{"I": "ERROR NOTFOUND / READY I", "T": "ERROR NOTFOUND / READY E", "E": "ERROR MALFORMED / READY E"}},
-		{"forget", func() Query { return deallocate("none") }, map[string]string{"I": "ERROR NOTFOUND / READY I", "T": "ERROR NOTFOUND / READY T", "E": "ERROR MALFORMED / READY E"}},
+		{"execute", func() Query { return execute("none", "1") }, map[string]string{"I": "ERROR NOTFOUND / READY I", "T": "ERROR NOTFOUND / READY E", "E": "ERROR MALFORMED / READY E"}},
+		{"deallocate", func() Query { return deallocate("none") }, map[string]string{"I": "ERROR NOTFOUND / READY I", "T": "ERROR NOTFOUND / READY T", "E": "ERROR MALFORMED / READY E"}},
 		{"invalid action", func() Query { return newQuery(lineproto.ActionInvalid, "invalid") }, map[string]string{"I": "ERROR MALFORMED / READY I", "T": "ERROR MALFORMED / READY E", "E": "ERROR MALFORMED / READY E"}},
 		{"unknown action", func() Query { return newQuery(lineproto.Action(99), "unknown") }, map[string]string{"I": "ERROR MALFORMED / READY I", "T": "ERROR MALFORMED / READY E", "E": "ERROR MALFORMED / READY E"}},
 	}
--- a/internal/coordination/pool/linepool/queue.go
+++ b/internal/coordination/pool/linepool/queue.go
@@ -75,8 +75,8 @@
 
 // bind assigns the binding in force to a request and queues the request. In a
 // transaction that has begun, the request keeps the binding of the first
-// statement. Without a lease the request waits, unless it belongs to a
-// read-only transaction that has begun.
+// statement. Without a lease the request waits, or is rejected if the node is
+// isolated, unless it belongs to a read-only transaction that has begun.
 func (m *Machine) bind(request *Request, now time.Duration) {
 	isBegun := request.transaction.isOpenAtInstance()
 	continuesReadOnly := isBegun && request.transaction.readOnly
--- a/internal/coordination/pool/linepool/request.go
+++ b/internal/coordination/pool/linepool/request.go
@@ -12,8 +12,8 @@
 type phase int
 
 const (
-	// phaseAwaitingLease means that the node has no lease and the request has
-	// no binding yet.
+	// phaseAwaitingLease means that the node has no lease. The request gets its
+	// binding once the node has one.
 	phaseAwaitingLease phase = iota
 	// phaseQueued means that the request is in one of its database's queues.
 	phaseQueued
--- a/internal/coordination/pool/linepool/status.go
+++ b/internal/coordination/pool/linepool/status.go
@@ -28,7 +28,7 @@
 }
 
 // QueueStatus is the status of a database's queues that is shown to operators:
-// the number of requests in each, and the position of the last confirmed
+// the number of requests in each, and the highest position of a confirmed
 // commit.
 type QueueStatus struct {
 	Database      string         `json:"database"`
--- a/internal/coordination/pool/linepool/timing.go
+++ b/internal/coordination/pool/linepool/timing.go
@@ -6,9 +6,10 @@
 type Timing struct {
 	// DefaultTimeout is the timeout of a statement whose binding sets none.
 	DefaultTimeout time.Duration
-	// UnavailableWait is how long a statement is queued when the lease or the
-	// writer role is missing, rather than capacity. The statement is rejected
-	// after that time.
+	// UnavailableWait is how long a statement may wait for the lease or for an
+	// open writer role. The statement is rejected after that time. A node that
+	// has been without a lease for longer rejects new statements and connect
+	// requests at once.
 	UnavailableWait time.Duration
 	// QueueFraction is the fraction of its timeout that a statement may spend
 	// in the queue, from 0 to 1.
@@ -29,8 +30,8 @@
 	IdleInTransaction time.Duration
 	// BackoffMin and BackoffMax bound the pause after a refused connection.
 	BackoffMin, BackoffMax time.Duration
-	// SurplusIdle is how long a connection beyond the node's quota of idle
-	// connections may be idle.
+	// SurplusIdle is how long a connection may be idle while the node has more
+	// connections to the instance than it may keep idle.
 	SurplusIdle time.Duration
 	// RetryDelay is the pause before a statement that an instance refused is
 	// sent again. It is multiplied by the number of the statement's attempts.
--- a/internal/coordination/pool/linepool/transaction.go
+++ b/internal/coordination/pool/linepool/transaction.go
@@ -29,8 +29,8 @@
 func (t *transactionState) isOpenAtInstance() bool { return t != nil && t.conn != nil }
 
 // isInTransactionOn reports whether the client's transaction is open on a
-// connection. It returns false for a nil client, the owner of a connection
-// without a transaction.
+// connection. The client may be nil, as the owner of a connection without a
+// transaction is; the result is then false.
 func (c *Client) isInTransactionOn(conn *Conn) bool {
 	return c != nil && c.transaction != nil && c.transaction.conn == conn
 }
--- a/internal/coordination/pool/linepool/update.go
+++ b/internal/coordination/pool/linepool/update.go
@@ -74,9 +74,9 @@
 	return writer.Phase == model.PhaseOpen && writer.Term == term
 }
 
-// releaseFormerPrimary ends the work at a former primary, as far as only a
-// primary may do it. Strict reads are queued for the next primary, and
-// transactions that are not being committed are lost.
+// releaseFormerPrimary ends the work at a former primary that only a primary may
+// do. Strict reads are queued for the next primary. Transactions that may write
+// are lost, unless their commit has been sent.
 func (m *Machine) releaseFormerPrimary(database *databaseState, former *instanceState, current model.WriterRole, now time.Duration) {
 	for _, request := range slices.Clone(database.inFlight) {
 		if request.isStrictReadAt(former) && !isTermOpen(current, request.term) {
--- a/internal/coordination/rendezvous/rendezvous.go
+++ b/internal/coordination/rendezvous/rendezvous.go
@@ -47,9 +47,9 @@
 	return ranked[:min(count, len(ranked))]
 }
 
-// IsSelected reports whether Select returns the name for a key and a count. It does
-// not sort the names, and stops once it has found count other names with a higher
-// score.
+// IsSelected reports whether Select returns the name, which must be one of names, for
+// a key and a count of at least 1. It does not sort the names, and stops once it has
+// found count other names with a higher score.
 func IsSelected(names []string, key, name string, count int) bool {
 	ownScore, higher := score(name, key), 0
 	for _, other := range names {
