--- a/internal/app/admin/api.go
+++ b/internal/app/admin/api.go
@@ -29,8 +29,8 @@
 	PathFetchManifest   = "/v1/manifest/fetch"
 )
 
-// QueryFleet is the only query that operators' calls make. The answer repeats
-// it.
+// QueryFleet is the query that a call to PathFleet makes. The report repeats it in
+// the field Query.
 const QueryFleet = "fleet"
 
 // Proxy is the state that both kinds of data plane provide for their answers.
--- a/internal/app/config/config.go
+++ b/internal/app/config/config.go
@@ -14,7 +14,8 @@
 const (
 	// ModeNative is the mode of the product's own protocols.
 	ModeNative Mode = ""
-	// ModePlatform is the mode of the protocols of the users' platform.
+	// ModePlatform is the mode of the protocols of the users' platform, which
+	// package platform translates.
 	ModePlatform Mode = "platform"
 )
 
--- a/internal/app/control/answers.go
+++ b/internal/app/control/answers.go
@@ -43,7 +43,8 @@
 	Version uint64 `json:"version"`
 }
 
-// rawManifest is a manifest in the bytes that the operator sent, as base64.
+// rawManifest holds the bytes of a manifest as the operator sent them, encoded as
+// base64.
 type rawManifest struct {
 	Raw     string `json:"raw"`
 	Version uint64 `json:"version"`
--- a/internal/app/control/asyncfailover.go
+++ b/internal/app/control/asyncfailover.go
@@ -9,7 +9,8 @@
 )
 
 // decideAsyncFailover decides on the failover of a database with asynchronous
-// replication, whose commits the proxies confirm, and executes the decision.
+// replication, and executes the decision. The proxies of such a database confirm a
+// commit only once the required replicas have it.
 func (s *Server) decideAsyncFailover(database string) {
 	response, ok := s.requestEvidence(database)
 	if !ok || response.Evidence.Database != database {
--- a/internal/app/control/disk_fault_test.go
+++ b/internal/app/control/disk_fault_test.go
@@ -71,7 +71,7 @@
 }
 
 func TestHangingDiskWrite(t *testing.T) {
-	Convey("While a sync is in flight, the loop handles messages and answers only requests that do not depend on a file", t, func() {
+	Convey("While a sync is in flight, the write that waits for it is not acknowledged; after a second the node is no longer primary and rejects writes; once the sync ends, the first write is acknowledged", t, func() {
 		s, _ := newServerOnFaultyDisk(t)
 		s.runPending()
 		var writes []func()
--- a/internal/app/control/harness_test.go
+++ b/internal/app/control/harness_test.go
@@ -93,7 +93,8 @@
 	return result
 }
 
-// operate is call with the body of the result parsed as JSON.
+// operate is like call, but returns the status of the result and its body parsed as
+// JSON.
 func (h *harness) operate(path, body string) (int, *fastjson.Value) {
 	result := h.call(path, body)
 	return result.Status, fastjson.MustParseBytes(result.Body)
@@ -103,8 +104,8 @@
 	return Command{Address: "x:1", Instance: instance, Name: lineproto.AdminStatus}
 }
 
-func announced(name, role string, calls uint64) model.Instance {
-	return model.Instance{Name: name, Database: "db", Address: "10.0.0.1:80", Zone: "z", Role: role, SyncReplication: true, AnnouncementNumber: calls, Slots: 5}
+func announced(name, role string, announcementNumber uint64) model.Instance {
+	return model.Instance{Name: name, Database: "db", Address: "10.0.0.1:80", Zone: "z", Role: role, SyncReplication: true, AnnouncementNumber: announcementNumber, Slots: 5}
 }
 
 func rawManifestBody(version int) string {
--- a/internal/app/control/operations.go
+++ b/internal/app/control/operations.go
@@ -58,7 +58,8 @@
 type mutation func(state *store.Table, wallTime int64) (message.OperatorCallResult, []store.Put)
 
 // applyOnce executes a call whose id makes it idempotent: a call that repeats the
-// id of an earlier call gets the result of that call.
+// id of an earlier call gets the recorded result of that call. A call without
+// writes is not recorded, and is executed again if it is repeated.
 func (s *Server) applyOnce(call operatorCall, mutate mutation) {
 	wallTime := s.wallTime()
 	var result message.OperatorCallResult
--- a/internal/app/control/server.go
+++ b/internal/app/control/server.go
@@ -103,7 +103,7 @@
 	return OpenOn(node, cfg, directory, adapters)
 }
 
-// OpenOn is Open with the files of the given disk.
+// OpenOn is like Open, but uses the files of the given disk.
 func OpenOn(node *node.Node, cfg config.Config, disk versionfile.Disk, adapters *Adapters) (*Server, error) {
 	s := &Server{
 		node: node, logger: node.Log, store: versionfile.NewStore(disk, fileVersions), platform: newPlatformClient(node),
--- a/internal/app/dataplane/control_client.go
+++ b/internal/app/dataplane/control_client.go
@@ -44,7 +44,7 @@
 	// UpdateTimeout bounds the wait for the answer to one update request.
 	UpdateTimeout time.Duration
 	// ReportDelay is how long a scheduled report is delayed, so that one report
-	// holds all observations of that time.
+	// holds all observations made during the delay.
 	ReportDelay time.Duration
 }
 
--- a/internal/app/httpproxy/updates.go
+++ b/internal/app/httpproxy/updates.go
@@ -13,7 +13,7 @@
 	forwardTimeout = 500 * time.Millisecond
 
 	// reportDelay is how long a report is delayed, so that one report holds all
-	// observations of that time.
+	// observations made during the delay.
 	reportDelay = 20 * time.Millisecond
 )
 
--- a/internal/app/lineproxy/drain.go
+++ b/internal/app/lineproxy/drain.go
@@ -12,8 +12,8 @@
 
 // Drain makes the node unready and continues to serve until load balancers have
 // detected this. Then it closes sessions as they become idle, and at the end of the
-// node's grace period all others. It returns when no session is left, or after
-// maxDrain.
+// node's grace period all others. It returns once minDrain has passed and no session
+// is left, or after maxDrain.
 func (p *Proxy) Drain() {
 	p.log.Info("shutting down: no new sessions")
 	p.node.Leave()
--- a/internal/app/lineproxy/updates.go
+++ b/internal/app/lineproxy/updates.go
@@ -13,7 +13,7 @@
 	forwardTimeout = 800 * time.Millisecond
 
 	// reportDelay is how long a report is delayed, so that one report holds all
-	// observations of that time.
+	// observations made during the delay.
 	reportDelay = 5 * time.Millisecond
 )
 
--- a/internal/app/node/calls.go
+++ b/internal/app/node/calls.go
@@ -82,8 +82,8 @@
 	n.WriteResponse(w, status, answer)
 }
 
-// translate translates a call of another API to a call of the product. It returns
-// false if the call is not of that API.
+// translate translates a call of another API to a call of the product's own API. It
+// returns false if the call does not belong to the other API.
 func (n *Node) translate(method, path string, body []byte) (adapter.Translation, bool) {
 	if n.Translate == nil {
 		return adapter.Translation{}, false
--- a/internal/app/node/doc.go
+++ b/internal/app/node/doc.go
@@ -1,5 +1,5 @@
 // Package node implements what both programs have in common: the membership of a
-// process in the fleet, its RPC hub, its HTTP server, and the table of the
+// process in the cluster, its RPC hub, its HTTP server, and the table of the
 // database instances that announced themselves to it.
 //
 // A program creates a Node with New, registers its handlers for calls and
--- a/internal/app/node/forward.go
+++ b/internal/app/node/forward.go
@@ -27,7 +27,8 @@
 
 // ForwardCall sends an operator's call to the control primary and returns the
 // HTTP status and the body of its answer. A call that may have taken effect is
-// sent again with the same id, for which the primary repeats its first answer.
+// sent again unchanged. For an id that the primary has recorded, it repeats its first
+// answer; it recognizes a repeated manifest by the version.
 func (n *Node) ForwardCall(path string, body []byte) (int, any) {
 	deadline := n.Now() + forwardTimeout
 	outcome := OutcomeNotKept
--- a/internal/app/node/instances.go
+++ b/internal/app/node/instances.go
@@ -47,8 +47,8 @@
 	// announcementConflicting is the result for an instance that announced another
 	// database before.
 	announcementConflicting
-	// announcementStale is the result for an announcement that arrived after a newer
-	// one.
+	// announcementStale is the result for an announcement that is not newer than the
+	// recorded one (see isStale).
 	announcementStale
 	// announcementRecorded is the result for an announcement that was put into the
 	// table.
@@ -146,7 +146,8 @@
 	return recentInstances(n.instances.byName, n.Now(), maxAge)
 }
 
-// DatabaseInstances is Instances limited to one database.
+// DatabaseInstances returns the instances of one database that announced
+// themselves within maxAge, sorted by name.
 func (n *Node) DatabaseInstances(database string, maxAge time.Duration) []AnnouncedInstance {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -27,7 +27,7 @@
 // stopTimeout is how long Stop waits for the workers.
 const stopTimeout = 2 * time.Second
 
-// Node is one process of the fleet.
+// Node is one process of the cluster.
 type Node struct {
 	Workers  *worker.Group
 	Counters *worker.Counters
@@ -36,7 +36,8 @@
 	Schemas  *schema.Validator
 	// Program is the kind of the node, model.KindControl or model.KindProxy.
 	Program string
-	// Translate, if set, translates calls of another API to calls of the product.
+	// Translate, if set, translates calls of another API to calls of the product's
+	// own API.
 	Translate adapter.TranslateFunc
 
 	// mutex guards the fields of this block.
--- a/internal/app/node/update.go
+++ b/internal/app/node/update.go
@@ -18,11 +18,11 @@
 type attempt func() (any, error)
 
 // RequestUpdate requests an update of the configuration from the control primary,
-// or from another control node, which may name the primary. If no node answered
-// the previous request, this one is also sent through a peer, because the network
-// between this node and the primary may be partitioned. RequestUpdate returns
-// false if no primary answers in time, and as soon as another node becomes
-// primary.
+// or from another control node, which may name the primary. If the primary's
+// address is known and no node answered the previous request, this one is also sent
+// through a peer, because the network between this node and the primary may be
+// partitioned. RequestUpdate returns false if no primary answers in time, and as
+// soon as another node becomes primary.
 func (n *Node) RequestUpdate(request distribution.UpdateRequest, search *PrimarySearch, timeout time.Duration) (distribution.Update, bool) {
 	primaryChanged := n.primaryChange()
 	primary, nodes := n.ControlPrimary()
--- a/internal/app/shell/control.go
+++ b/internal/app/shell/control.go
@@ -41,7 +41,7 @@
 }
 
 const (
-	// timeOfDayLayout is the layout of times in the audit log.
+	// timeOfDayLayout is the layout in which the times of audit entries are shown.
 	timeOfDayLayout = "15:04:05.000"
 	// databaseSubjectPrefix is the prefix of the subject of audit entries about a
 	// database. The name of the database follows.
--- a/internal/app/shell/shell.go
+++ b/internal/app/shell/shell.go
@@ -28,7 +28,8 @@
 // Shell answers queries. It calls the node at one address, and any other node of the
 // cluster at the address that this node reports.
 type Shell struct {
-	// Address is the HTTP address of the first node.
+	// Address is the HTTP address of the first node, from which the shell reads the
+	// list of nodes.
 	Address string
 	// JSON is true if answers are written as JSON instead of tables.
 	JSON bool
