--- a/internal/transport/httpserver/client.go
+++ b/internal/transport/httpserver/client.go
@@ -34,7 +34,7 @@
 	maxResponseSize = 16 << 20
 )
 
-// Client opens connections to backends and to the platform.
+// Client opens HTTP connections to instances, to the platform and to nodes.
 type Client struct {
 	engine  *nbhttp.Engine
 	local   net.Addr
--- a/internal/transport/httpserver/connection_test.go
+++ b/internal/transport/httpserver/connection_test.go
@@ -19,7 +19,7 @@
 )
 
 func TestFirstRequestOfEachConnection(t *testing.T) {
-	Convey("The first request of each connection is served, because the poller observes all that the listener wrote", t, func() {
+	Convey("The first request of each connection is served, because the poller observes the state that the listener set up for the connection", t, func() {
 		const dialers, connectionsPerDialer = 8, 60
 		address := reserve.Loopback(t)
 		var served atomic.Int64
--- a/internal/transport/lineserver/server.go
+++ b/internal/transport/lineserver/server.go
@@ -26,8 +26,8 @@
 	workers       *worker.Group
 	maxLineLength int
 	newHandler    func(*Conn) Handler
-	// mutex guards the sessions of the raw connections and the field closed of each
-	// Conn.
+	// mutex guards the session that nbio stores with each raw connection, and the field
+	// closed of each Conn.
 	mutex sync.Mutex
 }
 
--- a/internal/transport/rpc/doc.go
+++ b/internal/transport/rpc/doc.go
@@ -1,4 +1,4 @@
-// Package rpc carries messages and calls between the fleet's own processes over
+// Package rpc carries messages and calls between the processes of a cluster over
 // TCP.
 //
 // Each process has one Hub, which accepts connections and dials the connections that
--- a/internal/transport/rpc/frame.go
+++ b/internal/transport/rpc/frame.go
@@ -10,7 +10,7 @@
 
 // ProtocolVersion is the version of the protocol that this build sends. The build
 // accepts frames from MinProtocolVersion up to the version after its own, so that a
-// fleet can be upgraded node by node.
+// cluster can be upgraded node by node.
 const (
 	ProtocolVersion    = 2
 	MinProtocolVersion = 2
--- a/internal/transport/rpc/hub.go
+++ b/internal/transport/rpc/hub.go
@@ -34,7 +34,7 @@
 type Handler func(from string, body any, reply func(any))
 
 // Hub manages all connections between this process and the other processes of the
-// fleet.
+// cluster.
 type Hub struct {
 	name      string
 	localHost string
@@ -44,8 +44,8 @@
 	handler   Handler
 	inbox     *worker.Pool[inboundMessage]
 
-	// mutex guards the fields below and the sessions of the connections. It is not held
-	// while bytes are sent.
+	// mutex guards the fields below and the session that nbio stores with each
+	// connection. It is not held while bytes are sent.
 	mutex      sync.Mutex
 	links      map[string]*outboundLink
 	pending    map[uint64]pendingCall
