--- a/internal/protocol/adapter/adapter.go
+++ b/internal/protocol/adapter/adapter.go
@@ -1,5 +1,5 @@
-// Package adapter defines the types that translate a platform's API to the
-// product's own API, and the types of the requests sent to a platform.
+// Package adapter defines the types used to translate calls of a platform's API to
+// calls of the product's own API, and the types of the requests sent to a platform.
 package adapter
 
 // Translation is a platform's request translated to a call of the product's API.
@@ -20,8 +20,8 @@
 type Promotion struct {
 	Database string
 	Instance string
-	// LeaseHolder is the control server that makes the call, and FencingToken is
-	// its fencing token.
+	// LeaseHolder is the name of the control node that makes the call, and
+	// FencingToken is the fencing token of the call.
 	LeaseHolder  string
 	FencingToken uint64
 }
--- a/internal/protocol/backend/codec.go
+++ b/internal/protocol/backend/codec.go
@@ -59,7 +59,7 @@
 }
 
 func encodeOperation(op httppool.Op) (string, []byte) {
-	// Marshal cannot fail for strings, numbers and lists of strings.
+	// Marshal cannot fail for strings, numbers, booleans and lists of strings.
 	body, _ := json.Marshal(operationBody{
 		Text:      op.Text,
 		Prepared:  op.Prepared,
--- a/internal/protocol/bindings/bindings.go
+++ b/internal/protocol/bindings/bindings.go
@@ -3,7 +3,8 @@
 // the Kubernetes Gateway API, scheduled changes, and manifests.
 //
 // The caller has already validated the shape of a body against the schema. The
-// checks here are those that need the known databases, the clock, or several
+// checks here are those that the schema does not make, such as the checks of a
+// route's fields, and those that need the known databases, the clock, or several
 // fields at once. Each function returns all violations together, so that an
 // operator can correct them in one step.
 package bindings
--- a/internal/protocol/bindings/manifest.go
+++ b/internal/protocol/bindings/manifest.go
@@ -123,7 +123,7 @@
 
 // ManifestLimits holds the limits of a Manifest: the size of a message in bytes,
 // and how long a session may be idle outside and inside a transaction, in
-// milliseconds. A value of 0 means no limit.
+// milliseconds. A value of 0 means that the manifest does not set the limit.
 type ManifestLimits struct {
 	IdleTimeoutMillis            int64 `json:"idle_ms"`
 	TransactionIdleTimeoutMillis int64 `json:"inside_ms"`
--- a/internal/protocol/message/message.go
+++ b/internal/protocol/message/message.go
@@ -1,4 +1,4 @@
-// Package message lists the messages between the fleet's processes, and defines
+// Package message lists the messages between the cluster's processes, and defines
 // their encoded forms.
 //
 // Messages that only carry a call or its answer are defined here. The other
@@ -77,7 +77,8 @@
 // not wait for a control primary that has stopped responding.
 type EpochChanged struct{ Record consensus.Record }
 
-// QueryRequest asks a node for its part of the answer to a query about the fleet.
+// QueryRequest asks a node for its part of the answer to a query about the
+// cluster.
 type QueryRequest struct{ What string }
 
 // QueryResponse replies to a QueryRequest. The body is JSON.
--- a/internal/protocol/message/registry.go
+++ b/internal/protocol/message/registry.go
@@ -39,7 +39,8 @@
 }
 
 // kinds lists every message. The names are those of the first release. They must
-// never change, because two builds share a fleet while a new version is rolled out.
+// never change, because two builds run in one cluster while a new version is rolled
+// out.
 var kinds = []kind{
 	convertedKind("tansyseam.example/pooler/coordination/steer.AskNews", encodeUpdateRequest, decodeUpdateRequest),
 	convertedKind("tansyseam.example/pooler/coordination/steer.Told", encodeNodeReport, decodeNodeReport),
--- a/internal/protocol/schema/announce_test.go
+++ b/internal/protocol/schema/announce_test.go
@@ -17,7 +17,7 @@
 	}
 	const commonFields = `{"instance":"i-1","database":"db","address":"10.0.0.1:80","zone":"z","role":"replica","leaving":false`
 	const asyncFields = `,"birth":"x","term":1,"position":{"term":1,"index":2},"connections":5,"slots":5`
-	Convey("An announcement with synchronous replication needs a number and may omit birth, term and position; any other announcement must have these three", t, func() {
+	Convey("An announcement with synchronous replication must have an announcement number and may omit birth, term and position; any other announcement must have these three", t, func() {
 		So(accepted(commonFields+asyncFields+`}`), ShouldBeTrue)
 		So(accepted(commonFields+`}`), ShouldBeFalse)
 		So(accepted(commonFields+`,"synced":false,"calls":1}`), ShouldBeFalse)
--- a/internal/state/encoded/encoded.go
+++ b/internal/state/encoded/encoded.go
@@ -5,7 +5,7 @@
 // receiver does not have, and leaves a field that the sender does not have at zero,
 // both without an error. The names in this package are therefore those of the first
 // release and must never change: a new build reads the files of an old build, and
-// both share a fleet while a new version is rolled out.
+// both run in one cluster while a new version is rolled out.
 //
 // The packages store and model convert between these types and their own types with
 // a method Encoded and a function whose name ends in From. The types of those
--- a/internal/state/lineproto/admin.go
+++ b/internal/state/lineproto/admin.go
@@ -8,8 +8,8 @@
 	// AdminStatus requests the status.
 	AdminStatus = "status"
 	// AdminPause stops a replica from receiving the log until AdminResume, its
-	// promotion or its restart. The term of the command must be above the newest
-	// term.
+	// promotion or its restart. The term of the command must be above the term in
+	// the instance's status.
 	AdminPause  = "pause"
 	AdminResume = "resume"
 	// AdminStepDown makes an instance a replica if it is the primary of a term
--- a/internal/state/lineproto/code.go
+++ b/internal/state/lineproto/code.go
@@ -1,6 +1,6 @@
 package lineproto
 
-// Code is the reason of an error.
+// Code is the reason for an error.
 type Code int
 
 // Codes of errors.
--- a/internal/state/lineproto/lineproto.go
+++ b/internal/state/lineproto/lineproto.go
@@ -53,7 +53,7 @@
 	ID, Text string
 	// Payload is the unparsed content of a row, done or error message.
 	Payload string
-	// Code is the reason of an error. If the node itself creates the error, Text
+	// Code is the reason for an error. If the node itself creates the error, Text
 	// describes the error, and Payload is empty.
 	Code Code
 	// State and Position are set in a ready message: the session's state, and a
--- a/internal/state/model/bindings.go
+++ b/internal/state/model/bindings.go
@@ -17,7 +17,8 @@
 	LatencyTarget time.Duration `json:"-"`
 	// Priority is the priority of the binding under overload. 0 is the highest.
 	Priority int `json:"-"`
-	// MaxAttempts is the maximum number of attempts to run a statement.
+	// MaxAttempts is the maximum number of attempts to run a statement, or 0 for the
+	// default.
 	MaxAttempts int `json:"-"`
 }
 
@@ -28,16 +29,19 @@
 	// over all nodes.
 	MaxConnections int
 	// MinSyncReplicas is the number of replicas that must have received a commit before it
-	// is confirmed.
+	// is confirmed. The nodes store the value, but do not enforce it.
 	MinSyncReplicas int
 }
 
 // Limits holds the limits that a manifest sets. A limit of 0 is not set.
 type Limits struct {
-	// MaxMessageBytes is the maximum size of a message.
+	// MaxMessageBytes is the maximum size of a message. The nodes store it, but do not
+	// enforce it.
 	MaxMessageBytes int
 	// IdleTimeout is how long a session may be idle outside a transaction, and
-	// TransactionIdleTimeout is how long it may be idle inside a transaction.
+	// TransactionIdleTimeout is how long it may be idle inside a transaction. The nodes
+	// store IdleTimeout, but do not enforce it. If TransactionIdleTimeout is 0, a default
+	// applies.
 	IdleTimeout            time.Duration
 	TransactionIdleTimeout time.Duration
 }
@@ -57,7 +61,8 @@
 	// AcceptedAt is when the sequence was assigned to the set, in Unix nanoseconds by the
 	// control primary's clock.
 	AcceptedAt int64
-	// ScheduledBy is the tenure of the control primary that assigned EffectiveAt.
+	// ScheduledBy identifies the control primary that assigned EffectiveAt, and its period
+	// in that role.
 	ScheduledBy string
 	// Source identifies the call or the scheduled change that created the set.
 	Source string
--- a/internal/state/model/keys.go
+++ b/internal/state/model/keys.go
@@ -17,8 +17,8 @@
 	PrefixNode = "node/"
 	// PrefixAuditEntry: an AuditEntry by sequence.
 	PrefixAuditEntry = "entry/"
-	// PrefixManifestVersions: the digests of accepted manifests by version. One record
-	// holds many digests.
+	// PrefixManifestVersions: lists of accepted manifest versions with the digests of the
+	// manifests, by record number. One record holds many versions.
 	PrefixManifestVersions = "versions/"
 	// PrefixManifest: the original text of a manifest, by the sequence of the binding set
 	// created from it.
--- a/internal/state/model/snapshot.go
+++ b/internal/state/model/snapshot.go
@@ -11,7 +11,7 @@
 // Snapshot is the part of the control state that is distributed to nodes, or a delta of
 // that part.
 type Snapshot struct {
-	// Version is the version of the last write that changed the snapshot.
+	// Version is the newest version of the records from which the snapshot was read.
 	Version store.Version
 	// Sets are sorted by sequence.
 	Sets []BindingSet
--- a/internal/state/model/writerrole.go
+++ b/internal/state/model/writerrole.go
@@ -29,13 +29,14 @@
 	// Phase is one of the constants PhaseOpen to PhasePromoting.
 	Phase string
 	// RequiredReplicas are the replicas that must have received a commit before it is
-	// confirmed. Candidates are the replicas that may be promoted, because every node has
-	// waited for them. Both map an instance's name to its incarnation.
+	// confirmed. Candidates are the replicas that may be promoted: every node waits for
+	// them, and they hold all commits that were confirmed before that. Both map an
+	// instance's name to its incarnation.
 	RequiredReplicas map[string]string
 	Candidates       map[string]string
-	// Excluded holds the replicas that lagged too far behind. It maps a replica's name to
-	// the time until which commits do not wait for the replica, in Unix nanoseconds by the
-	// control primary's clock.
+	// Excluded holds the replicas for which commits waited too long. It maps a replica's
+	// name to the time until which commits do not wait for the replica, in Unix nanoseconds
+	// by the control primary's clock.
 	Excluded map[string]int64
 	// Promoting is the name of the replica that is being promoted, if any.
 	Promoting string
--- a/internal/state/versionfile/store.go
+++ b/internal/state/versionfile/store.go
@@ -73,8 +73,8 @@
 }
 
 // Latest returns the newest readable version of a kind, and the number of newer files
-// that were skipped because they are damaged. It returns ErrNotFound if no version is
-// readable.
+// that were skipped because they are damaged or cannot be read. It returns ErrNotFound if
+// no version is readable.
 func (s *Store) Latest(kind string) (latest Version, skipped int, err error) {
 	sequences, err := s.sequences(kind)
 	if err != nil {
@@ -89,9 +89,9 @@
 	return Version{}, skipped, ErrNotFound
 }
 
-// RemoveCorrupt removes the damaged versions of a kind. It must be called only after the
-// data that they may have held was recovered from elsewhere. It returns ErrNotSynced if a
-// file cannot be removed.
+// RemoveCorrupt removes the versions of a kind that are damaged or cannot be read. It must
+// be called only after the data that they may have held was recovered from elsewhere. It
+// returns ErrNotSynced if a file cannot be removed.
 func (s *Store) RemoveCorrupt(kind string) error {
 	sequences, err := s.sequences(kind)
 	if err != nil {
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// read returns the data of one version. It returns false if the file is missing or
-// damaged.
+// read returns the data of one version. It returns false if the file cannot be read or
+// is damaged.
 func (s *Store) read(kind string, sequence uint64) ([]byte, bool) {
 	content, err := s.disk.Read(fileName(kind, sequence))
 	if err != nil {
