--- a/test/cmd/measure/main.go
+++ b/test/cmd/measure/main.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	exitGood   = 0
-	exitFailed = 1
-	exitMisuse = 2
+	exitSuccess = 0
+	exitFailed  = 1
+	exitUsage   = 2
 )
 
 const maxRounds = 50
@@ -48,29 +48,29 @@
 	scale     float64
 }
 
-func parseOptions() (given options, ok bool) {
+func parseOptions() (parsed options, ok bool) {
 	name := flag.String("run", "steady", "the scenario, as e2e -list shows them")
 	shapeName := flag.String("shape", "small", "magnolia, chile or small")
 	versions := flag.String("versions", "", "git revisions with commas between; none for the tree as it is")
-	flag.IntVar(&given.rounds, "repeat", 3, "rounds of each version")
-	flag.StringVar(&given.root, "root", ".", "the workspace")
-	flag.Float64Var(&given.scale, "scale", 1, "part of the deployment's load")
+	flag.IntVar(&parsed.rounds, "repeat", 3, "rounds of each version")
+	flag.StringVar(&parsed.root, "root", ".", "the workspace")
+	flag.Float64Var(&parsed.scale, "scale", 1, "part of the deployment's load")
 	flag.Parse()
 	scenarios := e2e.Scenarios()
 	index := slices.IndexFunc(scenarios, func(candidate e2e.Scenario) bool { return candidate.Name == *name })
 	shape, found := e2e.Shapes()[*shapeName]
-	if !found || index < 0 || given.rounds < 1 || given.rounds > maxRounds {
-		return given, false
+	if !found || index < 0 || parsed.rounds < 1 || parsed.rounds > maxRounds {
+		return parsed, false
 	}
-	given.scenario, given.shape, given.revisions = scenarios[index], shape, strings.Split(*versions, ",")
-	return given, true
+	parsed.scenario, parsed.shape, parsed.revisions = scenarios[index], shape, strings.Split(*versions, ",")
+	return parsed, true
 }
 
 func runMain() int {
-	given, ok := parseOptions()
+	parsed, ok := parseOptions()
 	if !ok {
 		fmt.Fprintln(os.Stderr, "no such run or shape, or repeat not from 1 to 50")
-		return exitMisuse
+		return exitUsage
 	}
 	directory, err := os.MkdirTemp("", "tansyseam-measure")
 	if err != nil {
@@ -78,13 +78,13 @@
 		return exitFailed
 	}
 	defer func() { _ = os.RemoveAll(directory) }()
-	results, err := given.measure(directory)
+	results, err := parsed.measure(directory)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailed
 	}
-	given.print(results)
-	return exitGood
+	parsed.print(results)
+	return exitSuccess
 }
 
 // measure plays the scenario by turns on each revision.
--- a/test/cmd/modelcheck/main.go
+++ b/test/cmd/modelcheck/main.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	everyConfig  = -1
+	allConfigs   = -1
 	defaultRound = 100 * time.Millisecond
 )
 
 func main() {
 	deep := flag.Bool("deep", false, "the deeper shapes, in place of those of the tests")
-	only := flag.Int("shape", everyConfig, "only the shape of this number")
+	only := flag.Int("shape", allConfigs, "only the shape of this number")
 	maxStates := flag.Int("most", 0, "end each search after so many states, where given")
 	jobs := flag.Int("jobs", 2, "shapes searched at once")
 	flag.Parse()
@@ -41,7 +41,7 @@
 	var output sync.Mutex
 	violated := 0
 	for number, config := range configs {
-		if only != everyConfig && number != only {
+		if only != allConfigs && number != only {
 			continue
 		}
 		config.MaxStates = maxStates
@@ -62,9 +62,9 @@
 	return violated
 }
 
-func report(number int, config modelcheck.Config, result modelcheck.Result, took time.Duration) {
+func report(number int, config modelcheck.Config, result modelcheck.Result, elapsed time.Duration) {
 	fmt.Printf("shape %d: %s: %d states, %d steps, epochs up to %d, %d writes acknowledged, ended early %t, %.1f s\n",
-		number, describe(config), result.States, result.Steps, result.HighestEpoch, result.AckedWrites, result.Truncated, took.Seconds())
+		number, describe(config), result.States, result.Steps, result.HighestEpoch, result.AckedWrites, result.Truncated, elapsed.Seconds())
 	if result.Violation != "" {
 		fmt.Println("  violated:", result.Violation)
 		fmt.Println("    " + strings.Join(result.Trace, "\n    "))
--- a/test/compatibility/fill_test.go
+++ b/test/compatibility/fill_test.go
@@ -31,13 +31,13 @@
 			f.fill(value.Elem())
 		},
 		reflect.Struct: func() {
-			for at := range value.NumField() {
-				f.fill(value.Field(at))
+			for i := range value.NumField() {
+				f.fill(value.Field(i))
 			}
 		},
 		reflect.Array: func() {
-			for at := range value.Len() {
-				f.fill(value.Index(at))
+			for i := range value.Len() {
+				f.fill(value.Index(i))
 			}
 		},
 		reflect.Slice: func() {
@@ -53,8 +53,8 @@
 			value.SetMapIndex(key, element)
 		},
 	}
-	fill, isKnown := fills[value.Kind()]
-	if !isKnown {
+	fill, isSupported := fills[value.Kind()]
+	if !isSupported {
 		panic(fmt.Sprintf("a field of kind %s in a message or a stored record", value.Kind()))
 	}
 	fill()
--- a/test/compatibility/messages_test.go
+++ b/test/compatibility/messages_test.go
@@ -23,12 +23,12 @@
 
 const messageFolder = "testdata/messages"
 
-// fileOf gives the golden file of a kind of message, by the name under which it is sent.
-func fileOf(name string) string {
+// goldenPath gives the golden file of a kind of message, by the name under which it is sent.
+func goldenPath(name string) string {
 	return filepath.Join(messageFolder, strings.ReplaceAll(name, "/", "_")+".gob")
 }
 
-func frameOf(body any) rpc.Envelope {
+func envelopeOf(body any) rpc.Envelope {
 	return rpc.Envelope{From: "node-a", Version: 2, ID: 77, IsReply: true, Body: body}
 }
 
@@ -36,21 +36,21 @@
 	message.Register()
 	Convey("Each message, encoded by 6cad5d2 with no field zero, is read with every field", t, func() {
 		names := message.Names()
-		for at, body := range message.All() {
-			path := fileOf(names[at])
+		for i, body := range message.All() {
+			path := goldenPath(names[i])
 			if _, err := os.Stat(path); err != nil && *writeGolden {
 				var buffer bytes.Buffer
-				frame := frameOf(message.Encode(filled(body)))
-				So(gob.NewEncoder(&buffer).Encode(&frame), ShouldBeNil)
+				envelope := envelopeOf(message.Encode(filled(body)))
+				So(gob.NewEncoder(&buffer).Encode(&envelope), ShouldBeNil)
 				So(os.MkdirAll(messageFolder, 0o755), ShouldBeNil)
 				So(os.WriteFile(path, buffer.Bytes(), 0o644), ShouldBeNil)
 			}
 			data, err := os.ReadFile(path)
 			So(err, ShouldBeNil)
-			var frame rpc.Envelope
-			So(gob.NewDecoder(bytes.NewReader(data)).Decode(&frame), ShouldBeNil)
-			frame.Body = message.Decode(frame.Body)
-			SoMsg(path, frame, ShouldResemble, frameOf(filled(body)))
+			var envelope rpc.Envelope
+			So(gob.NewDecoder(bytes.NewReader(data)).Decode(&envelope), ShouldBeNil)
+			envelope.Body = message.Decode(envelope.Body)
+			SoMsg(path, envelope, ShouldResemble, envelopeOf(filled(body)))
 		}
 	})
 	Convey("No message of an earlier build has gone", t, func() {
--- a/test/compatibility/shape_test.go
+++ b/test/compatibility/shape_test.go
@@ -14,31 +14,31 @@
 
 // shapeOf writes out the encoded fields of a type, with those of the types within:
 // what gob sends, but for the names of types, which it doesn't compare.
-func shapeOf(of reflect.Type) string {
-	within := map[reflect.Kind]func() string{
-		reflect.Pointer: func() string { return "*" + shapeOf(of.Elem()) },
-		reflect.Slice:   func() string { return "[]" + shapeOf(of.Elem()) },
-		reflect.Array:   func() string { return fmt.Sprintf("[%d]%s", of.Len(), shapeOf(of.Elem())) },
-		reflect.Map:     func() string { return "map[" + shapeOf(of.Key()) + "]" + shapeOf(of.Elem()) },
+func shapeOf(typ reflect.Type) string {
+	composite := map[reflect.Kind]func() string{
+		reflect.Pointer: func() string { return "*" + shapeOf(typ.Elem()) },
+		reflect.Slice:   func() string { return "[]" + shapeOf(typ.Elem()) },
+		reflect.Array:   func() string { return fmt.Sprintf("[%d]%s", typ.Len(), shapeOf(typ.Elem())) },
+		reflect.Map:     func() string { return "map[" + shapeOf(typ.Key()) + "]" + shapeOf(typ.Elem()) },
 		reflect.Struct: func() string {
 			var fields []string
-			for at := range of.NumField() {
-				fields = append(fields, of.Field(at).Name+" "+shapeOf(of.Field(at).Type))
+			for i := range typ.NumField() {
+				fields = append(fields, typ.Field(i).Name+" "+shapeOf(typ.Field(i).Type))
 			}
 			return "{" + strings.Join(fields, "; ") + "}"
 		},
 	}
-	if shape, ok := within[of.Kind()]; ok {
+	if shape, ok := composite[typ.Kind()]; ok {
 		return shape()
 	}
-	return of.Kind().String()
+	return typ.Kind().String()
 }
 
 func encodedShapes() string {
 	var rows []string
 	names := message.Names()
-	for at, body := range message.All() {
-		rows = append(rows, names[at]+" "+shapeOf(reflect.TypeOf(message.Encode(body))))
+	for i, body := range message.All() {
+		rows = append(rows, names[i]+" "+shapeOf(reflect.TypeOf(message.Encode(body))))
 	}
 	for _, record := range storedRecords() {
 		rows = append(rows, "stored "+record.name+" "+shapeOf(reflect.TypeOf(record.encoded)))
@@ -48,8 +48,8 @@
 
 func TestEncodedFieldsKeepTheirNames(t *testing.T) {
 	Convey("What this build sends and stores has the fields of 6cad5d2, so that builds up to it read all of it", t, func() {
-		frozen, err := os.ReadFile("testdata/shapes.txt")
+		recorded, err := os.ReadFile("testdata/shapes.txt")
 		So(err, ShouldBeNil)
-		So(encodedShapes(), ShouldEqual, string(frozen))
+		So(encodedShapes(), ShouldEqual, string(recorded))
 	})
 }
--- a/test/compatibility/stored_test.go
+++ b/test/compatibility/stored_test.go
@@ -73,9 +73,9 @@
 			value, err := record.decode(data)
 			SoMsg(record.name, err, ShouldBeNil)
 			SoMsg(record.name, value, ShouldResemble, filled(record.sample))
-			again, err := record.decode(record.encode(value))
+			roundTripped, err := record.decode(record.encode(value))
 			SoMsg(record.name, err, ShouldBeNil)
-			SoMsg(record.name, reflect.DeepEqual(again, value), ShouldBeTrue)
+			SoMsg(record.name, reflect.DeepEqual(roundTripped, value), ShouldBeTrue)
 		}
 	})
 	Convey("A data folder of 6cad5d2 is read whole", t, func() {
--- a/test/history/history_test.go
+++ b/test/history/history_test.go
@@ -13,8 +13,8 @@
 // nanos gives a time of the run, in nanoseconds, from milliseconds.
 func nanos(ms int64) int64 { return ms * int64(time.Millisecond) }
 
-// soundEvidence gives the evidence of a run in which every rule is kept.
-func soundEvidence() Evidence {
+// validEvidence gives the evidence of a run in which every rule is kept.
+func validEvidence() Evidence {
 	entries := []standin.Entry{
 		{Term: 1, Index: 1, RequestIDs: []string{"s.1"}, Statements: []string{`book "s.1" by ann x`}},
 		{Term: 1, Index: 2, RequestIDs: []string{"s.2", "s.3"}, Statements: []string{`hold "s.2" by ann x`}},
@@ -88,11 +88,11 @@
 
 func TestCheckersCatchPlantedViolations(t *testing.T) {
 	Convey("A sound history passes every rule", t, func() {
-		So(Violations(soundEvidence()), ShouldBeEmpty)
+		So(Violations(validEvidence()), ShouldBeEmpty)
 	})
 	Convey("Each rule catches the violation planted for it, and has one", t, func() {
 		for _, rule := range Rules() {
-			evidence := soundEvidence()
+			evidence := validEvidence()
 			violate, found := violationByRule[rule.Name]
 			So(found, ShouldBeTrue)
 			violate(&evidence)
@@ -113,12 +113,12 @@
 			return e
 		}
 		So(FailedRecoveries(history("read", "write")), ShouldBeEmpty)
-		for _, gone := range []func(standin.Event) bool{
+		for _, isRemoved := range []func(standin.Event) bool{
 			func(event standin.Event) bool { return event.Kind == "write" && event.SentAt > nanos(6000) },
 			func(event standin.Event) bool { return event.SentAt > nanos(21000) && event.SentAt < nanos(24000) },
 		} {
 			e := history("read", "write")
-			e.Events = slices.DeleteFunc(e.Events, gone)
+			e.Events = slices.DeleteFunc(e.Events, isRemoved)
 			So(FailedRecoveries(e), ShouldNotBeEmpty)
 		}
 	})
@@ -126,7 +126,7 @@
 
 func TestCutRequests(t *testing.T) {
 	Convey("A commit that took effect is told from a request to a process that was stopped", t, func() {
-		evidence := soundEvidence()
+		evidence := validEvidence()
 		evidence.Restarts = []Restart{{Address: "x", From: nanos(0), Until: nanos(100)}}
 		evidence.Events = append(evidence.Events, standin.Event{Address: "x", Kind: "set", Outcome: "cut", SentAt: nanos(5), AnsweredAt: nanos(6)})
 		So(CutRequests(evidence), ShouldBeEmpty)
@@ -138,17 +138,17 @@
 
 func TestInconsistentSets(t *testing.T) {
 	Convey("Sets: each way in which one may be lost, doubled, mixed up or put out of order is caught", t, func() {
-		booked := func(id, content string, due int64) SubmittedSet {
+		scheduledSet := func(id, content string, due int64) SubmittedSet {
 			return SubmittedSet{ID: id, Content: content, Scheduled: true, EffectiveAt: nanos(due)}
 		}
-		sound := Evidence{
-			SubmittedSets: []SubmittedSet{{ID: "one", Content: "a"}, {ID: "bad", Content: "x"}, booked("two", "b", 2000), booked("three", "c", 1000)},
+		valid := Evidence{
+			SubmittedSets: []SubmittedSet{{ID: "one", Content: "a"}, {ID: "bad", Content: "x"}, scheduledSet("two", "b", 2000), scheduledSet("three", "c", 1000)},
 			SetAnswers:    []SetAnswer{{ID: "one", Sequence: 1, At: nanos(1)}, {ID: "bad", Refused: true}, {ID: "two", At: nanos(2)}, {ID: "three", At: nanos(3)}},
 			ServedSets:    []ServedSet{{Node: "d1", Sequence: 1, Content: "a"}, {Node: "d1", Sequence: 2, Content: "c"}, {Node: "d2", Sequence: 3, Content: "b"}},
 			End:           nanos(9000),
 		}
-		So(InconsistentSets(sound), ShouldBeEmpty)
-		for _, spoil := range []func(*Evidence){
+		So(InconsistentSets(valid), ShouldBeEmpty)
+		for _, corrupt := range []func(*Evidence){
 			func(e *Evidence) { e.ServedSets = e.ServedSets[1:2]; e.SetAnswers[0].Sequence = 5 },
 			func(e *Evidence) { e.ServedSets[0].Sequence = 7 },
 			func(e *Evidence) {
@@ -163,21 +163,21 @@
 			func(e *Evidence) { e.ServedSets = e.ServedSets[:2] },
 			func(e *Evidence) { e.ServedSets[1].Content, e.ServedSets[2].Content = "b", "c" },
 		} {
-			spoiled := sound
-			spoiled.SetAnswers, spoiled.ServedSets = slices.Clone(sound.SetAnswers), slices.Clone(sound.ServedSets)
-			spoil(&spoiled)
-			So(InconsistentSets(spoiled), ShouldNotBeEmpty)
+			corrupted := valid
+			corrupted.SetAnswers, corrupted.ServedSets = slices.Clone(valid.SetAnswers), slices.Clone(valid.ServedSets)
+			corrupt(&corrupted)
+			So(InconsistentSets(corrupted), ShouldNotBeEmpty)
 		}
 	})
 }
 
 func TestIgnoredChanges(t *testing.T) {
 	Convey("A set that is taken and then ignored for 3 s is caught, and one that comes early", t, func() {
-		evidence := soundEvidence()
+		evidence := validEvidence()
 		evidence.AcceptedSets = []AcceptedSet{{Sequence: 2, AcknowledgedAt: nanos(0)}}
 		evidence.Events = append(evidence.Events, standin.Event{Kind: "read", SentAt: nanos(3100), AnsweredAt: nanos(3110), Sequence: 1})
 		So(IgnoredChanges(evidence), ShouldNotBeEmpty)
-		early := soundEvidence()
+		early := validEvidence()
 		early.AcceptedSets = []AcceptedSet{{Sequence: 1, AcknowledgedAt: 0, EffectiveAt: nanos(500)}}
 		So(IgnoredChanges(early), ShouldNotBeEmpty)
 	})
--- a/test/history/sessions.go
+++ b/test/history/sessions.go
@@ -95,9 +95,9 @@
 		}
 	}
 	var found violations
-	for sought, count := range executed {
-		if count > sent[sought] {
-			found.add("%q ran %d times, sent %d times", sought.requestID+" "+sought.text, count, sent[sought])
+	for key, count := range executed {
+		if count > sent[key] {
+			found.add("%q ran %d times, sent %d times", key.requestID+" "+key.text, count, sent[key])
 		}
 	}
 	return found
--- a/test/linehistory/commits.go
+++ b/test/linehistory/commits.go
@@ -25,13 +25,13 @@
 	refusals := map[string]string{}
 	for _, query := range h.Queries {
 		if PromisesNoEffect(query.Code) {
-			refusals[query.unit()] = query.Code
+			refusals[query.atomicUnit()] = query.Code
 		}
 	}
 	var found violations
 	committed := h.committedPositions()
 	for _, query := range h.Queries {
-		code, refused := refusals[query.unit()]
+		code, refused := refusals[query.atomicUnit()]
 		if position, kept := committed[query.ID]; refused && kept {
 			found.add("%s was promised away by %s, yet is kept at %v", query.ID, code, position)
 		}
@@ -39,8 +39,8 @@
 	return found
 }
 
-// unit names what takes effect as one: the transaction, or the query alone.
-func (q Query) unit() string { return cmp.Or(q.Transaction, q.ID) }
+// atomicUnit names what takes effect as one: the transaction, or the query alone.
+func (q Query) atomicUnit() string { return cmp.Or(q.Transaction, q.ID) }
 
 // OldPrimaryCommits finds commits that were acknowledged to their clients
 // although another instance had been promoted before.
--- a/test/linehistory/history_test.go
+++ b/test/linehistory/history_test.go
@@ -11,8 +11,8 @@
 
 const ms = time.Millisecond
 
-// soundHistory gives a history in which every rule is kept.
-func soundHistory() History {
+// validHistory gives a history in which every rule is kept.
+func validHistory() History {
 	values := map[string]string{"app": "1"}
 	at := func(number uint64) Position { return Position{1, number} }
 	return History{
@@ -50,8 +50,8 @@
 
 // plantedViolations each break one rule in a sound history.
 var plantedViolations = []struct {
-	rule, what string
-	plant      func(*History)
+	rule, description string
+	plant             func(*History)
 }{
 	{"UNASKED", "a statement under an id that nobody sent", func(h *History) { h.Executions[0].ID = "other" }},
 	{"UNASKED", "a text with one byte changed", func(h *History) { h.Executions[0].Text = "PUT a  1" }},
@@ -68,9 +68,9 @@
 	{"PINNED", "two transactions in one", func(h *History) {
 		other := h.Queries[3]
 		other.ID, other.Transaction = "t9", "s9.1"
-		ran := h.Executions[3]
-		ran.ID = "t9"
-		h.Queries, h.Executions = append(h.Queries, other), append(h.Executions, ran)
+		execution := h.Executions[3]
+		execution.ID = "t9"
+		h.Queries, h.Executions = append(h.Queries, other), append(h.Executions, execution)
 	}},
 	{"PINNED", "values that are not the client's", func(h *History) { h.Executions[1].Values = nil }},
 	{"PINNED", "values of another", func(h *History) { h.Executions[0].Values = map[string]string{"app": "9"} }},
@@ -112,33 +112,33 @@
 
 func TestEachRule(t *testing.T) {
 	Convey("A sound history keeps every rule", t, func() {
-		So(Violations(soundHistory()), ShouldBeEmpty)
+		So(Violations(validHistory()), ShouldBeEmpty)
 	})
 	Convey("Each rule's checker sees what breaks it", t, func() {
-		seen := map[string]bool{}
+		checkedRules := map[string]bool{}
 		for _, planted := range plantedViolations {
-			history := soundHistory()
+			history := validHistory()
 			planted.plant(&history)
-			seen[planted.rule] = true
-			SoMsg(planted.rule+": "+planted.what, Rules()[planted.rule](history), ShouldNotBeEmpty)
+			checkedRules[planted.rule] = true
+			SoMsg(planted.rule+": "+planted.description, Rules()[planted.rule](history), ShouldNotBeEmpty)
 		}
-		So(slices.Sorted(maps.Keys(seen)), ShouldResemble, slices.Sorted(maps.Keys(Rules())))
+		So(slices.Sorted(maps.Keys(checkedRules)), ShouldResemble, slices.Sorted(maps.Keys(Rules())))
 	})
 	Convey("What the rules leave out is not counted", t, func() {
-		history := soundHistory()
+		history := validHistory()
 		history.QuietSpans = nil
 		history.Queries[1].Cut = true
 		So(LostCommits(history), ShouldBeEmpty)
-		history = soundHistory()
+		history = validHistory()
 		history.Queries[6].Cut = true
 		So(LostCommits(history), ShouldBeEmpty)
-		history = soundHistory()
+		history = validHistory()
 		history.Executions[4].LeavingAcknowledged, history.Executions[4].At = 1*ms, 8000*ms
 		So(WorkAfterLeaving(history), ShouldBeEmpty)
-		history = soundHistory()
+		history = validHistory()
 		history.Queries[7].Sent, history.Queries[7].Answered, history.Queries[7].Host = 1500*ms, 1600*ms, "gone"
 		So(WrongConfiguration(history), ShouldBeEmpty)
-		history = soundHistory()
+		history = validHistory()
 		history.Logs["s"], history.Executions[1].LogEnd = history.Logs["s"][1:], Position{}
 		So(StaleReads(history), ShouldBeEmpty)
 	})
--- a/test/linehistory/reads.go
+++ b/test/linehistory/reads.go
@@ -64,8 +64,8 @@
 	}
 	queries := h.queriesByID()
 	for _, execution := range h.Executions {
-		query, known := queries[execution.ID]
-		if known && execution.Act == ActRead && query.succeeded() && query.Stamp == execution.Stamp {
+		query, sent := queries[execution.ID]
+		if sent && execution.Act == ActRead && query.succeeded() && query.Stamp == execution.Stamp {
 			checker.checkRead(execution, query)
 		}
 	}
--- a/test/linehistory/statements.go
+++ b/test/linehistory/statements.go
@@ -12,9 +12,9 @@
 	var found violations
 	queries := h.queriesByID()
 	for _, execution := range h.Executions {
-		query, known := queries[execution.ID]
-		same := known && execution.Act == query.Act && execution.Text == query.Text && execution.Shape == query.Shape && execution.Rest == query.Rest
-		if !same {
+		query, sent := queries[execution.ID]
+		matches := sent && execution.Act == query.Act && execution.Text == query.Text && execution.Shape == query.Shape && execution.Rest == query.Rest
+		if !matches {
 			found.add("%s ran %s %q %q %q as %s, of which a client sent %q", execution.Instance, execution.Act, execution.Text, execution.Shape, execution.Rest, execution.ID, query.Text)
 		}
 	}
@@ -76,7 +76,7 @@
 	queries := h.queriesByID()
 	checker := &sessionChecker{places: map[string]string{}, owners: map[string]string{}}
 	for _, execution := range h.Executions {
-		if query, known := queries[execution.ID]; known {
+		if query, sent := queries[execution.ID]; sent {
 			checker.checkTransaction(execution, query)
 			checker.checkState(execution, query)
 		}
--- a/test/messagesize/gossip_test.go
+++ b/test/messagesize/gossip_test.go
@@ -37,9 +37,9 @@
 	return membership.Gossip{}, false
 }
 
-// gossipOfRestartsSize measures a heartbeat sent after all other nodes have
+// restartGossipSize measures a heartbeat sent after all other nodes have
 // restarted.
-func gossipOfRestartsSize(count int) int {
+func restartGossipSize(count int) int {
 	machine, now := newMember(count), time.Hour
 	var last membership.Gossip
 	for round := range rounds {
@@ -56,9 +56,9 @@
 	return encodedSize(last)
 }
 
-// restingFleet is one node's machine in a fleet in which nothing changes. Those
+// idleFleet is one node's machine in a fleet in which nothing changes. Those
 // that it watches, and its first seed, send it heartbeats.
-type restingFleet struct {
+type idleFleet struct {
 	machine   *membership.Machine
 	senders   []model.Node
 	now       time.Duration
@@ -70,8 +70,8 @@
 // settleRounds is how many heartbeats pass until a fleet is at rest.
 const settleRounds = 8
 
-func newRestingFleet(count int) *restingFleet {
-	fleet := &restingFleet{machine: newMember(count), now: time.Hour, heartbeat: 1}
+func newIdleFleet(count int) *idleFleet {
+	fleet := &idleFleet{machine: newMember(count), now: time.Hour, heartbeat: 1}
 	fleet.machine.Step(membership.GossipReceived{Gossip: completeGossip(count, 1)}, fleet.now)
 	seed := proxyNodes(count, 0)[1]
 	fleet.senders = []model.Node{seed}
@@ -89,7 +89,7 @@
 }
 
 // step passes an event to the machine and returns what it sent, if anything.
-func (f *restingFleet) step(event membership.Event) (membership.Gossip, bool) {
+func (f *idleFleet) step(event membership.Event) (membership.Gossip, bool) {
 	gossip, ok := firstSent(f.machine.Step(event, f.now))
 	if ok {
 		f.digest = gossip.Digest
@@ -97,13 +97,13 @@
 	return gossip, ok
 }
 
-func (f *restingFleet) received(node model.Node, reply bool) membership.GossipReceived {
+func (f *idleFleet) received(node model.Node, reply bool) membership.GossipReceived {
 	from := model.Node{Name: node.Name, Incarnation: node.Incarnation, Heartbeat: f.heartbeat, Left: node.Left}
 	return membership.GossipReceived{Gossip: membership.Gossip{From: from, Digest: f.digest, Reply: reply}}
 }
 
 // advance passes one heartbeat interval, in which each sender's heartbeat arrives.
-func (f *restingFleet) advance() {
+func (f *idleFleet) advance() {
 	f.heartbeat++
 	f.now += membership.DefaultTiming().HeartbeatInterval
 	for _, node := range f.senders {
@@ -111,8 +111,8 @@
 	}
 }
 
-func heartbeatAtRestSize(count int) int {
-	fleet := newRestingFleet(count)
+func idleHeartbeatSize(count int) int {
+	fleet := newIdleFleet(count)
 	var last membership.Gossip
 	for range rounds {
 		fleet.advance()
@@ -124,14 +124,14 @@
 	return encodedSize(last)
 }
 
-func answerAtRestSize(count int) int {
-	fleet := newRestingFleet(count)
+func idleReplySize(count int) int {
+	fleet := newIdleFleet(count)
 	var last membership.Gossip
 	for range rounds {
 		fleet.heartbeat++
-		answer, ok := fleet.step(fleet.received(fleet.senders[0], false))
+		reply, ok := fleet.step(fleet.received(fleet.senders[0], false))
 		So(ok, ShouldBeTrue)
-		last = answer
+		last = reply
 	}
 	return encodedSize(last)
 }
--- a/test/messagesize/size_test.go
+++ b/test/messagesize/size_test.go
@@ -35,7 +35,7 @@
 		small, large int
 		maxPerUnit   int
 	}{
-		{"gossip for each restarted node", gossipOfRestartsSize, 30, 60, 110},
+		{"gossip for each restarted node", restartGossipSize, 30, 60, 110},
 		{"a node's complete request for each instance", requestSize, 30, 300, 120},
 		{"an update for each database", updateSize, 10, 100, 260},
 		{"the state file for each database", stateFileSize, 10, 100, 800},
@@ -51,13 +51,13 @@
 	}
 }
 
-// maxDifferenceAtRest is how far, in bytes, two messages at rest may differ.
-const maxDifferenceAtRest = 60
+// maxIdleDifference is how far, in bytes, two messages at rest may differ.
+const maxIdleDifference = 60
 
 func TestGossipAtRest(t *testing.T) {
 	Convey("A heartbeat and its answer at rest carry no other node, so their bytes do not grow with the fleet", t, func() {
-		for _, size := range []func(int) int{heartbeatAtRestSize, answerAtRestSize} {
-			So(size(120)-size(30), ShouldBeBetween, -maxDifferenceAtRest, maxDifferenceAtRest)
+		for _, size := range []func(int) int{idleHeartbeatSize, idleReplySize} {
+			So(size(120)-size(30), ShouldBeBetween, -maxIdleDifference, maxIdleDifference)
 		}
 	})
 }
--- a/test/modelcheck/encode.go
+++ b/test/modelcheck/encode.go
@@ -84,10 +84,10 @@
 
 func (e *encoder) messages(list []message) {
 	e.number(uint64(len(list)))
-	for _, one := range list {
-		e.text(one.from)
-		e.text(one.to)
-		e.value(one.body)
+	for _, sent := range list {
+		e.text(sent.from)
+		e.text(sent.to)
+		e.value(sent.body)
 	}
 }
 
@@ -199,13 +199,13 @@
 // structPlans has the plans by type. Searches that run at once share it.
 var structPlans sync.Map
 
-func structPlanOf(of reflect.Type) *structPlan {
-	if plan, known := structPlans.Load(of); known {
+func structPlanOf(typ reflect.Type) *structPlan {
+	if plan, cached := structPlans.Load(typ); cached {
 		return plan.(*structPlan)
 	}
-	plan := &structPlan{name: of.Name()}
-	for index := range of.NumField() {
-		name := of.Name() + "." + of.Field(index).Name
+	plan := &structPlan{name: typ.Name()}
+	for index := range typ.NumField() {
+		name := typ.Name() + "." + typ.Field(index).Name
 		if relativeFields[name] {
 			plan.relative = append(plan.relative, index)
 		}
@@ -213,6 +213,6 @@
 			plan.fields = append(plan.fields, index)
 		}
 	}
-	structPlans.Store(of, plan)
+	structPlans.Store(typ, plan)
 	return plan
 }
--- a/test/modelcheck/encode_test.go
+++ b/test/modelcheck/encode_test.go
@@ -11,17 +11,17 @@
 )
 
 // structTypes adds a type, and those within, by name.
-func structTypes(of reflect.Type, types map[string]reflect.Type) {
-	hasElement := of.Kind() == reflect.Pointer || of.Kind() == reflect.Slice || of.Kind() == reflect.Map
+func structTypes(typ reflect.Type, types map[string]reflect.Type) {
+	hasElement := typ.Kind() == reflect.Pointer || typ.Kind() == reflect.Slice || typ.Kind() == reflect.Map
 	if hasElement {
-		structTypes(of.Elem(), types)
+		structTypes(typ.Elem(), types)
 	}
-	if of.Kind() != reflect.Struct || types[of.Name()] != nil {
+	if typ.Kind() != reflect.Struct || types[typ.Name()] != nil {
 		return
 	}
-	types[of.Name()] = of
-	for index := range of.NumField() {
-		structTypes(of.Field(index).Type, types)
+	types[typ.Name()] = typ
+	for index := range typ.NumField() {
+		structTypes(typ.Field(index).Type, types)
 	}
 }
 
--- a/test/modelcheck/host.go
+++ b/test/modelcheck/host.go
@@ -56,8 +56,8 @@
 	return &other
 }
 
-// works says whether no fault holds the node up.
-func (h *host) works() bool { return h.running && !h.frozen && !h.isolated && !h.diskHung }
+// isOperational says whether no fault holds the node up.
+func (h *host) isOperational() bool { return h.running && !h.frozen && !h.isolated && !h.diskHung }
 
 // key names the state of the host at a moment.
 func (h *host) key(now time.Duration) Key {
--- a/test/modelcheck/invariants.go
+++ b/test/modelcheck/invariants.go
@@ -60,9 +60,9 @@
 
 // checkRecord checks that an epoch has one record.
 func (w *world) checkRecord(h *host, record consensus.Record) {
-	known, exists := w.records[record.Epoch]
-	if exists && known != record {
-		w.violate("epoch %d has two records: %v, and at %s %v", record.Epoch, known, h.name, record)
+	recorded, exists := w.records[record.Epoch]
+	if exists && recorded != record {
+		w.violate("epoch %d has two records: %v, and at %s %v", record.Epoch, recorded, h.name, record)
 	}
 	if !exists {
 		w.records = maps.Clone(w.records)
--- a/test/modelcheck/modelcheck.go
+++ b/test/modelcheck/modelcheck.go
@@ -57,7 +57,7 @@
 			break
 		}
 		key, remaining := w.key(), w.remaining()
-		if before, known := visited[key]; known && before.covers(remaining) {
+		if earlier, wasVisited := visited[key]; wasVisited && earlier.covers(remaining) {
 			continue
 		}
 		visited[key] = remaining
--- a/test/modelcheck/world.go
+++ b/test/modelcheck/world.go
@@ -204,7 +204,7 @@
 	}
 	return record.Backup != "" && !slices.ContainsFunc(record.Voters.Names(), func(name string) bool {
 		h := w.hosts[w.find(name)]
-		return !h.works() || !h.machine.IsMember() || h.machine.Record() != record
+		return !h.isOperational() || !h.machine.IsMember() || h.machine.Record() != record
 	})
 }
 
