--- a/test/history/availability.go
+++ b/test/history/availability.go
@@ -8,28 +8,30 @@
 )
 
 const (
-	// recoveryTimeout is how long after the end of a fault service may be
-	// below its level, recoveryWindow the span over which it is measured.
+	// recoveryTimeout is how long service may stay below its previous level after
+	// a fault has ended. recoveryWindow is the span over which the level is
+	// measured.
 	recoveryTimeout = int64(12 * time.Second)
 	recoveryWindow  = int64(2500 * time.Millisecond)
-	// minRecoveryLevel is the number of requests in a window before the fault
-	// from which on the level is judged.
+	// minRecoveryLevel is the minimum number of requests per window before the
+	// fault. Recovery is not checked below that level.
 	minRecoveryLevel = 12
-	// minRecoveredFraction is the part of the level before that must be
-	// served again.
+	// minRecoveredFraction is the fraction of the level before the fault that
+	// must be served after it.
 	minRecoveredFraction = 1.0 / 4
-	// shortDeadlineMS is the deadline below which a request may fail by it.
+	// shortDeadlineMS is the deadline, in milliseconds, below which a request may
+	// fail because its deadline expires.
 	shortDeadlineMS = 1000
-	// noSuchSessionError begins the error of a request that came to a node
-	// without its session.
+	// noSuchSessionError is the prefix of the error of a request that was sent to
+	// a node that does not hold the session.
 	noSuchSessionError = "no such session here"
 )
 
-// workClasses names the class of work of each kind of request whose level of
-// service is judged.
+// workClasses holds the class of work for each kind of request whose level of
+// service is checked.
 var workClasses = map[string]string{KindRead: "reads", KindWrite: "writes", KindCommit: "transactions"}
 
-// Rate gives the requests served per second in a span.
+// Rate returns the number of requests served per second between from and until.
 func Rate(events []standin.Event, from, until int64) float64 {
 	count := 0
 	for _, event := range events {
@@ -53,8 +55,8 @@
 	return count
 }
 
-// FailedRecoveries finds faults that have ended after which, for a database
-// and a class of work, service stays too far below its level before.
+// FailedRecoveries finds ended faults after which, for a database and a class of
+// work, the service level stays below minRecoveredFraction of the level before.
 func FailedRecoveries(e Evidence) []string {
 	byClass := map[string]servedTimes{}
 	end := int64(0)
@@ -74,8 +76,9 @@
 	return found
 }
 
-// checkRecovery looks at windows, each a third of a window after the last, up
-// to the end of the run; the first one is looked at in any case.
+// checkRecovery checks windows up to the end of the run. Each window begins a
+// third of a window length after the previous one. The first window is always
+// checked, even if it extends past the end of the run.
 func (f ClosedFault) checkRecovery(class string, served servedTimes, end int64, found *violations) {
 	before := served.countBetween(f.BeforeFrom, f.BeforeUntil) / float64(f.BeforeUntil-f.BeforeFrom) * float64(recoveryWindow)
 	if before < minRecoveryLevel {
@@ -85,29 +88,30 @@
 	for from := first; from == first || from+recoveryWindow <= end; from += recoveryWindow / 3 {
 		after := served.countBetween(from, from+recoveryWindow)
 		if after < before*minRecoveredFraction {
-			found.add("%s: %s: %.0f in a window before, %.0f in the one that begins %d ms after", f.Name, class, before, after, milliseconds(from-f.At))
+			found.add("%s: %s: %.0f requests in a window before the fault, %.0f in the window that begins %d ms after it", f.Name, class, before, after, milliseconds(from-f.At))
 			return
 		}
 	}
 }
 
-// QuietRefusals finds requests that were refused, cut off or of unknown
-// outcome although there was no fault: a fleet is not safe by doing nothing.
+// QuietRefusals finds requests that were refused, were cut off or have an
+// unknown outcome although there was no fault. Without this rule, a fleet that
+// refuses all work would pass the safety rules.
 func QuietRefusals(e Evidence) []string {
 	var found violations
 	for _, span := range e.QuietSpans {
 		for _, event := range e.Events {
 			during := event.SentAt >= span.From && event.AnsweredAt < span.Until && event.AnsweredAt > 0
 			if during && !isServed(event) && !mayFail(event) {
-				found.add("%s of %s: %s (%s) in a calm of the fleet", event.Kind, event.Caller, event.Outcome, event.Error)
+				found.add("%s request of %s: %s (%s) while there was no fault", event.Kind, event.Caller, event.Outcome, event.Error)
 			}
 		}
 	}
 	return found
 }
 
-// mayFail reports whether a request may fail by what its caller, or the run,
-// did to it.
+// mayFail reports whether a request is allowed to fail because of an action of
+// its caller or of the run.
 func mayFail(event standin.Event) bool {
 	shortDeadline := event.DeadlineMS != 0 && event.DeadlineMS < shortDeadlineMS
 	sentElsewhere := event.Retry || strings.HasPrefix(event.Error, noSuchSessionError)
--- a/test/history/commits.go
+++ b/test/history/commits.go
@@ -20,7 +20,7 @@
 }
 
 // RefusedButKept finds requests that took effect although the last answer to
-// their caller was that they had not, or although their transaction was never
+// the caller stated that they did not, or although their transaction was never
 // committed.
 func RefusedButKept(e Evidence) []string {
 	var found violations
@@ -33,7 +33,7 @@
 			}
 			for _, id := range requestIDs(event) {
 				if positions := effects[id]; id != "" && len(positions) > 0 {
-					found.add("%s: %s told %s (%s), kept at %v", database, id, event.Outcome, event.Error, positions)
+					found.add("%s: %s was answered %s (%s), but is committed at %v", database, id, event.Outcome, event.Error, positions)
 				}
 			}
 		}
@@ -41,8 +41,8 @@
 	return found
 }
 
-// LostCommits finds requests acknowledged as committed that the final log
-// lacks, or has at another position than was acknowledged.
+// LostCommits finds requests that were acknowledged as committed, but that the
+// final log lacks or holds at a position other than the acknowledged one.
 func LostCommits(e Evidence) []string {
 	var found violations
 	for database := range e.Logs {
@@ -50,7 +50,7 @@
 		for _, event := range e.acknowledgedCommits(database) {
 			for _, id := range requestIDs(event) {
 				if !slices.Contains(effects[id], event.Position) {
-					found.add("%s: %s told kept at %v, found at %v", database, id, event.Position, effects[id])
+					found.add("%s: %s was acknowledged at %v, but found at %v", database, id, event.Position, effects[id])
 				}
 			}
 		}
@@ -58,8 +58,8 @@
 	return found
 }
 
-// acknowledgedCommits gives the requests whose callers were told that they
-// are committed, in the order of the events.
+// acknowledgedCommits returns the requests that were acknowledged to their
+// callers as committed, in the order of the events.
 func (e Evidence) acknowledgedCommits(database string) []standin.Event {
 	var commits []standin.Event
 	for _, event := range e.Events {
@@ -70,14 +70,14 @@
 	return commits
 }
 
-// requestInTerm names a request that ran in a term.
+// requestInTerm identifies a request that ran in a term.
 type requestInTerm struct {
 	id   string
 	term uint64
 }
 
 // OldPrimaryCommits finds commits that were acknowledged in a term although
-// they were sent, or ran, after an instance had been promoted to a later one.
+// they were sent, or ran, after an instance had been promoted in a later term.
 func OldPrimaryCommits(e Evidence) []string {
 	promoted := e.promotionTimes()
 	lastRun := e.lastRunTimes()
@@ -90,14 +90,15 @@
 			sentLate := !event.Retry && event.SentAt > at
 			executedLate := lastRun[requestInTerm{event.RequestID, event.Position.Term}] > at
 			if term > event.Position.Term && (sentLate || executedLate) {
-				found.add("%s: %s kept in term %d after the promotion to term %d", event.Database, event.RequestID, event.Position.Term, term)
+				found.add("%s: %s was committed in term %d after the promotion in term %d", event.Database, event.RequestID, event.Position.Term, term)
 			}
 		}
 	}
 	return found
 }
 
-// promotionTimes gives, by database and term, when an instance was promoted.
+// promotionTimes returns, by database and term, the time at which an instance
+// was promoted.
 func (e Evidence) promotionTimes() map[string]map[uint64]int64 {
 	promoted := map[string]map[uint64]int64{}
 	for _, execution := range e.Executions {
--- a/test/history/doc.go
+++ b/test/history/doc.go
@@ -1,11 +1,11 @@
-// Package history checks the recorded history of a run against the safety and
-// liveness rules of the fleet, after the fact. The history comes from the
-// simulator (test/simulation) or from real processes (test/e2e): the requests
-// as callers saw them, the statements as instances ran them, and the logs as
-// they stand at the end.
+// Package history checks the recorded history of a finished run against the
+// safety and liveness rules of the fleet. The history comes from the simulator
+// (test/simulation) or from real processes (test/e2e). It consists of the
+// requests with the answers that callers received, the statements that
+// instances ran, and the instances' logs at the end of the run.
 //
 // The package shares no code with the product, so that an error in the
-// product's own reasoning cannot hide here as well.
+// product's logic is not repeated in the checks.
 //
 // Times are in nanoseconds on one clock for the whole run.
 package history
--- a/test/history/evidence.go
+++ b/test/history/evidence.go
@@ -19,8 +19,9 @@
 	KindRollback = "rollback"
 )
 
-// Outcomes of requests. OutcomeLeft is that of a transaction which its caller
-// abandoned, OutcomeCut that of a request without an answer.
+// Outcomes of requests. OutcomeLeft is the outcome of a transaction that its
+// caller abandoned. OutcomeCut is the outcome of a request that received no
+// answer.
 const (
 	OutcomeRead    = "read"
 	OutcomeDone    = "done"
@@ -31,53 +32,55 @@
 	OutcomeLeft    = "left"
 )
 
-// Acts of executions that are not callers' statements.
+// Actions of executions that are not callers' statements.
 const (
 	ActCommit  = "commit"
 	ActPromote = "promote"
 )
 
-// ErrorResetByRun is the error of a request whose connection the run itself
-// reset at the caller's end.
+// ErrorResetByRun is the error of a request whose connection was reset at the
+// caller's end by the run itself.
 const ErrorResetByRun = "reset by the run"
 
-// Evidence is all that a run left behind.
+// Evidence is everything that was recorded of a run.
 type Evidence struct {
 	Events []standin.Event
-	// Logs holds, by database and instance, the log as it stands at the end.
+	// Logs holds, by database and instance, the log at the end of the run.
 	Logs map[string]map[string][]standin.Entry
-	// Writers names, by database, the primary at the end.
+	// Writers holds, by database, the name of the primary at the end of the run.
 	Writers map[string]string
-	// Executions are the statements as the instances ran them.
+	// Executions are the statements that the instances ran.
 	Executions   []standin.Execution
 	AcceptedSets []AcceptedSet
-	// Restarts are the planned ones only.
+	// Restarts holds planned restarts only.
 	Restarts     []Restart
 	ClosedFaults []ClosedFault
-	// SubmittedSets are the sets that operators sent, SetAnswers the answers
-	// that they received, ServedSets the sets that nodes served under.
+	// SubmittedSets are the binding sets that operators sent, SetAnswers are
+	// the answers that operators received, and ServedSets are the sets under
+	// which nodes served requests.
 	SubmittedSets []SubmittedSet
 	SetAnswers    []SetAnswer
 	ServedSets    []ServedSet
-	// End is when the run was over.
+	// End is the time at which the run ended.
 	End int64
-	// QuietSpans are the parts of the run without any fault.
+	// QuietSpans are the spans of the run without any fault.
 	QuietSpans []Span
 }
 
-// Span is a part of a run.
+// Span is a time span of a run.
 type Span struct{ From, Until int64 }
 
-// AcceptedSet is a set that the fleet acknowledged.
+// AcceptedSet is a binding set that the fleet acknowledged.
 type AcceptedSet struct {
 	Sequence       uint64
 	AcknowledgedAt int64
-	// EffectiveAt is when a scheduled set was to take effect; 0 for one that
-	// takes effect at once.
+	// EffectiveAt is the time at which a scheduled set must take effect. It is
+	// 0 for a set that takes effect at once.
 	EffectiveAt int64
 }
 
-// SubmittedSet is a set that an operator sent. A repeat has the same ID.
+// SubmittedSet is a binding set that an operator sent. A repeated submission
+// has the same ID.
 type SubmittedSet struct {
 	ID          string
 	Content     string
@@ -86,8 +89,9 @@
 	At          int64
 }
 
-// SetAnswer is the answer to an operator: accepted under a sequence (a
-// scheduled set has none yet), or refused.
+// SetAnswer is the answer to an operator who submitted a set. The set was either
+// refused, or accepted under a sequence number. A scheduled set has no sequence
+// number yet when it is accepted.
 type SetAnswer struct {
 	ID       string
 	At       int64
@@ -95,7 +99,7 @@
 	Refused  bool
 }
 
-// ServedSet is a set that a node served under.
+// ServedSet is a set under which a node served requests.
 type ServedSet struct {
 	Node     string
 	Sequence uint64
@@ -103,27 +107,27 @@
 	At       int64
 }
 
-// Restart is a planned restart of a node, which listens at Address.
+// Restart is a planned restart of the node that listens at Address.
 type Restart struct {
 	Address     string
 	From, Until int64
 }
 
-// ClosedFault is a fault that has ended, with a span before it in which the
-// level of service was normal.
+// ClosedFault is a fault that has ended. Service was normal in the span from
+// BeforeFrom until BeforeUntil, before the fault.
 type ClosedFault struct {
 	Name                    string
 	BeforeFrom, BeforeUntil int64
-	// At is when the machines were back.
+	// At is the time at which the machines had returned.
 	At int64
 }
 
-// finalLog gives the log of the database's primary at the end.
+// finalLog returns the log of the database's primary at the end of the run.
 func (e Evidence) finalLog(database string) []standin.Entry {
 	return e.Logs[database][e.Writers[database]]
 }
 
-// effectPositions gives, by request ID, the positions in the final log at
+// effectPositions returns, by request ID, the positions in the final log at
 // which the request took effect.
 func (e Evidence) effectPositions(database string) map[string][]standin.Position {
 	positions := map[string][]standin.Position{}
@@ -139,8 +143,8 @@
 	return a.Term > b.Term || (a.Term == b.Term && a.Index > b.Index)
 }
 
-// isCommitKind reports whether a request of this kind may leave an entry in
-// the log when it is answered.
+// isCommitKind reports whether answering a request of this kind can add an
+// entry to the log.
 func isCommitKind(event standin.Event) bool {
 	return event.Kind == KindWrite || event.Kind == KindCommit
 }
@@ -149,7 +153,8 @@
 	return event.Outcome == OutcomeKept || event.Outcome == OutcomeRead || event.Outcome == OutcomeDone
 }
 
-// requestIDs gives the IDs of a request and of the writes inside it.
+// requestIDs returns the ID of a request and the IDs of the writes in its
+// transaction.
 func requestIDs(event standin.Event) []string {
 	return append([]string{event.RequestID}, event.RequestIDs...)
 }
--- a/test/history/history_test.go
+++ b/test/history/history_test.go
@@ -10,10 +10,10 @@
 	"tansyseam/test/standin"
 )
 
-// nanos gives a time of the run, in nanoseconds, from milliseconds.
+// nanos converts milliseconds to nanoseconds.
 func nanos(ms int64) int64 { return ms * int64(time.Millisecond) }
 
-// validEvidence gives the evidence of a run in which every rule is kept.
+// validEvidence returns the evidence of a run that violates no rule.
 func validEvidence() Evidence {
 	entries := []standin.Entry{
 		{Term: 1, Index: 1, RequestIDs: []string{"s.1"}, Statements: []string{`book "s.1" by ann x`}},
@@ -35,7 +35,8 @@
 	}
 }
 
-// violationByRule breaks, for each rule, that rule in sound evidence.
+// violationByRule holds, for each rule, a function that changes valid evidence so
+// that it violates the rule.
 var violationByRule = map[string]func(*Evidence){
 	"effect once per go": func(e *Evidence) {
 		e.Logs["d"]["a"] = append(e.Logs["d"]["a"], standin.Entry{Term: 1, Index: 3, RequestIDs: []string{"s.1"}})
@@ -87,10 +88,10 @@
 }
 
 func TestCheckersCatchPlantedViolations(t *testing.T) {
-	Convey("A sound history passes every rule", t, func() {
+	Convey("A valid history violates no rule", t, func() {
 		So(Violations(validEvidence()), ShouldBeEmpty)
 	})
-	Convey("Each rule catches the violation planted for it, and has one", t, func() {
+	Convey("Each rule has a planted violation and detects it", t, func() {
 		for _, rule := range Rules() {
 			evidence := validEvidence()
 			violate, found := violationByRule[rule.Name]
@@ -102,7 +103,7 @@
 }
 
 func TestFailedRecoveries(t *testing.T) {
-	Convey("Service that comes back for one kind of work but not for another, or falls again later, is caught", t, func() {
+	Convey("A failed recovery is detected if service returns for one class of work only, or drops again later", t, func() {
 		history := func(kinds ...string) Evidence {
 			e := Evidence{ClosedFaults: []ClosedFault{{Name: "zone", BeforeFrom: nanos(0), BeforeUntil: nanos(3000), At: nanos(6000)}}}
 			for _, kind := range kinds {
@@ -125,7 +126,7 @@
 }
 
 func TestCutRequests(t *testing.T) {
-	Convey("A commit that took effect is told from a request to a process that was stopped", t, func() {
+	Convey("A request that was cut off counts as cut by the restart only if an instance ran it", t, func() {
 		evidence := validEvidence()
 		evidence.Restarts = []Restart{{Address: "x", From: nanos(0), Until: nanos(100)}}
 		evidence.Events = append(evidence.Events, standin.Event{Address: "x", Kind: "set", Outcome: "cut", SentAt: nanos(5), AnsweredAt: nanos(6)})
@@ -137,7 +138,7 @@
 }
 
 func TestInconsistentSets(t *testing.T) {
-	Convey("Sets: each way in which one may be lost, doubled, mixed up or put out of order is caught", t, func() {
+	Convey("A binding set that is lost, duplicated, altered, refused but served, or applied out of order is detected", t, func() {
 		scheduledSet := func(id, content string, due int64) SubmittedSet {
 			return SubmittedSet{ID: id, Content: content, Scheduled: true, EffectiveAt: nanos(due)}
 		}
@@ -172,7 +173,7 @@
 }
 
 func TestIgnoredChanges(t *testing.T) {
-	Convey("A set that is taken and then ignored for 3 s is caught, and one that comes early", t, func() {
+	Convey("A request served under an older set more than 3 s after a newer one was accepted is detected, and so is a scheduled set that takes effect early", t, func() {
 		evidence := validEvidence()
 		evidence.AcceptedSets = []AcceptedSet{{Sequence: 2, AcknowledgedAt: nanos(0)}}
 		evidence.Events = append(evidence.Events, standin.Event{Kind: "read", SentAt: nanos(3100), AnsweredAt: nanos(3110), Sequence: 1})
--- a/test/history/load.go
+++ b/test/history/load.go
@@ -9,12 +9,12 @@
 	"tansyseam/test/standin"
 )
 
-// maxLineBytes bounds one line of a file that an instance wrote.
+// maxLineBytes is the maximum length of a line in a file that an instance wrote.
 const maxLineBytes = 1 << 22
 
-// Load reads what the instances of a run left in their folders; instances
-// gives the database of each. A file that is not there counts as empty, and a
-// line that is cut short by a crash is passed over.
+// Load reads the files that the instances of a run wrote to their folders.
+// The map instances holds the database of each instance. A missing file counts
+// as empty, and a line that was truncated by a crash is skipped.
 func Load(folder string, instances map[string]string, events []standin.Event) Evidence {
 	evidence := Evidence{Events: events, Logs: map[string]map[string][]standin.Entry{}, Writers: map[string]string{}}
 	for instance, database := range instances {
@@ -30,7 +30,8 @@
 	return evidence
 }
 
-// furthestLog names the instance whose log ends last.
+// furthestLog returns the name of the instance whose log has the highest last
+// position.
 func furthestLog(logs map[string][]standin.Entry) string {
 	furthest := ""
 	for instance, entries := range logs {
--- a/test/history/reads.go
+++ b/test/history/reads.go
@@ -8,12 +8,12 @@
 	"tansyseam/test/standin"
 )
 
-// commitHistory holds a database's acknowledged commits by the time of their
-// acknowledgement.
+// commitHistory holds the acknowledged commits of a database, ordered by the
+// time of their acknowledgement.
 type commitHistory struct {
 	commits []standin.Event
-	// highWatermarks has, for each commit, the furthest position acknowledged
-	// up to it.
+	// highWatermarks holds, for each commit, the highest position that had been
+	// acknowledged when the commit was acknowledged.
 	highWatermarks []standin.Position
 	byCaller       map[string][]standin.Event
 }
@@ -32,8 +32,8 @@
 	return history
 }
 
-// acknowledgedBefore gives the furthest position that was acknowledged before
-// a time.
+// acknowledgedBefore returns the highest position that was acknowledged before
+// at.
 func (c commitHistory) acknowledgedBefore(at int64) standin.Position {
 	count, _ := slices.BinarySearchFunc(c.commits, at, func(commit standin.Event, at int64) int { return cmp.Compare(commit.AnsweredAt, at) })
 	if count == 0 {
@@ -42,8 +42,9 @@
 	return c.highWatermarks[count-1]
 }
 
-// StaleReads finds reads that miss a commit of their own caller, or one that
-// was acknowledged earlier than the staleness which their binding allows.
+// StaleReads finds reads that miss an earlier commit of their own caller. It
+// also finds reads that miss a commit which was acknowledged longer before the
+// read than the staleness bound of the binding.
 func StaleReads(e Evidence) []string {
 	var found violations
 	for database := range e.Logs {
@@ -60,11 +61,11 @@
 func (c commitHistory) checkRead(read standin.Event, found *violations) {
 	bound := read.SentAt - int64(read.FreshnessMS)*int64(time.Millisecond)
 	if position := c.acknowledgedBefore(bound); isAfter(position, read.AppliedPosition) {
-		found.add("%s: read by %s at %d (bound %d ms) saw %v, but %v was confirmed before", read.Database, read.Caller, read.SentAt, read.FreshnessMS, read.AppliedPosition, position)
+		found.add("%s: read by %s at %d (bound %d ms) observed %v, but %v was acknowledged before", read.Database, read.Caller, read.SentAt, read.FreshnessMS, read.AppliedPosition, position)
 	}
 	for _, own := range c.byCaller[read.Caller] {
 		if own.AnsweredAt < read.SentAt && isAfter(own.Position, read.AppliedPosition) {
-			found.add("%s: %s does not see its own write %s at %v, saw %v", read.Database, read.Caller, own.RequestID, own.Position, read.AppliedPosition)
+			found.add("%s: %s does not observe its own write %s at %v, observed %v", read.Database, read.Caller, own.RequestID, own.Position, read.AppliedPosition)
 		}
 	}
 }
--- a/test/history/rules.go
+++ b/test/history/rules.go
@@ -19,14 +19,14 @@
 	RuleQuietRefusals     = "a calm fleet refuses, or does not know"
 )
 
-// Rule is something that must never happen.
+// Rule describes a condition that must never occur.
 type Rule struct {
 	Name string
-	// Check describes each violation in a history.
+	// Check returns a description of each violation in a history.
 	Check func(Evidence) []string
 }
 
-// Rules lists all rules.
+// Rules returns all rules.
 func Rules() []Rule {
 	return []Rule{
 		{RuleDuplicateEffects, DuplicateEffects},
@@ -45,8 +45,8 @@
 	}
 }
 
-// Violations checks all rules, and gives the violations by the name of the
-// rule. Rules that hold have no entry.
+// Violations checks all rules and returns the violations by rule name. Rules
+// that hold have no entry.
 func Violations(evidence Evidence) map[string][]string {
 	byRule := map[string][]string{}
 	for _, rule := range Rules() {
@@ -57,7 +57,7 @@
 	return byRule
 }
 
-// violations gathers the descriptions of one rule's violations.
+// violations collects the descriptions of one rule's violations.
 type violations []string
 
 func (v *violations) add(format string, parts ...any) {
--- a/test/history/sessions.go
+++ b/test/history/sessions.go
@@ -6,11 +6,12 @@
 	"tansyseam/test/standin"
 )
 
-// SessionSetting is the setting by which callers mark their sessions.
+// SessionSetting is the name of the setting in which callers store an identifier of
+// their session.
 const SessionSetting = "app"
 
-// MixedSessions finds transactions that hold statements of more than one
-// caller, statements that ran under another session's settings, and answers
+// MixedSessions finds transactions that contain statements of more than one
+// caller, statements that ran with another session's settings, and answers
 // that belong to another statement.
 func MixedSessions(e Evidence) []string {
 	var found violations
@@ -30,7 +31,7 @@
 		}
 		caller := callerOf(execution.Text)
 		if owner, ok := owners[execution.Transaction]; ok && owner != caller {
-			found.add("transaction %s holds statements of %s and %s", execution.Transaction, owner, caller)
+			found.add("transaction %s contains statements of %s and %s", execution.Transaction, owner, caller)
 		}
 		owners[execution.Transaction] = caller
 	}
@@ -47,7 +48,7 @@
 		session, ok := execution.Settings[SessionSetting]
 		caller := callerOf(execution.Text)
 		if ok && execution.Action != ActCommit && callerOfSession[session] != caller {
-			found.add("a statement of %s ran under the settings of %s", caller, callerOfSession[session])
+			found.add("a statement of %s ran with the settings of %s", caller, callerOfSession[session])
 		}
 	}
 }
@@ -59,14 +60,14 @@
 		return
 	}
 	if event.ExecutedText != "" && event.ExecutedText != event.Text {
-		found.add("%s asked for %q, and %q was run", event.Caller, event.Text, event.ExecutedText)
+		found.add("%s sent %q, but %q was run", event.Caller, event.Text, event.ExecutedText)
 	}
 	if event.Settings[SessionSetting] != event.ExpectedSetting {
-		found.add("%s read under settings %q, its own are %q", event.Caller, event.Settings[SessionSetting], event.ExpectedSetting)
+		found.add("%s read with setting %q, its own is %q", event.Caller, event.Settings[SessionSetting], event.ExpectedSetting)
 	}
 }
 
-// callerOf gives the caller that is named in a statement's text.
+// callerOf returns the caller that is named in the text of a statement.
 func callerOf(text string) string {
 	_, rest, ok := strings.Cut(text, " by ")
 	if !ok {
@@ -76,7 +77,7 @@
 	return name
 }
 
-// statement is what a caller sends and an instance runs.
+// statement identifies a statement that a caller sends and an instance runs.
 type statement struct{ requestID, text string }
 
 // UnsentStatements finds statements that ran more often than callers sent
--- a/test/history/sets.go
+++ b/test/history/sets.go
@@ -6,20 +6,21 @@
 )
 
 const (
-	// downgradeTolerance is how long after a set has shown effect an older
-	// one may still be served under.
+	// downgradeTolerance is how long requests may still be served under an
+	// older set after a newer set first took effect.
 	downgradeTolerance = int64(250 * time.Millisecond)
-	// changeTimeout is how long after its acknowledgement a set may be
-	// without effect.
+	// changeTimeout is the time within which a set must take effect after it
+	// was acknowledged and due.
 	changeTimeout = int64(3 * time.Second)
-	// setTimeout is how long before the end of a run a set must have been
-	// acknowledged and due for its absence to count.
+	// setTimeout is the minimum time between the moment at which a set was
+	// acknowledged and due and the end of the run. A set that is missing after
+	// less time than that is not a violation.
 	setTimeout = int64(4 * time.Second)
 )
 
 // IgnoredChanges finds requests that were served under an older set although
-// a newer one had shown effect or was acknowledged long enough before, and
-// sets that took effect early.
+// a newer set had already taken effect, or had been acknowledged and due for
+// longer than changeTimeout. It also finds scheduled sets that took effect early.
 func IgnoredChanges(e Evidence) []string {
 	var found violations
 	firstServed := e.firstServedTimes()
@@ -29,7 +30,7 @@
 		}
 		for sequence, at := range firstServed {
 			if sequence > event.Sequence && event.SentAt > at+downgradeTolerance {
-				found.add("%s was served under sequence %d, %d ms after %d had shown effect", event.Caller, event.Sequence, milliseconds(event.SentAt-at), sequence)
+				found.add("%s was served under sequence %d, %d ms after sequence %d took effect", event.Caller, event.Sequence, milliseconds(event.SentAt-at), sequence)
 			}
 		}
 	}
@@ -37,19 +38,19 @@
 		since := max(accepted.AcknowledgedAt, accepted.EffectiveAt)
 		for _, event := range e.Events {
 			if event.Sequence != 0 && event.Sequence < accepted.Sequence && event.SentAt > since+changeTimeout {
-				found.add("%s was served under sequence %d, %d ms after %d was due", event.Caller, event.Sequence, milliseconds(event.SentAt-since), accepted.Sequence)
+				found.add("%s was served under sequence %d, %d ms after sequence %d was due", event.Caller, event.Sequence, milliseconds(event.SentAt-since), accepted.Sequence)
 			}
 		}
 		at, served := firstServed[accepted.Sequence]
 		if served && accepted.EffectiveAt != 0 && at < accepted.EffectiveAt {
-			found.add("sequence %d showed effect %d ms early", accepted.Sequence, milliseconds(accepted.EffectiveAt-at))
+			found.add("sequence %d took effect %d ms early", accepted.Sequence, milliseconds(accepted.EffectiveAt-at))
 		}
 	}
 	return found
 }
 
-// firstServedTimes gives, by sequence, when the first answer under that set
-// was received.
+// firstServedTimes returns, by sequence, the time at which the first answer
+// under that set was received.
 func (e Evidence) firstServedTimes() map[uint64]int64 {
 	first := map[uint64]int64{}
 	for _, event := range e.Events {
@@ -63,14 +64,14 @@
 	return first
 }
 
-// setChecker follows the sets of a run by the ID under which operators sent
-// them.
+// setChecker tracks the sets of a run by the ID that the operator sent with
+// the set.
 type setChecker struct {
 	evidence    Evidence
 	idByContent map[string]string
-	// effectiveAt has the scheduled sets only.
+	// effectiveAt holds the scheduled sets only.
 	effectiveAt map[string]int64
-	// sequences and idBySequence have the sets that were served.
+	// sequences and idBySequence hold the sets that were served.
 	sequences      map[string]uint64
 	idBySequence   map[uint64]string
 	newestSequence uint64
@@ -79,10 +80,12 @@
 	found          violations
 }
 
-// InconsistentSets finds sets that were served but not sent just so, accepted
-// ones that were never served or got another sequence than was acknowledged,
-// refused ones that were served, and scheduled ones that took effect twice,
-// out of order or not at all.
+// InconsistentSets finds the following violations:
+//   - a set was served with content that no operator sent;
+//   - an accepted set was never served, or was served under a sequence other
+//     than the acknowledged one;
+//   - a refused set was served;
+//   - a scheduled set took effect twice, out of order or not at all.
 func InconsistentSets(e Evidence) []string {
 	checker := &setChecker{
 		evidence: e, idByContent: map[string]string{}, effectiveAt: map[string]int64{}, sequences: map[string]uint64{},
@@ -108,14 +111,14 @@
 func (c *setChecker) checkServed(served ServedSet) {
 	id, submitted := c.idByContent[served.Content]
 	if !submitted {
-		c.found.add("%s served under %d, which nobody sent so: %s", served.Node, served.Sequence, served.Content)
+		c.found.add("%s served sequence %d, whose content no operator sent: %s", served.Node, served.Sequence, served.Content)
 		return
 	}
 	if sequence, ok := c.sequences[id]; ok && sequence != served.Sequence {
-		c.found.add("%s is in force as %d and as %d", id, sequence, served.Sequence)
+		c.found.add("%s took effect as sequence %d and as sequence %d", id, sequence, served.Sequence)
 	}
 	if other, ok := c.idBySequence[served.Sequence]; ok && other != id {
-		c.found.add("%d is %s at one node and %s at another", served.Sequence, other, id)
+		c.found.add("sequence %d is %s at one node and %s at another", served.Sequence, other, id)
 	}
 	c.sequences[id], c.idBySequence[served.Sequence] = served.Sequence, id
 	c.newestSequence = max(c.newestSequence, served.Sequence)
@@ -130,19 +133,19 @@
 	sequence, served := c.sequences[answer.ID]
 	effectiveAt, scheduled := c.effectiveAt[answer.ID]
 	if served && !scheduled && sequence != answer.Sequence {
-		c.found.add("%s was taken as %d, in force as %d", answer.ID, answer.Sequence, sequence)
+		c.found.add("%s was accepted as sequence %d, but took effect as %d", answer.ID, answer.Sequence, sequence)
 	}
 	due := c.evidence.End > max(answer.At, effectiveAt)+setTimeout
 	missing := (scheduled && !served) || (!scheduled && c.newestSequence < answer.Sequence)
 	if due && missing {
-		c.found.add("%s was taken as %d, but is not in force (newest %d)", answer.ID, answer.Sequence, c.newestSequence)
+		c.found.add("%s was accepted as sequence %d, but did not take effect (newest %d)", answer.ID, answer.Sequence, c.newestSequence)
 	}
 }
 
 func (c *setChecker) checkRefused() {
 	for id := range c.refused {
 		if sequence, served := c.sequences[id]; served && !c.accepted[id] {
-			c.found.add("%s was refused, yet is in force as %d", id, sequence)
+			c.found.add("%s was refused, but took effect as sequence %d", id, sequence)
 		}
 	}
 }
@@ -154,13 +157,13 @@
 			second, secondServed := c.sequences[other]
 			bothInForce := firstServed && secondServed && c.accepted[id] && c.accepted[other]
 			if bothInForce && effectiveAt < later && first > second && c.acceptedBefore(id, effectiveAt) {
-				c.found.add("%s, due first, landed as %d after %s as %d", id, first, other, second)
+				c.found.add("%s was due first, but took effect as sequence %d, after %s as %d", id, first, other, second)
 			}
 		}
 	}
 }
 
-// acceptedBefore reports whether an answer about the set came before a time.
+// acceptedBefore reports whether the answer to the set was received before at.
 func (c *setChecker) acceptedBefore(id string, at int64) bool {
 	return slices.ContainsFunc(c.evidence.SetAnswers, func(answer SetAnswer) bool { return answer.ID == id && answer.At < at })
 }
--- a/test/linehistory/availability.go
+++ b/test/linehistory/availability.go
@@ -2,15 +2,17 @@
 
 import "time"
 
-// minRecoveredFraction is the part of the level of service before a fault
-// that must be served again after it.
+// minRecoveredFraction is the fraction of the level of service before a fault that
+// must be served after it.
 const minRecoveredFraction = 1.0 / 4
 
-// minSpan keeps the rate over an empty span finite.
+// minSpan is the minimum divisor of a rate, so that the rate over an empty span is
+// finite.
 const minSpan = time.Millisecond
 
-// WorkAfterLeaving finds work that came to an instance long after its leaving
-// had been acknowledged. The later statements of a transaction do not count.
+// WorkAfterLeaving finds work that an instance received more than Bounds.Drain after
+// its announcement that it is leaving was acknowledged. Statements after the first
+// one of a transaction do not count.
 func WorkAfterLeaving(h History) []string {
 	var found violations
 	queries := h.queriesByID()
@@ -18,20 +20,21 @@
 		query := queries[execution.ID]
 		counted := query.Transaction == "" || query.First
 		if counted && execution.LeavingAcknowledged != 0 && execution.At > execution.LeavingAcknowledged+h.Bounds.Drain {
-			found.add("%s ran at %s %v after its leaving was acknowledged", execution.ID, execution.Instance, execution.At-execution.LeavingAcknowledged)
+			found.add("%s ran at %s %v after the instance's announcement that it is leaving was acknowledged", execution.ID, execution.Instance, execution.At-execution.LeavingAcknowledged)
 		}
 	}
 	return found
 }
 
-// FailedRecoveries finds faults after whose end too little is served.
+// FailedRecoveries finds faults after which service stays below
+// minRecoveredFraction of the level before.
 func FailedRecoveries(h History) []string {
 	var found violations
 	for _, fault := range h.ClosedFaults {
 		from := fault.At + h.Bounds.Recover
 		before, after := h.servedPerSecond(fault.Before), h.servedPerSecond(Span{from, h.End})
 		if h.End > from && after < before*minRecoveredFraction {
-			found.add("%.1f a second were served before, %.1f from %v after the machines' return", before, after, h.Bounds.Recover)
+			found.add("%.1f queries per second were served before the fault, %.1f from %v after the machines returned", before, after, h.Bounds.Recover)
 		}
 	}
 	return found
--- a/test/linehistory/commits.go
+++ b/test/linehistory/commits.go
@@ -10,7 +10,7 @@
 		for _, entry := range log {
 			for _, id := range entry.IDs {
 				if earlier, duplicate := positions[id]; duplicate {
-					found.add("%s keeps %s at %v and at %v", service, id, earlier, entry.Position)
+					found.add("%s committed %s at %v and at %v", service, id, earlier, entry.Position)
 				}
 				positions[id] = entry.Position
 			}
@@ -19,8 +19,8 @@
 	return found
 }
 
-// RefusedButKept finds writes that took effect although their client, or that
-// of their transaction, was promised that they have none.
+// RefusedButKept finds writes that took effect although the answer to the write, or
+// to a statement of its transaction, guaranteed that they have no effect.
 func RefusedButKept(h History) []string {
 	refusals := map[string]string{}
 	for _, query := range h.Queries {
@@ -33,13 +33,14 @@
 	for _, query := range h.Queries {
 		code, refused := refusals[query.atomicUnit()]
 		if position, kept := committed[query.ID]; refused && kept {
-			found.add("%s was promised away by %s, yet is kept at %v", query.ID, code, position)
+			found.add("%s was refused with %s, but is committed at %v", query.ID, code, position)
 		}
 	}
 	return found
 }
 
-// atomicUnit names what takes effect as one: the transaction, or the query alone.
+// atomicUnit returns the ID of the unit that takes effect atomically: the
+// transaction, or the query if it is outside a transaction.
 func (q Query) atomicUnit() string { return cmp.Or(q.Transaction, q.ID) }
 
 // OldPrimaryCommits finds commits that were acknowledged to their clients
@@ -53,7 +54,7 @@
 		}
 		for _, promotion := range h.Promotions {
 			if promotion.supersedes(execution) {
-				found.add("%s was kept at %s %v after %s was promoted, and told", execution.ID, execution.Instance, execution.At-promotion.At, promotion.Instance)
+				found.add("%s was committed at %s %v after %s was promoted, and acknowledged", execution.ID, execution.Instance, execution.At-promotion.At, promotion.Instance)
 			}
 		}
 	}
@@ -67,9 +68,10 @@
 	return elsewhere && commit.At > p.At && commit.CommittedAt.Term < p.Term
 }
 
-// LostCommits finds acknowledged commits that the log lacks. In quiet spans
-// it also finds sessions that were cut with a statement pending that an
-// instance had executed, or that had been pending for long.
+// LostCommits finds acknowledged commits that the log lacks. In quiet spans it
+// also finds sessions that were cut off while a statement was pending, if an
+// instance had executed the statement or it had been pending for longer than
+// Bounds.Slack.
 func LostCommits(h History) []string {
 	var found violations
 	committed, queries := h.committedPositions(), h.queriesByID()
@@ -79,14 +81,14 @@
 		executed[execution.ID] = true
 		acknowledged := execution.CommittedAt != (Position{}) && query.succeeded() && query.Stamp == execution.Stamp
 		if _, kept := committed[execution.ID]; acknowledged && !kept {
-			found.add("%s was told kept by %s at %v, and is not in the log", execution.ID, execution.Instance, execution.CommittedAt)
+			found.add("%s was acknowledged by %s at %v, but is not in the log", execution.ID, execution.Instance, execution.CommittedAt)
 		}
 	}
 	for _, query := range h.Queries {
 		pending := query.Answered - query.Sent
 		for _, span := range h.QuietSpans {
 			if query.Cut && span.contains(query.Sent) && (executed[query.ID] || pending > h.Bounds.Slack) {
-				found.add("%s (%q) was cut off %v after it was sent, with no trouble", query.ID, query.Text, pending)
+				found.add("%s (%q) was cut off %v after it was sent, while there was no fault", query.ID, query.Text, pending)
 			}
 		}
 	}
--- a/test/linehistory/configuration.go
+++ b/test/linehistory/configuration.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// WrongConfiguration finds statements that were handled as only an outdated
-// configuration allows, invalid configurations that were acknowledged, and a
-// configuration read back that is not the newest acknowledged one.
+// WrongConfiguration finds statements that were handled in a way that only an
+// outdated configuration allows, and invalid configurations that were
+// acknowledged. It also finds a configuration fetched at the end of the run that is
+// older than the newest acknowledged one.
 func WrongConfiguration(h History) []string {
 	var found violations
 	h.checkAcknowledged(&found)
@@ -23,7 +24,7 @@
 func (h History) checkAcknowledged(found *violations) {
 	for _, version := range h.Versions {
 		if version.Invalid && version.acknowledged() {
-			found.add("version %d is invalid, and was acknowledged", version.Number)
+			found.add("version %d is invalid, but was acknowledged", version.Number)
 		}
 	}
 }
@@ -42,12 +43,12 @@
 		return !version.Invalid && version.Number >= newest && version.Body == h.Fetched
 	})
 	if !matches {
-		found.add("read back is %q, the newest acknowledged is %d", h.Fetched, newest)
+		found.add("the fetched configuration is %q, the newest acknowledged version is %d", h.Fetched, newest)
 	}
 }
 
-// oldestAllowed gives the oldest version under which a query that was sent at
-// a time may be handled.
+// oldestAllowed returns the number of the oldest version under which a query that
+// was sent at the given time may be handled.
 func (h History) oldestAllowed(sent time.Duration) uint64 {
 	oldest := uint64(0)
 	for _, version := range h.Versions {
@@ -58,8 +59,8 @@
 	return oldest
 }
 
-// checkRouting checks a query against all versions under which it may have
-// been handled; service is where it was executed, if it was.
+// checkRouting checks a query against all versions under which it may have been
+// handled. service is the service that executed the query, if executed is true.
 func (h History) checkRouting(query Query, service string, executed bool, found *violations) {
 	oldest := h.oldestAllowed(query.Sent)
 	candidates, withRoute, toService := 0, 0, 0
--- a/test/linehistory/doc.go
+++ b/test/linehistory/doc.go
@@ -1,10 +1,11 @@
-// Package linehistory checks the recorded history of line sessions against
-// the rules of the users' platform, after the fact: the queries as clients
-// saw them, the statements as instances executed them, the configurations
-// that operators sent, and the logs as they stand at the end.
+// Package linehistory checks the recorded history of line protocol sessions in a
+// finished run against the rules of the users' platform. The history consists
+// of the queries with the answers that clients received, the statements that
+// instances executed, the configurations that operators sent, and the
+// instances' logs at the end of the run.
 //
 // The package shares no code with the product, so that an error in the
-// product's own reasoning cannot hide here as well.
+// product's logic is not repeated in the checks.
 //
-// Times are those since the beginning of the run.
+// Times are measured from the beginning of the run.
 package linehistory
--- a/test/linehistory/history.go
+++ b/test/linehistory/history.go
@@ -5,87 +5,88 @@
 	"time"
 )
 
-// Acts that are forwarded to an instance.
+// Actions that are forwarded to an instance.
 const (
 	ActRead   = "read"
 	ActWrite  = "write"
 	ActCommit = "commit"
 )
 
-// Kinds of routes, by what their reads must see.
+// Kinds of routes, by the consistency that they guarantee to reads.
 const (
 	kindBoundedLag = "bounded_lag"
 	kindOwnWrites  = "own_writes"
 )
 
-// Codes of answers that the rules know.
+// Answer codes that the rules check.
 const (
 	codeNoDatabase = "NODB"
 	codeNotFound   = "NOTFOUND"
 )
 
-// noEffectCodes are those by which a client is promised that its statement,
-// or its transaction, has no effect.
+// noEffectCodes are the answer codes that guarantee to a client that its
+// statement or its transaction has no effect.
 var noEffectCodes = []string{"BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGHOST", "FULL"}
 
-// PromisesNoEffect reports whether an answer's code promises that its statement, or its
-// transaction, has no effect, so that a client may repeat it.
+// PromisesNoEffect reports whether an answer code guarantees that the statement
+// or its transaction has no effect, so that a client may repeat it.
 func PromisesNoEffect(code string) bool { return slices.Contains(noEffectCodes, code) }
 
 // Position is a position in a service's log.
 type Position struct{ Term, Index uint64 }
 
-// Covers reports whether a log that ends at p holds the entry at other.
+// Covers reports whether a log that ends at p contains the entry at other.
 func (p Position) Covers(other Position) bool {
 	return p.Term >= other.Term && p.Index >= other.Index
 }
 
-// Execution is one statement that an instance executed.
+// Execution is a statement that an instance executed.
 type Execution struct {
 	At                      time.Duration
 	Instance, Service, Conn string
-	// Transaction counts the connection's transactions; 0 outside of one.
+	// Transaction is the number of the transaction on its connection. It is 0
+	// for a statement outside a transaction.
 	Transaction   int
 	ID, Act, Text string
-	// Shape and Rest are those of a prepared statement, which has no Text.
+	// Shape and Rest are set for a prepared statement, which has no Text.
 	Shape, Rest string
 	// Values are the settings of the session.
 	Values map[string]string
-	// Stamp marks the answer, unique to the execution.
+	// Stamp identifies the answer. It is unique to the execution.
 	Stamp string
 	Rows  []string
-	// LogEnd is the end of the log that the statement saw, CommittedAt the
-	// position of its commit.
+	// LogEnd is the end of the instance's log when the statement ran, and
+	// CommittedAt is the position of its commit.
 	LogEnd, CommittedAt Position
-	// LeavingAcknowledged is when the instance's leaving was acknowledged; 0
-	// for never.
+	// LeavingAcknowledged is the time at which the instance's announcement that
+	// it is leaving was acknowledged. It is 0 if it never was.
 	LeavingAcknowledged time.Duration
 }
 
-// Query is one query as its client saw it.
+// Query is a query as its client observed it.
 type Query struct {
 	Session, Host, Kind string
-	// Staleness is what the route allows its reads.
+	// Staleness is the staleness that the route allows for reads.
 	Staleness     time.Duration
 	ID, Act, Text string
 	Shape, Rest   string
 	Values        map[string]string
-	// Transaction names the transaction, First says that this is its first
-	// statement, Began is when its begin was sent.
+	// Transaction is the ID of the transaction. First is true if this is its
+	// first statement. Began is the time at which its begin was sent.
 	Transaction    string
 	First          bool
 	Began          time.Duration
 	Sent, Answered time.Duration
 	Code, Stamp    string
 	Rows           []string
-	// Cut says that the session ended without a complete answer.
+	// Cut is true if the session ended without a complete answer.
 	Cut bool
 }
 
 func (q Query) succeeded() bool { return q.Code == "" && !q.Cut && q.Answered > 0 }
 
-// snapshotTime is when the query's client asked for the snapshot that the
-// query sees.
+// snapshotTime returns the time at which the client requested the snapshot that
+// the query reads: the begin of its transaction, or the query itself.
 func (q Query) snapshotTime() time.Duration {
 	if q.Transaction != "" {
 		return q.Began
@@ -98,7 +99,7 @@
 	return q.Act == ActCommit || (q.Act == ActWrite && q.Transaction == "")
 }
 
-// LogEntry is one entry of a log, with the IDs of the queries that it holds.
+// LogEntry is an entry of a log, with the IDs of the queries that it contains.
 type LogEntry struct {
 	Position Position
 	IDs      []string
@@ -111,50 +112,51 @@
 	Term              uint64
 }
 
-// Version is one configuration that an operator sent; Hosts gives the service
-// of each route.
+// Version is a configuration that an operator sent. Hosts holds the service of
+// each route by host.
 type Version struct {
 	Number uint64
 	Sent   time.Duration
-	// AcknowledgedAt is 0 for one that was not acknowledged.
+	// AcknowledgedAt is 0 if the configuration was not acknowledged.
 	AcknowledgedAt time.Duration
 	Hosts          map[string]string
 	Body           string
-	// Invalid says that it must not be accepted.
+	// Invalid is true if the configuration must not be accepted.
 	Invalid bool
 }
 
 func (v Version) acknowledged() bool { return v.AcknowledgedAt > 0 }
 
-// Span is a part of the run.
+// Span is a time span of the run.
 type Span struct{ From, Until time.Duration }
 
 func (s Span) contains(at time.Duration) bool { return at >= s.From && at < s.Until }
 
-// ClosedFault is a fault that has ended, with a span before it in which the
-// level of service was normal.
+// ClosedFault is a fault that has ended. Service was normal in the span Before,
+// and the machines had returned at the time At.
 type ClosedFault struct {
 	Before Span
 	At     time.Duration
 }
 
-// Bounds are the time-outs of the rules: Apply is that of a configuration's
-// effect, Drain that of work at a leaving instance, Recover that of service
-// after a fault. Slack is how long a statement that was not forwarded may
-// have been pending when its session ends.
+// Bounds holds the timeouts of the rules. A configuration must have taken effect
+// within Apply after its acknowledgement. A leaving instance may receive work
+// for Drain. Service must have recovered within Recover after a fault. Slack is
+// how long a statement that was not forwarded may have been pending when its
+// session ends.
 type Bounds struct{ Apply, Drain, Recover, Slack time.Duration }
 
-// History is all that was recorded of a run.
+// History is everything that was recorded of a run.
 type History struct {
 	Executions []Execution
 	Queries    []Query
 	Versions   []Version
-	// Fetched is the configuration that was read back at the end.
+	// Fetched is the configuration that was fetched at the end of the run.
 	Fetched    string
 	Promotions []Promotion
-	// Logs holds each service's log as it stands at the end.
+	// Logs holds, by service, the log at the end of the run.
 	Logs map[string][]LogEntry
-	// QuietSpans are those without any fault but planned work.
+	// QuietSpans are the spans without any fault other than planned maintenance.
 	QuietSpans   []Span
 	ClosedFaults []ClosedFault
 	End          time.Duration
@@ -169,7 +171,7 @@
 	return queries
 }
 
-// servicesByID gives the service at which each query was executed.
+// servicesByID returns, by query ID, the service that executed the query.
 func (h History) servicesByID() map[string]string {
 	services := map[string]string{}
 	for _, execution := range h.Executions {
@@ -178,7 +180,7 @@
 	return services
 }
 
-// committedPositions gives, by ID, where the logs hold each query.
+// committedPositions returns, by query ID, the position of the query in the logs.
 func (h History) committedPositions() map[string]Position {
 	positions := map[string]Position{}
 	for _, log := range h.Logs {
--- a/test/linehistory/history_test.go
+++ b/test/linehistory/history_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// validHistory gives a history in which every rule is kept.
+// validHistory returns a history that violates no rule.
 func validHistory() History {
 	values := map[string]string{"app": "1"}
 	at := func(number uint64) Position { return Position{1, number} }
@@ -48,73 +48,73 @@
 	}
 }
 
-// plantedViolations each break one rule in a sound history.
+// plantedViolations are changes to a valid history, each of which violates one rule.
 var plantedViolations = []struct {
 	rule, description string
 	plant             func(*History)
 }{
-	{"UNASKED", "a statement under an id that nobody sent", func(h *History) { h.Executions[0].ID = "other" }},
+	{"UNASKED", "a statement with an ID that no client sent", func(h *History) { h.Executions[0].ID = "other" }},
 	{"UNASKED", "a text with one byte changed", func(h *History) { h.Executions[0].Text = "PUT a  1" }},
-	{"UNASKED", "the data of a prepared one changed", func(h *History) { h.Executions[2].Rest = " b" }},
-	{"UNASKED", "a read sent on as the fleet's own", func(h *History) { h.Executions[1].ID = "-" }},
-	{"UNASKED", "a commit that the client did not ask for", func(h *History) { h.Logs["s"][1].IDs = []string{"t1"} }},
-	{"MIXED", "a success with no stamp", func(h *History) { h.Queries[0].Stamp = "-" }},
-	{"MIXED", "another's stamp", func(h *History) { h.Queries[0].Stamp = "x2" }},
-	{"MIXED", "another's rows", func(h *History) { h.Queries[1].Rows = []string{"0"} }},
-	{"MIXED", "rows left out", func(h *History) { h.Queries[1].Rows = nil }},
+	{"UNASKED", "the data of a prepared statement changed", func(h *History) { h.Executions[2].Rest = " b" }},
+	{"UNASKED", "a client's read executed as a statement of the fleet itself", func(h *History) { h.Executions[1].ID = "-" }},
+	{"UNASKED", "a commit that the client did not request", func(h *History) { h.Logs["s"][1].IDs = []string{"t1"} }},
+	{"MIXED", "a successful answer without a stamp", func(h *History) { h.Queries[0].Stamp = "-" }},
+	{"MIXED", "the stamp of another query", func(h *History) { h.Queries[0].Stamp = "x2" }},
+	{"MIXED", "the rows of another query", func(h *History) { h.Queries[1].Rows = []string{"0"} }},
+	{"MIXED", "rows missing from an answer", func(h *History) { h.Queries[1].Rows = nil }},
 	{"PINNED", "a statement outside its transaction", func(h *History) { h.Executions[3].Transaction = 0 }},
-	{"PINNED", "a single statement inside a transaction", func(h *History) { h.Executions[1].Transaction = 4 }},
+	{"PINNED", "a statement without a transaction executed inside one", func(h *History) { h.Executions[1].Transaction = 4 }},
 	{"PINNED", "a transaction on two connections", func(h *History) { h.Executions[4].Conn = "c9" }},
-	{"PINNED", "two transactions in one", func(h *History) {
+	{"PINNED", "two clients' transactions in one transaction of a connection", func(h *History) {
 		other := h.Queries[3]
 		other.ID, other.Transaction = "t9", "s9.1"
 		execution := h.Executions[3]
 		execution.ID = "t9"
 		h.Queries, h.Executions = append(h.Queries, other), append(h.Executions, execution)
 	}},
-	{"PINNED", "values that are not the client's", func(h *History) { h.Executions[1].Values = nil }},
-	{"PINNED", "values of another", func(h *History) { h.Executions[0].Values = map[string]string{"app": "9"} }},
-	{"PINNED", "another shape", func(h *History) { h.Executions[2].Shape = "PUT q" }},
-	{"PINNED", "a prepared name that is unknown", func(h *History) { h.Queries[2].Code = "NOTFOUND" }},
-	{"TWICE", "a write kept twice", func(h *History) {
+	{"PINNED", "the client's settings missing", func(h *History) { h.Executions[1].Values = nil }},
+	{"PINNED", "settings of another session", func(h *History) { h.Executions[0].Values = map[string]string{"app": "9"} }},
+	{"PINNED", "another prepared shape", func(h *History) { h.Executions[2].Shape = "PUT q" }},
+	{"PINNED", "a prepared statement that was not found", func(h *History) { h.Queries[2].Code = "NOTFOUND" }},
+	{"TWICE", "a write committed twice", func(h *History) {
 		h.Logs["s"] = append(h.Logs["s"], LogEntry{Position{1, 3}, []string{"w1"}})
 	}},
-	{"REFUSED", "a single write kept after a promise", func(h *History) {
+	{"REFUSED", "a write committed although it was refused", func(h *History) {
 		h.Logs["s"] = append(h.Logs["s"], LogEntry{Position{1, 3}, []string{"w2"}})
 	}},
-	{"REFUSED", "a transaction kept after a promise to its commit", func(h *History) { h.Queries[4].Code = "ABORTED" }},
-	{"REFUSED", "a transaction kept after a promise to its first", func(h *History) { h.Queries[3].Code = "LAGGING" }},
-	{"STALE", "a read of the primary's without a commit told before", func(h *History) { h.Executions[1].LogEnd = Position{} }},
-	{"STALE", "a read beyond its bound", func(h *History) { h.Queries[2].Staleness = 5 * ms }},
-	{"STALE", "a session without its own commit", func(h *History) { h.Executions[5].LogEnd = Position{1, 1} }},
-	{"STALE", "a read on an older term", func(h *History) { h.Logs["s"][0].Position.Term, h.Executions[0].LogEnd.Term = 2, 2 }},
-	{"STALE", "a transaction that began after a commit was told", func(h *History) {
+	{"REFUSED", "a transaction committed although its commit was refused", func(h *History) { h.Queries[4].Code = "ABORTED" }},
+	{"REFUSED", "a transaction committed although its first statement was refused", func(h *History) { h.Queries[3].Code = "LAGGING" }},
+	{"STALE", "a read on a primary route that misses an acknowledged commit", func(h *History) { h.Executions[1].LogEnd = Position{} }},
+	{"STALE", "a read beyond its staleness bound", func(h *History) { h.Queries[2].Staleness = 5 * ms }},
+	{"STALE", "a read that misses a commit of its own session", func(h *History) { h.Executions[5].LogEnd = Position{1, 1} }},
+	{"STALE", "a read on a log of an older term", func(h *History) { h.Logs["s"][0].Position.Term, h.Executions[0].LogEnd.Term = 2, 2 }},
+	{"STALE", "a transaction that misses a commit acknowledged before it began", func(h *History) {
 		h.Executions[1].Transaction, h.Queries[1].Transaction, h.Queries[1].Began, h.Executions[1].LogEnd = 1, "s1.1", 25*ms, Position{}
 	}},
-	{"ONE", "a commit told by a primary after another was promoted", func(h *History) {
+	{"ONE", "a commit acknowledged by a primary after another instance was promoted", func(h *History) {
 		h.Promotions = append(h.Promotions, Promotion{At: 40 * ms, Service: "s", Instance: "i2", Term: 2})
 	}},
-	{"LOST", "a told commit not in the log", func(h *History) { h.Logs["s"] = h.Logs["s"][:1] }},
-	{"LOST", "a session cut off in a calm, long after its statement was sent", func(h *History) { h.Queries[6].Cut, h.Queries[6].Answered = true, 301*ms }},
-	{"LOST", "a session cut off in a calm after its statement was run", func(h *History) { h.Queries[1].Cut = true }},
-	{"DRAIN", "a single statement long after the leaving", func(h *History) { h.Executions[0].LeavingAcknowledged, h.Executions[0].At = 1*ms, 7002*ms }},
-	{"DRAIN", "a transaction's first long after the leaving", func(h *History) { h.Executions[3].LeavingAcknowledged, h.Executions[3].At = 1*ms, 7002*ms }},
+	{"LOST", "an acknowledged commit missing from the log", func(h *History) { h.Logs["s"] = h.Logs["s"][:1] }},
+	{"LOST", "a session cut off in a quiet span, long after its statement was sent", func(h *History) { h.Queries[6].Cut, h.Queries[6].Answered = true, 301*ms }},
+	{"LOST", "a session cut off in a quiet span after its statement was executed", func(h *History) { h.Queries[1].Cut = true }},
+	{"DRAIN", "a statement long after the instance announced that it is leaving", func(h *History) { h.Executions[0].LeavingAcknowledged, h.Executions[0].At = 1*ms, 7002*ms }},
+	{"DRAIN", "a transaction's first statement long after the instance announced that it is leaving", func(h *History) { h.Executions[3].LeavingAcknowledged, h.Executions[3].At = 1*ms, 7002*ms }},
 	{"CONFIG", "an invalid version acknowledged", func(h *History) { h.Versions[2].AcknowledgedAt = 1100 * ms }},
-	{"CONFIG", "an older version read back", func(h *History) { h.Fetched = "three" }},
-	{"CONFIG", "other bytes read back", func(h *History) { h.Fetched = "sevenn" }},
-	{"CONFIG", "a statement run with a dropped route", func(h *History) {
+	{"CONFIG", "an older version fetched at the end", func(h *History) { h.Fetched = "three" }},
+	{"CONFIG", "a changed configuration fetched at the end", func(h *History) { h.Fetched = "sevenn" }},
+	{"CONFIG", "a statement executed although its route was removed", func(h *History) {
 		h.Executions = append(h.Executions, Execution{ID: "w3", Service: "s", Act: ActWrite, Text: "PUT c 3", At: 9001 * ms})
 	}},
-	{"CONFIG", "a statement run by another service", func(h *History) { h.Executions[0].Service = "z" }},
-	{"CONFIG", "a route that is there, refused", func(h *History) { h.Queries[7].Host = "h" }},
-	{"RECOVER", "nothing served after the closing fault", func(h *History) { h.Queries[5].Code = "FAILED" }},
+	{"CONFIG", "a statement executed by another service", func(h *History) { h.Executions[0].Service = "z" }},
+	{"CONFIG", "a statement refused although its route exists", func(h *History) { h.Queries[7].Host = "h" }},
+	{"RECOVER", "no query served after a fault has ended", func(h *History) { h.Queries[5].Code = "FAILED" }},
 }
 
 func TestEachRule(t *testing.T) {
-	Convey("A sound history keeps every rule", t, func() {
+	Convey("A valid history violates no rule", t, func() {
 		So(Violations(validHistory()), ShouldBeEmpty)
 	})
-	Convey("Each rule's checker sees what breaks it", t, func() {
+	Convey("Each rule detects the violations planted for it", t, func() {
 		checkedRules := map[string]bool{}
 		for _, planted := range plantedViolations {
 			history := validHistory()
@@ -124,7 +124,7 @@
 		}
 		So(slices.Sorted(maps.Keys(checkedRules)), ShouldResemble, slices.Sorted(maps.Keys(Rules())))
 	})
-	Convey("What the rules leave out is not counted", t, func() {
+	Convey("Events that the rules exempt are not reported as violations", t, func() {
 		history := validHistory()
 		history.QuietSpans = nil
 		history.Queries[1].Cut = true
--- a/test/linehistory/reads.go
+++ b/test/linehistory/reads.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// acknowledgedCommit is a commit whose client was told of its success.
+// acknowledgedCommit is a commit that was acknowledged to its client.
 type acknowledgedCommit struct {
 	at       time.Duration
 	position Position
 	id       string
 }
 
-// acknowledgedCommits gives the commits of the queries that match, by the
-// time of their acknowledgement.
+// acknowledgedCommits returns the commits of the queries that match, in the order
+// of their acknowledgement.
 func (h History) acknowledgedCommits(matches func(Query) bool) []acknowledgedCommit {
 	committed := h.committedPositions()
 	var commits []acknowledgedCommit
@@ -28,8 +28,8 @@
 	return commits
 }
 
-// firstMissing gives the first of the commits acknowledged before a time that
-// a log lacks.
+// firstMissing returns the first commit that was acknowledged before the given time
+// and that a log ending at logEnd lacks. It returns false if there is none.
 func firstMissing(commits []acknowledgedCommit, before time.Duration, logEnd Position) (acknowledgedCommit, bool) {
 	for _, commit := range commits {
 		if commit.at >= before {
@@ -42,11 +42,11 @@
 	return acknowledgedCommit{}, false
 }
 
-// sessionAtService names what one session did at one service.
+// sessionAtService identifies the commits of one session at one service.
 type sessionAtService struct{ session, service string }
 
-// readChecker holds the acknowledged commits of services, and of sessions at
-// a service, as far as reads needed them.
+// readChecker caches the acknowledged commits by service, and by session and
+// service. They are computed when the first read needs them.
 type readChecker struct {
 	history    History
 	services   map[string]string
@@ -56,7 +56,7 @@
 }
 
 // StaleReads finds reads on logs that lack a commit which the read's route
-// promises to show.
+// guarantees to include.
 func StaleReads(h History) []string {
 	checker := &readChecker{
 		history: h, services: h.servicesByID(),
@@ -76,18 +76,18 @@
 	snapshot := query.snapshotTime()
 	commits := c.commitsOfService(execution.Service)
 	if commit, stale := firstMissing(commits, snapshot-query.allowedStaleness(), execution.LogEnd); stale {
-		c.found.add("%s (%s) ran at %s on %v, without %s at %v, told %v before", execution.ID, query.Kind, execution.Instance, execution.LogEnd, commit.id, commit.position, snapshot-commit.at)
+		c.found.add("%s (%s) ran at %s on %v, without %s at %v, acknowledged %v before", execution.ID, query.Kind, execution.Instance, execution.LogEnd, commit.id, commit.position, snapshot-commit.at)
 	}
 	if query.Kind != kindOwnWrites {
 		return
 	}
 	own := c.commitsOfSession(sessionAtService{query.Session, execution.Service})
 	if commit, stale := firstMissing(own, snapshot, execution.LogEnd); stale {
-		c.found.add("%s ran at %s on %v, without its session's own %s at %v", execution.ID, execution.Instance, execution.LogEnd, commit.id, commit.position)
+		c.found.add("%s ran at %s on %v, without its own session's commit %s at %v", execution.ID, execution.Instance, execution.LogEnd, commit.id, commit.position)
 	}
 }
 
-// allowedStaleness is how old the snapshot of the query's reads may be.
+// allowedStaleness returns how old the snapshot that the query reads may be.
 func (q Query) allowedStaleness() time.Duration {
 	if q.Kind == kindBoundedLag || q.Kind == kindOwnWrites {
 		return q.Staleness
--- a/test/linehistory/rules.go
+++ b/test/linehistory/rules.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Names of the rules, as the users' platform gives them.
+// Names of the rules, as the users' platform defines them.
 const (
 	RuleUnrequested        = "UNASKED"
 	RuleMixedAnswers       = "MIXED"
@@ -17,8 +17,8 @@
 	RuleFailedRecoveries   = "RECOVER"
 )
 
-// Rules gives the check of each rule, which describes every violation in a
-// history.
+// Rules returns the check of each rule by name. A check returns a description of
+// each violation in a history.
 func Rules() map[string]func(History) []string {
 	return map[string]func(History) []string{
 		RuleUnrequested:        Unrequested,
@@ -35,8 +35,8 @@
 	}
 }
 
-// Violations checks all rules, and gives the violations by the name of the
-// rule. Rules that hold have no entry.
+// Violations checks all rules and returns the violations by rule name. Rules
+// that hold have no entry.
 func Violations(h History) map[string][]string {
 	byRule := map[string][]string{}
 	for name, check := range Rules() {
@@ -47,7 +47,7 @@
 	return byRule
 }
 
-// violations gathers the descriptions of one rule's violations.
+// violations collects the descriptions of one rule's violations.
 type violations []string
 
 func (v *violations) add(format string, parts ...any) { *v = append(*v, fmt.Sprintf(format, parts...)) }
