--- a/build.sh
+++ b/build.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Builds the programs into bin/, with the version from git.
+# Builds the programs into bin/ with the version that git describe reports.
 set -euo pipefail
 cd "$(dirname "$0")"
 version=$(git describe --always --dirty 2>/dev/null || echo dev)
--- a/test.sh
+++ b/test.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The one test command: formatter, vet, linter, build, tests under the race
-# detector, the fixed seeds, then bounded runs of fleets of real processes, in
-# the product's own mode and in the platform's.
+# Runs all checks: formatter, vet, linter, build, tests under the race detector,
+# tests with the fixed seeds without it, and bounded runs of fleets of real
+# processes in the product's own mode and in the platform's mode.
 set -euo pipefail
 cd "$(dirname "$0")"
 unformatted=$(gofmt -s -l cmd internal platform test)
@@ -13,8 +13,9 @@
 go vet ./...
 go build ./...
 go tool -modfile=lint/go.mod staticcheck ./...
-# Tests of KNOWN-RED.txt fail for faults that are known and not mended yet: they
-# are passed over here, then run and printed, whatever comes of them.
+# The tests listed in KNOWN-RED.txt fail because of known faults that are not fixed
+# yet. They are skipped here, then run separately. Their results are printed, but do
+# not affect the exit status.
 red=
 if [ -s KNOWN-RED.txt ]; then
   red=$(sed -n 's/^\(Test[A-Za-z0-9]*\):.*/\1/p' KNOWN-RED.txt | paste -sd '|' -)
@@ -22,7 +23,7 @@
 go test -race -count=1 -timeout 10m -skip "^(${red:-none})\$" ./...
 go test -count=1 -timeout 10m -skip "^(${red:-none})\$" ./test/simulation ./internal/transport/httpserver
 if [ -n "$red" ]; then
-  printf 'known to fail (KNOWN-RED.txt):\n%s\n' "$(cat KNOWN-RED.txt)"
+  printf 'tests with known failures (KNOWN-RED.txt):\n%s\n' "$(cat KNOWN-RED.txt)"
   found=$(go test -count=1 -timeout 5m -run "^($red)\$" -v ./... 2>&1 || true)
   grep -E '^--- (FAIL|PASS): ' <<<"$found" || true
 fi
--- a/test/cmd/measure/main.go
+++ b/test/cmd/measure/main.go
@@ -1,5 +1,5 @@
-// Command measure plays one scenario on fleets of several versions of the
-// product, by turns, and prints medians with their spread.
+// Command measure runs one scenario alternately on fleets of several versions of
+// the product. It prints the median, the minimum and the maximum of each metric.
 package main
 
 import (
@@ -23,22 +23,22 @@
 
 func main() { os.Exit(runMain()) }
 
-// metric is one figure of a result.
+// metric is a named value of a result.
 type metric struct {
 	name  string
 	value func(e2e.Result) float64
 }
 
 var metrics = []metric{
-	{"longest gap without a kept write, ms", func(r e2e.Result) float64 { return r.LongestGapMS }},
-	{"worst second, part of the median second", func(r e2e.Result) float64 { return r.WorstSecond }},
+	{"longest gap without a committed write, ms", func(r e2e.Result) float64 { return r.LongestGapMS }},
+	{"worst second, fraction of the median second", func(r e2e.Result) float64 { return r.WorstSecond }},
 	{"single write p50, ms", func(r e2e.Result) float64 { return r.P50 }},
 	{"single write p99, ms", func(r e2e.Result) float64 { return r.P99 }},
-	{"spread of a change over proxies, ms", func(r e2e.Result) float64 { return r.SpreadMS }},
+	{"spread of a change across proxies, ms", func(r e2e.Result) float64 { return r.SpreadMS }},
 	{"broken rules", func(r e2e.Result) float64 { return float64(len(r.Violations)) }},
 }
 
-// options are what the command line gives.
+// options are the parsed command line options.
 type options struct {
 	scenario  e2e.Scenario
 	shape     e2e.Shape
@@ -49,12 +49,12 @@
 }
 
 func parseOptions() (parsed options, ok bool) {
-	name := flag.String("run", "steady", "the scenario, as e2e -list shows them")
-	shapeName := flag.String("shape", "small", "magnolia, chile or small")
-	versions := flag.String("versions", "", "git revisions with commas between; none for the tree as it is")
-	flag.IntVar(&parsed.rounds, "repeat", 3, "rounds of each version")
-	flag.StringVar(&parsed.root, "root", ".", "the workspace")
-	flag.Float64Var(&parsed.scale, "scale", 1, "part of the deployment's load")
+	name := flag.String("run", "steady", "scenario to run (e2e -list lists them)")
+	shapeName := flag.String("shape", "small", "deployment shape: magnolia, chile or small")
+	versions := flag.String("versions", "", "comma-separated git revisions; an empty one is the working tree")
+	flag.IntVar(&parsed.rounds, "repeat", 3, "rounds per version, from 1 to 50")
+	flag.StringVar(&parsed.root, "root", ".", "root directory of the source tree")
+	flag.Float64Var(&parsed.scale, "scale", 1, "fraction of the deployment's load")
 	flag.Parse()
 	scenarios := e2e.Scenarios()
 	index := slices.IndexFunc(scenarios, func(candidate e2e.Scenario) bool { return candidate.Name == *name })
@@ -69,7 +69,7 @@
 func runMain() int {
 	parsed, ok := parseOptions()
 	if !ok {
-		fmt.Fprintln(os.Stderr, "no such run or shape, or repeat not from 1 to 50")
+		fmt.Fprintln(os.Stderr, "unknown -run or -shape, or -repeat not between 1 and 50")
 		return exitUsage
 	}
 	directory, err := os.MkdirTemp("", "tansyseam-measure")
@@ -87,7 +87,7 @@
 	return exitSuccess
 }
 
-// measure plays the scenario by turns on each revision.
+// measure runs the scenario alternately on each revision.
 func (o options) measure(directory string) (map[string][]e2e.Result, error) {
 	programs := map[string]e2e.Programs{}
 	for _, revision := range o.revisions {
@@ -111,7 +111,7 @@
 }
 
 func (o options) print(results map[string][]e2e.Result) {
-	fmt.Printf("%s on %s, %d rounds each: median (least to most)\n", o.scenario.Name, o.shape.Name, o.rounds)
+	fmt.Printf("%s on %s, %d rounds each: median (minimum to maximum)\n", o.scenario.Name, o.shape.Name, o.rounds)
 	for _, metric := range metrics {
 		fmt.Printf("  %-44s", metric.name)
 		for _, revision := range o.revisions {
@@ -126,8 +126,8 @@
 	}
 }
 
-// build builds the programs of a revision, and the stand-ins of the tree as it
-// is, and returns their directory.
+// build builds the programs of a revision and the stand-ins of the working tree,
+// and returns their directory.
 func build(root, directory, revision string) (string, error) {
 	built := filepath.Join(directory, "bin-"+strings.ReplaceAll(revision, "/", "_"))
 	if err := e2e.Build(root, built, false); err != nil || revision == "" {
--- a/test/cmd/modelcheck/main.go
+++ b/test/cmd/modelcheck/main.go
@@ -1,5 +1,5 @@
-// Command modelcheck searches sequences of events of the consensus machines, and prints
-// what it found. It ends with 1 where an invariant was violated.
+// Command modelcheck runs bounded model checks of the consensus machines and prints the
+// results. It exits with status 1 if an invariant was violated.
 package main
 
 import (
@@ -20,10 +20,10 @@
 )
 
 func main() {
-	deep := flag.Bool("deep", false, "the deeper shapes, in place of those of the tests")
-	only := flag.Int("shape", allConfigs, "only the shape of this number")
-	maxStates := flag.Int("most", 0, "end each search after so many states, where given")
-	jobs := flag.Int("jobs", 2, "shapes searched at once")
+	deep := flag.Bool("deep", false, "search the deeper shapes instead of those of the tests")
+	only := flag.Int("shape", allConfigs, "search only the shape with this number (-1: all)")
+	maxStates := flag.Int("most", 0, "maximum number of states of each search (0: no limit)")
+	jobs := flag.Int("jobs", 2, "number of shapes searched concurrently")
 	flag.Parse()
 	configs := modelcheck.QuickConfigs()
 	if *deep {
@@ -34,7 +34,8 @@
 	}
 }
 
-// searchAll runs the searches, some at once, and gives how many found a violation.
+// searchAll runs up to jobs searches concurrently and returns how many found a
+// violation.
 func searchAll(configs []modelcheck.Config, only, maxStates, jobs int) int {
 	slots := make(chan struct{}, max(jobs, 1))
 	var searches sync.WaitGroup
--- a/test/compatibility/fill_test.go
+++ b/test/compatibility/fill_test.go
@@ -5,11 +5,11 @@
 	"reflect"
 )
 
-// filler gives every leaf of a value another content, by the order of the
-// fields alone: a value of a type whose fields were renamed is filled as before.
+// filler sets each leaf of a value to a different content that depends only on the
+// order of the fields, so that renaming fields does not change the content.
 type filler struct{ count int }
 
-// filled gives a value of the type of sample in which no field is zero.
+// filled returns a value of the type of sample in which no field is zero.
 func filled(sample any) any {
 	value := reflect.New(reflect.TypeOf(sample)).Elem()
 	(&filler{}).fill(value)
@@ -55,7 +55,7 @@
 	}
 	fill, isSupported := fills[value.Kind()]
 	if !isSupported {
-		panic(fmt.Sprintf("a field of kind %s in a message or a stored record", value.Kind()))
+		panic(fmt.Sprintf("unsupported kind %s of a field in a message or a stored record", value.Kind()))
 	}
 	fill()
 }
--- a/test/compatibility/messages_test.go
+++ b/test/compatibility/messages_test.go
@@ -1,5 +1,6 @@
-// Package compatibility holds the messages and stored records of this build
-// against those of earlier builds, which share a fleet with it and left their files.
+// Package compatibility compares the messages and stored records of this build with
+// those of earlier builds. Nodes of earlier builds exchange messages with this build
+// in the same fleet, and this build reads the files that earlier builds wrote.
 package compatibility
 
 import (
@@ -17,13 +18,14 @@
 	"tansyseam/internal/transport/rpc"
 )
 
-// writeGolden makes golden files anew. It is for new kinds of message or record
-// only: the files of released ones never change.
+// writeGolden is true if missing golden files are to be written. It is for new kinds of
+// messages or records only, because the files of released kinds must never change.
 var writeGolden = flag.Bool("write-golden", false, "write the golden files that are missing")
 
 const messageFolder = "testdata/messages"
 
-// goldenPath gives the golden file of a kind of message, by the name under which it is sent.
+// goldenPath returns the path of the golden file of a kind of message. name is the name
+// under which the message is sent.
 func goldenPath(name string) string {
 	return filepath.Join(messageFolder, strings.ReplaceAll(name, "/", "_")+".gob")
 }
@@ -34,7 +36,7 @@
 
 func TestMessagesOfEarlierBuildsAreRead(t *testing.T) {
 	message.Register()
-	Convey("Each message, encoded by 6cad5d2 with no field zero, is read with every field", t, func() {
+	Convey("Each message that 6cad5d2 encoded with non-zero fields is decoded with all fields", t, func() {
 		names := message.Names()
 		for i, body := range message.All() {
 			path := goldenPath(names[i])
@@ -53,7 +55,7 @@
 			SoMsg(path, envelope, ShouldResemble, envelopeOf(filled(body)))
 		}
 	})
-	Convey("No message of an earlier build has gone", t, func() {
+	Convey("Each message has a golden file, and no message of an earlier build was removed", t, func() {
 		files, err := filepath.Glob(messageFolder + "/*.gob")
 		So(err, ShouldBeNil)
 		So(len(files), ShouldEqual, len(message.All()))
--- a/test/compatibility/shape_test.go
+++ b/test/compatibility/shape_test.go
@@ -12,8 +12,9 @@
 	"tansyseam/internal/protocol/message"
 )
 
-// shapeOf writes out the encoded fields of a type, with those of the types within:
-// what gob sends, but for the names of types, which it doesn't compare.
+// shapeOf returns a description of the encoded fields of a type and of the types that
+// it contains. This is what gob sends, except for the names of types, which gob does
+// not compare.
 func shapeOf(typ reflect.Type) string {
 	composite := map[reflect.Kind]func() string{
 		reflect.Pointer: func() string { return "*" + shapeOf(typ.Elem()) },
@@ -47,7 +48,7 @@
 }
 
 func TestEncodedFieldsKeepTheirNames(t *testing.T) {
-	Convey("What this build sends and stores has the fields of 6cad5d2, so that builds up to it read all of it", t, func() {
+	Convey("Messages and stored records have the same encoded fields as in 6cad5d2, so that builds up to 6cad5d2 can read them completely", t, func() {
 		recorded, err := os.ReadFile("testdata/shapes.txt")
 		So(err, ShouldBeNil)
 		So(encodedShapes(), ShouldEqual, string(recorded))
--- a/test/compatibility/stored_test.go
+++ b/test/compatibility/stored_test.go
@@ -17,8 +17,8 @@
 
 const storedFolder = "testdata/stored"
 
-// storedRecord is a kind of record that disks hold: how it is written, and read
-// back.
+// storedRecord is a kind of record that is stored on disk, with the functions that
+// encode and decode it.
 type storedRecord struct {
 	name    string
 	sample  any
@@ -61,7 +61,7 @@
 }
 
 func TestStoredRecordsOfEarlierBuildsAreRead(t *testing.T) {
-	Convey("Each stored record, written by 6cad5d2 with no field zero, is read with every field", t, func() {
+	Convey("Each stored record that 6cad5d2 wrote with non-zero fields is read with all fields", t, func() {
 		for _, record := range storedRecords() {
 			path := filepath.Join(storedFolder, record.name+".gob")
 			if _, err := os.Stat(path); err != nil && *writeGolden {
@@ -78,7 +78,7 @@
 			SoMsg(record.name, reflect.DeepEqual(roundTripped, value), ShouldBeTrue)
 		}
 	})
-	Convey("A data folder of 6cad5d2 is read whole", t, func() {
+	Convey("A data folder that 6cad5d2 wrote is read completely", t, func() {
 		const folder = "testdata/folder"
 		if _, err := os.Stat(folder); err != nil && *writeGolden {
 			disk, err := versionfile.OpenDirectory(folder)
--- a/test/deploy/packages_test.go
+++ b/test/deploy/packages_test.go
@@ -1,4 +1,5 @@
-// Package deploy holds tests of how the product is built where it is deployed.
+// Package deploy tests that the product can be built on the machines where it is
+// deployed.
 package deploy
 
 import (
@@ -12,7 +13,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// root is that of the source tree.
+// root is the root directory of the source tree.
 const root = "../.."
 
 // deploySetting returns the value of one line of the deploy file.
@@ -33,8 +34,8 @@
 
 var dependencySeparator = regexp.MustCompile(`[,|]`)
 
-// withDependencies returns packages with all that they depend on, as far as it
-// is installed.
+// withDependencies returns the installed ones of packages with all their installed
+// dependencies.
 func withDependencies(packages []string) map[string]bool {
 	all := map[string]bool{}
 	for len(packages) > 0 {
@@ -57,8 +58,8 @@
 	return all
 }
 
-// linkPrograms links the programs of packages, and nothing else, into a
-// directory.
+// linkPrograms creates symbolic links to the programs of packages, and to nothing
+// else, in a directory.
 func linkPrograms(packages map[string]bool, directory string) {
 	for name := range packages {
 		files, err := exec.Command("dpkg-query", "-L", name).Output()
@@ -75,8 +76,8 @@
 	}
 }
 
-// buildWith runs the deploy file's build command with an empty build cache, and
-// with no other programs than Go's and those of packages.
+// buildWith runs the build command of the deploy file with an empty build cache. Only
+// the programs of Go and of packages are available to the command.
 func buildWith(t *testing.T, packages []string) error {
 	programs, target, cache := t.TempDir(), t.TempDir(), t.TempDir()
 	linkPrograms(withDependencies(packages), programs)
@@ -105,7 +106,7 @@
 }
 
 func TestBuildNeedsTheListedPackagesOnly(t *testing.T) {
-	Convey("The build succeeds from nothing built, with Go and the programs of the listed packages alone; without them it does not", t, func() {
+	Convey("With an empty build cache, the build succeeds with only Go and the programs of the listed packages, and fails without those packages", t, func() {
 		packages := regexp.MustCompile(`[a-z0-9.+-]+`).FindAllString(deploySetting("packages"), -1)
 		So(packages, ShouldContain, "gcc")
 		So(packages, ShouldContain, "libc6-dev")
--- a/test/golden/golden.go
+++ b/test/golden/golden.go
@@ -1,6 +1,6 @@
-// Package golden compares output with files that were recorded from an earlier
-// build, byte by byte. Run a package's tests with -update to record the files
-// anew; do so only where a change of the output is intended.
+// Package golden compares output byte by byte with files that were recorded from an
+// earlier build. Running a package's tests with -update records the files again. Do
+// this only if a change of the output is intended.
 package golden
 
 import (
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "record the golden files anew")
+var update = flag.Bool("update", false, "record the golden files again")
 
 // Check fails the test unless output equals testdata/name, byte by byte.
 func Check(t *testing.T, name string, output []byte) {
@@ -24,7 +24,7 @@
 	}
 	recorded, err := os.ReadFile(path)
 	if err != nil {
-		t.Errorf("no golden file: %v", err)
+		t.Errorf("reading golden file: %v", err)
 		return
 	}
 	if string(recorded) != string(output) {
@@ -32,8 +32,8 @@
 	}
 }
 
-// JSON gives an answer as it is sent, with a newline behind it; bytes are taken
-// to be encoded already.
+// JSON returns the JSON encoding of an answer as it is sent, followed by a newline. An
+// answer of type []byte is treated as already encoded.
 func JSON(t *testing.T, answer any) []byte {
 	t.Helper()
 	data, encoded := answer.([]byte)
--- a/test/messagesize/fixtures_test.go
+++ b/test/messagesize/fixtures_test.go
@@ -15,9 +15,9 @@
 const (
 	zoneCount           = 6
 	instancesByDatabase = 3
-	// leasedNodes is how many nodes the control state has registered.
+	// leasedNodes is the number of nodes that are registered in the control state.
 	leasedNodes = 930
-	// wallNanos is a time of the primary's clock, as long as real ones are.
+	// wallNanos is a wall clock time of the primary. It is as long as a real one.
 	wallNanos = 1790000000000000000
 	// freshness is the staleness bound of each binding.
 	freshness = 1500 * time.Millisecond
@@ -110,9 +110,9 @@
 	return puts
 }
 
-// asyncState is the control state of databases with asynchronous replication: two
-// binding sets, the writer roles, the registered nodes and the results of as many
-// calls as are kept.
+// asyncState returns the control state of databases with asynchronous replication: two
+// binding sets, the writer roles, the registered nodes and the maximum number of
+// stored call results.
 func asyncState(databases int) *store.Table {
 	state := store.New()
 	version := store.Version{Epoch: 1, Sequence: 1}
@@ -134,8 +134,8 @@
 	return state
 }
 
-// manifestSnapshot is what a node knows of databases with synchronous replication:
-// two manifests and the writer roles.
+// manifestSnapshot returns a node's snapshot of databases with synchronous
+// replication: two manifests and the writer roles.
 func manifestSnapshot(databases int) model.Snapshot {
 	set := model.BindingSet{
 		Sequence: 1, Version: 1, EffectiveAt: 1, AcceptedAt: 1, ScheduledBy: "seamc1@1", Source: "manifest",
@@ -159,7 +159,7 @@
 	return snapshot
 }
 
-// syncState is the control state that manifestSnapshot is read from.
+// syncState returns the control state that contains manifestSnapshot.
 func syncState(databases int) *store.Table {
 	state, snapshot := store.New(), manifestSnapshot(databases)
 	puts := nodePuts()
@@ -173,7 +173,7 @@
 	return state
 }
 
-// newPrimary returns the control primary's machine with a state.
+// newPrimary returns the machine of a control primary with the given state.
 func newPrimary(state *store.Table) *distribution.Machine {
 	record := consensus.Record{Epoch: 1, Primary: "seamc1", Backup: "seamc2"}
 	machine := distribution.New("seamc1", lease.DefaultTiming(), record, state, time.Hour)
--- a/test/messagesize/gossip_test.go
+++ b/test/messagesize/gossip_test.go
@@ -10,7 +10,7 @@
 	"tansyseam/internal/state/model"
 )
 
-// rounds is how many heartbeat intervals pass before a message is measured.
+// rounds is the number of heartbeat intervals before a message is measured.
 const rounds = 64
 
 // newMember returns the membership machine of the first of count nodes, with the
@@ -21,7 +21,8 @@
 	return membership.New(nodes[0], seeds, membership.DefaultTiming())
 }
 
-// completeGossip is a message of the second node that carries all others.
+// completeGossip returns a message of the second node that carries all nodes but the
+// first.
 func completeGossip(count int, heartbeat uint64) membership.Gossip {
 	nodes := proxyNodes(count, heartbeat)[1:]
 	return membership.Gossip{From: nodes[0], Nodes: nodes, Reply: true}
@@ -56,18 +57,18 @@
 	return encodedSize(last)
 }
 
-// idleFleet is one node's machine in a fleet in which nothing changes. Those
-// that it watches, and its first seed, send it heartbeats.
+// idleFleet is the machine of one node in a fleet in which nothing changes. The nodes
+// that it watches and its first seed send it heartbeats.
 type idleFleet struct {
 	machine   *membership.Machine
 	senders   []model.Node
 	now       time.Duration
 	heartbeat uint64
-	// digest is the machine's own, which all nodes share at rest.
+	// digest is the machine's digest, which all nodes of an idle fleet share.
 	digest uint64
 }
 
-// settleRounds is how many heartbeats pass until a fleet is at rest.
+// settleRounds is the number of heartbeats until a fleet is idle.
 const settleRounds = 8
 
 func newIdleFleet(count int) *idleFleet {
@@ -88,7 +89,7 @@
 	return fleet
 }
 
-// step passes an event to the machine and returns what it sent, if anything.
+// step passes an event to the machine and returns the message that it sent, if any.
 func (f *idleFleet) step(event membership.Event) (membership.Gossip, bool) {
 	gossip, ok := firstSent(f.machine.Step(event, f.now))
 	if ok {
@@ -102,7 +103,8 @@
 	return membership.GossipReceived{Gossip: membership.Gossip{From: from, Digest: f.digest, Reply: reply}}
 }
 
-// advance passes one heartbeat interval, in which each sender's heartbeat arrives.
+// advance advances the time by one heartbeat interval, in which each sender's
+// heartbeat arrives.
 func (f *idleFleet) advance() {
 	f.heartbeat++
 	f.now += membership.DefaultTiming().HeartbeatInterval
--- a/test/messagesize/size_test.go
+++ b/test/messagesize/size_test.go
@@ -1,6 +1,6 @@
-// Package messagesize bounds the encoded size of what grows with the fleet: the
-// messages between nodes, and the state file of a control node. It holds bounds
-// on bytes only, never on time.
+// Package messagesize checks bounds on the encoded size of data that grows with the
+// fleet: the messages between nodes and the state file of a control node. The bounds
+// are on bytes only, never on time.
 package messagesize
 
 import (
@@ -14,8 +14,8 @@
 	"tansyseam/internal/transport/rpc"
 )
 
-// encodedSize returns the bytes that a message takes on a connection that has
-// carried one of its type before, so that gob does not send the type again.
+// encodedSize returns the number of bytes of a message on a connection that has already
+// carried a message of the same type, so that gob does not send the type again.
 func encodedSize(body any) int {
 	message.Register()
 	var stream bytes.Buffer
@@ -44,18 +44,19 @@
 		{"an update with the list of instances for each instance", instanceListSize, 30, 300, 120},
 	}
 	for _, bound := range bounds {
-		Convey("The bytes of "+bound.name+" are bounded", t, func() {
+		Convey("The size of "+bound.name+" is bounded", t, func() {
 			added := bound.size(bound.large) - bound.size(bound.small)
 			So(added/(bound.large-bound.small), ShouldBeBetween, 0, bound.maxPerUnit)
 		})
 	}
 }
 
-// maxIdleDifference is how far, in bytes, two messages at rest may differ.
+// maxIdleDifference is the maximum difference, in bytes, between the messages of two
+// idle fleets.
 const maxIdleDifference = 60
 
 func TestGossipAtRest(t *testing.T) {
-	Convey("A heartbeat and its answer at rest carry no other node, so their bytes do not grow with the fleet", t, func() {
+	Convey("The heartbeat of an idle fleet and its reply carry no other node, so their size does not grow with the fleet", t, func() {
 		for _, size := range []func(int) int{idleHeartbeatSize, idleReplySize} {
 			So(size(120)-size(30), ShouldBeBetween, -maxIdleDifference, maxIdleDifference)
 		}
--- a/test/messagesize/updates_test.go
+++ b/test/messagesize/updates_test.go
@@ -15,8 +15,8 @@
 	"tansyseam/internal/state/store"
 )
 
-// requestSize measures the first request of a node that observes the instances
-// itself.
+// requestSize measures the first request of a node that itself observes the
+// instances.
 func requestSize(instances int) int {
 	machine := routing.New(proxyNode(1).Name, lease.DefaultTiming())
 	for _, instance := range asyncInstances(instances / instancesByDatabase) {
@@ -25,7 +25,7 @@
 	return encodedSize(machine.UpdateRequest(time.Hour+time.Second, nil))
 }
 
-// lineRequestSize measures the first request of a node that carries sessions of the
+// lineRequestSize measures the first request of a node that serves sessions of the
 // line protocol.
 func lineRequestSize(databases int) int {
 	node := linepool.Node{Name: proxyNode(1).Name, Zone: zoneName(0), Incarnation: 1, Weight: 1}
--- a/test/modelcheck/config.go
+++ b/test/modelcheck/config.go
@@ -2,49 +2,53 @@
 
 import "time"
 
-// Config bounds a search.
+// Config configures a search and sets its bounds.
 type Config struct {
-	// Voters is how many nodes vote at first, Standbys how many have blank disks.
+	// Voters is the number of initial voters. Standbys is the number of further
+	// nodes, which start with blank disks.
 	Voters, Standbys int
-	// RoundDuration is how long a round lasts, 100 ms where it is 0.
+	// RoundDuration is the duration of a round. If it is 0, a round lasts 100 ms.
 	RoundDuration time.Duration
-	// MaxFaults is how many faults may happen, and MaxWipes how many of them may be
-	// the loss of a disk.
+	// MaxFaults is the maximum number of faults. At most MaxWipes of them are
+	// losses of a disk.
 	MaxFaults, MaxWipes int
-	// Rounds is how many rounds are searched, and Writes how many writes are submitted
-	// in them.
+	// Rounds is the number of rounds that are searched, and Writes is the number of
+	// writes that are submitted during these rounds.
 	Rounds, Writes int
-	// RequiredReplicas is how many disks, less those lost, must hold what was
-	// acknowledged.
+	// RequiredReplicas is the number of disks that must hold each acknowledged write,
+	// less the number of lost disks.
 	RequiredReplicas int
-	// AllowedFaults, where not empty, are the faults that may happen.
+	// AllowedFaults lists the faults that may happen. If it is empty, all may.
 	AllowedFaults []Fault
-	// FaultHosts, where not empty, are the nodes to which they may happen. Faults of
-	// messages may happen anywhere.
+	// FaultHosts lists the nodes to which faults may happen. If it is empty, faults
+	// may happen to all nodes. Message faults are not restricted by it.
 	FaultHosts []string
-	// FaultsWhenHealthyOnly has faults happen to nodes only while the cluster could
-	// bear the loss of one.
+	// FaultsWhenHealthyOnly restricts node faults to states in which the cluster can
+	// tolerate the loss of a node.
 	FaultsWhenHealthyOnly bool
-	// Defect is put around the machines on purpose.
+	// Defect is the defect that is planted around the machines.
 	Defect Defect
-	// MaxStates, where not 0, ends the search after so many distinct states.
+	// MaxStates ends the search after this number of distinct states. There is no
+	// limit if it is 0.
 	MaxStates int
 }
 
-// Defect breaks what the machines rely on, to show that the invariants find it.
+// Defect selects planted defects. Each violates an assumption of the machines, to
+// show that the invariants detect the violation.
 type Defect struct {
-	// BlankDiskVotes has a node with a blank disk start as one of the first voters.
+	// BlankDiskVotes makes a node with a blank disk start as one of the initial
+	// voters.
 	BlankDiskVotes bool
-	// VotesUnsynced has votes sent before they are synced, which happens in the round
-	// after.
+	// VotesUnsynced makes nodes send votes before they are synced. The sync happens
+	// in the next round.
 	VotesUnsynced bool
-	// AssumesBackupAck has the primary take a write for synced by the backup as soon
-	// as it is sent.
+	// AssumesBackupAck makes the primary treat a write as synced by the backup as soon
+	// as the write is sent.
 	AssumesBackupAck bool
-	// ReusesIncarnation has a node that lost its disk, and is restarted, take itself
-	// for the voter that it was.
+	// ReusesIncarnation makes a node that lost its disk and was restarted act as the
+	// voter that it was before.
 	ReusesIncarnation bool
-	// UsesBootstrapVoters has a node that is restarted take the first voters for those
-	// of its record.
+	// UsesBootstrapVoters makes a restarted node use the initial voters in place of
+	// the voters of its record.
 	UsesBootstrapVoters bool
 }
--- a/test/modelcheck/configs.go
+++ b/test/modelcheck/configs.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// coarseRound is longer than the interval at which leases are renewed, which makes
-	// a search shorter.
+	// coarseRound is longer than the lease renewal interval, which makes a search
+	// shorter.
 	coarseRound = 200 * time.Millisecond
-	// longRound is for searches that last until a voter is replaced.
+	// longRound is for searches that continue until a voter is replaced.
 	longRound = 300 * time.Millisecond
 )
 
-// QuickConfigs lists what is searched with each run of the tests.
+// QuickConfigs returns the searches that each run of the tests performs.
 func QuickConfigs() []Config {
 	return []Config{
 		{Voters: 3, MaxFaults: 1, MaxWipes: 1, Rounds: 7, Writes: 2, RequiredReplicas: 2},
@@ -57,7 +57,7 @@
 	}
 }
 
-// DeepConfigs lists what is searched by command.
+// DeepConfigs returns the deeper searches, which only the command modelcheck performs.
 func DeepConfigs() []Config {
 	hostFaults := []Fault{Killed, Frozen, Isolated, DiskHangs, Wiped}
 	return []Config{
--- a/test/modelcheck/disk.go
+++ b/test/modelcheck/disk.go
@@ -2,14 +2,14 @@
 
 import "tansyseam/internal/coordination/consensus"
 
-// files is what a disk holds. Values are replaced, never changed.
+// files is the content of a disk. Values are replaced, never modified in place.
 type files struct {
 	identity   []byte
 	voterState *consensus.VoterState
 	table      []byte
-	// keys are those of table.
+	// keys are the keys of table.
 	keys []string
-	// torn is the kind of file whose newest version is damaged, if any.
+	// torn is the kind of the file whose newest version is damaged, or empty.
 	torn string
 }
 
@@ -28,7 +28,7 @@
 	return saved
 }
 
-// persist completes a task of the disk.
+// persist completes a disk task.
 func persist(h *host, task consensus.Effect) {
 	save, isSave := task.(consensus.Save)
 	if !isSave {
@@ -53,14 +53,14 @@
 	savers[save.Kind]()
 }
 
-// tear leaves a file half written.
+// tear leaves the file of a disk task partially written.
 func tear(h *host, task consensus.Effect) {
 	if save, ok := task.(consensus.Save); ok {
 		h.files.torn, h.reportedEpoch = save.Kind, 0
 	}
 }
 
-// sync has the disk do all that is due.
+// sync completes all disk tasks that are due.
 func (w *world) sync(h *host) {
 	for h.running && !h.diskHung {
 		task, due := h.gate.Next(w.now)
--- a/test/modelcheck/effects.go
+++ b/test/modelcheck/effects.go
@@ -7,7 +7,8 @@
 	"tansyseam/internal/coordination/consensus"
 )
 
-// step gives the machine an event, and carries out the effects that may be.
+// step passes an event to the machine and carries out the effects that the gate
+// releases.
 func (w *world) step(h *host, event any) {
 	effects := h.machine.Step(event, w.now)
 	if w.config.Defect.VotesUnsynced {
@@ -17,7 +18,8 @@
 	w.sync(h)
 }
 
-// withoutVoteSaves takes out the save of votes, which is done with the next round.
+// withoutVoteSaves removes the save of votes from effects. The save is carried out in
+// the next round.
 func (h *host) withoutVoteSaves(effects []consensus.Effect) []consensus.Effect {
 	return slices.DeleteFunc(effects, func(effect consensus.Effect) bool {
 		save, ok := effect.(consensus.Save)
@@ -36,8 +38,8 @@
 	}
 }
 
-// release carries out effects that the gate gave. A lease is given up at once, and taken
-// up only once the change of epoch that it follows is synced.
+// release carries out effects that the gate released. A lease is given up immediately,
+// but held only after the epoch change that it depends on is synced.
 func (w *world) release(h *host, effects []consensus.Effect) {
 	leaseUntil := time.Duration(0)
 	if h.machine.IsPrimary(w.now) {
@@ -52,7 +54,7 @@
 	}
 }
 
-// apply carries out one effect.
+// apply carries out an effect.
 func (w *world) apply(h *host, effect consensus.Effect) {
 	if send, ok := effect.(consensus.Send); ok {
 		w.applySend(h, send)
--- a/test/modelcheck/encode.go
+++ b/test/modelcheck/encode.go
@@ -12,11 +12,12 @@
 	"tansyseam/internal/coordination/consensus"
 )
 
-// Key names a state by its hash: equal states have equal keys.
+// Key is the hash of a state. Equal states have equal keys.
 type Key [16]byte
 
-// ignoredFields make no difference to what a machine does next, other than in clocks of
-// day, counters of files, and what the cluster was formed by.
+// ignoredFields are the fields that are left out of a state's key. They affect only
+// wall clock times, file sequence numbers and the origin of the cluster, but no other
+// behavior of a machine.
 var ignoredFields = map[string]bool{
 	"Machine.clock":           true,
 	"replica.fileSequence":    true,
@@ -34,23 +35,25 @@
 	"SyncGate.lastSynced":     true,
 }
 
-// relativeFields are numbers of disk tasks, which count from the last one synced.
+// relativeFields are numbers of disk tasks. They are encoded relative to the last
+// synced task.
 var relativeFields = map[string]bool{
 	"SyncGate.lastVoterStateTask": true,
 	"syncTask.number":             true,
 	"blockedEffect.requiredSync":  true,
 }
 
-// momentHorizon is the age past which moments are alike: no span of the machine is
-// longer.
+// momentHorizon is the age beyond which moments are encoded alike, because no
+// duration that the machine uses is longer.
 const momentHorizon = 3 * time.Second
 
-// encoder writes out a state, with moments relative to now, so that states at different
-// times are equal where they behave alike.
+// encoder encodes a state. Moments are encoded relative to now, so that states at
+// different times that behave alike have equal encodings.
 type encoder struct {
 	data []byte
 	now  time.Duration
-	// lastSynced is that of the SyncGate that is written out.
+	// lastSynced is the number of the last synced task of the SyncGate that is being
+	// encoded.
 	lastSynced uint64
 }
 
@@ -93,8 +96,8 @@
 
 func (e *encoder) value(value any) { e.reflected(reflect.ValueOf(value)) }
 
-// encoders write out a value by its kind. They are set by init, since they refer to
-// themselves.
+// encoders holds the function that encodes values of each kind. It is set by init,
+// because the functions refer to encoders themselves.
 var encoders map[reflect.Kind]func(e *encoder, value reflect.Value)
 
 func init() {
@@ -139,7 +142,7 @@
 	}
 }
 
-// mapping writes out a map in the order of its keys, which are strings or numbers.
+// mapping encodes a map in the order of its keys, which are strings or numbers.
 func (e *encoder) mapping(value reflect.Value) {
 	keys := value.MapKeys()
 	slices.SortFunc(keys, func(a, b reflect.Value) int {
@@ -173,7 +176,8 @@
 	}
 }
 
-// save writes out what a table's file holds, since its bytes are in no fixed order.
+// save encodes the data of a file. The file of a table is decoded first, because its
+// bytes are in no fixed order.
 func (e *encoder) save(kind string, data []byte) {
 	e.text(kind)
 	if kind != consensus.FileTable {
@@ -190,13 +194,13 @@
 	saveType     = reflect.TypeFor[consensus.Save]()
 )
 
-// structPlan gives the indexes of the fields of a struct type that are written out.
+// structPlan holds the indexes of the fields of a struct type that are encoded.
 type structPlan struct {
 	name             string
 	relative, fields []int
 }
 
-// structPlans has the plans by type. Searches that run at once share it.
+// structPlans holds the plans by type. Concurrent searches share it.
 var structPlans sync.Map
 
 func structPlanOf(typ reflect.Type) *structPlan {
--- a/test/modelcheck/encode_test.go
+++ b/test/modelcheck/encode_test.go
@@ -10,7 +10,8 @@
 	"tansyseam/internal/coordination/consensus"
 )
 
-// structTypes adds a type, and those within, by name.
+// structTypes adds typ, if it is a struct type, and all struct types that it contains
+// to types, by name.
 func structTypes(typ reflect.Type, types map[string]reflect.Type) {
 	hasElement := typ.Kind() == reflect.Pointer || typ.Kind() == reflect.Slice || typ.Kind() == reflect.Map
 	if hasElement {
@@ -26,7 +27,7 @@
 }
 
 func TestFieldsWithARuleExist(t *testing.T) {
-	Convey("Each field that is encoded by a rule of its own is a field of a type that is encoded", t, func() {
+	Convey("Each field in ignoredFields and relativeFields is a field of an encoded type", t, func() {
 		types := map[string]reflect.Type{}
 		structTypes(reflect.TypeFor[consensus.Machine](), types)
 		structTypes(reflect.TypeFor[consensus.SyncGate](), types)
@@ -43,7 +44,7 @@
 }
 
 func TestKeys(t *testing.T) {
-	Convey("A state that differs in one machine's promise, time or message under way has another key; one reached again has the same", t, func() {
+	Convey("Equal states have equal keys, and states that differ in time or in a message in flight have different keys", t, func() {
 		config := Config{Voters: 3, RoundDuration: coarseRound, Rounds: 2}
 		w := newWorld(&config)
 		w.trace = nil
--- a/test/modelcheck/faults.go
+++ b/test/modelcheck/faults.go
@@ -6,7 +6,7 @@
 	"tansyseam/internal/coordination/consensus"
 )
 
-// Fault names a way in which events may differ from the normal course.
+// Fault is the name of a deviation from the normal course of events.
 type Fault string
 
 // Faults that happen in place of the delivery of a message.
@@ -37,7 +37,7 @@
 	apply   func(w *world)
 }
 
-// The order of the faults is that of the search.
+// messageFaults lists the faults in the order of the search.
 var messageFaults = []messageFault{
 	{MessageLost, always, (*world).loseMessage},
 	{MessageDelayed, always, (*world).delayMessage},
@@ -57,8 +57,8 @@
 	w.loseMessage()
 }
 
-// secondMessage gives the index of the next message to the receiver of the oldest, or 0
-// where there is none.
+// secondMessage returns the index of the next message to the receiver of the oldest
+// message, or 0 if there is none.
 func (w *world) secondMessage() int {
 	for index, sent := range w.inFlight {
 		if index > 0 && sent.to == w.inFlight[0].to {
@@ -70,8 +70,9 @@
 
 func (w *world) hasSecondMessage() bool { return w.secondMessage() > 0 }
 
-// hangDuringSync delivers the oldest message to a node whose disk hangs from then on.
-// Where the message has nothing saved, the fault makes no difference.
+// hangDuringSync delivers the oldest message to its receiver, whose disk hangs from then
+// on. If the message causes no save, the fault makes no difference and the state is
+// marked as redundant.
 func (w *world) hangDuringSync() *host {
 	index := w.find(w.inFlight[0].to)
 	h := w.hosts[index]
@@ -86,7 +87,8 @@
 	return h
 }
 
-// crashDuringSync ends the node while its disk is at what the oldest message has saved.
+// crashDuringSync stops the node while its disk performs the save that the oldest
+// message caused.
 func (w *world) crashDuringSync(atDisk func(*host, consensus.Effect)) {
 	if h := w.hangDuringSync(); !w.redundant {
 		w.stop(h, atDisk)
@@ -94,8 +96,8 @@
 	}
 }
 
-// hostFault may happen to a node while no message is in flight. enabled must not change
-// the host, and apply has one that it may change.
+// hostFault may happen to a node while no message is in flight. enabled must not modify
+// the host. apply receives a host that it may modify.
 type hostFault struct {
 	name    Fault
 	enabled func(w *world, h *host) bool
@@ -113,7 +115,7 @@
 
 func isRunning(_ *world, h *host) bool { return h.running }
 
-// wipe ends the node and takes its disk.
+// wipe stops the node and erases its disk.
 func (w *world) wipe(h *host) {
 	if h.running {
 		w.stop(h, nil)
@@ -138,7 +140,7 @@
 	}},
 }
 
-// thaw has a frozen node handle the messages that came meanwhile.
+// thaw lets a frozen node handle the messages that arrived while it was frozen.
 func (w *world) thaw(h *host) {
 	h.frozen = false
 	inbox := h.inbox
--- a/test/modelcheck/host.go
+++ b/test/modelcheck/host.go
@@ -9,32 +9,34 @@
 	"tansyseam/internal/coordination/proposal"
 )
 
-// host is one node with its disk, and what was seen of it from outside.
+// host is a node with its disk and the externally observed state of the node.
 type host struct {
 	name string
 	// machine and gate are nil while the node does not run.
 	machine *consensus.Machine
 	gate    *consensus.SyncGate
 	files   files
-	// incarnation counts the starts of the program.
+	// incarnation is the number of times that the program has started.
 	incarnation int64
-	// leaseUntil is until when it serves as primary, and published the keys that it
-	// serves. Both lag behind the machine's by the files that they depend on.
+	// leaseUntil is the time until which the node serves as primary, and published
+	// holds the keys that it serves. Both lag behind the machine's values until the
+	// files that they depend on are synced.
 	leaseUntil time.Duration
 	published  []string
-	// inbox are messages that came while it was frozen.
+	// inbox holds the messages that arrived while the node was frozen.
 	inbox   []message
 	running bool
-	// A frozen node does nothing, one whose disk hangs saves nothing, and no message
-	// reaches or leaves an isolated one.
+	// A frozen node does nothing. A node whose disk hangs saves nothing. An isolated
+	// node neither receives nor sends messages.
 	frozen, diskHung, isolated bool
-	// wiped says that it has lost a disk.
+	// wiped is true if the node has lost a disk.
 	wiped bool
-	// delayedSave is what Defect.VotesUnsynced has not synced yet.
+	// delayedSave is the save that Defect.VotesUnsynced has delayed, or nil.
 	delayedSave consensus.Effect
 
-	// For the invariants: the highest epoch that it reported, the incarnations that it
-	// voted with before it lost a disk, and its votes by epoch.
+	// The invariants use the following fields: the highest epoch that the node has
+	// reported, the incarnations with which it voted before it lost a disk, and its
+	// votes by epoch.
 	reportedEpoch uint64
 	retired       map[uint64]bool
 	promises      map[uint64]proposal.Number
@@ -56,10 +58,10 @@
 	return &other
 }
 
-// isOperational says whether no fault holds the node up.
+// isOperational reports whether the node runs and no fault affects it.
 func (h *host) isOperational() bool { return h.running && !h.frozen && !h.isolated && !h.diskHung }
 
-// key names the state of the host at a moment.
+// key returns the key of the host's state at the time now.
 func (h *host) key(now time.Duration) Key {
 	if h.cachedKeyAt != now {
 		e := encoder{now: now, data: make([]byte, 0, 4096)}
@@ -93,7 +95,7 @@
 	e.flag(h.files.identity == nil)
 }
 
-// start runs the node's program with what its disk holds.
+// start starts the node's program with the content of its disk.
 func (w *world) start(h *host) {
 	saved := w.load(h)
 	bootstrap := consensus.BootstrapConfig{Voters: 2*w.config.RequiredReplicas - 1, RequireBackup: true}
@@ -105,7 +107,7 @@
 	w.step(h, consensus.Peers{Names: w.names()})
 }
 
-// load reads the disk, with the defects that change what is read.
+// load reads the disk and applies the defects that alter the loaded state.
 func (w *world) load(h *host) consensus.PersistentState {
 	saved := h.files.load()
 	defect := w.config.Defect
@@ -121,8 +123,8 @@
 	return saved
 }
 
-// stop ends the node's program. What its disk is at is left to atDisk, or lost where
-// that is nil.
+// stop stops the node's program. The pending disk task, if any, is passed to atDisk, or
+// lost if atDisk is nil.
 func (w *world) stop(h *host, atDisk func(h *host, task consensus.Effect)) {
 	if task, due := h.gate.Next(w.now + consensus.SyncRetryDelay); due && atDisk != nil {
 		atDisk(h, task)
--- a/test/modelcheck/invariants.go
+++ b/test/modelcheck/invariants.go
@@ -9,14 +9,14 @@
 	"tansyseam/internal/coordination/proposal"
 )
 
-// violate notes the first invariant that does not hold.
+// violate records a violation of an invariant. Only the first one is kept.
 func (w *world) violate(format string, parts ...any) {
 	if w.violation == "" {
 		w.violation = fmt.Sprintf(format, parts...)
 	}
 }
 
-// checkInvariants checks that there is one primary at most, and that it serves all
+// checkInvariants checks that there is at most one primary, and that it serves all
 // writes that were acknowledged or served before.
 func (w *world) checkInvariants() {
 	primary := ""
@@ -25,7 +25,7 @@
 			continue
 		}
 		if primary != "" {
-			w.violate("%s and %s hold the lease at once", primary, h.name)
+			w.violate("%s and %s hold the lease at the same time", primary, h.name)
 		}
 		primary = h.name
 		w.checkServed(h)
@@ -35,7 +35,7 @@
 func (w *world) checkServed(h *host) {
 	for _, key := range slices.Concat(w.acked, w.published) {
 		if !slices.Contains(h.published, key) {
-			w.violate("%s serves without %s, which was acknowledged or served before", h.name, key)
+			w.violate("%s does not serve %s, which was acknowledged or served before", h.name, key)
 		}
 	}
 	for _, key := range h.published {
@@ -45,7 +45,7 @@
 	}
 }
 
-// checkReplicas checks that enough disks hold a write that is acknowledged.
+// checkReplicas checks that enough disks hold an acknowledged write.
 func (w *world) checkReplicas(h *host, key string) {
 	replicas := 0
 	for _, other := range w.hosts {
@@ -58,7 +58,7 @@
 	}
 }
 
-// checkRecord checks that an epoch has one record.
+// checkRecord checks that an epoch has only one record.
 func (w *world) checkRecord(h *host, record consensus.Record) {
 	recorded, exists := w.records[record.Epoch]
 	if exists && recorded != record {
@@ -70,7 +70,7 @@
 	}
 }
 
-// checkMessage checks a message against what its sender sent before.
+// checkMessage checks a message against the messages that its sender sent before.
 func (w *world) checkMessage(h *host, body any) {
 	if ack, ok := body.(consensus.RenewLeaseAck); ok {
 		w.checkEpochRises(h, ack.Decided.Epoch)
@@ -100,7 +100,7 @@
 	}
 }
 
-// checkEpochRises checks that a node does not forget an epoch that it has reported.
+// checkEpochRises checks that a node does not report a lower epoch than before.
 func (w *world) checkEpochRises(h *host, epoch uint64) {
 	if epoch < h.reportedEpoch {
 		w.violate("%s reports epoch %d after %d", h.name, epoch, h.reportedEpoch)
@@ -108,19 +108,19 @@
 	h.reportedEpoch = max(h.reportedEpoch, epoch)
 }
 
-// checkParticipation checks that a node takes part only by a record in which it is a
-// voter, with the disk that it has.
+// checkParticipation checks that a node participates only if it is a voter of its
+// record, with an incarnation whose disk it has not lost.
 func (w *world) checkParticipation(h *host, action string) {
 	member, found := h.machine.Record().Voters.Find(h.name)
 	if !found {
-		w.violate("%s %s without a vote", h.name, action)
+		w.violate("%s is not a voter, but %s", h.name, action)
 	}
 	if found && h.retired[member.Incarnation] {
 		w.violate("%s, whose disk is blank, %s", h.name, action)
 	}
 }
 
-// retireIncarnations notes the incarnations that end with the disk of a node.
+// retireIncarnations records the incarnations that end with the loss of a node's disk.
 func (w *world) retireIncarnations(h *host) {
 	retired := map[uint64]bool{}
 	maps.Copy(retired, h.retired)
@@ -132,7 +132,7 @@
 	h.retired = retired
 }
 
-// checkPromise checks that a proposal is promised once.
+// checkPromise checks that a node promises a proposal at most once.
 func (w *world) checkPromise(h *host, promise consensus.Promise) {
 	w.checkVote(h, promise.Epoch, promise.Number)
 	if promise.Number == h.promises[promise.Epoch] {
@@ -141,7 +141,8 @@
 	h.promises[promise.Epoch] = promise.Number
 }
 
-// checkVote checks that no vote in an epoch is for a lower proposal than one before.
+// checkVote checks that a node does not vote for a lower proposal than in an earlier
+// vote of the same epoch.
 func (w *world) checkVote(h *host, epoch uint64, number proposal.Number) {
 	w.checkParticipation(h, "votes")
 	if number.IsBefore(h.promises[epoch]) || number.IsBefore(h.accepts[epoch]) {
--- a/test/modelcheck/modelcheck.go
+++ b/test/modelcheck/modelcheck.go
@@ -2,11 +2,12 @@
 // machines of a small cluster through every sequence of events within given bounds, and
 // checks invariants after each event.
 //
-// Time moves in rounds: in a round each node has a tick, and all messages are
-// delivered. At any point a fault may happen instead, or in between, up to a number of
-// faults; faults.go lists them. The search is depth first and deterministic. States are
-// compared by the hash of all that a machine's further behaviour depends on (encode.go),
-// so that one reached again is not searched again.
+// Time advances in rounds. In each round, every node receives a tick and all messages
+// are delivered. A fault may replace the delivery of a message or happen between
+// messages, up to a maximum number of faults; faults.go lists the faults. The search is
+// depth first and deterministic. States are compared by a hash of everything that
+// determines the further behavior of the machines (encode.go), so that a state that was
+// already searched is not searched again.
 package modelcheck
 
 import (
@@ -14,34 +15,35 @@
 	"time"
 )
 
-// defaultRound is how long a round lasts where the Config does not say.
+// defaultRound is the duration of a round if Config.RoundDuration is 0.
 const defaultRound = 100 * time.Millisecond
 
 // Result is the outcome of a search.
 type Result struct {
-	// States counts the distinct states, Steps those that were reached.
+	// States is the number of distinct states. Steps is the number of times that any
+	// state was reached.
 	States, Steps int
-	// HighestEpoch is the highest epoch decided, AckedWrites the most writes that were
-	// acknowledged in one state.
+	// HighestEpoch is the highest decided epoch. AckedWrites is the maximum number of
+	// writes that were acknowledged in one state.
 	HighestEpoch uint64
 	AckedWrites  int
-	// Truncated says that the search ended at Config.MaxStates.
+	// Truncated is true if the search ended at Config.MaxStates.
 	Truncated bool
-	// Violation is the first invariant that did not hold, empty where all did, and
-	// Trace the events that led to it.
+	// Violation describes the first violation of an invariant. It is empty if there
+	// was none. Trace holds the events that led to the violation.
 	Violation string
 	Trace     []string
 }
 
-// budget is what a search from a state may still use.
+// budget is the number of faults and rounds that remain in a search from a state.
 type budget struct{ faults, rounds int }
 
 func (b budget) covers(other budget) bool {
 	return b.faults >= other.faults && b.rounds >= other.rounds
 }
 
-// Run searches until an invariant does not hold, or all is searched. The same Config
-// gives the same Result.
+// Run searches until an invariant is violated or all states within the bounds are
+// searched. The same Config always produces the same Result.
 func Run(config Config) Result {
 	config.RoundDuration = cmp.Or(config.RoundDuration, defaultRound)
 	var result Result
@@ -73,7 +75,7 @@
 	return result
 }
 
-// count adds a state that was reached.
+// count adds a reached state to the result.
 func (r *Result) count(w *world) {
 	r.Steps++
 	for epoch := range w.records {
--- a/test/modelcheck/modelcheck_test.go
+++ b/test/modelcheck/modelcheck_test.go
@@ -24,7 +24,7 @@
 }
 
 func TestNoTraceViolatesAnInvariant(t *testing.T) {
-	Convey("No sequence of events within the bounds violates an invariant, and epochs change and writes are committed in them", t, func() {
+	Convey("No sequence of events within the bounds violates an invariant, and the search reaches epoch changes and committed writes", t, func() {
 		configs := QuickConfigs()
 		for index, result := range runAll(configs) {
 			about := fmt.Sprintf("%+v: %d states\n%s", configs[index], result.States, strings.Join(result.Trace, "\n"))
@@ -39,7 +39,7 @@
 }
 
 func TestDeterministic(t *testing.T) {
-	Convey("The same Config gives the same Result", t, func() {
+	Convey("Searches with the same Config return the same Result", t, func() {
 		config := Config{Voters: 3, MaxFaults: 1, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 3, Writes: 1, RequiredReplicas: 2}
 		results := runAll([]Config{config, config, config})
 		So(results[0].States, ShouldBeGreaterThan, 500)
@@ -54,7 +54,7 @@
 		config    Config
 		violation string
 	}{
-		{"a blank machine votes", Config{
+		{"a node with a blank disk votes", Config{
 			Voters: 3, MaxFaults: 1, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 3, Writes: 1, RequiredReplicas: 2,
 			AllowedFaults: []Fault{Wiped}, Defect: Defect{BlankDiskVotes: true},
 		}, "disk is blank"},
@@ -65,18 +65,18 @@
 		{"a write is acknowledged before the backup has synced it", Config{
 			Voters: 3, RoundDuration: coarseRound, Rounds: 2, Writes: 1, RequiredReplicas: 2, Defect: Defect{AssumesBackupAck: true},
 		}, "synced on 1 disks"},
-		{"a backup that lost its disk is restarted, and takes itself for the voter that it was", Config{
+		{"a backup that lost its disk is restarted and acts as the voter that it was before", Config{
 			Voters: 5, MaxFaults: 3, MaxWipes: 1, RoundDuration: coarseRound, Rounds: 9, RequiredReplicas: 2,
 			AllowedFaults: []Fault{Wiped, Killed}, FaultHosts: []string{"c1", "c2"},
 			Defect: Defect{ReusesIncarnation: true},
 		}, "disk is blank"},
-		{"a machine that starts again counts the voters before a replacement", Config{
+		{"a restarted node uses the voters from before a replacement", Config{
 			Voters: 3, Standbys: 1, MaxFaults: 2, RoundDuration: longRound, Rounds: 16, RequiredReplicas: 2,
 			AllowedFaults: []Fault{Killed}, FaultHosts: []string{"c1", "c3"}, FaultsWhenHealthyOnly: true,
 			Defect: Defect{UsesBootstrapVoters: true},
 		}, "has two records"},
 	}
-	Convey("Defects put around the machines are found", t, func() {
+	Convey("Defects planted around the machines are detected", t, func() {
 		var configs []Config
 		for _, defect := range defects {
 			configs = append(configs, defect.config)
@@ -85,7 +85,7 @@
 			SoMsg(defects[index].name, result.Violation, ShouldContainSubstring, defects[index].violation)
 		}
 	})
-	Convey("Without them, the same searches find nothing", t, func() {
+	Convey("The same searches without the defects find no violation", t, func() {
 		var configs []Config
 		for _, defect := range defects[:3] {
 			config := defect.config
--- a/test/modelcheck/successors.go
+++ b/test/modelcheck/successors.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// isFinal says whether the last round is over.
+// isFinal reports whether the last round is over.
 func (w *world) isFinal() bool { return w.rounds >= w.config.Rounds && len(w.inFlight) == 0 }
 
-// successors lists the states that one event or fault leads to.
+// successors returns the states that one event or fault leads to.
 func (w *world) successors() []*world {
 	list := w.betweenMessages
 	if len(w.inFlight) > 0 {
@@ -14,7 +14,7 @@
 	return slices.DeleteFunc(list(), func(next *world) bool { return next.redundant })
 }
 
-// after gives the state after an event.
+// after returns the state after an event.
 func (w *world) after(step traceStep, apply func(next *world)) *world {
 	next := w.clone()
 	step.previous, step.at = w.trace, w.now
@@ -23,7 +23,8 @@
 	return next
 }
 
-// atMessage lists what may happen at the oldest message in flight.
+// atMessage returns the successors in which the oldest message in flight is delivered
+// or affected by a fault.
 func (w *world) atMessage() []*world {
 	oldest := w.inFlight[0]
 	var list []*world
@@ -38,7 +39,7 @@
 	return append(list, w.after(traceStep{message: &oldest}, func(next *world) { next.deliver(0) }))
 }
 
-// betweenMessages lists what may happen while no message is in flight.
+// betweenMessages returns the successors of a state without messages in flight.
 func (w *world) betweenMessages() []*world {
 	var list []*world
 	for index := range w.hosts {
@@ -46,7 +47,7 @@
 		list = append(list, w.faultsOf(index)...)
 	}
 	for index, late := range w.delayed {
-		list = append(list, w.after(traceStep{message: &late, action: "comes late"}, func(next *world) {
+		list = append(list, w.after(traceStep{message: &late, action: "delivered late"}, func(next *world) {
 			next.delayed = slices.Delete(next.delayed, index, index+1)
 			next.inFlight = append(next.inFlight, late)
 		}))
--- a/test/modelcheck/trace.go
+++ b/test/modelcheck/trace.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// traceStep is the last event before a state, with those before it.
+// traceStep is the last event before a state. It links to the event before it.
 type traceStep struct {
 	previous *traceStep
 	at       time.Duration
@@ -15,7 +15,7 @@
 	action   string
 }
 
-// lines describes the events in the order in which they happened.
+// lines returns descriptions of the events in the order in which they happened.
 func (s *traceStep) lines() []string {
 	var lines []string
 	for step := s; step != nil; step = step.previous {
--- a/test/modelcheck/world.go
+++ b/test/modelcheck/world.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	// startTime is the monotonic clock at the start, late enough that no span of the
-	// machines reaches back to 0.
+	// startTime is the monotonic time at the start. It is so late that no duration that
+	// the machines use reaches back to 0.
 	startTime = time.Hour
-	// settlingRounds are run before the search, so that there is a primary with a
-	// lease and one write.
+	// settlingRounds is the number of rounds before the search, after which there is a
+	// primary with a lease and one committed write.
 	settlingRounds = 12
 	settlingWrites = 1
 )
 
-// message is on its way from one node to another.
+// message is a message in flight from one node to another.
 type message struct {
 	from, to string
 	body     any
 }
 
-// world is the state of a whole cluster. Successors share what does not change: a host
-// is copied before it does (mutableHost), the other fields are replaced.
+// world is the state of a whole cluster. Successors share unmodified values: a host is
+// copied before it is modified (mutableHost), and the other fields are replaced.
 type world struct {
 	config   *Config
 	now      time.Duration
 	hosts    []*host
 	inFlight []message
-	// delayed are messages that come later than all others.
+	// delayed holds the messages that are delivered later than all others.
 	delayed []message
 
-	// submitter is the node that a write under way was submitted to.
+	// submitter is the node to which the pending write was submitted.
 	submitter string
 	writes    int
 	maxWrites int
 
-	// What was seen from outside: the keys of writes that were acknowledged, and those
-	// that a primary has served, and the record of each epoch.
+	// The externally observed state: the keys of acknowledged writes, the keys that a
+	// primary has served, and the record of each epoch.
 	acked     []string
 	published []string
 	records   map[uint64]consensus.Record
@@ -54,11 +54,11 @@
 
 	violation string
 	trace     *traceStep
-	// redundant says that this state is reached without the last fault as well.
+	// redundant is true if this state is also reached without the last fault.
 	redundant bool
 }
 
-// newWorld makes a cluster that is formed and settled.
+// newWorld returns a formed cluster after settlingRounds rounds.
 func newWorld(config *Config) *world {
 	w := &world{config: config, now: startTime, maxWrites: settlingWrites, records: map[uint64]consensus.Record{}}
 	for number := range config.Voters + config.Standbys {
@@ -84,7 +84,7 @@
 	return w
 }
 
-// bootstrapped gives the files of a voter of a cluster that was just formed.
+// bootstrapped returns the persistent state of a voter of a newly formed cluster.
 func (w *world) bootstrapped(self string) consensus.PersistentState {
 	voters := w.names()[:w.config.Voters]
 	var members []consensus.Member
@@ -106,7 +106,7 @@
 	return &other
 }
 
-// mutableHost gives a host that this world may change.
+// mutableHost replaces a host with a copy that this world may modify and returns it.
 func (w *world) mutableHost(index int) *host {
 	w.hosts[index] = w.hosts[index].clone()
 	return w.hosts[index]
@@ -120,7 +120,7 @@
 	return names
 }
 
-// find gives the index of a host, or -1.
+// find returns the index of a host, or -1 if there is no host of that name.
 func (w *world) find(name string) int {
 	return slices.IndexFunc(w.hosts, func(h *host) bool { return h.name == name })
 }
@@ -133,7 +133,7 @@
 	}
 }
 
-// deliver hands over one of the messages in flight.
+// deliver delivers one of the messages in flight.
 func (w *world) deliver(index int) {
 	delivered := w.inFlight[index]
 	w.inFlight = slices.Delete(w.inFlight, index, index+1)
@@ -158,7 +158,8 @@
 	w.step(h, consensus.Received{From: received.from, Body: received.body})
 }
 
-// startRound moves time, and ticks all nodes.
+// startRound advances the time by a round and ticks all running nodes
+// that are not frozen.
 func (w *world) startRound() {
 	w.now += w.config.RoundDuration
 	w.rounds++
@@ -174,7 +175,7 @@
 	}
 }
 
-// submit submits the next write to the primary, one at a time.
+// submit submits the next write if h is the primary and no write is pending.
 func (w *world) submit(h *host) {
 	if w.now >= h.leaseUntil || w.submitter != "" || w.writes >= w.maxWrites {
 		return
@@ -187,14 +188,14 @@
 	}})
 }
 
-// writeKey gives the key that a write sets.
+// writeKey returns the key that a write sets.
 func writeKey(token uint64) string { return fmt.Sprintf("w%d", token) }
 
-// keysOf lists the keys of a table in order.
+// keysOf returns the sorted keys of a table.
 func keysOf(table *store.Table) []string { return slices.Sorted(maps.Keys(table.Records)) }
 
-// isHealthy says whether the cluster can bear a loss: there is a primary with a backup,
-// and all voters work and know its record.
+// isHealthy reports whether the cluster can tolerate the loss of a node: there is a
+// primary with a backup, and all voters are operational and hold the primary's record.
 func (w *world) isHealthy() bool {
 	var record consensus.Record
 	for _, h := range w.hosts {
@@ -212,7 +213,7 @@
 	return budget{faults: w.config.MaxFaults - w.faults, rounds: w.config.Rounds - w.rounds}
 }
 
-// key names the state.
+// key returns the key of the state.
 func (w *world) key() Key {
 	e := encoder{now: w.now, data: make([]byte, 0, 2048)}
 	for _, h := range w.hosts {
--- a/test/reserve/reserve_test.go
+++ b/test/reserve/reserve_test.go
@@ -12,7 +12,7 @@
 
 const dialTimeout = 10 * time.Second
 
-// dialFrom connects to an address from a local one.
+// dialFrom connects from a local address to a remote address.
 func dialFrom(local, remote string) (net.Conn, error) {
 	localAddress, err := net.ResolveTCPAddr("tcp", local)
 	So(err, ShouldBeNil)
@@ -26,7 +26,7 @@
 		other, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		Reset(func() { _ = other.Close() })
-		Convey("No outgoing connection takes its port, and a server can listen on it", func() {
+		Convey("An outgoing connection cannot use its port, and a server can listen on it", func() {
 			_, err := dialFrom(address, other.Addr().String())
 			So(errors.Is(err, syscall.EADDRINUSE), ShouldBeTrue)
 			listener, err := net.Listen("tcp", address)
@@ -74,7 +74,7 @@
 		_, err = SharedPort("127.0.0.1", "not an address")
 		So(errors.Is(err, ErrReserve), ShouldBeTrue)
 	})
-	Convey("What is no IPv4 address is refused", t, func() {
+	Convey("Text that is not an IPv4 address is refused", t, func() {
 		for _, text := range []string{"", "localhost", "::1"} {
 			_, err := Any(text)
 			So(errors.Is(err, ErrReserve), ShouldBeTrue)
