--- a/test.sh
+++ b/test.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Runs all checks: formatter, vet, linter, build, tests under the race detector,
-# tests with the fixed seeds without it, and bounded runs of fleets of real
-# processes in the product's own mode and in the platform's mode.
+# the fixed simulation seeds and the HTTP server tests without it, and bounded runs
+# of fleets of real processes in the product's own mode and in the platform's mode.
 set -euo pipefail
 cd "$(dirname "$0")"
 unformatted=$(gofmt -s -l cmd internal platform test)
