--- a/test/compatibility/messages_test.go
+++ b/test/compatibility/messages_test.go
@@ -1,5 +1,6 @@
-// Package compatibility holds the messages and stored records of this build
-// against those of earlier builds, which share a fleet with it and left their files.
+// Package compatibility compares the messages and stored records of this build with
+// those of earlier builds. Nodes of earlier builds exchange messages with this build
+// in the same fleet, and this build reads the files that earlier builds wrote.
 package compatibility
 
 import (
@@ -17,43 +18,44 @@
 	"tansyseam/internal/transport/rpc"
 )
 
-// writeGolden makes golden files anew. It is for new kinds of message or record
-// only: the files of released ones never change.
+// writeGolden is true if missing golden files are to be written. It is for new kinds of
+// messages or records only, because the files of released kinds must never change.
 var writeGolden = flag.Bool("write-golden", false, "write the golden files that are missing")
 
 const messageFolder = "testdata/messages"
 
-// fileOf gives the golden file of a kind of message, by the name under which it is sent.
-func fileOf(name string) string {
+// goldenPath returns the path of the golden file of a kind of message. name is the name
+// under which the message is sent.
+func goldenPath(name string) string {
 	return filepath.Join(messageFolder, strings.ReplaceAll(name, "/", "_")+".gob")
 }
 
-func frameOf(body any) rpc.Envelope {
+func envelopeOf(body any) rpc.Envelope {
 	return rpc.Envelope{From: "node-a", Version: 2, ID: 77, IsReply: true, Body: body}
 }
 
 func TestMessagesOfEarlierBuildsAreRead(t *testing.T) {
 	message.Register()
-	Convey("Each message, encoded by 6cad5d2 with no field zero, is read with every field", t, func() {
+	Convey("Each message that 6cad5d2 encoded with non-zero fields is decoded with all fields", t, func() {
 		names := message.Names()
-		for at, body := range message.All() {
-			path := fileOf(names[at])
+		for i, body := range message.All() {
+			path := goldenPath(names[i])
 			if _, err := os.Stat(path); err != nil && *writeGolden {
 				var buffer bytes.Buffer
-				frame := frameOf(message.Encode(filled(body)))
-				So(gob.NewEncoder(&buffer).Encode(&frame), ShouldBeNil)
+				envelope := envelopeOf(message.Encode(filled(body)))
+				So(gob.NewEncoder(&buffer).Encode(&envelope), ShouldBeNil)
 				So(os.MkdirAll(messageFolder, 0o755), ShouldBeNil)
 				So(os.WriteFile(path, buffer.Bytes(), 0o644), ShouldBeNil)
 			}
 			data, err := os.ReadFile(path)
 			So(err, ShouldBeNil)
-			var frame rpc.Envelope
-			So(gob.NewDecoder(bytes.NewReader(data)).Decode(&frame), ShouldBeNil)
-			frame.Body = message.Decode(frame.Body)
-			SoMsg(path, frame, ShouldResemble, frameOf(filled(body)))
+			var envelope rpc.Envelope
+			So(gob.NewDecoder(bytes.NewReader(data)).Decode(&envelope), ShouldBeNil)
+			envelope.Body = message.Decode(envelope.Body)
+			SoMsg(path, envelope, ShouldResemble, envelopeOf(filled(body)))
 		}
 	})
-	Convey("No message of an earlier build has gone", t, func() {
+	Convey("Each message has a golden file, and no message of an earlier build was removed", t, func() {
 		files, err := filepath.Glob(messageFolder + "/*.gob")
 		So(err, ShouldBeNil)
 		So(len(files), ShouldEqual, len(message.All()))
