--- a/test/cmd/standin/main.go
+++ b/test/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs one stand-in instance as a process of its own, until
-// SIGTERM or SIGINT.
+// Command standin runs one stand-in database instance as a separate process
+// until it receives SIGTERM or SIGINT.
 package main
 
 import (
--- a/test/standin/caller.go
+++ b/test/standin/caller.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// caller is one client with a session at a time; it is used by one goroutine.
+// caller is one client. It has at most one session at a time and is used by
+// one goroutine.
 type caller struct {
 	callers   *Callers
 	role      Role
@@ -23,7 +24,9 @@
 	client  *http.Client
 	address string
 	session string
-	// positionToken carries the position to read from into the next session.
+	// positionToken is the last position token that an answer contained. The
+	// caller sends it when it opens the next session, which then reads from at
+	// least that position.
 	positionToken string
 	requestCount  int
 	setting       string
@@ -31,9 +34,10 @@
 }
 
 const (
-	// deadlineMS is what callers give each call, in milliseconds.
+	// deadlineMS is the deadline that callers set for each call, in
+	// milliseconds.
 	deadlineMS = 6000
-	// callTimeout is past the deadline, so that the proxy's answer comes first.
+	// callTimeout is longer than the deadline, so that the proxy answers first.
 	callTimeout = 15 * time.Second
 	dialTimeout = 2 * time.Second
 )
@@ -84,7 +88,8 @@
 	}
 }
 
-// openSession opens a session at a ready proxy over a new TCP connection.
+// openSession opens a session at a ready proxy over a new TCP connection. It
+// reports whether the session was opened.
 func (c *caller) openSession(ctx context.Context) bool {
 	address, found := c.callers.platform.ReadyProxy(c.zone)
 	if !found {
@@ -135,8 +140,9 @@
 	return event
 }
 
-// request makes a call within the session; it returns the event, still to be
-// added to the history, and whether the session is still open.
+// request makes a call within the session. It returns the event, which the
+// caller of the method adds to the history, and whether the session is still
+// open.
 func (c *caller) request(kind, path string, body sessionRequest) (Event, bool) {
 	body.Session, body.DeadlineMS = c.session, deadlineMS
 	sent := time.Now()
@@ -153,19 +159,20 @@
 	return event, open
 }
 
-// nextRequestID returns an id that no other write of any caller has.
+// nextRequestID returns a request id that is unique among all callers.
 func (c *caller) nextRequestID() string {
 	c.requestCount++
 	return fmt.Sprintf("%s.%d", c.session, c.requestCount)
 }
 
-// newStatement returns a text that no other statement has, with quotes, a
-// backslash and a letter beyond ASCII.
+// newStatement returns the text of a statement. The text contains the id, so
+// that it differs from the texts of other ids, and quotes, a backslash and a
+// non-ASCII letter.
 func (c *caller) newStatement(verb string, id string) string {
 	return fmt.Sprintf("%s \"%s\" by %s é\\%d", verb, id, c.name, c.random.IntN(1000))
 }
 
-// awaitRetry waits as long as an answer asks for.
+// awaitRetry waits for the time that the answer's retry-after field asks for.
 func (c *caller) awaitRetry(ctx context.Context, event Event) {
 	if event.RetryAfterMS > 0 {
 		wait(ctx, time.Duration(event.RetryAfterMS)*time.Millisecond)
--- a/test/standin/caller_operations.go
+++ b/test/standin/caller_operations.go
@@ -3,24 +3,30 @@
 import "context"
 
 const (
-	// preparedName is the one name that all sessions give their statement.
+	// preparedName is the name of the prepared statement in every session.
 	preparedName = "p"
-	// preparedShare and rollbackShare are of reads and of transactions.
+	// preparedShare is the share of reads that use the prepared statement, in
+	// sessions that have one.
 	preparedShare = 0.5
+	// rollbackShare is the share of transactions that the caller rolls back
+	// instead of committing.
 	rollbackShare = 0.1
-	// maxWriteRetries is for writes of which the outcome isn't known.
+	// maxWriteRetries is the maximum number of retries of a write whose outcome
+	// is unknown.
 	maxWriteRetries = 3
 )
 
+// Outcomes on which the callers act. Proxies send outcomeDone and
+// outcomeUnknown. A caller records outcomeCut if it received no answer.
 const (
 	outcomeDone    = "done"
 	outcomeUnknown = "unknown"
 	outcomeCut     = "cut"
 )
 
-// operate does one operation, drawn by the role's shares.
+// operate runs one operation, chosen at random by the role's shares.
 func (c *caller) operate(ctx context.Context) {
-	drawn := c.random.Float64()
+	sample := c.random.Float64()
 	if !c.changeSetting() || !c.prepareStatement() {
 		return
 	}
@@ -29,16 +35,16 @@
 		act   func(context.Context)
 	}{{c.role.WriteShare, c.write}, {c.role.TransactionShare, c.runTransaction}, {2, c.read}}
 	for _, action := range actions {
-		if drawn < action.share {
+		if sample < action.share {
 			action.act(ctx)
 			return
 		}
-		drawn -= action.share
+		sample -= action.share
 	}
 }
 
-// changeSetting sets a setting now and then, once a session; it returns
-// whether the session is still open.
+// changeSetting sets a setting with the probability SessionStateShare, unless
+// the session already has one. It returns whether the session is still open.
 func (c *caller) changeSetting() bool {
 	if c.setting != "" || c.random.Float64() >= c.role.SessionStateShare {
 		return true
@@ -52,8 +58,9 @@
 	return open
 }
 
-// prepareStatement prepares a statement now and then, once a session; it
-// returns whether the session is still open.
+// prepareStatement prepares a statement with the probability
+// SessionStateShare, unless the session already has one. It returns whether the
+// session is still open.
 func (c *caller) prepareStatement() bool {
 	if c.preparedText != "" || c.random.Float64() >= c.role.SessionStateShare {
 		return true
@@ -83,8 +90,8 @@
 	c.awaitRetry(ctx, event)
 }
 
-// write makes one single write, and repeats it under its request id while its
-// outcome isn't known.
+// write makes one write outside a transaction. While the outcome is unknown, it
+// retries with the same request id.
 func (c *caller) write(ctx context.Context) {
 	id := c.nextRequestID()
 	body := sessionRequest{Kind: "write", Text: c.newStatement("book", id), RequestID: id}
@@ -105,7 +112,7 @@
 	return event.Outcome == outcomeUnknown || event.Outcome == outcomeCut
 }
 
-// runTransaction runs one or two writes in a transaction, and commits it or
+// runTransaction runs one or two writes in a transaction, then commits it or
 // rolls it back.
 func (c *caller) runTransaction(ctx context.Context) {
 	event, open := c.request("begin", "/v1/begin", sessionRequest{})
--- a/test/standin/connection.go
+++ b/test/standin/connection.go
@@ -29,7 +29,7 @@
 	return c.transaction == nil && len(c.settings) == 0 && len(c.prepared) == 0
 }
 
-func (i *Instance) onConnectionOpened(ctx context.Context, raw net.Conn) context.Context {
+func (i *Instance) onConnectionOpened(ctx context.Context, conn net.Conn) context.Context {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	i.connectionCount++
@@ -37,15 +37,15 @@
 		id:       fmt.Sprintf("%s#%d#%d", i.config.Name, os.Getpid(), i.connectionCount),
 		settings: map[string]string{}, prepared: map[string]string{},
 	}
-	i.connections.Store(raw, opened)
+	i.connections.Store(conn, opened)
 	return context.WithValue(ctx, connectionKey{}, opened)
 }
 
-func (i *Instance) onConnectionState(raw net.Conn, state http.ConnState) {
+func (i *Instance) onConnectionState(conn net.Conn, state http.ConnState) {
 	if state != http.StateClosed && state != http.StateHijacked {
 		return
 	}
-	if closed, found := i.connections.LoadAndDelete(raw); found {
+	if closed, found := i.connections.LoadAndDelete(conn); found {
 		i.onConnectionClosed(closed.(*connection))
 	}
 }
--- a/test/standin/event.go
+++ b/test/standin/event.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// Event is one request of a caller, and its answer, as the caller saw them.
+// Event is one request of a caller and its answer, as the caller recorded them.
 type Event struct {
 	Caller      string `json:"caller"`
 	Session     string `json:"session"`
@@ -20,26 +20,29 @@
 	Outcome    string   `json:"outcome"`
 	Error      string   `json:"error,omitempty"`
 	Position   Position `json:"position"`
-	// AppliedPosition is what a read's instance had applied.
+	// AppliedPosition is the position up to which the instance had applied its
+	// log when it ran a read.
 	AppliedPosition Position `json:"upto"`
 	Sequence        uint64   `json:"sequence"`
-	// RetryAfterMS is the wait that the answer asks for, in milliseconds.
+	// RetryAfterMS is the wait before a retry that the answer asks for, in
+	// milliseconds.
 	RetryAfterMS int64 `json:"retry_ms"`
-	// Retry says that the request id was sent before.
+	// Retry is true if an earlier request had the same request id.
 	Retry bool `json:"again"`
 	// RequestIDs are the ids of the writes inside a transaction.
 	RequestIDs []string `json:"gos,omitempty"`
-	// Settings are those that the statement's answer showed.
+	// Settings are the session settings that the statement's answer contained.
 	Settings map[string]string `json:"settings,omitempty"`
-	// ExpectedSetting is the setting that the session has, if any.
+	// ExpectedSetting is the value that the caller has set in the session, if
+	// any.
 	ExpectedSetting string `json:"want_set,omitempty"`
-	// ExecutedText is the text that the answer says was run.
+	// ExecutedText is the text that was run according to the answer.
 	ExecutedText string `json:"ran_text,omitempty"`
-	// DeadlineMS is the deadline that the request gave, in milliseconds.
+	// DeadlineMS is the deadline of the request, in milliseconds.
 	DeadlineMS int64 `json:"dead_ms"`
 }
 
-// History gathers events; it is safe for concurrent use.
+// History collects events. It is safe for concurrent use.
 type History struct {
 	mutex  sync.Mutex
 	events []Event
--- a/test/standin/execution.go
+++ b/test/standin/execution.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// Execution is one statement that an instance ran, or a commit or promotion.
+// Execution is the record of a statement, a commit or a promotion that an
+// instance carried out.
 type Execution struct {
-	// At is in Unix nanoseconds.
+	// At is the time of the execution, in Unix nanoseconds.
 	At          int64             `json:"at"`
 	Instance    string            `json:"instance"`
 	Database    string            `json:"database,omitempty"`
@@ -23,12 +24,13 @@
 	Prepared    []string          `json:"prepared,omitempty"`
 	Term        uint64            `json:"term"`
 	Role        string            `json:"role"`
-	// LeavingSince is when the instance said that it leaves, in Unix
-	// nanoseconds; 0 where it stays.
+	// LeavingSince is the time at which the instance began to announce that it
+	// is leaving, in Unix nanoseconds, or 0 if it is not leaving.
 	LeavingSince int64 `json:"leaving,omitempty"`
 }
 
-// recordExecution appends to the execution file; the caller holds mutex.
+// recordExecution appends a record to the execution file. The caller must hold
+// mutex.
 func (i *Instance) recordExecution(c *connection, request instanceRequest, text string) {
 	execution := Execution{
 		At: time.Now().UnixNano(), Instance: i.config.Name, Database: i.config.Database, Connection: c.id, Text: text,
--- a/test/standin/instance.go
+++ b/test/standin/instance.go
@@ -16,7 +16,7 @@
 	roleReplica = "replica"
 )
 
-// InstanceConfig is the file that configures one instance.
+// InstanceConfig is the configuration file of one instance.
 type InstanceConfig struct {
 	Name     string `json:"name"`
 	Database string `json:"database"`
@@ -24,17 +24,20 @@
 	Zone     string `json:"zone"`
 	Role     string `json:"role"`
 	Upstream string `json:"upstream"`
-	// AnnounceAddresses are HTTP addresses of nodes that take announcements;
-	// their answers name further ones.
+	// AnnounceAddresses are the HTTP addresses of the nodes to which the
+	// instance first sends its announcements. Their answers contain the
+	// addresses of further nodes.
 	AnnounceAddresses []string `json:"doors"`
 	// Directory holds the instance's files.
 	Directory string `json:"folder"`
-	// Connections caps open database sessions, Slots running statements.
+	// Connections is the maximum number of open database sessions, and Slots
+	// the maximum number of statements that run at the same time.
 	Connections int `json:"connections"`
 	Slots       int `json:"slots"`
 	// ServiceTimeUS is the mean time of an unloaded write, in microseconds.
 	ServiceTimeUS int `json:"service_us"`
-	// ReplicationDelayMS delays what the instance pulls, in milliseconds.
+	// ReplicationDelayMS is the delay before the instance applies entries that
+	// it has pulled, in milliseconds.
 	ReplicationDelayMS int    `json:"delay_ms"`
 	Seed               uint64 `json:"seed"`
 }
@@ -46,26 +49,28 @@
 	// connections maps a net.Conn to its *connection.
 	connections sync.Map
 
-	// mutex guards all that follows.
+	// mutex guards the fields below.
 	mutex       sync.Mutex
 	role        string
 	term        uint64
 	upstream    string
 	incarnation string
 	entries     []Entry
-	// appended is closed and replaced when an entry is appended.
-	appended          chan struct{}
-	announceAddresses map[string]bool
-	openCount         int
-	busy              int
-	waiting           int
-	slowdown          float64
-	replicationDelay  time.Duration
-	loseAnswers       int
-	resetConnections  int
-	silent            bool
-	misreportClean    bool
-	// leavingSince is in Unix nanoseconds, 0 where the instance stays.
+	// appended is closed and replaced by a new channel when an entry is
+	// appended.
+	appended           chan struct{}
+	announceAddresses  map[string]bool
+	openCount          int
+	runningCount       int
+	waitingCount       int
+	slowdown           float64
+	replicationDelay   time.Duration
+	answersToLose      int
+	connectionsToReset int
+	silent             bool
+	misreportClean     bool
+	// leavingSince is the time at which the instance began to announce that it
+	// is leaving, in Unix nanoseconds, or 0 if it is not leaving.
 	leavingSince     int64
 	connectionCount  int
 	transactionCount int
@@ -109,7 +114,8 @@
 	return i
 }
 
-// position returns the position of the last log entry; the caller holds mutex.
+// position returns the position of the last log entry. The caller must hold
+// mutex.
 func (i *Instance) position() Position {
 	if len(i.entries) == 0 {
 		return Position{}
@@ -118,28 +124,28 @@
 	return Position{last.Term, last.Index}
 }
 
-// occupySlot takes a slot for the time of one statement, which grows with the
-// load of the instance.
+// occupySlot waits for a slot and holds it for the service time of one
+// statement. The service time grows with the load of the instance.
 func (i *Instance) occupySlot(write bool) {
 	i.mutex.Lock()
-	i.waiting++
+	i.waitingCount++
 	i.mutex.Unlock()
 	i.slots <- struct{}{}
 	i.mutex.Lock()
-	i.waiting--
-	i.busy++
+	i.waitingCount--
+	i.runningCount++
 	service := i.serviceTime(write)
 	i.mutex.Unlock()
 	time.Sleep(service)
 	i.mutex.Lock()
-	i.busy--
+	i.runningCount--
 	i.mutex.Unlock()
 	<-i.slots
 }
 
 func (i *Instance) serviceTime(write bool) time.Duration {
 	service := float64(i.config.ServiceTimeUS) * i.slowdown * (0.6 + 0.8*i.random.Float64())
-	service *= 1 + 0.5*float64(i.busy)/float64(i.config.Slots) + 0.02*float64(i.waiting)
+	service *= 1 + 0.5*float64(i.runningCount)/float64(i.config.Slots) + 0.02*float64(i.waitingCount)
 	if !write {
 		service /= 2
 	}
--- a/test/standin/instance_admin.go
+++ b/test/standin/instance_admin.go
@@ -5,26 +5,31 @@
 	"time"
 )
 
-// Fault changes how an instance misbehaves. Fields that are nil leave things
-// as they are.
+// Fault changes the faults that an instance simulates. A nil field leaves its
+// fault unchanged.
 type Fault struct {
-	// Slowdown multiplies the time of statements.
+	// Slowdown is the factor by which the service time of statements is
+	// multiplied.
 	Slowdown *float64 `json:"slow,omitempty"`
-	// ReplicationDelayMS delays what the instance pulls, in milliseconds.
+	// ReplicationDelayMS is the delay before the instance applies entries that
+	// it has pulled, in milliseconds.
 	ReplicationDelayMS *int `json:"delay_ms,omitempty"`
-	// LoseAnswers is the number of answers to lose after the work is done.
+	// LoseAnswers is the number of requests that the instance carries out and
+	// whose connection it then closes without an answer.
 	LoseAnswers *int `json:"lose,omitempty"`
-	// ResetConnections is the number of statements that end their connection.
+	// ResetConnections is the number of statements whose connection the
+	// instance closes before it runs them.
 	ResetConnections *int `json:"reset,omitempty"`
 	// Silent stops announcements.
 	Silent *bool `json:"silent,omitempty"`
 	// Leaving announces that the instance is about to leave.
 	Leaving *bool `json:"leaving,omitempty"`
-	// MisreportClean calls every session clean, whatever state it holds.
+	// MisreportClean makes the instance report every session as clean, even if
+	// the session has an open transaction, settings or prepared statements.
 	MisreportClean *bool `json:"lying,omitempty"`
 }
 
-// setIfGiven sets a value where a new one is given.
+// setIfGiven copies the value at from to to, unless from is nil.
 func setIfGiven[T any](from, to *T) {
 	if from != nil {
 		*to = *from
@@ -39,8 +44,8 @@
 		return result{http.StatusBadRequest, struct{}{}}
 	}
 	setIfGiven(fault.Slowdown, &i.slowdown)
-	setIfGiven(fault.LoseAnswers, &i.loseAnswers)
-	setIfGiven(fault.ResetConnections, &i.resetConnections)
+	setIfGiven(fault.LoseAnswers, &i.answersToLose)
+	setIfGiven(fault.ResetConnections, &i.connectionsToReset)
 	setIfGiven(fault.Silent, &i.silent)
 	setIfGiven(fault.MisreportClean, &i.misreportClean)
 	if fault.ReplicationDelayMS != nil {
@@ -55,7 +60,7 @@
 	return ok(struct{}{})
 }
 
-// roleReply answers a promotion.
+// roleReply is the answer to a promotion.
 type roleReply struct {
 	Role string `json:"role"`
 	Term uint64 `json:"term"`
--- a/test/standin/instance_announce.go
+++ b/test/standin/instance_announce.go
@@ -13,7 +13,8 @@
 	announceTimeout  = 800 * time.Millisecond
 )
 
-// Announcement is the body that an instance sends to the fleet's nodes.
+// Announcement is the body of an announcement, which an instance sends to the
+// fleet's nodes.
 type Announcement struct {
 	Instance    string   `json:"instance"`
 	Database    string   `json:"database"`
@@ -36,7 +37,8 @@
 	}
 }
 
-// announceLoop announces the instance to all nodes that it knows, until ctx ends.
+// announceLoop announces the instance to all nodes in announceAddresses until
+// ctx ends.
 func (i *Instance) announceLoop(ctx context.Context) {
 	client := newClient(i.config.Address, announceTimeout)
 	ticker := time.NewTicker(announceInterval)
@@ -58,7 +60,8 @@
 	}
 }
 
-// announce makes one announcement, and learns of further nodes.
+// announce sends one announcement and adds the nodes that the answer names to
+// announceAddresses.
 func (i *Instance) announce(client *http.Client, address string, body Announcement) {
 	var answer struct {
 		Nodes []string `json:"nodes"`
--- a/test/standin/instance_replication.go
+++ b/test/standin/instance_replication.go
@@ -6,11 +6,13 @@
 )
 
 const (
-	// pullWaitMS is how long a replica has its primary wait for entries, and
-	// maxWaitMS the longest wait that is granted; both in milliseconds.
+	// pullWaitMS is how long a replica asks its primary to wait for new entries,
+	// in milliseconds.
 	pullWaitMS = 500
-	maxWaitMS  = 2000
-	// pullBatch is the number of entries in an answer.
+	// maxWaitMS is the longest time that an instance waits for new entries on
+	// request, in milliseconds.
+	maxWaitMS = 2000
+	// pullBatch is the maximum number of entries in an answer.
 	pullBatch = 500
 )
 
@@ -19,14 +21,16 @@
 	WaitMS int      `json:"wait_ms"`
 }
 
-// pullResponse is either entries that follow, or the length to truncate to.
+// pullResponse contains either the entries after the requested position or the
+// length to which the replica must truncate its log.
 type pullResponse struct {
 	Entries  []Entry `json:"entries"`
 	Truncate *uint64 `json:"truncate"`
 	Term     uint64  `json:"term"`
 }
 
-// awaitAppend waits, for a timeout, until the log reaches past a position.
+// awaitAppend waits, at most for timeout, until the last log entry is after a
+// position.
 func (i *Instance) awaitAppend(after Position, timeout time.Duration) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -62,7 +66,7 @@
 		answer.Entries = append(answer.Entries, i.entries[index:min(len(i.entries), index+pullBatch)]...)
 		return ok(answer)
 	}
-	// Only the log of a primary decides what a replica has to cut off.
+	// Only the log of a primary determines which entries a replica truncates.
 	if i.role == rolePrimary {
 		length := uint64(min(len(i.entries), index-1))
 		answer.Truncate = &length
@@ -70,13 +74,15 @@
 	return ok(answer)
 }
 
-// holds reports whether the log has the entry at a position; the caller holds mutex.
+// holds reports whether the log contains the entry at a position. The caller
+// must hold mutex.
 func (i *Instance) holds(position Position) bool {
 	index := int(position.Index)
 	return index == 0 || (index <= len(i.entries) && i.entries[index-1].Term == position.Term)
 }
 
-// pullLoop has a replica follow its primary's log until ctx ends.
+// pullLoop replicates the primary's log while the instance is a replica, until
+// ctx ends.
 func (i *Instance) pullLoop(ctx context.Context) {
 	client := newClient(i.config.Address, 3*time.Second)
 	for ctx.Err() == nil {
@@ -103,7 +109,8 @@
 	}
 }
 
-// apply takes a primary's answer; the caller holds mutex.
+// apply appends the entries of a primary's answer or truncates the log. The
+// caller must hold mutex.
 func (i *Instance) apply(answer pullResponse) {
 	if answer.Truncate != nil {
 		i.saveDiscarded(i.entries[*answer.Truncate:])
--- a/test/standin/instance_request.go
+++ b/test/standin/instance_request.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// instanceRequest is the union of all calls' bodies.
+// instanceRequest is the union of the bodies of all calls to an instance.
 type instanceRequest struct {
 	Text      string   `json:"text"`
 	Prepared  string   `json:"prepared"`
@@ -16,7 +16,7 @@
 	Value     string   `json:"value"`
 	RequestID string   `json:"go"`
 	Term      uint64   `json:"term"`
-	// Action is set by the handlers, for the execution record.
+	// Action is set by the handlers and copied to the execution record.
 	Action   string   `json:"-"`
 	After    Position `json:"after"`
 	WaitMS   int      `json:"wait_ms"`
@@ -24,21 +24,21 @@
 	Fault    *Fault   `json:"fault"`
 }
 
-// maxRequestBytes bounds the body of a request.
+// maxRequestBytes is the maximum size of a request's body.
 const maxRequestBytes = 4 << 20
 
-// result is what a handler answers.
+// result is the status and body of a handler's answer.
 type result struct {
 	status int
 	body   any
 }
 
-// noAnswer ends the connection without an answer.
+// noAnswer is the result that closes the connection without an answer.
 var noAnswer = result{}
 
 func ok(body any) result { return result{http.StatusOK, body} }
 
-// statementReply answers each call of a database session.
+// statementReply is the answer to each call of a database session.
 type statementReply struct {
 	Position    Position       `json:"position"`
 	Clean       bool           `json:"clean"`
@@ -51,10 +51,11 @@
 	Error       string         `json:"error,omitempty"`
 }
 
-// statementRows is what a statement returns: the state that it ran with, from
-// which the history checks see mix-ups.
+// statementRows is the result of a statement: the session state that it ran
+// with. The history checks use it to detect state mixed up between sessions.
 type statementRows struct {
-	// AppliedPosition is given for reads.
+	// AppliedPosition is the position of the instance's last log entry. It is
+	// set for reads only.
 	AppliedPosition *Position         `json:"upto,omitempty"`
 	Settings        map[string]string `json:"settings"`
 	Text            string            `json:"text"`
@@ -75,13 +76,13 @@
 }
 
 func serve(w http.ResponseWriter, r *http.Request, handle handler) {
-	session := r.Context().Value(connectionKey{}).(*connection)
+	conn := r.Context().Value(connectionKey{}).(*connection)
 	var request instanceRequest
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxRequestBytes)).Decode(&request); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	answer := handle(session, request)
+	answer := handle(conn, request)
 	if answer.status == 0 {
 		panic(http.ErrAbortHandler)
 	}
@@ -104,7 +105,8 @@
 	return &result{status, reply}
 }
 
-// checkRequest returns why a request is rejected, nil where it may proceed.
+// checkRequest returns the answer that rejects a request, or nil if the request
+// is allowed.
 func (i *Instance) checkRequest(c *connection, request instanceRequest, write bool) *result {
 	if !c.open {
 		return i.reject(c, http.StatusConflict, "session not open")
@@ -118,10 +120,11 @@
 	return nil
 }
 
-// answerOrLose answers, unless answers are to be lost.
+// answerOrLose returns the reply as the result, or noAnswer if this answer is to
+// be lost.
 func (i *Instance) answerOrLose(reply statementReply) result {
-	if i.loseAnswers > 0 {
-		i.loseAnswers--
+	if i.answersToLose > 0 {
+		i.answersToLose--
 		return noAnswer
 	}
 	return ok(reply)
--- a/test/standin/instance_statements.go
+++ b/test/standin/instance_statements.go
@@ -19,9 +19,9 @@
 }
 
 func (i *Instance) onRun(c *connection, request instanceRequest) result {
-	text, transaction, early := i.admitStatement(c, request)
-	if early != nil {
-		return *early
+	text, transaction, rejection := i.admitStatement(c, request)
+	if rejection != nil {
+		return *rejection
 	}
 	i.occupySlot(request.Write)
 	i.mutex.Lock()
@@ -46,19 +46,20 @@
 }
 
 // admitStatement returns the text that a request is to run and the transaction
-// that it is part of, or the answer of one that is not run.
-func (i *Instance) admitStatement(c *connection, request instanceRequest) (text string, inside *transaction, answer *result) {
+// that is open on the connection, or the answer to a request that is not run.
+func (i *Instance) admitStatement(c *connection, request instanceRequest) (text string, openTransaction *transaction, rejection *result) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if i.resetConnections > 0 {
-		i.resetConnections--
+	if i.connectionsToReset > 0 {
+		i.connectionsToReset--
 		return "", nil, &noAnswer
 	}
-	text, answer = i.statementText(c, request)
-	return text, c.transaction, answer
+	text, rejection = i.statementText(c, request)
+	return text, c.transaction, rejection
 }
 
-// applyWrite adds a write to its transaction, or commits it where it has none.
+// applyWrite adds a write to the connection's transaction, or commits the write
+// at once if no transaction is open.
 func (i *Instance) applyWrite(c *connection, request instanceRequest, text string) {
 	if c.transaction != nil {
 		c.transaction.requestIDs = append(c.transaction.requestIDs, request.RequestID)
@@ -71,8 +72,8 @@
 	})
 }
 
-// statementText returns the text that a request is to run, or why it is
-// rejected.
+// statementText returns the text that a request is to run, or the answer that
+// rejects the request.
 func (i *Instance) statementText(c *connection, request instanceRequest) (string, *result) {
 	if rejected := i.checkRequest(c, request, request.Write); rejected != nil {
 		return "", rejected
@@ -122,8 +123,8 @@
 	return i.answerOrLose(i.reply(c))
 }
 
-// admitCommit returns the transaction that a request is to commit, or why it is
-// rejected.
+// admitCommit returns the transaction that a request is to commit, or the answer
+// that rejects the request.
 func (i *Instance) admitCommit(c *connection, request instanceRequest) (*transaction, *result) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
--- a/test/standin/instance_storage.go
+++ b/test/standin/instance_storage.go
@@ -16,10 +16,10 @@
 	discardedFile = "discarded.jsonl"
 )
 
-// maxLogLine bounds one line of the log file, in bytes.
+// maxLogLine is the maximum length of a line of the log file, in bytes.
 const maxLogLine = 4 << 20
 
-// persistentState is the state file.
+// persistentState is the content of the state file.
 type persistentState struct {
 	Role        string `json:"role"`
 	Term        uint64 `json:"term"`
@@ -27,7 +27,8 @@
 	Incarnation string `json:"birth"`
 }
 
-// loadFiles restores state and log, and opens the files that are appended to.
+// loadFiles restores the state and the log, and opens the log and execution
+// files for appending.
 func (i *Instance) loadFiles() error {
 	if err := os.MkdirAll(i.config.Directory, 0o755); err != nil {
 		return err
@@ -59,7 +60,7 @@
 	}
 }
 
-// loadLog reads entries up to the first line that is torn.
+// loadLog reads entries up to the first line that is not a complete entry.
 func (i *Instance) loadLog() {
 	file, err := os.Open(i.path(logFile))
 	if err != nil {
@@ -84,7 +85,8 @@
 	_ = os.Rename(path+".new", path)
 }
 
-// rewriteLog replaces the log file by the entries in memory.
+// rewriteLog replaces the log file with the entries in memory and opens it for
+// appending.
 func (i *Instance) rewriteLog() error {
 	if i.log != nil {
 		_ = i.log.Close()
@@ -114,7 +116,8 @@
 	i.appended = make(chan struct{})
 }
 
-// saveDiscarded appends entries that replication has cut off.
+// saveDiscarded appends entries that replication has truncated to the file of
+// discarded entries.
 func (i *Instance) saveDiscarded(entries []Entry) {
 	file, err := os.OpenFile(i.path(discardedFile), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
--- a/test/standin/mix.go
+++ b/test/standin/mix.go
@@ -1,31 +1,35 @@
 package standin
 
-// Role is one kind of caller, with a binding of its own for each database.
+// Role is one kind of caller. It has its own binding for each database.
 type Role struct {
-	Name    string
+	Name string
+	// Binding is the prefix of the names of the role's bindings.
 	Binding string
-	// FreshnessMS is the binding's freshness bound, in milliseconds; 0 for none.
+	// FreshnessMS is the binding's freshness bound, in milliseconds, or 0 if it
+	// has none.
 	FreshnessMS int
-	// RequestRate is requests a second over all callers of the role.
+	// RequestRate is the number of requests per second of all callers of the
+	// role together.
 	RequestRate float64
-	Sessions    int
-	// WriteShare is the part of its requests that are single writes, and
-	// TransactionShare the part that are transactions; the rest are reads.
+	// Sessions is the number of callers of the role. Each has one session.
+	Sessions int
+	// WriteShare is the share of operations that are single writes, and
+	// TransactionShare the share that are transactions. The rest are reads.
 	WriteShare       float64
 	TransactionShare float64
-	// SessionStateShare is the chance, before each request, that a session
-	// without one gets a setting or a prepared statement.
+	// SessionStateShare is the probability, before each operation, that a
+	// session without a setting gets one, and likewise for a prepared statement.
 	SessionStateShare float64
 }
 
-// Mix is a deployment's callers.
+// Mix describes the callers of a deployment.
 type Mix struct {
 	Databases []string
 	Zones     []string
 	Roles     []Role
 }
 
-// Magnolia returns the desk-booking callers.
+// Magnolia returns the mix of the desk-booking deployment.
 func Magnolia() Mix {
 	return Mix{
 		Databases: []string{"desks1", "desks2", "desks3"}, Zones: []string{"za", "zb", "zc"},
@@ -37,7 +41,7 @@
 	}
 }
 
-// Chile returns the portability callers.
+// Chile returns the mix of the portability deployment.
 func Chile() Mix {
 	return Mix{
 		Databases: []string{"port1", "port2", "port3"}, Zones: []string{"za", "zb", "zc"},
@@ -49,15 +53,16 @@
 	}
 }
 
-// Binding is one binding of an operator's set, in the form that calls take.
+// Binding is one binding of an operator's set, in the form in which calls
+// contain it.
 type Binding struct {
 	Name        string `json:"name"`
 	Database    string `json:"database"`
 	FreshnessMS int    `json:"freshness_ms"`
 }
 
-// Bindings returns the operator's set for a mix: each role's binding for each
-// database.
+// Bindings returns the operator's set of bindings for the mix: one for each role
+// and database.
 func (m Mix) Bindings() []Binding {
 	list := []Binding{}
 	for _, role := range m.Roles {
--- a/test/standin/platform.go
+++ b/test/standin/platform.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// InstanceInfo is one instance as the platform knows it.
+// InstanceInfo describes an instance to the platform.
 type InstanceInfo struct {
 	Name     string
 	Database string
@@ -22,17 +22,20 @@
 	probeInterval = 150 * time.Millisecond
 	probeTimeout  = 400 * time.Millisecond
 	adminTimeout  = time.Second
-	// followAttempts, followInterval apart, are made to have a replica follow.
+	// followAttempts is the maximum number of attempts to tell a replica to
+	// follow the new primary, and followInterval the time between them.
 	followAttempts = 300
 	followInterval = 200 * time.Millisecond
 )
 
-// probeClient opens a connection for each probe. One that it shared with other clients
-// would end with the probe, and with it the session that another had opened on it.
+// probeClient opens a new connection for each probe. If probes shared
+// connections with other clients of the process, such a connection would be
+// closed at the end of a probe, and with it the session that another client had
+// opened on the connection.
 var probeClient = &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Platform plays the users' platform: it probes the proxies, hands out those
-// that are ready, and carries out the promote call.
+// Platform simulates the platform of the product's users. It probes the proxies,
+// hands out those that are ready, and carries out the promote call.
 type Platform struct {
 	mutex        sync.Mutex
 	instances    map[string]InstanceInfo
@@ -46,8 +49,9 @@
 	ctx          context.Context
 }
 
-// NewPlatform returns a platform that knows instances, and the HTTP addresses
-// of proxies with their zones. It works until ctx ends.
+// NewPlatform returns a platform for the given instances and proxies. The map
+// proxies contains the zone of each proxy by its HTTP address. The platform
+// stops when ctx ends.
 func NewPlatform(ctx context.Context, instances []InstanceInfo, proxies map[string]string) *Platform {
 	p := &Platform{instances: map[string]InstanceInfo{}, proxies: map[string]string{}, ready: map[string]bool{}, ctx: ctx}
 	for _, instance := range instances {
@@ -59,7 +63,8 @@
 	return p
 }
 
-// Serve listens for the promote call and begins to probe the proxies.
+// Serve listens for the promote call at an address and starts to probe the
+// proxies.
 func (p *Platform) Serve(address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -74,22 +79,23 @@
 	return nil
 }
 
-// SetPromoteFaults sets how the promote call fails: a delay, the numbers of
-// calls refused and of answers lost, and whether no call gets through.
+// SetPromoteFaults sets the faults of the promote call: the delay of each call,
+// the number of calls to refuse, the number of calls that are carried out but
+// whose answer is lost, and whether every call fails without an effect.
 func (p *Platform) SetPromoteFaults(delay time.Duration, refusals, lost int, partitioned bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.promoteDelay, p.refusals, p.lostAnswers, p.partitioned = delay, refusals, lost, partitioned
 }
 
-// AddProxy makes a further proxy known.
+// AddProxy adds a proxy with its HTTP address and zone.
 func (p *Platform) AddProxy(address, zone string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.proxies[address] = zone
 }
 
-// RemoveProxy forgets a proxy.
+// RemoveProxy removes a proxy.
 func (p *Platform) RemoveProxy(address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -127,7 +133,7 @@
 	p.ready[address] = ready
 }
 
-// ReadyCount returns how many proxies are ready.
+// ReadyCount returns the number of proxies that are ready.
 func (p *Platform) ReadyCount() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -140,24 +146,24 @@
 	return count
 }
 
-// ReadyProxy returns the HTTP address of a ready proxy, one of the zone where
-// there is one.
+// ReadyProxy returns the HTTP address of a ready proxy. It prefers proxies of
+// the given zone. found is false if no proxy is ready.
 func (p *Platform) ReadyProxy(zone string) (address string, found bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	near, far := []string{}, []string{}
+	sameZone, otherZones := []string{}, []string{}
 	for proxy, proxyZone := range p.proxies {
 		if !p.ready[proxy] {
 			continue
 		}
 		if proxyZone == zone {
-			near = append(near, proxy)
+			sameZone = append(sameZone, proxy)
 		} else {
-			far = append(far, proxy)
+			otherZones = append(otherZones, proxy)
 		}
 	}
 	p.nextProxy++
-	for _, list := range [][]string{near, far} {
+	for _, list := range [][]string{sameZone, otherZones} {
 		if len(list) > 0 {
 			return list[p.nextProxy%len(list)], true
 		}
@@ -180,13 +186,14 @@
 	Term     uint64 `json:"term"`
 }
 
-// promoteFault is how one promote call fails.
+// promoteFault is the fault of one promote call.
 type promoteFault struct {
 	delay                      time.Duration
 	refused, lost, partitioned bool
 }
 
-// nextPromoteFault returns the fault of the next call, and counts it.
+// nextPromoteFault returns the fault of the next promote call and decrements the
+// number of remaining faults.
 func (p *Platform) nextPromoteFault() promoteFault {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -234,7 +241,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// members returns the instance to promote and the others of its database.
+// members returns the instance to promote and the other instances of its
+// database.
 func (p *Platform) members(request promoteRequest) (target InstanceInfo, replicas []InstanceInfo) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -246,7 +254,8 @@
 	return p.instances[request.Instance], replicas
 }
 
-// follow has an instance follow another, as soon as it can be reached.
+// follow tells an instance to follow another one. It retries until the instance
+// answers, at most followAttempts times.
 func (p *Platform) follow(instance InstanceInfo, order followOrder) {
 	client := &http.Client{Timeout: adminTimeout}
 	for range followAttempts {
--- a/test/standin/platform_test.go
+++ b/test/standin/platform_test.go
@@ -9,10 +9,10 @@
 )
 
 func TestProbesHaveConnectionsOfTheirOwn(t *testing.T) {
-	Convey("A probe neither takes nor closes a connection that another client of the process keeps", t, func() {
-		callers := make(chan string, 1)
+	Convey("A probe opens its own connection and leaves open the connection that another client of the process keeps", t, func() {
+		remoteAddresses := make(chan string, 1)
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			callers <- r.RemoteAddr
+			remoteAddresses <- r.RemoteAddr
 			_, _ = w.Write([]byte("{}"))
 		}))
 		defer server.Close()
@@ -21,12 +21,12 @@
 		call := func() string {
 			_, err := post(&http.Client{}, address, "/", struct{}{}, nil)
 			So(err, ShouldBeNil)
-			return <-callers
+			return <-remoteAddresses
 		}
-		kept := call()
+		keptAddress := call()
 		platform.probe(address)
-		So(<-callers, ShouldNotEqual, kept)
+		So(<-remoteAddresses, ShouldNotEqual, keptAddress)
 		So(platform.ReadyCount(), ShouldEqual, 1)
-		So(call(), ShouldEqual, kept)
+		So(call(), ShouldEqual, keptAddress)
 	})
 }
--- a/test/standin/relay.go
+++ b/test/standin/relay.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// Relay forwards TCP connections to one target. It can block what some sources
-// send, what they are sent, or both; delay pieces; and reset connections.
+// Relay forwards TCP connections to one target. For chosen sources, it can block
+// the data to the target, the data from the target, or both. It can also delay
+// data and close connections.
 type Relay struct {
 	listener net.Listener
 	target   string
@@ -22,7 +23,8 @@
 	dropRate    float64
 }
 
-// OpenRelay listens at an address and forwards to the target.
+// OpenRelay returns a relay that listens at an address and forwards to the
+// target.
 func OpenRelay(address, target string) (*Relay, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -33,17 +35,18 @@
 	return r, nil
 }
 
-// Block sets whether what a source IP sends to the target, and what the target
-// sends back, is blocked. The source "*" stands for all. Blocked bytes wait, or
-// are lost with their connection.
+// Block sets whether data from a source IP to the target is blocked, and whether
+// data from the target to the source IP is blocked. The source "*" means all
+// sources. Blocked data is forwarded once it is no longer blocked, or is lost if
+// its connection is closed before.
 func (r *Relay) Block(source string, blockTo, blockFrom bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.blockedTo[source], r.blockedFrom[source] = blockTo, blockFrom
 }
 
-// SetFaults delays each piece that is read, and resets the connection for a
-// part of them: dropRate is from 0 to 1.
+// SetFaults sets the delay of each chunk of data and the probability, from 0 to
+// 1, that the connection is closed instead of forwarding a chunk.
 func (r *Relay) SetFaults(delay time.Duration, dropRate float64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -75,36 +78,36 @@
 	}
 }
 
-func (r *Relay) serve(near net.Conn) {
-	source, _, _ := net.SplitHostPort(near.RemoteAddr().String())
-	far, err := net.DialTimeout("tcp", r.target, time.Second)
+func (r *Relay) serve(client net.Conn) {
+	source, _, _ := net.SplitHostPort(client.RemoteAddr().String())
+	server, err := net.DialTimeout("tcp", r.target, time.Second)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
 	r.mutex.Lock()
-	r.connections[near], r.connections[far] = source, source
+	r.connections[client], r.connections[server] = source, source
 	r.mutex.Unlock()
 	var group sync.WaitGroup
 	group.Add(2)
-	go func() { defer group.Done(); r.copy(far, near, source, r.blockedTo) }()
-	go func() { defer group.Done(); r.copy(near, far, source, r.blockedFrom) }()
+	go func() { defer group.Done(); r.copy(server, client, source, r.blockedTo) }()
+	go func() { defer group.Done(); r.copy(client, server, source, r.blockedFrom) }()
 	group.Wait()
 	r.mutex.Lock()
-	delete(r.connections, near)
-	delete(r.connections, far)
+	delete(r.connections, client)
+	delete(r.connections, server)
 	r.mutex.Unlock()
 }
 
 const (
-	pieceSize     = 32 << 10
+	chunkSize     = 32 << 10
 	blockInterval = 10 * time.Millisecond
 )
 
-// copy forwards pieces until either side ends.
+// copy forwards chunks until either connection ends.
 func (r *Relay) copy(to, from net.Conn, source string, blocked map[string]bool) {
 	defer func() { _, _ = to.Close(), from.Close() }()
-	buffer := make([]byte, pieceSize)
+	buffer := make([]byte, chunkSize)
 	for {
 		count, err := from.Read(buffer)
 		if err != nil || !r.awaitUnblocked(to, source, blocked) {
@@ -116,8 +119,8 @@
 	}
 }
 
-// awaitUnblocked applies the faults to one piece; false where the connection
-// is to end.
+// awaitUnblocked applies the relay's faults to one chunk. It returns false if the
+// connection must be closed.
 func (r *Relay) awaitUnblocked(to net.Conn, source string, blockedSources map[string]bool) bool {
 	for {
 		r.mutex.Lock()
