--- a/test/standin/event.go
+++ b/test/standin/event.go
@@ -13,7 +13,8 @@
 	FreshnessMS int    `json:"fresh_ms"`
 	RequestID   string `json:"go"`
 	Text        string `json:"text"`
-	// SentAt and AnsweredAt are in Unix nanoseconds.
+	// SentAt and AnsweredAt are the times of the request and of its answer, in
+	// Unix nanoseconds.
 	SentAt     int64    `json:"sent"`
 	AnsweredAt int64    `json:"got"`
 	Status     int      `json:"status"`
--- a/test/standin/instance.go
+++ b/test/standin/instance.go
@@ -28,7 +28,7 @@
 	// instance first sends its announcements. Their answers contain the
 	// addresses of further nodes.
 	AnnounceAddresses []string `json:"doors"`
-	// Directory holds the instance's files.
+	// Directory is the directory of the instance's files.
 	Directory string `json:"folder"`
 	// Connections is the maximum number of open database sessions, and Slots
 	// the maximum number of statements that run at the same time.
--- a/test/standin/instance_admin.go
+++ b/test/standin/instance_admin.go
@@ -20,16 +20,16 @@
 	// ResetConnections is the number of statements whose connection the
 	// instance closes before it runs them.
 	ResetConnections *int `json:"reset,omitempty"`
-	// Silent stops announcements.
+	// Silent is true if the instance sends no announcements.
 	Silent *bool `json:"silent,omitempty"`
-	// Leaving announces that the instance is about to leave.
+	// Leaving is true if the instance announces that it is leaving.
 	Leaving *bool `json:"leaving,omitempty"`
 	// MisreportClean makes the instance report every session as clean, even if
 	// the session has an open transaction, settings or prepared statements.
 	MisreportClean *bool `json:"lying,omitempty"`
 }
 
-// setIfGiven copies the value at from to to, unless from is nil.
+// setIfGiven sets *to to *from, unless from is nil.
 func setIfGiven[T any](from, to *T) {
 	if from != nil {
 		*to = *from
