--- a/test/platformstandin/client.go
+++ b/test/platformstandin/client.go
@@ -12,40 +12,41 @@
 	"tansyseam/test/linehistory"
 )
 
-// Mix is what a client of a route does.
+// Mix describes the operations of a client of a route.
 type Mix struct {
 	Route
 	Zone string
-	// WriteShare and TransactionShare are parts of the operations; the rest
-	// are reads.
+	// WriteShare and TransactionShare are the shares of the operations that are
+	// single writes and transactions. The rest are reads.
 	WriteShare, TransactionShare float64
 	// ThinkTime is the mean time between operations.
 	ThinkTime time.Duration
 }
 
-// goodbyeShare is the part of operations after which a client ends its session.
-const goodbyeShare = 0.02
+// disconnectAfterOperationShare is the share of operations after which a client
+// ends its session.
+const disconnectAfterOperationShare = 0.02
 
-// Clients are clients that work until their group stops.
+// Clients is a set of clients that run until their group stops.
 type Clients struct {
 	group    *worker.Group
 	platform *Platform
 	history  *History
 }
 
-// NewClients returns clients without any. The group should be theirs alone, so
-// that they can end before the servers.
+// NewClients returns an empty set of clients. The group should be used by these
+// clients only, so that they can be stopped before the servers.
 func NewClients(group *worker.Group, platform *Platform, history *History) *Clients {
 	return &Clients{group: group, platform: platform, history: history}
 }
 
-// Add starts a client. The same seed and number give the same draws.
+// Add starts a client. The same seed and number produce the same random choices.
 func (c *Clients) Add(mix Mix, seed, number uint64) {
 	added := &client{clients: c, mix: mix, name: fmt.Sprintf("u%d", number), random: rand.New(rand.NewPCG(seed, number))}
 	c.group.Go(added.run)
 }
 
-// client has one session at a time; it is used by one goroutine.
+// client has at most one session at a time and is used by one goroutine.
 type client struct {
 	clients          *Clients
 	mix              Mix
@@ -60,7 +61,7 @@
 	transactionCount int
 }
 
-// pause waits for a random time, or until the group stops.
+// pause waits for a random time with the given mean, or until the group stops.
 func (c *client) pause(mean time.Duration) {
 	worker.Await(c.clients.group.Stopping(), time.Duration(c.random.ExpFloat64()*float64(mean)))
 }
@@ -70,18 +71,18 @@
 	for !c.clients.group.IsStopping() {
 		c.operate()
 		c.pause(c.mix.ThinkTime)
-		if c.random.Float64() < goodbyeShare {
+		if c.random.Float64() < disconnectAfterOperationShare {
 			c.closeSession(true)
 		}
 	}
 	c.closeSession(true)
 }
 
-func (c *client) closeSession(sayGoodbye bool) {
+func (c *client) closeSession(sendBye bool) {
 	if c.conn == nil {
 		return
 	}
-	if sayGoodbye {
+	if sendBye {
 		_, _ = c.conn.Write([]byte("BYE\r\n"))
 	}
 	_ = c.conn.Close()
@@ -90,7 +91,8 @@
 
 func (c *client) now() time.Duration { return c.clients.history.group.Now() }
 
-// openSession connects where there is no session; false where none was opened.
+// openSession opens a session if the client has none. It reports whether the
+// client has a session.
 func (c *client) openSession() bool {
 	if c.conn != nil {
 		return true
@@ -115,7 +117,7 @@
 	return false
 }
 
-// recordRejection records an answer to a connect that is an error.
+// recordRejection records an error that was the answer to CONNECT.
 func (c *client) recordRejection(line string) {
 	code := strings.Fields(strings.TrimPrefix(line, "ERROR ") + " -")[0]
 	query := linehistory.Query{Session: c.session, Host: c.mix.Host, Kind: c.mix.Kind, ID: c.session, Sent: c.now(), Answered: c.now(), Code: code}
--- a/test/platformstandin/client_operations.go
+++ b/test/platformstandin/client_operations.go
@@ -7,42 +7,47 @@
 	"tansyseam/test/linehistory"
 )
 
-// Parts of a client's choices, each from 0 to 1.
+// Probabilities of a client's choices, each from 0 to 1.
 const (
-	setShare        = 0.2
-	prepareShare    = 0.3
-	runShare        = 0.5
-	rollbackShare   = 0.1
-	disconnectShare = 0.02
+	// setShare and prepareShare apply before each attempt of an operation, while
+	// the session has no value or no prepared statement.
+	setShare     = 0.2
+	prepareShare = 0.3
+	// runPreparedShare applies to reads in sessions with a prepared statement.
+	runPreparedShare = 0.5
+	// rollbackShare and disconnectBeforeCommitShare apply to transactions.
+	rollbackShare               = 0.1
+	disconnectBeforeCommitShare = 0.02
 )
 
-// maxAttempts is for one operation.
+// maxAttempts is the maximum number of attempts of one operation.
 const maxAttempts = 3
 
-// operate does one operation, and repeats it where that is allowed.
+// operate runs one operation and retries it if that is allowed.
 func (c *client) operate() {
-	drawn := c.random.Float64()
-	act := c.read
-	if drawn < c.mix.WriteShare {
-		act = c.write
-	} else if drawn < c.mix.WriteShare+c.mix.TransactionShare {
-		act = c.runTransaction
+	sample := c.random.Float64()
+	runOperation := c.read
+	if sample < c.mix.WriteShare {
+		runOperation = c.write
+	} else if sample < c.mix.WriteShare+c.mix.TransactionShare {
+		runOperation = c.runTransaction
 	}
 	for attempt := 0; attempt < maxAttempts && !c.clients.group.IsStopping(); attempt++ {
 		if !c.openSession() {
 			c.pause(100 * time.Millisecond)
 			continue
 		}
-		if !c.setSessionState() || !act() {
+		if !c.setUpSessionState() || !runOperation() {
 			return
 		}
 		c.pause(30 * time.Millisecond)
 	}
 }
 
-// setSessionState sets a value and prepares a statement now and then; false
-// where that failed.
-func (c *client) setSessionState() bool {
+// setUpSessionState sets a value with the probability setShare, unless the
+// session has one, and likewise prepares a statement with the probability
+// prepareShare. It returns false if a query failed.
+func (c *client) setUpSessionState() bool {
 	if c.values == nil && c.random.Float64() < setShare {
 		value := c.session
 		if answered := c.query(linehistory.Query{}, "SET app "+value); !succeeded(answered) {
@@ -64,10 +69,10 @@
 
 func (c *client) randomKey() string { return fmt.Sprintf("t%d", c.random.IntN(40)) }
 
-// read returns whether to try again.
+// read runs one read. It reports whether to retry.
 func (c *client) read() bool {
 	query, text := linehistory.Query{Act: linehistory.ActRead}, "FETCH "+c.randomKey()
-	if c.preparedText != "" && c.random.Float64() < runShare {
+	if c.preparedText != "" && c.random.Float64() < runPreparedShare {
 		query.Shape, query.Rest = c.preparedText, " "+c.randomKey()
 		text = "RUN s1" + query.Rest
 	}
@@ -75,13 +80,13 @@
 	return !succeeded(answered)
 }
 
-// write returns whether to try again.
+// write runs one write. It reports whether to retry.
 func (c *client) write() bool {
 	answered := c.query(linehistory.Query{Act: linehistory.ActWrite}, fmt.Sprintf("PUT %s %s.%d  é", c.randomKey(), c.session, c.queryCount))
 	return linehistory.PromisesNoEffect(answered.Code)
 }
 
-// runTransaction returns whether to try again.
+// runTransaction runs one transaction. It reports whether to retry.
 func (c *client) runTransaction() bool {
 	c.transactionCount++
 	began, transaction := c.now(), fmt.Sprintf("%s.t%d", c.session, c.transactionCount)
@@ -113,7 +118,7 @@
 		c.query(linehistory.Query{}, "ROLLBACK")
 		return false
 	}
-	if c.random.Float64() < disconnectShare {
+	if c.random.Float64() < disconnectBeforeCommitShare {
 		c.closeSession(false)
 		return false
 	}
--- a/test/platformstandin/client_query.go
+++ b/test/platformstandin/client_query.go
@@ -14,7 +14,7 @@
 	connectTimeout = 2 * time.Second
 )
 
-// query sends one query, reads its answer and records both.
+// query sends one query, reads its answer, and records and returns both.
 func (c *client) query(query linehistory.Query, text string) linehistory.Query {
 	c.queryCount++
 	query.ID = fmt.Sprintf("%s.%d", c.session, c.queryCount)
@@ -37,31 +37,34 @@
 	return query
 }
 
-// readAnswer reads lines up to the one that says that the session is ready; the
-// answer is complete where one of them was its end.
+// readAnswer reads lines up to the READY line. complete is true if a DONE or
+// ERROR line, which ends an answer, was among the lines read.
 func (c *client) readAnswer(query *linehistory.Query) (complete bool, err error) {
 	for {
 		line, err := c.reader.ReadString('\n')
 		if err != nil {
 			return complete, err
 		}
-		word, tail, _ := strings.Cut(strings.TrimSuffix(line, "\r\n"), " ")
-		if parse, known := answerParsers[word]; known {
-			complete = parse(query, tail) || complete
+		keyword, arguments, _ := strings.Cut(strings.TrimSuffix(line, "\r\n"), " ")
+		if parse, found := answerParsers[keyword]; found {
+			complete = parse(query, arguments) || complete
 		}
-		if word == "READY" {
+		if keyword == "READY" {
 			return complete, nil
 		}
 	}
 }
 
-// answerParsers take lines of an answer by their first word; they return
-// whether the line ends the answer.
-var answerParsers = map[string]func(query *linehistory.Query, tail string) bool{
-	"ROW":  func(query *linehistory.Query, tail string) bool { query.Rows = append(query.Rows, tail); return false },
-	"DONE": func(query *linehistory.Query, tail string) bool { query.Stamp = tail; return true },
-	"ERROR": func(query *linehistory.Query, tail string) bool {
-		query.Code, _, _ = strings.Cut(tail, " ")
+// answerParsers are the parsers of an answer's lines by the first word of the
+// line. A parser returns whether the line ends the answer.
+var answerParsers = map[string]func(query *linehistory.Query, arguments string) bool{
+	"ROW": func(query *linehistory.Query, arguments string) bool {
+		query.Rows = append(query.Rows, arguments)
+		return false
+	},
+	"DONE": func(query *linehistory.Query, arguments string) bool { query.Stamp = arguments; return true },
+	"ERROR": func(query *linehistory.Query, arguments string) bool {
+		query.Code, _, _ = strings.Cut(arguments, " ")
 		return true
 	},
 }
--- a/test/platformstandin/execution.go
+++ b/test/platformstandin/execution.go
@@ -10,38 +10,41 @@
 )
 
 const (
-	// slotTimeout is how long a statement waits for a slot.
+	// slotTimeout is the maximum time that a statement waits for a slot.
 	slotTimeout = 500 * time.Millisecond
-	// commitTimeout is how long a commit waits for replicas.
+	// commitTimeout is the maximum time that a commit waits for replicas.
 	commitTimeout = 2 * time.Second
 )
 
-// operation is a statement that takes a slot of its instance.
+// operation is a statement that occupies a slot of its instance.
 type operation struct {
 	*statement
 	act       string
 	arguments string
-	// preparedText and preparedRest are given for prepared statements, whose
-	// own text is not run.
+	// preparedText is the text of the prepared statement that the operation
+	// runs, and preparedRest the arguments that follow it. Both are empty if the
+	// operation runs its own text.
 	preparedText, preparedRest string
 }
 
 func (o operation) isWrite() bool  { return o.act == linehistory.ActWrite }
 func (o operation) isCommit() bool { return o.act == linehistory.ActCommit }
 
-// outcome is what became of an operation: it was aborted with its instance,
-// refused with a code, or run.
+// outcome is the outcome of an operation: the operation was aborted because its
+// instance is not running, was refused with a code, or was run.
 type outcome struct {
 	aborted bool
 	refusal string
-	// replicated is closed once enough replicas have a commit; nil for others.
+	// replicated is closed once enough replicas have received the commit. It is
+	// nil if the operation did not commit anything.
 	replicated chan struct{}
-	// answerLost says that the answer is to be lost.
+	// answerLost is true if the connection is to be closed without an answer.
 	answerLost bool
 	execution  linehistory.Execution
 }
 
-// execute runs an operation and answers it; false ends the connection.
+// execute runs an operation and answers it. It returns false if the connection
+// must be closed.
 func (c *session) execute(operation operation) bool {
 	i, s := c.instance, c.instance.service
 	if code := c.takeSlot(operation); code != "" {
@@ -71,7 +74,8 @@
 	return c.write(append(lines, "DONE "+result.execution.Stamp, c.readyLine())...)
 }
 
-// takeSlot takes a slot of the instance, or returns the code of a refusal.
+// takeSlot takes a slot of the instance and returns "", or returns the code with
+// which the operation is refused.
 func (c *session) takeSlot(operation operation) (code string) {
 	i, s := c.instance, c.instance.service
 	busy, lagging := false, false
@@ -103,7 +107,7 @@
 	return !timedOut
 }
 
-// apply runs an operation at the instance and records it.
+// apply runs an operation on the instance and records the execution.
 func (c *session) apply(operation operation) outcome {
 	i, s := c.instance, c.instance.service
 	s.mutex.Lock()
@@ -111,7 +115,7 @@
 	if !i.running || i.hung {
 		return outcome{aborted: true}
 	}
-	if c.needsPrimary(operation) {
+	if c.isRefusedAsReadOnly(operation) {
 		return outcome{refusal: "READONLY " + i.ID}
 	}
 	result := outcome{execution: c.newExecution(operation)}
@@ -142,9 +146,13 @@
 	return result
 }
 
-// needsPrimary reports whether an operation writes, or belongs to a transaction
-// that may, and the instance is not, or no longer, the primary that it needs.
-func (c *session) needsPrimary(operation operation) bool {
+// isRefusedAsReadOnly reports whether an operation is refused with READONLY. A
+// write in a read-only transaction is refused. Any other write, and each
+// operation in a read-write transaction, is refused if the instance is not
+// primary or, in a transaction, is no longer in the term in which the
+// transaction began. The commit of a transaction without writes is never
+// refused.
+func (c *session) isRefusedAsReadOnly(operation operation) bool {
 	i, transaction := c.instance, c.transaction
 	if operation.isCommit() && len(transaction.ids) == 0 {
 		return false
--- a/test/platformstandin/heartbeat.go
+++ b/test/platformstandin/heartbeat.go
@@ -12,13 +12,13 @@
 
 const (
 	heartbeatInterval = 400 * time.Millisecond
-	// maxHeartbeatAnswer bounds an answer, in bytes.
+	// maxHeartbeatAnswer is the maximum size of an answer, in bytes.
 	maxHeartbeatAnswer = 4096
 )
 
 var heartbeatClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// heartbeat is the body of an instance's report.
+// heartbeat is the body of an instance's heartbeat.
 type heartbeat struct {
 	Service    string `json:"service"`
 	Address    string `json:"address"`
@@ -49,7 +49,7 @@
 	return "replica"
 }
 
-// heartbeatLoop sends heartbeats as long as an incarnation lasts.
+// heartbeatLoop sends heartbeats until the incarnation ends or the group stops.
 func (i *Instance) heartbeatLoop(incarnation int) {
 	for !i.service.group.IsStopping() {
 		ended, hung, draining := false, false, false
@@ -71,7 +71,8 @@
 	}
 }
 
-// sendHeartbeat sends to one address after the other until one accepts.
+// sendHeartbeat sends a heartbeat to one address after the other until one
+// accepts it.
 func (i *Instance) sendHeartbeat(body []byte, draining bool) {
 	for _, address := range i.heartbeatAddresses() {
 		status, answer := i.post(address, "heartbeat", body)
@@ -96,7 +97,7 @@
 	}
 }
 
-// triggerHeartbeat has the next heartbeat sent at once.
+// triggerHeartbeat makes heartbeatLoop send the next heartbeat immediately.
 func (i *Instance) triggerHeartbeat() {
 	select {
 	case i.heartbeatDue <- struct{}{}:
@@ -104,20 +105,24 @@
 	}
 }
 
-// heartbeatAddresses returns where to send heartbeats, the best first.
+// heartbeatAddresses returns the addresses to which heartbeats are sent, in the
+// order in which they are tried: the address that the last answer named, then
+// the control addresses.
 func (i *Instance) heartbeatAddresses() []string {
 	i.service.mutex.Lock()
-	first := i.heartbeatTarget
+	target := i.heartbeatTarget
 	i.service.mutex.Unlock()
-	if first == "" {
+	if target == "" {
 		return i.controlAddresses()
 	}
-	return append([]string{first}, i.controlAddresses()...)
+	return append([]string{target}, i.controlAddresses()...)
 }
 
-// post reports to a control address; the status is 0 where no answer came.
-func (i *Instance) post(address, report string, body []byte) (int, []byte) {
-	response, err := heartbeatClient.Post("http://"+address+"/instances/"+i.ID+"/"+report, "application/json", bytes.NewReader(body))
+// post sends a report to an endpoint of a control address. It returns the status
+// and the body of the answer. The status is 0 if no complete answer of at most
+// maxHeartbeatAnswer bytes was received.
+func (i *Instance) post(address, endpoint string, body []byte) (int, []byte) {
+	response, err := heartbeatClient.Post("http://"+address+"/instances/"+i.ID+"/"+endpoint, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
--- a/test/platformstandin/history.go
+++ b/test/platformstandin/history.go
@@ -8,24 +8,25 @@
 	"tansyseam/test/linehistory"
 )
 
-// History gathers what the stand-ins see; it is safe for concurrent use.
+// History collects the events that the stand-ins record. It is safe for
+// concurrent use.
 type History struct {
 	mutex    sync.Mutex
 	group    *worker.Group
 	recorded linehistory.History
 }
 
-// NewHistory returns an empty history whose clock is the group's.
+// NewHistory returns an empty history that uses the group's clock.
 func NewHistory(group *worker.Group) *History { return &History{group: group} }
 
-// Update changes the history.
-func (h *History) Update(act func(*linehistory.History)) {
+// Update calls change with the history while it holds the lock.
+func (h *History) Update(change func(*linehistory.History)) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	act(&h.recorded)
+	change(&h.recorded)
 }
 
-// Copy returns what was recorded so far.
+// Copy returns a copy of the history recorded so far.
 func (h *History) Copy() linehistory.History {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/test/platformstandin/instance.go
+++ b/test/platformstandin/instance.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// Location identifies an instance and says where it listens and in which zone.
+// Location is the id of an instance, the address on which it listens, and its
+// zone.
 type Location struct{ ID, Address, Zone string }
 
-// Instance is one database server; its state is guarded by the service's lock.
-// Times are on the clock of the service's group.
+// Instance is one database server. The service's lock guards its state. Times are
+// measured on the clock of the service's group.
 type Instance struct {
 	Location
 	service          *Service
@@ -17,13 +18,14 @@
 	slots            chan struct{}
 	listener         net.Listener
 	sessions         map[*session]bool
-	// incarnation counts starts and crashes.
+	// incarnation is the number of starts and crashes so far.
 	incarnation     int
 	connectionCount int
 
 	running, hung, primary, draining bool
 
-	// Replication: applied is the number of log entries that reads see.
+	// Replication. applied is the number of log entries that are visible to
+	// reads.
 	upstream         *Instance
 	term, pausedTerm uint64
 	log              []logEntry
@@ -35,15 +37,15 @@
 	answersToLose, statementsToRefuse int
 	busyUntil                         time.Duration
 
-	// Heartbeats: the target is the address that the last answer named.
+	// Heartbeats. heartbeatTarget is the address that the last answer named.
 	leaveAcknowledgedAt time.Duration
 	callCount           int
 	heartbeatTarget     string
 	heartbeatDue        chan struct{}
 }
 
-// Add adds an instance and starts it; the first is the primary. Heartbeats go
-// to the control addresses.
+// Add adds an instance and starts it. The first instance of the service is the
+// primary. The instance sends its heartbeats to the control addresses.
 func (s *Service) Add(location Location, controlAddresses func() []string) (*Instance, error) {
 	instance := &Instance{
 		Location: location, service: s, slots: make(chan struct{}, s.Slots), controlAddresses: controlAddresses, sessions: map[*session]bool{},
@@ -59,7 +61,8 @@
 	return instance, instance.Start()
 }
 
-// Start listens and begins to send heartbeats. The log is that of before.
+// Start starts the instance: it listens and sends heartbeats. The instance keeps
+// the log that it had before a crash.
 func (i *Instance) Start() error {
 	listener, err := net.Listen("tcp", i.Address)
 	if err != nil {
@@ -82,7 +85,7 @@
 	return nil
 }
 
-// Crash ends the instance at once; its log stays.
+// Crash stops the instance immediately. Its log is kept.
 func (i *Instance) Crash() {
 	i.service.withLock(func() {
 		i.running = false
@@ -94,19 +97,19 @@
 	})
 }
 
-// Hang makes the instance answer nothing more, with all connections open.
+// Hang makes the instance stop answering. Its connections stay open.
 func (i *Instance) Hang() { i.service.withLock(func() { i.hung = true }) }
 
-// LoseAnswers makes the instance lose a number of answers after the work is
-// done.
+// LoseAnswers makes the instance lose the answers to the next count operations
+// that it runs.
 func (i *Instance) LoseAnswers(count int) { i.service.withLock(func() { i.answersToLose = count }) }
 
-// RefuseStatements makes the instance refuse a number of statements as busy.
+// RefuseStatements makes the instance refuse the next count statements as busy.
 func (i *Instance) RefuseStatements(count int) {
 	i.service.withLock(func() { i.statementsToRefuse = count })
 }
 
-// Drain makes the instance report that it leaves.
+// Drain makes the instance report that it is draining.
 func (i *Instance) Drain() {
 	i.service.withLock(func() {
 		i.draining = true
@@ -114,16 +117,16 @@
 	})
 }
 
-// LeaveAcknowledgedAt returns when the instance's leaving was acknowledged, 0
-// where it was not.
+// LeaveAcknowledgedAt returns the time at which a control process acknowledged
+// that the instance is draining, or 0 if none has.
 func (i *Instance) LeaveAcknowledgedAt() time.Duration {
 	i.service.mutex.Lock()
 	defer i.service.mutex.Unlock()
 	return i.leaveAcknowledgedAt
 }
 
-// Leave reports that the instance is gone, ends it, and returns the status that
-// was answered.
+// Leave reports to the control addresses that the instance is gone and stops the
+// instance. It returns the status of the last answer.
 func (i *Instance) Leave() int {
 	status := 0
 	for _, address := range i.heartbeatAddresses() {
--- a/test/platformstandin/operator.go
+++ b/test/platformstandin/operator.go
@@ -28,7 +28,8 @@
 	client    *http.Client
 }
 
-// NewOperator returns an operator who knows HTTP addresses and services. It
+// NewOperator returns an operator that sends its requests to the given HTTP
+// addresses and whose configurations contain the given services. The operator
 // stops with the group.
 func NewOperator(group *worker.Group, history *History, addresses []string, services ...*Service) *Operator {
 	return &Operator{
@@ -76,23 +77,23 @@
 
 var limits = limitsConfiguration{MaxHeaderBytes: 16384, MaxBodyBytes: 262144, HeaderWaitMS: 3000, IdleMS: 15000, TransactionIdleMS: 3000}
 
-// ConfigurationBody returns a configuration of routes to the operator's
-// services, as JSON.
+// ConfigurationBody returns the JSON of a configuration with the given routes and
+// the operator's services.
 func (o *Operator) ConfigurationBody(version uint64, routes []Route) string {
-	written := configuration{Version: version, Limits: limits}
+	config := configuration{Version: version, Limits: limits}
 	for index, route := range routes {
-		written.Routes = append(written.Routes, routeConfiguration{
+		config.Routes = append(config.Routes, routeConfiguration{
 			Name: fmt.Sprintf("r-%d", index), Host: route.Host, PathPrefix: "/", Kind: route.Kind, Service: route.Service,
 			TimeoutMS: route.Timeout.Milliseconds(), TargetMS: route.Target.Milliseconds(), Priority: route.Priority,
 			MaxAttempts: 2, MaxStalenessMS: max(0, route.Staleness.Milliseconds()),
 		})
 	}
 	for _, service := range o.services {
-		written.Services = append(written.Services, serviceConfiguration{
+		config.Services = append(config.Services, serviceConfiguration{
 			Name: service.Name, HealthPath: "/health", MaxConnections: service.MaxConnections, Protocol: "h1", SyncReplicas: service.SyncReplicas,
 		})
 	}
-	body, _ := json.Marshal(written)
+	body, _ := json.Marshal(config)
 	return string(body)
 }
 
@@ -101,12 +102,13 @@
 	operatorRetryInterval = 50 * time.Millisecond
 )
 
-// request repeats a request at one address after the other, beginning with the
-// first, until the answer is neither an error of the server nor a call for
-// patience. It returns the last status and answer.
-func (o *Operator) request(method, path, body string, first int) (status int, answer string) {
+// request sends a request to one address after the other, starting with the
+// address at firstIndex, at most for operatorTimeout. It stops at the first answer
+// whose status is below 500 and is neither 408 (request timeout) nor 429 (too
+// many requests). It returns the last status and answer.
+func (o *Operator) request(method, path, body string, firstIndex int) (status int, answer string) {
 	deadline := o.group.Now() + operatorTimeout
-	for index := first; o.group.Now() < deadline && !o.group.IsStopping(); index++ {
+	for index := firstIndex; o.group.Now() < deadline && !o.group.IsStopping(); index++ {
 		newStatus, newAnswer, err := o.requestOnce(method, o.addresses[index%len(o.addresses)], path, body)
 		if err == nil {
 			status, answer = newStatus, newAnswer
@@ -134,27 +136,27 @@
 	return response.StatusCode, string(data), nil
 }
 
-// Replace sends a configuration, to the first address first, and returns the
-// status of the answer.
-func (o *Operator) Replace(version uint64, routes []Route, first int) int {
+// Replace sends a configuration, first to the address at firstIndex, and returns
+// the status of the answer.
+func (o *Operator) Replace(version uint64, routes []Route, firstIndex int) int {
 	sent := linehistory.Version{Number: version, Sent: o.group.Now(), Hosts: map[string]string{}, Body: o.ConfigurationBody(version, routes)}
 	for _, route := range routes {
 		sent.Hosts[route.Host] = route.Service
 	}
 	index := 0
 	o.history.Update(func(h *linehistory.History) { index, h.Versions = len(h.Versions), append(h.Versions, sent) })
-	status, _ := o.request(http.MethodPost, "/config/replace", sent.Body, first)
+	status, _ := o.request(http.MethodPost, "/config/replace", sent.Body, firstIndex)
 	if status == http.StatusOK {
 		o.history.Update(func(h *linehistory.History) { h.Versions[index].AcknowledgedAt = o.group.Now() })
 	}
 	return status
 }
 
-// ReplaceInvalid sends a configuration that must not be taken, and returns the
-// status of the answer.
-func (o *Operator) ReplaceInvalid(version uint64, body string, first int) int {
+// ReplaceInvalid sends a configuration that must not be accepted, first to the
+// address at firstIndex, and returns the status of the answer.
+func (o *Operator) ReplaceInvalid(version uint64, body string, firstIndex int) int {
 	sent := linehistory.Version{Number: version, Sent: o.group.Now(), Body: body, Invalid: true}
-	status, _ := o.request(http.MethodPost, "/config/replace", body, first)
+	status, _ := o.request(http.MethodPost, "/config/replace", body, firstIndex)
 	if status == http.StatusOK {
 		sent.AcknowledgedAt = o.group.Now()
 	}
@@ -162,8 +164,8 @@
 	return status
 }
 
-// Fetch reads the newest configuration back and returns the status of the
-// answer.
+// Fetch fetches the newest configuration, records it and returns the status of
+// the answer.
 func (o *Operator) Fetch() int {
 	status, body := o.request(http.MethodGet, "/config/fetch", "", 0)
 	if status == http.StatusOK {
--- a/test/platformstandin/platform.go
+++ b/test/platformstandin/platform.go
@@ -11,15 +11,15 @@
 	"tansyseam/internal/transport/worker"
 )
 
-// PromoteCall is one promote call and the status that it was answered.
+// PromoteCall is one promote call and the status of its answer.
 type PromoteCall struct {
 	Service, Instance, LeaseHolder string
 	FencingToken                   uint64
 	Status                         int
 }
 
-// Platform plays the users' platform: it carries out the promote call, probes
-// the nodes and hands out those that are ready.
+// Platform simulates the platform of the product's users. It carries out the
+// promote call, probes the nodes and hands out those that are ready.
 type Platform struct {
 	group         *worker.Group
 	services      []*Service
@@ -33,12 +33,13 @@
 	nextNode      int
 }
 
-// NewPlatform returns a platform of services. It stops with the group.
+// NewPlatform returns a platform for the given services. The platform stops with
+// the group.
 func NewPlatform(group *worker.Group, services ...*Service) *Platform {
 	return &Platform{group: group, services: services, fencingTokens: map[string]uint64{}, nodes: map[string]*node{}}
 }
 
-// Serve listens for the promote call at an address and begins to probe.
+// Serve listens for the promote call at an address and starts to probe the nodes.
 func (p *Platform) Serve(address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -53,8 +54,8 @@
 	return nil
 }
 
-// SetPromoteFaults sets how the promote call fails: a delay, a number of
-// refusals, and whether no call gets through.
+// SetPromoteFaults sets the faults of the promote call: the delay of each call,
+// the number of calls to refuse, and whether every call fails without an effect.
 func (p *Platform) SetPromoteFaults(delay time.Duration, refusals int, partitioned bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -68,9 +69,9 @@
 	return append([]PromoteCall(nil), p.promoteCalls...)
 }
 
-// checkCall returns the status of a call, and the service and the delay where
-// it is to be carried out. A call needs a holder and a token that is not older
-// than the newest.
+// checkCall returns the status of a call and, if the call is accepted, its
+// service and its delay. A call must name a lease holder, and its fencing token
+// must not be older than the newest one of the service.
 func (p *Platform) checkCall(call PromoteCall) (status int, service *Service, delay time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -116,7 +117,8 @@
 	w.WriteHeader(call.Status)
 }
 
-// carryOut promotes, where the call is accepted, and returns its status.
+// carryOut promotes the instance if the call is accepted, and returns the status
+// of the call.
 func (p *Platform) carryOut(call PromoteCall) int {
 	status, service, delay := p.checkCall(call)
 	if service == nil {
--- a/test/platformstandin/promotion.go
+++ b/test/platformstandin/promotion.go
@@ -6,11 +6,13 @@
 	"tansyseam/test/linehistory"
 )
 
-// stepDownDelay is how long an old primary takes itself for one.
+// stepDownDelay is the time for which the old primary still acts as primary after
+// another instance has been promoted.
 const stepDownDelay = time.Second
 
-// Promote makes an instance the primary of the next term; false where it is
-// not running.
+// Promote makes an instance the primary of the next term, unless it is primary
+// already. It returns false if there is no such instance or if the instance is
+// crashed or hung.
 func (s *Service) Promote(id string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -29,7 +31,7 @@
 	for _, instance := range s.instances {
 		term = max(term, instance.term)
 	}
-	old := s.primary
+	oldPrimary := s.primary
 	target.primary, target.upstream, target.term, target.pausedTerm, s.primary = true, nil, term+1, 0, target
 	for _, instance := range s.instances {
 		if instance != target && !instance.primary {
@@ -41,8 +43,8 @@
 	})
 	target.triggerHeartbeat()
 	s.schedule(stepDownDelay, func() {
-		if old.running && !old.hung && old.primary && old.term < s.primary.term {
-			old.stepDown()
+		if oldPrimary.running && !oldPrimary.hung && oldPrimary.primary && oldPrimary.term < s.primary.term {
+			oldPrimary.stepDown()
 		}
 	})
 }
--- a/test/platformstandin/readiness.go
+++ b/test/platformstandin/readiness.go
@@ -10,7 +10,8 @@
 const (
 	probeInterval = 150 * time.Millisecond
 	probeTimeout  = 400 * time.Millisecond
-	// maxFailedProbes in a row make a node not ready.
+	// maxFailedProbes is the number of consecutive failed probes after which a
+	// node is not ready.
 	maxFailedProbes = 2
 )
 
@@ -23,8 +24,8 @@
 
 func (n *node) isReady() bool { return n.failedProbes < maxFailedProbes }
 
-// AddNode makes a node known by its readiness and session addresses. It is not
-// ready until a probe has succeeded.
+// AddNode adds a node with its readiness and session addresses and its zone. The
+// node is not ready until a probe has succeeded.
 func (p *Platform) AddNode(readinessAddress, sessionAddress, zone string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -54,7 +55,7 @@
 	}
 }
 
-// ReadyCount returns how many nodes are ready.
+// ReadyCount returns the number of nodes that are ready.
 func (p *Platform) ReadyCount() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -67,24 +68,25 @@
 	return count
 }
 
-// SessionAddress returns the session address of a node for a client: of a ready
-// one in its zone, else of any ready one, else of any; "" where there is none.
+// SessionAddress returns the session address of a node for a client in the given
+// zone. It prefers a ready node in the zone, then any ready node, then any node.
+// It returns "" if there are no nodes.
 func (p *Platform) SessionAddress(zone string) string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	var near, far, all []string
+	var readyInZone, readyAnywhere, all []string
 	for _, node := range p.nodes {
 		all = append(all, node.sessionAddress)
 		if !node.isReady() {
 			continue
 		}
 		if node.zone == zone {
-			near = append(near, node.sessionAddress)
+			readyInZone = append(readyInZone, node.sessionAddress)
 		}
-		far = append(far, node.sessionAddress)
+		readyAnywhere = append(readyAnywhere, node.sessionAddress)
 	}
 	p.nextNode++
-	for _, list := range [][]string{near, far, all} {
+	for _, list := range [][]string{readyInZone, readyAnywhere, all} {
 		if len(list) > 0 {
 			return list[p.nextNode%len(list)]
 		}
--- a/test/platformstandin/replication.go
+++ b/test/platformstandin/replication.go
@@ -7,21 +7,23 @@
 	"tansyseam/test/linehistory"
 )
 
-// logEntry is one commit.
+// logEntry is one commit in an instance's log.
 type logEntry struct {
 	position linehistory.Position
 	ids      []string
 	values   map[string]string
 }
 
-// commitWaiter is a commit that waits for replicas.
+// commitWaiter is a commit that waits until replicas have received it. done is
+// then closed.
 type commitWaiter struct {
 	position linehistory.Position
 	done     chan struct{}
 }
 
-// commit appends to a primary's log and replicates it; the channel is closed
-// once enough replicas have received it.
+// commit appends an entry to a primary's log and starts its replication. It
+// returns the entry's position and a channel that is closed once enough replicas
+// have received the entry.
 func (s *Service) commit(primary *Instance, ids []string, values map[string]string) (linehistory.Position, chan struct{}) {
 	position := linehistory.Position{Term: primary.term, Index: primary.lastPosition().Index + 1}
 	primary.log = append(primary.log, logEntry{position, ids, values})
@@ -44,25 +46,28 @@
 	}
 }
 
-// replicateTo brings a replica's log, after the replication delay, to the
-// length that the primary's has now.
+// replicateTo replicates the primary's log, up to its present length, to a
+// replica after the replication delay. It has no effect if, by then, the replica
+// has stopped, hung, been paused or restarted or follows another primary, or if
+// the primary has stopped, hung or truncated its log below that length.
 func (s *Service) replicateTo(from, to *Instance) {
 	length, incarnation := len(from.log), to.incarnation
 	s.schedule(s.ReplicationDelay, func() {
-		linked := to.upstream == from && to.incarnation == incarnation && to.running && !to.hung && from.running && !from.hung && to.pausedTerm == 0
-		if !linked || length > len(from.log) {
+		replicating := to.upstream == from && to.incarnation == incarnation && to.running && !to.hung && from.running && !from.hung && to.pausedTerm == 0
+		if !replicating || length > len(from.log) {
 			return
 		}
-		same := commonPrefix(from.log, to.log)
-		to.log = append(to.log[:same:same], from.log[same:max(length, same)]...)
+		commonLength := commonPrefixLength(from.log, to.log)
+		to.log = append(to.log[:commonLength:commonLength], from.log[commonLength:max(length, commonLength)]...)
 		to.term = max(to.term, from.term)
 		from.onReplicated(to.lastPosition())
 		s.schedule(s.ApplyDelay, to.applyLog)
 	})
 }
 
-// commonPrefix returns the length of what two logs have in common.
-func commonPrefix(a, b []logEntry) int {
+// commonPrefixLength returns the number of entries at the start of two logs that
+// are the same in both.
+func commonPrefixLength(a, b []logEntry) int {
 	length := min(len(a), len(b))
 	for length > 0 && a[length-1].position != b[length-1].position {
 		length--
@@ -70,7 +75,7 @@
 	return length
 }
 
-// lastPosition returns the position of the last entry that was received.
+// lastPosition returns the position of the last entry in the log, applied or not.
 func (i *Instance) lastPosition() linehistory.Position {
 	if len(i.log) == 0 {
 		return linehistory.Position{}
@@ -78,7 +83,8 @@
 	return i.log[len(i.log)-1].position
 }
 
-// appliedPosition returns the position that reads see.
+// appliedPosition returns the position of the last entry that is visible to
+// reads.
 func (i *Instance) appliedPosition() linehistory.Position {
 	if i.applied == 0 {
 		return linehistory.Position{}
@@ -93,7 +99,8 @@
 	}
 }
 
-// onReplicated lets commits be answered that a replica has received.
+// onReplicated completes the waiting commits that a replica has received. The
+// replica's log ends at position.
 func (i *Instance) onReplicated(position linehistory.Position) {
 	remaining := i.commitWaiters[:0]
 	for _, waiter := range i.commitWaiters {
@@ -106,15 +113,16 @@
 	i.commitWaiters = remaining
 }
 
-// truncateTime is how long an instance is busy after it has truncated its log.
+// truncateTime is the time for which an instance is busy after it has truncated
+// its log.
 const truncateTime = 50 * time.Millisecond
 
-// follow makes the instance a replica of another. Entries that the other does
-// not have are truncated.
+// follow makes the instance a replica of primary. Entries that primary does not
+// have are truncated.
 func (i *Instance) follow(primary *Instance) {
 	i.primary, i.upstream, i.pausedTerm = false, primary, 0
-	if same := commonPrefix(i.log, primary.log); same < len(i.log) {
-		i.log, i.applied, i.values = i.log[:same:same], 0, map[string]string{}
+	if commonLength := commonPrefixLength(i.log, primary.log); commonLength < len(i.log) {
+		i.log, i.applied, i.values = i.log[:commonLength:commonLength], 0, map[string]string{}
 		i.applyLog()
 		i.busyUntil = i.service.group.Now() + truncateTime
 	}
@@ -123,7 +131,8 @@
 	i.triggerHeartbeat()
 }
 
-// stepDown makes an instance that is primary no longer a replica.
+// stepDown makes the instance a replica of the service's primary, unless it is
+// that primary itself.
 func (i *Instance) stepDown() {
 	if s := i.service; s.primary != i {
 		i.follow(s.primary)
--- a/test/platformstandin/service.go
+++ b/test/platformstandin/service.go
@@ -12,21 +12,23 @@
 // ServiceConfig configures a service and its instances.
 type ServiceConfig struct {
 	Name string
-	// SyncReplicas is how many replicas must have received a commit before it
-	// is answered.
+	// SyncReplicas is the number of replicas that must have received a commit
+	// before it is answered.
 	SyncReplicas int
-	// ReplicationDelay is between a commit and its arrival at a replica,
-	// ApplyDelay between that and its being seen by reads.
+	// ReplicationDelay is the time between a commit and its arrival at a
+	// replica. ApplyDelay is the time between its arrival and the moment at
+	// which reads see it.
 	ReplicationDelay, ApplyDelay time.Duration
-	// StatementTime is how long a statement holds its slot, PromoteDelay how
-	// long a promotion takes.
+	// StatementTime is the time for which a statement holds its slot.
+	// PromoteDelay is the duration of a promotion.
 	StatementTime, PromoteDelay time.Duration
-	// Slots and MaxConnections are the caps of one instance.
+	// Slots and MaxConnections are the maximum numbers of running statements
+	// and of sessions of one instance.
 	Slots, MaxConnections int
 }
 
-// Service is one primary with its replicas. Its lock guards the state of its
-// instances.
+// Service is one primary with its replicas. The service's lock guards the state
+// of the instances.
 type Service struct {
 	ServiceConfig
 	group      *worker.Group
@@ -42,23 +44,24 @@
 	return &Service{ServiceConfig: config, group: group, history: history}
 }
 
-// withLock acts with the service's lock.
-func (s *Service) withLock(act func()) {
+// withLock calls f while it holds the service's lock.
+func (s *Service) withLock(f func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	act()
+	f()
 }
 
-// schedule acts with the lock after a delay, unless the group stops before.
-func (s *Service) schedule(delay time.Duration, act func()) {
+// schedule calls f after a delay while it holds the service's lock, unless the
+// group stops before.
+func (s *Service) schedule(delay time.Duration, f func()) {
 	s.group.Go(func() {
 		if !worker.Await(s.group.Stopping(), delay) {
-			s.withLock(act)
+			s.withLock(f)
 		}
 	})
 }
 
-// FindInstance returns an instance by id, nil where there is none.
+// FindInstance returns the instance with the given id, or nil if there is none.
 func (s *Service) FindInstance(id string) *Instance {
 	for _, instance := range s.instances {
 		if instance.ID == id {
@@ -68,7 +71,7 @@
 	return nil
 }
 
-// Instances returns all instances.
+// Instances returns all instances of the service.
 func (s *Service) Instances() []*Instance { return s.instances }
 
 // Primary returns the instance that was promoted last.
@@ -89,7 +92,7 @@
 	return log
 }
 
-// newStamp returns a text that marks one answer.
+// newStamp returns a unique text that identifies one answer.
 func (s *Service) newStamp(instance *Instance) string {
 	s.stampCount++
 	return fmt.Sprintf("%s.%d.%x", instance.ID, s.stampCount, s.stampCount*2654435761%1000003)
--- a/test/platformstandin/session.go
+++ b/test/platformstandin/session.go
@@ -19,7 +19,7 @@
 
 const maxLineBuffer = 64 << 10
 
-// session is one connection at an instance; it is used by one goroutine.
+// session is one connection to an instance. It is used by one goroutine.
 type session struct {
 	instance         *Instance
 	connection       net.Conn
@@ -34,7 +34,7 @@
 type transaction struct {
 	number           int
 	readOnly, failed bool
-	// term is the instance's at the begin.
+	// term is the instance's term at the time of BEGIN.
 	term   uint64
 	ids    []string
 	values map[string]string
@@ -50,8 +50,8 @@
 	return stateInTransaction
 }
 
-// serve reads and carries out commands until the connection ends. A hung
-// instance reads on without answering.
+// serve reads and carries out commands until the connection ends. While the
+// instance is hung, serve reads commands but does not answer them.
 func (c *session) serve() {
 	reader := bufio.NewReaderSize(c.connection, maxLineBuffer)
 	for {
@@ -65,8 +65,8 @@
 			continue
 		}
 		name, arguments, _ := strings.Cut(strings.TrimSuffix(line, "\r\n"), " ")
-		command, known := commands[name]
-		if !known || (!c.connected && name != "CONNECT") {
+		command, found := commands[name]
+		if !found || (!c.connected && name != "CONNECT") {
 			c.write("ERROR MALFORMED")
 			return
 		}
@@ -76,20 +76,21 @@
 	}
 }
 
-// write writes lines; false where the connection has ended.
+// write writes lines. It returns false if writing to the connection failed.
 func (c *session) write(lines ...string) bool {
 	_, err := c.connection.Write([]byte(strings.Join(lines, "\r\n") + "\r\n"))
 	return err == nil
 }
 
-// readyLine ends each answer.
+// readyLine returns the line that ends each answer.
 func (c *session) readyLine() string {
 	position := linehistory.Position{}
 	c.instance.service.withLock(func() { position = c.instance.appliedPosition() })
 	return "READY " + c.state() + " " + formatPosition(position)
 }
 
-// formatPosition writes a position as on the wire; "-" is before all entries.
+// formatPosition returns a position as it is written on the wire. "-" is the
+// position before all entries.
 func formatPosition(position linehistory.Position) string {
 	if position == (linehistory.Position{}) {
 		return "-"
@@ -97,8 +98,8 @@
 	return fmt.Sprintf("%d.%d", position.Term, position.Index)
 }
 
-// commands are the first words of lines. Their functions return whether the
-// connection goes on.
+// commands are the handlers of lines by the first word of the line. A handler
+// returns false if the connection must be closed.
 var commands = map[string]func(c *session, arguments string) bool{
 	"CONNECT": (*session).connect,
 	"BYE":     func(*session, string) bool { return false },
@@ -114,9 +115,9 @@
 	return c.write(c.readyLine())
 }
 
-// register adds the session to its instance's, or returns the code of an
-// error. The arguments are the service, the client and, if given, the instance
-// that is meant.
+// register adds the session to the sessions of its instance, or returns the code
+// of an error. The arguments are the name of the service, the name of the client
+// and, optionally, the id of the instance to which the client wants to connect.
 func (c *session) register(arguments []string) (code string) {
 	i, s := c.instance, c.instance.service
 	s.mutex.Lock()
@@ -141,8 +142,8 @@
 		minPosition, text = parsePosition(position), after
 	}
 	verb, rest, _ := strings.Cut(text, " ")
-	handle, known := statementHandlers[verb]
-	if !known || (c.transaction != nil && c.transaction.failed && verb != "ROLLBACK" && verb != "COMMIT") {
+	handle, found := statementHandlers[verb]
+	if !found || (c.transaction != nil && c.transaction.failed && verb != "ROLLBACK" && verb != "COMMIT") {
 		return c.fail("MALFORMED " + verb)
 	}
 	return handle(c, &statement{id: id, text: text, rest: rest, minPosition: minPosition})
@@ -155,7 +156,8 @@
 	return position
 }
 
-// fail answers with an error, after which a transaction can only be ended.
+// fail answers with an error. A transaction that is open has then failed and can
+// only be ended.
 func (c *session) fail(code string) bool {
 	if c.transaction != nil {
 		c.transaction.failed = true
@@ -163,11 +165,11 @@
 	return c.write("ERROR "+code, c.readyLine())
 }
 
-// writeDone answers a statement that has no effect on an instance.
+// writeDone answers a statement that has no effect on the instance.
 func (c *session) writeDone() bool { return c.write("DONE -", c.readyLine()) }
 
-// refuse answers with an error to a statement that was not run; a commit that
-// is refused ends its transaction.
+// refuse answers a statement that was not run with an error. If the statement was
+// a commit, its transaction ends.
 func (c *session) refuse(act, code string) bool {
 	if act == linehistory.ActCommit {
 		c.transaction = nil
--- a/test/platformstandin/statements.go
+++ b/test/platformstandin/statements.go
@@ -8,14 +8,16 @@
 	"tansyseam/test/linehistory"
 )
 
-// statement is one query: rest is its text after the first word, minPosition
-// what its instance must have applied.
+// statement is one query. rest is its text after the first word, and minPosition
+// is the position up to which the instance must have applied its log before it
+// runs the statement.
 type statement struct {
 	id, text, rest string
 	minPosition    linehistory.Position
 }
 
-// statementHandlers are by the first word of a query's text.
+// statementHandlers are the handlers of statements by the first word of the
+// query's text. A handler returns false if the connection must be closed.
 var statementHandlers = map[string]func(c *session, statement *statement) bool{
 	"BEGIN":    (*session).begin,
 	"COMMIT":   (*session).commit,
@@ -102,7 +104,8 @@
 	return c.execute(operation{statement: statement, act: act, arguments: arguments, preparedText: text, preparedRest: " " + arguments})
 }
 
-// resume ends a pause: the instance gets what it has missed.
+// resume ends a pause of replication: the entries that the instance has missed
+// are replicated to it.
 func resume(i *Instance) {
 	i.pausedTerm = 0
 	if i.upstream != nil {
@@ -110,7 +113,8 @@
 	}
 }
 
-// applyOrder applies an order of a later term than the instance's.
+// applyOrder carries out an order if its term, which is the statement's argument,
+// is later than the instance's term.
 func (c *session) applyOrder(statement *statement, apply func(*Instance)) bool {
 	term, _ := strconv.ParseUint(statement.rest, 10, 64)
 	return c.writeStatus(func(i *Instance) {
@@ -120,9 +124,10 @@
 	})
 }
 
-// writeStatus applies a change and answers with the status of the instance:
-// role, term, position, the term in which it is paused, an extra lag, running
-// statements and sessions.
+// writeStatus applies a change to the instance and answers with the instance's
+// status: its role, its term, the position of its last log entry, the term in
+// which it is paused, an additional lag (always 0), the number of running
+// statements and the number of sessions.
 func (c *session) writeStatus(apply func(*Instance)) bool {
 	row, i := "", c.instance
 	i.service.withLock(func() {
