--- a/test/platformstandin/client_query.go
+++ b/test/platformstandin/client_query.go
@@ -45,9 +45,9 @@
 		if err != nil {
 			return complete, err
 		}
-		keyword, arguments, _ := strings.Cut(strings.TrimSuffix(line, "\r\n"), " ")
+		keyword, rest, _ := strings.Cut(strings.TrimSuffix(line, "\r\n"), " ")
 		if parse, found := answerParsers[keyword]; found {
-			complete = parse(query, arguments) || complete
+			complete = parse(query, rest) || complete
 		}
 		if keyword == "READY" {
 			return complete, nil
@@ -57,14 +57,11 @@
 
 // answerParsers are the parsers of an answer's lines by the first word of the
 // line. A parser returns whether the line ends the answer.
-var answerParsers = map[string]func(query *linehistory.Query, arguments string) bool{
-	"ROW": func(query *linehistory.Query, arguments string) bool {
-		query.Rows = append(query.Rows, arguments)
-		return false
-	},
-	"DONE": func(query *linehistory.Query, arguments string) bool { query.Stamp = arguments; return true },
-	"ERROR": func(query *linehistory.Query, arguments string) bool {
-		query.Code, _, _ = strings.Cut(arguments, " ")
+var answerParsers = map[string]func(query *linehistory.Query, rest string) bool{
+	"ROW":  func(query *linehistory.Query, rest string) bool { query.Rows = append(query.Rows, rest); return false },
+	"DONE": func(query *linehistory.Query, rest string) bool { query.Stamp = rest; return true },
+	"ERROR": func(query *linehistory.Query, rest string) bool {
+		query.Code, _, _ = strings.Cut(rest, " ")
 		return true
 	},
 }
