--- a/test/platformstandin/execution.go
+++ b/test/platformstandin/execution.go
@@ -31,7 +31,7 @@
 func (o operation) isCommit() bool { return o.act == linehistory.ActCommit }
 
 // outcome is the outcome of an operation: the operation was aborted because its
-// instance is not running, was refused with a code, or was run.
+// instance is not running or is hung, was refused with a code, or was run.
 type outcome struct {
 	aborted bool
 	refusal string
