--- a/test/simulation/admission_loads.go
+++ b/test/simulation/admission_loads.go
@@ -18,7 +18,7 @@
 	ServiceTime time.Duration
 	// StatementsPerSecond is the rate of arrivals over all nodes.
 	StatementsPerSecond float64
-	// Burst is the number of statements that arrive at once.
+	// Burst is the number of statements that arrive at once; 0 means 1.
 	Burst int
 	// From SlowFrom until SlowUntil, statements take SlowFactor times as long.
 	// Both are counted from the start of the experiment.
--- a/test/simulation/caller.go
+++ b/test/simulation/caller.go
@@ -226,7 +226,7 @@
 	return fmt.Sprintf("%s.%d", c.session, c.requestsMade)
 }
 
-// acceptsSession reports whether the session is still usable after a result.
-func acceptsSession(result httppool.Result) bool {
+// isSessionUsable reports whether the session is still usable after a result.
+func isSessionUsable(result httppool.Result) bool {
 	return !result.SessionClosed && result.Cause != httppool.ErrNoSession && result.Cause != httppool.ErrNoBinding
 }
--- a/test/simulation/caller_operations.go
+++ b/test/simulation/caller_operations.go
@@ -67,7 +67,8 @@
 }
 
 // drawFromDeck draws a number below count. Each number is drawn once before any
-// is drawn a second time, so that the load is even.
+// is drawn a second time, so that the load is even, unless the configuration has
+// IndependentDraws.
 func (c *caller) drawFromDeck(count int) int {
 	if c.fleet.config.IndependentDraws {
 		return c.random.IntN(count)
--- a/test/simulation/caller_request.go
+++ b/test/simulation/caller_request.go
@@ -87,7 +87,7 @@
 	for database, position := range result.MinPositions {
 		c.minPositions[database] = c.minPositions[database].Max(position)
 	}
-	open := !cut && acceptsSession(result)
+	open := !cut && isSessionUsable(result)
 	if !open && c.remoteAddress == r.remote {
 		c.leave()
 	}
--- a/test/simulation/connection.go
+++ b/test/simulation/connection.go
@@ -21,12 +21,15 @@
 	// An instance detects the crash of a node after minCrashDetection to
 	// maxCrashDetection. If the node vanished without a reset, the instance
 	// detects it by its own time-out, vanishedNodeTimeout.
-	minCrashDetection      = 200 * time.Microsecond
-	maxCrashDetection      = 3 * time.Millisecond
-	vanishedNodeTimeout    = 5 * time.Second
-	minVanishedDetection   = time.Second
-	maxVanishedDetection   = 4 * time.Second
-	connectionProbeTimeout = time.Second
+	// A node probes an instance that vanished after minVanishedDetection to
+	// maxVanishedDetection, and again after connectionProbeInterval while it
+	// waits for a reply.
+	minCrashDetection       = 200 * time.Microsecond
+	maxCrashDetection       = 3 * time.Millisecond
+	vanishedNodeTimeout     = 5 * time.Second
+	minVanishedDetection    = time.Second
+	maxVanishedDetection    = 4 * time.Second
+	connectionProbeInterval = time.Second
 )
 
 // connection is a node's connection to an instance. The node's end has at most
@@ -87,8 +90,9 @@
 }
 
 // deliverNext delivers the first message of a stream, and schedules the next
-// delivery after a random gap. While the link is blocked, it retries after
-// blockedRetryInterval. It resets the connection if the receiver has crashed.
+// delivery after a random gap. While the link is blocked, or after the
+// receiver vanished, it retries after blockedRetryInterval. Otherwise, it resets
+// the connection if the receiver has crashed or was restarted.
 func (c *connection) deliverNext(dir direction) {
 	s := c.node.simulator
 	blocked := s.network.blocked[link{dir.from.name, dir.to.name}] || (!dir.to.running && dir.to.vanished)
@@ -180,7 +184,7 @@
 // waits for no reply. A request that waits has its own time-out.
 func (c *connection) probePeer() {
 	if c.pendingReply != nil {
-		c.node.simulator.after(connectionProbeTimeout, c.probePeer)
+		c.node.simulator.after(connectionProbeInterval, c.probePeer)
 		return
 	}
 	c.reset()
--- a/test/simulation/control.go
+++ b/test/simulation/control.go
@@ -48,7 +48,8 @@
 	pendingWrites  map[uint64]func(consensus.SubmitResult)
 	pendingUpdates map[uint64]func(distribution.Update)
 	lastToken      uint64
-	// lastAwaited has, by database, the number of the last awaited answer.
+	// lastAwaited has, by database, the number of the last awaited answer. It is
+	// incremented when the wait begins and when it ends.
 	lastAwaited map[string]int
 	// writesUntilCrash is the number of the upcoming write before which the
 	// server crashes. 0 means that it does not crash.
--- a/test/simulation/control_elections.go
+++ b/test/simulation/control_elections.go
@@ -76,8 +76,8 @@
 
 // awaitAnswer begins to wait for an answer about a database under evaluation,
 // and ends the evaluation if no answer arrives within the time-out. The returned
-// function must be called when the answer arrives. It reports whether the answer
-// arrived in time.
+// function must be called when the answer arrives. It ends the wait, and reports
+// whether the answer arrived in time.
 func (c *controlServer) awaitAnswer(database string, timeout time.Duration) (inTime func() bool) {
 	c.lastAwaited[database]++
 	number := c.lastAwaited[database]
--- a/test/simulation/control_failover.go
+++ b/test/simulation/control_failover.go
@@ -21,13 +21,13 @@
 // ControlFailover is the measurement of one failover of the control primary.
 type ControlFailover struct {
 	Seed uint64
-	// Primacy is the time until another server was primary. FirstWrite is the
-	// time until it and a backup committed one of the writes that are submitted
-	// periodically. Both are in virtual time, and -1 if the event did not occur
+	// Primacy is the time from the loss until another server was primary.
+	// FirstWrite is the time from the loss until another server and a backup
+	// committed one of the writes that are submitted periodically. Both are in virtual time, and -1 if the event did not occur
 	// within 4 s.
 	Primacy, FirstWrite time.Duration
-	// Violations counts the violations of the rules for a single primary and for
-	// binding sets. Availability is not checked, because there are too few
+	// Violations counts the violations that the simulator itself detects, such as
+	// a second primary, and the violations of the rule for binding sets. Availability is not checked, because there are too few
 	// callers.
 	Violations int
 }
--- a/test/simulation/control_test.go
+++ b/test/simulation/control_test.go
@@ -77,7 +77,8 @@
 // cutOffRun is the result of a run in which the control primary was cut off.
 type cutOffRun struct {
 	violations map[string][]string
-	// answeredReads is the number of operators' reads that were answered.
+	// answeredReads is the number of operators' reads that were answered in the
+	// first 23 s of the script.
 	answeredReads int
 	// hasSuccessor is true if another server was primary 4 s after the cut.
 	hasSuccessor bool
--- a/test/simulation/defects_test.go
+++ b/test/simulation/defects_test.go
@@ -10,8 +10,8 @@
 	"tansyseam/test/history"
 )
 
-// cutOffNodeAndFreezePrimary cuts a node off and freezes the primary of its
-// database until after another instance was promoted. The platform does not
+// cutOffNodeAndFreezePrimary cuts a node off and freezes the primary of the
+// first database until after another instance was promoted. The platform does not
 // demote the old primary, so that the node still finds a primary.
 func cutOffNodeAndFreezePrimary(f *fleet) {
 	isolated, old := f.nodes[0], f.currentPrimary(f.databases[0])
--- a/test/simulation/digest_test.go
+++ b/test/simulation/digest_test.go
@@ -39,7 +39,7 @@
 		So(len(rows), ShouldEqual, 4*digestsPerKind())
 		digests := make([]string, len(rows))
 		var group sync.WaitGroup
-		free := make(chan struct{}, runtime.NumCPU())
+		slots := make(chan struct{}, runtime.NumCPU())
 		for index, row := range rows {
 			fields := strings.Fields(row)
 			So(len(fields), ShouldEqual, 4)
@@ -50,9 +50,9 @@
 			group.Add(1)
 			go func() {
 				defer group.Done()
-				free <- struct{}{}
+				slots <- struct{}{}
 				digests[index] = digest(seed)
-				<-free
+				<-slots
 			}()
 		}
 		group.Wait()
--- a/test/simulation/digest_texts.go
+++ b/test/simulation/digest_texts.go
@@ -5,7 +5,7 @@
 // earlierTexts replaces reworded texts of a history by the texts that they had
 // when the digests in testdata were recorded, so that a change of wording alone
 // keeps the digests valid. Each pair is the present text and the earlier text.
-// A present text must replace one earlier text only.
+// A present text must stand for one earlier text only.
 var earlierTexts = strings.NewReplacer(
 	"fault injected: ", "trouble: ",
 	"all faults repaired", "all is mended",
--- a/test/simulation/disk.go
+++ b/test/simulation/disk.go
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// tear truncates the last file to half of its length, as a crash during a write
-// may do.
+// tear truncates the file whose name sorts last to half of its length, as a crash
+// during a write may do.
 func (d *disk) tear() {
 	names, _ := d.Names()
 	if len(names) > 0 {
--- a/test/simulation/doc.go
+++ b/test/simulation/doc.go
@@ -4,8 +4,8 @@
 //
 // There are two kinds of fleets. Run simulates back ends that push their
 // positions and are accessed over the product's own protocol. RunLines simulates
-// synchronously replicating instances that are accessed over line sessions; its
-// files begin with lines_. Both kinds use the same control servers.
+// synchronously replicating instances that are accessed over line sessions; the
+// names of its files begin with lines_. Both kinds use the same control servers.
 //
 // A run has a fault phase, which injects random faults, and a recovery phase.
 // Package test/history checks the recorded evidence of Run. RunLines checks its
@@ -27,7 +27,7 @@
 //     the same names after lines_ contain those of RunLines, where callers are
 //     named clients.
 //   - fault_catalog.go and lines_faults.go list the faults.
-//   - window*.go implement the paper's equations a second time, to check the
-//     windows of a whole fleet. admission*.go contain experiments with one server.
+//   - window*.go implement the equations of the paper on flow control
+//     (docs/paper.md) a second time, to check the windows of a whole fleet. admission*.go contain experiments with one server.
 //   - digest.go and testdata compare histories with recorded ones.
 package simulation
--- a/test/simulation/fault_catalog.go
+++ b/test/simulation/fault_catalog.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// faultCatalog lists the faults of Run. Faults are drawn by their index, so that
-// another order leads to other histories.
+// faultCatalog lists the faults of Run. Faults are drawn by their index, so another
+// order leads to other histories.
 var faultCatalog = []faultKind[*fleet]{
 	{"control crash", (*fleet).crashControl},
 	{"control primary crash", (*fleet).crashControlPrimary},
--- a/test/simulation/faults_instance.go
+++ b/test/simulation/faults_instance.go
@@ -115,7 +115,8 @@
 }
 
 // loseInstanceData crashes an instance and deletes its data, if its database is
-// healthy and has another candidate. It does so at most once in a run.
+// healthy and has at least two candidates. It does nothing if an instance already
+// lost its data in the run.
 func (f *fleet) loseInstanceData(duration time.Duration) {
 	instance := f.randomInstance()
 	if f.hasLostData() || !f.isHealthy(instance.database) || len(f.writerRole(instance.database).Candidates) < 2 {
--- a/test/simulation/fleet.go
+++ b/test/simulation/fleet.go
@@ -34,7 +34,8 @@
 	// acknowledgedSequence the newest one that was acknowledged to an operator.
 	newestSequence       uint64
 	acknowledgedSequence uint64
-	// answeredReads counts the answered reads of the newest set by operators.
+	// answeredReads counts the operators' reads of the newest set that were
+	// answered.
 	answeredReads int
 	// loadFactor multiplies the load of the callers.
 	loadFactor float64
@@ -134,7 +135,8 @@
 	return f.nodes[0].pool.Routing().WriterRole(database)
 }
 
-// currentPrimary returns the primary of a database, or nil.
+// currentPrimary returns the primary of a database as recorded by the first node,
+// or nil.
 func (f *fleet) currentPrimary(database string) *instance {
 	return f.findInstance(f.writerRole(database).Primary)
 }
--- a/test/simulation/lines_config.go
+++ b/test/simulation/lines_config.go
@@ -66,7 +66,8 @@
 	Script func(*lineFleet)
 }
 
-// SmallLineConfig returns a fleet with three control servers and three nodes.
+// SmallLineConfig returns the configuration of a fleet with three control servers
+// and three nodes.
 func SmallLineConfig() LineConfig {
 	return LineConfig{
 		FencesChecked: true, Controls: 3, Nodes: 3, Databases: 2, Clients: 20, Connections: 24, Slots: 6,
@@ -74,8 +75,8 @@
 	}
 }
 
-// CrowdedLineConfig returns a fleet with more nodes than an instance accepts
-// connections.
+// CrowdedLineConfig returns the configuration of a fleet that has more nodes than
+// an instance accepts connections.
 func CrowdedLineConfig() LineConfig {
 	return LineConfig{
 		Controls: 3, Nodes: 14, Databases: 2, Clients: 20, Connections: 11, Slots: 6,
@@ -83,8 +84,9 @@
 	}
 }
 
-// LargeLineConfig returns a fleet with five control servers, and with more nodes
-// and more simultaneous faults than that of SmallLineConfig.
+// LargeLineConfig returns the configuration of a fleet with five control servers,
+// and with more nodes and shorter intervals between faults than that of
+// SmallLineConfig.
 func LargeLineConfig() LineConfig {
 	return LineConfig{
 		Controls: 5, Nodes: 5, Databases: 2, Clients: 36, Connections: 40, Slots: 6,
--- a/test/simulation/lines_run.go
+++ b/test/simulation/lines_run.go
@@ -14,10 +14,10 @@
 	// lineWarmUp is the time for which clients are served before the first
 	// fault.
 	lineWarmUp = 2 * time.Second
-	// firstVersionAttempts is the number of retries of the first configuration.
+	// firstVersionRetries is the number of retries of the first configuration.
 	// There are many, because it may be submitted before there is a control
 	// primary.
-	firstVersionAttempts = 20
+	firstVersionRetries = 20
 	// operatorEnd is the time before the end of a run at which operators stop.
 	operatorEnd = 8 * time.Second
 	// recoveryTimeout is the time after the last fault in which operations may
@@ -26,8 +26,8 @@
 	// recoveryCheckSpan is the span after recoveryTimeout in which operations
 	// are counted.
 	recoveryCheckSpan = 3500 * time.Millisecond
-	// writerSettleTime is the span before the end of a run in which a writer
-	// role that is not open may have changed last.
+	// writerSettleTime is the maximum time since the last transition of a writer
+	// role that is not open at the end of a run.
 	writerSettleTime = 5 * time.Second
 	// minRecoveryOperations is the minimum number of operations that must start
 	// in recoveryCheckSpan. Three in four of them must be served.
@@ -64,7 +64,7 @@
 	}
 	s.runUntil(s.now + electionTime)
 	l.checker.versions.newest = 1
-	l.submitVersion(1, firstVersionAttempts)
+	l.submitVersion(1, firstVersionRetries)
 	s.runUntil(s.now + lineSetUpTime)
 	l.startClients(seed)
 	s.runUntil(s.now + lineWarmUp)
--- a/test/simulation/network.go
+++ b/test/simulation/network.go
@@ -49,7 +49,7 @@
 }
 
 // sendReliable delivers a message that may be late because of retransmission, but
-// is not lost.
+// is not lost. Blocked links do not affect it.
 func (s *simulator) sendReliable(to *machine, receive func()) {
 	incarnation := to.incarnation
 	s.after(s.reliableTransit(), func() { to.runDuring(incarnation, receive) })
--- a/test/simulation/node.go
+++ b/test/simulation/node.go
@@ -14,7 +14,8 @@
 	nodeHeartbeatInterval = 20 * time.Millisecond
 	nodeUpdateTimeout     = 600 * time.Millisecond
 	nodeReportDelay       = 20 * time.Millisecond
-	// nodeTriesPerRelay makes every second request go through another node.
+	// nodeTriesPerRelay makes every second request go through another node while
+	// answers are missed.
 	nodeTriesPerRelay = 2
 )
 
--- a/test/simulation/run.go
+++ b/test/simulation/run.go
@@ -18,7 +18,8 @@
 	// setUpTime is the time after the start of a fleet at which it serves
 	// callers.
 	setUpTime = 5500 * time.Millisecond
-	// callerStartTime is the time in which callers open their sessions.
+	// callerStartTime is the time after the start of the callers in which they
+	// open their first sessions.
 	callerStartTime = 500 * time.Millisecond
 	// operatorOvertime is the time for which operators continue after the fault
 	// phase.
--- a/test/simulation/simulator.go
+++ b/test/simulation/simulator.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// record adds a line with the current virtual time to the history.
+// record adds a line with the current virtual time to the history. In the digest,
+// the line has its earlierTexts.
 func (s *simulator) record(format string, args ...any) {
 	line := fmt.Sprintf("%9.3f ", sinceStartMS(s.now)) + fmt.Sprintf(format, args...)
 	_, _ = earlierTexts.WriteString(s.trace, line+"\n")
--- a/test/simulation/update_request.go
+++ b/test/simulation/update_request.go
@@ -20,7 +20,9 @@
 // controlChoice is a node's choice of the control server to which it sends its
 // requests.
 type controlChoice struct {
-	index         int
+	index int
+	// missedAnswers counts the requests since the last update of the primary that
+	// were not answered in time or were answered by a server that is not primary.
 	missedAnswers int
 	// lastRequest is the number of the last request for an update. Answers to
 	// earlier requests are ignored.
@@ -35,8 +37,8 @@
 // that an answer names, because the named one may be unreachable.
 func (c *controlChoice) skipsRedirect() bool { return c.missedAnswers%4 == 3 }
 
-// usesRelay reports whether the next request goes through another node. One in
-// tries requests does.
+// usesRelay reports whether the next request goes through another node. While
+// answers are missed, one in tries requests does.
 func (c *controlChoice) usesRelay(tries int) bool { return c.missedAnswers%tries == tries-1 }
 
 // updateRequester is a node that requests updates from control servers, one request
