--- a/test/simulation/lines_node.go
+++ b/test/simulation/lines_node.go
@@ -15,7 +15,7 @@
 	lineUpdateTimeout     = 900 * time.Millisecond
 	lineReportDelay       = 5 * time.Millisecond
 	// lineTriesPerRelay is the number of update requests of which one goes
-	// through another node.
+	// through another node while answers are missed.
 	lineTriesPerRelay = 3
 	// strandedCommitsRetryDelay is the delay before a node checks again whether
 	// commits at a closing primary may still be answered.
--- a/test/simulation/lines_operator.go
+++ b/test/simulation/lines_operator.go
@@ -20,7 +20,7 @@
 	referenceLatencyTarget = 200 * time.Millisecond
 
 	versionRetryInterval = time.Second
-	versionAttempts      = 8
+	versionRetries       = 8
 	minVersionInterval   = 1500 * time.Millisecond
 	maxVersionInterval   = 6 * time.Second
 	// outdatedProbability is the probability that an operator submits an old
@@ -48,8 +48,7 @@
 	ownSuffix    = "-own"
 )
 
-// versionTime is the time of an event of a version, which is its acknowledgement
-// or its first use.
+// versionTime is the time at which a version was acknowledged or first used.
 type versionTime struct {
 	version uint64
 	at      time.Duration
@@ -178,7 +177,7 @@
 func (l *lineFleet) submitVersionsUntil(until time.Duration) {
 	s, versions := l.simulator, &l.checker.versions
 	versions.newest += 1 + uint64(s.random.IntN(2))*2
-	l.submitVersion(versions.newest, versionAttempts)
+	l.submitVersion(versions.newest, versionRetries)
 	if s.chance(outdatedProbability) && versions.newest > 2 {
 		if outdated := versions.newest - 1; versions.sent[outdated] != 0 {
 			l.submitVersion(outdated, 0)
@@ -189,8 +188,8 @@
 	}
 }
 
-// checkMarkedRoute checks that a query on the marked route ran at a database that
-// a version which is not outdated permits.
+// checkMarkedRoute checks that a query on the marked route ran at the database to
+// which the route leads in some version that is not outdated.
 func (l *lineFleet) checkMarkedRoute(sent *query, instance *lineInstance) {
 	versions := &l.checker.versions
 	oldest := uint64(0)
--- a/test/simulation/lines_session.go
+++ b/test/simulation/lines_session.go
@@ -12,8 +12,8 @@
 const (
 	lineLostAnswerProbability = 0.3
 	// discardProbability is the probability that an instance discards the
-	// queued commands of a session that its peer has closed. It applies at
-	// each check, one every peerCloseCheckDelay.
+	// queued commands of a session that its peer has closed. The
+	// instance draws at once, and then again after each peerCloseCheckDelay.
 	discardProbability  = 0.5
 	peerCloseCheckDelay = 20 * time.Millisecond
 )
--- a/test/simulation/lines_test.go
+++ b/test/simulation/lines_test.go
@@ -77,10 +77,10 @@
 		seed   uint64
 		config LineConfig
 	}{
-		{"a late promotion call of an earlier promotion attempt, with the same duty holder and fencing token, was accepted", 8000170, SmallLineConfig()},
+		{"a late promotion call of an earlier promotion attempt, with the same holder of the singleton role and fencing token, was accepted", 8000170, SmallLineConfig()},
 		{"a restarted primary never redirected the other instances to itself, and a primary that crashed while leaving never ended", 8000029, SmallLineConfig()},
 		{"a new control primary listed a leaving instance by an announcement that it had received long before the failover", 8001066, LargeLineConfig()},
-		{"the holder of a duty did not renew it in time, and never processed an instance's answer while the answer was fresh", 8006071, LargeLineConfig()},
+		{"the holder of a singleton role did not renew it in time, and never processed an instance's answer while the answer was fresh", 8006071, LargeLineConfig()},
 	}
 	Convey("Seeds of line sessions on which a rule was once violated violate no rule", t, func() {
 		for _, regression := range seeds {
--- a/test/simulation/lines_window_test.go
+++ b/test/simulation/lines_window_test.go
@@ -47,7 +47,7 @@
 			So(windows.maxLatency, ShouldBeGreaterThan, float64(30*time.Millisecond))
 		}
 	})
-	Convey("When a node records answers later than they arrive, or uses a wrong weight, its windows violate the rule", t, func() {
+	Convey("When a node records answers later than they arrive, or uses a wrong weight, its windows differ from the results of the equations", t, func() {
 		for _, defects := range []LineDefects{{LateAnswers: true}, {WrongWeight: true}} {
 			result, _ := runWithWindowModels(defects, true)
 			So(len(result.Violations[RuleWindow]), ShouldBeGreaterThan, 10)
