--- a/test/e2e/scenario_calls.go
+++ b/test/e2e/scenario_calls.go
@@ -151,7 +151,7 @@
 }
 
 // checkForeignRequestIDs sends a malformed request ID, and one that belongs to a proxy
-// that does not exist.
+// that does not exist. The answer to the latter must have a Retry-After header.
 func (c *callChecker) checkForeignRequestIDs(session, author string) {
 	c.check("/v1/statement", sessionCall{Session: session, Kind: "write", Text: "x " + author, RequestID: "nonsense"}, http.StatusBadRequest)
 	foreign := sessionCall{Session: session, Kind: "write", Text: "x " + author, RequestID: "proxy9~1~1.5"}
--- a/test/e2e/scenario_proxy.go
+++ b/test/e2e/scenario_proxy.go
@@ -96,7 +96,8 @@
 	}
 }
 
-// runSlowRestart stops a proxy while statements take 200 times as long.
+// runSlowRestart restarts a proxy as planned while statements at the primary take 200
+// times as long.
 func runSlowRestart(r *Run) {
 	_ = r.SetFault(r.Primary(r.database()).Name, standin.Fault{Slowdown: pointerTo(200.0)})
 	r.Sleep(2 * time.Second)
--- a/test/history/commits.go
+++ b/test/history/commits.go
@@ -19,9 +19,9 @@
 	return found
 }
 
-// RefusedButKept finds requests that took effect although the last answer to
-// the caller stated that they did not, or although their transaction was never
-// committed.
+// RefusedButKept finds requests that took effect although an answer to the
+// caller stated that they did not, or although the caller rolled back or
+// abandoned their transaction.
 func RefusedButKept(e Evidence) []string {
 	var found violations
 	for database := range e.Logs {
@@ -78,6 +78,7 @@
 
 // OldPrimaryCommits finds commits that were acknowledged in a term although
 // they were sent, or ran, after an instance had been promoted in a later term.
+// For a retry, only the time at which it ran counts.
 func OldPrimaryCommits(e Evidence) []string {
 	promoted := e.promotionTimes()
 	lastRun := e.lastRunTimes()
--- a/test/history/evidence.go
+++ b/test/history/evidence.go
@@ -118,7 +118,7 @@
 type ClosedFault struct {
 	Name                    string
 	BeforeFrom, BeforeUntil int64
-	// At is the time at which the machines had returned.
+	// At is the time at which the fault had ended.
 	At int64
 }
 
@@ -143,8 +143,8 @@
 	return a.Term > b.Term || (a.Term == b.Term && a.Index > b.Index)
 }
 
-// isCommitKind reports whether answering a request of this kind can add an
-// entry to the log.
+// isCommitKind reports whether a request of this kind can add an entry to the
+// log.
 func isCommitKind(event standin.Event) bool {
 	return event.Kind == KindWrite || event.Kind == KindCommit
 }
--- a/test/history/load.go
+++ b/test/history/load.go
@@ -14,7 +14,8 @@
 
 // Load reads the files that the instances of a run wrote to their folders.
 // The map instances holds the database of each instance. A missing file counts
-// as empty, and a line that was truncated by a crash is skipped.
+// as empty, and a line that was truncated by a crash is skipped. The primary of
+// a database is taken to be the instance whose log has the highest last position.
 func Load(folder string, instances map[string]string, events []standin.Event) Evidence {
 	evidence := Evidence{Events: events, Logs: map[string]map[string][]standin.Entry{}, Writers: map[string]string{}}
 	for instance, database := range instances {
--- a/test/history/restarts.go
+++ b/test/history/restarts.go
@@ -9,8 +9,8 @@
 	// drainTimeout is how long an instance may still receive work after it
 	// announced that it is leaving.
 	drainTimeout = int64(7 * time.Second)
-	// restartMargin is how long before a planned restart a request that the
-	// restart cuts off may have run.
+	// restartMargin is the maximum time between the execution of a request and
+	// the start of a later planned restart that is held to have cut it off.
 	restartMargin = int64(500 * time.Millisecond)
 )
 
--- a/test/history/sets.go
+++ b/test/history/sets.go
@@ -19,8 +19,9 @@
 )
 
 // IgnoredChanges finds requests that were served under an older set although
-// a newer set had already taken effect, or had been acknowledged and due for
-// longer than changeTimeout. It also finds scheduled sets that took effect early.
+// a newer set had been in effect for longer than downgradeTolerance, or had been
+// acknowledged and due for longer than changeTimeout. It also finds scheduled sets
+// that took effect early.
 func IgnoredChanges(e Evidence) []string {
 	var found violations
 	firstServed := e.firstServedTimes()
@@ -82,10 +83,12 @@
 
 // InconsistentSets finds the following violations:
 //   - a set was served with content that no operator sent;
-//   - an accepted set was never served, or was served under a sequence other
-//     than the acknowledged one;
-//   - a refused set was served;
-//   - a scheduled set took effect twice, out of order or not at all.
+//   - a set was served under two sequences, or two sets were served under one
+//     sequence;
+//   - an accepted set that is not scheduled was served under a sequence other
+//     than the acknowledged one, or neither it nor a newer set was served;
+//   - a set that was refused, and never accepted, was served;
+//   - an accepted scheduled set took effect out of order or not at all.
 func InconsistentSets(e Evidence) []string {
 	checker := &setChecker{
 		evidence: e, idByContent: map[string]string{}, effectiveAt: map[string]int64{}, sequences: map[string]uint64{},
--- a/test/linehistory/history.go
+++ b/test/linehistory/history.go
@@ -48,7 +48,8 @@
 	// for a statement outside a transaction.
 	Transaction   int
 	ID, Act, Text string
-	// Shape and Rest are set for a prepared statement, which has no Text.
+	// Shape is the text of a prepared statement, and Rest is the rest of the line
+	// that runs it. Text is empty for a prepared statement.
 	Shape, Rest string
 	// Values are the settings of the session.
 	Values map[string]string
@@ -133,7 +134,7 @@
 func (s Span) contains(at time.Duration) bool { return at >= s.From && at < s.Until }
 
 // ClosedFault is a fault that has ended. Service was normal in the span Before,
-// and the machines had returned at the time At.
+// and the fault had ended at the time At.
 type ClosedFault struct {
 	Before Span
 	At     time.Duration
--- a/test/modelcheck/faults.go
+++ b/test/modelcheck/faults.go
@@ -71,8 +71,9 @@
 func (w *world) hasSecondMessage() bool { return w.secondMessage() > 0 }
 
 // hangDuringSync delivers the oldest message to its receiver, whose disk hangs from then
-// on. If the message causes no save, the fault makes no difference and the state is
-// marked as redundant.
+// on, and returns the receiver. If the message causes no save, the fault makes no
+// difference and the state is marked as redundant. The state is also marked, and nil is
+// returned, if the receiver does not run, is frozen or has a disk that already hangs.
 func (w *world) hangDuringSync() *host {
 	index := w.find(w.inFlight[0].to)
 	h := w.hosts[index]
--- a/test/modelcheck/modelcheck.go
+++ b/test/modelcheck/modelcheck.go
@@ -42,8 +42,9 @@
 	return b.faults >= other.faults && b.rounds >= other.rounds
 }
 
-// Run searches until an invariant is violated or all states within the bounds are
-// searched. The same Config always produces the same Result.
+// Run searches until an invariant is violated, all states within the bounds are
+// searched or Config.MaxStates is reached. The same Config always produces the same
+// Result.
 func Run(config Config) Result {
 	config.RoundDuration = cmp.Or(config.RoundDuration, defaultRound)
 	var result Result
--- a/test/modelcheck/modelcheck_test.go
+++ b/test/modelcheck/modelcheck_test.go
@@ -85,7 +85,7 @@
 			SoMsg(defects[index].name, result.Violation, ShouldContainSubstring, defects[index].violation)
 		}
 	})
-	Convey("The same searches without the defects find no violation", t, func() {
+	Convey("The searches for the first three defects find no violation without them", t, func() {
 		var configs []Config
 		for _, defect := range defects[:3] {
 			config := defect.config
--- a/test/modelcheck/world.go
+++ b/test/modelcheck/world.go
@@ -213,7 +213,7 @@
 	return budget{faults: w.config.MaxFaults - w.faults, rounds: w.config.Rounds - w.rounds}
 }
 
-// key returns the key of the state.
+// key returns the hash by which the state is compared with other states.
 func (w *world) key() Key {
 	e := encoder{now: w.now, data: make([]byte, 0, 2048)}
 	for _, h := range w.hosts {
--- a/test/platformstandin/execution.go
+++ b/test/platformstandin/execution.go
@@ -12,7 +12,7 @@
 const (
 	// slotTimeout is the maximum time that a statement waits for a slot.
 	slotTimeout = 500 * time.Millisecond
-	// commitTimeout is the maximum time that a commit waits for replicas.
+	// commitTimeout is the maximum time that a commit waits for a replica.
 	commitTimeout = 2 * time.Second
 )
 
@@ -35,7 +35,7 @@
 type outcome struct {
 	aborted bool
 	refusal string
-	// replicated is closed once enough replicas have received the commit. It is
+	// replicated is closed once the commit may be answered (Service.commit). It is
 	// nil if the operation did not commit anything.
 	replicated chan struct{}
 	// answerLost is true if the connection is to be closed without an answer.
--- a/test/platformstandin/replication.go
+++ b/test/platformstandin/replication.go
@@ -14,7 +14,7 @@
 	values   map[string]string
 }
 
-// commitWaiter is a commit that waits until replicas have received it. done is
+// commitWaiter is a commit that waits until a replica has received it. done is
 // then closed.
 type commitWaiter struct {
 	position linehistory.Position
@@ -22,8 +22,8 @@
 }
 
 // commit appends an entry to a primary's log and starts its replication. It
-// returns the entry's position and a channel that is closed once enough replicas
-// have received the entry.
+// returns the entry's position and a channel that is closed once a replica has
+// received the entry, or at once if SyncReplicas is 0.
 func (s *Service) commit(primary *Instance, ids []string, values map[string]string) (linehistory.Position, chan struct{}) {
 	position := linehistory.Position{Term: primary.term, Index: primary.lastPosition().Index + 1}
 	primary.log = append(primary.log, logEntry{position, ids, values})
@@ -99,7 +99,7 @@
 	}
 }
 
-// onReplicated completes the waiting commits that a replica has received. The
+// onReplicated completes the waiting commits that one replica has received. The
 // replica's log ends at position.
 func (i *Instance) onReplicated(position linehistory.Position) {
 	remaining := i.commitWaiters[:0]
--- a/test/platformstandin/service.go
+++ b/test/platformstandin/service.go
@@ -13,7 +13,8 @@
 type ServiceConfig struct {
 	Name string
 	// SyncReplicas is the number of replicas that must have received a commit
-	// before it is answered.
+	// before it is answered. The stand-in waits for only one replica if the
+	// number is greater than 1.
 	SyncReplicas int
 	// ReplicationDelay is the time between a commit and its arrival at a
 	// replica. ApplyDelay is the time between its arrival and the moment at
--- a/test/standin/caller_operations.go
+++ b/test/standin/caller_operations.go
@@ -90,8 +90,9 @@
 	c.awaitRetry(ctx, event)
 }
 
-// write makes one write outside a transaction. While the outcome is unknown, it
-// retries with the same request id.
+// write makes one write outside a transaction. While the outcome is unknown or
+// the answer is missing, it retries with the same request id, at most
+// maxWriteRetries times.
 func (c *caller) write(ctx context.Context) {
 	id := c.nextRequestID()
 	body := sessionRequest{Kind: "write", Text: c.newStatement("book", id), RequestID: id}
--- a/test/standin/relay.go
+++ b/test/standin/relay.go
@@ -119,8 +119,9 @@
 	}
 }
 
-// awaitUnblocked applies the relay's faults to one chunk. It returns false if the
-// connection must be closed.
+// awaitUnblocked applies the relay's faults to one chunk and waits until its source
+// is not blocked. While the source is blocked, the faults are applied again at each
+// check. It returns false if the connection must be closed.
 func (r *Relay) awaitUnblocked(to net.Conn, source string, blockedSources map[string]bool) bool {
 	for {
 		r.mutex.Lock()
