--- a/test/platforme2e/scenario_database.go
+++ b/test/platforme2e/scenario_database.go
@@ -11,7 +11,8 @@
 const promotionTimeout = 15 * time.Second
 
 // failOverPrimary injects a fault into the primary of the first service, waits until
-// another instance is promoted, and repairs the old primary.
+// another instance is promoted and serves, and calls repair with the old primary, which
+// must not become primary again.
 func (r *Run) failOverPrimary(inject, repair func(old *platformstandin.Instance)) {
 	service := r.Services[0]
 	old := service.Primary()
--- a/test/platforme2e/scenario_processes.go
+++ b/test/platforme2e/scenario_processes.go
@@ -64,11 +64,11 @@
 		r.Errorf("no control primary")
 		return
 	}
-	witness := r.Controls[0]
-	if witness == primary {
-		witness = r.Controls[1]
+	notPrimary := r.Controls[0]
+	if notPrimary == primary {
+		notPrimary = r.Controls[1]
 	}
-	for _, lost := range []*e2e.Process{witness, primary} {
+	for _, lost := range []*e2e.Process{notPrimary, primary} {
 		r.killAndReplaceConfiguration(lost)
 		r.AddControl()
 		r.Sleep(repairTime)
